--- a/src/poppyhold/admission.py
+++ b/src/poppyhold/admission.py
@@ -8,13 +8,15 @@
 
 from poppyhold.attempts import Attempts
 from poppyhold.context import Context
-from poppyhold.fleet import NOTHING, Attempt, Job, Machine, Room, how_many, plus, zone_limit
+from poppyhold.fleet import NOTHING, Attempt, Job, Machine, Room, how_many, plus
+from poppyhold.gang_placement import GangPlacement
+from poppyhold.gangs import GangState
 from poppyhold.ledger import Ledger
 from poppyhold.placement import Choice, Placement, Quotas, Search, fetch_wait, may_use, zone_allows
 from poppyhold.planner import Plan, Planner
 from poppyhold.pricing import Pricing
 from poppyhold.store import ACTIVE as ACTIVE_KEYS
-from poppyhold.store import PLAN, Data, put
+from poppyhold.store import PLAN, Data, put, stored_bytes
 
 log = logging.getLogger(__name__)
 
@@ -65,6 +67,8 @@
         self.machines, self.steady, self.extra = machines, steady, extra
         self.zones = {machine.zone for machine in machines}
         self.hopeless: set[tuple[object, ...]] = set()
+        # Teams whose limit is kept for a gang that has waited long.
+        self.held_teams: set[str] = set()
 
     @staticmethod
     def claim(job: Job, limited: bool, reserved: bool) -> tuple[object, ...]:
@@ -93,11 +97,13 @@
             if objective.kind == "wait" and objective.lot is not None and objective.within_s is not None
         }
         self.placement = Placement(aims, self._loss)
+        self._gang_placement = GangPlacement(self.placement.in_time)
         self.estimates = Estimates()
         self.ledger.first = self._slot()
         self._released = True
         self._reconsider_at = 0.0
         self._pass = Pass([], [], NOTHING)
+        self._largest_record = ctx.settings.settings.state.lowest.value_bytes
         # Jobs that passes which were broken off came to.
         self._looked_at: set[str] = set()
 
@@ -230,7 +236,7 @@
         if job.plan_asked:
             return
         job.plan_asked = True
-        data: Data = {"s": {str(slot): zones for slot, zones in job.plan.items()}}
+        data = self._record(job)
 
         def durable(done: bool) -> None:
             job.plan_asked = False
@@ -244,6 +250,18 @@
         conditions = {ACTIVE_KEYS + job.id: job.stamp}
         self._ctx.edges.commit(conditions, [put(PLAN + job.id, data)], durable, first=True)
 
+    def _record(self, job: Job) -> Data:
+        """The durable form of a plan; one that does not fit loses its last slots.
+
+        What is left out starts later, on room that no plan books.
+        """
+        slots = sorted(job.plan)
+        while True:
+            data: Data = {"s": {str(slot): job.plan[slot] for slot in slots}}
+            if not slots or stored_bytes(data) <= self._largest_record:
+                return data
+            slots.pop()
+
     def load(self, job: Job, data: Data) -> None:
         """Take a plan that an earlier leader made durable."""
         job.fresh = False
@@ -296,6 +314,7 @@
         steady = [machine for machine in machines if machine.shaky_until <= now]
         self._pass = Pass(machines, steady, self._unknown_use())
         self.placement.begin(machines, [job for job in ctx.fleet.jobs.values() if job.active])
+        self._gang_placement.begin(ctx.fleet.jobs.values())
         # A backlog that meets a thousand empty machines takes seconds: reports must not wait for it. The next
         # pass goes on with those that this one did not come to.
         budget_s = ctx.times.report_s / 16
@@ -304,7 +323,7 @@
         for job in ready:
             if job.admitted and ctx.clock() <= stop_at:
                 cap = self._cap(job)
-                if cap > 0 and not (job.gang and cap < job.pending):
+                if cap > 0 and (not job.gang or cap >= job.pending):
                     self._start_some(job, cap, None)
         reserved = self._reserved()
         stop_at = ctx.clock() + budget_s
@@ -342,6 +361,8 @@
         if job.service:
             # Somebody waits for a replica all the time; an array's task only at its end.
             return boot
+        if job.gang:
+            return boot + self._gang_loss(victim)
         if victim.running_at is None:
             return 0.0
         now = self._ctx.clock()
@@ -355,6 +376,20 @@
                 lost += boot
         return lost
 
+    def _gang_loss(self, victim: Attempt) -> float:
+        """Seconds of work that all tasks of a gang lose with one of them."""
+        job, now = victim.job, self._ctx.clock()
+        if victim.running_at is None:
+            return 0.0
+        ran = now - victim.running_at
+        if job.spec.bookmarkS <= 0:
+            return ran * job.spec.chores
+        silent_s = self._ctx.times.silent_s
+        # It saves its progress only if all of its machines can be told in time.
+        told = all(now - mate.machine.last_report <= silent_s for mate in job.active.values())
+        lost = min(ran, job.spec.stashS) if told else ran % job.spec.bookmarkS
+        return lost * job.spec.chores
+
     def _unknown_use(self) -> Room:
         """Room that may be in use on machines whose tasks we can't know: it counts for every team."""
         total = NOTHING
@@ -376,11 +411,14 @@
     def _start_some(self, job: Job, most: int, reserved: dict[str, Room] | None) -> None:
         here = self._pass
         used = self._ctx.fleet.used
-        if job.gang and not self._gang_fits(job, here.machines, reserved, here.extra):
-            return
         own = reserved
         if reserved is not None and job.booked.get(self.ledger.first):
             own = self._without(reserved, job)
+        if job.gang:
+            self._start_gang(job, own)
+            return
+        if reserved is not None and job.spec.crew in here.held_teams:
+            return
         searches: list[Search] = []
         while most > 0:
             index = job.next_pending()
@@ -424,6 +462,8 @@
     def _choose(self, job: Job, search: Search) -> Choice | None:
         """The best machine with room; else, or where its image would come too late, one that makes room."""
         choice = search.best()
+        if self._ctx.clock() < job.preempts_again_at:
+            return choice
         if choice is None:
             return search.preempt()
         wait = fetch_wait(choice.machine, job)
@@ -458,28 +498,62 @@
         best = max(rooms, key=lambda zone: (rooms[zone], zone), default=None)
         return [machine for machine in machines if machine.zone == best]
 
-    def _gang_fits(
-        self, job: Job, machines: list[Machine], reserved: dict[str, Room] | None, extra: Room
-    ) -> bool:
-        """Whether all tasks of a gang can start at once: fewer would only wait for one another."""
-        if job.active:
-            return False
-        mine = self._ctx.fleet.used.get(job.spec.crew, [0.0, 0.0])
+    def _start_gang(self, job: Job, reserved: dict[str, Room] | None) -> None:
+        """Start all pending tasks of a gang in one step, or none."""
+        gangs = self._attempts.gangs
+        if not gangs.may_start(job):
+            return
+        within_limit = self._gang_within_limit(job)
+        machines = self._gang_machines(job, reserved) if within_limit else None
+        if machines is not None:
+            for machine in machines:
+                index = job.next_pending()
+                if index is not None:
+                    self._start(job, index, Choice(machine))
+        elif gangs.state_of(job) is GangState.ASSEMBLING:
+            gangs.give_up(job, "no room for a replacement", self._ctx.clock())
+        elif reserved is not None:
+            self._hold_for_gang(job, within_limit, reserved)
+
+    def _gang_machines(self, job: Job, reserved: dict[str, Room] | None) -> list[Machine] | None:
+        """Machines for all pending tasks; those that did not get our commands lately only if need be."""
+        here = self._pass
+        chosen = self._gang_placement.choose(job, here.steady, reserved)
+        if chosen is None and len(here.steady) < len(here.machines):
+            chosen = self._gang_placement.choose(job, here.machines, reserved)
+        return chosen
+
+    def _gang_within_limit(self, job: Job) -> bool:
+        """Whether all pending tasks together stay within the team's limit."""
+        used = self._ctx.fleet.used.get(job.spec.crew, [0.0, 0.0])
+        extra = self._pass.extra
         all_but_one = job.pending - 1
         total = (
-            mine[0] + extra[0] + job.need[0] * all_but_one,
-            mine[1] + extra[1] + job.need[1] * all_but_one,
+            used[0] + extra[0] + job.need[0] * all_but_one,
+            used[1] + extra[1] + job.need[1] * all_but_one,
         )
-        if not self._quotas.allows(job.spec.crew, total, job.need):
-            return False
-        zones: dict[str, int] = {}
-        for machine in machines:
-            if may_use(job, machine):
-                zones[machine.zone] = zones.get(machine.zone, 0) + _room_for(job, machine, reserved)
-        limit = zone_limit(job.spec)
+        return self._quotas.allows(job.spec.crew, total, job.need)
+
+    def _hold_for_gang(self, job: Job, within_limit: bool, reserved: dict[str, Room]) -> None:
+        """Keep freed room for a gang that has waited long, for a while at a time.
+
+        Smaller jobs would take each room that is released, and the gang would never find enough at once. Held
+        without end, a gang that nothing can serve would block all others.
+        """
+        waited_s = self._ctx.clock() - job.at - self._ctx.times.lease_s * _PATIENCE_LEASES
+        hold_s = self._ctx.settings.settings.workers.gang_wait_s
+        if waited_s < 0 or int(waited_s / hold_s) % 2:
+            return
+        if not within_limit:
+            self._pass.held_teams.add(job.spec.crew)
+            return
+        machines = [machine for machine in self._pass.machines if may_use(job, machine)]
         if job.spec.samePlace:
-            return max(zones.values(), default=0) >= job.pending
-        return sum(min(limit, room) for room in zones.values()) >= job.pending
+            machines = self._home(job, machines, reserved)
+        for machine in machines:
+            room = _room_for(job, machine, reserved)
+            if room:
+                reserved[machine.name] = plus(reserved.get(machine.name, NOTHING), job.need, room)
 
     def _without(self, reserved: dict[str, Room], job: Job) -> dict[str, Room]:
         own = dict(reserved)
@@ -489,11 +563,25 @@
         return own
 
     def _start(self, job: Job, index: int, choice: Choice) -> None:
+        if self._await_gangs(job, choice):
+            return
         attempt = self._attempts.start(job, index, choice.machine, choice.victims)
         self.placement.take(choice)
         self._use_booking(job, choice.machine.name)
         self._book(attempt, 1.0)
 
+    def _await_gangs(self, job: Job, choice: Choice) -> bool:
+        """Whether a start has to wait for gangs among its victims, which are stopped whole and save first."""
+        gangs = [victim.job for victim in choice.victims if victim.job.gang]
+        if not gangs:
+            return False
+        now = self._ctx.clock()
+        for gang in gangs:
+            self._attempts.gangs.stop(gang, now)
+        saving_s = max(gang.spec.stashS for gang in gangs)
+        job.preempts_again_at = now + saving_s + 2 * self._ctx.times.report_s
+        return True
+
     def _use_booking(self, job: Job, machine: str) -> None:
         """A start takes one of the job's booked rooms: on its machine if there is one, else the earliest."""
         for slot in sorted(job.booked):
--- a/src/poppyhold/attempts.py
+++ b/src/poppyhold/attempts.py
@@ -10,7 +10,8 @@
 
 from poppyhold.context import REFUSED, UNSENT, UNSURE, Context
 from poppyhold.fleet import DONE, Attempt, Job, Machine
-from poppyhold.messages import Chore, Report, split_task
+from poppyhold.gangs import Gangs
+from poppyhold.messages import Chore, ExitCause, Report, TaskState, split_task
 from poppyhold.store import BATON, MACHINE, put
 
 log = logging.getLogger(__name__)
@@ -30,6 +31,7 @@
     ) -> None:
         self._ctx = ctx
         self._on_done, self._on_over, self._on_ran = on_done, on_over, on_ran
+        self.gangs = Gangs(ctx, self.stop)
         # Machines that may hold tasks of terms before ours and have not been heard in it.
         self.unheard: set[str] = set()
         self._unheard_told = False
@@ -141,14 +143,18 @@
             ctx.dirty = True
         present: set[str] = set()
         for chore in report.chores:
-            if chore.status == "ended":
+            if chore.status == TaskState.EXITED:
                 self._ended(machine, chore, now)
             else:
                 present.add(chore.chore)
                 self._present(machine, chore, now)
         for attempt in list(machine.attempts.values()):
             if attempt.name not in present and self._absence_proves(attempt, report, answered):
-                if attempt.status == "sent" and attempt.via == "reply" and attempt.stopping_at is None:
+                if (
+                    attempt.status == TaskState.SENT
+                    and attempt.via == "reply"
+                    and attempt.stopping_at is None
+                ):
                     # Its answers do not come through: leave it alone for a while.
                     machine.refused_until = now + ctx.times.lease_s / 2
                 self._over(attempt)
@@ -157,7 +163,7 @@
     @staticmethod
     def _absence_proves(attempt: Attempt, report: Report, answered: bool) -> bool:
         """Whether a newer report without the attempt shows that it is not there and won't be."""
-        if attempt.status != "sent":
+        if attempt.status != TaskState.SENT:
             return True
         if attempt.in_flight:
             return False
@@ -177,16 +183,20 @@
         if attempt is not None and attempt.number == chore.attempt:
             if attempt.status != chore.status:
                 attempt.status = chore.status
-                if chore.status == "running":
+                if chore.status == TaskState.RUNNING:
                     attempt.running_at = attempt.running_at or now
                     log.debug("%s runs, %.1f s behind its start", attempt.name, now - attempt.sent_at)
+                if chore.status in (TaskState.RUNNING, TaskState.WAITING):
                     machine.touch_image(attempt.job.spec.bundle, attempt.job.spec.sizeGb)
+                if attempt.job.gang:
+                    self.gangs.reported(attempt, now)
             return
         if attempt is None and job is not None and 0 <= index < job.spec.chores and not job.active.get(index):
             state = job.states[index]
             adopted = Attempt(job, index, chore.attempt, machine, machine.shift, now, status=chore.status)
-            if chore.status == "running":
+            if chore.status == TaskState.RUNNING:
                 adopted.running_at = now
+            if chore.status in (TaskState.RUNNING, TaskState.WAITING):
                 machine.touch_image(job.spec.bundle, job.spec.sizeGb)
             self._ctx.fleet.add(adopted)
             if state == DONE:
@@ -194,6 +204,8 @@
             if state == DONE or job.over:
                 # It runs, so it counts; but nobody has a use for it any more.
                 adopted.stopping_at = now
+            elif job.gang:
+                self.gangs.adopt(adopted, now)
             return
         machine.strangers.add(chore.chore)
 
@@ -204,39 +216,44 @@
             return
         attempt = machine.attempts.get(chore.chore)
         ours = attempt is not None and attempt.number == chore.attempt
-        if chore.cause == "done":
+        if chore.cause == ExitCause.DONE:
             machine.touch_image(job.spec.bundle, job.spec.sizeGb)
             if ours and attempt is not None and attempt.running_at is not None:
                 self._on_ran(attempt, now)
-            if job.states[index] != DONE:
-                job.states[index] = DONE
-                job.done += 1
-                job.unsaved.add(index)
+            news = job.complete(index)
+            if news:
+                job.unsaved.update(range(job.spec.chores) if job.gang else (index,))
+            if ours and attempt is not None:
+                self._over(attempt)
+            if news:
                 self._on_done(job, index)
         elif ours and attempt is not None:
             self._failed(attempt, chore, now)
-        if ours and attempt is not None:
+            if job.gang:
+                self.gangs.exited(attempt, chore.cause, now)
             self._over(attempt)
 
     def _failed(self, attempt: Attempt, chore: Chore, now: float) -> None:
         job, machine = attempt.job, attempt.machine
         log.debug("%s on %s ended: %s", attempt.name, machine.name, chore.cause)
-        if chore.cause == "error":
+        if chore.cause == ExitCause.ERROR:
             machine.errors.add(job.id)
             job.failures += 1
             job.failed_on.add(machine.name)
             # A job with a mistake in it fails everywhere: it comes back ever more slowly.
             pause = self._ctx.times.report_s * 2 ** min(job.failures, 8)
             job.retry_at = now + min(pause, self._ctx.times.cancel_s)
-        elif chore.cause in ("no_room", "busy"):
+        elif chore.cause in (ExitCause.NO_ROOM, ExitCause.BUSY):
             machine.refused_until = now + 2 * self._ctx.times.report_s
-        elif chore.cause == "no_such":
+        elif chore.cause == ExitCause.UNKNOWN_TASK:
             job.retry_at = now + self._ctx.times.report_s
 
     def _over(self, attempt: Attempt) -> None:
         log.debug("over: %s on %s, was %s", attempt.name, attempt.machine.name, attempt.status)
         self._on_over(attempt)
         self._ctx.fleet.remove(attempt)
+        if attempt.job.gang:
+            self.gangs.gone(attempt, self._ctx.clock())
         self._ctx.dirty = True
 
     # -- orders ----------------------------------------------------------------------------------
@@ -244,7 +261,7 @@
     def _orders(self, machine: Machine, report: Report, now: float) -> list[Order]:
         orders: list[Order] = []
         for chore in report.chores:
-            if chore.status == "ended":
+            if chore.status == TaskState.EXITED:
                 if self._may_reap(chore):
                     orders.append({"verb": "reap", "chore": chore.chore, "try": chore.attempt})
             elif chore.chore in machine.strangers:
@@ -252,7 +269,7 @@
         for attempt in machine.attempts.values():
             if attempt.stopping_at is not None:
                 orders.append(self._stop_order(attempt, now))
-            elif attempt.status == "sent" and attempt.via == "reply" and attempt.reply_tally < 0:
+            elif attempt.status == TaskState.SENT and attempt.via == "reply" and attempt.reply_tally < 0:
                 attempt.reply_tally = report.tally
                 orders.append({"verb": "run", "chore": attempt.name, "try": attempt.number})
         return orders
@@ -271,7 +288,7 @@
         ]
         for chore in report.chores:
             job = self._ctx.fleet.jobs.get(split_task(chore.chore)[0])
-            if chore.status != "ended" and (job is None or job.over):
+            if chore.status != TaskState.EXITED and (job is None or job.over):
                 orders.append({"verb": "stop", "chore": chore.chore, "try": chore.attempt, "leewayS": 0})
         return orders
 
@@ -291,9 +308,7 @@
     def start(self, job: Job, index: int, machine: Machine, victims: list[Attempt]) -> Attempt:
         """Start a task, after stopping the victims on the same machine."""
         now = self._ctx.clock()
-        # The tasks of a gang find one another by the number of their try.
-        mates = next(iter(job.active.values()), None) if job.gang else None
-        number = mates.number if mates is not None else self._ctx.number()
+        number = self.gangs.number_for(job) if job.gang else self._ctx.number()
         attempt = Attempt(job, index, number, machine, machine.shift, now)
         for victim in victims:
             self.stop(victim, 0.0, now, direct=False)
@@ -318,7 +333,7 @@
             attempt.leeway_s = leeway_s
         else:
             attempt.leeway_s = min(attempt.leeway_s, leeway_s)
-        if attempt.status == "sent" and attempt.via == "reply" and attempt.reply_tally < 0:
+        if attempt.status == TaskState.SENT and attempt.via == "reply" and attempt.reply_tally < 0:
             # Its start was never handed out.
             self._over(attempt)
             return
@@ -386,7 +401,7 @@
             if machine.attempts.get(attempt.name) is not attempt:
                 continue
             attempt.in_flight = False
-            if attempt.status != "sent":
+            if attempt.status != TaskState.SENT:
                 continue
             if outcome in (REFUSED, UNSENT):
                 # Nothing was executed, and nothing can be later.
--- a/src/poppyhold/controller.py
+++ b/src/poppyhold/controller.py
@@ -9,24 +9,22 @@
 
 from poppyhold.admission import Admission
 from poppyhold.attempts import Attempts
+from poppyhold.completions import Completions
 from poppyhold.context import Context, Edges, Hints, Times
 from poppyhold.fleet import (
-    DONE,
     Attempt,
     Job,
     Machine,
-    decode_done,
-    encode_done,
     make_job,
 )
+from poppyhold.gangs import GangState
 from poppyhold.hiring import Hiring
-from poppyhold.messages import Build, Listed, Malformed, Report, convert, parse_submission
+from poppyhold.messages import Build, Listed, Malformed, Report, TaskState, convert, parse_submission
 from poppyhold.options import Options
 from poppyhold.placement import Quotas
 from poppyhold.recent import Recent
 from poppyhold.settings import Settings
-from poppyhold.store import ACTIVE, Data, Entry, final_writes, put, remove
-from poppyhold.store import DONE as DONE_KEYS
+from poppyhold.store import ACTIVE, Data, Entry, final_writes
 
 
 class Snapshot:
@@ -36,12 +34,13 @@
         self,
         active: Iterable[Entry] = (),
         plans: dict[str, Data] | None = None,
-        done: dict[str, Data] | None = None,
+        done: dict[str, dict[str, Data]] | None = None,
         hires: dict[str, Data] | None = None,
         machines: dict[str, Data] | None = None,
     ) -> None:
         self.active = list(active)
         self.plans = plans or {}
+        # By the prefix of the records.
         self.done = done or {}
         self.hires = hires or {}
         self.machines = machines or {}
@@ -68,8 +67,7 @@
             self.ctx, self.attempts, self._quotas, lambda job: self.job_removed(ACTIVE + job.id)
         )
         self.hiring = Hiring(self.ctx, self.attempts, self._quotas, self._machine_gone)
-        # Tasks per durable record of completions: a quarter of the largest value, four to a digit.
-        self._chunk = max(64, int(settings.settings.state.value_kb * 1024 / 4) * 4)
+        self.completions = Completions(self.ctx)
         self._guarantees_stale = True
         self._flush_at = 0.0
         # Jobs that were over before we heard of them. A cancellation may overtake the submission, in our own
@@ -105,17 +103,8 @@
             job = self._add_job(entry)
             if job is not None and job.id in snapshot.plans:
                 self.admission.load(job, snapshot.plans[job.id])
-        for key, data in snapshot.done.items():
-            job_id, _, chunk = key.rpartition("/")
-            job = ctx.fleet.jobs.get(job_id)
-            if job is None:
-                ctx.edges.commit({}, [remove(DONE_KEYS + key)], lambda done: None)
-                continue
-            job.saved_chunks.add(int(chunk))
-            for index in decode_done(job, int(chunk), self._chunk, data["d"]):
-                if job.states[index] != DONE:
-                    job.states[index] = DONE
-                    job.done += 1
+        for prefix, records in snapshot.done.items():
+            self.completions.load(prefix, records)
         for job in sorted(ctx.fleet.jobs.values(), key=lambda job: job.at):
             self.hiring.arrivals.note(job.at, job.spec)
             if not job.plan_durable:
@@ -164,11 +153,7 @@
         now = self.ctx.clock()
         for attempt in list(job.active.values()):
             self.attempts.stop(attempt, 0.0, now)
-        if job.saved_chunks:
-            writes = [remove(f"{DONE_KEYS}{job.id}/{chunk}") for chunk in job.saved_chunks]
-            size = self.ctx.settings.settings.state.txn_ops
-            for first in range(0, len(writes), size):
-                self.ctx.edges.commit({}, writes[first : first + size], lambda done: None)
+        self.completions.remove(job)
         self._prune(job)
         self.ctx.dirty = True
 
@@ -192,9 +177,10 @@
         self.hiring.watch()
         self._drain(now)
         self.attempts.raise_baton()
+        self.attempts.gangs.tick(now)
         if now >= self._flush_at:
             self._flush_at = now + self.ctx.times.report_s / 2
-            self._save_done()
+            self.completions.save()
         self.hiring.provide()
         self.ctx.dirty = True
 
@@ -287,30 +273,6 @@
             {ACTIVE + job.id: job.stamp}, final_writes(job.id, "done", job.spec.chores), durable, first=True
         )
 
-    def _save_done(self) -> None:
-        """Make completions durable, a record for each stretch of a job's tasks that has new ones."""
-        for job in self.ctx.fleet.jobs.values():
-            if not job.unsaved or job.saving or job.finishing or job.over:
-                continue
-            indices = set(job.unsaved)
-            chunks = {index // self._chunk for index in indices}
-            writes = [
-                put(f"{DONE_KEYS}{job.id}/{chunk}", {"d": encode_done(job, chunk, self._chunk)})
-                for chunk in chunks
-            ]
-            job.saving = True
-            job.saved_chunks |= chunks
-            self.ctx.edges.commit({ACTIVE + job.id: job.stamp}, writes, self._saved(job, indices))
-
-    @staticmethod
-    def _saved(job: Job, indices: set[int]) -> Callable[[bool], None]:
-        def durable(done: bool) -> None:
-            job.saving = False
-            if done:
-                job.unsaved -= indices
-
-        return durable
-
     # -- machines ------------------------------------------------------------------------------------
 
     def _attempt_over(self, attempt: Attempt) -> None:
@@ -340,15 +302,28 @@
             if machine.recall_at is not None and machine.recalled_at is not None:
                 left = (machine.recall_at - machine.recalled_at) / 2 - (now - machine.recalled_at)
             for attempt in list(machine.attempts.values()):
-                if attempt.stopping_at is None and self._must_go(attempt, left, now):
+                if attempt.stopping_at is not None or not self._must_go(attempt, left, now):
+                    continue
+                if attempt.job.gang:
+                    self._drain_gang(attempt, left, now)
+                else:
                     leeway = (
                         attempt.job.spec.stashS + times.report_s if attempt.job.spec.bookmarkS > 0 else 0.0
                     )
                     self.attempts.stop(attempt, leeway, now)
 
+    def _drain_gang(self, attempt: Attempt, left: float, now: float) -> None:
+        """Move one task of a gang that assembles; a gang that runs is stopped as a whole."""
+        gangs, job = self.attempts.gangs, attempt.job
+        if gangs.state_of(job) is GangState.ASSEMBLING:
+            self.attempts.stop(attempt, 0.0, now)
+        else:
+            # With less time than saving takes its progress is lost anyway: the sooner it starts again.
+            gangs.stop(job, now, grace_s=0.0 if left < job.spec.stashS else None)
+
     def _must_go(self, attempt: Attempt, left: float, now: float) -> bool:
         job = attempt.job
-        if job.service or attempt.status in ("sent", "pulling"):
+        if job.service or attempt.status in (TaskState.SENT, TaskState.FETCHING, TaskState.WAITING):
             return True
         if left == math.inf:
             # A machine at fault: whatever runs there had better start again elsewhere.
--- a/src/poppyhold/fleet.py
+++ b/src/poppyhold/fleet.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from poppyhold.messages import RANKS, Build, Submission, task_name
+from poppyhold.messages import IN_PROGRESS, RANKS, Build, Submission, TaskState, task_name
 
 # Amounts of cpus, accelerators and memory, in this order.
 Room = tuple[float, float, float]
@@ -51,7 +51,7 @@
     machine: Machine
     shift: int
     sent_at: float
-    status: str = "sent"
+    status: str = TaskState.SENT
     # How the start was sent: "do", "reply", or "seen" where a report showed it first.
     via: str = "seen"
     reply_tally: int = -1
@@ -103,10 +103,13 @@
     # Cancelled, or done and durable: kept only while something of it may still run.
     over: bool = False
     saving: bool = False
-    saved_chunks: set[int] = msgspec.field(default_factory=set)
+    # Keys of the records that hold its completed tasks.
+    done_records: set[str] = msgspec.field(default_factory=set)
     failures: int = 0
     failed_on: set[str] = msgspec.field(default_factory=set)
     retry_at: float = 0.0
+    # Before this moment it preempts nothing more: gangs that make room for it are saving.
+    preempts_again_at: float = 0.0
     zones: dict[str, int] = msgspec.field(default_factory=dict)
 
     @property
@@ -132,7 +135,7 @@
     @property
     def running(self) -> int:
         """Tasks that run, for display."""
-        return sum(1 for attempt in self.active.values() if attempt.status in ("running", "flushing"))
+        return sum(1 for attempt in self.active.values() if attempt.status in IN_PROGRESS)
 
     def saved_s(self) -> float:
         """Seconds of work that every pending task has saved; its job is late only by the rest."""
@@ -153,6 +156,18 @@
             self.next_index += 1
         return self.next_index if self.next_index < self.spec.chores else None
 
+    def complete(self, index: int) -> bool:
+        """Note that a task is completed; True if that is news. The tasks of a gang complete together."""
+        if not 0 <= index < self.spec.chores or self.states[index] == DONE:
+            return False
+        if self.gang:
+            self.states[:] = bytes([DONE]) * self.spec.chores
+            self.done = self.spec.chores
+        else:
+            self.states[index] = DONE
+            self.done += 1
+        return True
+
     def release(self, index: int) -> None:
         """A task that was active is pending again."""
         self.states[index] = PENDING
@@ -294,27 +309,6 @@
     )
 
 
-def encode_done(job: Job, chunk: int, size: int) -> str:
-    """The done tasks of one chunk, a bit each, in hexadecimal."""
-    bits = 0
-    for offset, state in enumerate(job.states[chunk * size : (chunk + 1) * size]):
-        if state == DONE:
-            bits |= 1 << offset
-    return f"{bits:x}"
-
-
-def decode_done(job: Job, chunk: int, size: int, text: str) -> Iterable[int]:
-    """Indices of the tasks that a chunk calls done."""
-    bits = int(text, 16)
-    base = chunk * size
-    while bits:
-        low = bits & -bits
-        index = base + low.bit_length() - 1
-        if index < job.spec.chores:
-            yield index
-        bits ^= low
-
-
 def allowed_builds(spec: Submission, builds: Iterable[Build]) -> list[Build]:
     """Machine types that a task of a job may use and fits on."""
     need = (spec.cpus, spec.accelerators, spec.memGb)
--- /dev/null
+++ b/src/poppyhold/gang_placement.py
@@ -0,0 +1,132 @@
+"""Machines for all tasks of a gang at once: few of them, with the image, in one zone where that is asked."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Iterator
+
+import msgspec
+
+from poppyhold.fleet import NOTHING, Job, Machine, Room, how_many, plus, zone_limit
+from poppyhold.placement import fetch_wait, may_use
+
+# Whether a task that waits so long for its image starts within what its users expect.
+InTime = Callable[[Job, float], bool]
+# A machine and how many tasks have room on it.
+Option = tuple[int, Machine]
+
+
+class Candidate(msgspec.Struct, frozen=True):
+    """Machines for every task, in the order of the starts, and what speaks against them."""
+
+    uses_accelerator_room: bool
+    machines: list[Machine]
+
+    def cost(self) -> tuple[bool, int]:
+        """Candidates with less come first."""
+        return self.uses_accelerator_room, len({machine.name for machine in self.machines})
+
+
+def accelerator_companions(jobs: Iterable[Job]) -> Room:
+    """The most of each resource that a task takes beside one accelerator, among these jobs."""
+    cpus = memory = 0.0
+    for job in jobs:
+        accelerators = job.need[1]
+        if accelerators > 0:
+            cpus = max(cpus, job.need[0] / accelerators)
+            memory = max(memory, job.need[2] / accelerators)
+    return cpus, 0.0, memory
+
+
+class GangPlacement:
+    """Chooses machines for gangs within one pass over the jobs that wait."""
+
+    def __init__(self, in_time: InTime) -> None:
+        self._in_time = in_time
+        self._companions = NOTHING
+
+    def begin(self, jobs: Iterable[Job]) -> None:
+        """A new pass; what is kept free for accelerators goes by the jobs that there are."""
+        self._companions = accelerator_companions(jobs)
+
+    def choose(
+        self, job: Job, machines: list[Machine], reserved: dict[str, Room] | None
+    ) -> list[Machine] | None:
+        """A machine for each pending task, or None if they don't all have room now."""
+        usable = [machine for machine in machines if may_use(job, machine)]
+        found: list[Candidate] = []
+        for group in self._zone_groups(job, usable):
+            candidate = self._choose_among(job, group, reserved)
+            if candidate is not None:
+                found.append(candidate)
+        return min(found, key=Candidate.cost).machines if found else None
+
+    @staticmethod
+    def _zone_groups(job: Job, machines: list[Machine]) -> Iterator[list[Machine]]:
+        """The sets of machines that the gang may be spread over."""
+        if not job.spec.samePlace:
+            yield machines
+            return
+        held = {zone for zone, count in job.zones.items() if count > 0}
+        zones = held or {machine.zone for machine in machines}
+        if len(held) > 1:
+            return
+        for zone in sorted(zones):
+            yield [machine for machine in machines if machine.zone == zone]
+
+    def _choose_among(
+        self, job: Job, machines: list[Machine], reserved: dict[str, Room] | None
+    ) -> Candidate | None:
+        # Room that accelerators need comes second: without it they would stand idle.
+        for keeps_companions in (True, False) if job.need[1] <= 0 else (False,):
+            chosen = self._fill(job, self._options(job, machines, reserved, keeps_companions))
+            if chosen is not None:
+                return Candidate(not keeps_companions and job.need[1] <= 0, chosen)
+        return None
+
+    def _options(
+        self, job: Job, machines: list[Machine], reserved: dict[str, Room] | None, keeps_companions: bool
+    ) -> list[Option]:
+        options: list[Option] = []
+        for machine in machines:
+            free = machine.free
+            if reserved and machine.name in reserved:
+                free = plus(free, reserved[machine.name], -1.0)
+            if keeps_companions:
+                free = plus(free, self._companions, -max(0.0, free[1]))
+            count = how_many(job.need, free, job.pending)
+            if count:
+                options.append((count, machine))
+        return options
+
+    def _fill(self, job: Job, options: list[Option]) -> list[Machine] | None:
+        left = job.pending
+        if sum(count for count, _ in options) < left:
+            return None
+        chosen: list[Machine] = []
+        zones = dict(job.zones)
+        limit = zone_limit(job.spec)
+        while left and options:
+            best = min(options, key=lambda option: self._rank(job, option, left))
+            options.remove(best)
+            count, machine = best
+            take = min(count, left, limit - zones.get(machine.zone, 0))
+            if take > 0:
+                zones[machine.zone] = zones.get(machine.zone, 0) + take
+                chosen += [machine] * take
+                left -= take
+        return None if left else chosen
+
+    def _rank(self, job: Job, option: Option, left: int) -> tuple[bool, bool, bool, bool, int, float, int]:
+        """Machines that come first are those that hold all tasks that are left, or else the most of them."""
+        count, machine = option
+        wait = fetch_wait(machine, job)
+        holds_all = count >= left
+        return (
+            machine.name in job.failed_on,
+            not self._in_time(job, wait),
+            not holds_all,
+            not machine.attempts,
+            0 if holds_all else -count,
+            wait,
+            count,
+        )
--- /dev/null
+++ b/src/poppyhold/gangs.py
@@ -0,0 +1,170 @@
+"""The life of a gang's attempt: the tasks of the job run all at the same time, or none does.
+
+Tasks of a gang find one another by the number of their attempt. Each state below says what the controller may
+do; what a single task does is known from its worker's reports alone, as for tasks of any other job.
+"""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from enum import Enum
+
+import msgspec
+
+from poppyhold.context import Context
+from poppyhold.fleet import Attempt, Job
+from poppyhold.messages import ExitCause, TaskState
+
+log = logging.getLogger(__name__)
+
+
+class GangState(Enum):
+    """What an attempt is doing."""
+
+    # No task is on a machine, or may be: room for all of them is looked for.
+    WAITING_FOR_ROOM = "waiting for room"
+    # Tasks were started and none was seen to run: one that is proven lost is replaced under the same number.
+    ASSEMBLING = "assembling"
+    # The gang was seen to run: without one of its tasks it fails.
+    RUNNING = "running"
+    # Every task was told to stop and has the time to save.
+    STOPPING = "stopping"
+    # The attempt can't complete: every task is stopped, and the next attempt waits until all are gone.
+    FAILED = "failed"
+
+
+# Ends of a task that end its attempt, whatever was seen of the others.
+_FATAL_CAUSES = frozenset(
+    {ExitCause.PEER_LOST, ExitCause.GANG_INCOMPLETE, ExitCause.ERROR, ExitCause.UNKNOWN_TASK}
+)
+
+StopTask = Callable[[Attempt, float, float], None]
+
+
+class Gang(msgspec.Struct, eq=False):
+    """An attempt of a gang, from its first start command until every task is proven gone."""
+
+    job: Job
+    number: int
+    state: GangState = GangState.ASSEMBLING
+    # When the first of its tasks was seen to wait for the others.
+    waiting_since: float | None = None
+
+
+class Gangs:
+    """Follows the attempts of all gangs; stops go through the function that stops a task."""
+
+    def __init__(self, ctx: Context, stop_task: StopTask) -> None:
+        self._ctx, self._stop_task = ctx, stop_task
+        self._gangs: dict[str, Gang] = {}
+
+    def state_of(self, job: Job) -> GangState:
+        """The state of a gang's attempt."""
+        gang = self._gangs.get(job.id)
+        return GangState.WAITING_FOR_ROOM if gang is None else gang.state
+
+    def may_start(self, job: Job) -> bool:
+        """Whether tasks may be started: those of a new attempt, or replacements in one that assembles."""
+        return self.state_of(job) in (GangState.WAITING_FOR_ROOM, GangState.ASSEMBLING)
+
+    def number_for(self, job: Job) -> int:
+        """The attempt number for a task that is about to start."""
+        gang = self._gangs.get(job.id)
+        if gang is None:
+            gang = self._gangs[job.id] = Gang(job, self._ctx.number())
+            log.debug("%s: attempt %d of %d tasks", job.id, gang.number, job.spec.chores)
+        return gang.number
+
+    def adopt(self, attempt: Attempt, now: float) -> None:
+        """A report showed a task that an earlier leader started."""
+        job = attempt.job
+        gang = self._gangs.setdefault(job.id, Gang(job, attempt.number))
+        if attempt.number != gang.number:
+            # No attempt begins before the last is proven gone, so this is not expected. Neither of them can
+            # be trusted to be whole.
+            log.warning("%s: attempts %d and %d at once", job.id, gang.number, attempt.number)
+            self._fail(gang, "two attempts", now)
+            return
+        self.reported(attempt, now)
+
+    def reported(self, attempt: Attempt, now: float) -> None:
+        """A task's state changed, as its worker reports."""
+        gang = self._gangs.get(attempt.job.id)
+        if gang is None:
+            return
+        if gang.state is GangState.FAILED:
+            self._stop_tasks(gang, 0.0, now)
+        elif attempt.status == TaskState.SAVING and gang.state is not GangState.STOPPING:
+            # An earlier leader began to stop the gang: tell all tasks, so that its progress is saved.
+            self.stop(attempt.job, now)
+        elif gang.state is GangState.STOPPING:
+            self._stop_tasks(gang, self._grace_s(gang.job), now)
+        elif attempt.status == TaskState.RUNNING:
+            gang.state = GangState.RUNNING
+        elif attempt.status == TaskState.WAITING and gang.waiting_since is None:
+            gang.waiting_since = now
+
+    def exited(self, attempt: Attempt, cause: str | None, now: float) -> None:
+        """A task ended otherwise than by completion; it still counts as part of the attempt."""
+        gang = self._gangs.get(attempt.job.id)
+        if gang is None or gang.state in (GangState.STOPPING, GangState.FAILED):
+            return
+        if cause in _FATAL_CAUSES:
+            self._fail(gang, f"{attempt.name} ended: {cause}", now)
+
+    def gone(self, attempt: Attempt, now: float) -> None:
+        """A task is proven gone and is no longer part of the attempt."""
+        job = attempt.job
+        gang = self._gangs.get(job.id)
+        if gang is None:
+            return
+        if not job.active:
+            del self._gangs[job.id]
+        elif gang.state is GangState.RUNNING and job.remaining:
+            self._fail(gang, f"{attempt.name} is gone", now)
+
+    def stop(self, job: Job, now: float, grace_s: float | None = None) -> None:
+        """Stop all tasks in one step; with the time to save unless another grace period is given."""
+        gang = self._gangs.get(job.id)
+        if gang is None or gang.state is GangState.FAILED:
+            return
+        grace = self._grace_s(job) if grace_s is None else grace_s
+        log.debug("%s: stop attempt %d, grace %.1f s", job.id, gang.number, grace)
+        gang.state = GangState.STOPPING
+        self._stop_tasks(gang, grace, now)
+
+    def give_up(self, job: Job, reason: str, now: float) -> None:
+        """Release the room of an attempt that can't be completed."""
+        gang = self._gangs.get(job.id)
+        if gang is not None and gang.state is GangState.ASSEMBLING:
+            self._fail(gang, reason, now)
+
+    def tick(self, now: float) -> None:
+        """Give up the attempts that waited too long for one of their tasks."""
+        wait_s = self._ctx.settings.settings.workers.gang_wait_s
+        for gang in list(self._gangs.values()):
+            since = gang.waiting_since
+            if gang.state is GangState.ASSEMBLING and since is not None and now - since > wait_s:
+                self._avoid_late_machines(gang)
+                self._fail(gang, "not complete in time", now)
+
+    def _avoid_late_machines(self, gang: Gang) -> None:
+        for attempt in gang.job.active.values():
+            if attempt.status != TaskState.WAITING:
+                gang.job.failed_on.add(attempt.machine.name)
+
+    def _grace_s(self, job: Job) -> float:
+        """Time for a task to save and to wait for the others, which may be told a moment later."""
+        workers = self._ctx.settings.settings.workers
+        return job.spec.stashS + workers.gang_peer_s + workers.report_s
+
+    def _fail(self, gang: Gang, reason: str, now: float) -> None:
+        log.debug("%s: attempt %d failed: %s", gang.job.id, gang.number, reason)
+        gang.state = GangState.FAILED
+        self._stop_tasks(gang, 0.0, now)
+
+    def _stop_tasks(self, gang: Gang, grace_s: float, now: float) -> None:
+        for attempt in list(gang.job.active.values()):
+            if attempt.stopping_at is None or attempt.leeway_s > grace_s:
+                self._stop_task(attempt, grace_s, now)
--- a/src/poppyhold/hiring.py
+++ b/src/poppyhold/hiring.py
@@ -15,7 +15,7 @@
 from poppyhold.packing import Packing
 from poppyhold.placement import Quotas
 from poppyhold.provisioning import Arrivals, Demand, Provisioning, Purchase, Space, demand_of, space_of
-from poppyhold.store import HIRE, MACHINE, Data, put, remove
+from poppyhold.store import HIRE, MACHINE, Data, put, remove, stored_bytes
 
 log = logging.getLogger(__name__)
 
@@ -83,15 +83,18 @@
 
         self._ctx.edges.commit({}, [put(HIRE + name, self._data(hire))], durable)
 
-    @staticmethod
-    def _data(hire: Hire) -> Data:
-        return {
+    def _data(self, hire: Hire) -> Data:
+        data: Data = {
             "build": hire.build,
             "paddock": hire.zone,
             "loaners": hire.spot,
             "number": hire.number,
             "boxes": hire.boxes,
         }
+        if stored_bytes(data) > self._ctx.settings.settings.state.lowest.value_bytes:
+            # Without the names a next leader repeats the request, which rents nothing and names them again.
+            data["boxes"] = None
+        return data
 
     def _send(self, hire: Hire) -> None:
         hire.busy = True
@@ -405,7 +408,7 @@
         for job in sorted(ctx.fleet.jobs.values(), key=lambda job: (job.rank, job.at)):
             if job.pending > 0 and not job.over and job.failures < 4:
                 most = within_limit(job.spec.crew, job.need, job.pending)
-                if most:
+                if most and (not job.gang or most == job.pending):
                     demands.append(demand_of(job, most))
         boots = [build.startupS for build in ctx.builds.values()]
         ahead = sum(boots) / len(boots) + ctx.times.report_s
--- a/src/poppyhold/messages.py
+++ b/src/poppyhold/messages.py
@@ -4,6 +4,7 @@
 
 import math
 import re
+from enum import StrEnum
 from typing import Any, Literal, TypeVar
 
 import cbor2
@@ -23,6 +24,38 @@
     """A body that is not what the protocol says."""
 
 
+class TaskState(StrEnum):
+    """What a worker reports of a task; an attempt that no report has shown yet is `SENT` to us."""
+
+    SENT = "sent"
+    FETCHING = "pulling"
+    WAITING = "waiting"
+    RUNNING = "running"
+    SAVING = "flushing"
+    EXITED = "ended"
+
+
+# Tasks that have not got their image yet.
+BEFORE_IMAGE = frozenset({TaskState.SENT, TaskState.FETCHING})
+# Tasks that may be stopped to make room.
+STOPPABLE = frozenset({TaskState.FETCHING, TaskState.WAITING, TaskState.RUNNING})
+# Tasks that users are told of as running.
+IN_PROGRESS = frozenset({TaskState.RUNNING, TaskState.SAVING})
+
+
+class ExitCause(StrEnum):
+    """Why a task exited."""
+
+    DONE = "done"
+    STOPPED = "stopped"
+    ERROR = "error"
+    NO_ROOM = "no_room"
+    BUSY = "busy"
+    UNKNOWN_TASK = "no_such"
+    PEER_LOST = "mates_gone"
+    GANG_INCOMPLETE = "alone"
+
+
 class Submission(msgspec.Struct, frozen=True, kw_only=True):
     """POST /api/jobs."""
 
--- a/src/poppyhold/placement.py
+++ b/src/poppyhold/placement.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from poppyhold.fleet import EPSILON, NOTHING, Attempt, Job, Machine, Room, fits, plus, zone_limit
+from poppyhold.messages import BEFORE_IMAGE, STOPPABLE
 from poppyhold.settings import Team
 
 # Fetches take a third longer at times, as PROTOCOL says.
@@ -122,7 +123,7 @@
     rate = max(machine.build.pullGbPerS, 1e-3)
     pulling: dict[str, float] = {}
     for attempt in machine.attempts.values():
-        if attempt.status in ("sent", "pulling") and attempt.job.spec.bundle not in machine.images:
+        if attempt.status in BEFORE_IMAGE and attempt.job.spec.bundle not in machine.images:
             pulling[attempt.job.spec.bundle] = attempt.job.spec.sizeGb
     already = image in pulling
     pulling[image] = job.spec.sizeGb
@@ -253,7 +254,7 @@
                 if not self._may_preempt(job, other):
                     continue
                 for attempt in other.active.values():
-                    if attempt.stopping_at is None and attempt.status in ("pulling", "running"):
+                    if attempt.stopping_at is None and attempt.status in STOPPABLE:
                         found.setdefault(attempt.machine.name, []).append(attempt)
             self._preemptible[claim] = found
         return found
--- a/src/poppyhold/planner.py
+++ b/src/poppyhold/planner.py
@@ -183,7 +183,8 @@
         first, horizon = self._ledger.first, self._ledger.horizon
         span = self.span(estimate_s)
         part = min(1.0, max(estimate_s / self._slot_s, 0.01)) if span == 1 else 1.0
-        unit = max(1, math.ceil(tasks / self._units))
+        # A gang is one unit of work: it starts whole in a slot.
+        unit = tasks if job.gang else max(1, math.ceil(tasks / self._units))
         steps = math.ceil(tasks / unit)
         # What lies beyond the horizon is carried forward: the last slots take a cut-off span.
         tables: list[list[float]] = []
--- a/src/poppyhold/provisioning.py
+++ b/src/poppyhold/provisioning.py
@@ -36,6 +36,8 @@
     tasks: int
     zones: dict[str, int]
     forecast: bool = False
+    # The only zone that may be used, where all tasks have to be in one.
+    home: str | None = None
 
 
 class Space(msgspec.Struct, eq=False):
@@ -72,6 +74,12 @@
     return spec.crew, spec.lot, (spec.cpus, spec.accelerators, spec.memGb)
 
 
+def _pooled(weights: list[float]) -> float:
+    """The deviation of a sum as a part of the sum of the deviations."""
+    total = sum(weights)
+    return math.sqrt(sum(weight * weight for weight in weights)) / total if total else 0.0
+
+
 class Arrivals:
     """What has been submitted lately, by class: the forecast of what comes while a machine boots."""
 
@@ -111,15 +119,22 @@
                 ended = sum(spec.chores for _, spec in self._ended if _kind(spec) == key)
                 growth[key] = max(0.0, self._steady(now, seen, 1) - ended / self._window_s) * ahead_s
         # Classes share the room, and seldom all come at once: the deviation of the sum is less than the
-        # sum of the deviations.
-        weights = {key: deviation * _size(key[2]) for key, deviation in deviations.items()}
-        total = sum(weights.values())
-        pooled = math.sqrt(sum(weight * weight for weight in weights.values())) / total if total else 0.0
+        # sum of the deviations. Those with accelerators and those without run out of different resources.
+        pooled = {
+            accelerated: _pooled(
+                [
+                    deviation * _size(key[2])
+                    for key, deviation in deviations.items()
+                    if (key[2][1] > 0) == accelerated
+                ]
+            )
+            for accelerated in (True, False)
+        }
         return [
             Demand(
                 seen[-1][1],
                 key[2],
-                math.ceil(factor * pooled * deviations[key] + growth[key]),
+                math.ceil(factor * pooled[key[2][1] > 0] * deviations[key] + growth[key]),
                 {},
                 forecast=True,
             )
@@ -175,6 +190,8 @@
         spaces = [space for space in spaces if any(amount > EPSILON for amount in space.free)]
         # Largest tasks first, and real ones before forecasts of the same size.
         for demand in sorted(demands, key=lambda d: (d.forecast, -d.need[1], -d.need[0])):
+            if demand.spec.shape == "group" and demand.spec.samePlace and not demand.forecast:
+                demand.home = self._home(demand, builds, spaces, now)
             demand.tasks = self._fit(demand, spaces)
             if demand.tasks:
                 # What one job's machines have left is there for the next: each bought whole machines
@@ -182,14 +199,36 @@
                 self._buy(demand, builds, spaces, zones, bought, now)
         return [Purchase(build, zone, spot, min(n, HIRE_LIMIT)) for (build, zone, spot), n in bought.items()]
 
+    def _home(self, demand: Demand, builds: dict[str, Build], spaces: list[Space], now: float) -> str | None:
+        """The zone for a gang that has to be in one: with room for all of it, else where room can be bought."""
+        held = [zone for zone, count in demand.zones.items() if count > 0]
+        if held:
+            return held[0]
+        rooms: Counter[str] = Counter()
+        for space in spaces:
+            if self._allowed(demand, space.build, space.zone, space.spot):
+                rooms[space.zone] += how_many(demand.need, space.free, demand.tasks)
+        open_zones = {
+            zone
+            for build in allowed_builds(demand.spec, builds.values())
+            for zone in build.paddocks
+            if demand.spec.paddock in (None, zone)
+            and self.refused_until.get((build.name, zone, False), 0.0) <= now
+        }
+        zones = open_zones | rooms.keys()
+        return max(
+            zones,
+            key=lambda zone: (rooms[zone] >= demand.tasks, zone in open_zones, rooms[zone], zone),
+            default=None,
+        )
+
     def _fit(self, demand: Demand, spaces: list[Space]) -> int:
         left = demand.tasks
         limit = zone_limit(demand.spec)
         fitting = [
             space
             for space in spaces
-            if fits(demand.need, space.free)
-            and self._allowed(demand.spec, space.build, space.zone, space.spot)
+            if fits(demand.need, space.free) and self._allowed(demand, space.build, space.zone, space.spot)
         ]
         # Spaces in use before empty ones, so that empty ones may be given back; spot first.
         fitting.sort(key=lambda s: (not s.spot, not s.used, s.machine is not None and not s.machine.attempts))
@@ -207,9 +246,11 @@
         return max(0, left)
 
     @staticmethod
-    def _allowed(spec: Submission, build: Build, zone: str, spot: bool) -> bool:
+    def _allowed(demand: Demand, build: Build, zone: str, spot: bool) -> bool:
+        spec = demand.spec
         return (
-            (spec.builds is None or build.name in spec.builds)
+            demand.home in (None, zone)
+            and (spec.builds is None or build.name in spec.builds)
             and (spec.paddock is None or spec.paddock == zone)
             and (spec.loaners or not spot)
         )
@@ -234,7 +275,7 @@
                 each = how_many(demand.need, room_of(build), demand.tasks)
                 full = how_many(demand.need, room_of(build), 1 << 30)
                 for zone in build.paddocks:
-                    if demand.spec.paddock not in (None, zone):
+                    if demand.spec.paddock not in (None, zone) or demand.home not in (None, zone):
                         continue
                     if not demand.forecast and demand.zones.get(zone, 0) >= limit:
                         continue
--- a/src/poppyhold/service.py
+++ b/src/poppyhold/service.py
@@ -27,9 +27,11 @@
 from poppyhold.store import (
     ACTIVE,
     BUILDS,
-    DONE,
+    DONE_STRETCHES,
+    DONE_TASKS,
     HIRE,
     MACHINE,
+    MORE_BUILDS,
     PLAN,
     Committer,
     Conflict,
@@ -42,6 +44,7 @@
     Watch,
     grouped,
     put,
+    stored_bytes,
 )
 from poppyhold.users import Users
 from poppyhold.workers import Done, Senders
@@ -119,6 +122,21 @@
         return sum(map(len, self._queues))
 
 
+def build_records(builds: Iterable[Build], most_bytes: int) -> list[Data]:
+    """The writes that make machine types durable: as many in the first record as fit, the rest in more."""
+    records: list[Data] = []
+    held: list[Data] = []
+    for build in builds:
+        data: Data = msgspec.to_builtins(build)
+        if held and stored_bytes({"builds": [*held, data]}) > most_bytes:
+            records.append({"builds": held})
+            held = []
+        held.append(data)
+    records.append({"builds": held})
+    keys = [BUILDS, *(f"{MORE_BUILDS}{number}" for number in range(1, len(records)))]
+    return [put(key, record) for key, record in zip(keys, records, strict=True)]
+
+
 class Reign:
     """One term of leading: the decision thread and the edges that serve it."""
 
@@ -200,7 +218,7 @@
                     Snapshot(
                         active,
                         grouped(scan(PLAN)[0], PLAN),
-                        grouped(scan(DONE)[0], DONE),
+                        {prefix: grouped(scan(prefix)[0], prefix) for prefix in (DONE_TASKS, DONE_STRETCHES)},
                         grouped(scan(HIRE)[0], HIRE),
                         grouped(scan(MACHINE)[0], MACHINE),
                     ),
@@ -472,7 +490,9 @@
             try:
                 entry = self.store.get(BUILDS)
                 if entry is not None:
-                    self.learn_builds(convert(entry.data, Builds).builds, publish=False)
+                    records = [entry, *self.store.scan(MORE_BUILDS)[0]]
+                    stored = [build for record in records for build in convert(record.data, Builds).builds]
+                    self.learn_builds(stored, publish=False)
                     return
             except (Refused, Unsure, Malformed) as error:
                 log.debug("machine types: %s", error)
@@ -488,8 +508,9 @@
         shapes = [(b.name, b.cpus, b.accelerators, b.memGb, tuple(b.paddocks)) for b in self.builds.values()]
         if publish and shapes != self._builds_published:
             try:
-                body = {"builds": [msgspec.to_builtins(build) for build in self.builds.values()]}
-                self.store.commit({}, [put(BUILDS, body)])
+                limits = self.settings.settings.state.lowest
+                for record in build_records(self.builds.values(), limits.value_bytes):
+                    self.store.commit({}, [record])
                 self._builds_published = shapes
             except (Refused, Unsure, Conflict, Gone) as error:
                 log.debug("machine types: %s", error)
--- a/src/poppyhold/settings.py
+++ b/src/poppyhold/settings.py
@@ -53,6 +53,20 @@
     report_s: float = 1.0
     lease_s: float = 10.0
     cancel_s: float = 30.0
+    # How long a gang's task waits for the rest of its gang before it exits.
+    gang_wait_s: float = 30.0
+    # Within this time the tasks of a running gang notice that one of them is gone, and all of them have to
+    # be told of an orderly stop.
+    gang_peer_s: float = 6.0
+
+
+class NextState(msgspec.Struct, frozen=True):
+    """Limits that the state service will have from some moment on, without notice."""
+
+    rps: float | None = None
+    write_rps: float | None = None
+    value_kb: float | None = None
+    txn_ops: int | None = None
 
 
 class State(msgspec.Struct, frozen=True):
@@ -62,6 +76,25 @@
     write_rps: float = 20.0
     value_kb: float = 8.0
     txn_ops: int = 10
+    next: NextState | None = None
+
+    @property
+    def lowest(self) -> State:
+        """The limits that hold now and from the announced change on: the smaller of each."""
+        if self.next is None:
+            return self
+        after = self.next
+        return State(
+            rps=min(self.rps, after.rps or self.rps),
+            write_rps=min(self.write_rps, after.write_rps or self.write_rps),
+            value_kb=min(self.value_kb, after.value_kb or self.value_kb),
+            txn_ops=min(self.txn_ops, after.txn_ops or self.txn_ops),
+        )
+
+    @property
+    def value_bytes(self) -> int:
+        """The largest value that may be stored, as JSON."""
+        return int(self.value_kb * 1024)
 
 
 class Cloud(msgspec.Struct, frozen=True):
@@ -119,9 +152,12 @@
     known: list[Known] = []
 
 
+# A job's move to its final record takes three changes in one transaction.
+_LEAST_CHANGES = 3
+
 # What must be above 0 for the ratios built on it to mean anything.
 _POSITIVE = {
-    "workers": ("report_s", "lease_s", "cancel_s"),
+    "workers": ("report_s", "lease_s", "cancel_s", "gang_wait_s", "gang_peer_s"),
     "state": ("rps", "write_rps", "value_kb", "txn_ops"),
     "cloud": ("rps", "list_lag_s"),
     "machine_limits": ("core_share", "ram_mb", "max_sockets"),
@@ -191,5 +227,15 @@
             value = getattr(getattr(deployment, section), name)
             if not 0 < value < float("inf"):
                 raise ConfigError(f"settings.{section}.{name}: must be above 0")
+    _check_next(deployment.state.next)
     if deployment.workers.cancel_s <= deployment.workers.lease_s:
         raise ConfigError("settings.workers.cancel_s: must be above lease_s")
+
+
+def _check_next(limits: NextState | None) -> None:
+    for name in ("rps", "write_rps", "value_kb", "txn_ops"):
+        value = getattr(limits, name, None)
+        if value is not None and not 0 < value < float("inf"):
+            raise ConfigError(f"settings.state.next.{name}: must be above 0")
+    if limits is not None and limits.txn_ops is not None and limits.txn_ops < _LEAST_CHANGES:
+        raise ConfigError(f"settings.state.next.txn_ops: must be at least {_LEAST_CHANGES}")
--- a/src/poppyhold/store.py
+++ b/src/poppyhold/store.py
@@ -9,6 +9,8 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
+import msgspec
+
 from poppyhold.http import Client, NoAnswer, NotSent
 from poppyhold.settings import Settings, split_address
 
@@ -21,10 +23,14 @@
 # What a leader changes to make its transactions without an answer void.
 FENCE = ROOT + "c"
 BUILDS = ROOT + "t"
+# Machine types that don't fit into the first record; older versions don't read them.
+MORE_BUILDS = ROOT + "t/"
 ACTIVE = ROOT + "a/"
 FINAL = ROOT + "f/"
 PLAN = ROOT + "p/"
-DONE = ROOT + "d/"
+DONE_TASKS = ROOT + "d/"
+# Completed tasks of very large jobs, in stretches for a smaller value; older versions don't read them.
+DONE_STRETCHES = ROOT + "e/"
 HIRE = ROOT + "h/"
 MACHINE = ROOT + "m/"
 
@@ -47,6 +53,10 @@
     """The request may have been carried out, or may be later."""
 
 
+class Invalid(Refused):
+    """The state service will never carry the request out: most likely it is above a limit."""
+
+
 class Conflict(Exception):
     """A condition of a transaction failed."""
 
@@ -133,7 +143,7 @@
             raise Conflict(data.get("failed", []))
         if data.get("error") == "no such lease":
             raise Gone("lease")
-        raise Refused(f"{status} {data}")
+        raise Invalid(f"{status} {data}")
 
     def lease(self, life_s: float) -> int:
         """Get a lease."""
@@ -293,7 +303,7 @@
         self, store: Store, settings: Settings, lead_stamp: int, on_deposed: Callable[[], None]
     ) -> None:
         self._writer, self._on_deposed = Writer(store, lead_stamp), on_deposed
-        limits = settings.settings.state
+        limits = settings.settings.state.lowest
         self._ops = limits.txn_ops
         # Two thirds of the writes: the rest is for the users' nodes and the election.
         self._gap_s = 1.5 / limits.write_rps
@@ -374,6 +384,18 @@
                 else:
                     for unit in units:
                         self._carry_out([unit])
+            except Invalid as error:
+                log.warning("commit of %d changes: %s", len(writes), error)
+                if len(units) > 1:
+                    # Together they may be above a limit that was lowered without notice.
+                    for unit in units:
+                        self._carry_out([unit])
+                    return
+                # It can't be dropped: whoever waits for it goes by whether it is durable. But nothing else
+                # may wait for it, so it goes to the end of the line.
+                time.sleep(self._longest_pause_s)
+                self.submit(units[0])
+                return
             except (Refused, Unsure, Gone) as error:
                 # Every unit may be repeated: its writes are the same each time, and its conditions
                 # fail if the first try went through after all, which the unit's owner looks into.
@@ -389,6 +411,11 @@
             return
 
 
+def stored_bytes(data: Data) -> int:
+    """The size of a value as the state service counts it."""
+    return len(msgspec.json.encode(data))
+
+
 def final_writes(job_id: str, status: str, chores: int) -> list[Data]:
     """The writes that move a job's record to the final ones."""
     return [remove(ACTIVE + job_id), put(FINAL + job_id, {"s": status, "n": chores}), remove(PLAN + job_id)]
--- a/src/poppyhold/users.py
+++ b/src/poppyhold/users.py
@@ -12,11 +12,24 @@
 from poppyhold.cancellations import Cancellations
 from poppyhold.fleet import allowed_builds
 from poppyhold.http import Answer, answer
-from poppyhold.messages import JOB_ID, Build, Malformed, Submission, decode, encode, parse_submission
+from poppyhold.messages import JOB_ID, Build, Malformed, Submission, decode, parse_submission
 from poppyhold.placement import Quotas
 from poppyhold.recent import Recent
 from poppyhold.settings import Settings
-from poppyhold.store import ACTIVE, FINAL, Conflict, Gone, Refused, Store, Unsure, final_writes, put
+from poppyhold.store import (
+    ACTIVE,
+    FINAL,
+    Conflict,
+    Data,
+    Gone,
+    Invalid,
+    Refused,
+    Store,
+    Unsure,
+    final_writes,
+    put,
+    stored_bytes,
+)
 
 log = logging.getLogger(__name__)
 
@@ -53,6 +66,7 @@
             min(int(limits.state.write_rps * limits.workers.cancel_s), _MOST_NAMED)
         )
         # More at once than this would only wait for the state service's limit.
+        self._largest_record = limits.state.lowest.value_bytes
         self._slots = threading.BoundedSemaphore(max(8, int(limits.state.rps / 2)))
 
     def _later(self, status: int = 503) -> Answer:
@@ -93,9 +107,11 @@
             if known is not None:
                 return answer(200, known)
             return answer(422, {"error": verdict}) if verdict is not None else self._later()
-        data = {"spec": msgspec.to_builtins(spec), "at": time.time()}
-        if len(encode(data)) > self._settings.settings.state.value_kb * 1024 * 0.8:
-            return answer(400, {"error": "too long"})
+        data = self._record(spec, builds)
+        if stored_bytes(data) > self._largest_record:
+            # An earlier version may have stored it, under larger limits.
+            known = self._look_up(spec.nameId)
+            return answer(400, {"error": "too long"}) if known is None else answer(200, known)
         # A condition that fails counts against the limit of changes like a change: users that repeat what is
         # known to be accepted must not eat up what decisions need.
         repeat = spec.nameId in self._accepted or self._counts(spec.nameId) is not None
@@ -111,6 +127,11 @@
             except Unsure:
                 # Perhaps it went through: the repeat will tell.
                 continue
+            except Invalid as error:
+                # It can never be stored, so that its user need not try again.
+                log.warning("%s: %s", spec.nameId, error)
+                known = self._look_up(spec.nameId)
+                return answer(400, {"error": "too long"}) if known is None else answer(200, known)
             except Conflict:
                 # It is there, be it by our own try before: what it is now is what its user is told.
                 repeat = True
@@ -119,6 +140,13 @@
                 return answer(201, {"nameId": spec.nameId, "status": "pending"})
         return self._later()
 
+    def _record(self, spec: Submission, builds: dict[str, Build]) -> Data:
+        """What is stored of a submission. A list of machine types too long for it keeps those that exist."""
+        data: Data = {"spec": msgspec.to_builtins(spec), "at": time.time()}
+        if spec.builds is not None and stored_bytes(data) > self._largest_record:
+            data["spec"]["builds"] = sorted(builds.keys() & set(spec.builds))
+        return data
+
     def _never(self, spec: Submission, builds: dict[str, Build]) -> str | None:
         """Why a job can never run, or None."""
         if not self._quotas.known(spec.crew):
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -9,10 +9,12 @@
 import msgspec
 import pytest
 
-from poppyhold.fleet import DONE, decode_done, encode_done, make_job
+from poppyhold.completions import Layout, decode_bits
+from poppyhold.fleet import make_job
 from poppyhold.messages import Malformed, encode, parse_report, parse_submission
 from poppyhold.options import load_options, parse_options
-from poppyhold.settings import ConfigError, Team, load_settings
+from poppyhold.settings import ConfigError, NextState, State, Team, load_settings
+from poppyhold.store import DONE_STRETCHES, DONE_TASKS
 from world import World, submission
 from world import wire as as_sent
 
@@ -107,18 +109,21 @@
     assert parse_report(REPORT).box == "vm-1"
 
 
-def test_completions_of_the_largest_job_fit_their_records() -> None:
+@pytest.mark.parametrize(("value_kb", "next_kb"), [(8.0, None), (8.0, 2.0), (16.0, 2.0)])
+def test_completions_of_the_largest_job_fit_their_records(value_kb: float, next_kb: float | None) -> None:
     job = make_job(parse_submission(wire(chores=100_000)), 1, 0.0)
-    size = int(8 * 1024 / 4) * 4
+    layout = Layout(State(value_kb=value_kb, next=NextState(value_kb=next_kb)))
+    sizes = {DONE_TASKS: layout.coarse, DONE_STRETCHES: layout.fine}
+    size = layout.coarse
     done = [0, 1, size - 1, size, 54_321, 99_999]
     for index in done:
-        job.states[index] = DONE
+        job.complete(index)
     found: list[int] = []
-    for chunk in range(100_000 // size + 1):
-        text = encode_done(job, chunk, size)
-        assert len(msgspec.json.encode({"d": text})) <= 8 * 1024
-        found += decode_done(job, chunk, size, text)
-    assert found == done
+    for key, data in layout.records(job, range(100_000)).items():
+        assert len(msgspec.json.encode(data)) <= min(value_kb, next_kb or value_kb) * 1024
+        prefix, number = key[: len(DONE_TASKS)], int(key.rpartition("/")[2])
+        found += [number * sizes[prefix] + offset for offset in decode_bits(data["d"])]
+    assert sorted(found) == done
 
 
 def test_largest_job_runs_within_the_limits() -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -26,7 +26,8 @@
 from poppyhold.store import (
     ACTIVE,
     BATON,
-    DONE,
+    DONE_STRETCHES,
+    DONE_TASKS,
     HIRE,
     LEAD,
     MACHINE,
@@ -137,7 +138,7 @@
         snapshot = Snapshot(
             active,
             grouped(store.scan(PLAN)[0], PLAN),
-            grouped(store.scan(DONE)[0], DONE),
+            {prefix: grouped(store.scan(prefix)[0], prefix) for prefix in (DONE_TASKS, DONE_STRETCHES)},
             grouped(store.scan(HIRE)[0], HIRE),
             grouped(store.scan(MACHINE)[0], MACHINE),
         )
