--- a/src/poppyhold/provisioning.py
+++ b/src/poppyhold/provisioning.py
@@ -200,7 +200,7 @@
         return [Purchase(build, zone, spot, min(n, HIRE_LIMIT)) for (build, zone, spot), n in bought.items()]
 
     def _home(self, demand: Demand, builds: dict[str, Build], spaces: list[Space], now: float) -> str | None:
-        """The zone for a gang that has to be in one: with room for all of it, else where room can be bought."""
+        """The zone for a gang that has to be in one: with room for all, else where room can be bought."""
         held = [zone for zone, count in demand.zones.items() if count > 0]
         if held:
             return held[0]
