--- a/src/poppyhold/admission.py
+++ b/src/poppyhold/admission.py
@@ -48,10 +48,10 @@
         return max(0.1, job.spec.guessS * math.exp(mean * trust))
 
 
-def _room_for(job: Job, machine: Machine, reserved: dict[str, Room] | None) -> int:
+def _room_for(job: Job, machine: Machine, reserved: dict[str, Room]) -> int:
     """How many of the job's pending tasks fit on a machine now, beside what is reserved."""
     free = machine.free
-    if reserved and machine.name in reserved:
+    if machine.name in reserved:
         free = plus(free, reserved[machine.name], -1.0)
     return how_many(job.need, free, job.pending)
 
@@ -69,6 +69,8 @@
         self.hopeless: set[tuple[object, ...]] = set()
         # Teams whose limit is kept for a gang that has waited long.
         self.held_teams: set[str] = set()
+        # Room by machine that is kept for such gangs.
+        self.held: dict[str, Room] = {}
 
     @staticmethod
     def claim(job: Job, limited: bool, reserved: bool) -> tuple[object, ...]:
@@ -321,10 +323,8 @@
         stop_at = now + budget_s
         ready.sort(key=lambda job: job.id in self._looked_at)
         for job in ready:
-            if job.admitted and ctx.clock() <= stop_at:
-                cap = self._cap(job)
-                if cap > 0 and (not job.gang or cap >= job.pending):
-                    self._start_some(job, cap, None)
+            if ctx.clock() <= stop_at:
+                self._start_planned(job, now)
         reserved = self._reserved()
         stop_at = ctx.clock() + budget_s
         for job in ready:
@@ -333,9 +333,31 @@
                 return
             self._looked_at.add(job.id)
             if job.pending > 0:
-                self._start_some(job, job.pending, reserved)
+                self._start_unplanned(job, reserved)
         self._looked_at.clear()
 
+    def _start_planned(self, job: Job, now: float) -> None:
+        """Start what the job's plan lets start by now."""
+        if job.gang:
+            # One that has waited long goes first like one with a plan.
+            if self._waited_long(job, now) or (job.admitted and self._cap(job) >= job.pending):
+                self._start_gang(job, self._pass.held)
+        elif job.admitted:
+            self._start_some(job, self._cap(job), self._pass.held, shared=True)
+
+    def _start_unplanned(self, job: Job, reserved: dict[str, Room]) -> None:
+        """Start on room that no plan books now."""
+        booked = bool(job.booked.get(self.ledger.first))
+        own = self._without(reserved, job) if booked else reserved
+        if job.gang:
+            self._start_gang(job, own)
+        else:
+            self._start_some(job, job.pending, own, shared=not booked)
+
+    def _waited_long(self, job: Job, now: float) -> bool:
+        """Whether a job that has not begun is no longer passed over for others."""
+        return not job.active and not job.done and now - job.at > self._ctx.times.lease_s * _PATIENCE_LEASES
+
     def _urgency(self, job: Job, now: float) -> tuple[int, bool, int, float, float, str]:
         """Order of the jobs that wait: priority, guarantee, and then by what their value does.
 
@@ -349,7 +371,7 @@
             return job.rank, not job.guaranteed, 1, 0.0, job.at, job.id
         rest = max(0.0, self.estimates.seconds(job) - job.saved_s())
         group = 1 if job.due_at is None or now + rest <= job.due_at else 2
-        if not job.active and not job.done and now - job.at > self._ctx.times.lease_s * _PATIENCE_LEASES:
+        if self._waited_long(job, now):
             # By arrival: by least work, the largest of them would again come last.
             return job.rank, not job.guaranteed, 0, 0.0, job.at, job.id
         work = rest * job.pending * (spec.accelerators or spec.cpus)
@@ -400,7 +422,7 @@
 
     def _reserved(self) -> dict[str, Room]:
         """Room of the current slot that admitted plans book and have not used yet."""
-        reserved: dict[str, Room] = {}
+        reserved = dict(self._pass.held)
         for job in self._ctx.fleet.jobs.values():
             if job.over:
                 continue
@@ -408,16 +430,11 @@
                 reserved[name] = plus(reserved.get(name, NOTHING), job.need, number)
         return reserved
 
-    def _start_some(self, job: Job, most: int, reserved: dict[str, Room] | None) -> None:
+    def _start_some(self, job: Job, most: int, reserved: dict[str, Room], shared: bool) -> None:
+        """Start up to so many tasks beside reserved room; ``shared``: it is the same for all jobs."""
         here = self._pass
         used = self._ctx.fleet.used
-        own = reserved
-        if reserved is not None and job.booked.get(self.ledger.first):
-            own = self._without(reserved, job)
-        if job.gang:
-            self._start_gang(job, own)
-            return
-        if reserved is not None and job.spec.crew in here.held_teams:
+        if job.spec.crew in here.held_teams:
             return
         searches: list[Search] = []
         while most > 0:
@@ -428,20 +445,20 @@
             in_use = (mine[0] + here.extra[0], mine[1] + here.extra[1])
             limited = not self._quotas.allows(job.spec.crew, in_use, job.need)
             # Room that the job itself has booked is free for it alone; at the limit no free room counts.
-            shared = own is reserved or limited
-            claim = here.claim(job, limited, own is not None and not limited)
-            if shared and claim in here.hopeless:
+            alike = shared or limited
+            claim = here.claim(job, limited, bool(reserved) and not limited)
+            if alike and claim in here.hopeless:
                 return
             if limited:
                 choice = self._within_limit(job, in_use)
             else:
                 if not searches or job.spec.samePlace:
-                    searches = self._searches(job, own)
+                    searches = self._searches(job, reserved)
                 choices = (self._choose(job, search) for search in searches)
                 choice = next((found for found in choices if found is not None), None)
             if choice is None:
                 anywhere = not job.spec.samePlace and all(zone_allows(job, zone) for zone in here.zones)
-                if shared and anywhere:
+                if alike and anywhere:
                     here.hopeless.add(claim)
                 return
             most -= 1
@@ -449,7 +466,7 @@
             for search in searches:
                 search.again(choice.machine)
 
-    def _searches(self, job: Job, reserved: dict[str, Room] | None) -> list[Search]:
+    def _searches(self, job: Job, reserved: dict[str, Room]) -> list[Search]:
         """Where to look for places, in this order."""
         here = self._pass
         parts = [here.steady]
@@ -489,7 +506,7 @@
         return next((place[2] for place in places if zone_allows(job, place[2].machine.zone)), None)
 
     @staticmethod
-    def _home(job: Job, machines: list[Machine], reserved: dict[str, Room] | None) -> list[Machine]:
+    def _home(job: Job, machines: list[Machine], reserved: dict[str, Room]) -> list[Machine]:
         """The machines of the zone with the most room, for a job that has to stay in one."""
         rooms: dict[str, int] = {}
         for machine in machines:
@@ -498,7 +515,7 @@
         best = max(rooms, key=lambda zone: (rooms[zone], zone), default=None)
         return [machine for machine in machines if machine.zone == best]
 
-    def _start_gang(self, job: Job, reserved: dict[str, Room] | None) -> None:
+    def _start_gang(self, job: Job, reserved: dict[str, Room]) -> None:
         """Start all pending tasks of a gang in one step, or none."""
         gangs = self._attempts.gangs
         if not gangs.may_start(job):
@@ -512,10 +529,10 @@
                     self._start(job, index, Choice(machine))
         elif gangs.state_of(job) is GangState.ASSEMBLING:
             gangs.give_up(job, "no room for a replacement", self._ctx.clock())
-        elif reserved is not None:
-            self._hold_for_gang(job, within_limit, reserved)
+        elif self._waited_long(job, self._ctx.clock()):
+            self._hold_for_gang(job, within_limit)
 
-    def _gang_machines(self, job: Job, reserved: dict[str, Room] | None) -> list[Machine] | None:
+    def _gang_machines(self, job: Job, reserved: dict[str, Room]) -> list[Machine] | None:
         """Machines for all pending tasks; those that did not get our commands lately only if need be."""
         here = self._pass
         chosen = self._gang_placement.choose(job, here.steady, reserved)
@@ -534,7 +551,7 @@
         )
         return self._quotas.allows(job.spec.crew, total, job.need)
 
-    def _hold_for_gang(self, job: Job, within_limit: bool, reserved: dict[str, Room]) -> None:
+    def _hold_for_gang(self, job: Job, within_limit: bool) -> None:
         """Keep freed room for a gang that has waited long, for a while at a time.
 
         Smaller jobs would take each room that is released, and the gang would never find enough at once. Held
@@ -542,18 +559,19 @@
         """
         waited_s = self._ctx.clock() - job.at - self._ctx.times.lease_s * _PATIENCE_LEASES
         hold_s = self._ctx.settings.settings.workers.gang_wait_s
-        if waited_s < 0 or int(waited_s / hold_s) % 2:
+        if int(waited_s / hold_s) % 2:
             return
+        held = self._pass.held
         if not within_limit:
             self._pass.held_teams.add(job.spec.crew)
             return
         machines = [machine for machine in self._pass.machines if may_use(job, machine)]
         if job.spec.samePlace:
-            machines = self._home(job, machines, reserved)
+            machines = self._home(job, machines, held)
         for machine in machines:
-            room = _room_for(job, machine, reserved)
+            room = _room_for(job, machine, held)
             if room:
-                reserved[machine.name] = plus(reserved.get(machine.name, NOTHING), job.need, room)
+                held[machine.name] = plus(held.get(machine.name, NOTHING), job.need, room)
 
     def _without(self, reserved: dict[str, Room], job: Job) -> dict[str, Room]:
         own = dict(reserved)
--- a/src/poppyhold/gang_placement.py
+++ b/src/poppyhold/gang_placement.py
@@ -48,9 +48,7 @@
         """A new pass; what is kept free for accelerators goes by the jobs that there are."""
         self._companions = accelerator_companions(jobs)
 
-    def choose(
-        self, job: Job, machines: list[Machine], reserved: dict[str, Room] | None
-    ) -> list[Machine] | None:
+    def choose(self, job: Job, machines: list[Machine], reserved: dict[str, Room]) -> list[Machine] | None:
         """A machine for each pending task, or None if they don't all have room now."""
         usable = [machine for machine in machines if may_use(job, machine)]
         found: list[Candidate] = []
@@ -73,9 +71,7 @@
         for zone in sorted(zones):
             yield [machine for machine in machines if machine.zone == zone]
 
-    def _choose_among(
-        self, job: Job, machines: list[Machine], reserved: dict[str, Room] | None
-    ) -> Candidate | None:
+    def _choose_among(self, job: Job, machines: list[Machine], reserved: dict[str, Room]) -> Candidate | None:
         # Room that accelerators need comes second: without it they would stand idle.
         for keeps_companions in (True, False) if job.need[1] <= 0 else (False,):
             chosen = self._fill(job, self._options(job, machines, reserved, keeps_companions))
@@ -84,12 +80,12 @@
         return None
 
     def _options(
-        self, job: Job, machines: list[Machine], reserved: dict[str, Room] | None, keeps_companions: bool
+        self, job: Job, machines: list[Machine], reserved: dict[str, Room], keeps_companions: bool
     ) -> list[Option]:
         options: list[Option] = []
         for machine in machines:
             free = machine.free
-            if reserved and machine.name in reserved:
+            if machine.name in reserved:
                 free = plus(free, reserved[machine.name], -1.0)
             if keeps_companions:
                 free = plus(free, self._companions, -max(0.0, free[1]))
@@ -116,7 +112,7 @@
                 left -= take
         return None if left else chosen
 
-    def _rank(self, job: Job, option: Option, left: int) -> tuple[bool, bool, bool, bool, int, float, int]:
+    def _rank(self, job: Job, option: Option, left: int) -> tuple[object, ...]:
         """Machines that come first are those that hold all tasks that are left, or else the most of them."""
         count, machine = option
         wait = fetch_wait(machine, job)
@@ -125,6 +121,7 @@
             machine.name in job.failed_on,
             not self._in_time(job, wait),
             not holds_all,
+            machine.spot,
             not machine.attempts,
             0 if holds_all else -count,
             wait,
--- a/src/poppyhold/placement.py
+++ b/src/poppyhold/placement.py
@@ -190,15 +190,15 @@
             score += boot * 0.05 * sum(1 for attempt in machine.attempts.values() if attempt.job is job)
         return score
 
-    def room_for(self, job: Job, machine: Machine, reserved: dict[str, Room] | None) -> float | None:
+    def room_for(self, job: Job, machine: Machine, reserved: dict[str, Room]) -> float | None:
         """The score of a machine with free room beside what is reserved for plans; None if it has none."""
         free = machine.free
-        if reserved and machine.name in reserved:
+        if machine.name in reserved:
             free = plus(free, reserved[machine.name], -1.0)
         return self._score(job, machine, free) if fits(job.need, free) else None
 
     def free(
-        self, job: Job, machines: Iterable[Machine], reserved: dict[str, Room] | None
+        self, job: Job, machines: Iterable[Machine], reserved: dict[str, Room]
     ) -> list[tuple[float, int, Machine]]:
         """Machines with free room for a task of the job, best first."""
         found = []
@@ -322,7 +322,7 @@
     """Places for the tasks of one job in a pass: after a start only its machine is looked at again."""
 
     def __init__(
-        self, placement: Placement, job: Job, machines: list[Machine], reserved: dict[str, Room] | None
+        self, placement: Placement, job: Job, machines: list[Machine], reserved: dict[str, Room]
     ) -> None:
         self._placement, self._job, self._machines, self._reserved = placement, job, machines, reserved
         self._free: list[tuple[float, int, Machine]] | None = None
