--- a/tests/mix.py
+++ b/tests/mix.py
@@ -121,6 +121,24 @@
     return fields
 
 
+def _gang(rng: random.Random) -> dict[str, str]:
+    """A gang that a user submits."""
+    fields = {
+        "shape": "group",
+        "crew": rng.choice(["alpha", "beta"]),
+        "rank": rng.choice(["standard", "high"]),
+        # The smallest limit holds it beside the replicas that stay.
+        "chores": str(rng.randrange(2, 6)),
+        "guessS": str(rng.choice([4, 12, 25])),
+        "samePlace": rng.choice(["true", "false"]),
+        "loaners": rng.choice(["true", "false"]),
+        "sizeGb": rng.choice(["1.0", "5.0", "30.0"]),
+    }
+    if rng.random() < 0.6:
+        fields |= {"bookmarkS": "5", "stashS": rng.choice(["1", "3"])}
+    return fields
+
+
 def _events(rng: random.Random, cancel_s: float) -> Iterator[tuple[float, str]]:
     standing = 0
     for number in range(rng.randrange(14, 30)):
@@ -141,6 +159,12 @@
     for _ in range(rng.randrange(2, 5)):
         at = rng.uniform(8.0, 100.0)
         yield at, _trouble(rng, at)
+    # Last, so that what a seed draws beside them stays as it was.
+    for number in range(500, 500 + rng.randrange(2, 7)):
+        job_id, at, gang = f"job-{number:06d}", rng.uniform(2.0, 110.0), _gang(rng)
+        yield at, f"submit {job_id} {' '.join(f'{name}={value}' for name, value in gang.items())}"
+        if rng.random() < 0.2:
+            yield at + rng.choice([0.0, rng.uniform(0.0, 30.0)]), f"cancel {job_id}"
 
 
 def day(seed: int) -> str:
