--- a/src/poppyhold/store.py
+++ b/src/poppyhold/store.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import json
 import logging
 import threading
 import time
@@ -9,8 +10,6 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-import msgspec
-
 from poppyhold.http import Client, NoAnswer, NotSent
 from poppyhold.settings import Settings, split_address
 
@@ -412,8 +411,8 @@
 
 
 def stored_bytes(data: Data) -> int:
-    """The size of a value as the state service counts it."""
-    return len(msgspec.json.encode(data))
+    """The size of a value as JSON, the way of writing it that takes the most."""
+    return len(json.dumps(data))
 
 
 def final_writes(job_id: str, status: str, chores: int) -> list[Data]:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -11,11 +11,21 @@
 
 from poppyhold.completions import Layout, decode_bits
 from poppyhold.fleet import make_job
-from poppyhold.messages import Malformed, encode, parse_report, parse_submission
+from poppyhold.messages import (
+    Build,
+    Builds,
+    Malformed,
+    convert,
+    encode,
+    parse_report,
+    parse_submission,
+)
 from poppyhold.options import load_options, parse_options
+from poppyhold.service import build_records
 from poppyhold.settings import ConfigError, NextState, State, Team, load_settings
-from poppyhold.store import DONE_STRETCHES, DONE_TASKS
+from poppyhold.store import BUILDS, DONE_STRETCHES, DONE_TASKS, MORE_BUILDS
 from world import World, submission
+from world import build_data as world_build
 from world import wire as as_sent
 
 
@@ -72,6 +82,9 @@
     assert users.submit(encode(wire(builds=["huge"])))[0] == 422
     assert users.submit(encode(wire(accelerators=9.0)))[0] == 422
     assert users.submit(encode(wire(shape="service", chores=7)))[0] == 422
+    # A gang runs whole or not at all, so all of it counts.
+    assert users.submit(encode(wire(shape="group", chores=7)))[0] == 422
+    assert users.submit(encode(wire(shape="group", chores=6, nameId="job-000006")))[0] == 201
     assert users.submit(encode(wire(shape="array", chores=7)))[0] == 201
     assert users.submit(encode(wire(shape="array", chores=7)))[0] == 200
     # What was accepted stays accepted, whatever a repeat says.
@@ -138,6 +151,42 @@
     assert len(world.finished) > 32
 
 
+def test_submissions_fit_the_limits_to_come() -> None:
+    world = World(1, 10.0, 30.0, [Team("alpha")], NextState(value_kb=2.0, txn_ops=4))
+    world.state.lower_limits(4, 2.0)
+    users = world.nodes[0].users
+    # Machine types that don't exist allow nothing: they are left out of a record that is too long with them.
+    names = ["small", *(f"type-{number:04d}" for number in range(400))]
+    assert users.submit(encode(wire(builds=names)))[0] == 201
+    assert world.state.keys["ph/a/job-000001"][0]["spec"]["builds"] == ["small"]
+    face = "\U0001f600"
+    for_ever = wire(nameId="job-000002", bundle=face * 200, lot=face * 200)
+    assert users.submit(encode(for_ever))[0] == 400
+    # The same from a version that stored it under larger limits is known.
+    world.state.keys["ph/a/job-000002"] = ({"spec": for_ever, "at": 0.0}, 1, None)
+    assert users.submit(encode(for_ever))[0] == 200
+
+
+def test_machine_types_are_stored_within_the_limit_and_read_again() -> None:
+    data = world_build("small", 4, 10.0)
+    builds = [convert({**data, "name": f"type-{number}"}, Build) for number in range(20)]
+    records = build_records(builds, 2048)
+    assert len(records) > 1
+    assert records[0]["set"] == BUILDS
+    assert all(record["set"].startswith(MORE_BUILDS) for record in records[1:])
+    assert all(len(msgspec.json.encode(record["data"])) <= 2048 for record in records)
+    read = [build for record in records for build in convert(record["data"], Builds).builds]
+    assert read == builds
+    assert len(build_records(builds[:2], 8192)) == 1
+
+
+def test_limits_are_the_smaller_of_now_and_next() -> None:
+    limits = State(value_kb=8.0, txn_ops=20, write_rps=25.0, next=NextState(value_kb=2.0, txn_ops=30))
+    lowest = limits.lowest
+    assert (lowest.value_kb, lowest.txn_ops, lowest.write_rps, lowest.rps) == (2.0, 20, 25.0, limits.rps)
+    assert State(value_kb=8.0).lowest.value_kb == 8.0
+
+
 def test_options_have_defaults_and_bounds(tmp_path: Path) -> None:
     root = Path(__file__).resolve().parent.parent
     shipped = (root / "deploy" / "poppyhold.txtpb").read_text()
@@ -178,6 +227,10 @@
         ("127.0.0.1:4", "nowhere", "outside.state"),
         ("lease_s = 10.0", "lease_s = 0.0", "lease_s"),
         ("cancel_s = 30.0", "cancel_s = 5.0", "cancel_s"),
+        ("cancel_s = 30.0", "cancel_s = 30.0\ngang_wait_s = 0.0", "gang_wait_s"),
+        ("cancel_s = 30.0", "cancel_s = 30.0\ngang_peer_s = -1.0", "gang_peer_s"),
+        ("cancel_s = 30.0", "cancel_s = 30.0\n[settings.state.next]\nvalue_kb = 0.0", "next.value_kb"),
+        ("cancel_s = 30.0", "cancel_s = 30.0\n[settings.state.next]\ntxn_ops = 2", "next.txn_ops"),
     ):
         path.write_text(good.replace(old, new))
         with pytest.raises(ConfigError, match=name):
--- /dev/null
+++ b/tests/test_gangs.py
@@ -0,0 +1,75 @@
+"""The states of a gang's attempt, step by step."""
+
+from __future__ import annotations
+
+import pytest
+
+from poppyhold.fleet import Job
+from poppyhold.gangs import Gangs, GangState
+from poppyhold.messages import ExitCause, TaskState
+from test_attempts import leading_world
+from world import World, submission
+
+
+def assembling_world() -> tuple[World, Gangs, str]:
+    """A world whose leader has just sent the starts of a gang of three tasks."""
+    world, reign = leading_world()
+    gang = {"shape": "group", "chores": 3, "bundle": "img-9", "sizeGb": 40.0, "guessS": 20.0}
+    world.submit(submission("job-000002", gang))
+    world.run(world.now + 1.0)
+    return world, reign.controller.attempts.gangs, "job-000002"
+
+
+def job_of(world: World, job_id: str) -> Job:
+    """The leader's picture of a job."""
+    leader = world.leader()
+    assert leader is not None and leader.reign is not None
+    return leader.reign.controller.ctx.fleet.jobs[job_id]
+
+
+def test_states_of_a_gang_that_completes() -> None:
+    world, gangs, job_id = assembling_world()
+    job = job_of(world, job_id)
+    assert gangs.state_of(job) is GangState.ASSEMBLING
+    assert len({attempt.number for attempt in job.active.values()}) == 1
+    # Users are told of tasks that run, not of those that wait.
+    assert job.running == 0
+    world.run(world.now + 12.0)
+    assert gangs.state_of(job) is GangState.RUNNING
+    assert job.running == 3
+    world.run(world.now + 25.0)
+    assert world.told[job_id] == "done"
+    assert gangs.state_of(job) is GangState.WAITING_FOR_ROOM
+
+
+@pytest.mark.parametrize("cause", [ExitCause.PEER_LOST, ExitCause.GANG_INCOMPLETE, ExitCause.ERROR])
+def test_ends_of_a_task_that_end_the_attempt(cause: ExitCause) -> None:
+    world, gangs, job_id = assembling_world()
+    job = job_of(world, job_id)
+    gangs.exited(job.active[1], cause, world.now)
+    assert gangs.state_of(job) is GangState.FAILED
+    assert not gangs.may_start(job)
+    assert all(attempt.stopping_at is not None for attempt in job.active.values())
+
+
+@pytest.mark.parametrize("cause", [ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.STOPPED])
+def test_ends_of_a_task_that_is_replaced(cause: ExitCause) -> None:
+    world, gangs, job_id = assembling_world()
+    job = job_of(world, job_id)
+    gangs.exited(job.active[1], cause, world.now)
+    assert gangs.state_of(job) is GangState.ASSEMBLING
+
+
+def test_whole_stop_gives_every_task_the_time_to_save() -> None:
+    world, gangs, job_id = assembling_world()
+    job = job_of(world, job_id)
+    world.run(world.now + 12.0)
+    gangs.stop(job, world.now)
+    grace = job.spec.stashS + world.settings.settings.workers.gang_peer_s
+    assert {attempt.stopping_at for attempt in job.active.values()} == {world.now}
+    assert all(attempt.leeway_s >= grace for attempt in job.active.values())
+    # A task that is seen to save shows a new leader that the stop has begun, and changes nothing here.
+    first = job.active[0]
+    first.status = TaskState.SAVING
+    gangs.reported(first, world.now)
+    assert gangs.state_of(job) is GangState.STOPPING
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -174,6 +174,10 @@
     def do_faulty(self, machine: str) -> None:
         self.world.workers[machine].faulty = True
 
+    def do_slow_fetch(self, machine: str, gb_per_s: str) -> None:
+        worker = self.world.workers[machine]
+        worker.build = {**worker.build, "pullGbPerS": float(gb_per_s)}
+
     def do_die(self, machine: str) -> None:
         self.world.end_worker(machine)
 
@@ -407,6 +411,7 @@
     ("gang_task_lost_before_start", Gangs, "may_start", _only_from_the_beginning),
     ("gang_task_lost_while_running", Gangs, "_fail", _never),
     ("gang_gives_up_its_room", Gangs, "give_up", _never),
+    ("gang_alone", Gangs, "_avoid_late_machines", _never),
     ("gang_recall", Gangs, "stop", _kill),
     ("gang_preempted", Admission, "_await_gangs", _never),
     ("gang_not_starved", Admission, "_hold_for_gang", _never),
