--- a/src/poppyhold/admission.py
+++ b/src/poppyhold/admission.py
@@ -34,18 +34,18 @@
 
     def note(self, job: Job, ran_s: float) -> None:
         """A task of the job ran this long from its start to its end."""
-        if job.spec.guessS <= 0 or ran_s <= 0:
+        if job.spec.estimate_s <= 0 or ran_s <= 0:
             return
-        mean, count = self._bias.get(job.spec.lot, (0.0, 0))
-        ratio = math.log(ran_s / job.spec.guessS)
+        mean, count = self._bias.get(job.spec.job_class, (0.0, 0))
+        ratio = math.log(ran_s / job.spec.estimate_s)
         step = 1.0 / min(count + 1, 20)
-        self._bias[job.spec.lot] = (mean + step * (ratio - mean), count + 1)
+        self._bias[job.spec.job_class] = (mean + step * (ratio - mean), count + 1)
 
     def seconds(self, job: Job) -> float:
         """The estimate to plan with."""
-        mean, count = self._bias.get(job.spec.lot, (0.0, 0))
+        mean, count = self._bias.get(job.spec.job_class, (0.0, 0))
         trust = count / (count + 4.0)
-        return max(0.1, job.spec.guessS * math.exp(mean * trust))
+        return max(0.1, job.spec.estimate_s * math.exp(mean * trust))
 
 
 def _room_for(job: Job, machine: Machine, reserved: dict[str, Room]) -> int:
@@ -76,9 +76,9 @@
     def claim(job: Job, limited: bool, reserved: bool) -> tuple[object, ...]:
         """All that decides whether there is a place for a task of a job, zones aside."""
         spec = job.spec
-        builds = None if spec.builds is None else tuple(spec.builds)
-        place = (job.need, builds, spec.paddock, spec.loaners)
-        return (*place, spec.crew, job.rank, job.guaranteed, limited, reserved)
+        machine_types = None if spec.machine_types is None else tuple(spec.machine_types)
+        place = (job.need, machine_types, spec.zone, spec.spot)
+        return (*place, spec.team, job.rank, job.guaranteed, limited, reserved)
 
 
 class Admission:
@@ -94,9 +94,9 @@
         self.planner = Planner(self.pricing, self.ledger, ctx.times.slot_s, design.work_units)
         # What users expect of a class: seconds within which its tasks should have started.
         aims = {
-            objective.lot: objective.within_s
+            objective.job_class: objective.within_s
             for objective in ctx.settings.settings.objectives
-            if objective.kind == "wait" and objective.lot is not None and objective.within_s is not None
+            if objective.kind == "wait" and objective.job_class is not None and objective.within_s is not None
         }
         self.placement = Placement(aims, self._loss)
         self._gang_placement = GangPlacement(self.placement.in_time)
@@ -118,7 +118,7 @@
         """A machine can be planned on."""
         if machine.name not in self.ledger.rows:
             self.ledger.add_machine(
-                machine.name, machine.capacity, machine.zone, machine.build.name, machine.spot
+                machine.name, machine.capacity, machine.zone, machine.machine_type.name, machine.spot
             )
             self._released = True
         for attempt in machine.attempts.values():
@@ -150,9 +150,9 @@
     def over(self, attempt: Attempt) -> None:
         """An attempt is over: what it booked is released, and what it saved is there for the next."""
         job = attempt.job
-        if job.spec.bookmarkS > 0 and attempt.running_at is not None:
+        if job.spec.checkpoint_s > 0 and attempt.running_at is not None:
             ran = self._ctx.clock() - attempt.running_at
-            saved = ran // job.spec.bookmarkS * job.spec.bookmarkS
+            saved = ran // job.spec.checkpoint_s * job.spec.checkpoint_s
             job.progress[attempt.index] = job.progress.get(attempt.index, 0.0) + saved
         self._book(attempt, -1.0)
         self._released = True
@@ -211,7 +211,7 @@
         self._try_admit(job)
         self._write(job)
         spec = job.spec
-        log.debug("job %s: %s, %d tasks, admitted %s", job.id, spec.lot, spec.chores, job.admitted)
+        log.debug("job %s: %s, %d tasks, admitted %s", job.id, spec.job_class, spec.tasks, job.admitted)
 
     def _try_admit(self, job: Job) -> bool:
         tasks = job.pending
@@ -249,7 +249,7 @@
                 # Its record is gone: it is over, and the news of that came before its own.
                 self._on_ended(job)
 
-        conditions = {ACTIVE_KEYS + job.id: job.stamp}
+        conditions = {ACTIVE_KEYS + job.id: job.version}
         self._ctx.edges.commit(conditions, [put(PLAN + job.id, data)], durable, first=True)
 
     def _record(self, job: Job) -> Data:
@@ -313,7 +313,7 @@
         if not machines:
             return
         # Machines that did not get our commands lately come last.
-        steady = [machine for machine in machines if machine.shaky_until <= now]
+        steady = [machine for machine in machines if machine.unreliable_until <= now]
         self._pass = Pass(machines, steady, self._unknown_use())
         self.placement.begin(machines, [job for job in ctx.fleet.jobs.values() if job.active])
         self._gang_placement.begin(ctx.fleet.jobs.values())
@@ -379,7 +379,7 @@
 
     def _loss(self, victim: Attempt) -> float:
         """Seconds that are lost with an attempt: of its work, and of the wait for what takes its place."""
-        job, boot = victim.job, victim.machine.build.startupS
+        job, boot = victim.job, victim.machine.machine_type.boot_s
         if job.service:
             # Somebody waits for a replica all the time; an array's task only at its end.
             return boot
@@ -389,7 +389,7 @@
             return 0.0
         now = self._ctx.clock()
         ran = now - victim.running_at
-        lost = ran % job.spec.bookmarkS if job.spec.bookmarkS > 0 else ran
+        lost = ran % job.spec.checkpoint_s if job.spec.checkpoint_s > 0 else ran
         if job.due_at is not None:
             # Whom it makes late is stopped last, and who is late anyway has nothing more to lose.
             rest = max(0.0, self.estimates.seconds(job) - job.progress.get(victim.index, 0.0) - ran)
@@ -404,19 +404,19 @@
         if victim.running_at is None:
             return 0.0
         ran = now - victim.running_at
-        if job.spec.bookmarkS <= 0:
-            return ran * job.spec.chores
+        if job.spec.checkpoint_s <= 0:
+            return ran * job.spec.tasks
         silent_s = self._ctx.times.silent_s
         # It saves its progress only if all of its machines can be told in time.
         told = all(now - mate.machine.last_report <= silent_s for mate in job.active.values())
-        lost = min(ran, job.spec.stashS) if told else ran % job.spec.bookmarkS
-        return lost * job.spec.chores
+        lost = min(ran, job.spec.save_s) if told else ran % job.spec.checkpoint_s
+        return lost * job.spec.tasks
 
     def _unknown_use(self) -> Room:
         """Room that may be in use on machines whose tasks we can't know: it counts for every team."""
         total = NOTHING
         for machine in self._ctx.fleet.machines.values():
-            if machine.name in self._attempts.unheard or machine.strangers:
+            if machine.name in self._attempts.unheard or machine.unknown_tasks:
                 total = plus(total, machine.capacity)
         return total
 
@@ -434,16 +434,16 @@
         """Start up to so many tasks beside reserved room; ``shared``: it is the same for all jobs."""
         here = self._pass
         used = self._ctx.fleet.used
-        if job.spec.crew in here.held_teams:
+        if job.spec.team in here.held_teams:
             return
         searches: list[Search] = []
         while most > 0:
             index = job.next_pending()
             if index is None:
                 return
-            mine = used.get(job.spec.crew, [0.0, 0.0])
+            mine = used.get(job.spec.team, [0.0, 0.0])
             in_use = (mine[0] + here.extra[0], mine[1] + here.extra[1])
-            limited = not self._quotas.allows(job.spec.crew, in_use, job.need)
+            limited = not self._quotas.allows(job.spec.team, in_use, job.need)
             # Room that the job itself has booked is free for it alone; at the limit no free room counts.
             alike = shared or limited
             claim = here.claim(job, limited, bool(reserved) and not limited)
@@ -452,12 +452,12 @@
             if limited:
                 choice = self._within_limit(job, in_use)
             else:
-                if not searches or job.spec.samePlace:
+                if not searches or job.spec.one_zone:
                     searches = self._searches(job, reserved)
                 choices = (self._choose(job, search) for search in searches)
                 choice = next((found for found in choices if found is not None), None)
             if choice is None:
-                anywhere = not job.spec.samePlace and all(zone_allows(job, zone) for zone in here.zones)
+                anywhere = not job.spec.one_zone and all(zone_allows(job, zone) for zone in here.zones)
                 if alike and anywhere:
                     here.hopeless.add(claim)
                 return
@@ -472,7 +472,7 @@
         parts = [here.steady]
         if len(here.steady) < len(here.machines):
             parts.append(here.machines)
-        if job.spec.samePlace and not job.active:
+        if job.spec.one_zone and not job.active:
             parts = [self._home(job, machines, reserved) for machines in parts]
         return [Search(self.placement, job, machines, reserved) for machines in parts]
 
@@ -496,12 +496,12 @@
     def _within_limit(self, job: Job, in_use: tuple[float, float]) -> Choice | None:
         """At its team's limit, a job may still take the room of lower work of the team."""
         for other in self._ctx.fleet.jobs.values():
-            if other.spec.crew == job.spec.crew and any(
+            if other.spec.team == job.spec.team and any(
                 attempt.stopping_at is not None for attempt in other.active.values()
             ):
                 # One at a time: what is being stopped still counts, and would be made up for twice.
                 return None
-        owed = self._quotas.excess(job.spec.crew, in_use, job.need)
+        owed = self._quotas.excess(job.spec.team, in_use, job.need)
         places = self.placement.preemptible(job, self._pass.steady, owed)
         return next((place[2] for place in places if zone_allows(job, place[2].machine.zone)), None)
 
@@ -542,14 +542,14 @@
 
     def _gang_within_limit(self, job: Job) -> bool:
         """Whether all pending tasks together stay within the team's limit."""
-        used = self._ctx.fleet.used.get(job.spec.crew, [0.0, 0.0])
+        used = self._ctx.fleet.used.get(job.spec.team, [0.0, 0.0])
         extra = self._pass.extra
         all_but_one = job.pending - 1
         total = (
             used[0] + extra[0] + job.need[0] * all_but_one,
             used[1] + extra[1] + job.need[1] * all_but_one,
         )
-        return self._quotas.allows(job.spec.crew, total, job.need)
+        return self._quotas.allows(job.spec.team, total, job.need)
 
     def _hold_for_gang(self, job: Job, within_limit: bool) -> None:
         """Keep freed room for a gang that has waited long, for a while at a time.
@@ -563,10 +563,10 @@
             return
         held = self._pass.held
         if not within_limit:
-            self._pass.held_teams.add(job.spec.crew)
+            self._pass.held_teams.add(job.spec.team)
             return
         machines = [machine for machine in self._pass.machines if may_use(job, machine)]
-        if job.spec.samePlace:
+        if job.spec.one_zone:
             machines = self._home(job, machines, held)
         for machine in machines:
             room = _room_for(job, machine, held)
@@ -596,7 +596,7 @@
         now = self._ctx.clock()
         for gang in gangs:
             self._attempts.gangs.stop(gang, now)
-        saving_s = max(gang.spec.stashS for gang in gangs)
+        saving_s = max(gang.spec.save_s for gang in gangs)
         job.preempts_again_at = now + saving_s + 2 * self._ctx.times.report_s
         return True
 
--- a/src/poppyhold/attempts.py
+++ b/src/poppyhold/attempts.py
@@ -11,8 +11,8 @@
 from poppyhold.context import REFUSED, UNSENT, UNSURE, Context
 from poppyhold.fleet import DONE, Attempt, Job, Machine
 from poppyhold.gangs import Gangs
-from poppyhold.messages import Chore, ExitCause, Report, TaskState, split_task
-from poppyhold.store import BATON, MACHINE, put
+from poppyhold.messages import ExitCause, Report, TaskReport, TaskState, split_task
+from poppyhold.store import MACHINE, TOKEN, put
 
 log = logging.getLogger(__name__)
 
@@ -43,20 +43,20 @@
 
     # -- reports ---------------------------------------------------------------------------------
 
-    def hello(self, report: Report) -> Order | None:
+    def handle_report(self, report: Report) -> Order | None:
         """Answer a worker's report; None if it can't be answered."""
         ctx = self._ctx
         now = ctx.clock()
-        if report.baton > ctx.baton:
-            ctx.edges.deposed(report.baton)
+        if report.token > ctx.token:
+            ctx.edges.deposed(report.token)
             return None
-        machine = ctx.fleet.machines.get(report.box)
+        machine = ctx.fleet.machines.get(report.machine)
         if machine is None:
-            machine = self._meet(report, now)
+            machine = self._add_unknown_machine(report, now)
             if machine is None:
                 return None
         machine.endpoint = report.endpoint
-        if report.baton < ctx.term_baton and self._deaf(machine, now):
+        if report.token < ctx.term_token and self._ignores_answers(machine, now):
             self.probe(machine, now)
             return None
         machine.last_answer = now
@@ -65,41 +65,41 @@
             machine.up_at = now
             ctx.dirty = True
         self._record(machine)
-        # A report from before the worker saw our baton may be a copy of any age, and so may one
-        # whose tally is not above the last: it gets an answer, but proves nothing.
-        if report.baton < ctx.term_baton:
+        # A report from before the worker saw our token may be a copy of any age, and so may one
+        # whose sequence number is not above the last: it gets an answer, but proves nothing.
+        if report.token < ctx.term_token:
             self.probe(machine, now)
             orders = self._stops(machine, report, now)
-        elif (report.shift, report.tally) > (machine.shift, machine.tally):
+        elif (report.session, report.sequence) > (machine.session, machine.sequence):
             self._take(machine, report, now, answered=True)
             orders = self._orders(machine, report, now)
         else:
             orders = self._stops(machine, report, now)
-        return {"baton": ctx.baton, "orders": orders}
+        return {"baton": ctx.token, "orders": orders}
 
-    def _deaf(self, machine: Machine, now: float) -> bool:
+    def _ignores_answers(self, machine: Machine, now: float) -> bool:
         """Whether a worker from before our term seems not to hear us, so that its lease had better end.
 
-        Its reports arrive, but our baton does not reach it: every answer would be counted as a lease that its
+        Its reports arrive, but our token does not reach it: every answer would be counted as a lease that its
         tasks may live on, and tasks of all older jobs wait until it is heard or proven empty. Copies of its
         old reports alone look the same. Once its last lease is over it is answered again.
         """
         if machine.name not in self.unheard:
             return False
-        if machine.met_at is None:
-            machine.met_at = now
+        if machine.first_report_at is None:
+            machine.first_report_at = now
         # A worker waits four seconds for an answer that is lost, and a second to the next try.
-        return now - machine.met_at > max(self._ctx.times.lease_s / 2, 4 * self._ctx.times.report_s)
+        return now - machine.first_report_at > max(self._ctx.times.lease_s / 2, 4 * self._ctx.times.report_s)
 
-    def _meet(self, report: Report, now: float) -> Machine | None:
+    def _add_unknown_machine(self, report: Report, now: float) -> Machine | None:
         """A machine that we did not know: a late hire, or one that was there before us."""
         ctx = self._ctx
-        build = ctx.builds.get(report.build)
-        if build is None or report.box in ctx.dead:
+        machine_type = ctx.machine_types.get(report.machine_type)
+        if machine_type is None or report.machine in ctx.dead:
             return None
-        machine = Machine(report.box, build, report.paddock, report.loaners, since=now)
-        machine.images.update(ctx.hints.get(report.box, ()))
-        ctx.fleet.machines[report.box] = machine
+        machine = Machine(report.machine, machine_type, report.zone, report.spot, since=now)
+        machine.images.update(ctx.hints.get(report.machine, ()))
+        ctx.fleet.machines[report.machine] = machine
         return machine
 
     def _record(self, machine: Machine) -> None:
@@ -114,7 +114,7 @@
 
         data = {
             "endpoint": machine.endpoint,
-            "build": msgspec.to_builtins(machine.build),
+            "build": msgspec.to_builtins(machine.machine_type),
             "paddock": machine.zone,
             "loaners": machine.spot,
         }
@@ -123,31 +123,31 @@
     def _take(self, machine: Machine, report: Report, now: float, answered: bool) -> None:
         """Take a report that is newer than all before it as the truth about its machine."""
         ctx = self._ctx
-        if report.shift > machine.shift:
+        if report.session > machine.session:
             # A later session began with nothing: whatever an earlier one held is over. If we answered
             # all the while, our answers do not reach it, and it had better not be relied on.
             if machine.heard and now - machine.last_report < ctx.times.lease_s / 2:
-                machine.shaky_until = now + ctx.times.cancel_s
+                machine.unreliable_until = now + ctx.times.cancel_s
             for attempt in list(machine.attempts.values()):
-                if attempt.shift < report.shift:
+                if attempt.session < report.session:
                     self._over(attempt)
-        machine.shift, machine.tally = report.shift, report.tally
+        machine.session, machine.sequence = report.session, report.sequence
         machine.last_report = now
-        machine.strangers = set()
+        machine.unknown_tasks = set()
         if not machine.heard:
             machine.heard = True
             ctx.dirty = True
-        if report.recallS is not None and machine.recall_at is None:
-            machine.recall_at = now + report.recallS
-            machine.recalled_at = now
+        if report.notice_s is not None and machine.taken_back_at is None:
+            machine.taken_back_at = now + report.notice_s
+            machine.notice_at = now
             ctx.dirty = True
         present: set[str] = set()
-        for chore in report.chores:
-            if chore.status == TaskState.EXITED:
-                self._ended(machine, chore, now)
+        for task in report.tasks:
+            if task.status == TaskState.EXITED:
+                self._ended(machine, task, now)
             else:
-                present.add(chore.chore)
-                self._present(machine, chore, now)
+                present.add(task.task)
+                self._present(machine, task, now)
         for attempt in list(machine.attempts.values()):
             if attempt.name not in present and self._absence_proves(attempt, report, answered):
                 if (
@@ -168,36 +168,36 @@
         if attempt.in_flight:
             return False
         if attempt.fence is not None:
-            # The start may be held back in the network: it is void once the worker has a higher baton.
-            return report.baton >= attempt.fence
+            # The start may be held back in the network: it is void once the worker has a higher token.
+            return report.token >= attempt.fence
         if attempt.via == "reply":
             # The next report is sent only when the answer has come or was given up. What was not handed out
             # yet goes with the answer to this one: it was taken for lost, and its machine got no work.
-            return answered and 0 <= attempt.reply_tally < report.tally
+            return answered and 0 <= attempt.reply_sequence < report.sequence
         return True
 
-    def _present(self, machine: Machine, chore: Chore, now: float) -> None:
-        job_id, index = split_task(chore.chore)
+    def _present(self, machine: Machine, task: TaskReport, now: float) -> None:
+        job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
-        attempt = machine.attempts.get(chore.chore)
-        if attempt is not None and attempt.number == chore.attempt:
-            if attempt.status != chore.status:
-                attempt.status = chore.status
-                if chore.status == TaskState.RUNNING:
+        attempt = machine.attempts.get(task.task)
+        if attempt is not None and attempt.number == task.attempt:
+            if attempt.status != task.status:
+                attempt.status = task.status
+                if task.status == TaskState.RUNNING:
                     attempt.running_at = attempt.running_at or now
                     log.debug("%s runs, %.1f s behind its start", attempt.name, now - attempt.sent_at)
-                if chore.status in (TaskState.RUNNING, TaskState.WAITING):
-                    machine.touch_image(attempt.job.spec.bundle, attempt.job.spec.sizeGb)
+                if task.status in (TaskState.RUNNING, TaskState.WAITING):
+                    machine.touch_image(attempt.job.spec.image, attempt.job.spec.image_gb)
                 if attempt.job.gang:
                     self.gangs.reported(attempt, now)
             return
-        if attempt is None and job is not None and 0 <= index < job.spec.chores and not job.active.get(index):
+        if attempt is None and job is not None and 0 <= index < job.spec.tasks and not job.active.get(index):
             state = job.states[index]
-            adopted = Attempt(job, index, chore.attempt, machine, machine.shift, now, status=chore.status)
-            if chore.status == TaskState.RUNNING:
+            adopted = Attempt(job, index, task.attempt, machine, machine.session, now, status=task.status)
+            if task.status == TaskState.RUNNING:
                 adopted.running_at = now
-            if chore.status in (TaskState.RUNNING, TaskState.WAITING):
-                machine.touch_image(job.spec.bundle, job.spec.sizeGb)
+            if task.status in (TaskState.RUNNING, TaskState.WAITING):
+                machine.touch_image(job.spec.image, job.spec.image_gb)
             self._ctx.fleet.add(adopted)
             if state == DONE:
                 job.states[index] = DONE
@@ -207,45 +207,45 @@
             elif job.gang:
                 self.gangs.adopt(adopted, now)
             return
-        machine.strangers.add(chore.chore)
+        machine.unknown_tasks.add(task.task)
 
-    def _ended(self, machine: Machine, chore: Chore, now: float) -> None:
-        job_id, index = split_task(chore.chore)
+    def _ended(self, machine: Machine, task: TaskReport, now: float) -> None:
+        job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
-        if job is None or not 0 <= index < job.spec.chores:
+        if job is None or not 0 <= index < job.spec.tasks:
             return
-        attempt = machine.attempts.get(chore.chore)
-        ours = attempt is not None and attempt.number == chore.attempt
-        if chore.cause == ExitCause.DONE:
-            machine.touch_image(job.spec.bundle, job.spec.sizeGb)
+        attempt = machine.attempts.get(task.task)
+        ours = attempt is not None and attempt.number == task.attempt
+        if task.cause == ExitCause.DONE:
+            machine.touch_image(job.spec.image, job.spec.image_gb)
             if ours and attempt is not None and attempt.running_at is not None:
                 self._on_ran(attempt, now)
             news = job.complete(index)
             if news:
-                job.unsaved.update(range(job.spec.chores) if job.gang else (index,))
+                job.unsaved.update(range(job.spec.tasks) if job.gang else (index,))
             if ours and attempt is not None:
                 self._over(attempt)
             if news:
                 self._on_done(job, index)
         elif ours and attempt is not None:
-            self._failed(attempt, chore, now)
+            self._failed(attempt, task, now)
             if job.gang:
-                self.gangs.exited(attempt, chore.cause, now)
+                self.gangs.exited(attempt, task.cause, now)
             self._over(attempt)
 
-    def _failed(self, attempt: Attempt, chore: Chore, now: float) -> None:
+    def _failed(self, attempt: Attempt, task: TaskReport, now: float) -> None:
         job, machine = attempt.job, attempt.machine
-        log.debug("%s on %s ended: %s", attempt.name, machine.name, chore.cause)
-        if chore.cause == ExitCause.ERROR:
+        log.debug("%s on %s ended: %s", attempt.name, machine.name, task.cause)
+        if task.cause == ExitCause.ERROR:
             machine.errors.add(job.id)
             job.failures += 1
             job.failed_on.add(machine.name)
             # A job with a mistake in it fails everywhere: it comes back ever more slowly.
             pause = self._ctx.times.report_s * 2 ** min(job.failures, 8)
             job.retry_at = now + min(pause, self._ctx.times.cancel_s)
-        elif chore.cause in (ExitCause.NO_ROOM, ExitCause.BUSY):
+        elif task.cause in (ExitCause.NO_ROOM, ExitCause.BUSY):
             machine.refused_until = now + 2 * self._ctx.times.report_s
-        elif chore.cause == ExitCause.UNKNOWN_TASK:
+        elif task.cause == ExitCause.UNKNOWN_TASK:
             job.retry_at = now + self._ctx.times.report_s
 
     def _over(self, attempt: Attempt) -> None:
@@ -260,17 +260,17 @@
 
     def _orders(self, machine: Machine, report: Report, now: float) -> list[Order]:
         orders: list[Order] = []
-        for chore in report.chores:
-            if chore.status == TaskState.EXITED:
-                if self._may_reap(chore):
-                    orders.append({"verb": "reap", "chore": chore.chore, "try": chore.attempt})
-            elif chore.chore in machine.strangers:
-                orders.append({"verb": "stop", "chore": chore.chore, "try": chore.attempt, "leewayS": 0})
+        for task in report.tasks:
+            if task.status == TaskState.EXITED:
+                if self._may_reap(task):
+                    orders.append({"verb": "reap", "chore": task.task, "try": task.attempt})
+            elif task.task in machine.unknown_tasks:
+                orders.append({"verb": "stop", "chore": task.task, "try": task.attempt, "leewayS": 0})
         for attempt in machine.attempts.values():
             if attempt.stopping_at is not None:
                 orders.append(self._stop_order(attempt, now))
-            elif attempt.status == TaskState.SENT and attempt.via == "reply" and attempt.reply_tally < 0:
-                attempt.reply_tally = report.tally
+            elif attempt.status == TaskState.SENT and attempt.via == "reply" and attempt.reply_sequence < 0:
+                attempt.reply_sequence = report.sequence
                 orders.append({"verb": "run", "chore": attempt.name, "try": attempt.number})
         return orders
 
@@ -286,21 +286,21 @@
             for attempt in machine.attempts.values()
             if attempt.stopping_at is not None
         ]
-        for chore in report.chores:
-            job = self._ctx.fleet.jobs.get(split_task(chore.chore)[0])
-            if chore.status != TaskState.EXITED and (job is None or job.over):
-                orders.append({"verb": "stop", "chore": chore.chore, "try": chore.attempt, "leewayS": 0})
+        for task in report.tasks:
+            job = self._ctx.fleet.jobs.get(split_task(task.task)[0])
+            if task.status != TaskState.EXITED and (job is None or job.over):
+                orders.append({"verb": "stop", "chore": task.task, "try": task.attempt, "leewayS": 0})
         return orders
 
-    def _may_reap(self, chore: Chore) -> bool:
+    def _may_reap(self, task: TaskReport) -> bool:
         """A completion must be durable first: its worker is the only one that knows of it."""
-        job_id, index = split_task(chore.chore)
+        job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
         return job is None or job.over or index not in job.unsaved
 
     @staticmethod
     def _stop_order(attempt: Attempt, now: float) -> Order:
-        leeway = attempt.leeway_s
+        leeway = attempt.grace_s
         if attempt.stopping_at is not None and now > attempt.stopping_at + leeway:
             leeway = 0.0
         return {"verb": "stop", "chore": attempt.name, "try": attempt.number, "leewayS": leeway}
@@ -309,10 +309,10 @@
         """Start a task, after stopping the victims on the same machine."""
         now = self._ctx.clock()
         number = self.gangs.number_for(job) if job.gang else self._ctx.number()
-        attempt = Attempt(job, index, number, machine, machine.shift, now)
+        attempt = Attempt(job, index, number, machine, machine.session, now)
         for victim in victims:
             self.stop(victim, 0.0, now, direct=False)
-        if now < machine.shaky_until:
+        if now < machine.unreliable_until:
             attempt.via = "reply"
         else:
             attempt.via = "do"
@@ -326,14 +326,14 @@
         log.debug("start %s on %s as %d, stopping %d", attempt.name, machine.name, number, len(victims))
         return attempt
 
-    def stop(self, attempt: Attempt, leeway_s: float, now: float, direct: bool = True) -> None:
+    def stop(self, attempt: Attempt, grace_s: float, now: float, direct: bool = True) -> None:
         """Stop an attempt, and keep saying so until it is proven gone."""
         if attempt.stopping_at is None:
             attempt.stopping_at = now
-            attempt.leeway_s = leeway_s
+            attempt.grace_s = grace_s
         else:
-            attempt.leeway_s = min(attempt.leeway_s, leeway_s)
-        if attempt.status == TaskState.SENT and attempt.via == "reply" and attempt.reply_tally < 0:
+            attempt.grace_s = min(attempt.grace_s, grace_s)
+        if attempt.status == TaskState.SENT and attempt.via == "reply" and attempt.reply_sequence < 0:
             # Its start was never handed out.
             self._over(attempt)
             return
@@ -356,7 +356,7 @@
             self._do(machine, orders)
 
     def probe(self, machine: Machine, now: float) -> None:
-        """Ask a worker for a report, and hand it our baton."""
+        """Ask a worker for a report, and hand it our token."""
         if machine.do_busy or now < machine.probe_at or not machine.endpoint or machine.deleting:
             return
         machine.probe_at = now + self._ctx.times.report_s
@@ -371,7 +371,7 @@
         runs = [str(order["chore"]) for order in orders if order["verb"] == "run"]
         batch = [machine.attempts[name] for name in runs if name in machine.attempts]
         # An unheard worker's session is unknown: a command for none is not executed, but answered.
-        body = {"baton": ctx.baton, "shift": machine.shift or 1, "orders": orders}
+        body = {"baton": ctx.token, "shift": machine.session or 1, "orders": orders}
         silent = ctx.clock() - machine.last_report > ctx.times.silent_s
 
         def answered(outcome: str, report: Report | None) -> None:
@@ -394,8 +394,8 @@
         machine.do_busy = False
         if ctx.fleet.machines.get(machine.name) is not machine:
             return
-        if report is not None and report.baton > ctx.baton:
-            ctx.edges.deposed(report.baton)
+        if report is not None and report.token > ctx.token:
+            ctx.edges.deposed(report.token)
             return
         for attempt in batch:
             if machine.attempts.get(attempt.name) is not attempt:
@@ -407,19 +407,19 @@
                 # Nothing was executed, and nothing can be later.
                 self._over(attempt)
             elif outcome == UNSURE:
-                attempt.fence = ctx.baton + 1
+                attempt.fence = ctx.token + 1
         if outcome in (UNSENT, UNSURE):
-            machine.shaky_until = now + ctx.times.lease_s / 2
+            machine.unreliable_until = now + ctx.times.lease_s / 2
         if (
             report is not None
-            and report.box == machine.name
-            and report.baton >= ctx.term_baton
-            and (report.shift, report.tally) > (machine.shift, machine.tally)
+            and report.machine == machine.name
+            and report.token >= ctx.term_token
+            and (report.session, report.sequence) > (machine.session, machine.sequence)
         ):
             self._take(machine, report, now, answered=False)
-        elif report is not None and not machine.heard and report.shift > machine.shift:
+        elif report is not None and not machine.heard and report.session > machine.session:
             # The command named another session than the worker's: ask again with the right one.
-            machine.shift, machine.probe_at = report.shift, 0.0
+            machine.session, machine.probe_at = report.session, 0.0
 
     # -- proofs by time, and machines that are gone ------------------------------------------------
 
@@ -432,8 +432,8 @@
             log.info("all machines heard after %.1f s", self._ctx.clock() - self.began_at)
         return True
 
-    def raise_baton(self) -> None:
-        """Raise our baton if a start is in limbo: commands under the old one then are void."""
+    def raise_token(self) -> None:
+        """Raise our token if a start is in limbo: commands under the old one then are void."""
         ctx = self._ctx
         if self._raising:
             return
@@ -445,24 +445,24 @@
             ),
             default=0,
         )
-        if wanted <= ctx.baton:
+        if wanted <= ctx.token:
             return
         self._raising = True
-        baton = ctx.baton + 1
+        token = ctx.token + 1
 
         def raised(done: bool) -> None:
             self._raising = False
             if done:
-                ctx.baton = baton
-                ctx.edges.raised(baton)
+                ctx.token = token
+                ctx.edges.raised(token)
 
-        ctx.edges.commit({}, [put(BATON, {"baton": baton})], raised, first=True)
+        ctx.edges.commit({}, [put(TOKEN, {"baton": token})], raised, first=True)
 
     def expire(self, machine: Machine, now: float) -> None:
         """End the attempts of a silent worker whose lease is over, whoever might have answered it."""
         times = self._ctx.times
         if machine.heard:
-            # It has followed our baton, so only we and who stands in for us could renew its lease: as long
+            # It has followed our token, so only we and who stands in for us could renew its lease: as long
             # as nobody else led.
             answered_at = max(machine.last_answer, self._ctx.edges.deputies_until())
             bound = answered_at + times.lease_over_s
--- a/src/poppyhold/cloud.py
+++ b/src/poppyhold/cloud.py
@@ -11,7 +11,7 @@
 
 from poppyhold.context import OK, REFUSED, UNSURE, Data
 from poppyhold.http import Client, NoAnswer, NotSent
-from poppyhold.messages import Build, Builds, Hired, Listed, MachineList, Malformed, convert
+from poppyhold.messages import Hired, Listed, MachineList, MachineType, MachineTypes, Malformed, convert
 from poppyhold.settings import Settings, split_address
 
 log = logging.getLogger(__name__)
@@ -27,10 +27,10 @@
         self._client = Client(host, port, keep=2)
         self._timeout = settings.settings.workers.lease_s / 3
 
-    def builds(self) -> list[Build] | None:
+    def machine_types(self) -> list[MachineType] | None:
         """The machine types, or None if the cloud does not say."""
-        answer = self._get("/machine_types", Builds)
-        return answer.builds if answer is not None else None
+        answer = self._get("/machine_types", MachineTypes)
+        return answer.machine_types if answer is not None else None
 
     def page(self, since: str) -> MachineList | None:
         """One page of the list, or None."""
@@ -50,7 +50,7 @@
         try:
             status, data = self._client.request("POST", "/machines", body, timeout=self._timeout)
             if status == 200:
-                return OK, convert(data, Hired).boxes
+                return OK, convert(data, Hired).machines
         except (NotSent, NoAnswer, Malformed) as error:
             log.debug("hire: %s", error)
             return UNSURE, []
@@ -77,10 +77,10 @@
         self,
         settings: Settings,
         client: CloudClient,
-        on_builds: Callable[[list[Build]], None],
+        on_builds: Callable[[list[MachineType]], None],
         on_listed: Callable[[list[Listed]], None],
     ) -> None:
-        self._client, self._on_builds, self._on_listed = client, on_builds, on_listed
+        self._client, self._on_machine_types, self._on_listed = client, on_builds, on_listed
         cloud = settings.settings.cloud
         self._gap_s = 1.0 / cloud.rps
         self._list_s = cloud.list_lag_s / 2
@@ -140,9 +140,9 @@
                     self._list()
                 else:
                     builds_at = time.monotonic() + self._builds_s
-                    builds = self._client.builds()
-                    if builds is not None:
-                        self._on_builds(builds)
+                    machine_types = self._client.machine_types()
+                    if machine_types is not None:
+                        self._on_machine_types(machine_types)
             except Exception:
                 log.exception("cloud")
 
@@ -153,9 +153,9 @@
             page = self._client.page(since)
             if page is None:
                 return
-            boxes += page.boxes
-            if not page.more or not page.boxes:
+            boxes += page.machines
+            if not page.more or not page.machines:
                 break
-            since = page.boxes[-1].nameId
+            since = page.machines[-1].name
             time.sleep(self._gap_s)
         self._on_listed(boxes)
--- a/src/poppyhold/completions.py
+++ b/src/poppyhold/completions.py
@@ -73,7 +73,7 @@
     def _place(self, job: Job, index: int) -> tuple[str, int, int]:
         number = index // self.coarse
         first = number * self.coarse
-        tasks = min(self.coarse, job.spec.chores - first)
+        tasks = min(self.coarse, job.spec.tasks - first)
         if tasks // _TASKS_A_DIGIT + _FRAME_BYTES <= self._largest_bytes:
             return f"{DONE_TASKS}{job.id}/{number}", first, self.coarse
         number = index // self.fine
@@ -118,7 +118,7 @@
         batches = [writes[i : i + self._most_changes] for i in range(0, len(writes), self._most_changes)]
         saved = self._saved(job, indices, len(batches))
         for batch in batches:
-            self._ctx.edges.commit({ACTIVE + job.id: job.stamp}, batch, saved)
+            self._ctx.edges.commit({ACTIVE + job.id: job.version}, batch, saved)
 
     @staticmethod
     def _saved(job: Job, indices: set[int], batches: int) -> Callable[[bool], None]:
--- a/src/poppyhold/context.py
+++ b/src/poppyhold/context.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from poppyhold.fleet import Fleet
-from poppyhold.messages import Build, Report
+from poppyhold.messages import MachineType, Report
 from poppyhold.options import Options
 from poppyhold.settings import Settings
 
@@ -17,7 +17,7 @@
 # Machine -> its images and their sizes, least recently used first.
 Hints = dict[str, tuple[tuple[str, float], ...]]
 
-# A machine, and the session and tally of a report that reached a controller which does not lead.
+# A machine, and the session and sequence number of a report that reached a controller which does not lead.
 Passed = tuple[str, int, int]
 
 # Outcomes of a request to another system.
@@ -47,16 +47,16 @@
     def delete(self, names: list[str], done: Callable[[bool], None]) -> None:
         """POST /machines/delete, once."""
 
-    def deposed(self, baton: int) -> None:
-        """A higher baton than ours was seen."""
+    def deposed(self, token: int) -> None:
+        """A higher token than ours was seen."""
 
-    def raised(self, baton: int) -> None:
-        """Our baton was raised."""
+    def raised(self, token: int) -> None:
+        """Our token was raised."""
 
     def resign(self, why: str) -> None:
         """Let another node lead."""
 
-    def over(self, job_id: str, status: str, chores: int) -> None:
+    def over(self, job_id: str, status: str, tasks: int) -> None:
         """The final state of a job is durable."""
 
     def passed_on(self) -> list[list[Passed]]:
@@ -107,11 +107,11 @@
     clock: Callable[[], float]
     wall: Callable[[], float]
     rng: random.Random
-    term_baton: int
-    baton: int
+    term_token: int
+    token: int
     times: Times
     fleet: Fleet = msgspec.field(default_factory=Fleet)
-    builds: dict[str, Build] = msgspec.field(default_factory=dict)
+    machine_types: dict[str, MachineType] = msgspec.field(default_factory=dict)
     # Machines that we deleted, and when: old lists and reports still name them.
     dead: dict[str, float] = msgspec.field(default_factory=dict)
     hints: Hints = msgspec.field(default_factory=dict)
@@ -121,4 +121,4 @@
     def number(self) -> int:
         """A number that no attempt and no hire has had, in this term or any other."""
         self.counter += 1
-        return (self.term_baton << 24) + self.counter
+        return (self.term_token << 24) + self.counter
--- a/src/poppyhold/controller.py
+++ b/src/poppyhold/controller.py
@@ -19,7 +19,7 @@
 )
 from poppyhold.gangs import GangState
 from poppyhold.hiring import Hiring
-from poppyhold.messages import Build, Listed, Malformed, Report, TaskState, convert, parse_submission
+from poppyhold.messages import Listed, MachineType, Malformed, Report, TaskState, convert, parse_submission
 from poppyhold.options import Options
 from poppyhold.placement import Quotas
 from poppyhold.recent import Recent
@@ -54,13 +54,13 @@
         settings: Settings,
         options: Options,
         edges: Edges,
-        baton: int,
+        token: int,
         clock: Callable[[], float],
         wall: Callable[[], float],
         rng: random.Random,
     ) -> None:
         times = Times(settings, options)
-        self.ctx = Context(settings, options, edges, clock, wall, rng, baton, baton, times)
+        self.ctx = Context(settings, options, edges, clock, wall, rng, token, token, times)
         self._quotas = Quotas(settings.settings.teams)
         self.attempts = Attempts(self.ctx, self._task_done, self._attempt_over, self._task_ran)
         self.admission = Admission(
@@ -78,7 +78,9 @@
 
     # -- the beginning of a term ---------------------------------------------------------------------
 
-    def load(self, snapshot: Snapshot, builds: Iterable[Build], hints: Hints | None = None) -> None:
+    def load(
+        self, snapshot: Snapshot, machine_types: Iterable[MachineType], hints: Hints | None = None
+    ) -> None:
         """Rebuild from what earlier leaders made durable; reports bring the rest.
 
         Hints are what the last leader told its peers of the machines' images: they only guide choices.
@@ -86,12 +88,12 @@
         ctx = self.ctx
         ctx.hints = hints or {}
         now = ctx.clock()
-        for build in builds:
-            ctx.builds[build.name] = build
+        for machine_type in machine_types:
+            ctx.machine_types[machine_type.name] = machine_type
         for name, data in snapshot.machines.items():
-            build = convert(data["build"], Build)
-            ctx.builds.setdefault(build.name, build)
-            machine = Machine(name, build, data["paddock"], data["loaners"], since=now)
+            machine_type = convert(data["build"], MachineType)
+            ctx.machine_types.setdefault(machine_type.name, machine_type)
+            machine = Machine(name, machine_type, data["paddock"], data["loaners"], since=now)
             machine.endpoint = data["endpoint"]
             machine.images.update(ctx.hints.get(name, ()))
             machine.recorded = machine.record_asked = machine.up = True
@@ -109,22 +111,22 @@
             self.hiring.arrivals.note(job.at, job.spec)
             if not job.plan_durable:
                 self.admission.arrive(job)
-            if job.done == job.spec.chores:
+            if job.done == job.spec.tasks:
                 self._finish(job)
         for machine in ctx.fleet.machines.values():
             self.attempts.probe(machine, now)
 
     # -- events --------------------------------------------------------------------------------------
 
-    def builds(self, builds: Iterable[Build]) -> None:
+    def machine_types(self, machine_types: Iterable[MachineType]) -> None:
         """The cloud told its machine types and prices of now."""
-        for build in builds:
-            self.ctx.builds[build.name] = build
+        for machine_type in machine_types:
+            self.ctx.machine_types[machine_type.name] = machine_type
 
-    def hello(self, report: Report) -> dict[str, Any] | None:
+    def handle_report(self, report: Report) -> dict[str, Any] | None:
         """Answer a worker's report."""
-        answer = self.attempts.hello(report)
-        machine = self.ctx.fleet.machines.get(report.box)
+        answer = self.attempts.handle_report(report)
+        machine = self.ctx.fleet.machines.get(report.machine)
         if machine is not None:
             self._follow_machine(machine)
         return answer
@@ -166,9 +168,9 @@
         for entry in entries:
             self.job_set(entry)
 
-    def listed(self, boxes: Iterable[Listed]) -> None:
+    def listed(self, entries: Iterable[Listed]) -> None:
         """The cloud listed its machines."""
-        self.hiring.listed(boxes)
+        self.hiring.listed(entries)
 
     def tick(self) -> None:
         """What time alone brings about."""
@@ -176,7 +178,7 @@
         self.admission.roll()
         self.hiring.watch()
         self._drain(now)
-        self.attempts.raise_baton()
+        self.attempts.raise_token()
         self.attempts.gangs.tick(now)
         if now >= self._flush_at:
             self._flush_at = now + self.ctx.times.report_s / 2
@@ -206,7 +208,7 @@
         """Done and running tasks by job, for display."""
         return {job.id: (job.done, job.running) for job in self.ctx.fleet.jobs.values() if not job.over}
 
-    def shunned(self) -> list[str] | None:
+    def excluded_machines(self) -> list[str] | None:
         """Machines whose leases nobody may prolong but us; None before we know all of them.
 
         What runs there of cancelled jobs must be gone in time, or is none of ours.
@@ -216,7 +218,7 @@
         return [
             machine.name
             for machine in self.ctx.fleet.machines.values()
-            if machine.strangers or any(attempt.job.over for attempt in machine.attempts.values())
+            if machine.unknown_tasks or any(attempt.job.over for attempt in machine.attempts.values())
         ]
 
     def hints(self) -> Hints:
@@ -236,7 +238,7 @@
             return None
         # Its user's clock began at the time of day that is kept with it.
         ago = max(0.0, self.ctx.wall() - float(entry.data["at"]))
-        job = make_job(spec, entry.stamp, self.ctx.clock() - ago)
+        job = make_job(spec, entry.version, self.ctx.clock() - ago)
         self.ctx.fleet.jobs[job.id] = job
         self._guarantees_stale = True
         self.ctx.dirty = True
@@ -255,7 +257,7 @@
         other = job.active.get(index)
         if other is not None:
             self.attempts.stop(other, 0.0, self.ctx.clock())
-        if job.done == job.spec.chores:
+        if job.done == job.spec.tasks:
             self._finish(job)
 
     def _finish(self, job: Job) -> None:
@@ -265,12 +267,12 @@
 
         def durable(done: bool) -> None:
             if done:
-                self.ctx.edges.over(job.id, "done", job.spec.chores)
+                self.ctx.edges.over(job.id, "done", job.spec.tasks)
             # Otherwise it is over in another way, or was by a repeat of this: the watch tells.
             self.job_removed(ACTIVE + job.id)
 
         self.ctx.edges.commit(
-            {ACTIVE + job.id: job.stamp}, final_writes(job.id, "done", job.spec.chores), durable, first=True
+            {ACTIVE + job.id: job.version}, final_writes(job.id, "done", job.spec.tasks), durable, first=True
         )
 
     # -- machines ------------------------------------------------------------------------------------
@@ -283,7 +285,7 @@
 
     def _follow_machine(self, machine: Machine) -> None:
         usable = machine.up and machine.heard and not (machine.leaving or machine.deleting)
-        if usable and machine.recall_at is None:
+        if usable and machine.taken_back_at is None:
             self.admission.machine_up(machine)
         else:
             self.admission.machine_out(machine)
@@ -295,12 +297,12 @@
         """Move work off machines that will go: a notice may last half as long as it says."""
         times = self.ctx.times
         for machine in self.ctx.fleet.machines.values():
-            if (machine.recall_at is None and not machine.leaving) or machine.deleting:
+            if (machine.taken_back_at is None and not machine.leaving) or machine.deleting:
                 continue
             self.admission.machine_out(machine)
             left = math.inf
-            if machine.recall_at is not None and machine.recalled_at is not None:
-                left = (machine.recall_at - machine.recalled_at) / 2 - (now - machine.recalled_at)
+            if machine.taken_back_at is not None and machine.notice_at is not None:
+                left = (machine.taken_back_at - machine.notice_at) / 2 - (now - machine.notice_at)
             for attempt in list(machine.attempts.values()):
                 if attempt.stopping_at is not None or not self._must_go(attempt, left, now):
                     continue
@@ -308,7 +310,7 @@
                     self._drain_gang(attempt, left, now)
                 else:
                     leeway = (
-                        attempt.job.spec.stashS + times.report_s if attempt.job.spec.bookmarkS > 0 else 0.0
+                        attempt.job.spec.save_s + times.report_s if attempt.job.spec.checkpoint_s > 0 else 0.0
                     )
                     self.attempts.stop(attempt, leeway, now)
 
@@ -319,7 +321,7 @@
             self.attempts.stop(attempt, 0.0, now)
         else:
             # With less time than saving takes its progress is lost anyway: the sooner it starts again.
-            gangs.stop(job, now, grace_s=0.0 if left < job.spec.stashS else None)
+            gangs.stop(job, now, grace_s=0.0 if left < job.spec.save_s else None)
 
     def _must_go(self, attempt: Attempt, left: float, now: float) -> bool:
         job = attempt.job
@@ -332,6 +334,6 @@
         rest = max(0.0, self.admission.estimates.seconds(job) - ran)
         if rest < left:
             return False
-        if job.spec.bookmarkS > 0:
-            return left < job.spec.stashS + 2 * self.ctx.times.report_s
+        if job.spec.checkpoint_s > 0:
+            return left < job.spec.save_s + 2 * self.ctx.times.report_s
         return True
--- a/src/poppyhold/deputy.py
+++ b/src/poppyhold/deputy.py
@@ -2,7 +2,7 @@
 
 A zone that is cut off goes on working inside, but only as long as somebody there answers its workers. The
 leader tells each controller how far it is sure of its lead and of every cancellation. One that then loses
-both the leader and the state service may give workers their leases under the leader's baton, without any
+both the leader and the state service may give workers their leases under the leader's token, without any
 orders, for as long as the leader itself might: until a lease given now would end later than `cancel_s` behind
 that moment. The leader counts on it: it takes no lease for over that such an answer may have prolonged.
 """
@@ -22,11 +22,11 @@
 class Trust(NamedTuple):
     """What a leader tells the others."""
 
-    baton: int
+    token: int
     # Time of day up to which it is sure of its lead and knows every cancellation.
     known_wall: float
     # Machines that hold what has to be stopped: their leases must be left to the leader.
-    shunned: Sequence[str]
+    excluded_machines: Sequence[str]
 
 
 class Deputy:
@@ -40,33 +40,37 @@
         self._heard_at = float("-inf")
         self._standing_in = False
 
-    def heard(self, baton: int, trust: Trust | None) -> None:
+    def heard(self, token: int, trust: Trust | None) -> None:
         """The leader spoke. Who can't vouch for anything yet, as behind a change, trusts nobody."""
-        if self._trust is None or baton >= self._trust.baton:
+        if self._trust is None or token >= self._trust.token:
             self._trust, self._heard_at = trust, self._clock()
             self._standing_in = False
 
-    def may_answer(self, report: Report, state_at: float, known_baton: int) -> int | None:
-        """The baton to answer a worker with; None if that is not for us to do.
+    def may_answer(self, report: Report, state_at: float, known_token: int) -> int | None:
+        """The token to answer a worker with; None if that is not for us to do.
 
         ``state_at`` is when the state service last answered us, ``known_baton`` that of the leader's key.
         """
         trust, now = self._trust, self._clock()
         if trust is None or now - max(self._heard_at, state_at) <= self._times.deputy_after_s:
             log.debug(
-                "%s: heard %.1f s ago, state %.1f s ago", report.box, now - self._heard_at, now - state_at
+                "%s: heard %.1f s ago, state %.1f s ago", report.machine, now - self._heard_at, now - state_at
             )
             return None
         # A held message may come late: its own time of day tells how old it is.
         if self._wall() + 2 * self._skew_s > trust.known_wall + self._times.blind_answers_s:
             return None
-        if report.baton != trust.baton or known_baton > trust.baton or report.box in trust.shunned:
-            log.debug("%s: has baton %d, trusted is %d", report.box, report.baton, trust.baton)
+        if (
+            report.token != trust.token
+            or known_token > trust.token
+            or report.machine in trust.excluded_machines
+        ):
+            log.debug("%s: has token %d, trusted is %d", report.machine, report.token, trust.token)
             return None
         if not self._standing_in:
             self._standing_in = True
-            log.info("standing in for the leader with baton %d", trust.baton)
-        return trust.baton
+            log.info("standing in for the leader with token %d", trust.token)
+        return trust.token
 
 
 class Deputies:
--- a/src/poppyhold/election.py
+++ b/src/poppyhold/election.py
@@ -1,4 +1,4 @@
-"""Who leads: a key on a lease in the state service, and the baton that only ever rises."""
+"""Who leads: a key on a lease in the state service, and the token that only ever rises."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from poppyhold.options import Options
 from poppyhold.settings import Settings
 from poppyhold.store import (
-    BATON,
     LEAD,
     LEAD_PREFIX,
+    TOKEN,
     Conflict,
     Entry,
     Gone,
@@ -32,17 +32,17 @@
     """The leader's key as last seen."""
 
     member: str
-    baton: int
-    permit: int
-    stamp: int
+    token: int
+    lease_id: int
+    version: int
 
 
 class Term(NamedTuple):
     """Our own term of leading."""
 
-    baton: int
-    stamp: int
-    permit: int
+    token: int
+    version: int
+    lease_id: int
     began_at: float
 
 
@@ -94,7 +94,7 @@
         term = self.term
         self.deposed(why)
         if term is not None:
-            self._end_lease(term.permit)
+            self._end_lease(term.lease_id)
         self._wake.set()
 
     def deposed(self, why: str) -> None:
@@ -108,17 +108,17 @@
         self._on_deposed()
         self._wake.set()
 
-    def saw_baton(self, baton: int) -> None:
-        """Step down at once if somebody holds a higher baton than ours."""
+    def saw_token(self, token: int) -> None:
+        """Step down at once if somebody holds a higher token than ours."""
         term = self.term
-        if term is not None and baton > term.baton:
-            self.deposed(f"baton {baton} was seen")
+        if term is not None and token > term.token:
+            self.deposed(f"baton {token} was seen")
 
-    def raised(self, baton: int) -> None:
-        """Our own baton was raised within the term."""
+    def raised(self, token: int) -> None:
+        """Our own token was raised within the term."""
         with self._lock:
             if self.term is not None:
-                self.term = self.term._replace(baton=baton)
+                self.term = self.term._replace(token=token)
 
     def await_leader(self, timeout: float) -> Leader | None:
         """The leader; if there is none, wait a moment for the election to name one."""
@@ -136,40 +136,40 @@
     def depose(self, leader: Leader) -> None:
         """End the lease of a leader whose process is gone. This is safe even if it is not:
 
-        every step of a leader is conditional on its key, and workers follow the higher baton.
+        every step of a leader is conditional on its key, and workers follow the higher token.
         """
         if self.leader == leader and time.monotonic() >= self._resting_until:
             log.info("deposing %s", leader.member)
-            self._end_lease(leader.permit)
+            self._end_lease(leader.lease_id)
 
-    def _end_lease(self, permit: int) -> None:
+    def _end_lease(self, lease_id: int) -> None:
         try:
-            self._store.end_lease(permit)
+            self._store.end_lease(lease_id)
         except (Refused, Unsure) as error:
-            log.debug("lease %s: %s", permit, error)
+            log.debug("lease %s: %s", lease_id, error)
 
     def _on_snapshot(self, entries: list[Entry]) -> None:
         self._snapshot_seen = True
         self._seen(next((entry for entry in entries if entry.key == LEAD), None))
 
-    def _on_change(self, change: Entry | str, stamp: int) -> None:
+    def _on_change(self, change: Entry | str, version: int) -> None:
         if isinstance(change, Entry):
             self._seen(change)
         elif change == LEAD:
             term = self.term
-            if term is None or stamp > term.stamp:
+            if term is None or version > term.version:
                 self._seen(None)
 
     def _seen(self, entry: Entry | None) -> None:
         leader = None
         if entry is not None:
             data = entry.data
-            leader = Leader(data["member"], data["baton"], data["permit"], entry.stamp)
+            leader = Leader(data["member"], data["baton"], data["permit"], entry.version)
         term = self.term
-        if term is not None and (leader is None or leader.stamp > term.stamp):
+        if term is not None and (leader is None or leader.version > term.version):
             self._name(leader)
             self.deposed("the leader's key changed")
-        elif term is None or (leader is not None and leader.stamp == term.stamp):
+        elif term is None or (leader is not None and leader.version == term.version):
             self._name(leader)
         self._wake.set()
 
@@ -191,7 +191,7 @@
         if asked - self.confirmed_at < self._renew_s * 0.9:
             return self._renew_s - (asked - self.confirmed_at)
         try:
-            self._store.extend(term.permit, self._renew_s * 2)
+            self._store.extend(term.lease_id, self._renew_s * 2)
         except Gone:
             self.deposed("our lease ended")
             return 0.0
@@ -200,7 +200,7 @@
             # without confirmation is bounded in `authority`.
             log.debug("renewal: %s", error)
             return self._renew_s / 2
-        if self.term is term or (self.term is not None and self.term.permit == term.permit):
+        if self.term is term or (self.term is not None and self.term.lease_id == term.lease_id):
             self.confirmed_at = asked
         return self._renew_s
 
@@ -214,36 +214,38 @@
         if leader is not None:
             if leader.member == self._member:
                 # A process of ours before this one held it.
-                self._end_lease(leader.permit)
+                self._end_lease(leader.lease_id)
                 return self._renew_s / 2
             return self.life_s
         try:
-            permit = self._store.lease(self.life_s)
+            lease_id = self._store.lease(self.life_s)
             asked = time.monotonic()
-            self._stand(permit, asked)
+            self._stand(lease_id, asked)
         except (Refused, Unsure, Gone, Conflict) as error:
             log.debug("campaign: %s", error)
         return self._renew_s * self._rng.uniform(0.3, 0.7)
 
-    def _stand(self, permit: int, asked: float) -> None:
-        held = self._store.get(BATON)
-        baton = (held.data["baton"] if held else 0) + 1
-        claim = {"member": self._member, "baton": baton, "permit": permit}
-        conditions = {LEAD: 0, BATON: held.stamp if held else 0}
+    def _stand(self, lease_id: int, asked: float) -> None:
+        held = self._store.get(TOKEN)
+        token = (held.data["baton"] if held else 0) + 1
+        claim = {"member": self._member, "baton": token, "permit": lease_id}
+        conditions = {LEAD: 0, TOKEN: held.version if held else 0}
         try:
-            stamp = self._store.commit(conditions, [put(LEAD, claim, permit), put(BATON, {"baton": baton})])
+            version = self._store.commit(
+                conditions, [put(LEAD, claim, lease_id), put(TOKEN, {"baton": token})]
+            )
         except Unsure:
             # Perhaps it went through: the key itself tells. The permit is ours alone.
             entry = self._store.get(LEAD)
-            if entry is None or entry.data.get("permit") != permit:
+            if entry is None or entry.data.get("permit") != lease_id:
                 raise
-            stamp = entry.stamp
-        term = Term(baton, stamp, permit, time.monotonic())
+            version = entry.version
+        term = Term(token, version, lease_id, time.monotonic())
         with self._lock:
-            self.leader = Leader(self._member, baton, permit, stamp)
+            self.leader = Leader(self._member, token, lease_id, version)
             self.term = term
             self.confirmed_at = asked
-        log.info("leading with baton %d", baton)
+        log.info("leading with token %d", token)
         self._on_elected(term)
         with self._named:
             self._named.notify_all()
--- a/src/poppyhold/fleet.py
+++ b/src/poppyhold/fleet.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from poppyhold.messages import IN_PROGRESS, RANKS, Build, Submission, TaskState, task_name
+from poppyhold.messages import IN_PROGRESS, RANKS, MachineType, Submission, TaskState, task_name
 
 # Amounts of cpus, accelerators and memory, in this order.
 Room = tuple[float, float, float]
@@ -37,9 +37,9 @@
     return (a[0] + times * b[0], a[1] + times * b[1], a[2] + times * b[2])
 
 
-def room_of(build: Build) -> Room:
+def room_of(machine_type: MachineType) -> Room:
     """All the room of a machine type."""
-    return (build.cpus, build.accelerators, build.memGb)
+    return (machine_type.cpus, machine_type.accelerators, machine_type.memory_gb)
 
 
 class Attempt(msgspec.Struct, eq=False):
@@ -49,18 +49,18 @@
     index: int
     number: int
     machine: Machine
-    shift: int
+    session: int
     sent_at: float
     status: str = TaskState.SENT
     # How the start was sent: "do", "reply", or "seen" where a report showed it first.
     via: str = "seen"
-    reply_tally: int = -1
-    # While a direct start has no answer it may still land: until the worker saw this baton.
+    reply_sequence: int = -1
+    # While a direct start has no answer it may still land: until the worker saw this token.
     in_flight: bool = False
     fence: int | None = None
     running_at: float | None = None
     stopping_at: float | None = None
-    leeway_s: float = 0.0
+    grace_s: float = 0.0
     booked_until: int = 0
     booked: bool = False
 
@@ -75,7 +75,7 @@
 
     id: str
     spec: Submission
-    stamp: int
+    version: int
     at: float
     need: Room
     rank: int
@@ -125,12 +125,12 @@
     @property
     def remaining(self) -> int:
         """Tasks that are not done."""
-        return self.spec.chores - self.done
+        return self.spec.tasks - self.done
 
     @property
     def pending(self) -> int:
         """Tasks that are neither done nor may run."""
-        return self.spec.chores - self.done - len(self.active)
+        return self.spec.tasks - self.done - len(self.active)
 
     @property
     def running(self) -> int:
@@ -152,17 +152,17 @@
             heapq.heappop(self.returned)
         if self.returned:
             return self.returned[0]
-        while self.next_index < self.spec.chores and self.states[self.next_index] != PENDING:
+        while self.next_index < self.spec.tasks and self.states[self.next_index] != PENDING:
             self.next_index += 1
-        return self.next_index if self.next_index < self.spec.chores else None
+        return self.next_index if self.next_index < self.spec.tasks else None
 
     def complete(self, index: int) -> bool:
         """Note that a task is completed; True if that is news. The tasks of a gang complete together."""
-        if not 0 <= index < self.spec.chores or self.states[index] == DONE:
+        if not 0 <= index < self.spec.tasks or self.states[index] == DONE:
             return False
         if self.gang:
-            self.states[:] = bytes([DONE]) * self.spec.chores
-            self.done = self.spec.chores
+            self.states[:] = bytes([DONE]) * self.spec.tasks
+            self.done = self.spec.tasks
         else:
             self.states[index] = DONE
             self.done += 1
@@ -178,7 +178,7 @@
     """A machine that we hold, or may hold."""
 
     name: str
-    build: Build
+    machine_type: MachineType
     zone: str
     spot: bool
     since: float
@@ -191,21 +191,21 @@
     record_asked: bool = False
     # A report of this term was seen, so that all it holds is known.
     heard: bool = False
-    shift: int = 0
-    tally: int = -1
+    session: int = 0
+    sequence: int = -1
     last_report: float = float("-inf")
     # When the cloud last listed it.
     listed_at: float = float("-inf")
     last_answer: float = float("-inf")
-    # When it first reported in this term, still with the baton of an earlier one.
-    met_at: float | None = None
-    recall_at: float | None = None
-    recalled_at: float | None = None
+    # When it first reported in this term, still with the token of an earlier one.
+    first_report_at: float | None = None
+    taken_back_at: float | None = None
+    notice_at: float | None = None
     leaving: bool = False
     # Being emptied, to be returned: its replicas move one by one.
     draining: bool = False
     deleting: bool = False
-    shaky_until: float = 0.0
+    unreliable_until: float = 0.0
     do_busy: bool = False
     probe_at: float = 0.0
     attempts: dict[str, Attempt] = msgspec.field(default_factory=dict)
@@ -220,11 +220,11 @@
     direct: list[dict[str, object]] = msgspec.field(default_factory=list)
     errors: set[str] = msgspec.field(default_factory=set)
     # Tasks on it that are none of ours: they are stopped, and nothing starts beside them.
-    strangers: set[str] = msgspec.field(default_factory=set)
+    unknown_tasks: set[str] = msgspec.field(default_factory=set)
     refused_until: float = 0.0
 
     def __post_init__(self) -> None:
-        self.capacity = room_of(self.build)
+        self.capacity = room_of(self.machine_type)
         self.use(NOTHING)
 
     def use(self, used: Room) -> None:
@@ -242,8 +242,8 @@
             and not self.leaving
             and not self.draining
             and not self.deleting
-            and self.recall_at is None
-            and not self.strangers
+            and self.taken_back_at is None
+            and not self.unknown_tasks
             and now >= self.refused_until
             and now - self.last_report <= silent_s
         )
@@ -253,9 +253,9 @@
         self.images[image] = size
         self.images.move_to_end(image)
         total = sum(self.images.values())
-        held = {attempt.job.spec.bundle for attempt in self.attempts.values()}
+        held = {attempt.job.spec.image for attempt in self.attempts.values()}
         for name in list(self.images):
-            if total <= self.build.localGb:
+            if total <= self.machine_type.cache_gb:
                 return
             if name != image and name not in held:
                 total -= self.images.pop(name)
@@ -277,7 +277,7 @@
         job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
         machine.attempts[attempt.name] = attempt
         machine.use(plus(machine.used, job.need))
-        used = self.used.setdefault(job.spec.crew, [0.0, 0.0])
+        used = self.used.setdefault(job.spec.team, [0.0, 0.0])
         used[0] += job.need[0]
         used[1] += job.need[1]
 
@@ -288,39 +288,39 @@
         job.zones[machine.zone] -= 1
         del machine.attempts[attempt.name]
         machine.use(plus(machine.used, job.need, -1.0) if machine.attempts else NOTHING)
-        used = self.used[job.spec.crew]
+        used = self.used[job.spec.team]
         used[0] -= job.need[0]
         used[1] -= job.need[1]
         if job.states[attempt.index] == ACTIVE:
             job.release(attempt.index)
 
 
-def make_job(spec: Submission, stamp: int, at: float) -> Job:
+def make_job(spec: Submission, version: int, at: float) -> Job:
     """Build a job from its accepted submission."""
     return Job(
-        id=spec.nameId,
+        id=spec.name,
         spec=spec,
-        stamp=stamp,
+        version=version,
         at=at,
-        need=(spec.cpus, spec.accelerators, spec.memGb),
-        rank=RANKS.index(spec.rank),
-        due_at=None if spec.dueS is None else at + spec.dueS,
-        states=bytearray(spec.chores),
+        need=(spec.cpus, spec.accelerators, spec.memory_gb),
+        rank=RANKS.index(spec.priority),
+        due_at=None if spec.deadline_s is None else at + spec.deadline_s,
+        states=bytearray(spec.tasks),
     )
 
 
-def allowed_builds(spec: Submission, builds: Iterable[Build]) -> list[Build]:
+def allowed_machine_types(spec: Submission, machine_types: Iterable[MachineType]) -> list[MachineType]:
     """Machine types that a task of a job may use and fits on."""
-    need = (spec.cpus, spec.accelerators, spec.memGb)
+    need = (spec.cpus, spec.accelerators, spec.memory_gb)
     return [
-        build
-        for build in builds
-        if (spec.builds is None or build.name in spec.builds)
-        and fits(need, room_of(build))
-        and (spec.paddock is None or spec.paddock in build.paddocks)
+        machine_type
+        for machine_type in machine_types
+        if (spec.machine_types is None or machine_type.name in spec.machine_types)
+        and fits(need, room_of(machine_type))
+        and (spec.zone is None or spec.zone in machine_type.zones)
     ]
 
 
 def zone_limit(spec: Submission) -> int:
     """How many tasks of a job one zone may hold."""
-    return (spec.chores + 1) // 2 if spec.apart else spec.chores
+    return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
--- a/src/poppyhold/gang_placement.py
+++ b/src/poppyhold/gang_placement.py
@@ -61,7 +61,7 @@
     @staticmethod
     def _zone_groups(job: Job, machines: list[Machine]) -> Iterator[list[Machine]]:
         """The sets of machines that the gang may be spread over."""
-        if not job.spec.samePlace:
+        if not job.spec.one_zone:
             yield machines
             return
         held = {zone for zone, count in job.zones.items() if count > 0}
--- a/src/poppyhold/gangs.py
+++ b/src/poppyhold/gangs.py
@@ -73,7 +73,7 @@
         gang = self._gangs.get(job.id)
         if gang is None:
             gang = self._gangs[job.id] = Gang(job, self._ctx.number())
-            log.debug("%s: attempt %d of %d tasks", job.id, gang.number, job.spec.chores)
+            log.debug("%s: attempt %d of %d tasks", job.id, gang.number, job.spec.tasks)
         return gang.number
 
     def adopt(self, attempt: Attempt, now: float) -> None:
@@ -157,7 +157,7 @@
     def _grace_s(self, job: Job) -> float:
         """Time for a task to save and to wait for the others, which may be told a moment later."""
         workers = self._ctx.settings.settings.workers
-        return job.spec.stashS + workers.gang_peer_s + workers.report_s
+        return job.spec.save_s + workers.gang_peer_s + workers.report_s
 
     def _fail(self, gang: Gang, reason: str, now: float) -> None:
         log.debug("%s: attempt %d failed: %s", gang.job.id, gang.number, reason)
@@ -166,5 +166,5 @@
 
     def _stop_tasks(self, gang: Gang, grace_s: float, now: float) -> None:
         for attempt in list(gang.job.active.values()):
-            if attempt.stopping_at is None or attempt.leeway_s > grace_s:
+            if attempt.stopping_at is None or attempt.grace_s > grace_s:
                 self._stop_task(attempt, grace_s, now)
--- a/src/poppyhold/hiring.py
+++ b/src/poppyhold/hiring.py
@@ -31,11 +31,11 @@
     """A rental request, durable under its name before it is sent."""
 
     name: str
-    build: str
+    machine_type: str
     zone: str
     spot: bool
     number: int
-    boxes: list[str] | None = None
+    machines: list[str] | None = None
     busy: bool = False
     retry_at: float = 0.0
 
@@ -54,9 +54,9 @@
         self._hires: dict[str, Hire] = {}
         self._deleting = False
         # Machines to be deleted that were not told of yet, by reason: hundreds go at one moment at times.
-        self._condemned: dict[str, list[str]] = {}
+        self._marked_for_deletion: dict[str, list[str]] = {}
         # When many machines were silent last.
-        self._hushed_at = float("-inf")
+        self._many_quiet_at = float("-inf")
         self._next_at = ctx.clock() + ctx.times.report_s * 2
         self._needed: dict[str, float] = {}
 
@@ -66,12 +66,12 @@
         """A hire that an earlier leader made durable: repeat it if its machines aren't known."""
         hire = Hire(name, data["build"], data["paddock"], data["loaners"], data["number"], data.get("boxes"))
         self._hires[name] = hire
-        if hire.boxes is not None:
+        if hire.machines is not None:
             self._expect(hire)
 
     def _buy(self, purchase: Purchase) -> None:
         name = f"r-{self._ctx.number()}"
-        hire = Hire(name, purchase.build, purchase.zone, purchase.spot, purchase.number, busy=True)
+        hire = Hire(name, purchase.machine_type, purchase.zone, purchase.spot, purchase.number, busy=True)
         log.info("hire %s: %s", name, purchase)
         self._hires[name] = hire
 
@@ -85,11 +85,11 @@
 
     def _data(self, hire: Hire) -> Data:
         data: Data = {
-            "build": hire.build,
+            "build": hire.machine_type,
             "paddock": hire.zone,
             "loaners": hire.spot,
             "number": hire.number,
-            "boxes": hire.boxes,
+            "boxes": hire.machines,
         }
         if stored_bytes(data) > self._ctx.settings.settings.state.lowest.value_bytes:
             # Without the names a next leader repeats the request, which rents nothing and names them again.
@@ -100,21 +100,21 @@
         hire.busy = True
         body = {
             "hire": hire.name,
-            "build": hire.build,
+            "build": hire.machine_type,
             "paddock": hire.zone,
             "loaners": hire.spot,
             "number": hire.number,
         }
 
-        def answered(outcome: str, boxes: list[str]) -> None:
+        def answered(outcome: str, names: list[str]) -> None:
             hire.busy = False
             now = self._ctx.clock()
-            log.info("hire %s: %s, %d machines", hire.name, outcome, len(boxes))
+            log.info("hire %s: %s, %d machines", hire.name, outcome, len(names))
             if outcome == OK:
-                hire.boxes = boxes
+                hire.machines = names
                 self._ctx.edges.commit({}, [put(HIRE + hire.name, self._data(hire))], lambda done: None)
                 self._expect(hire)
-                if len(boxes) < hire.number:
+                if len(names) < hire.number:
                     self._refused(hire, now)
             elif outcome == REFUSED:
                 # No capacity. If a copy of the request is carried out later after all, its machines
@@ -128,7 +128,7 @@
 
     def _refused(self, hire: Hire, now: float) -> None:
         until = now + self._ctx.times.lease_s
-        self._provisioning.refused_until[(hire.build, hire.zone, hire.spot)] = until
+        self._provisioning.refused_until[(hire.machine_type, hire.zone, hire.spot)] = until
 
     def _drop(self, hire: Hire) -> None:
         self._hires.pop(hire.name, None)
@@ -136,21 +136,25 @@
 
     def _expect(self, hire: Hire) -> None:
         """The machines of a hire are on their way."""
-        build = self._ctx.builds.get(hire.build)
+        machine_type = self._ctx.machine_types.get(hire.machine_type)
         now = self._ctx.clock()
-        for name in hire.boxes or []:
-            if build is not None and name not in self._ctx.fleet.machines and name not in self._ctx.dead:
-                machine = Machine(name, build, hire.zone, hire.spot, since=now)
+        for name in hire.machines or []:
+            if (
+                machine_type is not None
+                and name not in self._ctx.fleet.machines
+                and name not in self._ctx.dead
+            ):
+                machine = Machine(name, machine_type, hire.zone, hire.spot, since=now)
                 self._ctx.fleet.machines[name] = machine
 
     def _settle(self) -> None:
         """Hires whose machines have all reported, or are gone, need no record any more."""
         now = self._ctx.clock()
         for hire in list(self._hires.values()):
-            if hire.boxes is None:
+            if hire.machines is None:
                 if not hire.busy and hire.retry_at <= now:
                     self._send(hire)
-            elif all(self._settled(name) for name in hire.boxes):
+            elif all(self._settled(name) for name in hire.machines):
                 self._drop(hire)
 
     def _settled(self, name: str) -> bool:
@@ -159,7 +163,7 @@
 
     # -- the list ----------------------------------------------------------------------------------
 
-    def listed(self, boxes: Iterable[Listed]) -> None:
+    def listed(self, entries: Iterable[Listed]) -> None:
         """Take what a list shows. That a machine is missing from it proves nothing."""
         ctx = self._ctx
         now = ctx.clock()
@@ -168,24 +172,24 @@
             if now - at > 40 * lag:
                 del ctx.dead[name]
         present = set()
-        for box in boxes:
-            present.add(box.nameId)
-            machine = ctx.fleet.machines.get(box.nameId)
+        for entry in entries:
+            present.add(entry.name)
+            machine = ctx.fleet.machines.get(entry.name)
             if machine is not None:
                 machine.listed_at = now
             if machine is None:
-                build = ctx.builds.get(box.build)
-                if build is None or box.nameId in ctx.dead:
+                machine_type = ctx.machine_types.get(entry.machine_type)
+                if machine_type is None or entry.name in ctx.dead:
                     continue
-                machine = Machine(box.nameId, build, box.paddock, box.loaners, since=now - box.heldS)
-                ctx.fleet.machines[box.nameId] = machine
+                machine = Machine(entry.name, machine_type, entry.zone, entry.spot, since=now - entry.age_s)
+                ctx.fleet.machines[entry.name] = machine
                 ctx.dirty = True
-            if box.endpoint and not machine.endpoint:
-                machine.endpoint = box.endpoint
-            if box.status == "failed":
-                self._condemn(machine, "failed")
+            if entry.endpoint and not machine.endpoint:
+                machine.endpoint = entry.endpoint
+            if entry.status == "failed":
+                self._mark_for_deletion(machine, "failed")
             elif not machine.up:
-                machine.since = min(machine.since, now - box.heldS)
+                machine.since = min(machine.since, now - entry.age_s)
         for machine in list(ctx.fleet.machines.values()):
             seen_at = max(machine.since, machine.listed_at, machine.last_report)
             if machine.name in present or machine.deleting or now - seen_at <= 3 * lag:
@@ -198,7 +202,7 @@
                 # Most likely an earlier leader returned it and could not say so. That it is missing proves
                 # nothing; that it is deleted does. Until then what it may hold is charged to every team, and
                 # tasks of older jobs wait, up to the certain end of its last lease, with each leader anew.
-                self._condemn(machine, "not listed")
+                self._mark_for_deletion(machine, "not listed")
 
     # -- machines that must go -----------------------------------------------------------------------
 
@@ -209,7 +213,7 @@
         times = ctx.times
         began = self._attempts.began_at
         silent: list[Machine] = []
-        up = heard = hushed = 0
+        up = heard = quiet_machines = 0
         for machine in ctx.fleet.machines.values():
             if machine.deleting:
                 # The cloud may not answer for long; the end of a lease is proof too.
@@ -217,8 +221,8 @@
                     self._attempts.expire(machine, now)
                 continue
             if not machine.up and machine.name not in self._attempts.unheard:
-                if now - machine.since > self._provisioning.give_up_s(machine.build):
-                    self._condemn(machine, "never came up")
+                if now - machine.since > self._provisioning.give_up_s(machine.machine_type):
+                    self._mark_for_deletion(machine, "never came up")
                 continue
             up += 1
             heard += now - machine.last_report <= times.lost_s
@@ -227,12 +231,12 @@
             else:
                 # It was up, and was asked when our term began: a sound worker answers that at once.
                 quiet = now - began + times.lost_s / 2
-            hushed += quiet > times.lost_s / 2
+            quiet_machines += quiet > times.lost_s / 2
             if quiet > times.silent_s / 2:
                 self._attempts.probe(machine, now)
             if quiet > times.lost_s:
-                if machine.recall_at is not None and now > machine.recall_at - times.lost_s:
-                    self._condemn(machine, "recalled")
+                if machine.taken_back_at is not None and now > machine.taken_back_at - times.lost_s:
+                    self._mark_for_deletion(machine, "recalled")
                 else:
                     silent.append(machine)
             if quiet > times.lease_s:
@@ -244,27 +248,27 @@
             # off, half of all are silent too, and those that came to us passed the others on their way: with
             # each new leader resigning for that, nothing was started for the length of the cut.
             ctx.edges.resign("most workers are silent")
-        if hushed > max(1, up // 4):
+        if quiet_machines > max(1, up // 4):
             # Those that fall silent with others count as soon as they might be missed: in a zone that is cut
             # off the first ones were deleted, up to a quarter of all, before the rest had been silent long
             # enough. And when it is back they don't all come at one moment.
-            self._hushed_at = now
+            self._many_quiet_at = now
         for machine in silent:
             # A zone that is cut off comes back with all its machines: its tasks start elsewhere once its
             # leases are over, but machines are given up for good only a good while behind that.
             long_ago = now - max(machine.last_report, machine.up_at, began) > 2 * times.cancel_s
-            if now - self._hushed_at > times.lost_s or long_ago:
-                self._condemn(machine, "silent")
+            if now - self._many_quiet_at > times.lost_s or long_ago:
+                self._mark_for_deletion(machine, "silent")
         for machine in ctx.fleet.machines.values():
             if (
                 (machine.leaving or machine.draining)
                 and not machine.attempts
                 and machine.name not in self._attempts.unheard
             ):
-                self._condemn(machine, "left")
-        for why, names in self._condemned.items():
+                self._mark_for_deletion(machine, "left")
+        for why, names in self._marked_for_deletion.items():
             log.info("delete %d machines: %s: %s", len(names), why, ", ".join(names[:_NAMED]))
-        self._condemned.clear()
+        self._marked_for_deletion.clear()
         self._delete()
 
     def _lost_to_others(self, now: float) -> int:
@@ -277,18 +281,18 @@
             return 0
         machines = self._ctx.fleet.machines
 
-        def newer(box: str, shift: int, tally: int) -> bool:
+        def newer(box: str, session: int, sequence: int) -> bool:
             machine = machines.get(box)
-            return machine is not None and (shift, tally) > (machine.shift, machine.tally)
+            return machine is not None and (session, sequence) > (machine.session, machine.sequence)
 
         passed_on = self._ctx.edges.passed_on()
         return max((sum(newer(*passed) for passed in there) for there in passed_on), default=0)
 
-    def _condemn(self, machine: Machine, why: str) -> None:
+    def _mark_for_deletion(self, machine: Machine, why: str) -> None:
         """Delete a machine: from now on nothing starts on it, whether or not an answer comes soon."""
         if not machine.deleting:
             machine.deleting = True
-            self._condemned.setdefault(why, []).append(machine.name)
+            self._marked_for_deletion.setdefault(why, []).append(machine.name)
 
     def _at_fault(self, machine: Machine) -> bool:
         """Whether different jobs fail on it that do not fail elsewhere as well.
@@ -331,7 +335,7 @@
         ctx = self._ctx
         now = ctx.clock()
         self._settle()
-        if now < self._next_at or not ctx.builds:
+        if now < self._next_at or not ctx.machine_types:
             return
         self._next_at = now + ctx.times.report_s
         spaces = self._spaces(now)
@@ -339,7 +343,7 @@
             # The cloud takes few requests: one round of hires at a time, with all that it lacks.
             return
         demands = self._demands(now)
-        purchases = self._provisioning.decide(ctx.builds, spaces, demands, now)
+        purchases = self._provisioning.decide(ctx.machine_types, spaces, demands, now)
         for purchase in purchases:
             self._buy(purchase)
         self._return(spaces, now)
@@ -376,18 +380,19 @@
         ctx = self._ctx
         spaces = []
         for machine in ctx.fleet.machines.values():
-            late = not machine.up and now - machine.since > _LATE_BOOTS * machine.build.startupS
+            late = not machine.up and now - machine.since > _LATE_BOOTS * machine.machine_type.boot_s
             gone = machine.deleting or machine.leaving or machine.draining
-            if gone or machine.recall_at is not None or late:
+            if gone or machine.taken_back_at is not None or late:
                 continue
             if machine.up and now - machine.last_report > ctx.times.silent_s and machine.heard:
                 continue
             spaces.append(space_of(machine))
         for hire in self._hires.values():
-            build = ctx.builds.get(hire.build)
-            if hire.boxes is None and build is not None:
+            machine_type = ctx.machine_types.get(hire.machine_type)
+            if hire.machines is None and machine_type is not None:
                 spaces += [
-                    Space(None, build, hire.zone, hire.spot, room_of(build)) for _ in range(hire.number)
+                    Space(None, machine_type, hire.zone, hire.spot, room_of(machine_type))
+                    for _ in range(hire.number)
                 ]
         return spaces
 
@@ -407,13 +412,13 @@
 
         for job in sorted(ctx.fleet.jobs.values(), key=lambda job: (job.rank, job.at)):
             if job.pending > 0 and not job.over and job.failures < 4:
-                most = within_limit(job.spec.crew, job.need, job.pending)
+                most = within_limit(job.spec.team, job.need, job.pending)
                 if most and (not job.gang or most == job.pending):
                     demands.append(demand_of(job, most))
-        boots = [build.startupS for build in ctx.builds.values()]
+        boots = [machine_type.boot_s for machine_type in ctx.machine_types.values()]
         ahead = sum(boots) / len(boots) + ctx.times.report_s
         for demand in self.arrivals.forecast(now, ahead, self._options.headroom):
-            demand.tasks = within_limit(demand.spec.crew, demand.need, demand.tasks)
+            demand.tasks = within_limit(demand.spec.team, demand.need, demand.tasks)
             demands.append(demand)
         return demands
 
@@ -428,7 +433,7 @@
                 machine.used == NOTHING
                 and machine.heard
                 and now - self._needed.setdefault(machine.name, now)
-                > self._provisioning.keep_s(machine.build)
+                > self._provisioning.keep_s(machine.machine_type)
             ):
-                self._condemn(machine, "not needed")
+                self._mark_for_deletion(machine, "not needed")
                 self._needed.pop(machine.name, None)
--- a/src/poppyhold/messages.py
+++ b/src/poppyhold/messages.py
@@ -12,7 +12,7 @@
 
 BODY_LIMIT = 64 * 1024
 # Machines' names become keys of the state service: one that can't be a key would be tried there for ever.
-_BOX = re.compile(r"[A-Za-z0-9._:-]{1,120}\Z")
+_MACHINE_NAME = re.compile(r"[A-Za-z0-9._:-]{1,120}\Z")
 JOB_ID = re.compile(r"job-[0-9]{6,18}\Z", re.ASCII)
 Rank = Literal["critical", "high", "standard", "best_effort"]
 RANKS: tuple[Rank, ...] = ("critical", "high", "standard", "best_effort")
@@ -59,32 +59,32 @@
 class Submission(msgspec.Struct, frozen=True, kw_only=True):
     """POST /api/jobs."""
 
-    nameId: str
-    lot: str
-    crew: str
+    name: str = msgspec.field(name="nameId")
+    job_class: str = msgspec.field(name="lot")
+    team: str = msgspec.field(name="crew")
     shape: Literal["array", "service", "group"]
-    rank: Rank
-    chores: int
+    priority: Rank = msgspec.field(name="rank")
+    tasks: int = msgspec.field(name="chores")
     cpus: float
     accelerators: float
-    memGb: float
-    bundle: str
-    sizeGb: float
-    samePlace: bool
-    apart: bool
-    loaners: bool
-    guessS: float
-    bookmarkS: float
-    stashS: float
-    builds: list[str] | None = None
-    paddock: str | None = None
-    dueS: float | None = None
-
-
-class Chore(msgspec.Struct, frozen=True):
+    memory_gb: float = msgspec.field(name="memGb")
+    image: str = msgspec.field(name="bundle")
+    image_gb: float = msgspec.field(name="sizeGb")
+    one_zone: bool = msgspec.field(name="samePlace")
+    spread: bool = msgspec.field(name="apart")
+    spot: bool = msgspec.field(name="loaners")
+    estimate_s: float = msgspec.field(name="guessS")
+    checkpoint_s: float = msgspec.field(name="bookmarkS")
+    save_s: float = msgspec.field(name="stashS")
+    machine_types: list[str] | None = msgspec.field(name="builds", default=None)
+    zone: str | None = msgspec.field(name="paddock", default=None)
+    deadline_s: float | None = msgspec.field(name="dueS", default=None)
+
+
+class TaskReport(msgspec.Struct, frozen=True):
     """A task in a worker's report."""
 
-    chore: str
+    task: str = msgspec.field(name="chore")
     attempt: int = msgspec.field(name="try")
     status: str
     cause: str | None = None
@@ -94,62 +94,62 @@
 class Report(msgspec.Struct, frozen=True):
     """POST /hello, and the answers of /do and /show."""
 
-    box: str
+    machine: str = msgspec.field(name="box")
     endpoint: str
-    build: str
-    paddock: str
-    loaners: bool
-    shift: int
-    tally: int
-    baton: int
-    recallS: float | None = None
-    chores: list[Chore] = []
+    machine_type: str = msgspec.field(name="build")
+    zone: str = msgspec.field(name="paddock")
+    spot: bool = msgspec.field(name="loaners")
+    session: int = msgspec.field(name="shift")
+    sequence: int = msgspec.field(name="tally")
+    token: int = msgspec.field(name="baton")
+    notice_s: float | None = msgspec.field(name="recallS", default=None)
+    tasks: list[TaskReport] = msgspec.field(name="chores", default_factory=list)
 
 
-class Build(msgspec.Struct, frozen=True):
+class MachineType(msgspec.Struct, frozen=True):
     """A machine type."""
 
     name: str
     cpus: float
     accelerators: float
-    memGb: float
-    localGb: float
-    pullGbPerS: float
-    rate: float
-    marketPrice: float
-    startupS: float
-    paddocks: list[str]
+    memory_gb: float = msgspec.field(name="memGb")
+    cache_gb: float = msgspec.field(name="localGb")
+    fetch_gb_per_s: float = msgspec.field(name="pullGbPerS")
+    price: float = msgspec.field(name="rate")
+    spot_price: float = msgspec.field(name="marketPrice")
+    boot_s: float = msgspec.field(name="startupS")
+    zones: list[str] = msgspec.field(name="paddocks")
 
 
-class Builds(msgspec.Struct, frozen=True):
+class MachineTypes(msgspec.Struct, frozen=True):
     """GET /machine_types."""
 
-    builds: list[Build]
+    machine_types: list[MachineType] = msgspec.field(name="builds")
 
 
 class Listed(msgspec.Struct, frozen=True):
     """A machine in the cloud's list."""
 
-    nameId: str
-    build: str
-    paddock: str
-    loaners: bool
+    name: str = msgspec.field(name="nameId")
+    machine_type: str = msgspec.field(name="build")
+    zone: str = msgspec.field(name="paddock")
+    spot: bool = msgspec.field(name="loaners")
     status: str
     endpoint: str | None = None
-    heldS: float = 0.0
+    age_s: float = msgspec.field(name="heldS", default=0.0)
 
 
 class MachineList(msgspec.Struct, frozen=True):
     """GET /machines."""
 
-    boxes: list[Listed]
+    machines: list[Listed] = msgspec.field(name="boxes")
     more: bool = False
 
 
 class Hired(msgspec.Struct, frozen=True):
     """The answer to POST /machines."""
 
-    boxes: list[str]
+    machines: list[str] = msgspec.field(name="boxes")
 
 
 def encode(body: object) -> bytes:
@@ -181,27 +181,47 @@
         raise Malformed(f"{name} must be a finite amount, not negative")
 
 
+def _encoded(*attributes: str) -> list[tuple[str, str]]:
+    """Attributes of a submission with the names that users know them by."""
+    names = {field.name: field.encode_name for field in msgspec.structs.fields(Submission)}
+    return [(attribute, names[attribute]) for attribute in attributes]
+
+
+_AMOUNTS = _encoded(
+    "cpus",
+    "accelerators",
+    "memory_gb",
+    "image_gb",
+    "estimate_s",
+    "checkpoint_s",
+    "save_s",
+    "deadline_s",
+)
+_TEXTS = _encoded("job_class", "team", "image")
+_LONGEST_TEXT = 200
+
+
 def parse_submission(value: object) -> Submission:
     """Check a submission: everything that PROTOCOL answers with 400."""
     job = convert(value, Submission)
-    if not JOB_ID.match(job.nameId):
+    if not JOB_ID.match(job.name):
         raise Malformed("nameId is not of the form job-000412")
-    if not 1 <= job.chores <= 100_000:
+    if not 1 <= job.tasks <= 100_000:
         raise Malformed("chores must be within 1 and 100000")
-    for name in ("cpus", "accelerators", "memGb", "sizeGb", "guessS", "bookmarkS", "stashS", "dueS"):
-        _amount(name, getattr(job, name))
-    for name in ("lot", "crew", "bundle"):
-        if len(getattr(job, name)) > 200:
-            raise Malformed(f"{name} is too long")
+    for attribute, encoded in _AMOUNTS:
+        _amount(encoded, getattr(job, attribute))
+    for attribute, encoded in _TEXTS:
+        if len(getattr(job, attribute)) > _LONGEST_TEXT:
+            raise Malformed(f"{encoded} is too long")
     return job
 
 
 def parse_report(value: object) -> Report:
     """Check a worker's report."""
     report = convert(value, Report)
-    if report.shift < 1 or report.tally < 0 or report.baton < 0:
+    if report.session < 1 or report.sequence < 0 or report.token < 0:
         raise Malformed("shift, tally or baton is out of range")
-    if not _BOX.match(report.box):
+    if not _MACHINE_NAME.match(report.machine):
         raise Malformed("box is not a machine's name")
     return report
 
--- a/src/poppyhold/packing.py
+++ b/src/poppyhold/packing.py
@@ -73,7 +73,7 @@
             job = attempt.job
             for index, space in enumerate(others):
                 target = space.machine
-                if target is None or job.spec.bundle not in target.images or not may_use(job, target):
+                if target is None or job.spec.image not in target.images or not may_use(job, target):
                     continue
                 free = taken.get(index, space.free)
                 if not fits(job.need, free):
@@ -81,7 +81,7 @@
                 moved = zones.get((job.id, target.zone), 0) + (target.zone != machine.zone)
                 if job.zones.get(target.zone, 0) + moved > zone_limit(job.spec):
                     continue
-                if job.spec.samePlace and job.spec.chores > 1 and target.zone != machine.zone:
+                if job.spec.one_zone and job.spec.tasks > 1 and target.zone != machine.zone:
                     continue
                 taken[index] = plus(free, job.need, -1.0)
                 zones[(job.id, target.zone)] = moved
--- a/src/poppyhold/peers.py
+++ b/src/poppyhold/peers.py
@@ -29,7 +29,7 @@
     """What a controller is and knows, sent to each other one."""
 
     member: str
-    baton: int
+    token: int
     leading: bool
     # Seconds since the state service last answered the sender.
     state_age_s: float
@@ -50,7 +50,7 @@
     """The other one's answer."""
 
     member: str
-    baton: int
+    token: int
     leading: bool
     state_age_s: float
     told: int
--- a/src/poppyhold/placement.py
+++ b/src/poppyhold/placement.py
@@ -89,10 +89,10 @@
         sums: dict[str, list[float]] = {}
         full: set[str] = set()
         for job in sorted(jobs, key=lambda job: (job.rank, job.at, job.id)):
-            team = job.spec.crew
+            team = job.spec.team
             total = sums.setdefault(team, [0.0, 0.0])
-            total[0] += job.need[0] * job.spec.chores
-            total[1] += job.need[1] * job.spec.chores
+            total[0] += job.need[0] * job.spec.tasks
+            total[1] += job.need[1] * job.spec.tasks
             if team not in full and not self.within_guarantee(team, total[0], total[1]):
                 full.add(team)
             job.guaranteed = team not in full
@@ -102,33 +102,33 @@
     """Whether the job's own terms allow the machine, other tasks aside."""
     spec = job.spec
     return (
-        (spec.builds is None or machine.build.name in spec.builds)
-        and (spec.paddock is None or machine.zone == spec.paddock)
-        and (spec.loaners or not machine.spot)
+        (spec.machine_types is None or machine.machine_type.name in spec.machine_types)
+        and (spec.zone is None or machine.zone == spec.zone)
+        and (spec.spot or not machine.spot)
     )
 
 
 def zone_allows(job: Job, zone: str) -> bool:
     """Whether one more task of the job may be in the zone, given all that may be on a machine."""
-    if job.spec.samePlace and any(count > 0 and held != zone for held, count in job.zones.items()):
+    if job.spec.one_zone and any(count > 0 and held != zone for held, count in job.zones.items()):
         return False
     return job.zones.get(zone, 0) < zone_limit(job.spec)
 
 
 def fetch_wait(machine: Machine, job: Job) -> float:
     """Seconds until the machine has the job's image, as far as we can know."""
-    image = job.spec.bundle
+    image = job.spec.image
     if image in machine.images:
         return 0.0
-    rate = max(machine.build.pullGbPerS, 1e-3)
+    price = max(machine.machine_type.fetch_gb_per_s, 1e-3)
     pulling: dict[str, float] = {}
     for attempt in machine.attempts.values():
-        if attempt.status in BEFORE_IMAGE and attempt.job.spec.bundle not in machine.images:
-            pulling[attempt.job.spec.bundle] = attempt.job.spec.sizeGb
+        if attempt.status in BEFORE_IMAGE and attempt.job.spec.image not in machine.images:
+            pulling[attempt.job.spec.image] = attempt.job.spec.image_gb
     already = image in pulling
-    pulling[image] = job.spec.sizeGb
+    pulling[image] = job.spec.image_gb
     # Fetches share the rate; one that has begun is on average half done.
-    return sum(pulling.values()) / rate * (0.5 if already else 1.0)
+    return sum(pulling.values()) / price * (0.5 if already else 1.0)
 
 
 class Placement:
@@ -149,7 +149,7 @@
     def begin(self, machines: list[Machine], running: list[Job]) -> None:
         """A new pass over the jobs that wait, on these machines and with these jobs on them."""
         self._running = running
-        self._fastest = max((machine.build.pullGbPerS for machine in machines), default=0.0)
+        self._fastest = max((machine.machine_type.fetch_gb_per_s for machine in machines), default=0.0)
         self._preemptible.clear()
         self._victims_of.clear()
         self._freed.clear()
@@ -162,17 +162,17 @@
 
     def in_time(self, job: Job, wait: float) -> bool:
         """Whether a task that waits so long for its image starts within what its users expect."""
-        return wait * _FETCH_SPREAD <= self._aims.get(job.spec.lot, math.inf)
+        return wait * _FETCH_SPREAD <= self._aims.get(job.spec.job_class, math.inf)
 
     def _score(self, job: Job, machine: Machine, free: Room) -> float:
         """Seconds that a placement costs; what is no wait is weighed as parts of a boot time."""
-        boot = machine.build.startupS
+        boot = machine.machine_type.boot_s
         score = fetch_wait(machine, job)
-        aim = self._aims.get(job.spec.lot)
+        aim = self._aims.get(job.spec.job_class)
         if aim is not None and self.in_time(job, score):
             # Soon enough is as good as at once. Machines that fetch fast are left to images that need it:
             # once they were full of small ones, every large image took twice as long as is expected.
-            score = score * 0.3 + aim * 0.2 * machine.build.pullGbPerS / max(self._fastest, 1e-3)
+            score = score * 0.3 + aim * 0.2 * machine.machine_type.fetch_gb_per_s / max(self._fastest, 1e-3)
         if machine.name in job.failed_on:
             score += boot
         # Packing: machines that are nearly full first, so that others empty.
@@ -183,10 +183,10 @@
         )
         score += left * boot * 0.02
         # Work that may run on spot machines leaves the ordinary ones to work that may not.
-        if job.spec.loaners and not machine.spot:
+        if job.spec.spot and not machine.spot:
             score += boot * 0.2
         # Replicas on one machine are lost together.
-        if job.service and job.spec.chores > 1:
+        if job.service and job.spec.tasks > 1:
             score += boot * 0.05 * sum(1 for attempt in machine.attempts.values() if attempt.job is job)
         return score
 
@@ -246,7 +246,7 @@
 
     def _candidates(self, job: Job) -> dict[str, list[Attempt]]:
         """What the job may preempt, by machine. Within a pass it only gets less."""
-        claim = (job.spec.crew, job.rank, job.guaranteed)
+        claim = (job.spec.team, job.rank, job.guaranteed)
         found = self._preemptible.get(claim)
         if found is None:
             found = {}
@@ -269,7 +269,7 @@
         """
         if owed is not None:
             return self._victims(job, machine, candidates, owed)
-        claim = (job.spec.crew, job.rank, job.guaranteed, job.need, machine.name)
+        claim = (job.spec.team, job.rank, job.guaranteed, job.need, machine.name)
         known = self._victims_of.get(claim)
         if known is None or known[0] != machine.version:
             known = (machine.version, self._victims(job, machine, candidates, None))
@@ -290,7 +290,7 @@
         left = [
             attempt
             for attempt in candidates
-            if attempt.stopping_at is None and (owed is None or attempt.job.spec.crew == job.spec.crew)
+            if attempt.stopping_at is None and (owed is None or attempt.job.spec.team == job.spec.team)
         ]
         most = free
         for attempt in left:
@@ -311,7 +311,7 @@
 
     @staticmethod
     def _may_preempt(job: Job, other: Job) -> bool:
-        if other.spec.crew == job.spec.crew or other.guaranteed == job.guaranteed:
+        if other.spec.team == job.spec.team or other.guaranteed == job.guaranteed:
             return other.rank > job.rank
         # Between teams the guarantee goes before priority. Were it not so both ways, two jobs could
         # preempt one another for ever: one by its priority, the other by its guarantee.
--- a/src/poppyhold/planner.py
+++ b/src/poppyhold/planner.py
@@ -90,13 +90,13 @@
     def _allowed(self, job: Job, row: Row) -> bool:
         spec = job.spec
         return (
-            (spec.builds is None or row.type_name in spec.builds)
-            and (spec.paddock is None or row.zone == spec.paddock)
-            and (spec.loaners or not row.spot)
+            (spec.machine_types is None or row.type_name in spec.machine_types)
+            and (spec.zone is None or row.zone == spec.zone)
+            and (spec.spot or not row.spot)
         )
 
     def _zones(self, job: Job, groups: list[Group]) -> list[str | None]:
-        if not job.spec.samePlace:
+        if not job.spec.one_zone:
             return [None]
         held = [zone for zone, count in job.zones.items() if count > 0]
         found: list[str | None] = []
--- a/src/poppyhold/provisioning.py
+++ b/src/poppyhold/provisioning.py
@@ -13,14 +13,14 @@
     Job,
     Machine,
     Room,
-    allowed_builds,
+    allowed_machine_types,
     fits,
     how_many,
     plus,
     room_of,
     zone_limit,
 )
-from poppyhold.messages import Build, Submission
+from poppyhold.messages import MachineType, Submission
 from poppyhold.options import Provisioning as ProvisioningOptions
 
 HIRE_LIMIT = 50
@@ -44,7 +44,7 @@
     """Free room of one machine that is held or coming."""
 
     machine: Machine | None
-    build: Build
+    machine_type: MachineType
     zone: str
     spot: bool
     free: Room
@@ -54,7 +54,7 @@
 class Purchase(msgspec.Struct, frozen=True):
     """Machines to rent."""
 
-    build: str
+    machine_type: str
     zone: str
     spot: bool
     number: int
@@ -71,7 +71,7 @@
 
 def _kind(spec: Submission) -> Kind:
     """Jobs whose arrivals are counted together."""
-    return spec.crew, spec.lot, (spec.cpus, spec.accelerators, spec.memGb)
+    return spec.team, spec.job_class, (spec.cpus, spec.accelerators, spec.memory_gb)
 
 
 def _pooled(weights: list[float]) -> float:
@@ -116,7 +116,7 @@
         growth = dict.fromkeys(groups, 0.0)
         for key, seen in groups.items():
             if seen[-1][1].shape == "service":
-                ended = sum(spec.chores for _, spec in self._ended if _kind(spec) == key)
+                ended = sum(spec.tasks for _, spec in self._ended if _kind(spec) == key)
                 growth[key] = max(0.0, self._steady(now, seen, 1) - ended / self._window_s) * ahead_s
         # Classes share the room, and seldom all come at once: the deviation of the sum is less than the
         # sum of the deviations. Those with accelerators and those without run out of different resources.
@@ -151,7 +151,7 @@
         parts = [0.0] * _PARTS
         part_s = self._window_s / _PARTS
         for at, spec in seen:
-            parts[min(_PARTS - 1, int((now - at) / part_s))] += float(spec.chores) ** power
+            parts[min(_PARTS - 1, int((now - at) / part_s))] += float(spec.tasks) ** power
         covered = min(_PARTS, math.ceil((now - (self._began_at or 0.0)) / part_s))
         if covered < _PARTS and power > 1:
             return sum(parts) / self._window_s
@@ -168,17 +168,17 @@
         # (build, zone, spot) -> until when the cloud is not asked again.
         self.refused_until: dict[tuple[str, str, bool], float] = {}
 
-    def keep_s(self, build: Build) -> float:
+    def keep_s(self, machine_type: MachineType) -> float:
         """How long an unneeded machine is kept."""
-        return build.startupS * self._options.keep_boots
+        return machine_type.boot_s * self._options.keep_boots
 
-    def give_up_s(self, build: Build) -> float:
+    def give_up_s(self, machine_type: MachineType) -> float:
         """How long a machine may boot."""
-        return build.startupS * self._options.give_up_boots
+        return machine_type.boot_s * self._options.give_up_boots
 
     def decide(
         self,
-        builds: dict[str, Build],
+        machine_types: dict[str, MachineType],
         spaces: list[Space],
         demands: Iterable[Demand],
         now: float,
@@ -190,30 +190,35 @@
         spaces = [space for space in spaces if any(amount > EPSILON for amount in space.free)]
         # Largest tasks first, and real ones before forecasts of the same size.
         for demand in sorted(demands, key=lambda d: (d.forecast, -d.need[1], -d.need[0])):
-            if demand.spec.shape == "group" and demand.spec.samePlace and not demand.forecast:
-                demand.home = self._home(demand, builds, spaces, now)
+            if demand.spec.shape == "group" and demand.spec.one_zone and not demand.forecast:
+                demand.home = self._home(demand, machine_types, spaces, now)
             demand.tasks = self._fit(demand, spaces)
             if demand.tasks:
                 # What one job's machines have left is there for the next: each bought whole machines
                 # of its own once, and a fleet that began empty rented two and a half times its need.
-                self._buy(demand, builds, spaces, zones, bought, now)
-        return [Purchase(build, zone, spot, min(n, HIRE_LIMIT)) for (build, zone, spot), n in bought.items()]
+                self._buy(demand, machine_types, spaces, zones, bought, now)
+        return [
+            Purchase(machine_type, zone, spot, min(n, HIRE_LIMIT))
+            for (machine_type, zone, spot), n in bought.items()
+        ]
 
-    def _home(self, demand: Demand, builds: dict[str, Build], spaces: list[Space], now: float) -> str | None:
+    def _home(
+        self, demand: Demand, machine_types: dict[str, MachineType], spaces: list[Space], now: float
+    ) -> str | None:
         """The zone for a gang that has to be in one: with room for all, else where room can be bought."""
         held = [zone for zone, count in demand.zones.items() if count > 0]
         if held:
             return held[0]
         rooms: Counter[str] = Counter()
         for space in spaces:
-            if self._allowed(demand, space.build, space.zone, space.spot):
+            if self._allowed(demand, space.machine_type, space.zone, space.spot):
                 rooms[space.zone] += how_many(demand.need, space.free, demand.tasks)
         open_zones = {
             zone
-            for build in allowed_builds(demand.spec, builds.values())
-            for zone in build.paddocks
-            if demand.spec.paddock in (None, zone)
-            and self.refused_until.get((build.name, zone, False), 0.0) <= now
+            for machine_type in allowed_machine_types(demand.spec, machine_types.values())
+            for zone in machine_type.zones
+            if demand.spec.zone in (None, zone)
+            and self.refused_until.get((machine_type.name, zone, False), 0.0) <= now
         }
         zones = open_zones | rooms.keys()
         return max(
@@ -228,7 +233,8 @@
         fitting = [
             space
             for space in spaces
-            if fits(demand.need, space.free) and self._allowed(demand, space.build, space.zone, space.spot)
+            if fits(demand.need, space.free)
+            and self._allowed(demand, space.machine_type, space.zone, space.spot)
         ]
         # Spaces in use before empty ones, so that empty ones may be given back; spot first.
         fitting.sort(key=lambda s: (not s.spot, not s.used, s.machine is not None and not s.machine.attempts))
@@ -246,19 +252,19 @@
         return max(0, left)
 
     @staticmethod
-    def _allowed(demand: Demand, build: Build, zone: str, spot: bool) -> bool:
+    def _allowed(demand: Demand, machine_type: MachineType, zone: str, spot: bool) -> bool:
         spec = demand.spec
         return (
             demand.home in (None, zone)
-            and (spec.builds is None or build.name in spec.builds)
-            and (spec.paddock is None or spec.paddock == zone)
-            and (spec.loaners or not spot)
+            and (spec.machine_types is None or machine_type.name in spec.machine_types)
+            and (spec.zone is None or spec.zone == zone)
+            and (spec.spot or not spot)
         )
 
     def _buy(
         self,
         demand: Demand,
-        builds: dict[str, Build],
+        machine_types: dict[str, MachineType],
         spaces: list[Space],
         zones: Counter[str],
         bought: dict[tuple[str, str, bool], int],
@@ -271,24 +277,24 @@
             if demand.tasks <= 0:
                 return
             best: tuple[float, int, str, str, bool] | None = None
-            for build in allowed_builds(demand.spec, builds.values()):
-                each = how_many(demand.need, room_of(build), demand.tasks)
-                full = how_many(demand.need, room_of(build), 1 << 30)
-                for zone in build.paddocks:
-                    if demand.spec.paddock not in (None, zone) or demand.home not in (None, zone):
+            for machine_type in allowed_machine_types(demand.spec, machine_types.values()):
+                each = how_many(demand.need, room_of(machine_type), demand.tasks)
+                full = how_many(demand.need, room_of(machine_type), 1 << 30)
+                for zone in machine_type.zones:
+                    if demand.spec.zone not in (None, zone) or demand.home not in (None, zone):
                         continue
                     if not demand.forecast and demand.zones.get(zone, 0) >= limit:
                         continue
-                    for spot in (True, False) if demand.spec.loaners else (False,):
-                        key = (build.name, zone, spot)
+                    for spot in (True, False) if demand.spec.spot else (False,):
+                        key = (machine_type.name, zone, spot)
                         if self.refused_until.get(key, 0.0) > now or bought.get(key, 0) >= HIRE_LIMIT:
                             continue
-                        price = build.marketPrice if spot else build.rate
+                        price = machine_type.spot_price if spot else machine_type.price
                         held = zones[zone]
                         # Price of a task's room; a machine that is mostly left empty counts half as
                         # much again. Zones with fewer machines first, where the price is the same.
                         score = price / full * (1.0 + 0.5 * (1 - each / full))
-                        candidate = (score, held, build.name, zone, spot)
+                        candidate = (score, held, machine_type.name, zone, spot)
                         if best is None or candidate < best:
                             best = candidate
             if best is None:
@@ -296,7 +302,7 @@
             _, _, name, zone, spot = best
             bought[(name, zone, spot)] = bought.get((name, zone, spot), 0) + 1
             zones[zone] += 1
-            space = Space(None, builds[name], zone, spot, room_of(builds[name]), used=True)
+            space = Space(None, machine_types[name], zone, spot, room_of(machine_types[name]), used=True)
             fresh.append(space)
             spaces.append(space)
 
@@ -319,7 +325,9 @@
 
 def space_of(machine: Machine) -> Space:
     """The free room of a machine we hold."""
-    return Space(machine, machine.build, machine.zone, machine.spot, machine.free, bool(machine.attempts))
+    return Space(
+        machine, machine.machine_type, machine.zone, machine.spot, machine.free, bool(machine.attempts)
+    )
 
 
 def demand_of(job: Job, most: int) -> Demand:
--- a/src/poppyhold/service.py
+++ b/src/poppyhold/service.py
@@ -20,18 +20,18 @@
 from poppyhold.deputy import Deputies, Deputy, Trust
 from poppyhold.election import Election, Leader, Term
 from poppyhold.http import Answer, Deferred, Server, answer
-from poppyhold.messages import Build, Builds, Malformed, Report, convert, decode, parse_report
+from poppyhold.messages import MachineType, MachineTypes, Malformed, Report, convert, decode, parse_report
 from poppyhold.options import Options
 from poppyhold.peers import Peers, Ping, Pong
 from poppyhold.settings import Settings, split_address
 from poppyhold.store import (
     ACTIVE,
-    BUILDS,
     DONE_STRETCHES,
     DONE_TASKS,
     HIRE,
     MACHINE,
-    MORE_BUILDS,
+    MACHINE_TYPES,
+    MORE_MACHINE_TYPES,
     PLAN,
     Committer,
     Conflict,
@@ -122,22 +122,22 @@
         return sum(map(len, self._queues))
 
 
-def build_records(builds: Iterable[Build], most_bytes: int) -> list[Data]:
+def machine_type_records(machine_types: Iterable[MachineType], most_bytes: int) -> list[Data]:
     """The writes that make machine types durable: as many in the first record as fit, the rest in more."""
     records: list[Data] = []
     held: list[Data] = []
-    for build in builds:
-        data: Data = msgspec.to_builtins(build)
+    for machine_type in machine_types:
+        data: Data = msgspec.to_builtins(machine_type)
         if held and stored_bytes({"builds": [*held, data]}) > most_bytes:
             records.append({"builds": held})
             held = []
         held.append(data)
     records.append({"builds": held})
-    keys = [BUILDS, *(f"{MORE_BUILDS}{number}" for number in range(1, len(records)))]
+    keys = [MACHINE_TYPES, *(f"{MORE_MACHINE_TYPES}{number}" for number in range(1, len(records)))]
     return [put(key, record) for key, record in zip(keys, records, strict=True)]
 
 
-class Reign:
+class LeaderTerm:
     """One term of leading: the decision thread and the edges that serve it."""
 
     def __init__(self, node: Node, term: Term) -> None:
@@ -145,7 +145,7 @@
         self.alive = True
         limits, workers = node.settings.settings.machine_limits, node.settings.settings.workers
         self._queue = RankedQueue(limits.max_sockets, workers.report_s / 100)
-        self._committer = Committer(node.store, node.settings, term.stamp, self._lost)
+        self._committer = Committer(node.store, node.settings, term.version, self._lost)
         self._senders = Senders(node.settings)
         self._cloud: CloudThread | None = None
         self._watch: Watch | None = None
@@ -157,7 +157,7 @@
         self.deputies = Deputies(times, node.skew_s)
         self.trust: Trust | None = None
         self.controller = Controller(
-            node.settings, node.options, self, term.baton, time.monotonic, time.time, node.rng
+            node.settings, node.options, self, term.token, time.monotonic, time.time, node.rng
         )
         self._tick_s = node.settings.settings.workers.report_s / 4
         self._ready = threading.Event()
@@ -175,8 +175,10 @@
             return
         if not self.alive:
             return
-        self.controller.load(snapshot, self._node.builds.values(), dict(self._node.peer_hints))
-        self._cloud = CloudThread(self._node.settings, self._node.cloud, self._on_builds, self._on_listed)
+        self.controller.load(snapshot, self._node.machine_types.values(), dict(self._node.peer_hints))
+        self._cloud = CloudThread(
+            self._node.settings, self._node.cloud, self._on_machine_types, self._on_listed
+        )
         self._watch = Watch(
             self._node.store,
             ACTIVE,
@@ -235,7 +237,7 @@
     def _on_resync(self, entries: list[Entry]) -> None:
         self._post(DECISIONS, lambda: self.controller.resync(entries))
 
-    def _on_job(self, change: Entry | str, stamp: int) -> None:
+    def _on_job(self, change: Entry | str, version: int) -> None:
         if isinstance(change, Entry):
             self._post(SUBMISSIONS, lambda: self.controller.job_set(change))
         else:
@@ -266,16 +268,16 @@
     def _vouch(self) -> None:
         """Note what the other controllers may count on, should they lose us."""
         sure_at = min(self.authority.synced_at, self.confirmed_at())
-        shunned = self.controller.shunned()
-        if shunned is None or sure_at == float("-inf"):
+        excluded_machines = self.controller.excluded_machines()
+        if excluded_machines is None or sure_at == float("-inf"):
             self.trust = None
             return
         known_wall = time.time() - (time.monotonic() - sure_at)
-        self.trust = Trust(self.controller.ctx.baton, known_wall, shunned)
+        self.trust = Trust(self.controller.ctx.token, known_wall, excluded_machines)
 
-    def _on_builds(self, builds: list[Build]) -> None:
-        self._node.learn_builds(builds, publish=True)
-        self._post(DECISIONS, lambda: self.controller.builds(builds))
+    def _on_machine_types(self, machine_types: list[MachineType]) -> None:
+        self._node.learn_machine_types(machine_types, publish=True)
+        self._post(DECISIONS, lambda: self.controller.machine_types(machine_types))
 
     def _on_listed(self, boxes: list[Any]) -> None:
         self._post(DECISIONS, lambda: self.controller.listed(boxes))
@@ -298,7 +300,7 @@
 
     # -- reports -------------------------------------------------------------------------------------
 
-    def hello(self, report: Report, timeout: float) -> Deferred | None:
+    def handle_report(self, report: Report, timeout: float) -> Deferred | None:
         """Have a report answered by the decision thread; None if that can't be."""
         # A worker that is turned away comes back a second later, when its lease may be over: while the
         # fleet's state is read it had better wait.
@@ -312,7 +314,7 @@
                 reply: Data | None = None
                 try:
                     if self.alive and time.monotonic() < late_at and self.may_answer():
-                        reply = self.controller.hello(report)
+                        reply = self.controller.handle_report(report)
                 finally:
                     send(answer(200, reply) if reply is not None else self._node.turned_away())
 
@@ -375,21 +377,21 @@
         if self._cloud is not None:
             self._cloud.delete(names, deleted)
 
-    def deposed(self, baton: int) -> None:
+    def deposed(self, token: int) -> None:
         """See `Edges`."""
-        self._node.election.saw_baton(baton)
+        self._node.election.saw_token(token)
 
-    def raised(self, baton: int) -> None:
+    def raised(self, token: int) -> None:
         """See `Edges`."""
-        self._node.election.raised(baton)
+        self._node.election.raised(token)
 
     def resign(self, why: str) -> None:
         """See `Edges`."""
         threading.Thread(target=self._node.election.resign, args=(why,), daemon=True).start()
 
-    def over(self, job_id: str, status: str, chores: int) -> None:
+    def over(self, job_id: str, status: str, tasks: int) -> None:
         """See `Edges`."""
-        self._node.users.finals.put(job_id, (status, chores))
+        self._node.users.finals.put(job_id, (status, tasks))
 
     def passed_on(self) -> list[list[Passed]]:
         """See `Edges`."""
@@ -424,16 +426,16 @@
         self.rng = random.Random()
         self.store = Store(settings)
         self.cloud = CloudClient(settings)
-        self.builds: dict[str, Build] = {}
-        self._builds_published: object = None
+        self.machine_types: dict[str, MachineType] = {}
+        self._machine_types_published: object = None
         self._peer_counts: dict[str, tuple[int, int]] = {}
         self.peer_hints: Hints = {}
-        self.users = Users(settings, self.store, lambda: self.builds, self._count)
+        self.users = Users(settings, self.store, lambda: self.machine_types, self._count)
         self._passed_on: dict[str, tuple[float, Passed]] = {}
         self._deposed_at = float("-inf")
         self._idle_leader: Leader | None = None
-        self._reign: Reign | None = None
-        self._reign_lock = threading.Lock()
+        self._leader_term: LeaderTerm | None = None
+        self._leader_term_lock = threading.Lock()
         self._stop = threading.Event()
         self._started_at = time.monotonic()
         self.election = Election(settings, options, self.store, self._elected, self._deposed, self.rng)
@@ -451,7 +453,7 @@
         times = Times(settings, options)
         self.deputy = Deputy(times, self.skew_s, time.monotonic, time.time)
         # Behind this a worker has given up the answer, as PROTOCOL says: it comes at once or not at all.
-        self._hello_timeout = min(workers.report_s * 2.5, _WORKER_PATIENCE_S * 0.75)
+        self._report_timeout = min(workers.report_s * 2.5, _WORKER_PATIENCE_S * 0.75)
         # A worker that is not told where to go tries another node a second later. Where all nodes have just
         # come back, that second decides whether leases end; an election takes far less.
         self._naming_s = workers.report_s / 2
@@ -486,64 +488,73 @@
     def _learn(self) -> None:
         """Machine types come first: without them we can neither judge jobs nor know machines."""
         pause = self.store.timeout / 4
-        while not self.builds and not self._stop.is_set():
+        while not self.machine_types and not self._stop.is_set():
             try:
-                entry = self.store.get(BUILDS)
+                entry = self.store.get(MACHINE_TYPES)
                 if entry is not None:
-                    records = [entry, *self.store.scan(MORE_BUILDS)[0]]
-                    stored = [build for record in records for build in convert(record.data, Builds).builds]
-                    self.learn_builds(stored, publish=False)
+                    records = [entry, *self.store.scan(MORE_MACHINE_TYPES)[0]]
+                    stored = [
+                        machine_type
+                        for record in records
+                        for machine_type in convert(record.data, MachineTypes).machine_types
+                    ]
+                    self.learn_machine_types(stored, publish=False)
                     return
             except (Refused, Unsure, Malformed) as error:
                 log.debug("machine types: %s", error)
-            builds = self.cloud.builds()
-            if builds:
-                self.learn_builds(builds, publish=False)
+            machine_types = self.cloud.machine_types()
+            if machine_types:
+                self.learn_machine_types(machine_types, publish=False)
                 return
             self._stop.wait(self.rng.uniform(pause, pause * 3))
 
-    def learn_builds(self, builds: list[Build], publish: bool) -> None:
+    def learn_machine_types(self, machine_types: list[MachineType], publish: bool) -> None:
         """Keep the machine types; the leader makes them durable for nodes that start without a cloud."""
-        self.builds = {**self.builds, **{build.name: build for build in builds}}
-        shapes = [(b.name, b.cpus, b.accelerators, b.memGb, tuple(b.paddocks)) for b in self.builds.values()]
-        if publish and shapes != self._builds_published:
+        self.machine_types = {
+            **self.machine_types,
+            **{machine_type.name: machine_type for machine_type in machine_types},
+        }
+        shapes = [
+            (b.name, b.cpus, b.accelerators, b.memory_gb, tuple(b.zones)) for b in self.machine_types.values()
+        ]
+        if publish and shapes != self._machine_types_published:
             try:
                 limits = self.settings.settings.state.lowest
-                for record in build_records(self.builds.values(), limits.value_bytes):
+                for record in machine_type_records(self.machine_types.values(), limits.value_bytes):
                     self.store.commit({}, [record])
-                self._builds_published = shapes
+                self._machine_types_published = shapes
             except (Refused, Unsure, Conflict, Gone) as error:
                 log.debug("machine types: %s", error)
 
     # -- leading -------------------------------------------------------------------------------------
 
     def _elected(self, term: Term) -> None:
-        with self._reign_lock:
-            if self._reign is not None:
-                self._reign.stop()
-            self._reign = Reign(self, term)
+        with self._leader_term_lock:
+            if self._leader_term is not None:
+                self._leader_term.stop()
+            self._leader_term = LeaderTerm(self, term)
 
     def _deposed(self) -> None:
-        with self._reign_lock:
-            reign, self._reign = self._reign, None
-            if reign is not None:
-                reign.stop()
+        with self._leader_term_lock:
+            leader_term, self._leader_term = self._leader_term, None
+            if leader_term is not None:
+                leader_term.stop()
 
     def _counts(self) -> dict[str, tuple[int, int]]:
-        reign = self._reign
-        return reign.counts() if reign is not None else {}
+        leader_term = self._leader_term
+        return leader_term.counts() if leader_term is not None else {}
 
     def _hints(self) -> Hints:
-        reign = self._reign
-        return reign.hints() if reign is not None else {}
+        leader_term = self._leader_term
+        return leader_term.hints() if leader_term is not None else {}
 
     def _deputies(self) -> Deputies | None:
-        reign = self._reign
-        return reign.deputies if reign is not None else None
+        leader_term = self._leader_term
+        return leader_term.deputies if leader_term is not None else None
 
     def _count(self, job_id: str) -> tuple[int, int] | None:
-        reign = self._reign
-        counts = reign.counts() if reign is not None else self._peer_counts
+        leader_term = self._leader_term
+        counts = leader_term.counts() if leader_term is not None else self._peer_counts
         return counts.get(job_id)
 
     # -- peers ---------------------------------------------------------------------------------------
@@ -552,14 +563,14 @@
         term = self.election.term
         age = time.monotonic() - max(self.store.contact_at, self._started_at)
         workers = len(self._workers_passed_on())
-        reign = self._reign
-        trust = reign.trust if reign is not None and reign.alive else None
-        known = reign.authority.ledger if reign is not None else -1
+        leader_term = self._leader_term
+        trust = leader_term.trust if leader_term is not None and leader_term.alive else None
+        known = leader_term.authority.ledger if leader_term is not None else -1
         named, unnamed = self.cancellations_told()
         told = unnamed if unnamed < 0 else max([unnamed, *(revision for _, revision in named)])
-        baton = term.baton if term else 0
+        token = term.token if term else 0
         return Ping(
-            self.settings.member, baton, term is not None, age, told, workers, trust=trust, known=known
+            self.settings.member, token, term is not None, age, told, workers, trust=trust, known=known
         )
 
     def cancellations_told(self) -> tuple[list[Cancellation], int]:
@@ -577,13 +588,13 @@
             # Read behind `us`: what is told in between is named as well.
             named, unnamed = self.cancellations_told()
         return Pong(
-            us.member, us.baton, us.leading, us.state_age_s, us.told, us.workers, named, unnamed, passed
+            us.member, us.token, us.leading, us.state_age_s, us.told, us.workers, named, unnamed, passed
         )
 
     def _on_ping(self, ping: Ping) -> None:
         if ping.leading:
-            self.election.saw_baton(ping.baton)
-            self.deputy.heard(ping.baton, ping.trust)
+            self.election.saw_token(ping.token)
+            self.deputy.heard(ping.token, ping.trust)
             counts = dict(self._peer_counts)
             counts.update({job: (done, running) for job, done, running in ping.counts})
             while len(counts) > self.settings.settings.machine_limits.ram_mb * 100:
@@ -597,15 +608,15 @@
 
     def _on_pong(self, pong: Pong, asked: float) -> None:
         if pong.leading:
-            self.election.saw_baton(pong.baton)
+            self.election.saw_token(pong.token)
             return
         # Only who does not lead: what one told that does says nothing of what others tell under its lead.
-        reign = self._reign
-        if reign is not None:
-            reign.told(pong, asked)
+        leader_term = self._leader_term
+        if leader_term is not None:
+            leader_term.told(pong, asked)
         leader = self.election.leader
         # It runs, and leads nothing: the key is that of a process before it.
-        if leader is None or leader.member != pong.member or pong.baton:
+        if leader is None or leader.member != pong.member or pong.token:
             return
         if self._idle_leader == leader:
             # Told twice, so it is not that the answer and the election crossed.
@@ -634,7 +645,7 @@
         """Answer a request of a user, a worker or the load balancer."""
         path = path.partition("?")[0]
         if path == "/hello":
-            return self._hello(body) if method == "POST" else self._wrong("POST")
+            return self._handle_report(body) if method == "POST" else self._wrong("POST")
         if path == "/ready":
             return self._is_ready() if method == "GET" else self._wrong("GET")
         if path == "/api/jobs":
@@ -653,8 +664,8 @@
         return [passed for at, passed in list(self._passed_on.values()) if at > recent]
 
     def _pass_on(self, report: Report) -> None:
-        self._passed_on.pop(report.box, None)
-        self._passed_on[report.box] = time.monotonic(), (report.box, report.shift, report.tally)
+        self._passed_on.pop(report.machine, None)
+        self._passed_on[report.machine] = time.monotonic(), (report.machine, report.session, report.sequence)
         if len(self._passed_on) > self.settings.settings.machine_limits.max_sockets:
             self._passed_on.pop(next(iter(self._passed_on)), None)
 
@@ -668,11 +679,11 @@
         # hear from the state service at different moments, so only a clear lead of a peer counts.
         ours = max(self.store.contact_at, self._started_at)
         behind = any(view.contact_at - ours > self._ready_s for view in self.peers.views.values())
-        if not self.builds or behind:
+        if not self.machine_types or behind:
             return answer(503, {"error": "not ready"}, Retry_After="1")
         return answer(200, {"member": self.settings.member})
 
-    def _hello(self, body: bytes) -> Answer | Deferred:
+    def _handle_report(self, body: bytes) -> Answer | Deferred:
         try:
             report = parse_report(decode(body))
         except Malformed as error:
@@ -680,12 +691,12 @@
         reply = self._answer_report(report)
         if reply is not None:
             return reply
-        if report.baton:
+        if report.token:
             known = self.election.leader
-            deputed = self.deputy.may_answer(report, self.store.contact_at, known.baton if known else 0)
+            deputed = self.deputy.may_answer(report, self.store.contact_at, known.token if known else 0)
             if deputed is not None:
                 return answer(200, {"baton": deputed, "orders": []})
-            # A new machine's worker begins with any node; one that has a baton has left its leader.
+            # A new machine's worker begins with any node; one that has a token has left its leader.
             self._pass_on(report)
         leader = self.election.await_leader(self._naming_s)
         # The election may have named us meanwhile.
@@ -693,14 +704,14 @@
 
     def _answer_report(self, report: Report) -> Answer | Deferred | None:
         """The leader's answer; None if we don't lead."""
-        reign = self._reign
-        if reign is None:
+        leader_term = self._leader_term
+        if leader_term is None:
             return None
-        return reign.hello(report, self._hello_timeout) or self.turned_away()
+        return leader_term.handle_report(report, self._report_timeout) or self.turned_away()
 
     def turned_away(self) -> Answer:
         """The answer to a report that we can't take as the leader."""
-        if self._reign is not None:
+        if self._leader_term is not None:
             return answer(503, {"error": "not entitled now"})
         return self._elsewhere(self.election.leader)
 
--- a/src/poppyhold/settings.py
+++ b/src/poppyhold/settings.py
@@ -41,7 +41,7 @@
     """What is expected of a class of jobs."""
 
     kind: str
-    lot: str | None = msgspec.field(name="class", default=None)
+    job_class: str | None = msgspec.field(name="class", default=None)
     within_s: float | None = None
     share: float | None = None
     times: float | None = None
--- a/src/poppyhold/store.py
+++ b/src/poppyhold/store.py
@@ -18,12 +18,12 @@
 ROOT = "ph/"
 LEAD = ROOT + "l/lead"
 LEAD_PREFIX = ROOT + "l/"
-BATON = ROOT + "b"
+TOKEN = ROOT + "b"
 # What a leader changes to make its transactions without an answer void.
 FENCE = ROOT + "c"
-BUILDS = ROOT + "t"
+MACHINE_TYPES = ROOT + "t"
 # Machine types that don't fit into the first record; older versions don't read them.
-MORE_BUILDS = ROOT + "t/"
+MORE_MACHINE_TYPES = ROOT + "t/"
 ACTIVE = ROOT + "a/"
 FINAL = ROOT + "f/"
 PLAN = ROOT + "p/"
@@ -41,7 +41,7 @@
 
     key: str
     data: Data
-    stamp: int
+    version: int
 
 
 class Refused(Exception):
@@ -68,11 +68,11 @@
     """A lease is over, or a watch's start is too old."""
 
 
-def put(key: str, data: Data, permit: int | None = None) -> Data:
+def put(key: str, data: Data, lease_id: int | None = None) -> Data:
     """Build the write that sets a key."""
     write: Data = {"set": key, "data": data}
-    if permit is not None:
-        write["permit"] = permit
+    if lease_id is not None:
+        write["permit"] = lease_id
     return write
 
 
@@ -151,17 +151,17 @@
             raise Refused(f"{status} {data}")
         return int(data["permit"])
 
-    def extend(self, permit: int, timeout: float) -> None:
+    def extend(self, lease_id: int, timeout: float) -> None:
         """Renew a lease."""
-        status, data = self._call("POST", f"/leases/{permit}/extend", {}, timeout)
+        status, data = self._call("POST", f"/leases/{lease_id}/extend", {}, timeout)
         if status == 404:
             raise Gone("lease")
         if status != 200:
             raise Refused(f"{status} {data}")
 
-    def end_lease(self, permit: int) -> None:
+    def end_lease(self, lease_id: int) -> None:
         """End a lease at once, with the keys on it."""
-        self._call("DELETE", f"/leases/{permit}", None, self.timeout)
+        self._call("DELETE", f"/leases/{lease_id}", None, self.timeout)
 
     def follow(self, prefix: str, since: int, hold_s: float) -> tuple[list[Data], int]:
         """Wait for changes behind ``since``."""
@@ -220,7 +220,7 @@
                             return
                         if "set" in event:
                             entry = Entry(event["set"], event["data"], event["stamp"])
-                            self._on_change(entry, entry.stamp)
+                            self._on_change(entry, entry.version)
                         else:
                             self._on_change(event["remove"], event["stamp"])
                 if self.first_ledger < 0:
@@ -242,12 +242,12 @@
     """A leader's transactions, one at a time: each is conditional on its key and on its fence.
 
     One without an answer may be carried out late, behind newer ones of the same leader: an old plan, hire,
-    machine or record of completions would come back, or the baton fall. So before the next transaction the
+    machine or record of completions would come back, or the token fall. So before the next transaction the
     fence is changed, and what was tried before is void.
     """
 
-    def __init__(self, store: Store, lead_stamp: int) -> None:
-        self._store, self._lead_stamp = store, lead_stamp
+    def __init__(self, store: Store, lead_version: int) -> None:
+        self._store, self._lead_version = store, lead_version
         self._fence: int | None = None
         self._unsure = False
 
@@ -258,7 +258,7 @@
         """
         if self._fence is None or self._unsure:
             self._raise_fence()
-        own = {LEAD: self._lead_stamp, FENCE: self._fence or 0}
+        own = {LEAD: self._lead_version, FENCE: self._fence or 0}
         try:
             self._store.commit({**own, **conditions}, writes)
         except Unsure:
@@ -273,7 +273,7 @@
 
     def _raise_fence(self) -> None:
         if self._unsure and self._fence is not None:
-            own = {LEAD: self._lead_stamp, FENCE: self._fence}
+            own = {LEAD: self._lead_version, FENCE: self._fence}
             try:
                 self._fence = self._store.commit(own, [put(FENCE, {"behind": self._fence})])
                 self._unsure = False
@@ -283,7 +283,7 @@
                     raise
                 # A try of this very step that had no answer was carried out: that has the same effect.
         entry = self._store.get(FENCE)
-        self._fence = entry.stamp if entry is not None else 0
+        self._fence = entry.version if entry is not None else 0
         self._unsure = False
 
 
@@ -299,9 +299,9 @@
     """The leader's writes, many units to a transaction, each conditional on the leader's key."""
 
     def __init__(
-        self, store: Store, settings: Settings, lead_stamp: int, on_deposed: Callable[[], None]
+        self, store: Store, settings: Settings, lead_version: int, on_deposed: Callable[[], None]
     ) -> None:
-        self._writer, self._on_deposed = Writer(store, lead_stamp), on_deposed
+        self._writer, self._on_deposed = Writer(store, lead_version), on_deposed
         limits = settings.settings.state.lowest
         self._ops = limits.txn_ops
         # Two thirds of the writes: the rest is for the users' nodes and the election.
@@ -415,9 +415,9 @@
     return len(json.dumps(data))
 
 
-def final_writes(job_id: str, status: str, chores: int) -> list[Data]:
+def final_writes(job_id: str, status: str, tasks: int) -> list[Data]:
     """The writes that move a job's record to the final ones."""
-    return [remove(ACTIVE + job_id), put(FINAL + job_id, {"s": status, "n": chores}), remove(PLAN + job_id)]
+    return [remove(ACTIVE + job_id), put(FINAL + job_id, {"s": status, "n": tasks}), remove(PLAN + job_id)]
 
 
 def grouped(entries: Iterable[Entry], prefix: str) -> dict[str, Data]:
--- a/src/poppyhold/users.py
+++ b/src/poppyhold/users.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from poppyhold.cancellations import Cancellations
-from poppyhold.fleet import allowed_builds
+from poppyhold.fleet import allowed_machine_types
 from poppyhold.http import Answer, answer
-from poppyhold.messages import JOB_ID, Build, Malformed, Submission, decode, parse_submission
+from poppyhold.messages import JOB_ID, MachineType, Malformed, Submission, decode, parse_submission
 from poppyhold.placement import Quotas
 from poppyhold.recent import Recent
 from poppyhold.settings import Settings
@@ -47,12 +47,12 @@
         self,
         settings: Settings,
         store: Store,
-        builds: Callable[[], dict[str, Build]],
+        machine_types: Callable[[], dict[str, MachineType]],
         counts: Callable[[str], tuple[int, int] | None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._settings, self._clock = settings, clock
-        self._store, self._builds, self._counts = store, builds, counts
+        self._store, self._machine_types, self._counts = store, machine_types, counts
         self._quotas = Quotas(settings.settings.teams)
         most = int(settings.settings.machine_limits.ram_mb * 100)
         # Final states that the state service told: they never change. Nothing else that a user is told comes
@@ -99,62 +99,62 @@
         return self._guarded(lambda: self._submit(spec))
 
     def _submit(self, spec: Submission) -> Answer:
-        builds = self._builds()
-        verdict = self._never(spec, builds)
-        if verdict is not None or not builds:
+        machine_types = self._machine_types()
+        verdict = self._never(spec, machine_types)
+        if verdict is not None or not machine_types:
             # A repeat of an accepted job is answered with its state, whatever we think of it now.
-            known = self._look_up(spec.nameId)
+            known = self._look_up(spec.name)
             if known is not None:
                 return answer(200, known)
             return answer(422, {"error": verdict}) if verdict is not None else self._later()
-        data = self._record(spec, builds)
+        data = self._record(spec, machine_types)
         if stored_bytes(data) > self._largest_record:
             # An earlier version may have stored it, under larger limits.
-            known = self._look_up(spec.nameId)
+            known = self._look_up(spec.name)
             return answer(400, {"error": "too long"}) if known is None else answer(200, known)
         # A condition that fails counts against the limit of changes like a change: users that repeat what is
         # known to be accepted must not eat up what decisions need.
-        repeat = spec.nameId in self._accepted or self._counts(spec.nameId) is not None
+        repeat = spec.name in self._accepted or self._counts(spec.name) is not None
         for _ in self._tries():
-            if repeat or self.finals.get(spec.nameId) is not None:
-                known = self._look_up(spec.nameId)
+            if repeat or self.finals.get(spec.name) is not None:
+                known = self._look_up(spec.name)
                 if known is not None:
                     return answer(200, known)
             try:
                 self._store.commit(
-                    {ACTIVE + spec.nameId: 0, FINAL + spec.nameId: 0}, [put(ACTIVE + spec.nameId, data)]
+                    {ACTIVE + spec.name: 0, FINAL + spec.name: 0}, [put(ACTIVE + spec.name, data)]
                 )
             except Unsure:
                 # Perhaps it went through: the repeat will tell.
                 continue
             except Invalid as error:
                 # It can never be stored, so that its user need not try again.
-                log.warning("%s: %s", spec.nameId, error)
-                known = self._look_up(spec.nameId)
+                log.warning("%s: %s", spec.name, error)
+                known = self._look_up(spec.name)
                 return answer(400, {"error": "too long"}) if known is None else answer(200, known)
             except Conflict:
                 # It is there, be it by our own try before: what it is now is what its user is told.
                 repeat = True
             else:
-                self._accepted.put(spec.nameId, True)
-                return answer(201, {"nameId": spec.nameId, "status": "pending"})
+                self._accepted.put(spec.name, True)
+                return answer(201, {"nameId": spec.name, "status": "pending"})
         return self._later()
 
-    def _record(self, spec: Submission, builds: dict[str, Build]) -> Data:
+    def _record(self, spec: Submission, machine_types: dict[str, MachineType]) -> Data:
         """What is stored of a submission. A list of machine types too long for it keeps those that exist."""
         data: Data = {"spec": msgspec.to_builtins(spec), "at": time.time()}
-        if spec.builds is not None and stored_bytes(data) > self._largest_record:
-            data["spec"]["builds"] = sorted(builds.keys() & set(spec.builds))
+        if spec.machine_types is not None and stored_bytes(data) > self._largest_record:
+            data["spec"]["builds"] = sorted(machine_types.keys() & set(spec.machine_types))
         return data
 
-    def _never(self, spec: Submission, builds: dict[str, Build]) -> str | None:
+    def _never(self, spec: Submission, machine_types: dict[str, MachineType]) -> str | None:
         """Why a job can never run, or None."""
-        if not self._quotas.known(spec.crew):
+        if not self._quotas.known(spec.team):
             return "unknown team"
-        tasks = 1 if spec.shape == "array" else spec.chores
-        if not self._quotas.ever_fits(spec.crew, (spec.cpus, spec.accelerators, spec.memGb), tasks):
+        tasks = 1 if spec.shape == "array" else spec.tasks
+        if not self._quotas.ever_fits(spec.team, (spec.cpus, spec.accelerators, spec.memory_gb), tasks):
             return "above the team's limit"
-        if builds and not allowed_builds(spec, builds.values()):
+        if machine_types and not allowed_machine_types(spec, machine_types.values()):
             return "fits no machine type"
         return None
 
@@ -172,9 +172,9 @@
             if entry is None:
                 return None
             final = (entry.data["s"], entry.data["n"])
-            self._keep_final(job_id, final, entry.stamp)
-        status, chores = final
-        return {"nameId": job_id, "status": status, "done": chores if status == "done" else 0, "running": 0}
+            self._keep_final(job_id, final, entry.version)
+        status, tasks = final
+        return {"nameId": job_id, "status": status, "done": tasks if status == "done" else 0, "running": 0}
 
     def _keep_final(self, job_id: str, final: tuple[str, int], revision: int) -> None:
         # Before anybody is told, here or from what is kept: a leader that asks must be told of it first.
@@ -209,13 +209,13 @@
                     return answer(404, {"error": "unknown job"})
                 continue
             try:
-                chores = entry.data["spec"]["chores"]
+                tasks = entry.data["spec"]["chores"]
                 ledger = self._store.commit(
-                    {ACTIVE + job_id: entry.stamp}, final_writes(job_id, "cancelled", chores)
+                    {ACTIVE + job_id: entry.version}, final_writes(job_id, "cancelled", tasks)
                 )
             except (Conflict, Unsure):
                 # It moved, or may have: look again.
                 continue
-            self._keep_final(job_id, ("cancelled", chores), ledger)
+            self._keep_final(job_id, ("cancelled", tasks), ledger)
             return answer(200, {"nameId": job_id, "status": "cancelled"})
         return self._later()
