--- a/tests/world.py
+++ b/tests/world.py
@@ -19,20 +19,20 @@
 from poppyhold.controller import Controller, Snapshot
 from poppyhold.deputy import Deputies, Deputy, Trust
 from poppyhold.http import Answer
-from poppyhold.messages import Build, Listed, Report, convert, encode, parse_report
+from poppyhold.messages import Listed, MachineType, Report, convert, encode, parse_report
 from poppyhold.options import Options
 from poppyhold.settings import Cloud as CloudLimits
 from poppyhold.settings import Deployment as DeploymentSettings
 from poppyhold.settings import Known, NextState, Outside, Settings, State, Team, Workers
 from poppyhold.store import (
     ACTIVE,
-    BATON,
     DONE_STRETCHES,
     DONE_TASKS,
     HIRE,
     LEAD,
     MACHINE,
     PLAN,
+    TOKEN,
     Conflict,
     Entry,
     Refused,
@@ -112,12 +112,12 @@
         return int(answer["ledger"])
 
 
-class SimReign:
+class SimLeaderTerm:
     """The edges of one term, with latencies, losses and late deliveries."""
 
     def __init__(self, node: SimNode, baton: int, stamp: int, permit: int) -> None:
         self.node, self.world = node, node.world
-        self.baton, self.stamp, self.permit = baton, stamp, permit
+        self.token, self.version, self.lease_id = baton, stamp, permit
         self.alive = True
         self.confirmed = self.world.now
         self.deputies = Deputies(node.times, 0.0)
@@ -143,7 +143,7 @@
             grouped(store.scan(HIRE)[0], HIRE),
             grouped(store.scan(MACHINE)[0], MACHINE),
         )
-        self.controller.load(snapshot, [convert(b, Build) for b in world.cloud.builds])
+        self.controller.load(snapshot, [convert(b, MachineType) for b in world.cloud.machine_types])
         self.next_list = world.now
         self.woken_at = world.now
 
@@ -292,12 +292,12 @@
         self.node.step_down()
 
     def raised(self, baton: int) -> None:
-        self.baton = baton
+        self.token = baton
 
     def resign(self, why: str) -> None:
         self.node.resting_until = self.world.now + self.world.settings.settings.workers.lease_s
         if not self.world.state.down and not self.node.refused:
-            self.world.state.end(self.permit)
+            self.world.state.end(self.lease_id)
         self.node.step_down()
 
     def over(self, job_id: str, status: str, chores: int) -> None:
@@ -326,11 +326,11 @@
 
     def trust(self) -> Trust | None:
         """What the other nodes may count on."""
-        shunned = self.controller.shunned()
+        shunned = self.controller.excluded_machines()
         return (
             None
             if shunned is None
-            else Trust(self.baton, min(self.confirmed, self.authority.synced_at), shunned)
+            else Trust(self.token, min(self.confirmed, self.authority.synced_at), shunned)
         )
 
 
@@ -350,25 +350,25 @@
         self.lose_answers = 0
         self.resting_until = 0.0
         self.back_at = float("inf")
-        self.reign: SimReign | None = None
+        self.leader_term: SimLeaderTerm | None = None
         self.boot()
 
     def boot(self) -> None:
         """A new process: nothing is remembered."""
         self.alive = True
         self.store = SimStore(self)
-        self.reign = None
+        self.leader_term = None
         # First revision that this process saw.
         self.first_ledger = -1
         self.passed_on: dict[str, tuple[float, Passed]] = {}
         self.deputy = Deputy(self.times, 0.0, lambda: self.world.now, lambda: self.world.now)
-        builds = {b["name"]: convert(b, Build) for b in self.world.cloud.builds}
+        builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
         self.users = Users(
             self.world.settings, self.store, lambda: builds, self._count, lambda: self.world.now
         )
 
     def _count(self, job_id: str) -> tuple[int, int] | None:
-        return self.reign.controller.counts().get(job_id) if self.reign else None
+        return self.leader_term.controller.counts().get(job_id) if self.leader_term else None
 
     def crash(self, back_s: float) -> None:
         """The process ends without a word."""
@@ -378,25 +378,25 @@
 
     def step_down(self) -> None:
         """The term is over."""
-        if self.reign is not None:
-            self.reign.alive = False
-            self.reign = None
+        if self.leader_term is not None:
+            self.leader_term.alive = False
+            self.leader_term = None
 
-    def hello(self, body: Data) -> tuple[int, Data]:
+    def handle_report(self, body: Data) -> tuple[int, Data]:
         """POST /hello."""
-        reign = self.reign
-        if reign is None:
+        leader_term = self.leader_term
+        if leader_term is None:
             deputed = self.deputy.may_answer(parse_report(body), self.store.contact_at, 0)
             if deputed is not None:
                 return 200, {"baton": deputed, "orders": []}
             self.passed_on[body["box"]] = self.world.now, (body["box"], body["shift"], body["tally"])
             leader = self.world.leader()
             return 421, {"foreman": leader.member} if leader is not None else {}
-        if not reign.authority.may_answer(self.world.now, reign.confirmed):
+        if not leader_term.authority.may_answer(self.world.now, leader_term.confirmed):
             return 503, {}
-        answer = reign.controller.hello(parse_report(body))
-        reign.settle()
-        if answer is None or not reign.alive:
+        answer = leader_term.controller.handle_report(parse_report(body))
+        leader_term.settle()
+        if answer is None or not leader_term.alive:
             return 503, {}
         assert len(encode(answer)) <= 64 * 1024
         return 200, answer
@@ -407,8 +407,8 @@
         if self.frozen:
             return
         try:
-            if self.reign is not None:
-                self._reign(self.reign)
+            if self.leader_term is not None:
+                self._lead(self.leader_term)
             elif world.now >= self.resting_until:
                 self._campaign()
             if self.first_ledger < 0:
@@ -416,28 +416,28 @@
         except (Refused, Unsure, Conflict):
             pass
         self._ask_peers()
-        reign = self.reign
-        if reign is not None:
-            reign.controller.tick()
-            reign.settle()
+        leader_term = self.leader_term
+        if leader_term is not None:
+            leader_term.controller.tick()
+            leader_term.settle()
 
-    def _reign(self, reign: SimReign) -> None:
+    def _lead(self, leader_term: SimLeaderTerm) -> None:
         world = self.world
         asked = world.now
-        if not world.cloud.down and asked >= reign.next_list:
-            reign.next_list = asked + 4.0
+        if not world.cloud.down and asked >= leader_term.next_list:
+            leader_term.next_list = asked + 4.0
             boxes = [convert(b, Listed) for b in world.cloud.listing()[1]["boxes"]]
-            reign.controller.listed(boxes)
-        if self.store.get(LEAD) is None or world.state.extend(reign.permit)[0] == 404:
+            leader_term.controller.listed(boxes)
+        if self.store.get(LEAD) is None or world.state.extend(leader_term.lease_id)[0] == 404:
             self.step_down()
             return
-        reign.confirmed = asked
-        for event in world.state.changes(ACTIVE, reign.authority.ledger):
+        leader_term.confirmed = asked
+        for event in world.state.changes(ACTIVE, leader_term.authority.ledger):
             if "set" in event:
-                reign.controller.job_set(Entry(event["set"], event["data"], event["stamp"]))
+                leader_term.controller.job_set(Entry(event["set"], event["data"], event["stamp"]))
             else:
-                reign.controller.job_removed(event["remove"])
-        reign.authority.synced(asked, world.state.ledger)
+                leader_term.controller.job_removed(event["remove"])
+        leader_term.authority.synced(asked, world.state.ledger)
 
     def _campaign(self) -> None:
         world = self.world
@@ -448,39 +448,39 @@
                 world.state.end(lead.data["permit"])
             return
         permit = world.state.lease(2500)[1]["permit"]
-        held = self.store.get(BATON)
+        held = self.store.get(TOKEN)
         baton = (held.data["baton"] if held else 0) + 1
         claim = {"member": self.member, "baton": baton, "permit": permit}
-        conditions = {LEAD: 0, BATON: held.stamp if held else 0}
+        conditions = {LEAD: 0, TOKEN: held.version if held else 0}
         try:
-            stamp = self.store.commit(conditions, [put(LEAD, claim, permit), put(BATON, {"baton": baton})])
+            stamp = self.store.commit(conditions, [put(LEAD, claim, permit), put(TOKEN, {"baton": baton})])
         except Unsure:
             lead = self.store.get(LEAD)
             if lead is None or lead.data["permit"] != permit:
                 raise
-            stamp = lead.stamp
-        self.reign = SimReign(self, baton, stamp, permit)
+            stamp = lead.version
+        self.leader_term = SimLeaderTerm(self, baton, stamp, permit)
         world.a_leader_begins(self)
 
     def _ask_peers(self) -> None:
-        world, reign = self.world, self.reign
-        if reign is None:
+        world, leader_term = self.world, self.leader_term
+        if leader_term is None:
             return
-        self.tell(reign)
+        self.tell(leader_term)
         for other in world.nodes:
             if other is self or not other.alive or other.frozen or self.cut_peers or other.cut_peers:
                 continue
             if world.severed(self.zone, other.zone):
                 continue
-            reign.deputies.telling(other.member, world.now)
-            other.deputy.heard(reign.baton, reign.trust())
-            reign.deputies.answered(other.member, world.now)
-            if other.reign is not None and other.reign.baton > reign.baton:
+            leader_term.deputies.telling(other.member, world.now)
+            other.deputy.heard(leader_term.token, leader_term.trust())
+            leader_term.deputies.answered(other.member, world.now)
+            if other.leader_term is not None and other.leader_term.token > leader_term.token:
                 self.step_down()
                 return
-            other.tell(reign)
+            other.tell(leader_term)
 
-    def tell(self, leader: SimReign) -> None:
+    def tell(self, leader: SimLeaderTerm) -> None:
         """Tell a leader which cancellations were told here, as peers' messages do."""
         self.users.cancellations.known(leader.authority.ledger)
         named, bound = self.users.cancellations.named(self.first_ledger)
@@ -626,7 +626,7 @@
         """A machine is up: its worker begins."""
         machine = self.cloud.machines[name]
         machine["status"] = "running"
-        build = next(b for b in self.cloud.builds if b["name"] == machine["build"])
+        build = next(b for b in self.cloud.machine_types if b["name"] == machine["build"])
         worker = SimWorker(
             name,
             build,
@@ -679,7 +679,7 @@
         worker.next_report = self.now + self.rng.uniform(0.75, 1.25)
         worker.busy_until = self.now + max(0.5, 2 * self.link_s)
         node = self.nodes[worker.node]
-        body, sent_at, shift = worker.report(), self.now, worker.shift
+        body, sent_at, shift = worker.report(), self.now, worker.session
         if not node.alive or node.cut_workers or "silent" in how:
             worker.node = (worker.node + 1) % 3
             worker.busy_until = self.now + 1.0
@@ -699,7 +699,7 @@
                     self._kept.append(body)
                 else:
                     self.after(self.rng.uniform(1.0, 25.0), lambda: self._copy(body))
-            status, answer = node.hello(body)
+            status, answer = node.handle_report(body)
             if "deaf" in how or "hold" in how:
                 worker.busy_until = self.now + 4.0
                 return
@@ -720,7 +720,7 @@
             for body in reversed(kept):
                 for other in self.nodes:
                     if other.alive and not other.frozen:
-                        other.hello(body)
+                        other.handle_report(body)
 
         self.after(0.01, arrive)
 
@@ -728,7 +728,7 @@
         """A late copy of a report reaches some node; whatever it answers reaches nobody."""
         node = self.rng.choice(self.nodes)
         if node.alive:
-            node.hello(body)
+            node.handle_report(body)
 
     # -- users -------------------------------------------------------------------------------------
 
@@ -876,7 +876,7 @@
     def _allowed(worker: WorkerStandIn, job: Data) -> bool:
         """Whether a job may use a machine, its other tasks aside."""
         return bool(
-            (job["builds"] is None or worker.build["name"] in job["builds"])
+            (job["builds"] is None or worker.machine_type["name"] in job["builds"])
             and (job["paddock"] is None or worker.zone == job["paddock"])
             and (job["loaners"] or not worker.spot)
         )
@@ -924,7 +924,7 @@
         """Whether machines have room for so many tasks, in one zone if the job asks for that."""
         rooms: Counter[str] = Counter()
         for worker in self.workers.values():
-            if self._allowed(worker, job) and worker.recall_s is None and not worker.faulty:
+            if self._allowed(worker, job) and worker.notice_s is None and not worker.faulty:
                 rooms[worker.zone if job["samePlace"] else "any"] += worker.room(job, tasks)
         return max(rooms.values(), default=0) >= tasks
 
