--- a/src/poppyhold/controller.py
+++ b/src/poppyhold/controller.py
@@ -11,6 +11,7 @@
 from poppyhold.attempts import Attempts
 from poppyhold.completions import Completions
 from poppyhold.context import Context, Edges, Hints, Times
+from poppyhold.dispatch import Dispatcher
 from poppyhold.fleet import (
     Attempt,
     Job,
@@ -24,26 +25,8 @@
 from poppyhold.placement import Quotas
 from poppyhold.recent import Recent
 from poppyhold.settings import Settings
-from poppyhold.store import ACTIVE, Data, Entry, final_writes
-
-
-class Snapshot:
-    """What the state service held when the term began."""
-
-    def __init__(
-        self,
-        active: Iterable[Entry] = (),
-        plans: dict[str, Data] | None = None,
-        done: dict[str, dict[str, Data]] | None = None,
-        hires: dict[str, Data] | None = None,
-        machines: dict[str, Data] | None = None,
-    ) -> None:
-        self.active = list(active)
-        self.plans = plans or {}
-        # By the prefix of the records.
-        self.done = done or {}
-        self.hires = hires or {}
-        self.machines = machines or {}
+from poppyhold.snapshot import Snapshot
+from poppyhold.store import ACTIVE, Entry, final_writes
 
 
 class Controller:
@@ -63,9 +46,8 @@
         self.ctx = Context(settings, options, edges, clock, wall, rng, token, token, times)
         self._quotas = Quotas(settings.settings.teams)
         self.attempts = Attempts(self.ctx, self._task_done, self._attempt_over, self._task_ran)
-        self.admission = Admission(
-            self.ctx, self.attempts, self._quotas, lambda job: self.job_removed(ACTIVE + job.id)
-        )
+        self.admission = Admission(self.ctx, lambda job: self.job_removed(ACTIVE + job.id))
+        self.dispatcher = Dispatcher(self.ctx, self.attempts, self._quotas, self.admission)
         self.hiring = Hiring(self.ctx, self.attempts, self._quotas, self._machine_gone)
         self.completions = Completions(self.ctx)
         self._guarantees_stale = True
@@ -198,7 +180,7 @@
             if self._guarantees_stale:
                 self._guarantees_stale = False
                 self._quotas.mark_guaranteed(job for job in self.ctx.fleet.jobs.values() if not job.over)
-            self.admission.dispatch(self.attempts.all_heard())
+            self.dispatcher.dispatch(self.attempts.all_heard())
             ended = self.ctx.clock()
             rest = max(6 * (ended - began), self.ctx.times.report_s / 25)
             self.settle_at = ended + min(rest, self.ctx.times.report_s / 2)
--- /dev/null
+++ b/src/poppyhold/dispatch.py
@@ -0,0 +1,366 @@
+"""Dispatch: every start of a task goes through a pass over the jobs that wait."""
+
+from __future__ import annotations
+
+from poppyhold.admission import Admission
+from poppyhold.attempts import Attempts
+from poppyhold.context import Context
+from poppyhold.fleet import NOTHING, Attempt, Job, Machine, Room, how_many, plus
+from poppyhold.gang_placement import GangPlacement
+from poppyhold.gangs import GangState
+from poppyhold.placement import Choice, Placement, Quotas, Search, fetch_wait, may_use, zone_allows
+
+# Leases after which a job that has not begun is no longer passed over for more valuable ones. With twice as
+# many, large arrays of a small fleet under overload began four minutes and more behind their submission.
+_PATIENCE_LEASES = 6
+
+
+def _room_for(job: Job, machine: Machine, reserved: dict[str, Room]) -> int:
+    """How many of the job's pending tasks fit on a machine now, beside what is reserved."""
+    free = machine.free
+    if machine.name in reserved:
+        free = plus(free, reserved[machine.name], -1.0)
+    return how_many(job.need, free, job.pending)
+
+
+class Pass:
+    """One pass over the jobs that wait. Room only gets less in it: who finds none, others like it won't.
+
+    Without this, a full fleet of 200 machines was searched for every waiting task at every event, and
+    reports were answered so late that leases ran out.
+    """
+
+    def __init__(self, machines: list[Machine], steady: list[Machine], extra: Room) -> None:
+        self.machines, self.steady, self.extra = machines, steady, extra
+        self.zones = {machine.zone for machine in machines}
+        self.hopeless: set[tuple[object, ...]] = set()
+        # Teams whose limit is kept for a gang that has waited long.
+        self.held_teams: set[str] = set()
+        # Room by machine that is kept for such gangs.
+        self.held: dict[str, Room] = {}
+
+    @staticmethod
+    def claim(job: Job, limited: bool, reserved: bool) -> tuple[object, ...]:
+        """All that decides whether there is a place for a task of a job, zones aside."""
+        spec = job.spec
+        machine_types = None if spec.machine_types is None else tuple(spec.machine_types)
+        place = (job.need, machine_types, spec.zone, spec.spot)
+        return (*place, spec.team, job.rank, job.guaranteed, limited, reserved)
+
+
+class Dispatcher:
+    """Starts what plans or spare room allow."""
+
+    def __init__(self, ctx: Context, attempts: Attempts, quotas: Quotas, admission: Admission) -> None:
+        self._ctx, self._attempts, self._quotas, self._admission = ctx, attempts, quotas, admission
+        # What users expect of a class: seconds within which its tasks should have started.
+        aims = {
+            objective.job_class: objective.within_s
+            for objective in ctx.settings.settings.objectives
+            if objective.kind == "wait" and objective.job_class is not None and objective.within_s is not None
+        }
+        self.placement = Placement(aims, self._loss)
+        self._gang_placement = GangPlacement(self.placement.in_time)
+        self._pass = Pass([], [], NOTHING)
+        # Jobs that passes which were broken off came to.
+        self._looked_at: set[str] = set()
+
+    def dispatch(self, all_heard: bool) -> None:
+        """Start what may start now."""
+        ctx = self._ctx
+        now = ctx.clock()
+        jobs = [
+            job
+            for job in ctx.fleet.jobs.values()
+            if job.pending > 0 and not job.over and not job.finishing and job.retry_at <= now
+        ]
+        # An older job's tasks may run on a machine that has not been heard yet.
+        ready = [job for job in jobs if job.plan_durable and (job.fresh or all_heard)]
+        ready.sort(key=lambda job: self._urgency(job, now))
+        self._admission.reconsider([job for job in ready if not job.admitted], now)
+        if not ready:
+            return
+        machines = [
+            machine for machine in ctx.fleet.machines.values() if machine.usable(now, ctx.times.silent_s)
+        ]
+        if not machines:
+            return
+        # Machines that did not get our commands lately come last.
+        steady = [machine for machine in machines if machine.unreliable_until <= now]
+        self._pass = Pass(machines, steady, self._unknown_use())
+        self.placement.begin(machines, [job for job in ctx.fleet.jobs.values() if job.active])
+        self._gang_placement.begin(ctx.fleet.jobs.values())
+        # A backlog that meets a thousand empty machines takes seconds: reports must not wait for it. The next
+        # pass goes on with those that this one did not come to.
+        budget_s = ctx.times.report_s / 16
+        stop_at = now + budget_s
+        ready.sort(key=lambda job: job.id in self._looked_at)
+        for job in ready:
+            if ctx.clock() <= stop_at:
+                self._start_planned(job, now)
+        reserved = self._reserved()
+        stop_at = ctx.clock() + budget_s
+        for job in ready:
+            if ctx.clock() > stop_at:
+                ctx.dirty = True
+                return
+            self._looked_at.add(job.id)
+            if job.pending > 0:
+                self._start_unplanned(job, reserved)
+        self._looked_at.clear()
+
+    def _start_planned(self, job: Job, now: float) -> None:
+        """Start what the job's plan lets start by now."""
+        if job.gang:
+            # One that has waited long goes first like one with a plan.
+            if self._waited_long(job, now) or (job.admitted and self._admission.cap(job) >= job.pending):
+                self._start_gang(job, self._pass.held)
+        elif job.admitted:
+            self._start_some(job, self._admission.cap(job), self._pass.held, shared=True)
+
+    def _start_unplanned(self, job: Job, reserved: dict[str, Room]) -> None:
+        """Start on room that no plan books now."""
+        booked = bool(job.booked.get(self._admission.ledger.first))
+        own = self._admission.without_own(reserved, job) if booked else reserved
+        if job.gang:
+            self._start_gang(job, own)
+        else:
+            self._start_some(job, job.pending, own, shared=not booked)
+
+    def _reserved(self) -> dict[str, Room]:
+        """Room that plans book now and have not used yet, and what is kept for gangs."""
+        reserved = self._admission.booked_now()
+        for name, room in self._pass.held.items():
+            reserved[name] = plus(reserved.get(name, NOTHING), room)
+        return reserved
+
+    def _waited_long(self, job: Job, now: float) -> bool:
+        """Whether a job that has not begun is no longer passed over for others."""
+        return not job.active and not job.done and now - job.at > self._ctx.times.lease_s * _PATIENCE_LEASES
+
+    def _urgency(self, job: Job, now: float) -> tuple[int, bool, int, float, float, str]:
+        """Order of the jobs that wait: priority, guarantee, and then by what their value does.
+
+        A job that can still meet its deadline loses value by waiting; one that can't has lost it already.
+        Among those alike, the one with the least work left goes first: under overload that serves the most
+        of them, where the most urgent first makes all of them late. One that has waited too long to begin
+        goes first all the same, so that none starves.
+        """
+        spec = job.spec
+        if job.service:
+            return job.rank, not job.guaranteed, 1, 0.0, job.at, job.id
+        rest = max(0.0, self._admission.estimates.seconds(job) - job.saved_s())
+        group = 1 if job.due_at is None or now + rest <= job.due_at else 2
+        if self._waited_long(job, now):
+            # By arrival: by least work, the largest of them would again come last.
+            return job.rank, not job.guaranteed, 0, 0.0, job.at, job.id
+        work = rest * job.pending * (spec.accelerators or spec.cpus)
+        return job.rank, not job.guaranteed, group, work, job.at, job.id
+
+    def _loss(self, victim: Attempt) -> float:
+        """Seconds that are lost with an attempt: of its work, and of the wait for what takes its place."""
+        job, boot = victim.job, victim.machine.machine_type.boot_s
+        if job.service:
+            # Somebody waits for a replica all the time; an array's task only at its end.
+            return boot
+        if job.gang:
+            return boot + self._gang_loss(victim)
+        if victim.running_at is None:
+            return 0.0
+        now = self._ctx.clock()
+        ran = now - victim.running_at
+        lost = ran % job.spec.checkpoint_s if job.spec.checkpoint_s > 0 else ran
+        if job.due_at is not None:
+            # Whom it makes late is stopped last, and who is late anyway has nothing more to lose.
+            rest = max(
+                0.0, self._admission.estimates.seconds(job) - job.progress.get(victim.index, 0.0) - ran
+            )
+            slack = job.due_at - now - rest
+            if 0 <= slack < lost + self._ctx.times.lease_s:
+                lost += boot
+        return lost
+
+    def _gang_loss(self, victim: Attempt) -> float:
+        """Seconds of work that all tasks of a gang lose with one of them."""
+        job, now = victim.job, self._ctx.clock()
+        if victim.running_at is None:
+            return 0.0
+        ran = now - victim.running_at
+        if job.spec.checkpoint_s <= 0:
+            return ran * job.spec.tasks
+        silent_s = self._ctx.times.silent_s
+        # It saves its progress only if all of its machines can be told in time.
+        told = all(now - mate.machine.last_report <= silent_s for mate in job.active.values())
+        lost = min(ran, job.spec.save_s) if told else ran % job.spec.checkpoint_s
+        return lost * job.spec.tasks
+
+    def _unknown_use(self) -> Room:
+        """Room that may be in use on machines whose tasks we can't know: it counts for every team."""
+        total = NOTHING
+        for machine in self._ctx.fleet.machines.values():
+            if machine.name in self._attempts.unheard or machine.unknown_tasks:
+                total = plus(total, machine.capacity)
+        return total
+
+    def _start_some(self, job: Job, most: int, reserved: dict[str, Room], shared: bool) -> None:
+        """Start up to so many tasks beside reserved room; ``shared``: it is the same for all jobs."""
+        here = self._pass
+        used = self._ctx.fleet.used
+        if job.spec.team in here.held_teams:
+            return
+        searches: list[Search] = []
+        while most > 0:
+            index = job.next_pending()
+            if index is None:
+                return
+            mine = used.get(job.spec.team, [0.0, 0.0])
+            in_use = (mine[0] + here.extra[0], mine[1] + here.extra[1])
+            limited = not self._quotas.allows(job.spec.team, in_use, job.need)
+            # Room that the job itself has booked is free for it alone; at the limit no free room counts.
+            alike = shared or limited
+            claim = here.claim(job, limited, bool(reserved) and not limited)
+            if alike and claim in here.hopeless:
+                return
+            if limited:
+                choice = self._within_limit(job, in_use)
+            else:
+                if not searches or job.spec.one_zone:
+                    searches = self._searches(job, reserved)
+                choices = (self._choose(job, search) for search in searches)
+                choice = next((found for found in choices if found is not None), None)
+            if choice is None:
+                anywhere = not job.spec.one_zone and all(zone_allows(job, zone) for zone in here.zones)
+                if alike and anywhere:
+                    here.hopeless.add(claim)
+                return
+            most -= 1
+            self._start(job, index, choice)
+            for search in searches:
+                search.again(choice.machine)
+
+    def _searches(self, job: Job, reserved: dict[str, Room]) -> list[Search]:
+        """Where to look for places, in this order."""
+        here = self._pass
+        parts = [here.steady]
+        if len(here.steady) < len(here.machines):
+            parts.append(here.machines)
+        if job.spec.one_zone and not job.active:
+            parts = [self._home(job, machines, reserved) for machines in parts]
+        return [Search(self.placement, job, machines, reserved) for machines in parts]
+
+    def _choose(self, job: Job, search: Search) -> Choice | None:
+        """The best machine with room; else, or where its image would come too late, one that makes room."""
+        choice = search.best()
+        if self._ctx.clock() < job.preempts_again_at:
+            return choice
+        if choice is None:
+            return search.preempt()
+        wait = fetch_wait(choice.machine, job)
+        if self.placement.in_time(job, wait):
+            return choice
+        other = search.preempt(soon=True)
+        if other is None or any(victim.job.service for victim in other.victims):
+            return choice
+        # No more work may be lost than waiting is saved.
+        saved = wait - fetch_wait(other.machine, job)
+        return other if sum(self._loss(victim) for victim in other.victims) <= saved else choice
+
+    def _within_limit(self, job: Job, in_use: tuple[float, float]) -> Choice | None:
+        """At its team's limit, a job may still take the room of lower work of the team."""
+        for other in self._ctx.fleet.jobs.values():
+            if other.spec.team == job.spec.team and any(
+                attempt.stopping_at is not None for attempt in other.active.values()
+            ):
+                # One at a time: what is being stopped still counts, and would be made up for twice.
+                return None
+        owed = self._quotas.excess(job.spec.team, in_use, job.need)
+        places = self.placement.preemptible(job, self._pass.steady, owed)
+        return next((place[2] for place in places if zone_allows(job, place[2].machine.zone)), None)
+
+    @staticmethod
+    def _home(job: Job, machines: list[Machine], reserved: dict[str, Room]) -> list[Machine]:
+        """The machines of the zone with the most room, for a job that has to stay in one."""
+        rooms: dict[str, int] = {}
+        for machine in machines:
+            if may_use(job, machine):
+                rooms[machine.zone] = rooms.get(machine.zone, 0) + _room_for(job, machine, reserved)
+        best = max(rooms, key=lambda zone: (rooms[zone], zone), default=None)
+        return [machine for machine in machines if machine.zone == best]
+
+    def _start_gang(self, job: Job, reserved: dict[str, Room]) -> None:
+        """Start all pending tasks of a gang in one step, or none."""
+        gangs = self._attempts.gangs
+        if not gangs.may_start(job):
+            return
+        within_limit = self._gang_within_limit(job)
+        machines = self._gang_machines(job, reserved) if within_limit else None
+        if machines is not None:
+            for machine in machines:
+                index = job.next_pending()
+                if index is not None:
+                    self._start(job, index, Choice(machine))
+        elif gangs.state_of(job) is GangState.ASSEMBLING:
+            gangs.give_up(job, "no room for a replacement", self._ctx.clock())
+        elif self._waited_long(job, self._ctx.clock()):
+            self._hold_for_gang(job, within_limit)
+
+    def _gang_machines(self, job: Job, reserved: dict[str, Room]) -> list[Machine] | None:
+        """Machines for all pending tasks; those that did not get our commands lately only if need be."""
+        here = self._pass
+        chosen = self._gang_placement.choose(job, here.steady, reserved)
+        if chosen is None and len(here.steady) < len(here.machines):
+            chosen = self._gang_placement.choose(job, here.machines, reserved)
+        return chosen
+
+    def _gang_within_limit(self, job: Job) -> bool:
+        """Whether all pending tasks together stay within the team's limit."""
+        used = self._ctx.fleet.used.get(job.spec.team, [0.0, 0.0])
+        extra = self._pass.extra
+        all_but_one = job.pending - 1
+        total = (
+            used[0] + extra[0] + job.need[0] * all_but_one,
+            used[1] + extra[1] + job.need[1] * all_but_one,
+        )
+        return self._quotas.allows(job.spec.team, total, job.need)
+
+    def _hold_for_gang(self, job: Job, within_limit: bool) -> None:
+        """Keep freed room for a gang that has waited long, for a while at a time.
+
+        Smaller jobs would take each room that is released, and the gang would never find enough at once. Held
+        without end, a gang that nothing can serve would block all others.
+        """
+        waited_s = self._ctx.clock() - job.at - self._ctx.times.lease_s * _PATIENCE_LEASES
+        hold_s = self._ctx.settings.settings.workers.gang_wait_s
+        if int(waited_s / hold_s) % 2:
+            return
+        held = self._pass.held
+        if not within_limit:
+            self._pass.held_teams.add(job.spec.team)
+            return
+        machines = [machine for machine in self._pass.machines if may_use(job, machine)]
+        if job.spec.one_zone:
+            machines = self._home(job, machines, held)
+        for machine in machines:
+            room = _room_for(job, machine, held)
+            if room:
+                held[machine.name] = plus(held.get(machine.name, NOTHING), job.need, room)
+
+    def _start(self, job: Job, index: int, choice: Choice) -> None:
+        if self._await_gangs(job, choice):
+            return
+        attempt = self._attempts.start(job, index, choice.machine, choice.victims)
+        self.placement.take(choice)
+        self._admission.use_booking(job, choice.machine.name)
+        self._admission.book(attempt, 1.0)
+
+    def _await_gangs(self, job: Job, choice: Choice) -> bool:
+        """Whether a start has to wait for gangs among its victims, which are stopped whole and save first."""
+        gangs = [victim.job for victim in choice.victims if victim.job.gang]
+        if not gangs:
+            return False
+        now = self._ctx.clock()
+        for gang in gangs:
+            self._attempts.gangs.stop(gang, now)
+        saving_s = max(gang.spec.save_s for gang in gangs)
+        job.preempts_again_at = now + saving_s + 2 * self._ctx.times.report_s
+        return True
--- /dev/null
+++ b/src/poppyhold/leader_term.py
@@ -0,0 +1,306 @@
+"""One term of leading: the decision thread and what serves it."""
+
+from __future__ import annotations
+
+import logging
+import threading
+import time
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING, Any
+
+from poppyhold.authority import Authority
+from poppyhold.cancellations import Cancellation
+from poppyhold.cloud import CloudThread
+from poppyhold.context import Data, Hints, Passed, Times
+from poppyhold.controller import Controller
+from poppyhold.deputy import Deputies, Trust
+from poppyhold.election import Term
+from poppyhold.http import Answer, Deferred, answer
+from poppyhold.messages import MachineType, Report
+from poppyhold.peers import Pong
+from poppyhold.ranked_queue import DECISIONS, REPORTS, SUBMISSIONS, RankedQueue, Work
+from poppyhold.snapshot import Snapshot, read_snapshot
+from poppyhold.store import (
+    ACTIVE,
+    Committer,
+    Entry,
+    Refused,
+    Unit,
+    Unsure,
+    Watch,
+)
+from poppyhold.workers import Done, Senders
+
+if TYPE_CHECKING:
+    from poppyhold.service import Node
+
+log = logging.getLogger(__name__)
+
+
+class LeaderTerm:
+    """One term of leading: the decision thread and the edges that serve it."""
+
+    def __init__(self, node: Node, term: Term) -> None:
+        self._node, self._term = node, term
+        self.alive = True
+        limits, workers = node.settings.settings.machine_limits, node.settings.settings.workers
+        self._queue = RankedQueue(limits.max_sockets, workers.report_s / 100)
+        self._committer = Committer(node.store, node.settings, term.version, self._lost)
+        self._senders = Senders(node.settings)
+        self._cloud: CloudThread | None = None
+        self._watch: Watch | None = None
+        self._counts: dict[str, tuple[int, int]] = {}
+        self._hints: Hints = {}
+        times = Times(node.settings, node.options)
+        members = [node.settings.member, *(known.member for known in node.settings.known)]
+        self.authority = Authority(times.blind_answers_s, members, term.began_at)
+        self.deputies = Deputies(times, node.skew_s)
+        self.trust: Trust | None = None
+        self.controller = Controller(
+            node.settings, node.options, self, term.token, time.monotonic, time.time, node.rng
+        )
+        self._tick_s = node.settings.settings.workers.report_s / 4
+        self._ready = threading.Event()
+        self._thread = threading.Thread(target=self._run, name="decisions", daemon=True)
+        self._thread.start()
+
+    # -- the decision thread -------------------------------------------------------------------------
+
+    def _run(self) -> None:
+        try:
+            snapshot = self._read()
+        except Exception:
+            log.exception("could not read what is durable")
+            self._node.election.resign("the state could not be read")
+            return
+        if not self.alive:
+            return
+        self.controller.load(snapshot, self._node.machine_types.values(), dict(self._node.peer_hints))
+        self._cloud = CloudThread(
+            self._node.settings, self._node.cloud, self._on_machine_types, self._on_listed
+        )
+        self._watch = Watch(
+            self._node.store,
+            ACTIVE,
+            self._node.settings.settings.workers.lease_s / 5,
+            self._on_resync,
+            self._on_job,
+            on_synced=self._on_synced,
+        ).start()
+        log.info("rebuilt: %d jobs, %d machines", len(snapshot.active), len(snapshot.machines))
+        self._ready.set()
+        tick_at = time.monotonic()
+        while self.alive:
+            now = time.monotonic()
+            wake_at = tick_at
+            if self.controller.ctx.dirty and self.controller.settle_at > now:
+                wake_at = min(tick_at, self.controller.settle_at)
+            work = self._queue.get(max(0.0, wake_at - now))
+            try:
+                if work is not None:
+                    work()
+                if time.monotonic() >= tick_at:
+                    self.controller.tick()
+                    self._ask_ourselves()
+                    self._counts = self.controller.counts()
+                    self._hints = self.controller.hints()
+                    self._vouch()
+                    tick_at = time.monotonic() + self._tick_s
+                if not len(self._queue):
+                    self.controller.settle()
+            except Exception:
+                log.exception("decision")
+
+    def _read(self) -> Snapshot:
+        while self.alive:
+            try:
+                return read_snapshot(self._node.store)
+            except (Refused, Unsure) as error:
+                log.debug("reading: %s", error)
+                time.sleep(self._node.store.timeout / 4)
+        return Snapshot()
+
+    def _post(self, rank: int, work: Work) -> bool:
+        return self.alive and self._queue.put(rank, work)
+
+    def _on_resync(self, entries: list[Entry]) -> None:
+        self._post(DECISIONS, lambda: self.controller.resync(entries))
+
+    def _on_job(self, change: Entry | str, version: int) -> None:
+        if isinstance(change, Entry):
+            self._post(SUBMISSIONS, lambda: self.controller.job_set(change))
+        else:
+            # A cancellation is not a submission: it is acted on with the decisions.
+            self._post(DECISIONS, lambda: self.controller.job_removed(change))
+
+    def _on_synced(self, asked: float, ledger: int) -> None:
+        # In line behind the changes that it stands for.
+        self._post(DECISIONS, lambda: self.authority.synced(asked, ledger))
+
+    def told(self, pong: Pong, asked: float) -> None:
+        """Another controller answered which cancellations it told."""
+        self._post(DECISIONS, lambda: self._act_on(pong.member, pong.cancelled, pong.bound, asked))
+
+    def _act_on(self, member: str, cancelled: Iterable[Cancellation], bound: int, asked: float) -> None:
+        """Stop what a controller told as cancelled: it is durable, whether or not we can see it there."""
+        for job_id, _ in cancelled:
+            self.controller.job_removed(ACTIVE + job_id)
+        self.authority.learned(member, asked, bound)
+
+    def _ask_ourselves(self) -> None:
+        """What our own users' edge told may not have come back to us when the state service refuses us."""
+        asked = time.monotonic()
+        self._node.users.cancellations.known(self.authority.ledger)
+        named, bound = self._node.cancellations_told()
+        self._act_on(self._node.settings.member, named, bound, asked)
+
+    def _vouch(self) -> None:
+        """Note what the other controllers may count on, should they lose us."""
+        sure_at = min(self.authority.synced_at, self.confirmed_at())
+        excluded_machines = self.controller.excluded_machines()
+        if excluded_machines is None or sure_at == float("-inf"):
+            self.trust = None
+            return
+        known_wall = time.time() - (time.monotonic() - sure_at)
+        self.trust = Trust(self.controller.ctx.token, known_wall, excluded_machines)
+
+    def _on_machine_types(self, machine_types: list[MachineType]) -> None:
+        self._node.learn_machine_types(machine_types, publish=True)
+        self._post(DECISIONS, lambda: self.controller.machine_types(machine_types))
+
+    def _on_listed(self, boxes: list[Any]) -> None:
+        self._post(DECISIONS, lambda: self.controller.listed(boxes))
+
+    def _lost(self) -> None:
+        self._node.election.deposed("a write was refused under our key")
+
+    def stop(self) -> None:
+        """End the term: nothing of it is answered or sent from now on."""
+        self.alive = False
+        self._committer.stop()
+        self._senders.stop()
+        if self._cloud is not None:
+            self._cloud.stop()
+        if self._watch is not None:
+            self._watch.stop()
+        # Reports that still wait are turned away.
+        for work in self._queue.close():
+            work()
+
+    # -- reports -------------------------------------------------------------------------------------
+
+    def handle_report(self, report: Report, timeout: float) -> Deferred | None:
+        """Have a report answered by the decision thread; None if that can't be."""
+        # A worker that is turned away comes back a second later, when its lease may be over: while the
+        # fleet's state is read it had better wait.
+        if not self._ready.wait(timeout):
+            return None
+        # Nobody waits for the answer behind this: work on it would only hold up the reports that come after.
+        late_at = time.monotonic() + timeout
+
+        def defer(send: Callable[[Answer], None]) -> None:
+            def work() -> None:
+                reply: Data | None = None
+                try:
+                    if self.alive and time.monotonic() < late_at and self.may_answer():
+                        reply = self.controller.handle_report(report)
+                finally:
+                    send(answer(200, reply) if reply is not None else self._node.turned_away())
+
+            if not self._post(REPORTS, work):
+                send(self._node.turned_away())
+
+        return defer
+
+    def may_answer(self) -> bool:
+        """Whether workers may be given another lease."""
+        return self.authority.may_answer(time.monotonic(), self.confirmed_at())
+
+    def counts(self) -> dict[str, tuple[int, int]]:
+        """Done and running tasks by job, as of the last tick."""
+        return self._counts
+
+    def hints(self) -> Hints:
+        """The machines' images, as of the last tick."""
+        return self._hints
+
+    # -- the edges of the core -----------------------------------------------------------------------
+
+    def commit(
+        self,
+        conditions: dict[str, int],
+        writes: list[Data],
+        done: Callable[[bool], None],
+        first: bool = False,
+    ) -> None:
+        """See `Edges`."""
+
+        def durable(result: bool) -> None:
+            self._post(DECISIONS, lambda: done(result))
+
+        self._committer.submit(Unit(conditions, writes, durable), first)
+
+    def do(self, box: str, endpoint: str, body: Data, done: Done, patient: bool) -> None:
+        """See `Edges`."""
+
+        def answered(outcome: str, report: Report | None) -> None:
+            self._post(DECISIONS, lambda: done(outcome, report))
+
+        self._senders.send(endpoint, body, answered, patient)
+
+    def hire(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
+        """See `Edges`."""
+
+        def answered(outcome: str, boxes: list[str]) -> None:
+            self._post(DECISIONS, lambda: done(outcome, boxes))
+
+        if self._cloud is not None:
+            self._cloud.hire(body, answered)
+
+    def delete(self, names: list[str], done: Callable[[bool], None]) -> None:
+        """See `Edges`."""
+
+        def deleted(result: bool) -> None:
+            self._post(DECISIONS, lambda: done(result))
+
+        if self._cloud is not None:
+            self._cloud.delete(names, deleted)
+
+    def deposed(self, token: int) -> None:
+        """See `Edges`."""
+        self._node.election.saw_token(token)
+
+    def raised(self, token: int) -> None:
+        """See `Edges`."""
+        self._node.election.raised(token)
+
+    def resign(self, why: str) -> None:
+        """See `Edges`."""
+        threading.Thread(target=self._node.election.resign, args=(why,), daemon=True).start()
+
+    def over(self, job_id: str, status: str, tasks: int) -> None:
+        """See `Edges`."""
+        self._node.users.finals.put(job_id, (status, tasks))
+
+    def passed_on(self) -> list[list[Passed]]:
+        """See `Edges`."""
+        return [view.passed for view in self._node.peers.views.values()]
+
+    def may_start(self) -> bool:
+        """See `Edges`."""
+        election = self._node.election
+        now = time.monotonic()
+        # Both our lead and our knowledge of cancellations must be fresh.
+        return (
+            self.alive
+            and now - election.confirmed_at < election.life_s
+            and now - self.authority.synced_at < election.life_s * 2
+        )
+
+    def confirmed_at(self) -> float:
+        """See `Edges`."""
+        return self._node.election.confirmed_at if self.alive else float("-inf")
+
+    def deputies_until(self) -> float:
+        """See `Edges`."""
+        return self.deputies.until(time.monotonic())
--- /dev/null
+++ b/src/poppyhold/machine_types.py
@@ -0,0 +1,34 @@
+"""The durable copy of the cloud's machine types, for nodes that start while the cloud is away."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+import msgspec
+
+from poppyhold.messages import MachineType, MachineTypes, convert
+from poppyhold.store import MACHINE_TYPES, MORE_MACHINE_TYPES, Data, Store, put, stored_bytes
+
+
+def machine_type_records(machine_types: Iterable[MachineType], most_bytes: int) -> list[Data]:
+    """The writes that make machine types durable: as many in the first record as fit, the rest in more."""
+    records: list[Data] = []
+    held: list[Data] = []
+    for machine_type in machine_types:
+        data: Data = msgspec.to_builtins(machine_type)
+        if held and stored_bytes({"builds": [*held, data]}) > most_bytes:
+            records.append({"builds": held})
+            held = []
+        held.append(data)
+    records.append({"builds": held})
+    keys = [MACHINE_TYPES, *(f"{MORE_MACHINE_TYPES}{number}" for number in range(1, len(records)))]
+    return [put(key, record) for key, record in zip(keys, records, strict=True)]
+
+
+def read_machine_types(store: Store) -> list[MachineType] | None:
+    """The stored machine types, or None if none were stored yet."""
+    first = store.get(MACHINE_TYPES)
+    if first is None:
+        return None
+    records = [first, *store.scan(MORE_MACHINE_TYPES)[0]]
+    return [known for record in records for known in convert(record.data, MachineTypes).machine_types]
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -11,6 +11,7 @@
 
 from poppyhold.completions import Layout, decode_bits
 from poppyhold.fleet import make_job
+from poppyhold.machine_types import machine_type_records
 from poppyhold.messages import (
     MachineType,
     MachineTypes,
@@ -21,7 +22,6 @@
     parse_submission,
 )
 from poppyhold.options import load_options, parse_options
-from poppyhold.service import machine_type_records
 from poppyhold.settings import ConfigError, NextState, State, Team, load_settings
 from poppyhold.store import DONE_STRETCHES, DONE_TASKS, MACHINE_TYPES, MORE_MACHINE_TYPES
 from world import World, submission
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -120,18 +120,18 @@
     fleet.run(3.0)
     leader = fleet.leader()
     assert leader is not None and leader.leader_term is not None
-    admission = leader.leader_term.controller.admission
+    dispatcher = leader.leader_term.controller.dispatcher
     ticking = itertools.count(fleet.now, 0.02)
     started: list[str] = []
-    admission._ctx.clock = lambda: next(ticking)
-    admission._start_unplanned = lambda job, reserved: started.append(job.id)  # type: ignore[method-assign]
+    dispatcher._ctx.clock = lambda: next(ticking)
+    dispatcher._start_unplanned = lambda job, reserved: started.append(job.id)  # type: ignore[method-assign]
     for number in range(1, 7):
         fleet.submit(world.submission(f"job-{number:06d}", {}))
         key = f"{ACTIVE}job-{number:06d}"
         leader.leader_term.controller.job_set(Entry(key, *fleet.state.keys[key][:2]))
-    for job in admission._ctx.fleet.jobs.values():
+    for job in dispatcher._ctx.fleet.jobs.values():
         job.plan_durable = True
         job.admitted = False
     for _ in range(8):
-        admission.dispatch(True)
+        dispatcher.dispatch(True)
     assert set(started) == {f"job-{number:06d}" for number in range(1, 7)}
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -9,12 +9,12 @@
 import pytest
 
 import mix
-from poppyhold.admission import Admission, Pass
 from poppyhold.attempts import Attempts
 from poppyhold.authority import Authority
 from poppyhold.cancellations import Cancellations
 from poppyhold.controller import Controller
 from poppyhold.deputy import Deputies, Deputy
+from poppyhold.dispatch import Dispatcher, Pass
 from poppyhold.fleet import DONE, NOTHING, Job, Machine, Room, how_many
 from poppyhold.gang_placement import GangPlacement
 from poppyhold.gangs import Gangs, GangState
@@ -401,7 +401,7 @@
     ("zone_cut", Deputy, "may_answer", _never),
     ("zone_cut_long", Deputies, "until", _long_ago),
     ("cancelled_before_the_cut", Controller, "excluded_machines", _nobody),
-    ("limit_and_cancelled", Admission, "_unknown_use", _no_room),
+    ("limit_and_cancelled", Dispatcher, "_unknown_use", _no_room),
     ("mute_machines_and_copies", Hiring, "_lost_to_others", _all_of_them),
     ("deaf_machine", Attempts, "_ignores_answers", _never),
     ("gap", Cancellations, "named", _told_nothing),
@@ -413,9 +413,9 @@
     ("gang_gives_up_its_room", Gangs, "give_up", _never),
     ("gang_alone", Gangs, "_avoid_late_machines", _never),
     ("gang_recall", Gangs, "stop", _kill),
-    ("gang_preempted", Admission, "_await_gangs", _never),
-    ("gang_not_starved", Admission, "_hold_for_gang", _never),
-    ("gang_team_limit", Admission, "_hold_for_gang", _never),
+    ("gang_preempted", Dispatcher, "_await_gangs", _never),
+    ("gang_not_starved", Dispatcher, "_hold_for_gang", _never),
+    ("gang_team_limit", Dispatcher, "_hold_for_gang", _never),
     ("gang_half_sent", Gangs, "adopt", _never),
     ("gang_done_by_one_report", Job, "complete", _complete_one),
     ("gang_unsure_start", Attempts, "raise_token", _always),
--- a/tests/world.py
+++ b/tests/world.py
@@ -16,7 +16,7 @@
 from gang_standin import GangStandIn
 from poppyhold.authority import Authority
 from poppyhold.context import OK, REFUSED, UNSENT, UNSURE, Passed, Times
-from poppyhold.controller import Controller, Snapshot
+from poppyhold.controller import Controller
 from poppyhold.deputy import Deputies, Deputy, Trust
 from poppyhold.http import Answer
 from poppyhold.messages import Listed, MachineType, Report, convert, encode, parse_report
@@ -24,14 +24,10 @@
 from poppyhold.settings import Cloud as CloudLimits
 from poppyhold.settings import Deployment as DeploymentSettings
 from poppyhold.settings import Known, NextState, Outside, Settings, State, Team, Workers
+from poppyhold.snapshot import read_snapshot
 from poppyhold.store import (
     ACTIVE,
-    DONE_STRETCHES,
-    DONE_TASKS,
-    HIRE,
     LEAD,
-    MACHINE,
-    PLAN,
     TOKEN,
     Conflict,
     Entry,
@@ -39,7 +35,6 @@
     Store,
     Unsure,
     Writer,
-    grouped,
     put,
 )
 from poppyhold.users import Users
@@ -128,22 +123,15 @@
         self.controller = Controller(
             world.settings, Options(), self, baton, lambda: world.now, lambda: world.now, world.rng
         )
-        admission = self.controller.admission
-        self._count_calls("passes", admission, "dispatch")
-        self._count_calls("plans", admission.planner, "plan")
-        self._count_calls("searches", admission.placement, "free")
-        self._count_calls("searches", admission.placement, "preemptible")
-        store = node.store
-        active, ledger = store.scan(ACTIVE)
-        self.authority.synced(world.now, ledger)
-        snapshot = Snapshot(
-            active,
-            grouped(store.scan(PLAN)[0], PLAN),
-            {prefix: grouped(store.scan(prefix)[0], prefix) for prefix in (DONE_TASKS, DONE_STRETCHES)},
-            grouped(store.scan(HIRE)[0], HIRE),
-            grouped(store.scan(MACHINE)[0], MACHINE),
+        dispatcher = self.controller.dispatcher
+        self._count_calls("passes", dispatcher, "dispatch")
+        self._count_calls("plans", self.controller.admission.planner, "plan")
+        self._count_calls("searches", dispatcher.placement, "free")
+        self._count_calls("searches", dispatcher.placement, "preemptible")
+        self.authority.synced(world.now, node.store.scan(ACTIVE)[1])
+        self.controller.load(
+            read_snapshot(node.store), [convert(b, MachineType) for b in world.cloud.machine_types]
         )
-        self.controller.load(snapshot, [convert(b, MachineType) for b in world.cloud.machine_types])
         self.next_list = world.now
         self.woken_at = world.now
 
