--- a/src/poppyhold/authority.py
+++ b/src/poppyhold/authority.py
@@ -19,18 +19,18 @@
         self._clear_at = {member: float("-inf") for member in members}
         # Every change before this moment, and up to this revision, has been acted on.
         self.synced_at = began_at
-        self.ledger = -1
+        self.revision = -1
 
-    def synced(self, asked: float, ledger: int) -> None:
+    def synced(self, asked: float, revision: int) -> None:
         """All that the state service told of when it was asked is acted on."""
-        self.synced_at, self.ledger = asked, ledger
+        self.synced_at, self.revision = asked, revision
 
     def learned(self, member: str, asked: float, bound: int) -> None:
         """What a controller named when it was asked is acted on; all else that it told came by ``bound``.
 
         The moment of the question counts: between its answer and now the controller may have told more.
         """
-        if 0 <= bound <= self.ledger:
+        if 0 <= bound <= self.revision:
             self._clear_at[member] = max(asked, self._clear_at[member])
 
     def known_until(self, confirmed_at: float) -> float:
--- a/src/poppyhold/cancellations.py
+++ b/src/poppyhold/cancellations.py
@@ -32,10 +32,10 @@
                 oldest = next(iter(self._named))
                 self._unnamed = max(self._unnamed, self._named.pop(oldest))
 
-    def known(self, ledger: int) -> None:
+    def known(self, acted_on: int) -> None:
         """A leader knows every change up to this revision: no need to name those."""
         with self._lock:
-            for job_id in [job_id for job_id, revision in self._named.items() if revision <= ledger]:
+            for job_id in [job_id for job_id, revision in self._named.items() if revision <= acted_on]:
                 self._unnamed = max(self._unnamed, self._named.pop(job_id))
 
     def named(self, first: int) -> tuple[list[Cancellation], int]:
--- a/src/poppyhold/election.py
+++ b/src/poppyhold/election.py
@@ -11,19 +11,8 @@
 
 from poppyhold.options import Options
 from poppyhold.settings import Settings
-from poppyhold.store import (
-    LEAD,
-    LEAD_PREFIX,
-    TOKEN,
-    Conflict,
-    Entry,
-    Gone,
-    Refused,
-    Store,
-    Unsure,
-    Watch,
-    put,
-)
+from poppyhold.store import LEAD, LEAD_PREFIX, TOKEN, Conflict, Entry, Gone, Refused, Store, Unsure, put
+from poppyhold.watch import Watch
 
 log = logging.getLogger(__name__)
 
--- a/src/poppyhold/leader_term.py
+++ b/src/poppyhold/leader_term.py
@@ -11,6 +11,7 @@
 from poppyhold.authority import Authority
 from poppyhold.cancellations import Cancellation
 from poppyhold.cloud import CloudThread
+from poppyhold.committer import Committer, Unit
 from poppyhold.context import Data, Hints, Passed, Times
 from poppyhold.controller import Controller
 from poppyhold.deputy import Deputies, Trust
@@ -20,15 +21,8 @@
 from poppyhold.peers import Pong
 from poppyhold.ranked_queue import DECISIONS, REPORTS, SUBMISSIONS, RankedQueue, Work
 from poppyhold.snapshot import Snapshot, read_snapshot
-from poppyhold.store import (
-    ACTIVE,
-    Committer,
-    Entry,
-    Refused,
-    Unit,
-    Unsure,
-    Watch,
-)
+from poppyhold.store import ACTIVE, Entry, Refused, Unsure
+from poppyhold.watch import Watch
 from poppyhold.workers import Done, Senders
 
 if TYPE_CHECKING:
@@ -133,9 +127,9 @@
             # A cancellation is not a submission: it is acted on with the decisions.
             self._post(DECISIONS, lambda: self.controller.job_removed(change))
 
-    def _on_synced(self, asked: float, ledger: int) -> None:
+    def _on_synced(self, asked: float, revision: int) -> None:
         # In line behind the changes that it stands for.
-        self._post(DECISIONS, lambda: self.authority.synced(asked, ledger))
+        self._post(DECISIONS, lambda: self.authority.synced(asked, revision))
 
     def told(self, pong: Pong, asked: float) -> None:
         """Another controller answered which cancellations it told."""
@@ -150,7 +144,7 @@
     def _ask_ourselves(self) -> None:
         """What our own users' edge told may not have come back to us when the state service refuses us."""
         asked = time.monotonic()
-        self._node.users.cancellations.known(self.authority.ledger)
+        self._node.users.cancellations.known(self.authority.revision)
         named, bound = self._node.cancellations_told()
         self._act_on(self._node.settings.member, named, bound, asked)
 
--- a/src/poppyhold/service.py
+++ b/src/poppyhold/service.py
@@ -176,7 +176,7 @@
         workers = len(self._workers_passed_on())
         leader_term = self._leader_term
         trust = leader_term.trust if leader_term is not None and leader_term.alive else None
-        known = leader_term.authority.ledger if leader_term is not None else -1
+        known = leader_term.authority.revision if leader_term is not None else -1
         named, unnamed = self.cancellations_told()
         told = unnamed if unnamed < 0 else max([unnamed, *(revision for _, revision in named)])
         token = term.token if term else 0
@@ -186,7 +186,7 @@
 
     def cancellations_told(self) -> tuple[list[Cancellation], int]:
         """Cancellations that we told users of, as `Cancellations.named` says."""
-        return self.users.cancellations.named(self.election.watch.first_ledger)
+        return self.users.cancellations.named(self.election.watch.first_revision)
 
     def _reply(self, ping: Ping) -> Pong:
         self._on_ping(ping)
--- a/src/poppyhold/users.py
+++ b/src/poppyhold/users.py
@@ -210,12 +210,12 @@
                 continue
             try:
                 tasks = entry.data["spec"]["chores"]
-                ledger = self._store.commit(
+                revision = self._store.commit(
                     {ACTIVE + job_id: entry.version}, final_writes(job_id, "cancelled", tasks)
                 )
             except (Conflict, Unsure):
                 # It moved, or may have: look again.
                 continue
-            self._keep_final(job_id, ("cancelled", tasks), ledger)
+            self._keep_final(job_id, ("cancelled", tasks), revision)
             return answer(200, {"nameId": job_id, "status": "cancelled"})
         return self._later()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,18 +10,16 @@
 
 import pytest
 
+from poppyhold.committer import Committer, Unit, Writer
 from poppyhold.store import (
     LEAD,
     PLAN,
     TOKEN,
-    Committer,
     Conflict,
     Entry,
     Refused,
     Store,
-    Unit,
     Unsure,
-    Writer,
     put,
 )
 from standins import StateStandIn
@@ -110,7 +108,7 @@
     settings = World(1, 10.0, 30.0, []).settings
     pauses: list[float] = []
     clock = SimpleNamespace(monotonic=time.monotonic, sleep=pauses.append)
-    monkeypatch.setattr("poppyhold.store.time", clock)
+    monkeypatch.setattr("poppyhold.committer.time", clock)
     store = Fickle()
     stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
     store.fates.extend(["refused"] * 12)
--- a/tests/world.py
+++ b/tests/world.py
@@ -15,6 +15,7 @@
 
 from gang_standin import GangStandIn
 from poppyhold.authority import Authority
+from poppyhold.committer import Writer
 from poppyhold.context import OK, REFUSED, UNSENT, UNSURE, Passed, Times
 from poppyhold.controller import Controller
 from poppyhold.deputy import Deputies, Deputy, Trust
@@ -25,18 +26,7 @@
 from poppyhold.settings import Deployment as DeploymentSettings
 from poppyhold.settings import Known, NextState, Outside, Settings, State, Team, Workers
 from poppyhold.snapshot import read_snapshot
-from poppyhold.store import (
-    ACTIVE,
-    LEAD,
-    TOKEN,
-    Conflict,
-    Entry,
-    Refused,
-    Store,
-    Unsure,
-    Writer,
-    put,
-)
+from poppyhold.store import ACTIVE, LEAD, TOKEN, Conflict, Entry, Refused, Store, Unsure, put
 from poppyhold.users import Users
 from standins import CloudStandIn, StateStandIn, WorkerStandIn
 
@@ -347,7 +337,7 @@
         self.store = SimStore(self)
         self.leader_term = None
         # First revision that this process saw.
-        self.first_ledger = -1
+        self.first_revision = -1
         self.passed_on: dict[str, tuple[float, Passed]] = {}
         self.deputy = Deputy(self.times, 0.0, lambda: self.world.now, lambda: self.world.now)
         builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
@@ -399,8 +389,8 @@
                 self._lead(self.leader_term)
             elif world.now >= self.resting_until:
                 self._campaign()
-            if self.first_ledger < 0:
-                self.first_ledger = self.store.scan(LEAD)[1]
+            if self.first_revision < 0:
+                self.first_revision = self.store.scan(LEAD)[1]
         except (Refused, Unsure, Conflict):
             pass
         self._ask_peers()
@@ -420,7 +410,7 @@
             self.step_down()
             return
         leader_term.confirmed = asked
-        for event in world.state.changes(ACTIVE, leader_term.authority.ledger):
+        for event in world.state.changes(ACTIVE, leader_term.authority.revision):
             if "set" in event:
                 leader_term.controller.job_set(Entry(event["set"], event["data"], event["stamp"]))
             else:
@@ -470,8 +460,8 @@
 
     def tell(self, leader: SimLeaderTerm) -> None:
         """Tell a leader which cancellations were told here, as peers' messages do."""
-        self.users.cancellations.known(leader.authority.ledger)
-        named, bound = self.users.cancellations.named(self.first_ledger)
+        self.users.cancellations.known(leader.authority.revision)
+        named, bound = self.users.cancellations.named(self.first_revision)
         for job_id, _ in named:
             leader.controller.job_removed(ACTIVE + job_id)
         leader.authority.learned(self.member, self.world.now, bound)
