--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -54,6 +54,18 @@
                 words = line[2:]
             getattr(self, f"do_{words[0]}")(*words[1:])
 
+    def do_old(self, which: str) -> None:
+        """The nodes run the version before, as far as it stores otherwise, also when they come back."""
+        for node in self._nodes(which):
+            node.is_old()
+            node.boot()
+
+    def do_upgrade(self, which: str) -> None:
+        """The nodes are killed and come back with the new version."""
+        for node in self._nodes(which):
+            node.settings = self.world.settings
+            node.crash(3.0)
+
     def do_lower_limits(self) -> None:
         """The state service takes on the limits that were announced."""
         limits = self.world.settings.settings.state.lowest
--- a/tests/world.py
+++ b/tests/world.py
@@ -111,7 +111,7 @@
         self._writer = Writer(node.store, stamp)
         self._units: deque[tuple[dict[str, int], list[Data], Callable[[bool], None]]] = deque()
         self.controller = Controller(
-            world.settings, Options(), self, baton, lambda: world.now, lambda: world.now, world.rng
+            node.settings, Options(), self, baton, lambda: world.now, lambda: world.now, world.rng
         )
         dispatcher = self.controller.dispatcher
         self._count_calls("passes", dispatcher, "dispatch")
@@ -318,6 +318,7 @@
     def __init__(self, world: World, member: str) -> None:
         self.world, self.member = world, member
         self.zone = ZONES[world.members.index(member) % len(ZONES)]
+        self.settings = world.settings
         self.times = Times(world.settings, Options())
         self.alive = True
         self.refused = False
@@ -341,9 +342,15 @@
         self.passed_on: dict[str, tuple[float, Passed]] = {}
         self.deputy = Deputy(self.times, 0.0, lambda: self.world.now, lambda: self.world.now)
         builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
-        self.users = Users(
-            self.world.settings, self.store, lambda: builds, self._count, lambda: self.world.now
+        self.users = Users(self.settings, self.store, lambda: builds, self._count, lambda: self.world.now)
+
+    def is_old(self) -> None:
+        """From its next process on it stores as the version before did, which knows of no limits to come."""
+        deployment = msgspec.structs.replace(
+            self.world.settings.settings,
+            state=msgspec.structs.replace(self.settings.settings.state, next=None),
         )
+        self.settings = msgspec.structs.replace(self.world.settings, settings=deployment)
 
     def _count(self, job_id: str) -> tuple[int, int] | None:
         return self.leader_term.controller.counts().get(job_id) if self.leader_term else None
