--- a/src/poppyhold/dispatch.py
+++ b/src/poppyhold/dispatch.py
@@ -60,7 +60,7 @@
             if objective.kind == "wait" and objective.job_class is not None and objective.within_s is not None
         }
         self.placement = Placement(aims, self._loss)
-        self._gang_placement = GangPlacement(self.placement.in_time)
+        self._gang_placement = GangPlacement(self.placement)
         self._pass = Pass([], [], NOTHING)
         # Jobs that passes which were broken off came to.
         self._looked_at: set[str] = set()
@@ -293,24 +293,29 @@
         if not gangs.may_start(job):
             return
         within_limit = self._gang_within_limit(job)
-        machines = self._gang_machines(job, reserved) if within_limit else None
-        if machines is not None:
-            for machine in machines:
+        choices = self._gang_choices(job, reserved) if within_limit else None
+        if choices is not None:
+            for choice in choices:
                 index = job.next_pending()
                 if index is not None:
-                    self._start(job, index, Choice(machine))
+                    self._start(job, index, choice)
         elif gangs.state_of(job) is GangState.ASSEMBLING:
             gangs.give_up(job, "no room for a replacement", self._ctx.clock())
         elif self._waited_long(job, self._ctx.clock()):
             self._hold_for_gang(job, within_limit)
 
-    def _gang_machines(self, job: Job, reserved: dict[str, Room]) -> list[Machine] | None:
-        """Machines for all pending tasks; those that did not get our commands lately only if need be."""
+    def _gang_choices(self, job: Job, reserved: dict[str, Room]) -> list[Choice] | None:
+        """A machine for each pending task, if need be those that did not get our commands lately.
+
+        Where all of the gang's room is not free, lower work makes room: for all of it, or none is stopped.
+        """
         here = self._pass
         chosen = self._gang_placement.choose(job, here.steady, reserved)
         if chosen is None and len(here.steady) < len(here.machines):
             chosen = self._gang_placement.choose(job, here.machines, reserved)
-        return chosen
+        if chosen is not None:
+            return [Choice(machine) for machine in chosen]
+        return self._gang_placement.make_room(job, here.steady, reserved)
 
     def _gang_within_limit(self, job: Job) -> bool:
         """Whether all pending tasks together stay within the team's limit."""
--- a/src/poppyhold/gang_placement.py
+++ b/src/poppyhold/gang_placement.py
@@ -2,15 +2,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Iterable, Iterator
 
 import msgspec
 
-from poppyhold.fleet import NOTHING, Job, Machine, Room, how_many, plus, zone_limit
-from poppyhold.placement import fetch_wait, may_use
+from poppyhold.fleet import NOTHING, Attempt, Job, Machine, Room, how_many, plus, zone_limit
+from poppyhold.placement import Choice, Placement, fetch_wait, may_use
 
-# Whether a task that waits so long for its image starts within what its users expect.
-InTime = Callable[[Job, float], bool]
 # A machine and how many tasks have room on it.
 Option = tuple[int, Machine]
 
@@ -37,11 +35,21 @@
     return cpus, 0.0, memory
 
 
+class RoomMade(msgspec.Struct, eq=False):
+    """Room for some tasks on a machine, with the attempts that must be stopped first."""
+
+    machine: Machine
+    count: int
+    victims: list[Attempt]
+    # Seconds that are lost by the stops, for each task that starts.
+    cost: float
+
+
 class GangPlacement:
     """Chooses machines for gangs within one pass over the jobs that wait."""
 
-    def __init__(self, in_time: InTime) -> None:
-        self._in_time = in_time
+    def __init__(self, placement: Placement) -> None:
+        self._placement = placement
         self._companions = NOTHING
 
     def begin(self, jobs: Iterable[Job]) -> None:
@@ -58,6 +66,62 @@
                 found.append(candidate)
         return min(found, key=Candidate.cost).machines if found else None
 
+    def make_room(self, job: Job, machines: list[Machine], reserved: dict[str, Room]) -> list[Choice] | None:
+        """A machine for each pending task where lower work makes room for all of them, least loss first."""
+        usable = [machine for machine in machines if may_use(job, machine)]
+        found: list[tuple[float, list[Choice]]] = []
+        for group in self._zone_groups(job, usable):
+            made = (self._room_made(job, machine, reserved, job.pending) for machine in group)
+            chosen = self._cheapest(job, [room for room in made if room is not None], reserved)
+            if chosen is not None:
+                found.append(chosen)
+        return min(found, key=lambda entry: entry[0])[1] if found else None
+
+    def _room_made(self, job: Job, machine: Machine, reserved: dict[str, Room], most: int) -> RoomMade | None:
+        """Room for up to so many tasks, with no more stops than that takes."""
+        free = machine.free
+        if machine.name in reserved:
+            free = plus(free, reserved[machine.name], -1.0)
+        count = how_many(job.need, free, most)
+        victims: list[Attempt] = []
+        lost = 0.0
+        stops: list[Attempt] = []
+        for attempt in self._placement.stoppable_on(job, machine):
+            if count >= most:
+                break
+            free = plus(free, attempt.job.need)
+            stops.append(attempt)
+            more = how_many(job.need, free, most)
+            if more > count:
+                count = more
+                victims += stops
+                lost += sum(self._placement.loss(victim) for victim in stops)
+                stops = []
+        return RoomMade(machine, count, victims, lost / count) if count else None
+
+    def _cheapest(
+        self, job: Job, rooms: list[RoomMade], reserved: dict[str, Room]
+    ) -> tuple[float, list[Choice]] | None:
+        left = job.pending
+        total = 0.0
+        chosen: list[Choice] = []
+        zones = dict(job.zones)
+        limit = zone_limit(job.spec)
+        for room in sorted(rooms, key=lambda room: (room.cost, -room.count)):
+            take = min(room.count, left, limit - zones.get(room.machine.zone, 0))
+            if take <= 0:
+                continue
+            needed = room if take == room.count else self._room_made(job, room.machine, reserved, take)
+            if needed is None:
+                continue
+            zones[room.machine.zone] = zones.get(room.machine.zone, 0) + take
+            # All stops come before the first start on the machine.
+            chosen.append(Choice(room.machine, needed.victims))
+            chosen += [Choice(room.machine) for _ in range(take - 1)]
+            total += needed.cost * take
+            left -= take
+        return None if left else (total, chosen)
+
     @staticmethod
     def _zone_groups(job: Job, machines: list[Machine]) -> Iterator[list[Machine]]:
         """The sets of machines that the gang may be spread over."""
@@ -112,6 +176,9 @@
                 left -= take
         return None if left else chosen
 
+    def _best(self, job: Job, options: list[Option], left: int) -> Option:
+        return min(options, key=lambda option: self._rank(job, option, left))
+
     def _rank(self, job: Job, option: Option, left: int) -> tuple[object, ...]:
         """Machines that come first are those that hold all tasks that are left, or else the most of them."""
         count, machine = option
@@ -119,7 +186,7 @@
         holds_all = count >= left
         return (
             machine.name in job.failed_on,
-            not self._in_time(job, wait),
+            not self._placement.in_time(job, wait),
             not holds_all,
             machine.spot,
             not machine.attempts,
--- a/src/poppyhold/placement.py
+++ b/src/poppyhold/placement.py
@@ -244,6 +244,21 @@
         found.sort(key=lambda entry: entry[:2])
         return found
 
+    def stoppable_on(self, job: Job, machine: Machine) -> list[Attempt]:
+        """What the job may preempt on a machine where nothing was stopped in this pass, least loss first."""
+        if machine.name in self._freed or not may_use(job, machine):
+            return []
+        found = [attempt for attempt in self._candidates(job).get(machine.name, ()) if not attempt.job.gang]
+        found.sort(key=self._least_loss)
+        return found
+
+    def _least_loss(self, attempt: Attempt) -> tuple[int, float, float]:
+        return -attempt.job.rank, self._loss(attempt), -attempt.sent_at
+
+    def loss(self, attempt: Attempt) -> float:
+        """Seconds of work, or of waiting, that are lost with an attempt."""
+        return self._loss(attempt)
+
     def _candidates(self, job: Job) -> dict[str, list[Attempt]]:
         """What the job may preempt, by machine. Within a pass it only gets less."""
         claim = (job.spec.team, job.rank, job.guaranteed)
@@ -297,7 +312,7 @@
             most = plus(most, attempt.job.need)
         if not fits(job.need, most):
             return None
-        left.sort(key=lambda a: (-a.job.rank, self._loss(a), -a.sent_at))
+        left.sort(key=self._least_loss)
         chosen: list[Attempt] = []
         cpus, gpus = owed or (0.0, 0.0)
         for attempt in left:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -425,6 +425,7 @@
     ("gang_gives_up_its_room", Gangs, "give_up", _never),
     ("gang_alone", Gangs, "_avoid_late_machines", _never),
     ("gang_recall", Gangs, "stop", _kill),
+    ("gang_preempts", GangPlacement, "make_room", _never),
     ("gang_preempted", Dispatcher, "_await_gangs", _never),
     ("gang_not_starved", Dispatcher, "_hold_for_gang", _never),
     ("gang_team_limit", Dispatcher, "_hold_for_gang", _never),
