--- a/src/poppyhold/gang_placement.py
+++ b/src/poppyhold/gang_placement.py
@@ -166,7 +166,7 @@
         zones = dict(job.zones)
         limit = zone_limit(job.spec)
         while left and options:
-            best = min(options, key=lambda option: self._rank(job, option, left))
+            best = self._best(job, options, left)
             options.remove(best)
             count, machine = best
             take = min(count, left, limit - zones.get(machine.zone, 0))
