--- a/src/poppyhold/attempts.py
+++ b/src/poppyhold/attempts.py
@@ -11,7 +11,7 @@
 from poppyhold.context import REFUSED, UNSENT, UNSURE, Context
 from poppyhold.fleet import DONE, Attempt, Job, Machine
 from poppyhold.gangs import Gangs
-from poppyhold.messages import ExitCause, Report, TaskReport, TaskState, split_task
+from poppyhold.messages import HAS_IMAGE, ExitCause, Report, TaskReport, TaskState, split_task
 from poppyhold.store import MACHINE, TOKEN, put
 
 log = logging.getLogger(__name__)
@@ -124,13 +124,7 @@
         """Take a report that is newer than all before it as the truth about its machine."""
         ctx = self._ctx
         if report.session > machine.session:
-            # A later session began with nothing: whatever an earlier one held is over. If we answered
-            # all the while, our answers do not reach it, and it had better not be relied on.
-            if machine.heard and now - machine.last_report < ctx.times.lease_s / 2:
-                machine.unreliable_until = now + ctx.times.cancel_s
-            for attempt in list(machine.attempts.values()):
-                if attempt.session < report.session:
-                    self._over(attempt)
+            self._begin_session(machine, report.session, now)
         machine.session, machine.sequence = report.session, report.sequence
         machine.last_report = now
         machine.unknown_tasks = set()
@@ -150,16 +144,27 @@
                 self._present(machine, task, now)
         for attempt in list(machine.attempts.values()):
             if attempt.name not in present and self._absence_proves(attempt, report, answered):
-                if (
-                    attempt.status == TaskState.SENT
-                    and attempt.via == "reply"
-                    and attempt.stopping_at is None
-                ):
-                    # Its answers do not come through: leave it alone for a while.
-                    machine.refused_until = now + ctx.times.lease_s / 2
-                self._over(attempt)
+                self._lost(attempt, now)
         self.unheard.discard(machine.name)
 
+    def _begin_session(self, machine: Machine, session: int, now: float) -> None:
+        """A later session began with nothing: whatever an earlier one held is over."""
+        times = self._ctx.times
+        if machine.heard and now - machine.last_report < times.lease_s / 2:
+            # We answered all the while: our answers do not reach it, and it had better not be relied on.
+            machine.unreliable_until = now + times.cancel_s
+        for attempt in list(machine.attempts.values()):
+            if attempt.session < session:
+                self._over(attempt)
+
+    def _lost(self, attempt: Attempt, now: float) -> None:
+        """A report proves that the attempt is not on its machine."""
+        unheard_start = attempt.status == TaskState.SENT and attempt.via == "reply"
+        if unheard_start and attempt.stopping_at is None:
+            # The machine's answers do not come through: leave it alone for a while.
+            attempt.machine.refused_until = now + self._ctx.times.lease_s / 2
+        self._over(attempt)
+
     @staticmethod
     def _absence_proves(attempt: Attempt, report: Report, answered: bool) -> bool:
         """Whether a newer report without the attempt shows that it is not there and won't be."""
@@ -182,32 +187,41 @@
         attempt = machine.attempts.get(task.task)
         if attempt is not None and attempt.number == task.attempt:
             if attempt.status != task.status:
-                attempt.status = task.status
-                if task.status == TaskState.RUNNING:
-                    attempt.running_at = attempt.running_at or now
-                    log.debug("%s runs, %.1f s behind its start", attempt.name, now - attempt.sent_at)
-                if task.status in (TaskState.RUNNING, TaskState.WAITING):
-                    machine.touch_image(attempt.job.spec.image, attempt.job.spec.image_gb)
-                if attempt.job.gang:
-                    self.gangs.reported(attempt, now)
-            return
-        if attempt is None and job is not None and 0 <= index < job.spec.tasks and not job.active.get(index):
-            state = job.states[index]
-            adopted = Attempt(job, index, task.attempt, machine, machine.session, now, status=task.status)
-            if task.status == TaskState.RUNNING:
-                adopted.running_at = now
-            if task.status in (TaskState.RUNNING, TaskState.WAITING):
-                machine.touch_image(job.spec.image, job.spec.image_gb)
-            self._ctx.fleet.add(adopted)
-            if state == DONE:
-                job.states[index] = DONE
-            if state == DONE or job.over:
-                # It runs, so it counts; but nobody has a use for it any more.
-                adopted.stopping_at = now
-            elif job.gang:
-                self.gangs.adopt(adopted, now)
-            return
-        machine.unknown_tasks.add(task.task)
+                self._changed(attempt, task.status, now)
+        elif attempt is None and job is not None and 0 <= index < job.spec.tasks and index not in job.active:
+            self._adopt(Attempt(job, index, task.attempt, machine, machine.session, now), task.status, now)
+        else:
+            machine.unknown_tasks.add(task.task)
+
+    def _changed(self, attempt: Attempt, status: str, now: float) -> None:
+        self._follow(attempt, status, now)
+        if status == TaskState.RUNNING:
+            log.debug("%s runs, %.1f s behind its start", attempt.name, now - attempt.sent_at)
+        if attempt.job.gang:
+            self.gangs.reported(attempt, now)
+
+    @staticmethod
+    def _follow(attempt: Attempt, status: str, now: float) -> None:
+        attempt.status = status
+        if status == TaskState.RUNNING:
+            attempt.running_at = attempt.running_at or now
+        if status in HAS_IMAGE:
+            spec = attempt.job.spec
+            attempt.machine.touch_image(spec.image, spec.image_gb)
+
+    def _adopt(self, attempt: Attempt, status: str, now: float) -> None:
+        """Count a task that an earlier leader started."""
+        job, index = attempt.job, attempt.index
+        completed = job.states[index] == DONE
+        self._follow(attempt, status, now)
+        self._ctx.fleet.add(attempt)
+        if completed:
+            job.states[index] = DONE
+        if completed or job.over:
+            # It runs, so it counts; but nobody has a use for it any more.
+            attempt.stopping_at = now
+        elif job.gang:
+            self.gangs.adopt(attempt, now)
 
     def _ended(self, machine: Machine, task: TaskReport, now: float) -> None:
         job_id, index = split_task(task.task)
@@ -398,16 +412,8 @@
             ctx.edges.deposed(report.token)
             return
         for attempt in batch:
-            if machine.attempts.get(attempt.name) is not attempt:
-                continue
-            attempt.in_flight = False
-            if attempt.status != TaskState.SENT:
-                continue
-            if outcome in (REFUSED, UNSENT):
-                # Nothing was executed, and nothing can be later.
-                self._over(attempt)
-            elif outcome == UNSURE:
-                attempt.fence = ctx.token + 1
+            if machine.attempts.get(attempt.name) is attempt:
+                self._start_answered(attempt, outcome)
         if outcome in (UNSENT, UNSURE):
             machine.unreliable_until = now + ctx.times.lease_s / 2
         if (
@@ -421,6 +427,16 @@
             # The command named another session than the worker's: ask again with the right one.
             machine.session, machine.probe_at = report.session, 0.0
 
+    def _start_answered(self, attempt: Attempt, outcome: str) -> None:
+        attempt.in_flight = False
+        if attempt.status != TaskState.SENT:
+            return
+        if outcome in (REFUSED, UNSENT):
+            # Nothing was executed, and nothing can be later.
+            self._over(attempt)
+        elif outcome == UNSURE:
+            attempt.fence = self._ctx.token + 1
+
     # -- proofs by time, and machines that are gone ------------------------------------------------
 
     def all_heard(self) -> bool:
--- a/src/poppyhold/cloud.py
+++ b/src/poppyhold/cloud.py
@@ -7,11 +7,12 @@
 import time
 from collections import deque
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import TypeVar
 
 from poppyhold.context import OK, REFUSED, UNSURE, Data
-from poppyhold.http import Client, NoAnswer, NotSent
-from poppyhold.messages import Hired, Listed, MachineList, MachineType, MachineTypes, Malformed, convert
+from poppyhold.http import Client, NoAnswerError, NotSentError
+from poppyhold.messages import Hired, Listed, MachineList, MachineType, MachineTypes, MalformedError, convert
 from poppyhold.settings import Settings, split_address
 
 log = logging.getLogger(__name__)
@@ -40,8 +41,8 @@
     def _get(self, path: str, kind: type[T]) -> T | None:
         try:
             status, data = self._client.request("GET", path, timeout=self._timeout)
-            return convert(data, kind) if status == 200 else None
-        except (NotSent, NoAnswer, Malformed) as error:
+            return convert(data, kind) if status == HTTPStatus.OK else None
+        except (NotSentError, NoAnswerError, MalformedError) as error:
             log.debug("cloud %s: %s", path, error)
             return None
 
@@ -49,12 +50,13 @@
         """Rent machines. Unless the cloud says no, the request may yet be carried out."""
         try:
             status, data = self._client.request("POST", "/machines", body, timeout=self._timeout)
-            if status == 200:
+            if status == HTTPStatus.OK:
                 return OK, convert(data, Hired).machines
-        except (NotSent, NoAnswer, Malformed) as error:
+        except (NotSentError, NoAnswerError, MalformedError) as error:
             log.debug("hire: %s", error)
             return UNSURE, []
-        if (status == 503 and data.get("error") == "no capacity") or status == 400:
+        no_capacity = status == HTTPStatus.SERVICE_UNAVAILABLE and data.get("error") == "no capacity"
+        if no_capacity or status == HTTPStatus.BAD_REQUEST:
             return REFUSED, []
         return UNSURE, []
 
@@ -64,8 +66,8 @@
             status, _ = self._client.request(
                 "POST", "/machines/delete", {"boxes": names}, timeout=self._timeout
             )
-            return status == 200
-        except (NotSent, NoAnswer) as error:
+            return status == HTTPStatus.OK
+        except (NotSentError, NoAnswerError) as error:
             log.debug("delete: %s", error)
             return False
 
@@ -84,7 +86,7 @@
         cloud = settings.settings.cloud
         self._gap_s = 1.0 / cloud.rps
         self._list_s = cloud.list_lag_s / 2
-        self._builds_s = cloud.list_lag_s * 4
+        self._types_s = cloud.list_lag_s * 4
         self._deletes: deque[tuple[list[str], Callable[[bool], None]]] = deque()
         self._hires: deque[tuple[Data, Callable[[str, list[str]], None]]] = deque()
         self._wake = threading.Condition()
@@ -112,15 +114,10 @@
 
     def _run(self) -> None:
         now = time.monotonic()
-        list_at, builds_at = now, now
+        list_at, types_at = now, now
         credit_at = now
         while not self._stopped:
-            with self._wake:
-                while not (self._deletes or self._hires or self._stopped):
-                    rest = min(list_at, builds_at) - time.monotonic()
-                    if rest <= 0:
-                        break
-                    self._wake.wait(rest)
+            self._await_work(min(list_at, types_at))
             if self._stopped:
                 return
             now = time.monotonic()
@@ -129,33 +126,47 @@
             if credit_at > now:
                 time.sleep(credit_at - now)
             try:
-                if self._deletes:
-                    names, deleted = self._deletes.popleft()
-                    deleted(self._client.delete(names))
-                elif self._hires:
-                    body, hired = self._hires.popleft()
-                    hired(*self._client.hire(body))
+                if self._deletes or self._hires:
+                    self._change()
                 elif time.monotonic() >= list_at:
                     list_at = time.monotonic() + self._list_s
                     self._list()
                 else:
-                    builds_at = time.monotonic() + self._builds_s
+                    types_at = time.monotonic() + self._types_s
                     machine_types = self._client.machine_types()
                     if machine_types is not None:
                         self._on_machine_types(machine_types)
             except Exception:
                 log.exception("cloud")
 
+    def _await_work(self, until: float) -> None:
+        """Wait for a change that is asked for, or for the time of the next look."""
+        with self._wake:
+            while not (self._deletes or self._hires or self._stopped):
+                rest = until - time.monotonic()
+                if rest <= 0:
+                    return
+                self._wake.wait(rest)
+
+    def _change(self) -> None:
+        """Carry out a deletion, or else a hire."""
+        if self._deletes:
+            names, deleted = self._deletes.popleft()
+            deleted(self._client.delete(names))
+        else:
+            body, hired = self._hires.popleft()
+            hired(*self._client.hire(body))
+
     def _list(self) -> None:
         since = ""
-        boxes: list[Listed] = []
+        listed: list[Listed] = []
         while True:
             page = self._client.page(since)
             if page is None:
                 return
-            boxes += page.machines
+            listed += page.machines
             if not page.more or not page.machines:
                 break
             since = page.machines[-1].name
             time.sleep(self._gap_s)
-        self._on_listed(boxes)
+        self._on_listed(listed)
--- a/src/poppyhold/committer.py
+++ b/src/poppyhold/committer.py
@@ -10,7 +10,18 @@
 from typing import NamedTuple
 
 from poppyhold.settings import Settings
-from poppyhold.store import FENCE, LEAD, Conflict, Data, Gone, Invalid, Refused, Store, Unsure, put
+from poppyhold.store import (
+    FENCE,
+    LEAD,
+    ConflictError,
+    Data,
+    InvalidRequestError,
+    LeaseGoneError,
+    RefusedError,
+    Store,
+    UncertainError,
+    put,
+)
 
 log = logging.getLogger(__name__)
 
@@ -32,7 +43,7 @@
         self._unsure = False
 
     def commit(self, conditions: dict[str, int], writes: list[Data]) -> None:
-        """Try a transaction once. Behind `Unsure` it may be repeated.
+        """Try a transaction once. Behind `UncertainError` it may be repeated.
 
         If it went through after all, the repeat is the same again, or fails conditions of its own.
         """
@@ -41,14 +52,14 @@
         own = {LEAD: self._lead_version, FENCE: self._fence or 0}
         try:
             self._store.commit({**own, **conditions}, writes)
-        except Unsure:
+        except UncertainError:
             self._unsure = True
             raise
-        except Conflict as conflict:
+        except ConflictError as conflict:
             if FENCE in conflict.failed and LEAD not in conflict.failed:
                 # It is ours alone to change: whoever did, look at it again.
                 self._fence = None
-                raise Refused("the fence has moved") from conflict
+                raise RefusedError("the fence has moved") from conflict
             raise
 
     def _raise_fence(self) -> None:
@@ -58,7 +69,7 @@
                 self._fence = self._store.commit(own, [put(FENCE, {"behind": self._fence})])
                 self._unsure = False
                 return
-            except Conflict as conflict:
+            except ConflictError as conflict:
                 if LEAD in conflict.failed:
                     raise
                 # A try of this very step that had no answer was carried out: that has the same effect.
@@ -154,28 +165,12 @@
         while units and not self._stopped:
             try:
                 self._writer.commit(conditions, writes)
-            except Conflict as conflict:
-                if LEAD in conflict.failed:
-                    self._stopped = True
-                    self._on_deposed()
-                elif len(units) == 1:
-                    units[0].done(False)
-                else:
-                    for unit in units:
-                        self._carry_out([unit])
-            except Invalid as error:
+            except ConflictError as conflict:
+                self._conflicted(units, conflict)
+            except InvalidRequestError as error:
                 log.warning("commit of %d changes: %s", len(writes), error)
-                if len(units) > 1:
-                    # Together they may be above a limit that was lowered without notice.
-                    for unit in units:
-                        self._carry_out([unit])
-                    return
-                # It can't be dropped: whoever waits for it goes by whether it is durable. But nothing else
-                # may wait for it, so it goes to the end of the line.
-                time.sleep(self._longest_pause_s)
-                self.submit(units[0])
-                return
-            except (Refused, Unsure, Gone) as error:
+                self._rejected(units)
+            except (RefusedError, UncertainError, LeaseGoneError) as error:
                 # Every unit may be repeated: its writes are the same each time, and its conditions
                 # fail if the first try went through after all, which the unit's owner looks into.
                 log.debug("commit: %s", error)
@@ -188,3 +183,27 @@
                 for unit in units:
                     unit.done(True)
             return
+
+    def _conflicted(self, units: list[Unit], conflict: ConflictError) -> None:
+        """A condition failed: ours to lead, or one of a unit's own."""
+        if LEAD in conflict.failed:
+            self._stopped = True
+            self._on_deposed()
+        elif len(units) == 1:
+            units[0].done(False)
+        else:
+            self._one_by_one(units)
+
+    def _rejected(self, units: list[Unit]) -> None:
+        """The transaction is above a limit, perhaps one that was lowered without notice."""
+        if len(units) > 1:
+            self._one_by_one(units)
+            return
+        # It can't be dropped: whoever waits for it goes by whether it is durable. But nothing else may wait
+        # for it, so it goes to the end of the line.
+        time.sleep(self._longest_pause_s)
+        self.submit(units[0])
+
+    def _one_by_one(self, units: list[Unit]) -> None:
+        for unit in units:
+            self._carry_out([unit])
--- a/src/poppyhold/controller.py
+++ b/src/poppyhold/controller.py
@@ -20,13 +20,21 @@
 )
 from poppyhold.gangs import GangState
 from poppyhold.hiring import Hiring
-from poppyhold.messages import Listed, MachineType, Malformed, Report, TaskState, convert, parse_submission
+from poppyhold.messages import (
+    Listed,
+    MachineType,
+    MalformedError,
+    Report,
+    TaskState,
+    convert,
+    parse_submission,
+)
 from poppyhold.options import Options
 from poppyhold.placement import Quotas
 from poppyhold.recent import Recent
 from poppyhold.settings import Settings
 from poppyhold.snapshot import Snapshot
-from poppyhold.store import ACTIVE, Entry, final_writes
+from poppyhold.store import ACTIVE, Data, Entry, final_writes
 
 
 class Controller:
@@ -73,14 +81,7 @@
         for machine_type in machine_types:
             ctx.machine_types[machine_type.name] = machine_type
         for name, data in snapshot.machines.items():
-            machine_type = convert(data["build"], MachineType)
-            ctx.machine_types.setdefault(machine_type.name, machine_type)
-            machine = Machine(name, machine_type, data["paddock"], data["loaners"], since=now)
-            machine.endpoint = data["endpoint"]
-            machine.images.update(ctx.hints.get(name, ()))
-            machine.recorded = machine.record_asked = machine.up = True
-            ctx.fleet.machines[name] = machine
-            self.attempts.unheard.add(name)
+            self._load_machine(name, data, now)
         for name, data in snapshot.hires.items():
             self.hiring.load_hire(name, data)
         for entry in snapshot.active:
@@ -90,14 +91,29 @@
         for prefix, records in snapshot.done.items():
             self.completions.load(prefix, records)
         for job in sorted(ctx.fleet.jobs.values(), key=lambda job: job.at):
-            self.hiring.arrivals.note(job.at, job.spec)
-            if not job.plan_durable:
-                self.admission.arrive(job)
-            if job.done == job.spec.tasks:
-                self._finish(job)
+            self._resume(job)
         for machine in ctx.fleet.machines.values():
             self.attempts.probe(machine, now)
 
+    def _load_machine(self, name: str, data: Data, now: float) -> None:
+        """A machine that may hold tasks of earlier terms."""
+        machine_type = convert(data["build"], MachineType)
+        self.ctx.machine_types.setdefault(machine_type.name, machine_type)
+        machine = Machine(name, machine_type, data["paddock"], data["loaners"], since=now)
+        machine.endpoint = data["endpoint"]
+        machine.images.update(self.ctx.hints.get(name, ()))
+        machine.recorded = machine.record_asked = machine.up = True
+        self.ctx.fleet.machines[name] = machine
+        self.attempts.unheard.add(name)
+
+    def _resume(self, job: Job) -> None:
+        """Go on with a job of an earlier term."""
+        self.hiring.arrivals.note(job.at, job.spec)
+        if not job.plan_durable:
+            self.admission.arrive(job)
+        if job.done == job.spec.tasks:
+            self._finish(job)
+
     # -- events --------------------------------------------------------------------------------------
 
     def machine_types(self, machine_types: Iterable[MachineType]) -> None:
@@ -216,7 +232,7 @@
     def _add_job(self, entry: Entry) -> Job | None:
         try:
             spec = parse_submission(entry.data["spec"])
-        except (KeyError, Malformed):
+        except (KeyError, MalformedError):
             return None
         # Its user's clock began at the time of day that is kept with it.
         ago = max(0.0, self.ctx.wall() - float(entry.data["at"]))
--- a/src/poppyhold/election.py
+++ b/src/poppyhold/election.py
@@ -11,7 +11,18 @@
 
 from poppyhold.options import Options
 from poppyhold.settings import Settings
-from poppyhold.store import LEAD, LEAD_PREFIX, TOKEN, Conflict, Entry, Gone, Refused, Store, Unsure, put
+from poppyhold.store import (
+    LEAD,
+    LEAD_PREFIX,
+    TOKEN,
+    ConflictError,
+    Entry,
+    LeaseGoneError,
+    RefusedError,
+    Store,
+    UncertainError,
+    put,
+)
 from poppyhold.watch import Watch
 
 log = logging.getLogger(__name__)
@@ -134,7 +145,7 @@
     def _end_lease(self, lease_id: int) -> None:
         try:
             self._store.end_lease(lease_id)
-        except (Refused, Unsure) as error:
+        except (RefusedError, UncertainError) as error:
             log.debug("lease %s: %s", lease_id, error)
 
     def _on_snapshot(self, entries: list[Entry]) -> None:
@@ -181,10 +192,10 @@
             return self._renew_s - (asked - self.confirmed_at)
         try:
             self._store.extend(term.lease_id, self._renew_s * 2)
-        except Gone:
+        except LeaseGoneError:
             self.deposed("our lease ended")
             return 0.0
-        except (Refused, Unsure) as error:
+        except (RefusedError, UncertainError) as error:
             # An outage and a refusal of us alone look the same: go on for now. What we may still do
             # without confirmation is bounded in `authority`.
             log.debug("renewal: %s", error)
@@ -210,7 +221,7 @@
             lease_id = self._store.lease(self.life_s)
             asked = time.monotonic()
             self._stand(lease_id, asked)
-        except (Refused, Unsure, Gone, Conflict) as error:
+        except (RefusedError, UncertainError, LeaseGoneError, ConflictError) as error:
             log.debug("campaign: %s", error)
         return self._renew_s * self._rng.uniform(0.3, 0.7)
 
@@ -223,7 +234,7 @@
             version = self._store.commit(
                 conditions, [put(LEAD, claim, lease_id), put(TOKEN, {"baton": token})]
             )
-        except Unsure:
+        except UncertainError:
             # Perhaps it went through: the key itself tells. The permit is ours alone.
             entry = self._store.get(LEAD)
             if entry is None or entry.data.get("permit") != lease_id:
--- a/src/poppyhold/hiring.py
+++ b/src/poppyhold/hiring.py
@@ -22,6 +22,10 @@
 DELETE_LIMIT = 100
 # Names in a line of the log.
 _NAMED = 8
+# A job that failed so often is most likely at fault itself: no machine is rented for it.
+_HOPELESS_FAILURES = 4
+# A job that fails on no more machines than this may be sound.
+_FEW_MACHINES = 2
 # A boot takes up to so many times the usual, as PROTOCOL says; what takes longer may take several times as
 # long, and is not waited for.
 _LATE_BOOTS = 1.5
@@ -40,6 +44,15 @@
     retry_at: float = 0.0
 
 
+class _Survey(msgspec.Struct, eq=False):
+    """How many machines are up, heard and quiet, and those that are silent for too long."""
+
+    up: int = 0
+    heard: int = 0
+    quiet: int = 0
+    silent: list[Machine] = msgspec.field(default_factory=list)
+
+
 class Hiring:
     """Rents and returns machines."""
 
@@ -174,81 +187,114 @@
         present = set()
         for entry in entries:
             present.add(entry.name)
-            machine = ctx.fleet.machines.get(entry.name)
-            if machine is not None:
-                machine.listed_at = now
-            if machine is None:
-                machine_type = ctx.machine_types.get(entry.machine_type)
-                if machine_type is None or entry.name in ctx.dead:
-                    continue
-                machine = Machine(entry.name, machine_type, entry.zone, entry.spot, since=now - entry.age_s)
-                ctx.fleet.machines[entry.name] = machine
-                ctx.dirty = True
-            if entry.endpoint and not machine.endpoint:
-                machine.endpoint = entry.endpoint
-            if entry.status == "failed":
-                self._mark_for_deletion(machine, "failed")
-            elif not machine.up:
-                machine.since = min(machine.since, now - entry.age_s)
+            self._take_entry(entry, now)
         for machine in list(ctx.fleet.machines.values()):
             seen_at = max(machine.since, machine.listed_at, machine.last_report)
-            if machine.name in present or machine.deleting or now - seen_at <= 3 * lag:
-                continue
-            if not machine.up:
-                # Hired, never up, and not listed though it should be by now: most likely an earlier leader
-                # returned it. It holds no tasks; if it does come up after all, its reports bring it back.
-                ctx.fleet.machines.pop(machine.name)
-            else:
-                # Most likely an earlier leader returned it and could not say so. That it is missing proves
-                # nothing; that it is deleted does. Until then what it may hold is charged to every team, and
-                # tasks of older jobs wait, up to the certain end of its last lease, with each leader anew.
-                self._mark_for_deletion(machine, "not listed")
+            if machine.name not in present and not machine.deleting and now - seen_at > 3 * lag:
+                self._not_listed(machine)
+
+    def _take_entry(self, entry: Listed, now: float) -> None:
+        """A machine is on the list."""
+        machine = self._ctx.fleet.machines.get(entry.name)
+        if machine is None:
+            machine = self._found(entry, now)
+            if machine is None:
+                return
+        else:
+            machine.listed_at = now
+        if entry.endpoint and not machine.endpoint:
+            machine.endpoint = entry.endpoint
+        if entry.status == "failed":
+            self._mark_for_deletion(machine, "failed")
+        elif not machine.up:
+            machine.since = min(machine.since, now - entry.age_s)
+
+    def _found(self, entry: Listed, now: float) -> Machine | None:
+        """A machine that we did not know: a late hire, or one of an earlier leader."""
+        ctx = self._ctx
+        machine_type = ctx.machine_types.get(entry.machine_type)
+        if machine_type is None or entry.name in ctx.dead:
+            return None
+        machine = Machine(entry.name, machine_type, entry.zone, entry.spot, since=now - entry.age_s)
+        ctx.fleet.machines[entry.name] = machine
+        ctx.dirty = True
+        return machine
+
+    def _not_listed(self, machine: Machine) -> None:
+        """A machine that should be listed is not: an earlier leader returned it, most likely.
+
+        If it never was up it holds no tasks, and if it does come up after all its reports bring it back.
+        Otherwise that it is missing proves nothing; that it is deleted does. Until then what it may hold is
+        charged to every team, and tasks of older jobs wait, up to the certain end of its last lease, with
+        each leader anew.
+        """
+        if machine.up:
+            self._mark_for_deletion(machine, "not listed")
+        else:
+            self._ctx.fleet.machines.pop(machine.name)
 
     # -- machines that must go -----------------------------------------------------------------------
 
     def watch(self) -> None:
         """Look after machines that are silent, that never came up, or that are to be deleted."""
-        ctx = self._ctx
-        now = ctx.clock()
-        times = ctx.times
-        began = self._attempts.began_at
-        silent: list[Machine] = []
-        up = heard = quiet_machines = 0
-        for machine in ctx.fleet.machines.values():
+        now = self._ctx.clock()
+        survey = _Survey()
+        for machine in self._ctx.fleet.machines.values():
             if machine.deleting:
                 # The cloud may not answer for long; the end of a lease is proof too.
-                if now - machine.last_report > times.lease_s:
+                if now - machine.last_report > self._ctx.times.lease_s:
                     self._attempts.expire(machine, now)
-                continue
-            if not machine.up and machine.name not in self._attempts.unheard:
-                if now - machine.since > self._provisioning.give_up_s(machine.machine_type):
-                    self._mark_for_deletion(machine, "never came up")
-                continue
-            up += 1
-            heard += now - machine.last_report <= times.lost_s
-            if machine.heard or machine.name not in self._attempts.unheard:
-                quiet = now - max(machine.last_report, machine.up_at, began + times.report_s * 2)
+            elif machine.up or machine.name in self._attempts.unheard:
+                self._survey(machine, survey, now)
+            elif now - machine.since > self._provisioning.give_up_s(machine.machine_type):
+                self._mark_for_deletion(machine, "never came up")
+        self._judge_silence(survey, now)
+        for machine in self._ctx.fleet.machines.values():
+            gone = not machine.attempts and machine.name not in self._attempts.unheard
+            if gone and (machine.leaving or machine.draining):
+                self._mark_for_deletion(machine, "left")
+        for why, names in self._marked_for_deletion.items():
+            log.info("delete %d machines: %s: %s", len(names), why, ", ".join(names[:_NAMED]))
+        self._marked_for_deletion.clear()
+        self._delete()
+
+    def _quiet_s(self, machine: Machine, now: float) -> float:
+        """For how long a machine has been silent, as far as we could have heard it."""
+        times, began = self._ctx.times, self._attempts.began_at
+        if machine.heard or machine.name not in self._attempts.unheard:
+            return now - max(machine.last_report, machine.up_at, began + times.report_s * 2)
+        # It was up, and was asked when our term began: a sound worker answers that at once.
+        return now - began + times.lost_s / 2
+
+    def _survey(self, machine: Machine, survey: _Survey, now: float) -> None:
+        """Count a machine that should be heard, ask it if it is not, and end what it can't hold any more."""
+        times = self._ctx.times
+        survey.up += 1
+        survey.heard += now - machine.last_report <= times.lost_s
+        quiet_s = self._quiet_s(machine, now)
+        survey.quiet += quiet_s > times.lost_s / 2
+        if quiet_s > times.silent_s / 2:
+            self._attempts.probe(machine, now)
+        if quiet_s > times.lost_s:
+            if machine.taken_back_at is not None and now > machine.taken_back_at - times.lost_s:
+                self._mark_for_deletion(machine, "recalled")
             else:
-                # It was up, and was asked when our term began: a sound worker answers that at once.
-                quiet = now - began + times.lost_s / 2
-            quiet_machines += quiet > times.lost_s / 2
-            if quiet > times.silent_s / 2:
-                self._attempts.probe(machine, now)
-            if quiet > times.lost_s:
-                if machine.taken_back_at is not None and now > machine.taken_back_at - times.lost_s:
-                    self._mark_for_deletion(machine, "recalled")
-                else:
-                    silent.append(machine)
-            if quiet > times.lease_s:
-                self._attempts.expire(machine, now)
-            if len(machine.errors) > 1 and self._at_fault(machine):
-                machine.leaving = True
-        if len(silent) * 2 >= up and len(silent) > 1 and self._lost_to_others(now) > 2 * heard:
+                survey.silent.append(machine)
+        if quiet_s > times.lease_s:
+            self._attempts.expire(machine, now)
+        if len(machine.errors) > 1 and self._at_fault(machine):
+            machine.leaving = True
+
+    def _judge_silence(self, survey: _Survey, now: float) -> None:
+        """Whether silent machines are lost, or cut off, or we are."""
+        times, silent = self._ctx.times, survey.silent
+        most_silent = len(silent) * 2 >= survey.up and len(silent) > 1
+        if most_silent and self._lost_to_others(now) > 2 * survey.heard:
             # They try the other controllers: it is our own way to them that is broken. Where a zone is cut
             # off, half of all are silent too, and those that came to us passed the others on their way: with
             # each new leader resigning for that, nothing was started for the length of the cut.
-            ctx.edges.resign("most workers are silent")
-        if quiet_machines > max(1, up // 4):
+            self._ctx.edges.resign("most workers are silent")
+        if survey.quiet > max(1, survey.up // 4):
             # Those that fall silent with others count as soon as they might be missed: in a zone that is cut
             # off the first ones were deleted, up to a quarter of all, before the rest had been silent long
             # enough. And when it is back they don't all come at one moment.
@@ -256,20 +302,9 @@
         for machine in silent:
             # A zone that is cut off comes back with all its machines: its tasks start elsewhere once its
             # leases are over, but machines are given up for good only a good while behind that.
-            long_ago = now - max(machine.last_report, machine.up_at, began) > 2 * times.cancel_s
-            if now - self._many_quiet_at > times.lost_s or long_ago:
+            heard_at = max(machine.last_report, machine.up_at, self._attempts.began_at)
+            if now - self._many_quiet_at > times.lost_s or now - heard_at > 2 * times.cancel_s:
                 self._mark_for_deletion(machine, "silent")
-        for machine in ctx.fleet.machines.values():
-            if (
-                (machine.leaving or machine.draining)
-                and not machine.attempts
-                and machine.name not in self._attempts.unheard
-            ):
-                self._mark_for_deletion(machine, "left")
-        for why, names in self._marked_for_deletion.items():
-            log.info("delete %d machines: %s: %s", len(names), why, ", ".join(names[:_NAMED]))
-        self._marked_for_deletion.clear()
-        self._delete()
 
     def _lost_to_others(self, now: float) -> int:
         """How many workers have turned to another controller since they reported here last.
@@ -300,7 +335,7 @@
         A job with a mistake in it fails on every machine: two of those must not cost the whole fleet.
         """
         jobs = [self._ctx.fleet.jobs.get(job_id) for job_id in machine.errors]
-        return sum(1 for job in jobs if job is not None and len(job.failed_on) <= 2) > 1
+        return sum(1 for job in jobs if job is not None and len(job.failed_on) <= _FEW_MACHINES) > 1
 
     def _delete(self) -> None:
         # Who is not sure to lead must not delete: workers that it misses may have gone to the next leader.
@@ -411,7 +446,7 @@
             return most
 
         for job in sorted(ctx.fleet.jobs.values(), key=lambda job: (job.rank, job.at)):
-            if job.pending > 0 and not job.over and job.failures < 4:
+            if job.pending > 0 and not job.over and job.failures < _HOPELESS_FAILURES:
                 most = within_limit(job.spec.team, job.need, job.pending)
                 if most and (not job.gang or most == job.pending):
                     demands.append(demand_of(job, most))
--- a/src/poppyhold/http.py
+++ b/src/poppyhold/http.py
@@ -11,10 +11,11 @@
 import threading
 import time
 from collections.abc import Callable
+from http import HTTPStatus
 from io import BufferedIOBase
 from typing import Any
 
-from poppyhold.messages import BODY_LIMIT, Malformed, decode, encode
+from poppyhold.messages import BODY_LIMIT, MalformedError, decode, encode
 
 log = logging.getLogger(__name__)
 
@@ -29,6 +30,8 @@
 _MOST_FIELDS, _LONGEST_FIELD = 100, 8192
 # Who is answered on this path is a worker: its connection is not closed for another's sake.
 _REPORTS = "/hello"
+# Method, path and version.
+_REQUEST_LINE_WORDS = 3
 
 
 def answer(status: int, body: dict[str, Any] | None = None, **headers: str) -> Answer:
@@ -70,14 +73,14 @@
     def do_POST(self) -> None:
         self._serve()
 
-    do_PUT = do_DELETE = do_PATCH = do_HEAD = do_OPTIONS = do_GET
+    do_PUT = do_DELETE = do_PATCH = do_HEAD = do_OPTIONS = do_GET  # noqa: N815 (the library's names)
 
     def parse_request(self) -> bool:
         """Read the request line and the header fields."""
         self.requestline = str(self.raw_requestline, "iso-8859-1").rstrip("\r\n")
         self.close_connection = True
         words = self.requestline.split()
-        if len(words) != 3 or words[2] not in ("HTTP/1.1", "HTTP/1.0"):
+        if len(words) != _REQUEST_LINE_WORDS or words[2] not in ("HTTP/1.1", "HTTP/1.0"):
             self.command, self.request_version = "", "HTTP/1.0"
             self.send_error(400, "Bad request syntax")
             return False
@@ -142,7 +145,7 @@
 
     def _encoded(self, result: Answer) -> bytes:
         status, body, headers = result
-        if status == 200 and self.path == _REPORTS:
+        if status == HTTPStatus.OK and self.path == _REPORTS:
             # Whatever else is sent there, malformed or to a node that leads nobody, makes nobody a worker.
             self.server.used(self.connection, True)
         payload = encode(body)
@@ -189,11 +192,13 @@
         super().__init__(address, _Handler)
 
     def server_bind(self) -> None:
+        """Bind without a name look-up."""
         # HTTPServer looks up the host's name here; these networks have no name look-ups.
         socketserver.TCPServer.server_bind(self)
         self.server_name, self.server_port = str(self.server_address[0]), int(self.server_address[1])
 
     def verify_request(self, request: Any, client_address: Any) -> bool:
+        """Take a connection; above the limit the one that is silent longest makes room."""
         with self._lock:
             if len(self._open) >= self._limit:
                 oldest = min(self._open, key=lambda held: self._open[held])
@@ -215,11 +220,13 @@
                 self._open[request] = time.monotonic() + (self._worker_s if by_worker else 0.0)
 
     def shutdown_request(self, request: Any) -> None:
+        """End a connection."""
         with self._lock:
             self._open.pop(request, None)
         super().shutdown_request(request)
 
     def handle_error(self, request: Any, client_address: Any) -> None:
+        """Note what ended a connection; its client may have sent anything."""
         log.debug("connection of %s ended", client_address, exc_info=True)
 
     def close_all(self) -> None:
@@ -235,11 +242,11 @@
                 continue
 
 
-class NotSent(Exception):
+class NotSentError(Exception):
     """The request certainly did not reach the other side."""
 
 
-class NoAnswer(Exception):
+class NoAnswerError(Exception):
     """No answer came; the request may have been or may still be carried out."""
 
 
@@ -284,7 +291,7 @@
                 connection = socket.create_connection((self._host, self._port), timeout)
                 connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             except OSError as error:
-                raise NotSent(str(error)) from error
+                raise NotSentError(str(error)) from error
         try:
             connection.settimeout(max(0.01, deadline - time.monotonic()))
             connection.sendall(self._head(method, path, payload) + payload)
@@ -293,15 +300,15 @@
             data = response.read()
         except (OSError, http.client.HTTPException) as error:
             connection.close()
-            raise NoAnswer(str(error) or type(error).__name__) from error
+            raise NoAnswerError(str(error) or type(error).__name__) from error
         if response.will_close:
             connection.close()
         else:
             self._give(connection)
         try:
             return response.status, decode(data) if data else {}
-        except Malformed as error:
-            raise NoAnswer(str(error)) from error
+        except MalformedError as error:
+            raise NoAnswerError(str(error)) from error
 
     def _head(self, method: str, path: str, payload: bytes) -> bytes:
         lines = [f"{method} {path} HTTP/1.1", f"Host: {self._host}:{self._port}"]
--- a/src/poppyhold/leader_term.py
+++ b/src/poppyhold/leader_term.py
@@ -21,7 +21,7 @@
 from poppyhold.peers import Pong
 from poppyhold.ranked_queue import DECISIONS, REPORTS, SUBMISSIONS, RankedQueue, Work
 from poppyhold.snapshot import Snapshot, read_snapshot
-from poppyhold.store import ACTIVE, Entry, Refused, Unsure
+from poppyhold.store import ACTIVE, Entry, RefusedError, UncertainError
 from poppyhold.watch import Watch
 from poppyhold.workers import Done, Senders
 
@@ -109,7 +109,7 @@
         while self.alive:
             try:
                 return read_snapshot(self._node.store)
-            except (Refused, Unsure) as error:
+            except (RefusedError, UncertainError) as error:
                 log.debug("reading: %s", error)
                 time.sleep(self._node.store.timeout / 4)
         return Snapshot()
--- a/src/poppyhold/ledger.py
+++ b/src/poppyhold/ledger.py
@@ -10,6 +10,10 @@
 STANDING = -1
 
 
+# Below this an amount is what rounding leaves of a booking that was released.
+_NOTHING_LEFT = 1e-9
+
+
 class Row:
     """One machine's bookings: by slot, and those that hold in every slot (services)."""
 
@@ -49,7 +53,7 @@
             self._views.clear()
             return
         booked = plus(self.slots.get(slot, NOTHING), need, times)
-        if all(abs(amount) < 1e-9 for amount in booked):
+        if all(abs(amount) < _NOTHING_LEFT for amount in booked):
             self.slots.pop(slot, None)
         else:
             self.slots[slot] = booked
--- a/src/poppyhold/messages.py
+++ b/src/poppyhold/messages.py
@@ -20,7 +20,7 @@
 T = TypeVar("T")
 
 
-class Malformed(Exception):
+class MalformedError(Exception):
     """A body that is not what the protocol says."""
 
 
@@ -37,6 +37,8 @@
 
 # Tasks that have not got their image yet.
 BEFORE_IMAGE = frozenset({TaskState.SENT, TaskState.FETCHING})
+# Tasks whose machine has their image, once they are seen.
+HAS_IMAGE = frozenset({TaskState.WAITING, TaskState.RUNNING})
 # Tasks that may be stopped to make room.
 STOPPABLE = frozenset({TaskState.FETCHING, TaskState.WAITING, TaskState.RUNNING})
 # Tasks that users are told of as running.
@@ -162,9 +164,9 @@
     try:
         value = cbor2.loads(body)
     except Exception as error:  # cbor2 raises many kinds on hostile input
-        raise Malformed("not CBOR") from error
+        raise MalformedError("not CBOR") from error
     if not isinstance(value, dict):
-        raise Malformed("not a map")
+        raise MalformedError("not a map")
     return value
 
 
@@ -173,12 +175,12 @@
     try:
         return msgspec.convert(value, kind)
     except (msgspec.ValidationError, OverflowError, RecursionError, TypeError) as error:
-        raise Malformed(str(error)) from error
+        raise MalformedError(str(error)) from error
 
 
 def _amount(name: str, value: float | None) -> None:
     if value is not None and not (math.isfinite(value) and value >= 0):
-        raise Malformed(f"{name} must be a finite amount, not negative")
+        raise MalformedError(f"{name} must be a finite amount, not negative")
 
 
 def _encoded(*attributes: str) -> list[tuple[str, str]]:
@@ -199,20 +201,23 @@
 )
 _TEXTS = _encoded("job_class", "team", "image")
 _LONGEST_TEXT = 200
+_MOST_TASKS = 100_000
+# Digits of a task's index: one below the most tasks of a job has no more than these.
+_MOST_DIGITS = 6
 
 
 def parse_submission(value: object) -> Submission:
     """Check a submission: everything that PROTOCOL answers with 400."""
     job = convert(value, Submission)
     if not JOB_ID.match(job.name):
-        raise Malformed("nameId is not of the form job-000412")
-    if not 1 <= job.tasks <= 100_000:
-        raise Malformed("chores must be within 1 and 100000")
+        raise MalformedError("nameId is not of the form job-000412")
+    if not 1 <= job.tasks <= _MOST_TASKS:
+        raise MalformedError("chores must be within 1 and 100000")
     for attribute, encoded in _AMOUNTS:
         _amount(encoded, getattr(job, attribute))
     for attribute, encoded in _TEXTS:
         if len(getattr(job, attribute)) > _LONGEST_TEXT:
-            raise Malformed(f"{encoded} is too long")
+            raise MalformedError(f"{encoded} is too long")
     return job
 
 
@@ -220,9 +225,9 @@
     """Check a worker's report."""
     report = convert(value, Report)
     if report.session < 1 or report.sequence < 0 or report.token < 0:
-        raise Malformed("shift, tally or baton is out of range")
+        raise MalformedError("shift, tally or baton is out of range")
     if not _MACHINE_NAME.match(report.machine):
-        raise Malformed("box is not a machine's name")
+        raise MalformedError("box is not a machine's name")
     return report
 
 
@@ -234,6 +239,6 @@
 def split_task(name: str) -> tuple[str, int]:
     """Job and index of a task's name; index -1 if the name is none of ours."""
     job_id, _, index = name.rpartition("/")
-    if JOB_ID.match(job_id) and index.isascii() and index.isdigit() and len(index) < 7:
+    if JOB_ID.match(job_id) and index.isascii() and index.isdigit() and len(index) <= _MOST_DIGITS:
         return job_id, int(index)
     return name, -1
--- a/src/poppyhold/planner.py
+++ b/src/poppyhold/planner.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from poppyhold.fleet import Job, how_many, zone_limit
+from poppyhold.fleet import Job, Room, how_many, zone_limit
 from poppyhold.ledger import STANDING, Ledger, Row
 from poppyhold.pricing import Pricing, priced, shares_of
 
@@ -114,24 +114,7 @@
         need = job.need if part == 1.0 else (job.need[0] * part, job.need[1] * part, job.need[2] * part)
         alike: list[tuple[float, str, int, Group]] = []
         for group in groups:
-            row = group[0]
-            most = tasks
-            cost = 0.0
-            standing = last - first + 1
-            if row.slots:
-                for slot in range(first, last + 1):
-                    if slot not in row.slots:
-                        continue
-                    standing -= 1
-                    free, prices = row.view(slot, self._pricing.rates)
-                    most = how_many(need, free, most)
-                    if not most:
-                        break
-                    cost += priced(need, prices)
-            if standing and most:
-                free, prices = row.view(STANDING, self._pricing.rates)
-                most = how_many(need, free, most)
-                cost += standing * priced(need, prices)
+            most, cost = self._room_on(group[0], need, first, last, tasks)
             if most:
                 alike.append((cost, group[1][0], most, group))
         alike.sort(key=lambda entry: entry[:2])
@@ -145,6 +128,24 @@
                 found.append(Offer(cost, name, row.zone, most))
         return found
 
+    def _room_on(self, row: Row, need: Room, first: int, last: int, tasks: int) -> tuple[int, float]:
+        """How many tasks fit on a machine in all of the slots, and the price of one."""
+        most, cost = tasks, 0.0
+        own_slots = [slot for slot in range(first, last + 1) if slot in row.slots] if row.slots else []
+        for slot in own_slots:
+            free, prices = row.view(slot, self._pricing.rates)
+            most = how_many(need, free, most)
+            if not most:
+                return 0, 0.0
+            cost += priced(need, prices)
+        # The other slots hold nothing but what is booked in every slot.
+        standing = last - first + 1 - len(own_slots)
+        if standing:
+            free, prices = row.view(STANDING, self._pricing.rates)
+            most = how_many(need, free, most)
+            cost += standing * priced(need, prices)
+        return most, cost
+
     def fill(self, job: Job, offers: list[Offer], tasks: int, held: dict[str, int]) -> dict[str, int]:
         """Greedy fill, cheapest first, within what one zone may hold; may be less than asked."""
         limit = zone_limit(job.spec)
@@ -199,17 +200,7 @@
         choices: list[list[int]] = []
         best_payoff, best_end = -INFINITE, -1
         for offset, table in enumerate(tables):
-            following = list(cheapest)
-            choice = [0] * (steps + 1)
-            for done in range(1, steps + 1):
-                for here in range(1, done + 1):
-                    cost = table[here]
-                    if cost == INFINITE:
-                        break
-                    total = cheapest[done - here] + cost
-                    if total < following[done]:
-                        following[done], choice[done] = total, here
-            cheapest = following
+            cheapest, choice = self._extend(cheapest, table)
             choices.append(choice)
             if cheapest[steps] < INFINITE and choice[steps]:
                 end_at = now + (offset + max(part, span)) * self._slot_s
@@ -233,6 +224,21 @@
         self._trim(starts, tasks)
         return Plan(best_payoff, starts)
 
+    @staticmethod
+    def _extend(cheapest: list[float], table: list[float]) -> tuple[list[float], list[int]]:
+        """One more slot of the dynamic program: the least cost of each amount, and how much starts here."""
+        following = list(cheapest)
+        choice = [0] * len(cheapest)
+        for done in range(1, len(cheapest)):
+            for here in range(1, done + 1):
+                cost = table[here]
+                if cost == INFINITE:
+                    break
+                total = cheapest[done - here] + cost
+                if total < following[done]:
+                    following[done], choice[done] = total, here
+        return following, choice
+
     def _costs(self, job: Job, offers: list[Offer], tasks: int, unit: int, steps: int) -> list[float]:
         """Cost of starting 0, 1, ... units in a slot; infinite where they don't fit."""
         costs = [0.0] + [INFINITE] * steps
--- a/src/poppyhold/provisioning.py
+++ b/src/poppyhold/provisioning.py
@@ -4,7 +4,7 @@
 
 import math
 from collections import Counter, deque
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
 
 import msgspec
 
@@ -24,6 +24,8 @@
 from poppyhold.options import Provisioning as ProvisioningOptions
 
 HIRE_LIMIT = 50
+# More tasks than any machine holds.
+_UNBOUNDED = 1 << 30
 # Parts of the forecast's window that are told apart.
 _PARTS = 6
 
@@ -276,27 +278,14 @@
             self._reuse(demand, fresh, limit)
             if demand.tasks <= 0:
                 return
-            best: tuple[float, int, str, str, bool] | None = None
-            for machine_type in allowed_machine_types(demand.spec, machine_types.values()):
-                each = how_many(demand.need, room_of(machine_type), demand.tasks)
-                full = how_many(demand.need, room_of(machine_type), 1 << 30)
-                for zone in machine_type.zones:
-                    if demand.spec.zone not in (None, zone) or demand.home not in (None, zone):
-                        continue
-                    if not demand.forecast and demand.zones.get(zone, 0) >= limit:
-                        continue
-                    for spot in (True, False) if demand.spec.spot else (False,):
-                        key = (machine_type.name, zone, spot)
-                        if self.refused_until.get(key, 0.0) > now or bought.get(key, 0) >= HIRE_LIMIT:
-                            continue
-                        price = machine_type.spot_price if spot else machine_type.price
-                        held = zones[zone]
-                        # Price of a task's room; a machine that is mostly left empty counts half as
-                        # much again. Zones with fewer machines first, where the price is the same.
-                        score = price / full * (1.0 + 0.5 * (1 - each / full))
-                        candidate = (score, held, machine_type.name, zone, spot)
-                        if best is None or candidate < best:
-                            best = candidate
+            offers = (
+                (self._room_price(demand, machine_type, spot), zones[zone], machine_type.name, zone, spot)
+                for machine_type, zone, spot in self._for_sale(demand, machine_types)
+                if self.refused_until.get((machine_type.name, zone, spot), 0.0) <= now
+                and bought.get((machine_type.name, zone, spot), 0) < HIRE_LIMIT
+            )
+            # Zones with fewer machines first, where the price is the same.
+            best = min(offers, default=None)
             if best is None:
                 return
             _, _, name, zone, spot = best
@@ -306,6 +295,30 @@
             fresh.append(space)
             spaces.append(space)
 
+    @staticmethod
+    def _for_sale(
+        demand: Demand, machine_types: dict[str, MachineType]
+    ) -> Iterator[tuple[MachineType, str, bool]]:
+        """Machine types, zones and kinds that would serve a demand."""
+        spec, limit = demand.spec, zone_limit(demand.spec)
+        for machine_type in allowed_machine_types(spec, machine_types.values()):
+            for zone in machine_type.zones:
+                elsewhere = spec.zone not in (None, zone) or demand.home not in (None, zone)
+                full = not demand.forecast and demand.zones.get(zone, 0) >= limit
+                if elsewhere or full:
+                    continue
+                if spec.spot:
+                    yield machine_type, zone, True
+                yield machine_type, zone, False
+
+    @staticmethod
+    def _room_price(demand: Demand, machine_type: MachineType, spot: bool) -> float:
+        """Price of a task's room; a machine that is mostly left empty counts half as much again."""
+        full = how_many(demand.need, room_of(machine_type), _UNBOUNDED)
+        used = min(full, demand.tasks)
+        price = machine_type.spot_price if spot else machine_type.price
+        return price / full * (1.0 + 0.5 * (1 - used / full))
+
     @staticmethod
     def _reuse(demand: Demand, fresh: list[Space], limit: int) -> None:
         for space in fresh:
--- a/src/poppyhold/service.py
+++ b/src/poppyhold/service.py
@@ -15,16 +15,16 @@
 from poppyhold.http import Answer, Deferred, Server, answer
 from poppyhold.leader_term import LeaderTerm
 from poppyhold.machine_types import machine_type_records, read_machine_types
-from poppyhold.messages import MachineType, Malformed, Report, decode, parse_report
+from poppyhold.messages import MachineType, MalformedError, Report, decode, parse_report
 from poppyhold.options import Options
 from poppyhold.peers import Peers, Ping, Pong
 from poppyhold.settings import Settings, split_address
 from poppyhold.store import (
-    Conflict,
-    Gone,
-    Refused,
+    ConflictError,
+    LeaseGoneError,
+    RefusedError,
     Store,
-    Unsure,
+    UncertainError,
 )
 from poppyhold.users import Users
 
@@ -111,7 +111,7 @@
                 if stored is not None:
                     self.learn_machine_types(stored, publish=False)
                     return
-            except (Refused, Unsure, Malformed) as error:
+            except (RefusedError, UncertainError, MalformedError) as error:
                 log.debug("machine types: %s", error)
             machine_types = self.cloud.machine_types()
             if machine_types:
@@ -134,7 +134,7 @@
                 for record in machine_type_records(self.machine_types.values(), limits.value_bytes):
                     self.store.commit({}, [record])
                 self._machine_types_published = shapes
-            except (Refused, Unsure, Conflict, Gone) as error:
+            except (RefusedError, UncertainError, ConflictError, LeaseGoneError) as error:
                 log.debug("machine types: %s", error)
 
     # -- leading -------------------------------------------------------------------------------------
@@ -297,7 +297,7 @@
     def _handle_report(self, body: bytes) -> Answer | Deferred:
         try:
             report = parse_report(decode(body))
-        except Malformed as error:
+        except MalformedError as error:
             return answer(400, {"error": str(error)})
         reply = self._answer_report(report)
         if reply is not None:
--- a/src/poppyhold/settings.py
+++ b/src/poppyhold/settings.py
@@ -187,10 +187,13 @@
     return found
 
 
+_HIGHEST_PORT = 65535
+
+
 def split_address(text: str, field: str = "address") -> tuple[str, int]:
     """Split ``host:port``."""
     host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= _HIGHEST_PORT:
         raise ConfigError(f"{field}: {text!r} is not host:port")
     return host, int(port)
 
--- a/src/poppyhold/store.py
+++ b/src/poppyhold/store.py
@@ -5,9 +5,10 @@
 import json
 import time
 from collections.abc import Callable, Iterable
+from http import HTTPStatus
 from typing import Any, NamedTuple
 
-from poppyhold.http import Client, NoAnswer, NotSent
+from poppyhold.http import Client, NoAnswerError, NotSentError
 from poppyhold.settings import Settings, split_address
 
 ROOT = "ph/"
@@ -39,19 +40,19 @@
     version: int
 
 
-class Refused(Exception):
+class RefusedError(Exception):
     """The request was certainly not carried out."""
 
 
-class Unsure(Exception):
+class UncertainError(Exception):
     """The request may have been carried out, or may be later."""
 
 
-class Invalid(Refused):
+class InvalidRequestError(RefusedError):
     """The state service will never carry the request out: most likely it is above a limit."""
 
 
-class Conflict(Exception):
+class ConflictError(Exception):
     """A condition of a transaction failed."""
 
     def __init__(self, failed: list[str]) -> None:
@@ -59,7 +60,7 @@
         self.failed = failed
 
 
-class Gone(Exception):
+class LeaseGoneError(Exception):
     """A lease is over, or a watch's start is too old."""
 
 
@@ -90,24 +91,24 @@
     def _call(self, method: str, path: str, body: Data | None, timeout: float) -> tuple[int, Data]:
         try:
             status, data = self._client.request(method, path, body, timeout=timeout)
-        except NotSent as error:
-            raise Refused(str(error)) from error
-        except NoAnswer as error:
-            raise Unsure(str(error)) from error
-        if status in (429, 503):
-            raise Refused(str(status))
-        if status >= 500:
-            raise Unsure(str(status))
+        except NotSentError as error:
+            raise RefusedError(str(error)) from error
+        except NoAnswerError as error:
+            raise UncertainError(str(error)) from error
+        if status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
+            raise RefusedError(str(status))
+        if status >= HTTPStatus.INTERNAL_SERVER_ERROR:
+            raise UncertainError(str(status))
         self.contact_at = self._clock()
         return status, data
 
     def get(self, key: str) -> Entry | None:
         """Read a key."""
         status, data = self._call("GET", f"/kv/{key}", None, self.timeout)
-        if status == 404:
+        if status == HTTPStatus.NOT_FOUND:
             return None
-        if status != 200:
-            raise Refused(f"{status} {data}")
+        if status != HTTPStatus.OK:
+            raise RefusedError(f"{status} {data}")
         return Entry(key, data["data"], data["stamp"])
 
     def scan(self, prefix: str) -> tuple[list[Entry], int]:
@@ -118,8 +119,8 @@
         while True:
             since = f"&since={after}" if after else ""
             status, data = self._call("GET", f"/kv?prefix={prefix}{since}&most=1000", None, self.timeout * 2)
-            if status != 200:
-                raise Refused(f"{status} {data}")
+            if status != HTTPStatus.OK:
+                raise RefusedError(f"{status} {data}")
             if revision < 0:
                 revision = data["ledger"]
             entries += [Entry(e["key"], e["data"], e["stamp"]) for e in data["entries"]]
@@ -131,28 +132,28 @@
         """Carry out a transaction and return its revision."""
         body = {"if": [{"key": k, "stamp": s} for k, s in conditions.items()], "writes": writes}
         status, data = self._call("POST", "/commit", body, self.timeout)
-        if status == 200:
+        if status == HTTPStatus.OK:
             return int(data["ledger"])
-        if status == 409:
-            raise Conflict(data.get("failed", []))
+        if status == HTTPStatus.CONFLICT:
+            raise ConflictError(data.get("failed", []))
         if data.get("error") == "no such lease":
-            raise Gone("lease")
-        raise Invalid(f"{status} {data}")
+            raise LeaseGoneError("lease")
+        raise InvalidRequestError(f"{status} {data}")
 
     def lease(self, life_s: float) -> int:
         """Get a lease."""
         status, data = self._call("POST", "/leases", {"lifeMs": max(100, int(life_s * 1000))}, self.timeout)
-        if status != 200:
-            raise Refused(f"{status} {data}")
+        if status != HTTPStatus.OK:
+            raise RefusedError(f"{status} {data}")
         return int(data["permit"])
 
     def extend(self, lease_id: int, timeout: float) -> None:
         """Renew a lease."""
         status, data = self._call("POST", f"/leases/{lease_id}/extend", {}, timeout)
-        if status == 404:
-            raise Gone("lease")
-        if status != 200:
-            raise Refused(f"{status} {data}")
+        if status == HTTPStatus.NOT_FOUND:
+            raise LeaseGoneError("lease")
+        if status != HTTPStatus.OK:
+            raise RefusedError(f"{status} {data}")
 
     def end_lease(self, lease_id: int) -> None:
         """End a lease at once, with the keys on it."""
@@ -162,10 +163,10 @@
         """Wait for changes behind ``since``."""
         path = f"/follow?prefix={prefix}&since={since}&holdMs={int(hold_s * 1000)}"
         status, data = self._call("GET", path, None, hold_s + self.timeout)
-        if status == 410:
-            raise Gone("watch")
-        if status != 200:
-            raise Refused(f"{status} {data}")
+        if status == HTTPStatus.GONE:
+            raise LeaseGoneError("watch")
+        if status != HTTPStatus.OK:
+            raise RefusedError(f"{status} {data}")
         return data["events"], int(data["ledger"])
 
 
--- a/src/poppyhold/users.py
+++ b/src/poppyhold/users.py
@@ -12,20 +12,20 @@
 from poppyhold.cancellations import Cancellations
 from poppyhold.fleet import allowed_machine_types
 from poppyhold.http import Answer, answer
-from poppyhold.messages import JOB_ID, MachineType, Malformed, Submission, decode, parse_submission
+from poppyhold.messages import JOB_ID, MachineType, MalformedError, Submission, decode, parse_submission
 from poppyhold.placement import Quotas
 from poppyhold.recent import Recent
 from poppyhold.settings import Settings
 from poppyhold.store import (
     ACTIVE,
     FINAL,
-    Conflict,
+    ConflictError,
     Data,
-    Gone,
-    Invalid,
-    Refused,
+    InvalidRequestError,
+    LeaseGoneError,
+    RefusedError,
     Store,
-    Unsure,
+    UncertainError,
     final_writes,
     put,
     stored_bytes,
@@ -84,7 +84,7 @@
             return self._later(429)
         try:
             return work()
-        except (Refused, Unsure, Gone) as error:
+        except (RefusedError, UncertainError, LeaseGoneError) as error:
             log.debug("state service: %s", error)
             return self._later()
         finally:
@@ -94,7 +94,7 @@
         """POST /api/jobs."""
         try:
             spec = parse_submission(decode(body))
-        except Malformed as error:
+        except MalformedError as error:
             return answer(400, {"error": str(error)})
         return self._guarded(lambda: self._submit(spec))
 
@@ -109,9 +109,18 @@
             return answer(422, {"error": verdict}) if verdict is not None else self._later()
         data = self._record(spec, machine_types)
         if stored_bytes(data) > self._largest_record:
-            # An earlier version may have stored it, under larger limits.
-            known = self._look_up(spec.name)
-            return answer(400, {"error": "too long"}) if known is None else answer(200, known)
+            return self._too_long(spec)
+        return self._store_submission(spec, data)
+
+    def _too_long(self, spec: Submission) -> Answer:
+        """It can never be stored, so that its user need not try again.
+
+        An earlier version may have stored it, under larger limits.
+        """
+        known = self._look_up(spec.name)
+        return answer(400, {"error": "too long"}) if known is None else answer(200, known)
+
+    def _store_submission(self, spec: Submission, data: Data) -> Answer:
         # A condition that fails counts against the limit of changes like a change: users that repeat what is
         # known to be accepted must not eat up what decisions need.
         repeat = spec.name in self._accepted or self._counts(spec.name) is not None
@@ -124,15 +133,13 @@
                 self._store.commit(
                     {ACTIVE + spec.name: 0, FINAL + spec.name: 0}, [put(ACTIVE + spec.name, data)]
                 )
-            except Unsure:
+            except UncertainError:
                 # Perhaps it went through: the repeat will tell.
                 continue
-            except Invalid as error:
-                # It can never be stored, so that its user need not try again.
+            except InvalidRequestError as error:
                 log.warning("%s: %s", spec.name, error)
-                known = self._look_up(spec.name)
-                return answer(400, {"error": "too long"}) if known is None else answer(200, known)
-            except Conflict:
+                return self._too_long(spec)
+            except ConflictError:
                 # It is there, be it by our own try before: what it is now is what its user is told.
                 repeat = True
             else:
@@ -213,7 +220,7 @@
                 revision = self._store.commit(
                     {ACTIVE + job_id: entry.version}, final_writes(job_id, "cancelled", tasks)
                 )
-            except (Conflict, Unsure):
+            except (ConflictError, UncertainError):
                 # It moved, or may have: look again.
                 continue
             self._keep_final(job_id, ("cancelled", tasks), revision)
--- a/src/poppyhold/watch.py
+++ b/src/poppyhold/watch.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Callable
 
-from poppyhold.store import Entry, Gone, Refused, Store, Unsure
+from poppyhold.store import Entry, LeaseGoneError, RefusedError, Store, UncertainError
 
 log = logging.getLogger(__name__)
 
@@ -47,30 +47,39 @@
         while not self._stop.is_set():
             asked = self._clock()
             try:
-                if revision < 0:
-                    entries, revision = self._store.scan(self._prefix)
-                    if not self._stop.is_set():
-                        self._on_snapshot(entries)
-                else:
-                    events, revision = self._store.follow(self._prefix, revision, self._hold_s)
-                    for event in events:
-                        if self._stop.is_set():
-                            return
-                        if "set" in event:
-                            entry = Entry(event["set"], event["data"], event["stamp"])
-                            self._on_change(entry, entry.version)
-                        else:
-                            self._on_change(event["remove"], event["stamp"])
+                revision = self._read() if revision < 0 else self._follow(revision)
+                if self._stop.is_set():
+                    return
                 if self.first_revision < 0:
                     self.first_revision = revision
                 if self._on_synced is not None:
                     self._on_synced(asked, revision)
-            except Gone:
+            except LeaseGoneError:
                 revision = -1
-            except (Refused, Unsure):
+            except (RefusedError, UncertainError):
                 self._stop.wait(self._hold_s / 10)
             except Exception:
                 # A watch that ended would leave the node blind: start over.
                 log.exception("watch %s", self._prefix)
                 revision = -1
                 self._stop.wait(self._hold_s / 10)
+
+    def _read(self) -> int:
+        """Read all keys; the revision that they are of."""
+        entries, revision = self._store.scan(self._prefix)
+        if not self._stop.is_set():
+            self._on_snapshot(entries)
+        return revision
+
+    def _follow(self, since: int) -> int:
+        """Wait for changes and hand them on, in order; the revision that they go up to."""
+        events, revision = self._store.follow(self._prefix, since, self._hold_s)
+        for event in events:
+            if self._stop.is_set():
+                break
+            if "set" in event:
+                entry = Entry(event["set"], event["data"], event["stamp"])
+                self._on_change(entry, entry.version)
+            else:
+                self._on_change(event["remove"], event["stamp"])
+        return revision
--- a/src/poppyhold/workers.py
+++ b/src/poppyhold/workers.py
@@ -6,10 +6,11 @@
 import threading
 from collections import deque
 from collections.abc import Callable
+from http import HTTPStatus
 
 from poppyhold.context import OK, REFUSED, UNSENT, UNSURE, Data
-from poppyhold.http import Client, NoAnswer, NotSent
-from poppyhold.messages import Malformed, Report, parse_report
+from poppyhold.http import Client, NoAnswerError, NotSentError
+from poppyhold.messages import MalformedError, Report, parse_report
 from poppyhold.settings import ConfigError, Settings, split_address
 
 log = logging.getLogger(__name__)
@@ -104,17 +105,17 @@
         client = Client(host, port, keep=0)
         try:
             status, data = client.request("POST", "/do", body, timeout=self._timeout)
-        except NotSent as error:
+        except NotSentError as error:
             log.debug("%s: %s", endpoint, error)
             return UNSENT, None
-        except NoAnswer as error:
+        except NoAnswerError as error:
             log.debug("%s: %s", endpoint, error)
             return UNSURE, None
-        if status not in (200, 409):
+        if status not in (HTTPStatus.OK, HTTPStatus.CONFLICT):
             return REFUSED, None
         try:
             report = parse_report(data)
-        except Malformed as error:
+        except MalformedError as error:
             log.debug("%s: %s", endpoint, error)
             report = None
-        return (OK if status == 200 else REFUSED), report
+        return (OK if status == HTTPStatus.OK else REFUSED), report
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -15,7 +15,7 @@
 from poppyhold.messages import (
     MachineType,
     MachineTypes,
-    Malformed,
+    MalformedError,
     convert,
     encode,
     parse_report,
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("fields", BAD, ids=str)
 def test_bad_submissions_are_refused(fields: dict[str, object]) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         parse_submission(wire() | fields)
 
 
@@ -62,7 +62,7 @@
 def test_missing_fields_are_refused(missing: str) -> None:
     body = wire()
     del body[missing]
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         parse_submission(body)
 
 
@@ -117,7 +117,7 @@
     ids=str,
 )
 def test_malformed_reports_are_refused(body: dict[str, object]) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         parse_report(body)
     assert parse_report(REPORT).machine == "vm-1"
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -11,7 +11,7 @@
 from poppyhold.messages import encode, parse_report
 from poppyhold.options import Options
 from poppyhold.settings import Team
-from poppyhold.store import ACTIVE, FINAL, LEAD, PLAN, Entry, Unsure
+from poppyhold.store import ACTIVE, FINAL, LEAD, PLAN, Entry, UncertainError
 from test_attempts import leading_world
 from test_store import Fickle
 from world import SimLeaderTerm, World, submission, wire
@@ -152,7 +152,7 @@
     store = Fickle("late")
     won: list[Term] = []
     first, second = (store.state.lease(2500)[1]["permit"] for _ in range(2))
-    with pytest.raises(Unsure):
+    with pytest.raises(UncertainError):
         candidate(store, won)._stand(first, 0.0)
     candidate(store, won)._stand(second, 0.0)
     assert store.carry_out_late() == [409]
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -17,7 +17,7 @@
 import msgspec
 import pytest
 
-from poppyhold.http import Answer, Client, Deferred, NoAnswer, NotSent, Server
+from poppyhold.http import Answer, Client, Deferred, NoAnswerError, NotSentError, Server
 from poppyhold.messages import decode, encode
 from poppyhold.settings import MachineLimits, Workers, strains
 from poppyhold.workers import Done, Lane
@@ -127,7 +127,7 @@
             body, sent_at, shift = self.worker.report(), time.monotonic(), self.worker.session
         try:
             status, answer = Client("127.0.0.1", port, keep=0).request("POST", "/hello", body, timeout=4.0)
-        except (NotSent, NoAnswer):
+        except (NotSentError, NoAnswerError):
             return
         if status == 200:
             with self.lock:
@@ -179,7 +179,7 @@
         """One request of a user."""
         try:
             return self.client.request(method, path, body, timeout=5.0)
-        except (NotSent, NoAnswer):
+        except (NotSentError, NoAnswerError):
             return 0, {}
 
     def kill(self) -> None:
@@ -286,7 +286,7 @@
         assert clients[1].request("POST", "/hello", {}, timeout=5.0)[0] == 200
         assert clients[2].request("POST", "/hello", {}, timeout=5.0)[0] == 200
         # Three workers fill it: nobody is turned out for a fourth.
-        with pytest.raises((NoAnswer, NotSent)):
+        with pytest.raises((NoAnswerError, NotSentError)):
             clients[3].request("GET", "/ready", timeout=5.0)
     finally:
         for held in silent:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,11 +15,11 @@
     LEAD,
     PLAN,
     TOKEN,
-    Conflict,
+    ConflictError,
     Entry,
-    Refused,
+    RefusedError,
     Store,
-    Unsure,
+    UncertainError,
     put,
 )
 from standins import StateStandIn
@@ -44,15 +44,15 @@
         body = {"if": [{"key": k, "stamp": s} for k, s in conditions.items()], "writes": writes}
         fate = self.fates.popleft() if self.fates else "answered"
         if fate == "refused":
-            raise Refused("503")
+            raise RefusedError("503")
         if fate == "late":
             self.late.append(body)
-            raise Unsure("late")
+            raise UncertainError("late")
         status, answer = self.state.commit(body)
         if fate == "lost":
-            raise Unsure("lost")
+            raise UncertainError("lost")
         if status == 409:
-            raise Conflict(answer["failed"])
+            raise ConflictError(answer["failed"])
         return int(answer["ledger"])
 
     def carry_out_late(self) -> list[int]:
@@ -74,7 +74,7 @@
         try:
             writer.commit({}, [put(key, {"v": value})])
             return
-        except (Refused, Unsure):
+        except (RefusedError, UncertainError):
             continue
     raise AssertionError("never certain")
 
@@ -124,11 +124,11 @@
 
 def test_a_new_leader_voids_what_the_old_one_left() -> None:
     store, old = leader("late")
-    with pytest.raises(Unsure):
+    with pytest.raises(UncertainError):
         old.commit({}, [put(TOKEN, {"v": 1})])
     stamp = store.commit({}, [put(LEAD, {"member": "hive-1"})])
     until_certain(Writer(store, stamp), TOKEN, 2)
     assert store.carry_out_late() == [409]
-    with pytest.raises(Conflict, match=LEAD):
+    with pytest.raises(ConflictError, match=LEAD):
         old.commit({}, [put(TOKEN, {"v": 3})])
     assert store.state.keys[TOKEN][0] == {"v": 2}
--- a/tests/world.py
+++ b/tests/world.py
@@ -26,7 +26,17 @@
 from poppyhold.settings import Deployment as DeploymentSettings
 from poppyhold.settings import Known, NextState, Outside, Settings, State, Team, Workers
 from poppyhold.snapshot import read_snapshot
-from poppyhold.store import ACTIVE, LEAD, TOKEN, Conflict, Entry, Refused, Store, Unsure, put
+from poppyhold.store import (
+    ACTIVE,
+    LEAD,
+    TOKEN,
+    ConflictError,
+    Entry,
+    RefusedError,
+    Store,
+    UncertainError,
+    put,
+)
 from poppyhold.users import Users
 from standins import CloudStandIn, StateStandIn, WorkerStandIn
 
@@ -64,7 +74,7 @@
     def _state(self) -> StateStandIn:
         world = self._node.world
         if world.state.down or self._node.refused or not self._node.alive or world.cut == self._node.zone:
-            raise Refused("503")
+            raise RefusedError("503")
         self.contact_at = world.now
         return world.state
 
@@ -83,17 +93,17 @@
         world.work["changes"] += len(writes)
         if world.late_writes and world.rng.random() < world.late_writes:
             world.after(world.rng.uniform(2.0, 12.0), lambda: world.carry_out_late(body))
-            raise Unsure("late")
+            raise UncertainError("late")
         status, answer = state.commit(body)
         if status == 409:
-            raise Conflict(answer["failed"])
+            raise ConflictError(answer["failed"])
         if status != 200:
-            raise Refused(str(answer))
+            raise RefusedError(str(answer))
         if self._node.lose_answers > 0:
             self._node.lose_answers -= 1
-            raise Unsure("lost")
+            raise UncertainError("lost")
         if world.lost_answers and world.rng.random() < world.lost_answers:
-            raise Unsure("lost")
+            raise UncertainError("lost")
         return int(answer["ledger"])
 
 
@@ -130,12 +140,12 @@
         conditions, writes, done = self._units[0]
         try:
             self._writer.commit(conditions, writes)
-        except Conflict as conflict:
+        except ConflictError as conflict:
             if LEAD in conflict.failed:
                 self.node.step_down()
                 return
             result = False
-        except (Refused, Unsure):
+        except (RefusedError, UncertainError):
             self._later(0.2, self._carry_out)
             return
         else:
@@ -398,7 +408,7 @@
                 self._campaign()
             if self.first_revision < 0:
                 self.first_revision = self.store.scan(LEAD)[1]
-        except (Refused, Unsure, Conflict):
+        except (RefusedError, UncertainError, ConflictError):
             pass
         self._ask_peers()
         leader_term = self.leader_term
@@ -439,7 +449,7 @@
         conditions = {LEAD: 0, TOKEN: held.version if held else 0}
         try:
             stamp = self.store.commit(conditions, [put(LEAD, claim, permit), put(TOKEN, {"baton": baton})])
-        except Unsure:
+        except UncertainError:
             lead = self.store.get(LEAD)
             if lead is None or lead.data["permit"] != permit:
                 raise
