--- a/src/poppyhold/admission.py
+++ b/src/poppyhold/admission.py
@@ -5,12 +5,16 @@
 import logging
 from collections.abc import Callable
 
+import msgspec
+
 from poppyhold.context import Context
 from poppyhold.estimates import Estimates
 from poppyhold.fleet import NOTHING, Attempt, Job, Machine, Room, plus
 from poppyhold.ledger import Ledger
+from poppyhold.messages import convert
 from poppyhold.planner import Plan, Planner
 from poppyhold.pricing import Pricing
+from poppyhold.records import PlanRecord
 from poppyhold.store import ACTIVE as ACTIVE_KEYS
 from poppyhold.store import PLAN, Data, put, stored_bytes
 
@@ -183,7 +187,8 @@
         """
         slots = sorted(job.plan)
         while True:
-            data: Data = {"s": {str(slot): job.plan[slot] for slot in slots}}
+            record = PlanRecord({str(slot): job.plan[slot] for slot in slots})
+            data: Data = msgspec.to_builtins(record)
             if not slots or stored_bytes(data) <= self._largest_record:
                 return data
             slots.pop()
@@ -192,7 +197,8 @@
         """Take a plan that an earlier leader made durable."""
         job.fresh = False
         job.plan_durable = True
-        job.plan = {int(slot): dict(zones) for slot, zones in data["s"].items()}
+        record = convert(data, PlanRecord)
+        job.plan = {int(slot): zones for slot, zones in record.slots.items()}
         job.admitted = bool(job.plan)
 
     def cap(self, job: Job) -> int:
--- a/src/poppyhold/attempts.py
+++ b/src/poppyhold/attempts.py
@@ -11,13 +11,23 @@
 from poppyhold.context import REFUSED, UNSENT, UNSURE, Context
 from poppyhold.fleet import DONE, Attempt, Job, Machine
 from poppyhold.gangs import Gangs
-from poppyhold.messages import HAS_IMAGE, ExitCause, Report, TaskReport, TaskState, split_task
+from poppyhold.messages import (
+    HAS_IMAGE,
+    Command,
+    CommandKind,
+    ExitCause,
+    Report,
+    TaskReport,
+    TaskState,
+    direct_commands,
+    report_answer,
+    split_task,
+)
+from poppyhold.records import MachineRecord
 from poppyhold.store import MACHINE, TOKEN, put
 
 log = logging.getLogger(__name__)
 
-Order = dict[str, Any]
-
 
 class Attempts:
     """Keeps the picture of every machine true to its newest report, and nothing older."""
@@ -43,7 +53,7 @@
 
     # -- reports ---------------------------------------------------------------------------------
 
-    def handle_report(self, report: Report) -> Order | None:
+    def handle_report(self, report: Report) -> dict[str, Any] | None:
         """Answer a worker's report; None if it can't be answered."""
         ctx = self._ctx
         now = ctx.clock()
@@ -69,13 +79,13 @@
         # whose sequence number is not above the last: it gets an answer, but proves nothing.
         if report.token < ctx.term_token:
             self.probe(machine, now)
-            orders = self._stops(machine, report, now)
+            commands = self._stops(machine, report, now)
         elif (report.session, report.sequence) > (machine.session, machine.sequence):
             self._take(machine, report, now, answered=True)
-            orders = self._orders(machine, report, now)
+            commands = self._commands(machine, report, now)
         else:
-            orders = self._stops(machine, report, now)
-        return {"baton": ctx.token, "orders": orders}
+            commands = self._stops(machine, report, now)
+        return report_answer(ctx.token, commands)
 
     def _ignores_answers(self, machine: Machine, now: float) -> bool:
         """Whether a worker from before our term seems not to hear us, so that its lease had better end.
@@ -112,13 +122,9 @@
             machine.record_asked = done
             self._ctx.dirty = True
 
-        data = {
-            "endpoint": machine.endpoint,
-            "build": msgspec.to_builtins(machine.machine_type),
-            "paddock": machine.zone,
-            "loaners": machine.spot,
-        }
-        self._ctx.edges.commit({}, [put(MACHINE + machine.name, data)], durable)
+        record = MachineRecord(machine.endpoint, machine.machine_type, machine.zone, machine.spot)
+        write = put(MACHINE + machine.name, msgspec.to_builtins(record))
+        self._ctx.edges.commit({}, [write], durable)
 
     def _take(self, machine: Machine, report: Report, now: float, answered: bool) -> None:
         """Take a report that is newer than all before it as the truth about its machine."""
@@ -270,41 +276,41 @@
             self.gangs.gone(attempt, self._ctx.clock())
         self._ctx.dirty = True
 
-    # -- orders ----------------------------------------------------------------------------------
+    # -- commands ----------------------------------------------------------------------------------
 
-    def _orders(self, machine: Machine, report: Report, now: float) -> list[Order]:
-        orders: list[Order] = []
+    def _commands(self, machine: Machine, report: Report, now: float) -> list[Command]:
+        commands: list[Command] = []
         for task in report.tasks:
             if task.status == TaskState.EXITED:
                 if self._may_reap(task):
-                    orders.append({"verb": "reap", "chore": task.task, "try": task.attempt})
+                    commands.append(Command(CommandKind.FORGET, task.task, task.attempt))
             elif task.task in machine.unknown_tasks:
-                orders.append({"verb": "stop", "chore": task.task, "try": task.attempt, "leewayS": 0})
+                commands.append(Command(CommandKind.STOP, task.task, task.attempt, 0.0))
         for attempt in machine.attempts.values():
             if attempt.stopping_at is not None:
-                orders.append(self._stop_order(attempt, now))
+                commands.append(self._stop_command(attempt, now))
             elif attempt.status == TaskState.SENT and attempt.via == "reply" and attempt.reply_sequence < 0:
                 attempt.reply_sequence = report.sequence
-                orders.append({"verb": "run", "chore": attempt.name, "try": attempt.number})
-        return orders
+                commands.append(Command(CommandKind.START, attempt.name, attempt.number))
+        return commands
 
-    def _stops(self, machine: Machine, report: Report, now: float) -> list[Order]:
+    def _stops(self, machine: Machine, report: Report, now: float) -> list[Command]:
         """Stops for what must not go on: every answer that renews a lease carries them.
 
         A report that proves nothing may all the same be the worker's own, and its answer the last one that
         arrives for a lease: without these, a task cancelled long ago would live that lease to its end. What
         is not there is not harmed by them, and who sent a copy drops the answer.
         """
-        orders = [
-            self._stop_order(attempt, now)
+        commands = [
+            self._stop_command(attempt, now)
             for attempt in machine.attempts.values()
             if attempt.stopping_at is not None
         ]
         for task in report.tasks:
             job = self._ctx.fleet.jobs.get(split_task(task.task)[0])
             if task.status != TaskState.EXITED and (job is None or job.over):
-                orders.append({"verb": "stop", "chore": task.task, "try": task.attempt, "leewayS": 0})
-        return orders
+                commands.append(Command(CommandKind.STOP, task.task, task.attempt, 0.0))
+        return commands
 
     def _may_reap(self, task: TaskReport) -> bool:
         """A completion must be durable first: its worker is the only one that knows of it."""
@@ -313,11 +319,11 @@
         return job is None or job.over or index not in job.unsaved
 
     @staticmethod
-    def _stop_order(attempt: Attempt, now: float) -> Order:
-        leeway = attempt.grace_s
-        if attempt.stopping_at is not None and now > attempt.stopping_at + leeway:
-            leeway = 0.0
-        return {"verb": "stop", "chore": attempt.name, "try": attempt.number, "leewayS": leeway}
+    def _stop_command(attempt: Attempt, now: float) -> Command:
+        grace_s = attempt.grace_s
+        if attempt.stopping_at is not None and now > attempt.stopping_at + grace_s:
+            grace_s = 0.0
+        return Command(CommandKind.STOP, attempt.name, attempt.number, grace_s)
 
     def start(self, job: Job, index: int, machine: Machine, victims: list[Attempt]) -> Attempt:
         """Start a task, after stopping the victims on the same machine."""
@@ -333,8 +339,8 @@
             attempt.in_flight = True
             self.say(
                 machine,
-                *(self._stop_order(victim, now) for victim in victims),
-                {"verb": "run", "chore": attempt.name, "try": attempt.number},
+                *(self._stop_command(victim, now) for victim in victims),
+                Command(CommandKind.START, attempt.name, attempt.number),
             )
         self._ctx.fleet.add(attempt)
         log.debug("start %s on %s as %d, stopping %d", attempt.name, machine.name, number, len(victims))
@@ -352,11 +358,11 @@
             self._over(attempt)
             return
         if direct:
-            self.say(attempt.machine, self._stop_order(attempt, now))
+            self.say(attempt.machine, self._stop_command(attempt, now))
 
-    def say(self, machine: Machine, *orders: Order) -> None:
+    def say(self, machine: Machine, *commands: Command) -> None:
         """Queue commands for a worker."""
-        machine.direct += orders
+        machine.direct += commands
         self._outbox[machine.name] = machine
 
     def flush(self) -> None:
@@ -364,10 +370,10 @@
         for machine in list(self._outbox.values()):
             if machine.do_busy:
                 continue
-            orders, machine.direct = machine.direct[:200], machine.direct[200:]
+            commands, machine.direct = machine.direct[:200], machine.direct[200:]
             if not machine.direct:
                 del self._outbox[machine.name]
-            self._do(machine, orders)
+            self._do(machine, commands)
 
     def probe(self, machine: Machine, now: float) -> None:
         """Ask a worker for a report, and hand it our token."""
@@ -376,16 +382,20 @@
         machine.probe_at = now + self._ctx.times.report_s
         self._do(machine, [])
 
-    def _do(self, machine: Machine, orders: list[Order]) -> None:
+    def _do(self, machine: Machine, commands: list[Command]) -> None:
         ctx = self._ctx
         # A start that waited here may be void by now: its session ended and the task runs elsewhere, or it
         # is to be stopped. What was never sent is over.
-        orders = [order for order in orders if order["verb"] != "run" or self._wanted(machine, order)]
+        commands = [
+            command
+            for command in commands
+            if command.kind is not CommandKind.START or self._wanted(machine, command)
+        ]
         machine.do_busy = True
-        runs = [str(order["chore"]) for order in orders if order["verb"] == "run"]
-        batch = [machine.attempts[name] for name in runs if name in machine.attempts]
+        starts = [command.task for command in commands if command.kind is CommandKind.START]
+        batch = [machine.attempts[name] for name in starts if name in machine.attempts]
         # An unheard worker's session is unknown: a command for none is not executed, but answered.
-        body = {"baton": ctx.token, "shift": machine.session or 1, "orders": orders}
+        body = direct_commands(ctx.token, machine.session or 1, commands)
         silent = ctx.clock() - machine.last_report > ctx.times.silent_s
 
         def answered(outcome: str, report: Report | None) -> None:
@@ -393,9 +403,9 @@
 
         ctx.edges.do(machine.name, machine.endpoint, body, answered, silent and bool(machine.heard))
 
-    def _wanted(self, machine: Machine, order: Order) -> bool:
-        attempt = machine.attempts.get(order["chore"])
-        if attempt is None or attempt.number != order["try"]:
+    def _wanted(self, machine: Machine, command: Command) -> bool:
+        attempt = machine.attempts.get(command.task)
+        if attempt is None or attempt.number != command.attempt:
             return False
         if attempt.stopping_at is not None:
             self._over(attempt)
--- a/src/poppyhold/controller.py
+++ b/src/poppyhold/controller.py
@@ -32,6 +32,7 @@
 from poppyhold.options import Options
 from poppyhold.placement import Quotas
 from poppyhold.recent import Recent
+from poppyhold.records import MachineRecord
 from poppyhold.settings import Settings
 from poppyhold.snapshot import Snapshot
 from poppyhold.store import ACTIVE, Data, Entry, final_writes
@@ -97,10 +98,10 @@
 
     def _load_machine(self, name: str, data: Data, now: float) -> None:
         """A machine that may hold tasks of earlier terms."""
-        machine_type = convert(data["build"], MachineType)
-        self.ctx.machine_types.setdefault(machine_type.name, machine_type)
-        machine = Machine(name, machine_type, data["paddock"], data["loaners"], since=now)
-        machine.endpoint = data["endpoint"]
+        record = convert(data, MachineRecord)
+        self.ctx.machine_types.setdefault(record.machine_type.name, record.machine_type)
+        machine = Machine(name, record.machine_type, record.zone, record.spot, since=now)
+        machine.endpoint = record.endpoint
         machine.images.update(self.ctx.hints.get(name, ()))
         machine.recorded = machine.record_asked = machine.up = True
         self.ctx.fleet.machines[name] = machine
--- a/src/poppyhold/fleet.py
+++ b/src/poppyhold/fleet.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from poppyhold.messages import IN_PROGRESS, RANKS, MachineType, Submission, TaskState, task_name
+from poppyhold.messages import IN_PROGRESS, RANKS, Command, MachineType, Submission, TaskState, task_name
 
 # Amounts of cpus, accelerators and memory, in this order.
 Room = tuple[float, float, float]
@@ -216,8 +216,8 @@
     # Rises whenever what it holds changes.
     version: int = 0
     images: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
-    # Orders for the worker: directly, and with the next answer to its reports.
-    direct: list[dict[str, object]] = msgspec.field(default_factory=list)
+    # Commands to be sent to the worker directly.
+    direct: list[Command] = msgspec.field(default_factory=list)
     errors: set[str] = msgspec.field(default_factory=set)
     # Tasks on it that are none of ours: they are stopped, and nothing starts beside them.
     unknown_tasks: set[str] = msgspec.field(default_factory=set)
--- a/src/poppyhold/hiring.py
+++ b/src/poppyhold/hiring.py
@@ -11,10 +11,11 @@
 from poppyhold.attempts import Attempts
 from poppyhold.context import OK, REFUSED, Context
 from poppyhold.fleet import NOTHING, Attempt, Machine, Room, how_many, room_of
-from poppyhold.messages import Listed
+from poppyhold.messages import HireRequest, Listed, convert
 from poppyhold.packing import Packing
 from poppyhold.placement import Quotas
 from poppyhold.provisioning import Arrivals, Demand, Provisioning, Purchase, Space, demand_of, space_of
+from poppyhold.records import HireRecord
 from poppyhold.store import HIRE, MACHINE, Data, put, remove, stored_bytes
 
 log = logging.getLogger(__name__)
@@ -77,7 +78,8 @@
 
     def load_hire(self, name: str, data: Data) -> None:
         """A hire that an earlier leader made durable: repeat it if its machines aren't known."""
-        hire = Hire(name, data["build"], data["paddock"], data["loaners"], data["number"], data.get("boxes"))
+        record = convert(data, HireRecord)
+        hire = Hire(name, record.machine_type, record.zone, record.spot, record.number, record.machines)
         self._hires[name] = hire
         if hire.machines is not None:
             self._expect(hire)
@@ -97,27 +99,17 @@
         self._ctx.edges.commit({}, [put(HIRE + name, self._data(hire))], durable)
 
     def _data(self, hire: Hire) -> Data:
-        data: Data = {
-            "build": hire.machine_type,
-            "paddock": hire.zone,
-            "loaners": hire.spot,
-            "number": hire.number,
-            "boxes": hire.machines,
-        }
-        if stored_bytes(data) > self._ctx.settings.settings.state.lowest.value_bytes:
-            # Without the names a next leader repeats the request, which rents nothing and names them again.
-            data["boxes"] = None
-        return data
+        record = HireRecord(hire.machine_type, hire.zone, hire.spot, hire.number, hire.machines)
+        data: Data = msgspec.to_builtins(record)
+        if stored_bytes(data) <= self._ctx.settings.settings.state.lowest.value_bytes:
+            return data
+        # Without the names a next leader repeats the request, which rents nothing and names them again.
+        nameless: Data = msgspec.to_builtins(msgspec.structs.replace(record, machines=None))
+        return nameless
 
     def _send(self, hire: Hire) -> None:
         hire.busy = True
-        body = {
-            "hire": hire.name,
-            "build": hire.machine_type,
-            "paddock": hire.zone,
-            "loaners": hire.spot,
-            "number": hire.number,
-        }
+        request = HireRequest(hire.name, hire.machine_type, hire.zone, hire.spot, hire.number)
 
         def answered(outcome: str, names: list[str]) -> None:
             hire.busy = False
@@ -137,7 +129,7 @@
             else:
                 hire.retry_at = now + self._ctx.times.report_s * 2
 
-        self._ctx.edges.hire(body, answered)
+        self._ctx.edges.hire(msgspec.to_builtins(request), answered)
 
     def _refused(self, hire: Hire, now: float) -> None:
         until = now + self._ctx.times.lease_s
--- a/src/poppyhold/messages.py
+++ b/src/poppyhold/messages.py
@@ -4,6 +4,7 @@
 
 import math
 import re
+from collections.abc import Iterable
 from enum import StrEnum
 from typing import Any, Literal, TypeVar
 
@@ -93,6 +94,34 @@
     kept: bool | None = None
 
 
+class CommandKind(StrEnum):
+    """What a worker is told to do with a task."""
+
+    START = "run"
+    STOP = "stop"
+    FORGET = "reap"
+
+
+class Command(msgspec.Struct, frozen=True, omit_defaults=True):
+    """A command to a worker, in the answer to its report or sent directly."""
+
+    kind: CommandKind = msgspec.field(name="verb")
+    task: str = msgspec.field(name="chore")
+    attempt: int = msgspec.field(name="try")
+    # Time to save, in seconds; with every stop.
+    grace_s: float | None = msgspec.field(name="leewayS", default=None)
+
+
+def report_answer(token: int, commands: Iterable[Command] = ()) -> dict[str, Any]:
+    """The answer to a report, which renews the worker's lease."""
+    return {"baton": token, "orders": msgspec.to_builtins(list(commands))}
+
+
+def direct_commands(token: int, session: int, commands: Iterable[Command]) -> dict[str, Any]:
+    """POST /do."""
+    return {"baton": token, "shift": session, "orders": msgspec.to_builtins(list(commands))}
+
+
 class Report(msgspec.Struct, frozen=True):
     """POST /hello, and the answers of /do and /show."""
 
@@ -148,6 +177,16 @@
     more: bool = False
 
 
+class HireRequest(msgspec.Struct, frozen=True):
+    """POST /machines."""
+
+    request_id: str = msgspec.field(name="hire")
+    machine_type: str = msgspec.field(name="build")
+    zone: str = msgspec.field(name="paddock")
+    spot: bool = msgspec.field(name="loaners")
+    number: int
+
+
 class Hired(msgspec.Struct, frozen=True):
     """The answer to POST /machines."""
 
--- a/src/poppyhold/service.py
+++ b/src/poppyhold/service.py
@@ -15,7 +15,7 @@
 from poppyhold.http import Answer, Deferred, Server, answer
 from poppyhold.leader_term import LeaderTerm
 from poppyhold.machine_types import machine_type_records, read_machine_types
-from poppyhold.messages import MachineType, MalformedError, Report, decode, parse_report
+from poppyhold.messages import MachineType, MalformedError, Report, decode, parse_report, report_answer
 from poppyhold.options import Options
 from poppyhold.peers import Peers, Ping, Pong
 from poppyhold.settings import Settings, split_address
@@ -306,7 +306,7 @@
             known = self.election.leader
             deputed = self.deputy.may_answer(report, self.store.contact_at, known.token if known else 0)
             if deputed is not None:
-                return answer(200, {"baton": deputed, "orders": []})
+                return answer(200, report_answer(deputed))
             # A new machine's worker begins with any node; one that has a token has left its leader.
             self._pass_on(report)
         leader = self.election.await_leader(self._naming_s)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -4,6 +4,7 @@
 
 from typing import Any
 
+from poppyhold.messages import Command, CommandKind
 from poppyhold.settings import Team
 from world import SimLeaderTerm, World, submission
 
@@ -40,11 +41,11 @@
     second = submission("job-000002", {"chores": 1})
     world.jobs["job-000002"] = second
     waiting = controller.attempts.start(job, 0, machine, [])
-    assert [order["verb"] for order in machine.direct] == ["run"]
+    assert [command.kind for command in machine.direct] == ["run"]
     leader_term.node.handle_report(worker.report())
     assert machine.attempts.get(waiting.name) is not waiting
     machine.do_busy = False
-    machine.direct = [order for order in machine.direct if order["try"] == waiting.number]
+    machine.direct = [command for command in machine.direct if command.attempt == waiting.number]
     controller.attempts.flush()
     assert all(order["try"] != waiting.number for body in sent for order in body["orders"])
 
@@ -58,7 +59,7 @@
     machine.do_busy = True
     job = controller.ctx.fleet.jobs["job-000001"]
     attempt = job.active[0]
-    controller.attempts.say(machine, {"verb": "run", "chore": attempt.name, "try": attempt.number + 1})
+    controller.attempts.say(machine, Command(CommandKind.START, attempt.name, attempt.number + 1))
     machine.do_busy = False
     controller.attempts.flush()
     assert sent and sent[0]["orders"] == []
