--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -42,22 +42,26 @@
     assert gangs.state_of(job) is GangState.WAITING_FOR_ROOM
 
 
-@pytest.mark.parametrize("cause", [ExitCause.PEER_LOST, ExitCause.GANG_INCOMPLETE, ExitCause.ERROR])
-def test_ends_of_a_task_that_end_the_attempt(cause: ExitCause) -> None:
+@pytest.mark.parametrize(
+    ("cause", "state"),
+    [
+        (ExitCause.PEER_LOST, GangState.FAILED),
+        (ExitCause.GANG_INCOMPLETE, GangState.FAILED),
+        (ExitCause.ERROR, GangState.FAILED),
+        # These tasks are replaced in the same attempt.
+        (ExitCause.NO_ROOM, GangState.ASSEMBLING),
+        (ExitCause.BUSY, GangState.ASSEMBLING),
+        (ExitCause.STOPPED, GangState.ASSEMBLING),
+    ],
+)
+def test_ends_of_a_task_that_end_the_attempt(cause: ExitCause, state: GangState) -> None:
     world, gangs, job_id = assembling_world()
     job = job_of(world, job_id)
     gangs.exited(job.active[1], cause, world.now)
-    assert gangs.state_of(job) is GangState.FAILED
-    assert not gangs.may_start(job)
-    assert all(attempt.stopping_at is not None for attempt in job.active.values())
-
-
-@pytest.mark.parametrize("cause", [ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.STOPPED])
-def test_ends_of_a_task_that_is_replaced(cause: ExitCause) -> None:
-    world, gangs, job_id = assembling_world()
-    job = job_of(world, job_id)
-    gangs.exited(job.active[1], cause, world.now)
-    assert gangs.state_of(job) is GangState.ASSEMBLING
+    failed = state is GangState.FAILED
+    assert gangs.state_of(job) is state
+    assert gangs.may_start(job) is not failed
+    assert all((attempt.stopping_at is not None) is failed for attempt in job.active.values())
 
 
 def test_whole_stop_gives_every_task_the_time_to_save() -> None:
