--- /dev/null
+++ b/tests/jobs.py
@@ -0,0 +1,62 @@
+"""Jobs and machine types as the protocol writes them."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+Data = dict[str, Any]
+ZONES = ["a", "b"]
+
+
+def build_data(name: str, accelerators: float, boot_s: float) -> Data:
+    """A machine type."""
+    return {
+        "name": name,
+        "cpus": 4 * accelerators,
+        "accelerators": accelerators,
+        "memGb": 32 * accelerators,
+        "localGb": 100.0,
+        "pullGbPerS": 5.0,
+        "rate": 3.0 * accelerators,
+        "marketPrice": 1.0 * accelerators,
+        "startupS": boot_s,
+        "paddocks": ZONES,
+    }
+
+
+def wire(job: Data) -> Data:
+    """A job as its user sends it."""
+    return {key: value for key, value in job.items() if key not in ("runs", "mistake")}
+
+
+def submission(job_id: str, fields: Data) -> Data:
+    """A job with every field, and how long its tasks really run."""
+    job: Data = {
+        "nameId": job_id,
+        "lot": "sweep",
+        "crew": "alpha",
+        "shape": "array",
+        "rank": "standard",
+        "chores": 2,
+        "cpus": 4.0,
+        "accelerators": 1.0,
+        "memGb": 10.0,
+        "bundle": "img-1",
+        "sizeGb": 5.0,
+        "builds": None,
+        "paddock": None,
+        "samePlace": False,
+        "apart": False,
+        "loaners": False,
+        "guessS": 10.0,
+        "bookmarkS": 0.0,
+        "stashS": 0.0,
+        "dueS": None,
+        **fields,
+    }
+    job.setdefault("runs", job["guessS"])
+    if job["shape"] == "service":
+        job["guessS"] = 0.0
+    return msgspec.convert(job, dict[str, Any])
--- /dev/null
+++ b/tests/sim_node.py
@@ -0,0 +1,461 @@
+"""A controller node of the simulated deployment: the real decision core and users' edge, without threads."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+import msgspec
+
+from jobs import ZONES
+from poppyhold.authority import Authority
+from poppyhold.committer import Writer
+from poppyhold.context import OK, REFUSED, UNSENT, UNSURE, Passed, Times
+from poppyhold.controller import Controller
+from poppyhold.deputy import Deputies, Deputy, Trust
+from poppyhold.messages import Listed, MachineType, Report, convert, encode, parse_report
+from poppyhold.options import Options
+from poppyhold.snapshot import read_snapshot
+from poppyhold.store import (
+    ACTIVE,
+    LEAD,
+    TOKEN,
+    ConflictError,
+    Entry,
+    RefusedError,
+    Store,
+    UncertainError,
+    put,
+)
+from poppyhold.users import Users
+from standins import StateStandIn
+
+if TYPE_CHECKING:
+    from world import World
+
+Data = dict[str, Any]
+STEP_S = 0.05
+# How late a command is that the network holds back while others pass.
+LATE_S = 40.0
+
+
+class SimStore(Store):
+    """The state client of a simulated node: calls are carried out at once, or refused."""
+
+    def __init__(self, node: SimNode) -> None:
+        self._node = node
+        self.timeout = 1.0
+        self.contact_at = float("-inf")
+
+    def _state(self) -> StateStandIn:
+        world = self._node.world
+        if world.state.down or self._node.refused or not self._node.alive or world.cut == self._node.zone:
+            raise RefusedError("503")
+        self.contact_at = world.now
+        return world.state
+
+    def get(self, key: str) -> Entry | None:
+        status, body = self._state().get(key)
+        return Entry(key, body["data"], body["stamp"]) if status == 200 else None
+
+    def scan(self, prefix: str) -> tuple[list[Entry], int]:
+        _, body = self._state().scan(prefix, "", 100_000)
+        return [Entry(e["key"], e["data"], e["stamp"]) for e in body["entries"]], body["ledger"]
+
+    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
+        body = {"if": [{"key": k, "stamp": s} for k, s in conditions.items()], "writes": writes}
+        state, world = self._state(), self._node.world
+        # Those of a transaction whose conditions fail count as well.
+        world.work["changes"] += len(writes)
+        if world.late_writes and world.rng.random() < world.late_writes:
+            world.after(world.rng.uniform(2.0, 12.0), lambda: world.carry_out_late(body))
+            raise UncertainError("late")
+        status, answer = state.commit(body)
+        if status == 409:
+            raise ConflictError(answer["failed"])
+        if status != 200:
+            raise RefusedError(str(answer))
+        if self._node.lose_answers > 0:
+            self._node.lose_answers -= 1
+            raise UncertainError("lost")
+        if world.lost_answers and world.rng.random() < world.lost_answers:
+            raise UncertainError("lost")
+        return int(answer["ledger"])
+
+
+class SimLeaderTerm:
+    """The edges of one term, with latencies, losses and late deliveries."""
+
+    def __init__(self, node: SimNode, baton: int, stamp: int, permit: int) -> None:
+        self.node, self.world = node, node.world
+        self.token, self.version, self.lease_id = baton, stamp, permit
+        self.alive = True
+        self.confirmed = self.world.now
+        self.deputies = Deputies(node.times, 0.0)
+        world = self.world
+        self.authority = Authority(node.times.blind_answers_s, world.members, world.now)
+        self._writer = Writer(node.store, stamp)
+        self._units: deque[tuple[dict[str, int], list[Data], Callable[[bool], None]]] = deque()
+        self.controller = Controller(
+            node.settings, Options(), self, baton, lambda: world.now, lambda: world.now, world.rng
+        )
+        dispatcher = self.controller.dispatcher
+        self._count_calls("passes", dispatcher, "dispatch")
+        self._count_calls("plans", self.controller.admission.planner, "plan")
+        self._count_calls("searches", dispatcher.placement, "free")
+        self._count_calls("searches", dispatcher.placement, "preemptible")
+        self.authority.synced(world.now, node.store.scan(ACTIVE)[1])
+        self.controller.load(
+            read_snapshot(node.store), [convert(b, MachineType) for b in world.cloud.machine_types]
+        )
+        self.next_list = world.now
+        self.woken_at = world.now
+
+    def _carry_out(self) -> None:
+        """One try of the first unit that waits, as the committer's thread does."""
+        conditions, writes, done = self._units[0]
+        try:
+            self._writer.commit(conditions, writes)
+        except ConflictError as conflict:
+            if LEAD in conflict.failed:
+                self.node.step_down()
+                return
+            result = False
+        except (RefusedError, UncertainError):
+            self._later(0.2, self._carry_out)
+            return
+        else:
+            result = True
+        self._units.popleft()
+        self._later(0.002, lambda: done(result))
+        if self._units:
+            self._later(0.003, self._carry_out)
+
+    def _count_calls(self, name: str, owner: object, method: str) -> None:
+        inner = getattr(owner, method)
+
+        def counted(*args: Any) -> Any:
+            self.world.work[name] += 1
+            return inner(*args)
+
+        setattr(owner, method, counted)
+
+    def _later(self, delay: float, work: Callable[[], None]) -> None:
+        def run() -> None:
+            if self.node.frozen:
+                self.world.after(STEP_S, run)
+            elif self.alive and self.node.alive:
+                work()
+                self.settle()
+
+        self.world.after(delay, run)
+
+    def settle(self) -> None:
+        """As the decision thread does: when a pass must wait, it wakes up for it."""
+        if not self.alive or not self.node.alive or self.node.frozen:
+            return
+        self.controller.settle()
+        if self.controller.ctx.dirty and self.controller.settle_at > max(self.world.now, self.woken_at):
+            self.woken_at = self.controller.settle_at
+            self.world.after(self.woken_at - self.world.now, self.settle)
+
+    def commit(
+        self,
+        conditions: dict[str, int],
+        writes: list[Data],
+        done: Callable[[bool], None],
+        first: bool = False,
+    ) -> None:
+        self.world.work["commits"] += 1
+        unit = (conditions, writes, done)
+        if not self._units:
+            self._later(0.003, self._carry_out)
+        if first and self._units:
+            # Behind the one that is being tried.
+            self._units.insert(1, unit)
+        else:
+            self._units.append(unit)
+
+    def do(
+        self,
+        box: str,
+        endpoint: str,
+        body: Data,
+        done: Callable[[str, Report | None], None],
+        patient: bool,
+    ) -> None:
+        world = self.world
+        worker = world.workers.get(endpoint)
+
+        def answered(outcome: str, report: Data | None) -> None:
+            parsed = parse_report(report) if report is not None else None
+            self._later(0.001 + world.link_s, lambda: done(outcome, parsed))
+
+        if worker is None or worker.gone or self.node.cut_workers:
+            self._later(1.5, lambda: done(UNSENT, None))
+            return
+        how = world.troubles.get(worker.name, set())
+        if world.severed(self.node.zone, worker.zone):
+            how = how | {"hold"}
+        if "late" in how:
+
+            def deliver_late() -> None:
+                worker.do(body)
+
+            world.after(LATE_S, deliver_late)
+            self._later(1.5, lambda: done(UNSURE, None))
+            return
+        if how & {"hang", "hold"}:
+            # The command waits in the network or in a hanging machine, and is carried out later.
+            worker.held_commands.append(body)
+            self._later(1.5, lambda: done(UNSURE, None))
+            return
+        if "deaf" in how:
+            self._later(1.5, lambda: done(UNSENT, None))
+            return
+
+        def deliver() -> None:
+            status, report = worker.do(body)
+            if "mute" in how:
+                self._later(1.5, lambda: done(UNSURE, None))
+                return
+            answered(OK if status == 200 else REFUSED, report)
+
+        world.after(0.001 + world.link_s, deliver)
+
+    def hire(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
+        def send() -> None:
+            if self.world.cut == self.node.zone:
+                done(UNSURE, [])
+                return
+            status, answer = self.world.cloud.hire(body)
+            if self.world.lose_hires > 0 and status == 200:
+                self.world.lose_hires -= 1
+                done(UNSURE, [])
+            elif status == 200:
+                done(OK, answer["boxes"])
+            else:
+                done(REFUSED if answer["error"] == "no capacity" else UNSURE, [])
+
+        self._later(0.1, send)
+
+    def delete(self, names: list[str], done: Callable[[bool], None]) -> None:
+        def send() -> None:
+            if self.world.cut == self.node.zone:
+                done(False)
+                return
+            status, _ = self.world.cloud.delete(names)
+            if status == 200:
+                for name in names:
+                    self.world.end_worker(name)
+            done(status == 200)
+
+        self._later(0.1, send)
+
+    def deposed(self, baton: int) -> None:
+        self.node.step_down()
+
+    def raised(self, baton: int) -> None:
+        self.token = baton
+
+    def resign(self, why: str) -> None:
+        self.node.resting_until = self.world.now + self.world.settings.settings.workers.lease_s
+        if not self.world.state.down and not self.node.refused:
+            self.world.state.end(self.lease_id)
+        self.node.step_down()
+
+    def over(self, job_id: str, status: str, chores: int) -> None:
+        self.node.users.finals.put(job_id, (status, chores))
+
+    def passed_on(self) -> list[list[Passed]]:
+        since = self.world.now - self.world.settings.settings.workers.lease_s / 2
+        return [
+            [passed for at, passed in node.passed_on.values() if at > since]
+            for node in self.world.nodes
+            if node is not self.node
+            and node.alive
+            and not (node.cut_peers or self.node.cut_peers)
+            and not self.world.severed(node.zone, self.node.zone)
+        ]
+
+    def may_start(self) -> bool:
+        now = self.world.now
+        return self.alive and now - self.confirmed < 2.5 and now - self.authority.synced_at < 5.0
+
+    def confirmed_at(self) -> float:
+        return self.confirmed if self.alive else float("-inf")
+
+    def deputies_until(self) -> float:
+        return self.deputies.until(self.world.now)
+
+    def trust(self) -> Trust | None:
+        """What the other nodes may count on."""
+        shunned = self.controller.excluded_machines()
+        return (
+            None
+            if shunned is None
+            else Trust(self.token, min(self.confirmed, self.authority.synced_at), shunned)
+        )
+
+
+class SimNode:
+    """A controller node: its election is that of `election`, told in a few lines."""
+
+    def __init__(self, world: World, member: str) -> None:
+        self.world, self.member = world, member
+        self.zone = ZONES[world.members.index(member) % len(ZONES)]
+        self.settings = world.settings
+        self.times = Times(world.settings, Options())
+        self.alive = True
+        self.refused = False
+        self.cut_workers = False
+        self.cut_peers = False
+        # It stands still while its clocks run on.
+        self.frozen = False
+        self.lose_answers = 0
+        self.resting_until = 0.0
+        self.back_at = float("inf")
+        self.leader_term: SimLeaderTerm | None = None
+        self.boot()
+
+    def boot(self) -> None:
+        """A new process: nothing is remembered."""
+        self.alive = True
+        self.store = SimStore(self)
+        self.leader_term = None
+        # First revision that this process saw.
+        self.first_revision = -1
+        self.passed_on: dict[str, tuple[float, Passed]] = {}
+        self.deputy = Deputy(self.times, 0.0, lambda: self.world.now, lambda: self.world.now)
+        builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
+        self.users = Users(self.settings, self.store, lambda: builds, self._count, lambda: self.world.now)
+
+    def is_old(self) -> None:
+        """From its next process on it stores as the version before did, which knows of no limits to come."""
+        deployment = msgspec.structs.replace(
+            self.world.settings.settings,
+            state=msgspec.structs.replace(self.settings.settings.state, next=None),
+        )
+        self.settings = msgspec.structs.replace(self.world.settings, settings=deployment)
+
+    def _count(self, job_id: str) -> tuple[int, int] | None:
+        return self.leader_term.controller.counts().get(job_id) if self.leader_term else None
+
+    def crash(self, back_s: float) -> None:
+        """The process ends without a word."""
+        self.step_down()
+        self.alive = False
+        self.back_at = self.world.now + back_s
+
+    def step_down(self) -> None:
+        """The term is over."""
+        if self.leader_term is not None:
+            self.leader_term.alive = False
+            self.leader_term = None
+
+    def handle_report(self, body: Data) -> tuple[int, Data]:
+        """POST /hello."""
+        leader_term = self.leader_term
+        if leader_term is None:
+            deputed = self.deputy.may_answer(parse_report(body), self.store.contact_at, 0)
+            if deputed is not None:
+                return 200, {"baton": deputed, "orders": []}
+            self.passed_on[body["box"]] = self.world.now, (body["box"], body["shift"], body["tally"])
+            leader = self.world.leader()
+            return 421, {"foreman": leader.member} if leader is not None else {}
+        if not leader_term.authority.may_answer(self.world.now, leader_term.confirmed):
+            return 503, {}
+        answer = leader_term.controller.handle_report(parse_report(body))
+        leader_term.settle()
+        if answer is None or not leader_term.alive:
+            return 503, {}
+        assert len(encode(answer)) <= 64 * 1024
+        return 200, answer
+
+    def step(self) -> None:
+        """What a node's duties do every so often."""
+        world = self.world
+        if self.frozen:
+            return
+        try:
+            if self.leader_term is not None:
+                self._lead(self.leader_term)
+            elif world.now >= self.resting_until:
+                self._campaign()
+            if self.first_revision < 0:
+                self.first_revision = self.store.scan(LEAD)[1]
+        except (RefusedError, UncertainError, ConflictError):
+            pass
+        self._ask_peers()
+        leader_term = self.leader_term
+        if leader_term is not None:
+            leader_term.controller.tick()
+            leader_term.settle()
+
+    def _lead(self, leader_term: SimLeaderTerm) -> None:
+        world = self.world
+        asked = world.now
+        if not world.cloud.down and asked >= leader_term.next_list:
+            leader_term.next_list = asked + 4.0
+            boxes = [convert(b, Listed) for b in world.cloud.listing()[1]["boxes"]]
+            leader_term.controller.listed(boxes)
+        if self.store.get(LEAD) is None or world.state.extend(leader_term.lease_id)[0] == 404:
+            self.step_down()
+            return
+        leader_term.confirmed = asked
+        for event in world.state.changes(ACTIVE, leader_term.authority.revision):
+            if "set" in event:
+                leader_term.controller.job_set(Entry(event["set"], event["data"], event["stamp"]))
+            else:
+                leader_term.controller.job_removed(event["remove"])
+        leader_term.authority.synced(asked, world.state.ledger)
+
+    def _campaign(self) -> None:
+        world = self.world
+        lead = self.store.get(LEAD)
+        if lead is not None:
+            if lead.data["member"] == self.member:
+                # A claim of ours that had no answer, or of a process of ours before this one.
+                world.state.end(lead.data["permit"])
+            return
+        permit = world.state.lease(2500)[1]["permit"]
+        held = self.store.get(TOKEN)
+        baton = (held.data["baton"] if held else 0) + 1
+        claim = {"member": self.member, "baton": baton, "permit": permit}
+        conditions = {LEAD: 0, TOKEN: held.version if held else 0}
+        try:
+            stamp = self.store.commit(conditions, [put(LEAD, claim, permit), put(TOKEN, {"baton": baton})])
+        except UncertainError:
+            lead = self.store.get(LEAD)
+            if lead is None or lead.data["permit"] != permit:
+                raise
+            stamp = lead.version
+        self.leader_term = SimLeaderTerm(self, baton, stamp, permit)
+        world.a_leader_begins(self)
+
+    def _ask_peers(self) -> None:
+        world, leader_term = self.world, self.leader_term
+        if leader_term is None:
+            return
+        self.tell(leader_term)
+        for other in world.nodes:
+            if other is self or not other.alive or other.frozen or self.cut_peers or other.cut_peers:
+                continue
+            if world.severed(self.zone, other.zone):
+                continue
+            leader_term.deputies.telling(other.member, world.now)
+            other.deputy.heard(leader_term.token, leader_term.trust())
+            leader_term.deputies.answered(other.member, world.now)
+            if other.leader_term is not None and other.leader_term.token > leader_term.token:
+                self.step_down()
+                return
+            other.tell(leader_term)
+
+    def tell(self, leader: SimLeaderTerm) -> None:
+        """Tell a leader which cancellations were told here, as peers' messages do."""
+        self.users.cancellations.known(leader.authority.revision)
+        named, bound = self.users.cancellations.named(self.first_revision)
+        for job_id, _ in named:
+            leader.controller.job_removed(ACTIVE + job_id)
+        leader.authority.learned(self.member, self.world.now, bound)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -4,9 +4,11 @@
 
 from typing import Any
 
+from jobs import submission
 from poppyhold.messages import Command, CommandKind
 from poppyhold.settings import Team
-from world import SimLeaderTerm, World, submission
+from sim_node import SimLeaderTerm
+from world import World
 
 
 def leading_world() -> tuple[World, SimLeaderTerm]:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -9,6 +9,9 @@
 import msgspec
 import pytest
 
+from jobs import build_data as world_build
+from jobs import submission
+from jobs import wire as as_sent
 from poppyhold.completions import Layout, decode_bits
 from poppyhold.fleet import make_job
 from poppyhold.machine_types import machine_type_records
@@ -24,9 +27,7 @@
 from poppyhold.options import load_options, parse_options
 from poppyhold.settings import ConfigError, NextState, State, Team, load_settings
 from poppyhold.store import DONE_STRETCHES, DONE_TASKS, MACHINE_TYPES, MORE_MACHINE_TYPES
-from world import World, submission
-from world import build_data as world_build
-from world import wire as as_sent
+from world import World
 
 
 def wire(**fields: object) -> dict[str, Any]:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -4,11 +4,12 @@
 
 import pytest
 
+from jobs import submission
 from poppyhold.fleet import Job
 from poppyhold.gangs import Gangs, GangState
 from poppyhold.messages import ExitCause, TaskState
 from test_attempts import leading_world
-from world import World, submission
+from world import World
 
 
 def assembling_world() -> tuple[World, Gangs, str]:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -6,15 +6,17 @@
 
 import pytest
 
+from jobs import submission, wire
 from poppyhold.deputy import Trust
 from poppyhold.election import Election, Term
 from poppyhold.messages import encode, parse_report
 from poppyhold.options import Options
 from poppyhold.settings import Team
 from poppyhold.store import ACTIVE, FINAL, LEAD, PLAN, Entry, UncertainError
+from sim_node import SimLeaderTerm
 from test_attempts import leading_world
 from test_store import Fickle
-from world import SimLeaderTerm, World, submission, wire
+from world import World
 
 
 def next_leader(world: World) -> SimLeaderTerm:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,6 +9,7 @@
 import msgspec
 import pytest
 
+from jobs import submission, wire
 from poppyhold.authority import Authority
 from poppyhold.cancellations import Cancellations
 from poppyhold.http import Answer
@@ -19,7 +20,7 @@
 from poppyhold.settings import Known, Outside, Team
 from test_smoke import Outside as OutsideStandIns
 from test_smoke import eventually, free_port
-from world import World, submission, wire
+from world import World
 
 PING = ["ping", "hive-1", 7, True, 0.5, 40, 3]
 PONG = ["pong", "hive-1", 0, False, 0.5, 40, 3]
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+import jobs
 import world
 from poppyhold.fleet import Job, fits, make_job, plus
 from poppyhold.ledger import Ledger
@@ -22,7 +23,7 @@
 
 def submission(**changes: object) -> Submission:
     """A plain job; ``changes`` replace fields."""
-    return parse_submission(world.submission("job-000001", changes))
+    return parse_submission(jobs.submission("job-000001", changes))
 
 
 def make_planner(horizon: int, machines: int, units: int = 16) -> tuple[Planner, Ledger, Pricing]:
@@ -126,7 +127,7 @@
     dispatcher._ctx.clock = lambda: next(ticking)
     dispatcher._start_unplanned = lambda job, reserved: started.append(job.id)  # type: ignore[method-assign]
     for number in range(1, 7):
-        fleet.submit(world.submission(f"job-{number:06d}", {}))
+        fleet.submit(jobs.submission(f"job-{number:06d}", {}))
         key = f"{ACTIVE}job-{number:06d}"
         leader.leader_term.controller.job_set(Entry(key, *fleet.state.keys[key][:2]))
     for job in dispatcher._ctx.fleet.jobs.values():
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -9,6 +9,7 @@
 import pytest
 
 import mix
+from jobs import submission
 from poppyhold.attempts import Attempts
 from poppyhold.authority import Authority
 from poppyhold.cancellations import Cancellations
@@ -22,7 +23,7 @@
 from poppyhold.placement import Quotas
 from poppyhold.settings import NextState, Team
 from poppyhold.store import TOKEN
-from world import World, submission
+from world import World
 
 FOLDER = Path(__file__).parent / "scenarios"
 SCENARIOS = sorted(FOLDER.glob("*.txt"))
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -17,12 +17,13 @@
 import msgspec
 import pytest
 
+from jobs import build_data, submission, wire
 from poppyhold.http import Answer, Client, Deferred, NoAnswerError, NotSentError, Server
 from poppyhold.messages import decode, encode
 from poppyhold.settings import MachineLimits, Workers, strains
 from poppyhold.workers import Done, Lane
 from standins import CloudStandIn, StateStandIn, WorkerStandIn
-from world import World, build_data, submission, wire
+from world import World
 
 ROOT = Path(__file__).resolve().parent.parent
 PATIENCE_S = 60.0
