--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -5,6 +5,7 @@
 import threading
 import time
 from collections import deque
+from collections.abc import Callable
 from types import SimpleNamespace
 from typing import Any
 
@@ -17,6 +18,7 @@
     TOKEN,
     ConflictError,
     Entry,
+    InvalidRequestError,
     RefusedError,
     Store,
     UncertainError,
@@ -122,6 +124,48 @@
     assert pauses[-1] == settings.settings.workers.report_s / 8
 
 
+class Limited(Fickle):
+    """A state service whose limits were lowered without notice."""
+
+    def __init__(self, most_changes: int, largest: int) -> None:
+        super().__init__()
+        self.most_changes, self.largest = most_changes, largest
+
+    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
+        too_large = any(write["data"].get("v", 0) > self.largest for write in writes)
+        if len(writes) > self.most_changes or too_large:
+            raise InvalidRequestError("400")
+        return super().commit(conditions, writes)
+
+
+def test_what_is_above_a_limit_holds_up_nothing_else(monkeypatch: pytest.MonkeyPatch) -> None:
+    # By reading: a transaction that got 400 was repeated for ever, and every later one of the leader waited.
+    settings = World(1, 10.0, 30.0, []).settings
+    clock = SimpleNamespace(monotonic=time.monotonic, sleep=lambda seconds: time.sleep(seconds / 100))
+    monkeypatch.setattr("poppyhold.committer.time", clock)
+    store = Limited(most_changes=1, largest=9)
+    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    committer = Committer(store, settings, stamp, lambda: None)
+    outcomes: list[tuple[int, bool]] = []
+    last = threading.Event()
+
+    def note(value: int) -> Callable[[bool], None]:
+        def done(result: bool) -> None:
+            outcomes.append((value, result))
+            if value == 4:
+                last.set()
+
+        return done
+
+    # The second is too large by itself, and all of them are too many for one transaction.
+    for value in (1, 10, 3, 4):
+        committer.submit(Unit({}, [put(f"{PLAN}{value}", {"v": value})], note(value)))
+    assert last.wait(60.0)
+    committer.stop()
+    assert outcomes == [(1, True), (3, True), (4, True)]
+    assert f"{PLAN}10" not in store.state.keys
+
+
 def test_a_new_leader_voids_what_the_old_one_left() -> None:
     store, old = leader("late")
     with pytest.raises(UncertainError):
