--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -431,6 +431,11 @@
     ("gang_not_starved", Dispatcher, "_hold_for_gang", _never),
     ("gang_team_limit", Dispatcher, "_hold_for_gang", _never),
     ("gang_half_sent", Gangs, "adopt", _never),
+    ("gang_half_heard", Attempts, "all_heard", _always),
+    ("gang_short_notice", Controller, "_drain_gang", _never),
+    ("gang_leader_crash_in_stop", Gangs, "stop", _kill),
+    ("gang_cancelled_at_once", Controller, "job_removed", _never),
+    ("gang_machine_hangs", Gangs, "gone", _never),
     ("gang_done_by_one_report", Job, "complete", _complete_one),
     ("gang_unsure_start", Attempts, "raise_token", _always),
 ]
