--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from jobs import ZONES
+from jobs import ZONES, Data
 from poppyhold.authority import Authority
 from poppyhold.committer import Writer
 from poppyhold.context import OK, REFUSED, UNSENT, UNSURE, Passed, Times
@@ -34,7 +34,6 @@
 if TYPE_CHECKING:
     from world import World
 
-Data = dict[str, Any]
 STEP_S = 0.05
 # How late a command is that the network holds back while others pass.
 LATE_S = 40.0
