--- a/src/poppyhold/completions.py
+++ b/src/poppyhold/completions.py
@@ -8,6 +8,7 @@
 
 from poppyhold.context import Context
 from poppyhold.fleet import DONE, Job
+from poppyhold.records import CompletionsRecord
 from poppyhold.settings import State
 from poppyhold.store import ACTIVE, DONE_STRETCHES, DONE_TASKS, Data, put, remove
 
@@ -18,12 +19,6 @@
 _FRAME_BYTES = 16
 
 
-class _Record(msgspec.Struct, frozen=True):
-    """A stored record; its field names are those of every version."""
-
-    bits: str = msgspec.field(name="d")
-
-
 def _stretch(value_bytes: int) -> int:
     """Tasks in a record that may fill a quarter of the largest value with each of its four bits."""
     return max(_LEAST_STRETCH, value_bytes // _TASKS_A_DIGIT * _TASKS_A_DIGIT)
@@ -66,7 +61,7 @@
         for index in indices:
             key, first, size = self._place(job, index)
             if key not in found:
-                record = _Record(encode_bits(job.states[first : first + size]))
+                record = CompletionsRecord(encode_bits(job.states[first : first + size]))
                 found[key] = msgspec.to_builtins(record)
         return found
 
@@ -99,7 +94,7 @@
                 self._ctx.edges.commit({}, [remove(prefix + name)], lambda done: None)
                 continue
             job.done_records.add(prefix + name)
-            record = msgspec.convert(data, _Record)
+            record = msgspec.convert(data, CompletionsRecord)
             for offset in decode_bits(record.bits):
                 job.complete(int(number) * size + offset)
 
--- a/src/poppyhold/controller.py
+++ b/src/poppyhold/controller.py
@@ -308,10 +308,10 @@
                 if attempt.job.gang:
                     self._drain_gang(attempt, left, now)
                 else:
-                    leeway = (
+                    grace_s = (
                         attempt.job.spec.save_s + times.report_s if attempt.job.spec.checkpoint_s > 0 else 0.0
                     )
-                    self.attempts.stop(attempt, leeway, now)
+                    self.attempts.stop(attempt, grace_s, now)
 
     def _drain_gang(self, attempt: Attempt, left: float, now: float) -> None:
         """Move one task of a gang that assembles; a gang that runs is stopped as a whole."""
--- a/src/poppyhold/dispatch.py
+++ b/src/poppyhold/dispatch.py
@@ -17,10 +17,7 @@
 
 def _room_for(job: Job, machine: Machine, reserved: dict[str, Room]) -> int:
     """How many of the job's pending tasks fit on a machine now, beside what is reserved."""
-    free = machine.free
-    if machine.name in reserved:
-        free = plus(free, reserved[machine.name], -1.0)
-    return how_many(job.need, free, job.pending)
+    return how_many(job.need, machine.free_beside(reserved), job.pending)
 
 
 class Pass:
@@ -321,12 +318,8 @@
         """Whether all pending tasks together stay within the team's limit."""
         used = self._ctx.fleet.used.get(job.spec.team, [0.0, 0.0])
         extra = self._pass.extra
-        all_but_one = job.pending - 1
-        total = (
-            used[0] + extra[0] + job.need[0] * all_but_one,
-            used[1] + extra[1] + job.need[1] * all_but_one,
-        )
-        return self._quotas.allows(job.spec.team, total, job.need)
+        in_use = (used[0] + extra[0], used[1] + extra[1])
+        return self._quotas.allows(job.spec.team, in_use, plus(NOTHING, job.need, job.pending))
 
     def _hold_for_gang(self, job: Job, within_limit: bool) -> None:
         """Keep freed room for a gang that has waited long, for a while at a time.
@@ -360,12 +353,12 @@
 
     def _await_gangs(self, job: Job, choice: Choice) -> bool:
         """Whether a start has to wait for gangs among its victims, which are stopped whole and save first."""
-        gangs = [victim.job for victim in choice.victims if victim.job.gang]
+        gangs = {victim.job.id: victim.job for victim in choice.victims if victim.job.gang}
         if not gangs:
             return False
         now = self._ctx.clock()
-        for gang in gangs:
+        for gang in gangs.values():
             self._attempts.gangs.stop(gang, now)
-        saving_s = max(gang.spec.save_s for gang in gangs)
+        saving_s = max(gang.spec.save_s for gang in gangs.values())
         job.preempts_again_at = now + saving_s + 2 * self._ctx.times.report_s
         return True
--- a/src/poppyhold/fleet.py
+++ b/src/poppyhold/fleet.py
@@ -233,6 +233,11 @@
         self.free = plus(self.capacity, used, -1.0)
         self.version += 1
 
+    def free_beside(self, reserved: dict[str, Room]) -> Room:
+        """Free room beside what is reserved on machines, by name."""
+        own = reserved.get(self.name)
+        return self.free if own is None else plus(self.free, own, -1.0)
+
     def usable(self, now: float, silent_s: float) -> bool:
         """Whether tasks may be started on it now."""
         return (
--- a/src/poppyhold/gang_placement.py
+++ b/src/poppyhold/gang_placement.py
@@ -50,11 +50,13 @@
 
     def __init__(self, placement: Placement) -> None:
         self._placement = placement
-        self._companions = NOTHING
+        self._jobs: Iterable[Job] = ()
+        # What goes with an accelerator, once a gang of this pass asks for it.
+        self._companions: Room | None = None
 
     def begin(self, jobs: Iterable[Job]) -> None:
         """A new pass; what is kept free for accelerators goes by the jobs that there are."""
-        self._companions = accelerator_companions(jobs)
+        self._jobs, self._companions = jobs, None
 
     def choose(self, job: Job, machines: list[Machine], reserved: dict[str, Room]) -> list[Machine] | None:
         """A machine for each pending task, or None if they don't all have room now."""
@@ -79,9 +81,7 @@
 
     def _room_made(self, job: Job, machine: Machine, reserved: dict[str, Room], most: int) -> RoomMade | None:
         """Room for up to so many tasks, with no more stops than that takes."""
-        free = machine.free
-        if machine.name in reserved:
-            free = plus(free, reserved[machine.name], -1.0)
+        free = machine.free_beside(reserved)
         count = how_many(job.need, free, most)
         victims: list[Attempt] = []
         lost = 0.0
@@ -143,16 +143,20 @@
                 return Candidate(not keeps_companions and job.need[1] <= 0, chosen)
         return None
 
+    def _kept_for_accelerators(self) -> Room:
+        if self._companions is None:
+            self._companions = accelerator_companions(self._jobs)
+        return self._companions
+
     def _options(
         self, job: Job, machines: list[Machine], reserved: dict[str, Room], keeps_companions: bool
     ) -> list[Option]:
         options: list[Option] = []
+        companions = self._kept_for_accelerators() if keeps_companions else NOTHING
         for machine in machines:
-            free = machine.free
-            if machine.name in reserved:
-                free = plus(free, reserved[machine.name], -1.0)
+            free = machine.free_beside(reserved)
             if keeps_companions:
-                free = plus(free, self._companions, -max(0.0, free[1]))
+                free = plus(free, companions, -max(0.0, free[1]))
             count = how_many(job.need, free, job.pending)
             if count:
                 options.append((count, machine))
--- a/src/poppyhold/placement.py
+++ b/src/poppyhold/placement.py
@@ -192,9 +192,7 @@
 
     def room_for(self, job: Job, machine: Machine, reserved: dict[str, Room]) -> float | None:
         """The score of a machine with free room beside what is reserved for plans; None if it has none."""
-        free = machine.free
-        if machine.name in reserved:
-            free = plus(free, reserved[machine.name], -1.0)
+        free = machine.free_beside(reserved)
         return self._score(job, machine, free) if fits(job.need, free) else None
 
     def free(
--- a/src/poppyhold/records.py
+++ b/src/poppyhold/records.py
@@ -33,3 +33,9 @@
     """That tasks of a job may start: counts per slot and zone. With no slots, on spare room alone."""
 
     slots: dict[str, dict[str, int]] = msgspec.field(name="s")
+
+
+class CompletionsRecord(msgspec.Struct, frozen=True):
+    """Completed tasks of a stretch of a job: a bit each, the first the lowest, in hexadecimal."""
+
+    bits: str = msgspec.field(name="d")
