--- a/src/poppyhold/cluster/departures.py
+++ b/src/poppyhold/cluster/departures.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from poppyhold.concurrency.recent import Recent
-from poppyhold.wire.messages import Report
+from poppyhold.wire.messages import Heartbeat
 
 # Share of a lease that such a worker is kept waiting for the next leader.
 _WAIT_RATIO = 0.25
@@ -28,16 +28,16 @@
         self._wait_s, self._found_s = lease_s * _WAIT_RATIO, lease_s * _FOUND_RATIO
         self._waited_at: Recent[float] = Recent(most_workers)
 
-    def wait_s(self, report: Report, leader_token: int, led_s: float, now: float) -> float:
+    def wait_s(self, heartbeat: Heartbeat, leader_token: int, led_s: float, now: float) -> float:
         """How long to wait; no time for workers that may not have found this leader yet.
 
         Behind a change they have its token from its direct commands before they report to it. ``led_s`` is
         for how long it has led.
         """
-        if report.token < leader_token or led_s <= self._found_s:
+        if heartbeat.token < leader_token or led_s <= self._found_s:
             return 0.0
-        waited_at = self._waited_at.get(report.machine)
+        waited_at = self._waited_at.get(heartbeat.machine)
         if waited_at is not None and now - waited_at < self._lease_s:
             return 0.0
-        self._waited_at.put(report.machine, now)
+        self._waited_at.put(heartbeat.machine, now)
         return self._wait_s
--- a/src/poppyhold/cluster/lease_proxy.py
+++ b/src/poppyhold/cluster/lease_proxy.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from poppyhold.model.context import Times
-from poppyhold.wire.messages import Report
+from poppyhold.wire.messages import Heartbeat
 
 log = logging.getLogger(__name__)
 
@@ -48,7 +48,7 @@
             self._standing_in = False
 
     def may_answer(
-        self, report: Report, state_at: float, known_token: int, leader_unreachable: bool
+        self, heartbeat: Heartbeat, state_at: float, known_token: int, leader_unreachable: bool
     ) -> int | None:
         """The token to answer a worker with; None if that is not for us to do.
 
@@ -61,17 +61,17 @@
         if now - state_at <= self._times.proxy_after_s and not (
             self._is_partition(trust, known_token) and leader_unreachable
         ):
-            log.debug("%s: the state service names the leader", report.machine)
+            log.debug("%s: the state service names the leader", heartbeat.machine)
             return None
         # A held message may come late: its own time of day tells how old it is.
         if self._wall() + 2 * self._skew_s > trust.known_wall + self._times.blind_answers_s:
             return None
         if (
-            report.token != trust.token
+            heartbeat.token != trust.token
             or known_token > trust.token
-            or report.machine in trust.excluded_machines
+            or heartbeat.machine in trust.excluded_machines
         ):
-            log.debug("%s: has token %d, trusted is %d", report.machine, report.token, trust.token)
+            log.debug("%s: has token %d, trusted is %d", heartbeat.machine, heartbeat.token, trust.token)
             return None
         if not self._standing_in:
             self._standing_in = True
--- a/src/poppyhold/cluster/peers.py
+++ b/src/poppyhold/cluster/peers.py
@@ -122,7 +122,7 @@
         self._describe, self._counts, self._hints = describe, counts, hints
         self._reply, self._on_pong, self._on_refused = reply, on_pong, on_refused
         workers = settings.settings.workers
-        self._every_s = workers.report_s / 2
+        self._every_s = workers.heartbeat_interval_s / 2
         self._timeout_s = workers.lease_s / 10
         self.views: dict[str, PeerView] = {}
         # A link is taken for broken when two questions in a row got no answer.
--- a/src/poppyhold/cluster/stray_workers.py
+++ b/src/poppyhold/cluster/stray_workers.py
@@ -5,7 +5,7 @@
 import time
 
 from poppyhold.model.context import StrayWorker
-from poppyhold.wire.messages import Report
+from poppyhold.wire.messages import Heartbeat
 
 
 class StrayWorkers:
@@ -15,11 +15,11 @@
         self._most, self._recent_s = most, recent_s
         self._reported: dict[str, tuple[float, StrayWorker]] = {}
 
-    def note(self, report: Report) -> None:
+    def note(self, heartbeat: Heartbeat) -> None:
         """A worker reported here."""
-        self._reported.pop(report.machine, None)
-        worker = StrayWorker(report.machine, report.session, report.sequence)
-        self._reported[report.machine] = time.monotonic(), worker
+        self._reported.pop(heartbeat.machine, None)
+        worker = StrayWorker(heartbeat.machine, heartbeat.session, heartbeat.sequence)
+        self._reported[heartbeat.machine] = time.monotonic(), worker
         if len(self._reported) > self._most:
             self._reported.pop(next(iter(self._reported)), None)
 
--- a/src/poppyhold/concurrency/ranked_queue.py
+++ b/src/poppyhold/concurrency/ranked_queue.py
@@ -10,7 +10,7 @@
 Work = Callable[[], None]
 
 # What the decision thread does first: the ranks that the operators ask for.
-REPORTS, DECISIONS, SUBMISSIONS = 0, 1, 2
+HEARTBEATS, DECISIONS, SUBMISSIONS = 0, 1, 2
 
 
 class RankedQueue:
@@ -30,7 +30,7 @@
     def put(self, rank: int, work: Work) -> bool:
         """Queue work; False if it is closed, or too much of a rank that may be turned away is waiting."""
         with self._wake:
-            if self._closed or (rank == REPORTS and len(self._queues[rank]) >= self._most):
+            if self._closed or (rank == HEARTBEATS and len(self._queues[rank]) >= self._most):
                 return False
             self._queues[rank].append(work)
             if self._waiting:
@@ -65,11 +65,11 @@
         """Take nothing more, and drop what is left but reports, which somebody waits for."""
         with self._wake:
             self._closed = True
-            reports = list(self._queues[REPORTS])
+            heartbeats = list(self._queues[HEARTBEATS])
             for waiting in self._queues:
                 waiting.clear()
             self._wake.notify()
-        return reports
+        return heartbeats
 
     def __len__(self) -> int:
         return sum(map(len, self._queues))
--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -101,7 +101,7 @@
         # second's worth goes out at once.
         self._pace = Pace(limits.write_rps / 1.5, burst=self._ops / 2)
         self._pause_s = 2 / limits.rps
-        self._longest_pause_s = max(self._pause_s, settings.settings.workers.report_s / 8)
+        self._longest_pause_s = max(self._pause_s, settings.settings.workers.heartbeat_interval_s / 8)
         # By rank; each in order, lest the oldest starve in a burst.
         self._queues: dict[CommitRank, deque[Unit]] = {rank: deque() for rank in CommitRank}
         self._wake = threading.Condition()
--- a/src/poppyhold/execution/attempts.py
+++ b/src/poppyhold/execution/attempts.py
@@ -12,7 +12,7 @@
 from poppyhold.execution.direct_commands import DirectCommands
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.gangs import Gangs
-from poppyhold.execution.report_commands import ReportCommands, stop_command
+from poppyhold.execution.heartbeat_commands import HeartbeatCommands, stop_command
 from poppyhold.model.context import REFUSED, UNSENT, UNSURE, CommitRank, Context
 from poppyhold.model.fleet import DONE, Attempt, Job, Machine
 from poppyhold.wire.messages import (
@@ -20,10 +20,10 @@
     Command,
     CommandKind,
     ExitCause,
-    Report,
-    ReportAnswer,
-    TaskReport,
+    Heartbeat,
+    HeartbeatResponse,
     TaskState,
+    TaskStatus,
     split_task,
 )
 
@@ -48,26 +48,26 @@
         # Machines that may hold tasks of terms before ours and have not been heard in it.
         self.unheard: set[str] = set()
         self._all_heard_logged = False
-        self._report_commands = ReportCommands(ctx)
+        self._heartbeat_commands = HeartbeatCommands(ctx)
         self.commands = DirectCommands(ctx, self._over, self._answered)
         self.began_at = ctx.clock()
 
     # -- reports ---------------------------------------------------------------------------------
 
-    def handle_report(self, report: Report) -> ReportAnswer | None:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Answer a worker's report; None if it can't be answered."""
         ctx = self._ctx
         now = ctx.clock()
-        if report.token > ctx.token:
-            ctx.edges.deposed(report.token)
+        if heartbeat.token > ctx.token:
+            ctx.edges.deposed(heartbeat.token)
             return None
-        machine = ctx.fleet.machines.get(report.machine)
+        machine = ctx.fleet.machines.get(heartbeat.machine)
         if machine is None:
-            machine = self._add_unknown_machine(report, now)
+            machine = self._add_unknown_machine(heartbeat, now)
             if machine is None:
                 return None
-        machine.endpoint = report.endpoint
-        if report.token < ctx.term_token and self._ignores_answers(machine, now):
+        machine.endpoint = heartbeat.endpoint
+        if heartbeat.token < ctx.term_token and self._ignores_answers(machine, now):
             self.commands.hasten(machine, now)
             return None
         machine.last_answer = now
@@ -78,20 +78,20 @@
         self._record(machine)
         # A report from before the worker saw our token may be a copy of any age, and so may one
         # whose sequence number is not above the last: it gets an answer, but proves nothing.
-        if report.token < ctx.term_token:
+        if heartbeat.token < ctx.term_token:
             self.commands.hasten(machine, now)
-            commands = self._report_commands.stops(machine, report, now)
-        elif self._is_newer(report, machine):
-            self._take(machine, report, now, answered=True)
-            commands = self._report_commands.for_news(machine, report, now)
+            commands = self._heartbeat_commands.stops(machine, heartbeat, now)
+        elif self._is_newer(heartbeat, machine):
+            self._take(machine, heartbeat, now, answered=True)
+            commands = self._heartbeat_commands.for_news(machine, heartbeat, now)
         else:
-            commands = self._report_commands.stops(machine, report, now)
-        return ReportAnswer(ctx.token, commands)
+            commands = self._heartbeat_commands.stops(machine, heartbeat, now)
+        return HeartbeatResponse(ctx.token, commands)
 
     @staticmethod
-    def _is_newer(report: Report, machine: Machine) -> bool:
+    def _is_newer(heartbeat: Heartbeat, machine: Machine) -> bool:
         """Whether a report is newer than all before it; copies and late ones, relayed or not, are none."""
-        return (report.session, report.sequence) > (machine.session, machine.sequence)
+        return (heartbeat.session, heartbeat.sequence) > (machine.session, machine.sequence)
 
     def _ignores_answers(self, machine: Machine, now: float) -> bool:
         """Whether a worker from before our term seems not to hear us, so that its lease had better end.
@@ -102,20 +102,22 @@
         """
         if machine.name not in self.unheard:
             return False
-        if machine.first_report_at is None:
-            machine.first_report_at = now
+        if machine.first_heartbeat_at is None:
+            machine.first_heartbeat_at = now
         # A worker waits four seconds for an answer that is lost, and a second to the next try.
-        return now - machine.first_report_at > max(self._ctx.times.lease_s / 2, 4 * self._ctx.times.report_s)
+        return now - machine.first_heartbeat_at > max(
+            self._ctx.times.lease_s / 2, 4 * self._ctx.times.heartbeat_interval_s
+        )
 
-    def _add_unknown_machine(self, report: Report, now: float) -> Machine | None:
+    def _add_unknown_machine(self, heartbeat: Heartbeat, now: float) -> Machine | None:
         """A machine that we did not know: a late hire, or one that was there before us."""
         ctx = self._ctx
-        machine_type = ctx.machine_types.get(report.machine_type)
-        if machine_type is None or report.machine in ctx.dead:
+        machine_type = ctx.machine_types.get(heartbeat.machine_type)
+        if machine_type is None or heartbeat.machine in ctx.dead:
             return None
-        machine = Machine(report.machine, machine_type, report.zone, report.spot, since=now)
-        machine.images.update(ctx.hints.get(report.machine, ()))
-        ctx.fleet.machines[report.machine] = machine
+        machine = Machine(heartbeat.machine, machine_type, heartbeat.zone, heartbeat.spot, since=now)
+        machine.images.update(ctx.hints.get(heartbeat.machine, ()))
+        ctx.fleet.machines[heartbeat.machine] = machine
         return machine
 
     def _record(self, machine: Machine) -> None:
@@ -133,37 +135,37 @@
         # Nothing starts on the machine before: a plan's record serves nobody without one.
         self._ctx.edges.commit({}, [write], durable, CommitRank.SOONEST)
 
-    def _take(self, machine: Machine, report: Report, now: float, answered: bool) -> None:
+    def _take(self, machine: Machine, heartbeat: Heartbeat, now: float, answered: bool) -> None:
         """Take a report that is newer than all before it as the truth about its machine."""
         ctx = self._ctx
-        if report.session > machine.session:
-            self._begin_session(machine, report.session, now)
-        machine.session, machine.sequence = report.session, report.sequence
-        machine.last_report = now
+        if heartbeat.session > machine.session:
+            self._begin_session(machine, heartbeat.session, now)
+        machine.session, machine.sequence = heartbeat.session, heartbeat.sequence
+        machine.last_heartbeat_at = now
         machine.unknown_tasks = set()
         if not machine.heard:
             machine.heard = True
             ctx.dirty = True
-        if report.notice_s is not None and machine.taken_back_at is None:
-            machine.taken_back_at = now + report.notice_s
+        if heartbeat.notice_s is not None and machine.taken_back_at is None:
+            machine.taken_back_at = now + heartbeat.notice_s
             machine.notice_at = now
             ctx.dirty = True
         present: set[str] = set()
-        for task in report.tasks:
+        for task in heartbeat.tasks:
             if task.status == TaskState.EXITED:
                 self._ended(machine, task, now)
             else:
                 present.add(task.task)
                 self._present(machine, task, now)
         for attempt in list(machine.attempts.values()):
-            if attempt.name not in present and self._absence_proves(attempt, report, answered):
+            if attempt.name not in present and self._absence_proves(attempt, heartbeat, answered):
                 self._lost(attempt, now)
         self.unheard.discard(machine.name)
 
     def _begin_session(self, machine: Machine, session: int, now: float) -> None:
         """A later session began with nothing: whatever an earlier one held is over."""
         times = self._ctx.times
-        if machine.heard and now - machine.last_report < times.lease_s / 2:
+        if machine.heard and now - machine.last_heartbeat_at < times.lease_s / 2:
             # We answered all the while: our answers do not reach it, and it had better not be relied on.
             machine.unreliable_until = now + times.cancel_s
         for attempt in list(machine.attempts.values()):
@@ -186,10 +188,10 @@
             # It had the command. Most likely it holds an earlier attempt that has ended, which is removed
             # with the answer to its next report. Where the start was repeated at once, again and again, a
             # report was never its newest message.
-            attempt.machine.refused_until = now + 2 * times.report_s
+            attempt.machine.refused_until = now + 2 * times.heartbeat_interval_s
 
     @staticmethod
-    def _absence_proves(attempt: Attempt, report: Report, answered: bool) -> bool:
+    def _absence_proves(attempt: Attempt, heartbeat: Heartbeat, answered: bool) -> bool:
         """Whether a newer report without the attempt shows that it is not there and won't be."""
         if attempt.status != TaskState.SENT:
             return True
@@ -197,14 +199,14 @@
             return False
         if attempt.fence is not None:
             # The start may be held back in the network: it is void once the worker has a higher token.
-            return report.token >= attempt.fence
+            return heartbeat.token >= attempt.fence
         if attempt.via == "reply":
             # The next report is sent only when the answer has come or was given up. What was not handed out
             # yet goes with the answer to this one: it was taken for lost, and its machine got no work.
-            return answered and 0 <= attempt.reply_sequence < report.sequence
+            return answered and 0 <= attempt.reply_sequence < heartbeat.sequence
         return True
 
-    def _present(self, machine: Machine, task: TaskReport, now: float) -> None:
+    def _present(self, machine: Machine, task: TaskStatus, now: float) -> None:
         job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
         attempt = machine.attempts.get(task.task)
@@ -247,7 +249,7 @@
         elif job.gang:
             self.gangs.adopt(attempt, now)
 
-    def _ended(self, machine: Machine, task: TaskReport, now: float) -> None:
+    def _ended(self, machine: Machine, task: TaskStatus, now: float) -> None:
         job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
         if job is None or not 0 <= index < job.spec.tasks:
@@ -273,15 +275,15 @@
                 self.gangs.exited(attempt, task.cause, now)
             self._over(attempt)
 
-    def _failed(self, attempt: Attempt, task: TaskReport, now: float) -> None:
+    def _failed(self, attempt: Attempt, task: TaskStatus, now: float) -> None:
         job, machine = attempt.job, attempt.machine
         log.debug("%s on %s ended: %s", attempt.name, machine.name, task.cause)
         if task.cause == ExitCause.ERROR:
             self.failures.failed(attempt, now)
         elif task.cause in (ExitCause.NO_ROOM, ExitCause.BUSY):
-            machine.refused_until = now + 2 * self._ctx.times.report_s
+            machine.refused_until = now + 2 * self._ctx.times.heartbeat_interval_s
         elif task.cause == ExitCause.UNKNOWN_TASK:
-            job.retry_at = now + self._ctx.times.report_s
+            job.retry_at = now + self._ctx.times.heartbeat_interval_s
 
     def _over(self, attempt: Attempt) -> None:
         log.debug("over: %s on %s, was %s", attempt.name, attempt.machine.name, attempt.status)
@@ -338,14 +340,16 @@
         if direct:
             self.commands.say(attempt.machine, stop_command(attempt, now))
 
-    def _answered(self, machine: Machine, batch: list[Attempt], outcome: str, report: Report | None) -> None:
+    def _answered(
+        self, machine: Machine, batch: list[Attempt], outcome: str, heartbeat: Heartbeat | None
+    ) -> None:
         ctx = self._ctx
         now = ctx.clock()
         machine.do_busy = False
         if ctx.fleet.machines.get(machine.name) is not machine:
             return
-        if report is not None and report.token > ctx.token:
-            ctx.edges.deposed(report.token)
+        if heartbeat is not None and heartbeat.token > ctx.token:
+            ctx.edges.deposed(heartbeat.token)
             return
         for attempt in batch:
             if machine.attempts.get(attempt.name) is attempt:
@@ -353,15 +357,15 @@
         if outcome in (UNSENT, UNSURE):
             machine.unreliable_until = now + ctx.times.lease_s / 2
         if (
-            report is not None
-            and report.machine == machine.name
-            and report.token >= ctx.term_token
-            and (report.session, report.sequence) > (machine.session, machine.sequence)
+            heartbeat is not None
+            and heartbeat.machine == machine.name
+            and heartbeat.token >= ctx.term_token
+            and (heartbeat.session, heartbeat.sequence) > (machine.session, machine.sequence)
         ):
-            self._take(machine, report, now, answered=False)
-        elif report is not None and not machine.heard and report.session > machine.session:
+            self._take(machine, heartbeat, now, answered=False)
+        elif heartbeat is not None and not machine.heard and heartbeat.session > machine.session:
             # The command named another session than the worker's: ask again with the right one.
-            machine.session, machine.probe_at = report.session, 0.0
+            machine.session, machine.probe_at = heartbeat.session, 0.0
 
     def _start_answered(self, attempt: Attempt, outcome: str) -> None:
         attempt.in_flight = False
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -7,10 +7,10 @@
 from poppyhold.durable.store import TOKEN, put
 from poppyhold.model.context import CommitRank, Context
 from poppyhold.model.fleet import Attempt, Machine
-from poppyhold.wire.messages import Command, CommandKind, Report, direct_commands
+from poppyhold.wire.messages import Command, CommandKind, Heartbeat, direct_commands
 
 # A machine, the attempts whose starts were sent, the outcome, and the report that came with the answer.
-OnAnswered = Callable[[Machine, list[Attempt], str, Report | None], None]
+OnAnswered = Callable[[Machine, list[Attempt], str, Heartbeat | None], None]
 
 
 class DirectCommands:
@@ -49,7 +49,10 @@
         asking each over a connection of its own kept the leader from those reports, and leases ended.
         """
         ctx = self._ctx
-        if len(ctx.fleet.machines) <= ctx.most_hastened or now - self._began_at > 1.5 * ctx.times.report_s:
+        if (
+            len(ctx.fleet.machines) <= ctx.most_hastened
+            or now - self._began_at > 1.5 * ctx.times.heartbeat_interval_s
+        ):
             self.probe(machine, now)
 
     def ask_quiet(self, machine: Machine, now: float) -> None:
@@ -59,7 +62,9 @@
         looked silent to it, and asking each of them anew in every interval kept it from their reports.
         """
         pace = self._ctx.quiet_pace
-        self._credit = min(pace, self._credit + (now - self._credit_at) * pace / self._ctx.times.report_s)
+        self._credit = min(
+            pace, self._credit + (now - self._credit_at) * pace / self._ctx.times.heartbeat_interval_s
+        )
         self._credit_at = now
         if self._credit >= 1 and now >= machine.probe_at and not machine.do_busy:
             self._credit -= 1
@@ -69,7 +74,7 @@
         """Ask a worker for a report, and hand it our token."""
         if machine.do_busy or now < machine.probe_at or not machine.endpoint or machine.deleting:
             return
-        machine.probe_at = now + self._ctx.times.report_s
+        machine.probe_at = now + self._ctx.times.heartbeat_interval_s
         self._do(machine, [])
 
     def _do(self, machine: Machine, commands: list[Command]) -> None:
@@ -86,10 +91,10 @@
         batch = [machine.attempts[name] for name in starts if name in machine.attempts]
         # An unheard worker's session is unknown: a command for none is not executed, but answered.
         body = direct_commands(ctx.token, machine.session or 1, commands)
-        silent = ctx.clock() - machine.last_report > ctx.times.silent_s
+        silent = ctx.clock() - machine.last_heartbeat_at > ctx.times.silent_s
 
-        def answered(outcome: str, report: Report | None) -> None:
-            self._on_answered(machine, batch, outcome, report)
+        def answered(outcome: str, heartbeat: Heartbeat | None) -> None:
+            self._on_answered(machine, batch, outcome, heartbeat)
 
         ctx.edges.do(machine.name, machine.endpoint, body, answered, silent and bool(machine.heard))
 
--- a/src/poppyhold/execution/failures.py
+++ b/src/poppyhold/execution/failures.py
@@ -51,7 +51,7 @@
         record.last_at = now
         # A sound job goes on at once: its task only has to avoid the machine.
         doublings = 0 if job.done else min(record.rounds, _MOST_DOUBLINGS)
-        job.retry_at = now + min(self._times.report_s * 2**doublings, self._times.cancel_s)
+        job.retry_at = now + min(self._times.heartbeat_interval_s * 2**doublings, self._times.cancel_s)
         self._suspected[job.id] = job
         if not record.at_fault and self._fails_everywhere(job):
             log.info("%s fails on every machine: %d so far", job.id, len(record.machines))
@@ -89,7 +89,7 @@
         record = attempt.job.failures
         if attempt.running_at is None or attempt.machine.name in record.machines:
             return False
-        return now - attempt.running_at > _OUTLASTS * (record.lasted_s + self._times.report_s)
+        return now - attempt.running_at > _OUTLASTS * (record.lasted_s + self._times.heartbeat_interval_s)
 
     def _is_sound(self, job: Job) -> None:
         """Take back what is held against a job. The time its tasks lasted stays: it may have been chance."""
--- a/src/poppyhold/execution/gangs.py
+++ b/src/poppyhold/execution/gangs.py
@@ -161,7 +161,7 @@
     def _grace_s(self, job: Job) -> float:
         """Time for a task to save and to wait for the others, which may be told a moment later."""
         workers = self._ctx.settings.settings.workers
-        return job.spec.save_s + workers.gang_peer_s + workers.report_s
+        return job.spec.save_s + workers.gang_peer_s + workers.heartbeat_interval_s
 
     def _fail(self, gang: Gang, reason: str, now: float) -> None:
         log.debug("%s: attempt %d failed: %s", gang.job.id, gang.number, reason)
--- a/src/poppyhold/execution/report_commands.py
+++ b/src/poppyhold/execution/heartbeat_commands.py
@@ -4,7 +4,7 @@
 
 from poppyhold.model.context import Context
 from poppyhold.model.fleet import Attempt, Machine
-from poppyhold.wire.messages import Command, CommandKind, Report, TaskReport, TaskState, split_task
+from poppyhold.wire.messages import Command, CommandKind, Heartbeat, TaskState, TaskStatus, split_task
 
 
 def stop_command(attempt: Attempt, now: float) -> Command:
@@ -15,16 +15,16 @@
     return Command(CommandKind.STOP, attempt.name, attempt.number, grace_s)
 
 
-class ReportCommands:
+class HeartbeatCommands:
     """Chooses them by what the report shows and what the machine should hold."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
 
-    def for_news(self, machine: Machine, report: Report, now: float) -> list[Command]:
+    def for_news(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
         """All that is due, behind a report that was taken as the truth about its machine."""
         commands: list[Command] = []
-        for task in report.tasks:
+        for task in heartbeat.tasks:
             if task.status == TaskState.EXITED:
                 if self._may_reap(task):
                     commands.append(Command(CommandKind.FORGET, task.task, task.attempt))
@@ -34,11 +34,11 @@
             if attempt.stopping_at is not None:
                 commands.append(stop_command(attempt, now))
             elif attempt.status == TaskState.SENT and attempt.via == "reply" and attempt.reply_sequence < 0:
-                attempt.reply_sequence = report.sequence
+                attempt.reply_sequence = heartbeat.sequence
                 commands.append(Command(CommandKind.START, attempt.name, attempt.number))
         return commands
 
-    def stops(self, machine: Machine, report: Report, now: float) -> list[Command]:
+    def stops(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
         """Stops for what must not go on: every answer that renews a lease carries them.
 
         A report that proves nothing may all the same be the worker's own, and its answer the last one that
@@ -50,13 +50,13 @@
             for attempt in machine.attempts.values()
             if attempt.stopping_at is not None
         ]
-        for task in report.tasks:
+        for task in heartbeat.tasks:
             job = self._ctx.fleet.jobs.get(split_task(task.task)[0])
             if task.status != TaskState.EXITED and (job is None or job.over):
                 commands.append(Command(CommandKind.STOP, task.task, task.attempt, 0.0))
         return commands
 
-    def _may_reap(self, task: TaskReport) -> bool:
+    def _may_reap(self, task: TaskStatus) -> bool:
         """A completion must be durable first: its worker is the only one that knows of it."""
         job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
--- a/src/poppyhold/machines/hires.py
+++ b/src/poppyhold/machines/hires.py
@@ -105,7 +105,7 @@
                 self._refused(hire, now)
                 self._drop(hire)
             else:
-                hire.retry_at = now + self._ctx.times.report_s * 2
+                hire.retry_at = now + self._ctx.times.heartbeat_interval_s * 2
 
         self._ctx.edges.hire(msgspec.to_builtins(request), answered)
 
--- a/src/poppyhold/machines/hiring.py
+++ b/src/poppyhold/machines/hiring.py
@@ -40,7 +40,7 @@
         self._monitor = MachineMonitor(ctx, attempts, self._deletions, self._provisioning, self._boots)
         # The forecast looks back over a few leases, as far as the ratio of slots to leases says.
         self.arrivals = Arrivals(2 * ctx.times.slot_s)
-        self._next_at = ctx.clock() + ctx.times.report_s * 2
+        self._next_at = ctx.clock() + ctx.times.heartbeat_interval_s * 2
         # When each machine was needed last, as far as it was looked at in every round since.
         self._needed: dict[str, float] = {}
 
@@ -68,7 +68,7 @@
         self._hires.settle()
         if now < self._next_at or not ctx.machine_types:
             return
-        self._next_at = now + ctx.times.report_s
+        self._next_at = now + ctx.times.heartbeat_interval_s
         spaces = self._spaces(now)
         if self._hires.busy:
             # The cloud takes few requests: one round of hires at a time, with all that it lacks.
@@ -116,7 +116,7 @@
             gone = machine.leaving or machine.draining or machine.name in late
             if gone or machine.taken_back_at is not None:
                 continue
-            if machine.up and now - machine.last_report > ctx.times.silent_s and machine.heard:
+            if machine.up and now - machine.last_heartbeat_at > ctx.times.silent_s and machine.heard:
                 continue
             spaces.append(space_of(machine))
         spaces += self._hires.spaces()
@@ -143,7 +143,7 @@
                 if most and (not job.gang or most == job.pending):
                     demands.append(demand_of(job, most))
         boots = [machine_type.boot_s for machine_type in ctx.machine_types.values()]
-        ahead = sum(boots) / len(boots) + ctx.times.report_s
+        ahead = sum(boots) / len(boots) + ctx.times.heartbeat_interval_s
         for demand in self.arrivals.forecast(now, ahead, self._options.headroom):
             demand.tasks = within_limit(demand.spec.team, demand.need, demand.tasks)
             demands.append(demand)
--- a/src/poppyhold/machines/machine_list.py
+++ b/src/poppyhold/machines/machine_list.py
@@ -35,7 +35,7 @@
             present.add(entry.name)
             self._take_entry(entry, listing.began_at, now)
         for machine in list(ctx.fleet.machines.values()):
-            seen_at = max(machine.since, machine.listed_at, machine.last_report)
+            seen_at = max(machine.since, machine.listed_at, machine.last_heartbeat_at)
             unseen_s = listing.began_at - seen_at
             if machine.name not in present and not machine.deleting and unseen_s > LAGS_MISSING * lag:
                 self._not_listed(machine)
--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -64,7 +64,7 @@
         for machine in self._ctx.fleet.machines.values():
             if machine.deleting:
                 # The cloud may not answer for long; the end of a lease is proof too.
-                if now - machine.last_report > self._ctx.times.lease_s:
+                if now - machine.last_heartbeat_at > self._ctx.times.lease_s:
                     self._attempts.expire(machine, now)
             elif machine.up or machine.name in self._attempts.unheard:
                 self._survey(machine, survey, now)
@@ -81,7 +81,7 @@
         """For how long a machine has been silent, as far as we could have heard it."""
         times, began = self._ctx.times, self._attempts.began_at
         if machine.heard or machine.name not in self._attempts.unheard:
-            return now - max(machine.last_report, machine.up_at, began + times.report_s * 2)
+            return now - max(machine.last_heartbeat_at, machine.up_at, began + times.heartbeat_interval_s * 2)
         # It was up, and was asked when our term began: a sound worker answers that at once.
         return now - began + times.lost_s / 2
 
@@ -92,12 +92,12 @@
         all of them would, and a few that hang would keep older jobs waiting for twice as long.
         """
         times = self._ctx.times
-        return quiet_s > times.lost_s / 2 + times.report_s / 2
+        return quiet_s > times.lost_s / 2 + times.heartbeat_interval_s / 2
 
     def _survey(self, machine: Machine, survey: Survey, now: float) -> None:
         """Count a machine that should be heard, ask it if it is not, and end what it can't hold any more."""
         times = self._ctx.times
-        heard = now - machine.last_report <= times.lost_s
+        heard = now - machine.last_heartbeat_at <= times.lost_s
         survey.up += 1
         survey.heard += heard
         survey.zones_up[machine.zone] += 1
@@ -134,7 +134,7 @@
         for machine in silent:
             # A zone that is cut off comes back with all its machines: its tasks start elsewhere once its
             # leases are over, but machines are given up for good only a good while behind that.
-            heard_at = max(machine.last_report, machine.up_at, self._attempts.began_at)
+            heard_at = max(machine.last_heartbeat_at, machine.up_at, self._attempts.began_at)
             if machine.zone in silent_zones:
                 # Others in their place would be no more use there, and have to boot when the zone is back:
                 # 39 machines were given up 20 s before that, and their tasks waited for 50 s more. Those
@@ -155,14 +155,14 @@
             self._turned_away_at = float("inf")
             return False
         self._turned_away_at = min(self._turned_away_at, now)
-        return now - self._turned_away_at >= self._ctx.times.report_s
+        return now - self._turned_away_at >= self._ctx.times.heartbeat_interval_s
 
     def _keep_out_of(self, zones: set[str], now: float) -> None:
         """Rent nothing in zones that nothing is heard of: nobody could use it there."""
         for machine_type in self._ctx.machine_types.values():
             for zone in zones.intersection(machine_type.zones):
                 for spot in (False, True):
-                    until = now + self._ctx.times.report_s
+                    until = now + self._ctx.times.heartbeat_interval_s
                     self._provisioning.refuse(machine_type.name, zone, spot, until)
 
     def _lost_to_others(self, now: float) -> int:
--- a/src/poppyhold/model/context.py
+++ b/src/poppyhold/model/context.py
@@ -13,7 +13,7 @@
 from poppyhold.model.fleet import Fleet
 from poppyhold.options import Options
 from poppyhold.settings import Settings
-from poppyhold.wire.messages import MachineType, Report
+from poppyhold.wire.messages import Heartbeat, MachineType
 
 Data = dict[str, Any]
 # Machine -> its images and their sizes, least recently used first.
@@ -58,7 +58,12 @@
         """Carry out a transaction under our leadership, and repeat it until its outcome is certain."""
 
     def do(
-        self, box: str, endpoint: str, body: Data, done: Callable[[str, Report | None], None], patient: bool
+        self,
+        box: str,
+        endpoint: str,
+        body: Data,
+        done: Callable[[str, Heartbeat | None], None],
+        patient: bool,
     ) -> None:
         """POST /do to a worker, once. ``patient`` requests don't hold up the others."""
 
@@ -98,24 +103,26 @@
 
     def __init__(self, settings: Settings, options: Options) -> None:
         workers = settings.settings.workers
-        self.report_s = workers.report_s
+        self.heartbeat_interval_s = workers.heartbeat_interval_s
         self.lease_s = workers.lease_s
         self.cancel_s = workers.cancel_s
         # Clocks drift apart by 0.05%: a lease is over for certain only a little later.
-        self.lease_over_s = workers.lease_s * 1.001 + workers.report_s * 0.25
+        self.lease_over_s = workers.lease_s * 1.001 + workers.heartbeat_interval_s * 0.25
         # A worker that has been silent so long gets no new tasks.
-        self.silent_s = workers.report_s * options.leadership.silent_reports
+        self.silent_s = workers.heartbeat_interval_s * options.leadership.silent_reports
         # After so long its machine is given up, if that is not the way of most others too.
         self.lost_s = workers.lease_s * 0.5
         # A leader that lost its way may answer workers this long; then their leases have to end. They run
         # from when a report was sent, so that its way here is on the safe side; every second counts when a
         # cut ends just before the leases that were given last.
-        self.blind_answers_s = workers.cancel_s - workers.lease_s * 1.002 - workers.report_s * 0.15
+        self.blind_answers_s = (
+            workers.cancel_s - workers.lease_s * 1.002 - workers.heartbeat_interval_s * 0.15
+        )
         # Who hears neither the leader nor the state service for so long stands in for it. Workers come to
         # it a good four seconds behind a cut, and only some of them have the time to come twice.
-        self.proxy_after_s = max(workers.report_s * 1.5, workers.lease_s / 4)
+        self.proxy_after_s = max(workers.heartbeat_interval_s * 1.5, workers.lease_s / 4)
         # Since our term began, nobody else's answers can keep a task alive longer.
-        self.others_over_s = workers.cancel_s * 1.001 + workers.report_s
+        self.others_over_s = workers.cancel_s * 1.001 + workers.heartbeat_interval_s
         self.slot_s = workers.lease_s * options.design.slot_leases
 
 
--- a/src/poppyhold/model/fleet.py
+++ b/src/poppyhold/model/fleet.py
@@ -242,12 +242,12 @@
     heard: bool = False
     session: int = 0
     sequence: int = -1
-    last_report: float = float("-inf")
+    last_heartbeat_at: float = float("-inf")
     # When the cloud last listed it.
     listed_at: float = float("-inf")
     last_answer: float = float("-inf")
     # When it first reported in this term, still with the token of an earlier one.
-    first_report_at: float | None = None
+    first_heartbeat_at: float | None = None
     taken_back_at: float | None = None
     notice_at: float | None = None
     leaving: bool = False
@@ -302,7 +302,7 @@
             and self.taken_back_at is None
             and not self.unknown_tasks
             and now >= self.refused_until
-            and now - self.last_report <= silent_s
+            and now - self.last_heartbeat_at <= silent_s
         )
 
     def touch_image(self, image: str, size: float) -> None:
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -29,11 +29,11 @@
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import Settings
 from poppyhold.wire.messages import (
+    Heartbeat,
+    HeartbeatResponse,
     Listing,
     MachineType,
     MalformedError,
-    Report,
-    ReportAnswer,
     TaskState,
     convert,
     parse_submission,
@@ -153,10 +153,10 @@
         for machine_type in machine_types:
             self.ctx.machine_types[machine_type.name] = machine_type
 
-    def handle_report(self, report: Report) -> ReportAnswer | None:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Answer a worker's report."""
-        answer = self.attempts.handle_report(report)
-        machine = self.ctx.fleet.machines.get(report.machine)
+        answer = self.attempts.handle_heartbeat(heartbeat)
+        machine = self.ctx.fleet.machines.get(heartbeat.machine)
         if machine is not None:
             self._follow_machine(machine)
         return answer
@@ -219,7 +219,7 @@
         self.attempts.commands.raise_token()
         self.attempts.gangs.tick(now)
         if now >= self._flush_at:
-            self._flush_at = now + self.ctx.times.report_s / 2
+            self._flush_at = now + self.ctx.times.heartbeat_interval_s / 2
             self.completions.save()
         self.hiring.provide()
         if self.quota is not None:
@@ -240,8 +240,8 @@
                 self._quotas.mark_guaranteed(job for job in self.ctx.fleet.jobs.values() if not job.over)
             self.dispatcher.dispatch(self.attempts.all_heard())
             ended = self.ctx.clock()
-            rest = max(6 * (ended - began), self.ctx.times.report_s / 25)
-            self.settle_at = ended + min(rest, self.ctx.times.report_s / 2)
+            rest = max(6 * (ended - began), self.ctx.times.heartbeat_interval_s / 25)
+            self.settle_at = ended + min(rest, self.ctx.times.heartbeat_interval_s / 2)
         self.attempts.commands.flush()
 
     def counts(self) -> dict[str, tuple[int, int]]:
@@ -356,7 +356,9 @@
                     self._drain_gang(attempt, left, now)
                 else:
                     grace_s = (
-                        attempt.job.spec.save_s + times.report_s if attempt.job.spec.checkpoint_s > 0 else 0.0
+                        attempt.job.spec.save_s + times.heartbeat_interval_s
+                        if attempt.job.spec.checkpoint_s > 0
+                        else 0.0
                     )
                     self.attempts.stop(attempt, grace_s, now)
 
@@ -381,5 +383,5 @@
         if rest < left:
             return False
         if job.spec.checkpoint_s > 0:
-            return left < job.spec.save_s + 2 * self.ctx.times.report_s
+            return left < job.spec.save_s + 2 * self.ctx.times.heartbeat_interval_s
         return True
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -15,7 +15,7 @@
 from poppyhold.cluster.election import Election, Term
 from poppyhold.cluster.lease_proxy import LeaseProxies, Trust
 from poppyhold.cluster.peers import Peers, Pong
-from poppyhold.concurrency.ranked_queue import DECISIONS, REPORTS, SUBMISSIONS, RankedQueue, Work
+from poppyhold.concurrency.ranked_queue import DECISIONS, HEARTBEATS, SUBMISSIONS, RankedQueue, Work
 from poppyhold.durable.committer import Committer, Unit
 from poppyhold.durable.snapshot import Snapshot, SnapshotReader
 from poppyhold.durable.store import ACTIVE, Entry, RefusedError, Store, UncertainError
@@ -35,7 +35,7 @@
 from poppyhold.relay.leader import RelayServer
 from poppyhold.settings import Settings
 from poppyhold.wire.http import Answer, Deferred, answer
-from poppyhold.wire.messages import Listing, MachineType, Report, ReportAnswer
+from poppyhold.wire.messages import Heartbeat, HeartbeatResponse, Listing, MachineType
 
 log = logging.getLogger(__name__)
 
@@ -72,7 +72,7 @@
         self._node, self._term = node, term
         self.alive = True
         limits, workers = node.settings.settings.machine_limits, node.settings.settings.workers
-        self._queue = RankedQueue(limits.max_sockets, workers.report_s / 100)
+        self._queue = RankedQueue(limits.max_sockets, workers.heartbeat_interval_s / 100)
         self._committer = Committer(node.store, node.settings, term.version, self._lost)
         self._senders = Senders(node.settings)
         self._cloud: CloudThread | None = None
@@ -98,13 +98,13 @@
             node.rng,
         )
         self.relays = RelayServer(
-            self._post, self.answer_report, self.controller.answered_at, self._assignment, workers
+            self._post, self.answer_heartbeat, self.controller.answered_at, self._assignment, workers
         )
         self.quota_edge: QuotaEdge | None = None
         quota, cells = self.controller.quota, node.options.cells
         if quota is not None and cells is not None:
             self.quota_edge = QuotaEdge(quota, cells, node.settings, self._post, node.rng)
-        self._tick_s = node.settings.settings.workers.report_s / 4
+        self._tick_s = node.settings.settings.workers.heartbeat_interval_s / 4
         self._ready = threading.Event()
         self._thread = threading.Thread(target=self._run, name="decisions", daemon=True)
         self._thread.start()
@@ -269,7 +269,7 @@
 
     # -- reports -------------------------------------------------------------------------------------
 
-    def handle_report(self, report: Report, timeout: float) -> Deferred | None:
+    def handle_heartbeat(self, heartbeat: Heartbeat, timeout: float) -> Deferred | None:
         """Have a report answered by the decision thread; None if that can't be."""
         # A worker that is turned away comes back a second later, when its lease may be over: while the
         # fleet's state is read it had better wait.
@@ -282,33 +282,33 @@
             def work() -> None:
                 result = self._node.turned_away()
                 try:
-                    result = self._answer_directly(report, late_at) or result
+                    result = self._answer_directly(heartbeat, late_at) or result
                 finally:
                     send(result)
 
-            if not self._post(REPORTS, work):
+            if not self._post(HEARTBEATS, work):
                 send(self._node.turned_away())
 
         return defer
 
-    def _answer_directly(self, report: Report, late_at: float) -> Answer | None:
+    def _answer_directly(self, heartbeat: Heartbeat, late_at: float) -> Answer | None:
         """The answer to a report that came here directly; None if there can't be one."""
         relay = self._assignment.assign(
-            report.machine, report.zone, self.controller.answered_at(report.machine)
+            heartbeat.machine, heartbeat.zone, self.controller.answered_at(heartbeat.machine)
         )
         if relay is not None:
             return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": relay})
-        answered = self.answer_report(report, late_at)
+        answered = self.answer_heartbeat(heartbeat, late_at)
         return answer(HTTPStatus.OK, answered.body()) if answered is not None else None
 
-    def answer_report(self, report: Report, late_at: float) -> ReportAnswer | None:
+    def answer_heartbeat(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
         """On the decision thread: the answer to a report, whichever way it came; None if there can't be one.
 
         Behind ``late_at`` nobody waits for it.
         """
         if not self.alive or time.monotonic() >= late_at or not self.may_answer():
             return None
-        return self.controller.handle_report(report)
+        return self.controller.handle_heartbeat(heartbeat)
 
     def may_answer(self) -> bool:
         """Whether workers may be given another lease."""
@@ -341,8 +341,8 @@
     def do(self, box: str, endpoint: str, body: Data, done: Done, patient: bool) -> None:
         """See `Edges`."""
 
-        def answered(outcome: str, report: Report | None) -> None:
-            self._post(DECISIONS, lambda: done(outcome, report))
+        def answered(outcome: str, heartbeat: Heartbeat | None) -> None:
+            self._post(DECISIONS, lambda: done(outcome, heartbeat))
 
         self._senders.send(endpoint, body, answered, patient)
 
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -22,12 +22,12 @@
 from poppyhold.node.users import Users
 from poppyhold.options import Options
 from poppyhold.quota.server import QuotaServer
-from poppyhold.relay.forwarding import ReportForwarding
-from poppyhold.relay.leader import report_patience_s
+from poppyhold.relay.forwarding import HeartbeatForwarder
+from poppyhold.relay.leader import heartbeat_response_timeout_s
 from poppyhold.relay.messages import RelayHello
 from poppyhold.settings import Settings, split_address
 from poppyhold.wire.http import Answer, Deferred, Server, answer
-from poppyhold.wire.messages import MalformedError, Report, ReportAnswer, decode, parse_report
+from poppyhold.wire.messages import Heartbeat, HeartbeatResponse, MalformedError, decode, parse_heartbeat
 
 log = logging.getLogger(__name__)
 
@@ -82,8 +82,8 @@
         workers = settings.settings.workers
         self.lease_proxy = LeaseProxy(self._times, self.skew_s, time.monotonic, time.time)
         # Behind this a worker has given up the answer, as PROTOCOL says: it comes at once or not at all.
-        self._report_timeout = report_patience_s(workers)
-        self._forwarding = ReportForwarding(
+        self._heartbeat_timeout_s = heartbeat_response_timeout_s(workers)
+        self._forwarding = HeartbeatForwarder(
             settings,
             lambda: self.election.leader,
             lambda: self._leader_term is not None,
@@ -93,7 +93,7 @@
         )
         # A worker that is not told where to go tries another node a second later. Where all nodes have just
         # come back, that second decides whether leases end; an election takes far less.
-        self._naming_s = workers.report_s / 2
+        self._naming_s = workers.heartbeat_interval_s / 2
         self._departures = Departures(workers.lease_s, settings.settings.machine_limits.machines)
         self._ready_s = workers.lease_s * 0.35
         self.server = Server(
@@ -291,7 +291,7 @@
         """Answer a request of a user, a worker or the load balancer."""
         path = path.partition("?")[0]
         if path == "/hello":
-            return self._handle_report(body) if method == "POST" else self._wrong("POST")
+            return self._handle_heartbeat(body) if method == "POST" else self._wrong("POST")
         if path == "/ready":
             return self._is_ready() if method == "GET" else self._wrong("GET")
         if path == "/api/jobs":
@@ -323,49 +323,49 @@
             body["shares"] = edge.health._asdict()
         return answer(200, body)
 
-    def _handle_report(self, body: bytes) -> Answer | Deferred:
+    def _handle_heartbeat(self, body: bytes) -> Answer | Deferred:
         try:
-            report = parse_report(decode(body))
+            heartbeat = parse_heartbeat(decode(body))
         except MalformedError as error:
             return answer(400, {"error": str(error)})
-        reply = self._answer_report(report) or self._forwarding.handle(report)
+        reply = self._answer_heartbeat(heartbeat) or self._forwarding.handle(heartbeat)
         if reply is not None:
             return reply
-        return self._answer_without_leader(report) or self._redirect(report)
+        return self._answer_without_leader(heartbeat) or self._redirect(heartbeat)
 
-    def _answer_without_leader(self, report: Report) -> Answer | None:
+    def _answer_without_leader(self, heartbeat: Heartbeat) -> Answer | None:
         """The lease proxy's answer; None if we may not stand in."""
-        if report.token:
+        if heartbeat.token:
             known = self.election.leader
             proxied = self.lease_proxy.may_answer(
-                report,
+                heartbeat,
                 self.store.contact_at,
                 known.token if known else 0,
                 known is not None and self.peers.connectivity.unreachable(known.member),
             )
             if proxied is not None:
-                return answer(200, ReportAnswer(proxied).body())
+                return answer(200, HeartbeatResponse(proxied).body())
             # A new machine's worker begins with any node; one that has a token has left its leader.
-            self._stray_workers.note(report)
+            self._stray_workers.note(heartbeat)
         return None
 
-    def _redirect(self, report: Report) -> Answer | Deferred:
+    def _redirect(self, heartbeat: Heartbeat) -> Answer | Deferred:
         """Wait a moment for a leader, and send the worker there."""
         leader = self.election.await_leader(self._naming_s)
         if leader is not None and leader.member != self.settings.member and not self._forwarding.is_wanted():
             now = time.monotonic()
-            wait_s = self._departures.wait_s(report, leader.token, now - self.election.leader_since, now)
+            wait_s = self._departures.wait_s(heartbeat, leader.token, now - self.election.leader_since, now)
             if wait_s:
                 leader = self.election.await_next(leader, wait_s)
         # The election may have named us meanwhile.
-        return self._answer_report(report) or self._elsewhere(leader)
+        return self._answer_heartbeat(heartbeat) or self._elsewhere(leader)
 
-    def _answer_report(self, report: Report) -> Answer | Deferred | None:
+    def _answer_heartbeat(self, heartbeat: Heartbeat) -> Answer | Deferred | None:
         """The leader's answer; None if we don't lead."""
         leader_term = self._leader_term
         if leader_term is None:
             return None
-        return leader_term.handle_report(report, self._report_timeout) or self.turned_away()
+        return leader_term.handle_heartbeat(heartbeat, self._heartbeat_timeout_s) or self.turned_away()
 
     def turned_away(self) -> Answer:
         """The answer to a report that we can't take as the leader."""
--- a/src/poppyhold/node/users.py
+++ b/src/poppyhold/node/users.py
@@ -69,7 +69,7 @@
     ) -> None:
         """``counts`` tells a job's done and running tasks, for display; ``reads`` whether it is active."""
         self._settings, self._clock = settings, clock
-        gather_s = settings.settings.workers.report_s * _GATHER_RATIO
+        gather_s = settings.settings.workers.heartbeat_interval_s * _GATHER_RATIO
         self._reads = reads or JobReads(
             store, gather_s, _QUESTION_PATIENCE_S, pace=_questions_pace(settings.settings)
         )
@@ -91,7 +91,7 @@
         self._slots = threading.BoundedSemaphore(max(8, int(limits.state.rps / 2)))
 
     def _later(self, status: int = 503) -> Answer:
-        seconds = max(1, round(self._settings.settings.workers.report_s))
+        seconds = max(1, round(self._settings.settings.workers.heartbeat_interval_s))
         return answer(status, {"error": "try again later"}, Retry_After=str(seconds))
 
     def _tries(self) -> Iterator[int]:
--- a/src/poppyhold/node/workers.py
+++ b/src/poppyhold/node/workers.py
@@ -11,11 +11,11 @@
 from poppyhold.model.context import OK, REFUSED, UNSENT, UNSURE, Data
 from poppyhold.settings import ConfigError, Settings, split_address
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
-from poppyhold.wire.messages import MalformedError, Report, parse_report
+from poppyhold.wire.messages import Heartbeat, MalformedError, parse_heartbeat
 
 log = logging.getLogger(__name__)
 
-Done = Callable[[str, Report | None], None]
+Done = Callable[[str, Heartbeat | None], None]
 
 
 class Lane:
@@ -73,7 +73,7 @@
     def __init__(self, settings: Settings) -> None:
         workers = settings.settings.workers
         # A worker that does not answer in this time is treated as one that may still get the command.
-        self._timeout = workers.report_s * 1.5
+        self._timeout = workers.heartbeat_interval_s * 1.5
         threads = settings.settings.machine_limits.threads
         idle_s = workers.lease_s
         self._quick = Lane(max(4, threads // 20), idle_s, self._carry_out)
@@ -95,7 +95,7 @@
             log.exception("command to %s", endpoint)
             done(UNSURE, None)
 
-    def _post(self, endpoint: str, body: Data) -> tuple[str, Report | None]:
+    def _post(self, endpoint: str, body: Data) -> tuple[str, Heartbeat | None]:
         try:
             host, port = split_address(endpoint)
         except ConfigError:
@@ -114,8 +114,8 @@
         if status not in (HTTPStatus.OK, HTTPStatus.CONFLICT):
             return REFUSED, None
         try:
-            report = parse_report(data)
+            heartbeat = parse_heartbeat(data)
         except MalformedError as error:
             log.debug("%s: %s", endpoint, error)
-            report = None
-        return (OK if status == HTTPStatus.OK else REFUSED), report
+            heartbeat = None
+        return (OK if status == HTTPStatus.OK else REFUSED), heartbeat
--- a/src/poppyhold/quota/edge.py
+++ b/src/poppyhold/quota/edge.py
@@ -35,7 +35,7 @@
         self._quota, self._post = quota, post
         workers = settings.settings.workers
         self._links = CellLinks(
-            cells.others, self._on_reply, workers.report_s, workers.lease_s * _LINK_TIMEOUT, rng
+            cells.others, self._on_reply, workers.heartbeat_interval_s, workers.lease_s * _LINK_TIMEOUT, rng
         )
         self._is_ready, self._is_stopped = threading.Event(), threading.Event()
         # As of the last tick.
--- a/src/poppyhold/quota/link.py
+++ b/src/poppyhold/quota/link.py
@@ -91,12 +91,12 @@
         cell: Cell,
         board: RequestBoard,
         on_reply: Callable[[ShareReply], None],
-        report_s: float,
+        heartbeat_interval_s: float,
         timeout_s: float,
         rng: random.Random,
     ) -> None:
         self._cell, self._board, self._on_reply = cell, board, on_reply
-        self._report_s, self._timeout_s, self._rng = report_s, timeout_s, rng
+        self._heartbeat_interval_s, self._timeout_s, self._rng = heartbeat_interval_s, timeout_s, rng
         self._next = rng.randrange(len(cell.controllers))
         self._connection: socket.socket | None = None
         self._failures = 0
@@ -117,7 +117,7 @@
         while not self._stop.is_set():
             request = self._board.latest(self._cell.name)
             if request is None:
-                self._board.wait(self._cell.name, None, self._report_s)
+                self._board.wait(self._cell.name, None, self._heartbeat_interval_s)
                 continue
             try:
                 reply = self._ask(request)
@@ -132,8 +132,8 @@
             self._on_reply(reply)
             pause = _IN_PROGRESS if reply.in_progress else _WANTING if request.wants else _IDLE
             # The reply's effects are news by themselves; what is asked again and again keeps to a pace.
-            self._stop.wait(self._report_s * _IN_PROGRESS)
-            self._board.wait(self._cell.name, request, self._report_s * pause)
+            self._stop.wait(self._heartbeat_interval_s * _IN_PROGRESS)
+            self._board.wait(self._cell.name, request, self._heartbeat_interval_s * pause)
         self._close()
 
     def _ask(self, request: ShareRequest) -> ShareReply:
@@ -178,7 +178,7 @@
         self._failures += 1
         self._next = (self._next + 1) % len(self._cell.controllers)
         most = min(_LONGEST_BACKOFF, _SHORTEST_BACKOFF * 2 ** min(self._failures, 8))
-        self._stop.wait(self._report_s * self._rng.uniform(most / 2, most))
+        self._stop.wait(self._heartbeat_interval_s * self._rng.uniform(most / 2, most))
 
     def _close(self) -> None:
         if self._connection is not None:
@@ -193,13 +193,15 @@
         self,
         cells: tuple[Cell, ...],
         on_reply: Callable[[ShareReply], None],
-        report_s: float,
+        heartbeat_interval_s: float,
         timeout_s: float,
         rng: random.Random,
     ) -> None:
         self._board = RequestBoard()
         self._links = [
-            CellLink(cell, self._board, on_reply, report_s, timeout_s, random.Random(rng.random()))
+            CellLink(
+                cell, self._board, on_reply, heartbeat_interval_s, timeout_s, random.Random(rng.random())
+            )
             for cell in cells
         ]
 
--- a/src/poppyhold/relay/assignment.py
+++ b/src/poppyhold/relay/assignment.py
@@ -99,7 +99,7 @@
         """A relay tells how long its batches take at the least; 0: it does not know yet."""
         if round_trip_s > 0 and member in self._zones:
             self._measured.add(member)
-        if round_trip_s > self._times.report_s * _SLOW_RATIO:
+        if round_trip_s > self._times.heartbeat_interval_s * _SLOW_RATIO:
             self._slow_at[member] = self._clock()
 
     def review(self, machines: Set[str]) -> None:
@@ -249,4 +249,4 @@
         rate = max(1.0, self._workers / self._times.lease_s)
         self._allowance = min(most, self._allowance + (now - self._allowed_at) * rate)
         self._allowed_at = now
-        return self._allowance >= 1 and now - answered_at <= 2 * self._times.report_s
+        return self._allowance >= 1 and now - answered_at <= 2 * self._times.heartbeat_interval_s
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -8,19 +8,19 @@
 from http import HTTPStatus
 
 from poppyhold.cluster.election import Leader
-from poppyhold.relay.leader import report_patience_s
+from poppyhold.relay.leader import heartbeat_response_timeout_s
 from poppyhold.relay.link import RelayLink, RelayTimes
 from poppyhold.relay.messages import Outcome, RelayedAnswer, RelayHello
 from poppyhold.relay.overflow import Overflow
 from poppyhold.settings import Settings, split_address
 from poppyhold.wire.http import Answer, Deferred, answer
-from poppyhold.wire.messages import Report, ReportAnswer
+from poppyhold.wire.messages import Heartbeat, HeartbeatResponse
 
 # Share of a relay's connections that workers may take; the rest is for users and for workers on their way.
 _WORKERS_SHARE = 0.9
 
 
-class ReportForwarding:
+class HeartbeatForwarder:
     """Passes workers' reports on while a leader wants it."""
 
     def __init__(
@@ -28,7 +28,7 @@
         settings: Settings,
         leader: Callable[[], Leader | None],
         leads: Callable[[], bool],
-        without_leader: Callable[[Report], Answer | None],
+        without_leader: Callable[[Heartbeat], Answer | None],
         elsewhere: Callable[[], Answer],
         rng: random.Random,
     ) -> None:
@@ -50,7 +50,7 @@
             {known.member: split_address(known.address) for known in settings.known},
             self._target,
             self._seen_token,
-            RelayTimes(workers.report_s, report_patience_s(workers), workers.lease_s),
+            RelayTimes(workers.heartbeat_interval_s, heartbeat_response_timeout_s(workers), workers.lease_s),
             connections,
             rng,
             self._overflow.advise,
@@ -73,29 +73,29 @@
         """Whether a leader wanted reports to be relayed within the last lease."""
         return time.monotonic() - self._asked_at < self._lease_s
 
-    def handle(self, report: Report) -> Answer | Deferred | None:
+    def handle(self, heartbeat: Heartbeat) -> Answer | Deferred | None:
         """Pass a report to the leader, or its worker to another relay; None if none is relayed now."""
         if not self._link.is_open():
             return None
-        other = self._overflow.send_on(report.machine)
+        other = self._overflow.send_on(heartbeat.machine)
         if other is not None:
             return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": other})
 
         def defer(send: Callable[[Answer], None]) -> None:
             def respond(relayed: RelayedAnswer | None) -> None:
-                send(self._answer(report, relayed))
+                send(self._answer(heartbeat, relayed))
 
-            if not self._link.offer(report, respond):
+            if not self._link.offer(heartbeat, respond):
                 send(answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "too many reports wait"}))
 
         return defer
 
-    def _answer(self, report: Report, relayed: RelayedAnswer | None) -> Answer:
+    def _answer(self, heartbeat: Heartbeat, relayed: RelayedAnswer | None) -> Answer:
         """What a worker is told behind the leader's answer, or without one."""
         if relayed is None:
-            return self._without_leader(report) or self._unanswered()
+            return self._without_leader(heartbeat) or self._unanswered()
         if relayed.outcome is Outcome.ANSWERED:
-            return answer(HTTPStatus.OK, ReportAnswer(relayed.token, relayed.commands).body())
+            return answer(HTTPStatus.OK, HeartbeatResponse(relayed.token, relayed.commands).body())
         if relayed.outcome is Outcome.MOVED:
             return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": relayed.controller})
         return answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
--- a/src/poppyhold/relay/leader.py
+++ b/src/poppyhold/relay/leader.py
@@ -9,22 +9,22 @@
 
 import msgspec
 
-from poppyhold.concurrency.ranked_queue import DECISIONS, REPORTS, Work
+from poppyhold.concurrency.ranked_queue import DECISIONS, HEARTBEATS, Work
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.intake import RelayIntake, RelayState
-from poppyhold.relay.messages import AnswerBatch, Outcome, RelayedAnswer, RelayHello, ReportBatch
+from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayedAnswer, RelayHello
 from poppyhold.settings import Workers
 from poppyhold.wire.frames import receive, send_at_once, shut
-from poppyhold.wire.messages import Report, ReportAnswer
+from poppyhold.wire.messages import Heartbeat, HeartbeatResponse
 
-_decoder = msgspec.msgpack.Decoder(ReportBatch)
+_decoder = msgspec.msgpack.Decoder(HeartbeatBatch)
 # A worker waits so long for the answer to a report.
 _WORKER_PATIENCE_S = 4.0
 
 
-def report_patience_s(workers: Workers) -> float:
+def heartbeat_response_timeout_s(workers: Workers) -> float:
     """Behind so long a report is not answered any more: its worker gives up soon, or has done so."""
-    return min(workers.report_s * 2.5, _WORKER_PATIENCE_S * 0.75)
+    return min(workers.heartbeat_interval_s * 2.5, _WORKER_PATIENCE_S * 0.75)
 
 
 class RelayServer:
@@ -33,15 +33,15 @@
     def __init__(
         self,
         post: Callable[[int, Work], bool],
-        answer: Callable[[Report, float], ReportAnswer | None],
+        answer: Callable[[Heartbeat, float], HeartbeatResponse | None],
         answered_at: Callable[[str], float],
         assignment: Assignment,
         workers: Workers,
     ) -> None:
         """``post`` queues work for the decision thread; False if it takes no more."""
         self._post, self._assignment = post, assignment
-        self._patience_s = report_patience_s(workers)
-        self._silent_s = workers.report_s + self._patience_s
+        self._patience_s = heartbeat_response_timeout_s(workers)
+        self._silent_s = workers.heartbeat_interval_s + self._patience_s
         self._intake = RelayIntake(answer, answered_at, assignment, self._patience_s)
         self._open: dict[str, socket.socket] = {}
         # Of the relays that are connected; only the decision thread touches it.
@@ -116,7 +116,7 @@
             del self._open[member]
         self._post(DECISIONS, lambda: self._disconnected(member))
 
-    def _queue(self, connection: socket.socket, relay: RelayState, batch: ReportBatch) -> None:
+    def _queue(self, connection: socket.socket, relay: RelayState, batch: HeartbeatBatch) -> None:
         received_at = time.monotonic()
 
         def work() -> None:
@@ -124,11 +124,11 @@
             if relay.alive and not send_at_once(connection, self._intake.handle(relay, batch, received_at)):
                 shut(connection)
 
-        if not self._post(REPORTS, work) and not send_at_once(connection, _refused(batch)):
+        if not self._post(HEARTBEATS, work) and not send_at_once(connection, _refused(batch)):
             shut(connection)
 
 
-def _refused(batch: ReportBatch) -> AnswerBatch:
+def _refused(batch: HeartbeatBatch) -> AnswerBatch:
     """Too much waits here already: workers had better be told at once."""
-    numbers = [report.number for report in batch.reports] + [beat.number for beat in batch.heartbeats]
+    numbers = [heartbeat.number for heartbeat in batch.heartbeats] + [beat.number for beat in batch.unchanged]
     return AnswerBatch([RelayedAnswer(number, Outcome.REFUSED) for number in numbers])
--- a/src/poppyhold/relay/link.py
+++ b/src/poppyhold/relay/link.py
@@ -13,10 +13,10 @@
 import msgspec
 
 from poppyhold.relay.messages import AnswerBatch, RelayHello
-from poppyhold.relay.queue import ReportQueue, Respond, Response
+from poppyhold.relay.queue import HeartbeatQueue, Respond, Response
 from poppyhold.relay.regaining import Regaining
 from poppyhold.wire.frames import receive, send, shut
-from poppyhold.wire.messages import Report
+from poppyhold.wire.messages import Heartbeat
 
 log = logging.getLogger(__name__)
 
@@ -30,13 +30,13 @@
 class RelayTimes:
     """Spans of time of a relay, each a ratio to the interval of reports or to the workers' patience."""
 
-    def __init__(self, report_s: float, patience_s: float, lease_s: float) -> None:
+    def __init__(self, heartbeat_interval_s: float, patience_s: float, lease_s: float) -> None:
         # A report that has waited so long is not answered any more: its worker gives up soon.
         self.patience_s = patience_s
         # Reports that come so close to one another go in one batch.
-        self.gather_s = report_s / 20
+        self.gather_s = heartbeat_interval_s / 20
         # Without reports the leader is asked so often whether it is there.
-        self.keepalive_s = report_s / 2
+        self.keepalive_s = heartbeat_interval_s / 2
         # A batch without answers for so long: the leader is cut off, and workers had better go elsewhere.
         self.stalled_s = patience_s / 2
         # Behind a connection that is gone, reports are taken so long for the next one. By its end a lease
@@ -45,7 +45,7 @@
         # The same where the leader changes: an election takes a quarter of a lease at the most, and reading a
         # second or two. What is left of a worker's lease must do for the way to the leader itself.
         self.longest_regain_s = max(patience_s, 0.4 * lease_s)
-        self.retry_s = report_s / 20
+        self.retry_s = heartbeat_interval_s / 20
         # Nothing that waits is given up meanwhile, so that this comes on top of its patience at the most.
         self.connect_s = patience_s / 6
 
@@ -72,7 +72,7 @@
         self._hello, self._addresses = hello, addresses
         self._target, self._lowest_token = target, lowest_token
         self._times, self._rng = times, rng
-        self._queue = ReportQueue(most, times.patience_s)
+        self._queue = HeartbeatQueue(most, times.patience_s)
         self._wake = threading.Condition(threading.Lock())
         self._connected = False
         self._regaining = Regaining(times.regain_s, times.longest_regain_s)
@@ -100,10 +100,10 @@
         """Whether the connection was lost just now, and reports wait for the next one."""
         return not self._connected and self._regaining.is_on(time.monotonic())
 
-    def offer(self, report: Report, respond: Respond) -> bool:
+    def offer(self, heartbeat: Heartbeat, respond: Respond) -> bool:
         """Pass a report on; False if it is refused at once, as too many wait."""
         with self._wake:
-            taken = self._queue.put(report, time.monotonic(), respond)
+            taken = self._queue.put(heartbeat, time.monotonic(), respond)
             self._wake.notify()
         return taken
 
--- a/src/poppyhold/relay/messages.py
+++ b/src/poppyhold/relay/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from poppyhold.wire.messages import Command, Report
+from poppyhold.wire.messages import Command, Heartbeat
 
 
 class RelayHello(msgspec.Struct, frozen=True, array_like=True, tag="relay"):
@@ -16,17 +16,17 @@
     zone: str
 
 
-class FullReport(msgspec.Struct, frozen=True, array_like=True):
+class FullHeartbeat(msgspec.Struct, frozen=True, array_like=True):
     """A report that is not what the last full one of its machine on this connection was."""
 
     # Counts up on the relay; the answer carries it.
     number: int
     # How long the report has waited at the relay, in milliseconds.
     waited_ms: int
-    report: Report
+    heartbeat: Heartbeat
 
 
-class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
+class UnchangedHeartbeat(msgspec.Struct, frozen=True, array_like=True):
     """A report that differs in nothing but its sequence number from one that was sent in full."""
 
     number: int
@@ -38,11 +38,11 @@
     full_sequence: int
 
 
-class ReportBatch(msgspec.Struct, frozen=True, array_like=True, tag="reports"):
+class HeartbeatBatch(msgspec.Struct, frozen=True, array_like=True, tag="reports"):
     """Reports that came in since the last batch. An empty one asks whether the leader is there."""
 
-    reports: list[FullReport] = []
-    heartbeats: list[Heartbeat] = []
+    heartbeats: list[FullHeartbeat] = []
+    unchanged: list[UnchangedHeartbeat] = []
     # The shortest time of late that a batch's answers took to come, in milliseconds; 0: none has come yet.
     round_trip_ms: int = 0
 
--- a/src/poppyhold/relay/queue.py
+++ b/src/poppyhold/relay/queue.py
@@ -12,18 +12,25 @@
 
 import msgspec
 
-from poppyhold.relay.messages import AnswerBatch, FullReport, Heartbeat, Outcome, RelayedAnswer, ReportBatch
-from poppyhold.wire.messages import Report
+from poppyhold.relay.messages import (
+    AnswerBatch,
+    FullHeartbeat,
+    HeartbeatBatch,
+    Outcome,
+    RelayedAnswer,
+    UnchangedHeartbeat,
+)
+from poppyhold.wire.messages import Heartbeat
 
 # Called once for each report: with the leader's answer, or with None if there is none in time.
 Respond = Callable[[RelayedAnswer | None], None]
 
 
-class PendingReport(msgspec.Struct, frozen=True, eq=False):
+class PendingHeartbeat(msgspec.Struct, frozen=True, eq=False):
     """A report whose worker waits."""
 
     number: int
-    report: Report
+    heartbeat: Heartbeat
     # On the relay's clock.
     arrived_at: float
     respond: Respond
@@ -32,7 +39,7 @@
 class Response(NamedTuple):
     """What a worker that waits is to be told."""
 
-    pending: PendingReport
+    pending: PendingHeartbeat
     answer: RelayedAnswer | None
 
     def give(self) -> None:
@@ -40,7 +47,7 @@
         self.pending.respond(self.answer)
 
 
-class ReportQueue:
+class HeartbeatQueue:
     """The relay's reports, from their arrival to their answer."""
 
     def __init__(self, most: int, patience_s: float) -> None:
@@ -48,10 +55,10 @@
         self._most, self._patience_s = most, patience_s
         self._numbers = 0
         # By number, which is in the order of their arrival.
-        self._pending: dict[int, PendingReport] = {}
+        self._pending: dict[int, PendingHeartbeat] = {}
         self._unsent: deque[int] = deque()
         # What was sent in full on this connection, by machine.
-        self._full: dict[str, Report] = {}
+        self._full: dict[str, Heartbeat] = {}
 
     def __len__(self) -> int:
         return len(self._pending)
@@ -61,41 +68,46 @@
         """Reports that no batch has taken yet."""
         return len(self._unsent)
 
-    def put(self, report: Report, now: float, respond: Respond) -> bool:
+    def put(self, heartbeat: Heartbeat, now: float, respond: Respond) -> bool:
         """Take a report; False if too many wait."""
         if len(self._pending) >= self._most:
             return False
         self._numbers += 1
-        self._pending[self._numbers] = PendingReport(self._numbers, report, now, respond)
+        self._pending[self._numbers] = PendingHeartbeat(self._numbers, heartbeat, now, respond)
         self._unsent.append(self._numbers)
         return True
 
-    def next_batch(self, now: float, most: int, round_trip_s: float = 0.0) -> ReportBatch:
+    def next_batch(self, now: float, most: int, round_trip_s: float = 0.0) -> HeartbeatBatch:
         """What has not been sent yet, at most ``most`` reports.
 
         With it goes the time that batches take of late, 0 if that is not known.
         """
-        batch = ReportBatch([], [], math.ceil(round_trip_s * 1000))
-        while self._unsent and len(batch.reports) + len(batch.heartbeats) < most:
+        batch = HeartbeatBatch([], [], math.ceil(round_trip_s * 1000))
+        while self._unsent and len(batch.heartbeats) + len(batch.unchanged) < most:
             pending = self._pending.get(self._unsent.popleft())
             if pending is not None:
                 self._add(batch, pending, now)
         return batch
 
-    def _add(self, batch: ReportBatch, pending: PendingReport, now: float) -> None:
-        report, waited_ms = pending.report, int((now - pending.arrived_at) * 1000)
-        full = self._full.get(report.machine)
-        if full is not None and msgspec.structs.replace(report, sequence=full.sequence) == full:
-            batch.heartbeats.append(
-                Heartbeat(
-                    pending.number, waited_ms, report.machine, report.session, report.sequence, full.sequence
+    def _add(self, batch: HeartbeatBatch, pending: PendingHeartbeat, now: float) -> None:
+        heartbeat, waited_ms = pending.heartbeat, int((now - pending.arrived_at) * 1000)
+        full = self._full.get(heartbeat.machine)
+        if full is not None and msgspec.structs.replace(heartbeat, sequence=full.sequence) == full:
+            batch.unchanged.append(
+                UnchangedHeartbeat(
+                    pending.number,
+                    waited_ms,
+                    heartbeat.machine,
+                    heartbeat.session,
+                    heartbeat.sequence,
+                    full.sequence,
                 )
             )
             return
         if len(self._full) >= self._most:
             self._full.pop(next(iter(self._full)))
-        self._full[report.machine] = report
-        batch.reports.append(FullReport(pending.number, waited_ms, report))
+        self._full[heartbeat.machine] = heartbeat
+        batch.heartbeats.append(FullHeartbeat(pending.number, waited_ms, heartbeat))
 
     def connection_lost(self) -> None:
         """The next connection knows nothing: whatever waits goes again, and in full.
@@ -118,7 +130,7 @@
             if pending is None:
                 continue
             if answer.outcome is Outcome.FULL_WANTED:
-                self._full.pop(pending.report.machine, None)
+                self._full.pop(pending.heartbeat.machine, None)
                 self._unsent.append(pending.number)
                 continue
             del self._pending[answer.number]
--- a/src/poppyhold/scale/controllers.py
+++ b/src/poppyhold/scale/controllers.py
@@ -250,7 +250,10 @@
             lines += [f"gpus = {guaranteed}"]
         lines += [
             *_section(
-                "workers", report_s=profile.report_s, lease_s=profile.lease_s, cancel_s=profile.cancel_s
+                "workers",
+                report_s=profile.heartbeat_interval_s,
+                lease_s=profile.lease_s,
+                cancel_s=profile.cancel_s,
             ),
             *_section(
                 "state",
--- a/src/poppyhold/scale/fleet.py
+++ b/src/poppyhold/scale/fleet.py
@@ -109,7 +109,9 @@
             self._on_start,
             self._on_done,
         )
-        worker = HollowWorker(standin, self._nodes, self._profile.report_s, self.figures, self._rng)
+        worker = HollowWorker(
+            standin, self._nodes, self._profile.heartbeat_interval_s, self.figures, self._rng
+        )
         await worker.listen()
         machine["endpoint"] = standin.endpoint
         self.workers[name] = worker
--- a/src/poppyhold/scale/hollow.py
+++ b/src/poppyhold/scale/hollow.py
@@ -26,7 +26,7 @@
     """What all hollow workers saw together."""
 
     def __init__(self) -> None:
-        self.reports = Latency()
+        self.heartbeats = Latency()
         self.answered, self.redirected, self.failed = Rate(), Rate(), Rate()
         self.direct_commands = Rate()
         self.bytes = 0
@@ -35,7 +35,7 @@
 
     def clear(self) -> None:
         """Begin the measured time."""
-        self.reports.clear()
+        self.heartbeats.clear()
         for rate in (self.answered, self.redirected, self.failed, self.direct_commands):
             rate.clear()
         self.bytes = self.leases_lost = self.tasks_lost = 0
@@ -48,18 +48,23 @@
         self,
         standin: WorkerStandIn,
         nodes: dict[str, int],
-        report_s: float,
+        heartbeat_interval_s: float,
         figures: WorkerFigures,
         rng: random.Random,
     ) -> None:
         self.standin = standin
-        self._nodes, self._report_s, self._figures, self._rng = nodes, report_s, figures, rng
+        self._nodes, self._heartbeat_interval_s, self._figures, self._rng = (
+            nodes,
+            heartbeat_interval_s,
+            figures,
+            rng,
+        )
         self._names = list(nodes)
         self._node = rng.choice(self._names)
         self._connection = Connection(nodes[self._node])
         self._server = HttpServer(self._direct)
         self._news = asyncio.Event()
-        self._next_report = time.monotonic() + rng.uniform(0.0, report_s)
+        self._next_heartbeat = time.monotonic() + rng.uniform(0.0, heartbeat_interval_s)
         self._earliest = 0.0
         self._away_until = 0.0
         self._token_told_at = float("-inf")
@@ -88,11 +93,11 @@
         if time.monotonic() < self._away_until or self.standin.gone:
             raise ValueError("nobody is there")
         if path == "/show":
-            return HTTPStatus.OK, self.standin.report()
+            return HTTPStatus.OK, self.standin.heartbeat()
         self._figures.direct_commands.note()
-        status, report = self.standin.do(decode(body))
+        status, heartbeat = self.standin.do(decode(body))
         self._news.set()
-        return status, report
+        return status, heartbeat
 
     # -- reports -----------------------------------------------------------------------------------
 
@@ -109,13 +114,13 @@
                 self._figures.leases_lost += 1
                 self._figures.tasks_lost += tasks
             if changed:
-                self._next_report = min(self._next_report, now)
-            if now >= max(self._next_report, self._earliest):
-                await self._report()
+                self._next_heartbeat = min(self._next_heartbeat, now)
+            if now >= max(self._next_heartbeat, self._earliest):
+                await self._heartbeat()
 
     async def _wait(self) -> None:
         """Sleep until something is due: a report, a task's next step, or the end of the lease."""
-        due = max(self._next_report, self._earliest)
+        due = max(self._next_heartbeat, self._earliest)
         due = max(min(due, self.standin.next_change_at()), self._away_until)
         self._news.clear()
         try:
@@ -124,11 +129,11 @@
         except TimeoutError:
             return
 
-    async def _report(self) -> None:
+    async def _heartbeat(self) -> None:
         now = time.monotonic()
-        self._next_report = now + self._report_s * self._rng.uniform(0.75, 1.25)
+        self._next_heartbeat = now + self._heartbeat_interval_s * self._rng.uniform(0.75, 1.25)
         self._earliest = now + _LEAST_BETWEEN_S
-        body, session = self.standin.report(), self.standin.session
+        body, session = self.standin.heartbeat(), self.standin.session
         before = self._connection.bytes
         try:
             status, answer = await self._connection.request("POST", "/hello", body, _PATIENCE_S)
@@ -136,7 +141,7 @@
             status, answer = 0, {}
         self._figures.bytes += self._connection.bytes - before
         if status == HTTPStatus.OK:
-            self._figures.reports.note(time.monotonic() - now)
+            self._figures.heartbeats.note(time.monotonic() - now)
             self._figures.answered.note()
             self._take(answer, now, session)
         elif status == HTTPStatus.MISDIRECTED_REQUEST and self._is_elsewhere(answer.get("foreman")):
@@ -154,14 +159,14 @@
         self._connection.close()
         self._node = node
         self._connection = Connection(self._nodes[node])
-        self._next_report = self._earliest = time.monotonic() + pause_s
+        self._next_heartbeat = self._earliest = time.monotonic() + pause_s
 
     def _take(self, answer: Data, sent_at: float, session: int) -> None:
         token, tasks = self.standin.token, len(self.standin.tasks)
         self.standin.answered(answer, sent_at, session)
         now = time.monotonic()
-        if self.standin.token > token and now - self._token_told_at > self._report_s:
+        if self.standin.token > token and now - self._token_told_at > self._heartbeat_interval_s:
             self._token_told_at = now
-            self._next_report = now
+            self._next_heartbeat = now
         if answer["orders"] or len(self.standin.tasks) != tasks:
-            self._next_report = now
+            self._next_heartbeat = now
--- a/src/poppyhold/scale/profile.py
+++ b/src/poppyhold/scale/profile.py
@@ -99,7 +99,7 @@
     # The first class of jobs also comes in bursts of so many, in all cells at the same instant.
     burst_jobs: int = 0
     burst_every_s: float = 10.0
-    report_s: float = 2.5
+    heartbeat_interval_s: float = msgspec.field(name="report_s", default=2.5)
     lease_s: float = 15.25
     cancel_s: float = 45.25
     # The load starts; measured from behind it.
@@ -164,8 +164,9 @@
 
 
 def _check(profile: Profile) -> None:
+    values = msgspec.to_builtins(profile)
     for field, (low, high) in _BOUNDS.items():
-        if not low <= getattr(profile, field) <= high:
+        if not low <= values[field] <= high:
             raise ValueError(f"{field}: must be within {low} and {high}")
     if profile.cancel_s <= profile.lease_s:
         raise ValueError("cancel_s: must be above lease_s")
--- a/src/poppyhold/scale/run.py
+++ b/src/poppyhold/scale/run.py
@@ -302,7 +302,7 @@
             load=self._load.use,
             loop_late=self._loop_late.summary(),
             latencies={
-                "report": figures.reports.summary(),
+                "report": figures.heartbeats.summary(),
                 "submission": users.submissions.summary(),
                 "question": users.polls.summary(),
                 **starts,
--- a/src/poppyhold/scale/standins.py
+++ b/src/poppyhold/scale/standins.py
@@ -167,7 +167,7 @@
         self.gone = False
         self.faulty = False
 
-    def report(self) -> Data:
+    def heartbeat(self) -> Data:
         """A report of now."""
         self.sequence += 1
         return {
@@ -268,10 +268,10 @@
     def do(self, body: Data) -> Status:
         """A direct command."""
         if body["baton"] < self.token or body["shift"] != self.session:
-            return 409, self.report()
+            return 409, self.heartbeat()
         self.token = body["baton"]
         self.execute(body["orders"])
-        return 200, self.report()
+        return 200, self.heartbeat()
 
     def execute(self, orders: list[Data]) -> None:
         """Carry out commands in order."""
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -243,7 +243,7 @@
         if not self._released or now < self._reconsider_at:
             return
         self._released = False
-        self._reconsider_at = now + self._ctx.times.report_s
+        self._reconsider_at = now + self._ctx.times.heartbeat_interval_s
         for job in waiting[: self._ctx.options.design.work_units]:
             if not job.booked and self._try_admit(job):
                 self._write(job)
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -129,7 +129,7 @@
         self._relocation.begin(self._pass.held)
         # A backlog that meets a thousand empty machines takes seconds: reports must not wait for it. The next
         # pass goes on with those that this one did not come to.
-        budget_s = ctx.times.report_s / 16
+        budget_s = ctx.times.heartbeat_interval_s / 16
         self._look_for_room(self._planned_rooms, self._pass.held)
         stop_at = ctx.clock() + budget_s
         ready.sort(key=lambda job: job.id in self._looked_at)
@@ -234,7 +234,7 @@
             return ran * job.spec.tasks
         silent_s = self._ctx.times.silent_s
         # It saves its progress only if all of its machines can be told in time.
-        reachable = all(now - mate.machine.last_report <= silent_s for mate in job.active.values())
+        reachable = all(now - mate.machine.last_heartbeat_at <= silent_s for mate in job.active.values())
         lost = min(ran, job.spec.save_s) if reachable else ran % job.spec.checkpoint_s
         return lost * job.spec.tasks
 
@@ -418,5 +418,5 @@
         for gang in gangs.values():
             self._attempts.gangs.stop(gang, now)
         saving_s = max(gang.spec.save_s for gang in gangs.values())
-        job.preempts_again_at = now + saving_s + 2 * self._ctx.times.report_s
+        job.preempts_again_at = now + saving_s + 2 * self._ctx.times.heartbeat_interval_s
         return True
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -48,7 +48,7 @@
     ) -> None:
         # A second of a replica's time is worth the weight of its priority.
         self._weights = weights
-        self._restart_s, self._settled_s = times.report_s, times.cancel_s
+        self._restart_s, self._settled_s = times.heartbeat_interval_s, times.cancel_s
         self._lease_s = times.lease_s
         self._in_time, self._clock = in_time, clock
         self._moves: list[Move] = []
--- a/src/poppyhold/settings.py
+++ b/src/poppyhold/settings.py
@@ -51,7 +51,7 @@
 class Workers(msgspec.Struct, frozen=True):
     """The workers' times."""
 
-    report_s: float = 1.0
+    heartbeat_interval_s: float = msgspec.field(name="report_s", default=1.0)
     lease_s: float = 10.0
     cancel_s: float = 30.0
     # How long a gang's task waits for the rest of its gang before it exits.
@@ -239,8 +239,9 @@
     if not 0 <= deployment.skew_ms < float("inf"):
         raise ConfigError("settings.skew_ms: must not be below 0")
     for section, names in _POSITIVE.items():
+        values = msgspec.to_builtins(getattr(deployment, section))
         for name in names:
-            value = getattr(getattr(deployment, section), name)
+            value = values[name]
             if not 0 < value < float("inf"):
                 raise ConfigError(f"settings.{section}.{name}: must be above 0")
     _check_next(deployment.state.next)
--- a/src/poppyhold/wire/http.py
+++ b/src/poppyhold/wire/http.py
@@ -25,7 +25,7 @@
 Route = Callable[[str, str, bytes], Answer | Deferred]
 
 # Who is answered on this path is a worker: its connection is not closed for another's sake.
-_REPORTS = "/hello"
+_HEARTBEATS = "/hello"
 # Method, path and version.
 _REQUEST_LINE_WORDS = 3
 
@@ -123,7 +123,7 @@
 
     def _encoded(self, result: Answer) -> bytes:
         status, body, headers = result
-        if status == HTTPStatus.OK and self.path == _REPORTS:
+        if status == HTTPStatus.OK and self.path == _HEARTBEATS:
             # Whatever else is sent there, malformed or to a node that leads nobody, makes nobody a worker.
             self.server.used(self.connection, True)
         payload = encode(body)
--- a/src/poppyhold/wire/messages.py
+++ b/src/poppyhold/wire/messages.py
@@ -84,7 +84,7 @@
     deadline_s: float | None = msgspec.field(name="dueS", default=None)
 
 
-class TaskReport(msgspec.Struct, frozen=True):
+class TaskStatus(msgspec.Struct, frozen=True):
     """A task in a worker's report."""
 
     task: str = msgspec.field(name="chore")
@@ -112,7 +112,7 @@
     grace_s: float | None = msgspec.field(name="leewayS", default=None)
 
 
-class ReportAnswer(msgspec.Struct, frozen=True):
+class HeartbeatResponse(msgspec.Struct, frozen=True):
     """The answer to a report, which renews the worker's lease."""
 
     token: int = msgspec.field(name="baton")
@@ -128,7 +128,7 @@
     return {"baton": token, "shift": session, "orders": msgspec.to_builtins(list(commands))}
 
 
-class Report(msgspec.Struct, frozen=True):
+class Heartbeat(msgspec.Struct, frozen=True):
     """POST /hello, and the answers of /do and /show."""
 
     machine: str = msgspec.field(name="box")
@@ -140,7 +140,7 @@
     sequence: int = msgspec.field(name="tally")
     token: int = msgspec.field(name="baton")
     notice_s: float | None = msgspec.field(name="recallS", default=None)
-    tasks: list[TaskReport] = msgspec.field(name="chores", default_factory=list)
+    tasks: list[TaskStatus] = msgspec.field(name="chores", default_factory=list)
 
 
 class MachineType(msgspec.Struct, frozen=True):
@@ -276,14 +276,14 @@
     return job
 
 
-def parse_report(value: object) -> Report:
+def parse_heartbeat(value: object) -> Heartbeat:
     """Check a worker's report."""
-    report = convert(value, Report)
-    if report.session < 1 or report.sequence < 0 or report.token < 0:
+    heartbeat = convert(value, Heartbeat)
+    if heartbeat.session < 1 or heartbeat.sequence < 0 or heartbeat.token < 0:
         raise MalformedError("shift, tally or baton is out of range")
-    if not _MACHINE_NAME.match(report.machine):
+    if not _MACHINE_NAME.match(heartbeat.machine):
         raise MalformedError("box is not a machine's name")
-    return report
+    return heartbeat
 
 
 def task_name(job_id: str, index: int) -> str:
--- a/tests/gang_standin.py
+++ b/tests/gang_standin.py
@@ -13,8 +13,8 @@
 
 from poppyhold.scale.standins import WorkerStandIn
 
-TaskReport = dict[str, Any]
-Member = tuple[WorkerStandIn, str, TaskReport]
+TaskStatus = dict[str, Any]
+Member = tuple[WorkerStandIn, str, TaskStatus]
 # Job and attempt number.
 AttemptKey = tuple[str, int]
 
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -37,19 +37,19 @@
 from poppyhold.reads.job_reads import JobReads
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.intake import RelayIntake, RelayState
-from poppyhold.relay.leader import report_patience_s
+from poppyhold.relay.leader import heartbeat_response_timeout_s
 from poppyhold.relay.mode import RelayMode
 from poppyhold.scale.jobs import Data
 from poppyhold.scale.standins import StateStandIn
 from poppyhold.wire.messages import (
+    Heartbeat,
+    HeartbeatResponse,
     Listed,
     Listing,
     MachineType,
-    Report,
-    ReportAnswer,
     convert,
     encode,
-    parse_report,
+    parse_heartbeat,
 )
 from sim_relay import SimRelay
 
@@ -150,9 +150,9 @@
         )
         # The relays that are connected, and what is kept of each.
         self.relays: dict[str, RelayState] = {}
-        patience_s = report_patience_s(node.settings.settings.workers)
+        patience_s = heartbeat_response_timeout_s(node.settings.settings.workers)
         self.intake = RelayIntake(
-            self.answer_report, self.controller.answered_at, self.assignment, patience_s
+            self.answer_heartbeat, self.controller.answered_at, self.assignment, patience_s
         )
         self.authority.synced(world.now, node.store.revision())
         self.controller.load(
@@ -243,14 +243,14 @@
         box: str,
         endpoint: str,
         body: Data,
-        done: Callable[[str, Report | None], None],
+        done: Callable[[str, Heartbeat | None], None],
         patient: bool,
     ) -> None:
         world = self.world
         worker = world.workers.get(endpoint)
 
-        def answered(outcome: str, report: Data | None) -> None:
-            parsed = parse_report(report) if report is not None else None
+        def answered(outcome: str, heartbeat: Data | None) -> None:
+            parsed = parse_heartbeat(heartbeat) if heartbeat is not None else None
             self._later(0.001 + world.link_s, lambda: done(outcome, parsed))
 
         if worker is None or worker.gone or self.node.cut_workers:
@@ -277,11 +277,11 @@
             return
 
         def deliver() -> None:
-            status, report = worker.do(body)
+            status, heartbeat = worker.do(body)
             if "mute" in how:
                 self._later(1.5, lambda: done(UNSURE, None))
                 return
-            answered(OK if status == 200 else REFUSED, report)
+            answered(OK if status == 200 else REFUSED, heartbeat)
 
         world.after(0.001 + world.link_s, deliver)
 
@@ -340,12 +340,12 @@
             and not self.world.severed(node.zone, self.node.zone)
         ]
 
-    def answer_report(self, report: Report, late_at: float) -> ReportAnswer | None:
+    def answer_heartbeat(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
         """The answer to a report that a relay passed on."""
         now = self.world.now
         if not self.alive or now >= late_at or not self.authority.may_answer(now, self.confirmed):
             return None
-        return self.controller.handle_report(report)
+        return self.controller.handle_heartbeat(heartbeat)
 
     def may_start(self) -> bool:
         now = self.world.now
@@ -404,7 +404,7 @@
         self._departures = Departures(self.settings.settings.workers.lease_s, 1000)
         self._leader_since = self.world.now
         self._leader_token = 0
-        self.connectivity = Connectivity(self.member, self.times.report_s, lambda: self.world.now)
+        self.connectivity = Connectivity(self.member, self.times.heartbeat_interval_s, lambda: self.world.now)
         builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
         # Each question is a shared read by itself: the view is what users are answered from.
         reads = JobReads(self.store, 0.0, 1.0, fewest_shared=1, clock=lambda: self.world.now)
@@ -438,14 +438,14 @@
             self.leader_term.relays.clear()
             self.leader_term = None
 
-    def handle_report(self, body: Data) -> tuple[int, Data]:
+    def handle_heartbeat(self, body: Data) -> tuple[int, Data]:
         """POST /hello."""
         leader_term = self.leader_term
         if leader_term is None:
             held = self.world.state.keys.get(LEAD)
             named = self.world.leader()
             proxied = self.lease_proxy.may_answer(
-                parse_report(body),
+                parse_heartbeat(body),
                 self.store.contact_at,
                 held[0]["baton"] if held is not None and self.has_state() else 0,
                 named is not None and self.world.severed(self.zone, named.zone),
@@ -458,29 +458,29 @@
             return 421, {"foreman": leader.member} if leader is not None else {}
         if not leader_term.authority.may_answer(self.world.now, leader_term.confirmed):
             return 503, {}
-        report = parse_report(body)
+        heartbeat = parse_heartbeat(body)
         relay = leader_term.assignment.assign(
-            report.machine, report.zone, leader_term.controller.answered_at(report.machine)
+            heartbeat.machine, heartbeat.zone, leader_term.controller.answered_at(heartbeat.machine)
         )
         if relay is not None:
             return 421, {"foreman": relay}
-        answer = leader_term.controller.handle_report(report)
+        answer = leader_term.controller.handle_heartbeat(heartbeat)
         leader_term.settle()
         if answer is None or not leader_term.alive:
             return 503, {}
         assert len(encode(answer.body())) <= 64 * 1024
         return 200, answer.body()
 
-    def relays_reports(self) -> bool:
+    def relays_heartbeats(self) -> bool:
         """Whether a report is relayed that comes now."""
         return self.leader_term is None and self.relay.is_open()
 
-    def receive_report(self, body: Data, respond: Callable[[int, Data], None], wait_s: float) -> None:
+    def receive_heartbeat(self, body: Data, respond: Callable[[int, Data], None], wait_s: float) -> None:
         """POST /hello: relayed to the leader, or answered within ``wait_s`` where its worker has left it."""
-        if self.relays_reports():
+        if self.relays_heartbeats():
             self.relay.take(body, respond)
             return
-        status, answer = self.handle_report(body)
+        status, answer = self.handle_heartbeat(body)
         if wait_s and status == 421:
             self._await_next_leader(body, respond, self.lowest_token(), self.world.now + wait_s)
         else:
@@ -496,11 +496,11 @@
     def departure_wait_s(self, body: Data) -> float:
         """How long a worker waits here that has left a leader which still leads."""
         leader = self.world.leader()
-        if self.relays_reports() or leader in (None, self) or not self.has_state():
+        if self.relays_heartbeats() or leader in (None, self) or not self.has_state():
             return 0.0
         token = self._note_leader()
         now = self.world.now
-        return self._departures.wait_s(parse_report(body), token, now - self._leader_since, now)
+        return self._departures.wait_s(parse_heartbeat(body), token, now - self._leader_since, now)
 
     def _await_next_leader(
         self, body: Data, respond: Callable[[int, Data], None], token: int, until: float
@@ -510,7 +510,7 @@
         if self.frozen or (self.lowest_token() in (0, token) and self.world.now < until):
             self.world.after(STEP_S, lambda: self._await_next_leader(body, respond, token, until))
         else:
-            respond(*self.handle_report(body))
+            respond(*self.handle_heartbeat(body))
 
     def lowest_token(self) -> int:
         """The highest token that this node knows of."""
--- a/tests/sim_relay.py
+++ b/tests/sim_relay.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING
 
 from poppyhold.relay.intake import RelayState
-from poppyhold.relay.leader import report_patience_s
+from poppyhold.relay.leader import heartbeat_response_timeout_s
 from poppyhold.relay.link import RelayTimes
-from poppyhold.relay.messages import AnswerBatch, Outcome, RelayedAnswer, ReportBatch
-from poppyhold.relay.queue import ReportQueue, Response
+from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayedAnswer
+from poppyhold.relay.queue import HeartbeatQueue, Response
 from poppyhold.relay.regaining import Regaining
 from poppyhold.scale.standins import Data
-from poppyhold.wire.messages import ReportAnswer, parse_report
+from poppyhold.wire.messages import HeartbeatResponse, parse_heartbeat
 
 if TYPE_CHECKING:
     from sim_node import SimLeaderTerm, SimNode
@@ -29,8 +29,10 @@
     def __init__(self, node: SimNode) -> None:
         self._node, self._world = node, node.world
         workers = node.settings.settings.workers
-        self._times = RelayTimes(workers.report_s, report_patience_s(workers), workers.lease_s)
-        self._queue = ReportQueue(_MOST, self._times.patience_s)
+        self._times = RelayTimes(
+            workers.heartbeat_interval_s, heartbeat_response_timeout_s(workers), workers.lease_s
+        )
+        self._queue = HeartbeatQueue(_MOST, self._times.patience_s)
         self._term: SimLeaderTerm | None = None
         self._state: RelayState | None = None
         self._regaining = Regaining(self._times.regain_s, self._times.longest_regain_s)
@@ -44,26 +46,26 @@
 
     def take(self, body: Data, respond: Respond) -> None:
         """A worker's report: its answer comes once the leader has given it."""
-        report = parse_report(body)
+        heartbeat = parse_heartbeat(body)
 
         def relayed(answer: RelayedAnswer | None) -> None:
             if answer is None:
                 respond(*self._unanswered(body))
             elif answer.outcome is Outcome.ANSWERED:
-                respond(200, ReportAnswer(answer.token, answer.commands).body())
+                respond(200, HeartbeatResponse(answer.token, answer.commands).body())
             elif answer.outcome is Outcome.MOVED:
                 respond(421, {"foreman": answer.controller})
             else:
                 respond(503, {})
 
-        if not self._queue.put(report, self._world.now, relayed):
+        if not self._queue.put(heartbeat, self._world.now, relayed):
             respond(503, {})
             return
         self._gather()
 
     def _unanswered(self, body: Data) -> tuple[int, Data]:
         """As `relay.forwarding` answers what the leader did not."""
-        status, answer = self._node.handle_report(body)
+        status, answer = self._node.handle_heartbeat(body)
         regaining = self._term is None and self._regaining.is_on(self._world.now)
         return (503, {}) if status == 421 and regaining else (status, answer)
 
@@ -157,7 +159,7 @@
             self._carry(term, self._state, batch, self._world.rng.uniform(0.0, _LATEST_COPY_S))
 
     def _carry(
-        self, term: SimLeaderTerm, state: RelayState | None, batch: ReportBatch, later_s: float = 0.0
+        self, term: SimLeaderTerm, state: RelayState | None, batch: HeartbeatBatch, later_s: float = 0.0
     ) -> None:
         delay = 0.001 + self._world.link_s + self._world.batches_late_s + later_s
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -44,7 +44,7 @@
     world.jobs["job-000002"] = second
     waiting = controller.attempts.start(job, 0, machine, [])
     assert [command.kind for command in machine.direct] == ["run"]
-    leader_term.node.handle_report(worker.report())
+    leader_term.node.handle_heartbeat(worker.heartbeat())
     assert machine.attempts.get(waiting.name) is not waiting
     machine.do_busy = False
     machine.direct = [command for command in machine.direct if command.attempt == waiting.number]
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -24,7 +24,7 @@
     MalformedError,
     convert,
     encode,
-    parse_report,
+    parse_heartbeat,
     parse_submission,
 )
 from world import World
@@ -100,7 +100,7 @@
     assert users.poll("job-000001")[0] == 503
 
 
-REPORT = {
+HEARTBEAT = {
     "box": "vm-1",
     "endpoint": "127.0.0.1:1",
     "build": "small",
@@ -114,13 +114,13 @@
 
 @pytest.mark.parametrize(
     "body",
-    [{}, {"box": "vm"}, {"box": 1, "tally": "x"}, {**REPORT, "box": "no key"}, {**REPORT, "shift": 0}],
+    [{}, {"box": "vm"}, {"box": 1, "tally": "x"}, {**HEARTBEAT, "box": "no key"}, {**HEARTBEAT, "shift": 0}],
     ids=str,
 )
-def test_malformed_reports_are_refused(body: dict[str, object]) -> None:
+def test_malformed_heartbeats_are_refused(body: dict[str, object]) -> None:
     with pytest.raises(MalformedError):
-        parse_report(body)
-    assert parse_report(REPORT).machine == "vm-1"
+        parse_heartbeat(body)
+    assert parse_heartbeat(HEARTBEAT).machine == "vm-1"
 
 
 @pytest.mark.parametrize(("value_kb", "next_kb"), [(8.0, None), (8.0, 2.0), (16.0, 2.0)])
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -15,7 +15,7 @@
 from poppyhold.execution.direct_commands import DirectCommands
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.gangs import Gangs, GangState
-from poppyhold.execution.report_commands import ReportCommands
+from poppyhold.execution.heartbeat_commands import HeartbeatCommands
 from poppyhold.machines.boots import Boots
 from poppyhold.machines.hires import Hires
 from poppyhold.machines.machine_monitor import MachineMonitor, Survey
@@ -25,7 +25,7 @@
 from poppyhold.scheduling.gang_placement import GangPlacement
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.scheduling.relocation import Relocation
-from poppyhold.wire.messages import Report
+from poppyhold.wire.messages import Heartbeat
 from scenario import FOLDER
 
 
@@ -115,7 +115,7 @@
     Guard("limit_while_unreachable", Quotas, "allows", _always),
     Guard("isolated_leader", Authority, "may_answer", _always),
     Guard("lost_hire_answer", Hires, "load", _count_nothing),
-    Guard("done_before_reap", ReportCommands, "_may_reap", _always),
+    Guard("done_before_reap", HeartbeatCommands, "_may_reap", _always),
     Guard("large_fleet", Pass, "claim", _unlike),
     Guard("zone_cut", LeaseProxy, "may_answer", _never),
     Guard("zone_cut_long", LeaseProxies, "until", _long_ago),
@@ -186,10 +186,10 @@
 
 
 def _behind_a_change_too(
-    self: Departures, report: Report, leader_token: int, led_s: float, now: float
+    self: Departures, heartbeat: Heartbeat, leader_token: int, led_s: float, now: float
 ) -> float:
     """Workers wait wherever they have the leader's token, though they may be on their way to it."""
-    return self._wait_s if report.token >= leader_token else 0.0
+    return self._wait_s if heartbeat.token >= leader_token else 0.0
 
 
 def _at_one_moment(self: MachineMonitor, survey: Survey, now: float) -> bool:
@@ -198,9 +198,11 @@
     return silent * 2 >= survey.up and silent > 1 and self._lost_to_others(now) > 2 * survey.heard
 
 
-def _again_and_again(self: Departures, report: Report, leader_token: int, led_s: float, now: float) -> float:
+def _again_and_again(
+    self: Departures, heartbeat: Heartbeat, leader_token: int, led_s: float, now: float
+) -> float:
     """Workers wait each time that they come."""
-    return self._wait_s if report.token >= leader_token and led_s > self._found_s else 0.0
+    return self._wait_s if heartbeat.token >= leader_token and led_s > self._found_s else 0.0
 
 
 def _hopeless_alone(self: Boots, machine: Machine, give_up_s: float, now: float) -> bool:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -457,7 +457,7 @@
 
     ctx: Any = SimpleNamespace(
         clock=lambda: now[0],
-        times=SimpleNamespace(report_s=2.0, silent_s=7.0),
+        times=SimpleNamespace(heartbeat_interval_s=2.0, silent_s=7.0),
         fleet=SimpleNamespace(machines=machines),
         edges=SimpleNamespace(do=do),
         token=1,
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -12,7 +12,7 @@
 from poppyhold.options import Options
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.settings import Team
-from poppyhold.wire.messages import encode, parse_report
+from poppyhold.wire.messages import encode, parse_heartbeat
 from sim_node import SimLeaderTerm
 from test_attempts import leading_world
 from test_store import Fickle
@@ -36,23 +36,23 @@
     # cancelled long ago left out of it, and the machine to hang right then, the task would outlive cancel_s.
     world, _ = leading_world()
     world.cancel("job-000001")
-    old = world.workers["vm-000001"].report()
+    old = world.workers["vm-000001"].heartbeat()
     assert [chore["status"] for chore in old["chores"]] == ["running"]
     leader_term = next_leader(world)
-    answer = leader_term.controller.handle_report(parse_report(old))
+    answer = leader_term.controller.handle_heartbeat(parse_heartbeat(old))
     assert answer is not None
     assert [(order["verb"], order["chore"]) for order in answer.body()["orders"]] == [
         ("stop", "job-000001/0")
     ]
 
 
-def test_old_report_at_a_new_leader_proves_nothing() -> None:
+def test_old_heartbeat_at_a_new_leader_proves_nothing() -> None:
     world, _ = leading_world()
-    old = world.workers["vm-000001"].report()
+    old = world.workers["vm-000001"].heartbeat()
     leader_term = next_leader(world)
     attempts = leader_term.controller.attempts
     assert attempts.unheard == {"vm-000001"}
-    answer = leader_term.controller.handle_report(parse_report(old))
+    answer = leader_term.controller.handle_heartbeat(parse_heartbeat(old))
     machine = leader_term.controller.ctx.fleet.machines["vm-000001"]
     # No order but stops, nothing adopted, not heard, and what it holds still counts as unknown.
     assert answer is not None
@@ -63,8 +63,8 @@
     other = next(node for node in world.nodes if node.alive and node.leader_term is None)
     other.lease_proxy.heard(leader_term.token, Trust(leader_term.token, world.now, []))
     world.now += 2 * other.times.proxy_after_s
-    assert other.handle_report(old)[0] == 421
-    assert other.handle_report({**old, "baton": leader_term.token})[0] == 200
+    assert other.handle_heartbeat(old)[0] == 421
+    assert other.handle_heartbeat({**old, "baton": leader_term.token})[0] == 200
 
 
 def test_cancellation_that_overtakes_its_submission() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -204,11 +204,11 @@
     node = Node(settings, Options())
     stop = threading.Event()
 
-    def report() -> None:
+    def heartbeat() -> None:
         while not stop.wait(0.2):
-            world.report(int(settings.client_listen.rpartition(":")[2]))
+            world.heartbeat(int(settings.client_listen.rpartition(":")[2]))
 
-    threads = [threading.Thread(target=work, daemon=True) for work in (node.run, report)]
+    threads = [threading.Thread(target=work, daemon=True) for work in (node.run, heartbeat)]
     try:
         for thread in threads:
             thread.start()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -22,13 +22,13 @@
 from poppyhold.relay.intake import RelayIntake, RelayState
 from poppyhold.relay.leader import RelayServer
 from poppyhold.relay.link import RelayLink, RelayTimes
-from poppyhold.relay.messages import AnswerBatch, Outcome, RelayedAnswer, RelayHello, ReportBatch
+from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayedAnswer, RelayHello
 from poppyhold.relay.mode import RelayMode
 from poppyhold.relay.overflow import Overflow
-from poppyhold.relay.queue import ReportQueue
+from poppyhold.relay.queue import HeartbeatQueue
 from poppyhold.relay.regaining import Regaining
 from poppyhold.settings import ConfigError, Workers
-from poppyhold.wire.messages import Command, CommandKind, Report, ReportAnswer, TaskReport
+from poppyhold.wire.messages import Command, CommandKind, Heartbeat, HeartbeatResponse, TaskStatus
 from scenario import Scenario
 from test_smoke import eventually
 from world import World
@@ -37,25 +37,25 @@
 TOKEN = 7
 
 
-def report(machine: str = "vm-1", sequence: int = 1, **changes: Any) -> Report:
+def heartbeat(machine: str = "vm-1", sequence: int = 1, **changes: Any) -> Heartbeat:
     """A worker's report."""
-    plain = Report(machine, f"{machine}:1", "small", "a", False, 1, sequence, TOKEN)
+    plain = Heartbeat(machine, f"{machine}:1", "small", "a", False, 1, sequence, TOKEN)
     return msgspec.structs.replace(plain, **changes)
 
 
-def over_the_wire(batch: ReportBatch) -> ReportBatch:
+def over_the_wire(batch: HeartbeatBatch) -> HeartbeatBatch:
     """A batch as it is received."""
-    return msgspec.msgpack.decode(msgspec.msgpack.encode(batch), type=ReportBatch)
+    return msgspec.msgpack.decode(msgspec.msgpack.encode(batch), type=HeartbeatBatch)
 
 
 class Relayed:
     """A relay's queue, and what its workers were told."""
 
     def __init__(self, most: int = 100) -> None:
-        self.queue = ReportQueue(most, PATIENCE_S)
+        self.queue = HeartbeatQueue(most, PATIENCE_S)
         self.told: list[RelayedAnswer | None] = []
 
-    def put(self, taken: Report, now: float = 0.0) -> bool:
+    def put(self, taken: Heartbeat, now: float = 0.0) -> bool:
         """A report comes in."""
         return self.queue.put(taken, now, self.told.append)
 
@@ -73,15 +73,15 @@
 # -- the relay's queue ---------------------------------------------------------------------------------
 
 
-def test_unchanged_reports_are_heartbeats_of_a_few_bytes() -> None:
+def test_unchanged_heartbeats_take_a_few_bytes() -> None:
     relay = Relayed()
-    tasks = [TaskReport(f"job-00000{index}/0", 1, "running") for index in range(8)]
-    relay.put(report(sequence=1, tasks=tasks))
-    assert len(relay.queue.next_batch(0.0, 64).reports) == 1
-    relay.put(report(sequence=2, tasks=tasks))
+    tasks = [TaskStatus(f"job-00000{index}/0", 1, "running") for index in range(8)]
+    relay.put(heartbeat(sequence=1, tasks=tasks))
+    assert len(relay.queue.next_batch(0.0, 64).heartbeats) == 1
+    relay.put(heartbeat(sequence=2, tasks=tasks))
     batch = relay.queue.next_batch(0.0, 64)
-    assert (len(batch.reports), len(batch.heartbeats)) == (0, 1)
-    beat = batch.heartbeats[0]
+    assert (len(batch.heartbeats), len(batch.unchanged)) == (0, 1)
+    beat = batch.unchanged[0]
     assert (beat.machine, beat.session, beat.sequence, beat.full_sequence) == ("vm-1", 1, 2, 1)
     assert len(msgspec.msgpack.encode(beat)) < 20
 
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize(
     "change",
     [
-        {"tasks": [TaskReport("job-000001/0", 1, "running")]},
+        {"tasks": [TaskStatus("job-000001/0", 1, "running")]},
         {"session": 2},
         {"token": TOKEN + 1},
         {"notice_s": 20.0},
@@ -99,55 +99,55 @@
 )
 def test_whatever_changed_is_sent_in_full(change: dict[str, Any]) -> None:
     relay = Relayed()
-    relay.put(report(sequence=1))
+    relay.put(heartbeat(sequence=1))
     relay.queue.next_batch(0.0, 64)
-    relay.put(report(sequence=2, **change))
-    assert len(relay.queue.next_batch(0.0, 64).reports) == 1
+    relay.put(heartbeat(sequence=2, **change))
+    assert len(relay.queue.next_batch(0.0, 64).heartbeats) == 1
 
 
-def test_a_new_connection_begins_with_full_reports_and_what_was_under_way() -> None:
+def test_a_new_connection_begins_with_full_heartbeats_and_what_was_under_way() -> None:
     relay = Relayed()
-    relay.put(report(sequence=1))
+    relay.put(heartbeat(sequence=1))
     relay.queue.next_batch(0.0, 64)
-    relay.put(report(sequence=2))
+    relay.put(heartbeat(sequence=2))
     relay.queue.connection_lost()
     batch = relay.queue.next_batch(0.1, 64)
     # The first one comes in full, and the second may refer to it.
-    assert [full.report.sequence for full in batch.reports] == [1]
-    assert [beat.sequence for beat in batch.heartbeats] == [2]
+    assert [full.heartbeat.sequence for full in batch.heartbeats] == [1]
+    assert [beat.sequence for beat in batch.unchanged] == [2]
 
 
 def test_a_heartbeat_that_the_leader_can_not_read_is_sent_in_full() -> None:
     relay = Relayed()
-    relay.put(report(sequence=1))
+    relay.put(heartbeat(sequence=1))
     relay.queue.next_batch(0.0, 64)
     relay.answers(answered(1))
-    relay.put(report(sequence=2))
+    relay.put(heartbeat(sequence=2))
     relay.queue.next_batch(0.0, 64)
     relay.answers(RelayedAnswer(2, Outcome.FULL_WANTED))
-    assert [full.report.sequence for full in relay.queue.next_batch(0.1, 64).reports] == [2]
+    assert [full.heartbeat.sequence for full in relay.queue.next_batch(0.1, 64).heartbeats] == [2]
     relay.answers(answered(2))
     assert relay.told == [answered(1), answered(2)]
 
 
 def test_late_answers_are_none() -> None:
     relay = Relayed()
-    relay.put(report(), now=0.0)
+    relay.put(heartbeat(), now=0.0)
     relay.answers(answered(1), now=PATIENCE_S + 0.01)
     assert relay.told == [None]
 
 
 def test_answers_of_a_deposed_leader_are_none() -> None:
     relay = Relayed()
-    relay.put(report(sequence=1))
-    relay.put(report(sequence=2))
+    relay.put(heartbeat(sequence=1))
+    relay.put(heartbeat(sequence=2))
     relay.answers(answered(1, TOKEN), answered(2, TOKEN + 1), lowest_token=TOKEN + 1)
     assert relay.told == [None, answered(2, TOKEN + 1)]
 
 
-def test_each_report_has_one_answer_and_only_its_own() -> None:
+def test_each_heartbeat_has_one_answer_and_only_its_own() -> None:
     relay = Relayed()
-    relay.put(report())
+    relay.put(heartbeat())
     relay.answers(answered(2), answered(1), answered(1))
     assert relay.told == [answered(1)]
     assert not len(relay.queue)
@@ -155,13 +155,17 @@
 
 def test_the_queue_is_bounded_in_number_and_time() -> None:
     relay = Relayed(most=2)
-    assert [relay.put(report(f"vm-{index}"), now=float(index)) for index in range(3)] == [True, True, False]
+    assert [relay.put(heartbeat(f"vm-{index}"), now=float(index)) for index in range(3)] == [
+        True,
+        True,
+        False,
+    ]
     for response in relay.queue.give_up(PATIENCE_S + 0.5):
         response.give()
     assert relay.told == [None]
-    assert relay.put(report("vm-3"), now=3.0)
+    assert relay.put(heartbeat("vm-3"), now=3.0)
     # What was given up is not sent any more.
-    assert [full.report.machine for full in relay.queue.next_batch(3.0, 64).reports] == ["vm-1", "vm-3"]
+    assert [full.heartbeat.machine for full in relay.queue.next_batch(3.0, 64).heartbeats] == ["vm-1", "vm-3"]
 
 
 # -- the leader's intake -------------------------------------------------------------------------------
@@ -172,14 +176,14 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.taken: list[Report] = []
-        self.answer: ReportAnswer | None = ReportAnswer(TOKEN, [])
+        self.taken: list[Heartbeat] = []
+        self.answer: HeartbeatResponse | None = HeartbeatResponse(TOKEN, [])
         self.assignment = assignment(lambda: self.now)
         self.assignment.connected("hive-1", "a")
         self.intake = RelayIntake(self._answer, lambda _: self.now, self.assignment, PATIENCE_S)
         self.relay = RelayState("hive-1", "a")
 
-    def _answer(self, taken: Report, late_at: float) -> ReportAnswer | None:
+    def _answer(self, taken: Heartbeat, late_at: float) -> HeartbeatResponse | None:
         if self.now >= late_at:
             return None
         self.taken.append(taken)
@@ -199,24 +203,24 @@
     return Assignment(mode, from_workers, 8.0, "hive-0", "a", times, clock, random.Random(1))
 
 
-def test_heartbeats_stand_for_the_whole_report() -> None:
+def test_unchanged_heartbeats_stand_for_the_last_full_one() -> None:
     leader, relay = Leader(), Relayed()
-    tasks = [TaskReport("job-000001/0", 1, "running")]
+    tasks = [TaskStatus("job-000001/0", 1, "running")]
     for sequence in (1, 2):
-        relay.put(report(sequence=sequence, tasks=tasks))
+        relay.put(heartbeat(sequence=sequence, tasks=tasks))
         assert [answer.outcome for answer in leader.handle(relay)] == [Outcome.ANSWERED]
-    assert leader.taken == [report(sequence=1, tasks=tasks), report(sequence=2, tasks=tasks)]
+    assert leader.taken == [heartbeat(sequence=1, tasks=tasks), heartbeat(sequence=2, tasks=tasks)]
 
 
 def test_a_heartbeat_for_an_unknown_state_is_asked_for_in_full() -> None:
     leader, relay = Leader(), Relayed()
-    relay.put(report(sequence=1))
+    relay.put(heartbeat(sequence=1))
     leader.handle(relay)
-    relay.put(report(sequence=2))
+    relay.put(heartbeat(sequence=2))
     # A new leader, or one that took another report of the machine in full meanwhile.
     for state in (RelayState("hive-1", "a"), RelayState("hive-1", "a")):
         leader.relay = state
-    leader.relay.keep(report(sequence=9, session=2))
+    leader.relay.keep(heartbeat(sequence=9, session=2))
     assert [answer.outcome for answer in leader.handle(relay)] == [Outcome.FULL_WANTED]
     assert [taken.sequence for taken in leader.taken] == [1]
 
@@ -224,17 +228,17 @@
 def test_commands_come_back_with_the_answer() -> None:
     leader, relay = Leader(), Relayed()
     command = Command(CommandKind.STOP, "job-000001/0", 3, 4.0)
-    leader.answer = ReportAnswer(TOKEN + 1, [command])
-    relay.put(report())
+    leader.answer = HeartbeatResponse(TOKEN + 1, [command])
+    relay.put(heartbeat())
     answers = AnswerBatch(leader.handle(relay))
     received = msgspec.msgpack.decode(msgspec.msgpack.encode(answers), type=AnswerBatch)
     assert received == answers
     assert (received.answers[0].token, received.answers[0].commands) == (TOKEN + 1, [command])
 
 
-def test_reports_that_waited_too_long_at_the_relay_are_refused() -> None:
+def test_heartbeats_that_waited_too_long_at_the_relay_are_refused() -> None:
     leader, relay = Leader(), Relayed()
-    relay.put(report(), now=0.0)
+    relay.put(heartbeat(), now=0.0)
     leader.now = PATIENCE_S
     assert [answer.outcome for answer in leader.handle(relay)] == [Outcome.REFUSED]
     assert leader.taken == []
@@ -243,7 +247,7 @@
 def test_a_leader_that_may_not_answer_refuses() -> None:
     leader, relay = Leader(), Relayed()
     leader.answer = None
-    relay.put(report())
+    relay.put(heartbeat())
     assert [answer.outcome for answer in leader.handle(relay)] == [Outcome.REFUSED]
 
 
@@ -469,7 +473,7 @@
     node = next(node for node in world.nodes if node.relay._term is term)
     worker = next(iter(world.workers.values()))
     told: list[int] = []
-    node.relay.take(worker.report(), lambda status, body: told.append(status))
+    node.relay.take(worker.heartbeat(), lambda status, body: told.append(status))
     batch = node.relay._queue.next_batch(world.now, 64)
     state = node.relay._state
     assert state is not None
@@ -506,7 +510,7 @@
         self.link.start()
 
     def _server(self) -> RelayServer:
-        workers = Workers(report_s=0.4, lease_s=4.0, cancel_s=12.0)
+        workers = Workers(heartbeat_interval_s=0.4, lease_s=4.0, cancel_s=12.0)
         return RelayServer(self._post, self._answer, lambda _: 0.0, self.plan, workers)
 
     def _post(self, rank: int, work: Work) -> bool:
@@ -514,9 +518,9 @@
             work()
         return True
 
-    def _answer(self, taken: Report, late_at: float) -> ReportAnswer:
+    def _answer(self, taken: Heartbeat, late_at: float) -> HeartbeatResponse:
         self.sequences.append(taken.sequence)
-        return ReportAnswer(TOKEN, [])
+        return HeartbeatResponse(TOKEN, [])
 
     def _accept(self) -> None:
         while True:
@@ -537,7 +541,7 @@
 
     def send(self, sequence: int) -> None:
         """A worker's report comes to the relay."""
-        assert self.link.offer(report(sequence=sequence), self.told.append)
+        assert self.link.offer(heartbeat(sequence=sequence), self.told.append)
 
     def restart(self) -> None:
         """The leader's term ends, and the next one begins in the same process."""
@@ -558,7 +562,7 @@
     both.close()
 
 
-def test_reports_are_answered_through_a_relay(ends: Ends) -> None:
+def test_heartbeats_are_answered_through_a_relay(ends: Ends) -> None:
     eventually(ends.link.is_open)
     for sequence in range(1, 6):
         ends.send(sequence)
@@ -567,7 +571,7 @@
     assert all(answer is not None and answer.outcome is Outcome.ANSWERED for answer in ends.told)
 
 
-def test_reports_outlive_the_connection_and_are_sent_again(ends: Ends) -> None:
+def test_heartbeats_outlive_the_connection_and_are_sent_again(ends: Ends) -> None:
     eventually(ends.link.is_open)
     ends.send(1)
     eventually(lambda: len(ends.told) == 1)
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -98,11 +98,11 @@
         with self.lock:
             return *self.worker.do(decode(body)), {}
 
-    def report(self, port: int) -> None:
+    def heartbeat(self, port: int) -> None:
         """The worker's report to a node, and what the answer brings."""
         with self.lock:
             self.worker.step()
-            body, sent_at, shift = self.worker.report(), time.monotonic(), self.worker.session
+            body, sent_at, shift = self.worker.heartbeat(), time.monotonic(), self.worker.session
         try:
             status, answer = Client("127.0.0.1", port, keep=0).request("POST", "/hello", body, timeout=4.0)
         except (NotSentError, NoAnswerError):
@@ -171,13 +171,13 @@
     program = Program(outside, tmp_path)
     reporting = threading.Event()
 
-    def report() -> None:
+    def heartbeat() -> None:
         while not reporting.wait(0.3):
-            outside.report(program.port)
+            outside.heartbeat(program.port)
 
     try:
         eventually(lambda: program.ask("GET", "/ready")[0] == 200)
-        threading.Thread(target=report, daemon=True).start()
+        threading.Thread(target=heartbeat, daemon=True).start()
         for job_id, fields in (
             ("job-000001", {"chores": 3, "guessS": 0.5, "sizeGb": 0.1}),
             ("job-000002", {"shape": "service", "chores": 1, "rank": "critical", "sizeGb": 0.1}),
@@ -327,8 +327,8 @@
 
     lane = Lane(41, 1.0, carry_out)
     for _ in range(40):
-        lane.put("silent", {}, lambda outcome, report: None)
-    lane.put("quick", {}, lambda outcome, report: None)
+        lane.put("silent", {}, lambda outcome, heartbeat: None)
+    lane.put("quick", {}, lambda outcome, heartbeat: None)
     try:
         eventually(lambda: "quick" in sent)
     finally:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -126,7 +126,7 @@
     committer.stop()
     assert len(pauses) == 12
     assert pauses[1] == 2 * pauses[0]
-    assert pauses[-1] == settings.settings.workers.report_s / 8
+    assert pauses[-1] == settings.settings.workers.heartbeat_interval_s / 8
 
 
 class Limited(Fickle):
--- a/tests/world.py
+++ b/tests/world.py
@@ -48,7 +48,7 @@
 
     held_commands: list[Data]
     node = 0
-    next_report = 0.0
+    next_heartbeat = 0.0
     busy_until = 0.0
     # A report that is being relayed; what is answered at once is never seen here.
     awaits: InFlight | None = None
@@ -67,7 +67,7 @@
         zones: list[str] | None = None,
         objectives: list[Objective] | None = None,
         relays: RelayMode = RelayMode.OFF,
-        report_s: float = 1.0,
+        heartbeat_interval_s: float = 1.0,
         options: Options = _DEFAULTS,
     ) -> None:
         self.options = options
@@ -92,7 +92,9 @@
                 zones=self.zones,
                 teams=teams,
                 objectives=objectives or [],
-                workers=Workers(report_s=report_s, lease_s=lease_s, cancel_s=cancel_s),
+                workers=Workers(
+                    heartbeat_interval_s=heartbeat_interval_s, lease_s=lease_s, cancel_s=cancel_s
+                ),
                 state=State(txn_ops=20, next=next_limits),
                 cloud=CloudLimits(rps=2.0, list_lag_s=8.0),
             ),
@@ -184,7 +186,7 @@
             self._step_worker(worker)
         for changed in self.gangs.step():
             worker = self.workers[changed.name]
-            worker.next_report = min(worker.next_report, max(self.now, worker.busy_until))
+            worker.next_heartbeat = min(worker.next_heartbeat, max(self.now, worker.busy_until))
         for index, node in enumerate(self.nodes):
             if not node.alive and self.now >= node.back_at:
                 node.boot()
@@ -255,9 +257,9 @@
             for body in held:
                 worker.do(body)
         if changed:
-            worker.next_report = min(worker.next_report, max(self.now, worker.busy_until))
-        if self.now >= worker.next_report and self.now >= worker.busy_until:
-            self._report(worker, how)
+            worker.next_heartbeat = min(worker.next_heartbeat, max(self.now, worker.busy_until))
+        if self.now >= worker.next_heartbeat and self.now >= worker.busy_until:
+            self._heartbeat(worker, how)
 
     def _still_awaits(self, worker: SimWorker) -> bool:
         """A report that is relayed has no answer yet; False while its worker goes on waiting for it."""
@@ -270,12 +272,12 @@
         worker.busy_until = self.now + 1.0
         return True
 
-    def _report(self, worker: SimWorker, how: set[str]) -> None:
-        report_s = self.settings.settings.workers.report_s
-        worker.next_report = self.now + report_s * self.rng.uniform(0.75, 1.25)
+    def _heartbeat(self, worker: SimWorker, how: set[str]) -> None:
+        heartbeat_interval_s = self.settings.settings.workers.heartbeat_interval_s
+        worker.next_heartbeat = self.now + heartbeat_interval_s * self.rng.uniform(0.75, 1.25)
         worker.busy_until = self.now + max(0.5, 2 * self.link_s)
         node = self.nodes[worker.node]
-        body, flight = worker.report(), InFlight(node, self.now, worker.session)
+        body, flight = worker.heartbeat(), InFlight(node, self.now, worker.session)
         refuses = node.cut_workers and not node.drops_workers
         if not node.alive or refuses or "silent" in how:
             worker.node = (worker.node + 1) % 3
@@ -297,13 +299,13 @@
                 else:
                     self.after(self.rng.uniform(1.0, 25.0), lambda: self._copy(body))
             self.work["reports"] += 1
-            if node.relays_reports():
+            if node.relays_heartbeats():
                 self.work["relayed"] += 1
                 worker.awaits = flight
             wait_s = node.departure_wait_s(body)
             if wait_s:
                 worker.awaits = flight
-            node.receive_report(body, respond, wait_s)
+            node.receive_heartbeat(body, respond, wait_s)
 
         def respond(status: int, answer: Data) -> None:
             self._answered(worker, how, flight, status, answer)
@@ -341,7 +343,7 @@
             for body in reversed(kept):
                 for other in self.nodes:
                     if other.alive and not other.frozen:
-                        other.handle_report(body)
+                        other.handle_heartbeat(body)
 
         self.after(0.01, arrive)
 
@@ -349,7 +351,7 @@
         """A late copy of a report reaches some node; whatever it answers reaches nobody."""
         node = self.rng.choice(self.nodes)
         if node.alive:
-            node.handle_report(body)
+            node.handle_heartbeat(body)
 
     # -- users -------------------------------------------------------------------------------------
 
