--- a/src/poppyhold/cluster/authority.py
+++ b/src/poppyhold/cluster/authority.py
@@ -14,8 +14,8 @@
     too, was asked and had confirmed nothing that we had not acted on.
     """
 
-    def __init__(self, blind_answers_s: float, members: Iterable[str], began_at: float) -> None:
-        self._blind_answers_s = blind_answers_s
+    def __init__(self, unconfirmed_renewal_s: float, members: Iterable[str], began_at: float) -> None:
+        self._unconfirmed_renewal_s = unconfirmed_renewal_s
         self._clear_at = {member: float("-inf") for member in members}
         # Every change before this moment, and up to this revision, has been acted on.
         self.synced_at = began_at
@@ -44,4 +44,4 @@
 
     def may_answer(self, now: float, confirmed_at: float) -> bool:
         """Whether a worker may be given another lease."""
-        return now <= self.known_until(confirmed_at) + self._blind_answers_s
+        return now <= self.known_until(confirmed_at) + self._unconfirmed_renewal_s
--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -10,9 +10,9 @@
 from typing import NamedTuple
 
 from poppyhold.durable.store import (
+    FENCING_TOKEN,
     LEAD,
     LEAD_PREFIX,
-    TOKEN,
     ConflictError,
     Entry,
     LeaseGoneError,
@@ -32,7 +32,7 @@
     """The leader's key as last seen."""
 
     member: str
-    token: int
+    fencing_token: int
     lease_id: int
     version: int
 
@@ -40,7 +40,7 @@
 class Term(NamedTuple):
     """Our own term of leading."""
 
-    token: int
+    fencing_token: int
     version: int
     lease_id: int
     began_at: float
@@ -130,17 +130,17 @@
         self._on_deposed()
         self._wake.set()
 
-    def saw_token(self, token: int) -> None:
+    def observe_fencing_token(self, fencing_token: int) -> None:
         """Step down at once if somebody holds a higher token than ours."""
         term = self.term
-        if term is not None and token > term.token:
-            self.deposed(f"baton {token} was seen")
+        if term is not None and fencing_token > term.fencing_token:
+            self.deposed(f"baton {fencing_token} was seen")
 
-    def raised(self, token: int) -> None:
+    def raised(self, fencing_token: int) -> None:
         """Our own token was raised within the term."""
         with self._lock:
             if self.term is not None:
-                self.term = self.term._replace(token=token)
+                self.term = self.term._replace(fencing_token=fencing_token)
 
     def await_leader(self, timeout: float) -> Leader | None:
         """The leader; if there is none, wait a moment for the election to name one."""
@@ -159,7 +159,9 @@
         with self._named:
             if leader is None and self.leader is not None:
                 self._vacant_since = time.monotonic()
-            if leader is not None and (self.leader is None or leader.token != self.leader.token):
+            if leader is not None and (
+                self.leader is None or leader.fencing_token != self.leader.fencing_token
+            ):
                 self.leader_since = time.monotonic()
             self.leader = leader
             if leader is not None:
@@ -260,13 +262,13 @@
         return self._renew_s * self._rng.uniform(0.3, 0.7)
 
     def _stand(self, lease_id: int, asked: float) -> None:
-        held = self._store.get(TOKEN)
-        token = (held.data["baton"] if held else 0) + 1
-        claim = {"member": self._member, "baton": token, "permit": lease_id}
-        conditions = {LEAD: 0, TOKEN: held.version if held else 0}
+        held = self._store.get(FENCING_TOKEN)
+        fencing_token = (held.data["baton"] if held else 0) + 1
+        claim = {"member": self._member, "baton": fencing_token, "permit": lease_id}
+        conditions = {LEAD: 0, FENCING_TOKEN: held.version if held else 0}
         try:
             version = self._store.commit(
-                conditions, [put(LEAD, claim, lease_id), put(TOKEN, {"baton": token})]
+                conditions, [put(LEAD, claim, lease_id), put(FENCING_TOKEN, {"baton": fencing_token})]
             )
         except UncertainError:
             # Perhaps it went through: the key itself tells. The permit is ours alone.
@@ -274,12 +276,12 @@
             if entry is None or entry.data.get("permit") != lease_id:
                 raise
             version = entry.version
-        term = Term(token, version, lease_id, time.monotonic())
+        term = Term(fencing_token, version, lease_id, time.monotonic())
         with self._lock:
-            self.leader = Leader(self._member, token, lease_id, version)
+            self.leader = Leader(self._member, fencing_token, lease_id, version)
             self.term = term
             self.confirmed_at = asked
-        log.info("leading with token %d", token)
+        log.info("leading with token %d", fencing_token)
         self._on_elected(term)
         with self._named:
             self._named.notify_all()
--- a/src/poppyhold/cluster/peers.py
+++ b/src/poppyhold/cluster/peers.py
@@ -14,8 +14,8 @@
 from poppyhold.cluster.cancellations import Cancellation
 from poppyhold.cluster.change_feed import ChangeFeed
 from poppyhold.cluster.connectivity import Connectivity
-from poppyhold.cluster.lease_proxy import LeaseProxies, Trust
-from poppyhold.model.context import Hints, StrayWorker
+from poppyhold.cluster.lease_delegation import LeaseDelegation, LeaseDelegations
+from poppyhold.model.context import ImageHints, MisdirectedWorker
 from poppyhold.quota.messages import Answer as QuotaAnswer
 from poppyhold.quota.messages import Opening as QuotaOpening
 from poppyhold.relay.messages import RelayHello
@@ -36,7 +36,7 @@
     """What a controller is and knows, sent to each other one."""
 
     member: str
-    token: int
+    fencing_token: int
     leading: bool
     # Seconds since the state service last answered the sender.
     state_age_s: float
@@ -48,7 +48,7 @@
     # Images of machines whose images changed: a next leader starts from them.
     images: list[tuple[str, tuple[tuple[str, float], ...]]] = []
     # What a leader is sure of, for those who may have to stand in for it.
-    trust: Trust | None = None
+    delegation: LeaseDelegation | None = None
     # Revision up to which a leader has acted on every cancellation; -1: it does not lead, or does not say.
     known: int = -1
     # Whether a leader takes reports that others relay to it. A version before this field never does.
@@ -59,7 +59,7 @@
     """The other one's answer."""
 
     member: str
-    token: int
+    fencing_token: int
     leading: bool
     state_age_s: float
     confirmed: int
@@ -69,7 +69,7 @@
     cancelled: list[Cancellation] = []
     unnamed: int | None = None
     # The workers that turned to it lately: the leader knows whether it has heard newer reports of them.
-    strays: list[StrayWorker] = []
+    misdirected: list[MisdirectedWorker] = []
     # Other controllers that answered it lately. None are named by a version before this field.
     hears: list[str] = []
 
@@ -95,7 +95,7 @@
 
     # When the state service answered it last.
     contact_at: float
-    strays: list[StrayWorker]
+    misdirected: list[MisdirectedWorker]
 
 
 class Peers:
@@ -106,20 +106,20 @@
         settings: Settings,
         describe: Callable[[], Ping],
         counts: Callable[[], dict[str, tuple[int, int]]],
-        hints: Callable[[], Hints],
+        image_hints: Callable[[], ImageHints],
         reply: Callable[[Ping], Pong],
         on_pong: Callable[[Pong, float], None],
         on_refused: Callable[[str], None],
-        proxies: Callable[[], LeaseProxies | None],
+        delegations: Callable[[], LeaseDelegations | None],
         on_relay: Callable[[socket.socket, RelayHello], None],
         on_quota: Callable[[QuotaOpening], QuotaAnswer],
         quota_links: int = 0,
     ) -> None:
         """``on_quota`` answers other cells' leaders and operators, of whom ``quota_links`` may connect."""
         self._settings = settings
-        self._proxies, self._on_relay, self._on_quota = proxies, on_relay, on_quota
+        self._delegations, self._on_relay, self._on_quota = delegations, on_relay, on_quota
         self._quota_links = quota_links
-        self._describe, self._counts, self._hints = describe, counts, hints
+        self._describe, self._counts, self._image_hints = describe, counts, image_hints
         self._reply, self._on_pong, self._on_refused = reply, on_pong, on_refused
         workers = settings.settings.workers
         self._every_s = workers.heartbeat_interval_s / 2
@@ -205,11 +205,11 @@
         images: ChangeFeed[tuple[tuple[str, float], ...]] = ChangeFeed(_MOST_IMAGES)
         while not self._stop.is_set():
             changed_counts = [(job, *pair) for job, pair in counts.next(self._counts())]
-            changed_images = images.next(self._hints())
+            changed_images = images.next(self._image_hints())
             asked = time.monotonic()
-            proxies = self._proxies()
-            if proxies is not None:
-                proxies.telling(known.member, asked)
+            delegations = self._delegations()
+            if delegations is not None:
+                delegations.telling(known.member, asked)
             ping = msgspec.structs.replace(self._describe(), counts=changed_counts, images=changed_images)
             send(connection, ping)
             message = receive_opening(connection)
@@ -218,12 +218,12 @@
                 raise ValueError(f"not a pong of {known.member}")
             self._note(known.member, message, asked)
             self.connectivity.answered(known.member, message.hears)
-            if proxies is not None:
-                proxies.answered(known.member, asked)
+            if delegations is not None:
+                delegations.answered(known.member, asked)
             self._on_pong(message, asked)
             behind = counts.behind or images.behind
             self._stop.wait(self._every_s / _PIECES_EACH if behind else self._every_s)
 
     def _note(self, member: str, pong: Pong, asked: float) -> None:
         contact_at = asked - pong.state_age_s
-        self.views[member] = PeerView(contact_at, pong.strays)
+        self.views[member] = PeerView(contact_at, pong.misdirected)
--- a/src/poppyhold/cluster/departures.py
+++ b/src/poppyhold/cluster/redirect_backoff.py
@@ -11,7 +11,7 @@
 _FOUND_RATIO = 0.5
 
 
-class Departures:
+class RedirectBackoff:
     """Tells how long a worker waits for the leader to change before it is sent back to it.
 
     Where a leader's way to the workers drops packets, a worker comes four seconds behind its last report and
@@ -28,13 +28,13 @@
         self._wait_s, self._found_s = lease_s * _WAIT_RATIO, lease_s * _FOUND_RATIO
         self._waited_at: Recent[float] = Recent(most_workers)
 
-    def wait_s(self, heartbeat: Heartbeat, leader_token: int, led_s: float, now: float) -> float:
+    def wait_s(self, heartbeat: Heartbeat, leader_fencing_token: int, led_s: float, now: float) -> float:
         """How long to wait; no time for workers that may not have found this leader yet.
 
         Behind a change they have its token from its direct commands before they report to it. ``led_s`` is
         for how long it has led.
         """
-        if heartbeat.token < leader_token or led_s <= self._found_s:
+        if heartbeat.fencing_token < leader_fencing_token or led_s <= self._found_s:
             return 0.0
         waited_at = self._waited_at.get(heartbeat.machine)
         if waited_at is not None and now - waited_at < self._lease_s:
--- a/src/poppyhold/concurrency/ranked_queue.py
+++ b/src/poppyhold/concurrency/priority_queue.py
@@ -13,7 +13,7 @@
 HEARTBEATS, DECISIONS, SUBMISSIONS = 0, 1, 2
 
 
-class RankedQueue:
+class PriorityQueue:
     """Work for the decision thread, bounded, lowest rank first, and in order within a rank.
 
     Behind some work the thread naps for a moment instead of being woken for the next: where hundreds of
@@ -27,12 +27,12 @@
         self._waiting = self._closed = False
         self._napped = True
 
-    def put(self, rank: int, work: Work) -> bool:
+    def put(self, priority: int, work: Work) -> bool:
         """Queue work; False if it is closed, or too much of a rank that may be turned away is waiting."""
         with self._wake:
-            if self._closed or (rank == HEARTBEATS and len(self._queues[rank]) >= self._most):
+            if self._closed or (priority == HEARTBEATS and len(self._queues[priority]) >= self._most):
                 return False
-            self._queues[rank].append(work)
+            self._queues[priority].append(work)
             if self._waiting:
                 self._wake.notify()
         return True
--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -22,7 +22,7 @@
     UncertainError,
     put,
 )
-from poppyhold.model.context import CommitRank
+from poppyhold.model.context import CommitPriority
 from poppyhold.settings import Settings
 
 log = logging.getLogger(__name__)
@@ -103,16 +103,16 @@
         self._pause_s = 2 / limits.rps
         self._longest_pause_s = max(self._pause_s, settings.settings.workers.heartbeat_interval_s / 8)
         # By rank; each in order, lest the oldest starve in a burst.
-        self._queues: dict[CommitRank, deque[Unit]] = {rank: deque() for rank in CommitRank}
+        self._queues: dict[CommitPriority, deque[Unit]] = {priority: deque() for priority in CommitPriority}
         self._wake = threading.Condition()
         self._stopped = False
         self._thread = threading.Thread(target=self._run, name="committer", daemon=True)
         self._thread.start()
 
-    def submit(self, unit: Unit, rank: CommitRank = CommitRank.BACKGROUND) -> None:
+    def submit(self, unit: Unit, priority: CommitPriority = CommitPriority.BACKGROUND) -> None:
         """Queue a unit; its ``done`` is called with True once durable, False if a condition failed."""
         with self._wake:
-            self._queues[rank].append(unit)
+            self._queues[priority].append(unit)
             self._wake.notify()
 
     def stop(self) -> None:
@@ -123,7 +123,7 @@
 
     def _next_queue(self) -> deque[Unit] | None:
         """The first queue that holds anything."""
-        return next((self._queues[rank] for rank in CommitRank if self._queues[rank]), None)
+        return next((self._queues[priority] for priority in CommitPriority if self._queues[priority]), None)
 
     def _take(self) -> list[Unit]:
         with self._wake:
--- a/src/poppyhold/durable/records.py
+++ b/src/poppyhold/durable/records.py
@@ -19,7 +19,7 @@
     spot: bool = msgspec.field(name="loaners")
 
 
-class HireRecord(msgspec.Struct, frozen=True):
+class LaunchRecord(msgspec.Struct, frozen=True):
     """A rental request, and its machines' names once they are known."""
 
     machine_type: str = msgspec.field(name="build")
--- a/src/poppyhold/durable/snapshot.py
+++ b/src/poppyhold/durable/snapshot.py
@@ -9,7 +9,7 @@
     ACTIVE,
     DONE_STRETCHES,
     DONE_TASKS,
-    HIRE,
+    LAUNCH,
     MACHINE,
     PLAN,
     QUOTA,
@@ -20,7 +20,7 @@
 )
 
 # The active jobs come first: what is known of one that ends meanwhile is dropped.
-_PREFIXES = (ACTIVE, PLAN, DONE_TASKS, DONE_STRETCHES, HIRE, MACHINE)
+_PREFIXES = (ACTIVE, PLAN, DONE_TASKS, DONE_STRETCHES, LAUNCH, MACHINE)
 
 
 class Snapshot:
@@ -31,7 +31,7 @@
         active: Iterable[Entry] = (),
         plans: dict[str, Data] | None = None,
         done: dict[str, dict[str, Data]] | None = None,
-        hires: dict[str, Data] | None = None,
+        launches: dict[str, Data] | None = None,
         machines: dict[str, Data] | None = None,
         quota: Iterable[Entry] = (),
     ) -> None:
@@ -39,7 +39,7 @@
         self.plans = plans or {}
         # By the prefix of the records.
         self.done = done or {}
-        self.hires = hires or {}
+        self.launches = launches or {}
         self.machines = machines or {}
         self.quota = list(quota)
 
@@ -64,7 +64,7 @@
             self._readers[ACTIVE].entries,
             self._records(PLAN),
             {prefix: self._records(prefix) for prefix in (DONE_TASKS, DONE_STRETCHES)},
-            self._records(HIRE),
+            self._records(LAUNCH),
             self._records(MACHINE),
             self._readers[QUOTA].entries if QUOTA in self._readers else (),
         )
--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -14,7 +14,7 @@
 ROOT = "ph/"
 LEAD = ROOT + "l/lead"
 LEAD_PREFIX = ROOT + "l/"
-TOKEN = ROOT + "b"
+FENCING_TOKEN = ROOT + "b"
 # What a leader changes to make its transactions without an answer void.
 FENCE = ROOT + "c"
 MACHINE_TYPES = ROOT + "t"
@@ -26,7 +26,7 @@
 DONE_TASKS = ROOT + "d/"
 # Completed tasks of very large jobs, in stretches for a smaller value; older versions don't read them.
 DONE_STRETCHES = ROOT + "e/"
-HIRE = ROOT + "h/"
+LAUNCH = ROOT + "h/"
 MACHINE = ROOT + "m/"
 # Shares of limits of a cell among several; without others there are none.
 QUOTA = ROOT + "q/"
--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -91,7 +91,7 @@
             job_id, _, number = name.rpartition("/")
             job = self._ctx.fleet.jobs.get(job_id)
             if job is None:
-                self._ctx.edges.commit({}, [remove(prefix + name)], lambda done: None)
+                self._ctx.outbound.commit({}, [remove(prefix + name)], lambda done: None)
                 continue
             job.done_records.add(prefix + name)
             record = msgspec.convert(data, CompletionsRecord)
@@ -113,7 +113,7 @@
         batches = [writes[i : i + self._most_changes] for i in range(0, len(writes), self._most_changes)]
         saved = self._saved(job, indices, len(batches))
         for batch in batches:
-            self._ctx.edges.commit({ACTIVE + job.id: job.version}, batch, saved)
+            self._ctx.outbound.commit({ACTIVE + job.id: job.version}, batch, saved)
 
     @staticmethod
     def _saved(job: Job, indices: set[int], batches: int) -> Callable[[bool], None]:
@@ -132,4 +132,4 @@
         """A job is over: its records are of no use any more."""
         writes = [remove(key) for key in sorted(job.done_records)]
         for first in range(0, len(writes), self._most_changes):
-            self._ctx.edges.commit({}, writes[first : first + self._most_changes], lambda done: None)
+            self._ctx.outbound.commit({}, writes[first : first + self._most_changes], lambda done: None)
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from poppyhold.durable.store import TOKEN, put
-from poppyhold.model.context import CommitRank, Context
+from poppyhold.durable.store import FENCING_TOKEN, put
+from poppyhold.model.context import CommitPriority, Context
 from poppyhold.model.fleet import Attempt, Machine
 from poppyhold.wire.messages import Command, CommandKind, Heartbeat, direct_commands
 
@@ -90,13 +90,13 @@
         starts = [command.task for command in commands if command.kind is CommandKind.START]
         batch = [machine.attempts[name] for name in starts if name in machine.attempts]
         # An unheard worker's session is unknown: a command for none is not executed, but answered.
-        body = direct_commands(ctx.token, machine.session or 1, commands)
+        body = direct_commands(ctx.fencing_token, machine.incarnation or 1, commands)
         silent = ctx.clock() - machine.last_heartbeat_at > ctx.times.silent_s
 
         def answered(outcome: str, heartbeat: Heartbeat | None) -> None:
             self._on_answered(machine, batch, outcome, heartbeat)
 
-        ctx.edges.do(machine.name, machine.endpoint, body, answered, silent and bool(machine.heard))
+        ctx.outbound.do(machine.name, machine.endpoint, body, answered, silent and bool(machine.heard))
 
     def _wanted(self, machine: Machine, command: Command) -> bool:
         attempt = machine.attempts.get(command.task)
@@ -111,7 +111,7 @@
         """A machine is gone."""
         self._outbox.pop(machine.name, None)
 
-    def raise_token(self) -> None:
+    def raise_fencing_token(self) -> None:
         """Raise our token if a start is in limbo: commands under the old one then are void."""
         ctx = self._ctx
         if self._raising:
@@ -124,15 +124,17 @@
             ),
             default=0,
         )
-        if wanted <= ctx.token:
+        if wanted <= ctx.fencing_token:
             return
         self._raising = True
-        token = ctx.token + 1
+        fencing_token = ctx.fencing_token + 1
 
         def raised(done: bool) -> None:
             self._raising = False
             if done:
-                ctx.token = token
-                ctx.edges.raised(token)
+                ctx.fencing_token = fencing_token
+                ctx.outbound.raised(fencing_token)
 
-        ctx.edges.commit({}, [put(TOKEN, {"baton": token})], raised, CommitRank.SOONEST)
+        ctx.outbound.commit(
+            {}, [put(FENCING_TOKEN, {"baton": fencing_token})], raised, CommitPriority.SOONEST
+        )
--- a/src/poppyhold/execution/attempts.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -13,7 +13,7 @@
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.gangs import Gangs
 from poppyhold.execution.heartbeat_commands import HeartbeatCommands, stop_command
-from poppyhold.model.context import REFUSED, UNSENT, UNSURE, CommitRank, Context
+from poppyhold.model.context import REFUSED, UNSENT, UNSURE, CommitPriority, Context
 from poppyhold.model.fleet import DONE, Attempt, Job, Machine
 from poppyhold.wire.messages import (
     HAS_IMAGE,
@@ -30,7 +30,7 @@
 log = logging.getLogger(__name__)
 
 
-class Attempts:
+class AttemptReconciler:
     """Keeps the picture of every machine true to its newest report, and nothing older."""
 
     def __init__(
@@ -46,8 +46,8 @@
         self.gangs = Gangs(ctx, self.stop)
         self.failures = failures
         # Machines that may hold tasks of terms before ours and have not been heard in it.
-        self.unheard: set[str] = set()
-        self._all_heard_logged = False
+        self.unreconciled: set[str] = set()
+        self._all_reconciled_logged = False
         self._heartbeat_commands = HeartbeatCommands(ctx)
         self.commands = DirectCommands(ctx, self._over, self._answered)
         self.began_at = ctx.clock()
@@ -58,8 +58,8 @@
         """Answer a worker's report; None if it can't be answered."""
         ctx = self._ctx
         now = ctx.clock()
-        if heartbeat.token > ctx.token:
-            ctx.edges.deposed(heartbeat.token)
+        if heartbeat.fencing_token > ctx.fencing_token:
+            ctx.outbound.deposed(heartbeat.fencing_token)
             return None
         machine = ctx.fleet.machines.get(heartbeat.machine)
         if machine is None:
@@ -67,7 +67,7 @@
             if machine is None:
                 return None
         machine.endpoint = heartbeat.endpoint
-        if heartbeat.token < ctx.term_token and self._ignores_answers(machine, now):
+        if heartbeat.fencing_token < ctx.term_fencing_token and self._ignores_answers(machine, now):
             self.commands.hasten(machine, now)
             return None
         machine.last_answer = now
@@ -78,7 +78,7 @@
         self._record(machine)
         # A report from before the worker saw our token may be a copy of any age, and so may one
         # whose sequence number is not above the last: it gets an answer, but proves nothing.
-        if heartbeat.token < ctx.term_token:
+        if heartbeat.fencing_token < ctx.term_fencing_token:
             self.commands.hasten(machine, now)
             commands = self._heartbeat_commands.stops(machine, heartbeat, now)
         elif self._is_newer(heartbeat, machine):
@@ -86,12 +86,12 @@
             commands = self._heartbeat_commands.for_news(machine, heartbeat, now)
         else:
             commands = self._heartbeat_commands.stops(machine, heartbeat, now)
-        return HeartbeatResponse(ctx.token, commands)
+        return HeartbeatResponse(ctx.fencing_token, commands)
 
     @staticmethod
     def _is_newer(heartbeat: Heartbeat, machine: Machine) -> bool:
         """Whether a report is newer than all before it; copies and late ones, relayed or not, are none."""
-        return (heartbeat.session, heartbeat.sequence) > (machine.session, machine.sequence)
+        return (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
 
     def _ignores_answers(self, machine: Machine, now: float) -> bool:
         """Whether a worker from before our term seems not to hear us, so that its lease had better end.
@@ -100,7 +100,7 @@
         tasks may live on, and tasks of all older jobs wait until it is heard or proven empty. Copies of its
         old reports alone look the same. Once its last lease is over it is answered again.
         """
-        if machine.name not in self.unheard:
+        if machine.name not in self.unreconciled:
             return False
         if machine.first_heartbeat_at is None:
             machine.first_heartbeat_at = now
@@ -116,7 +116,7 @@
         if machine_type is None or heartbeat.machine in ctx.dead:
             return None
         machine = Machine(heartbeat.machine, machine_type, heartbeat.zone, heartbeat.spot, since=now)
-        machine.images.update(ctx.hints.get(heartbeat.machine, ()))
+        machine.images.update(ctx.image_hints.get(heartbeat.machine, ()))
         ctx.fleet.machines[heartbeat.machine] = machine
         return machine
 
@@ -133,14 +133,14 @@
         record = MachineRecord(machine.endpoint, machine.machine_type, machine.zone, machine.spot)
         write = put(MACHINE + machine.name, msgspec.to_builtins(record))
         # Nothing starts on the machine before: a plan's record serves nobody without one.
-        self._ctx.edges.commit({}, [write], durable, CommitRank.SOONEST)
+        self._ctx.outbound.commit({}, [write], durable, CommitPriority.SOONEST)
 
     def _take(self, machine: Machine, heartbeat: Heartbeat, now: float, answered: bool) -> None:
         """Take a report that is newer than all before it as the truth about its machine."""
         ctx = self._ctx
-        if heartbeat.session > machine.session:
-            self._begin_session(machine, heartbeat.session, now)
-        machine.session, machine.sequence = heartbeat.session, heartbeat.sequence
+        if heartbeat.incarnation > machine.incarnation:
+            self._begin_incarnation(machine, heartbeat.incarnation, now)
+        machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
         machine.last_heartbeat_at = now
         machine.unknown_tasks = set()
         if not machine.heard:
@@ -160,16 +160,16 @@
         for attempt in list(machine.attempts.values()):
             if attempt.name not in present and self._absence_proves(attempt, heartbeat, answered):
                 self._lost(attempt, now)
-        self.unheard.discard(machine.name)
+        self.unreconciled.discard(machine.name)
 
-    def _begin_session(self, machine: Machine, session: int, now: float) -> None:
+    def _begin_incarnation(self, machine: Machine, incarnation: int, now: float) -> None:
         """A later session began with nothing: whatever an earlier one held is over."""
         times = self._ctx.times
         if machine.heard and now - machine.last_heartbeat_at < times.lease_s / 2:
             # We answered all the while: our answers do not reach it, and it had better not be relied on.
             machine.unreliable_until = now + times.cancel_s
         for attempt in list(machine.attempts.values()):
-            if attempt.session < session:
+            if attempt.incarnation < incarnation:
                 self._over(attempt)
 
     def _lost(self, attempt: Attempt, now: float) -> None:
@@ -199,7 +199,7 @@
             return False
         if attempt.fence is not None:
             # The start may be held back in the network: it is void once the worker has a higher token.
-            return heartbeat.token >= attempt.fence
+            return heartbeat.fencing_token >= attempt.fence
         if attempt.via == "reply":
             # The next report is sent only when the answer has come or was given up. What was not handed out
             # yet goes with the answer to this one: it was taken for lost, and its machine got no work.
@@ -214,7 +214,9 @@
             if attempt.status != task.status:
                 self._changed(attempt, task.status, now)
         elif attempt is None and job is not None and 0 <= index < job.spec.tasks and index not in job.active:
-            self._adopt(Attempt(job, index, task.attempt, machine, machine.session, now), task.status, now)
+            self._adopt(
+                Attempt(job, index, task.attempt, machine, machine.incarnation, now), task.status, now
+            )
         else:
             machine.unknown_tasks.add(task.task)
 
@@ -299,7 +301,7 @@
         """Start a task, after stopping the victims on the same machine."""
         now = self._ctx.clock()
         number = self.gangs.number_for(job) if job.gang else self._ctx.number()
-        attempt = Attempt(job, index, number, machine, machine.session, now)
+        attempt = Attempt(job, index, number, machine, machine.incarnation, now)
         for victim in victims:
             self.stop(victim, 0.0, now, direct=False)
         if now < machine.unreliable_until:
@@ -348,8 +350,8 @@
         machine.do_busy = False
         if ctx.fleet.machines.get(machine.name) is not machine:
             return
-        if heartbeat is not None and heartbeat.token > ctx.token:
-            ctx.edges.deposed(heartbeat.token)
+        if heartbeat is not None and heartbeat.fencing_token > ctx.fencing_token:
+            ctx.outbound.deposed(heartbeat.fencing_token)
             return
         for attempt in batch:
             if machine.attempts.get(attempt.name) is attempt:
@@ -359,13 +361,13 @@
         if (
             heartbeat is not None
             and heartbeat.machine == machine.name
-            and heartbeat.token >= ctx.term_token
-            and (heartbeat.session, heartbeat.sequence) > (machine.session, machine.sequence)
+            and heartbeat.fencing_token >= ctx.term_fencing_token
+            and (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
         ):
             self._take(machine, heartbeat, now, answered=False)
-        elif heartbeat is not None and not machine.heard and heartbeat.session > machine.session:
+        elif heartbeat is not None and not machine.heard and heartbeat.incarnation > machine.incarnation:
             # The command named another session than the worker's: ask again with the right one.
-            machine.session, machine.probe_at = heartbeat.session, 0.0
+            machine.incarnation, machine.probe_at = heartbeat.incarnation, 0.0
 
     def _start_answered(self, attempt: Attempt, outcome: str) -> None:
         attempt.in_flight = False
@@ -375,16 +377,16 @@
             # Nothing was executed, and nothing can be later.
             self._over(attempt)
         elif outcome == UNSURE:
-            attempt.fence = self._ctx.token + 1
+            attempt.fence = self._ctx.fencing_token + 1
 
     # -- proofs by time, and machines that are gone ------------------------------------------------
 
-    def all_heard(self) -> bool:
+    def all_reconciled(self) -> bool:
         """Whether every machine that may hold tasks of terms before ours was heard or is proven empty."""
-        if self.unheard:
+        if self.unreconciled:
             return False
-        if not self._all_heard_logged:
-            self._all_heard_logged = True
+        if not self._all_reconciled_logged:
+            self._all_reconciled_logged = True
             log.info("all machines heard after %.1f s", self._ctx.clock() - self.began_at)
         return True
 
@@ -394,25 +396,25 @@
         if machine.heard:
             # It has followed our token, so only we and who stands in for us could renew its lease: as long
             # as nobody else led.
-            answered_at = max(machine.last_answer, self._ctx.edges.proxies_until())
+            answered_at = max(machine.last_answer, self._ctx.outbound.delegated_leases_until())
             bound = answered_at + times.lease_over_s
         else:
             # Before our term others answered it, for as long as they could at the most.
             bound = max(self.began_at + times.others_over_s, machine.last_answer + times.lease_over_s)
-        if now <= bound or self._ctx.edges.confirmed_at() <= bound:
+        if now <= bound or self._ctx.outbound.confirmed_at() <= bound:
             return
         if machine.attempts:
             log.debug("%s: its last lease is over, %d tasks", machine.name, len(machine.attempts))
         for attempt in list(machine.attempts.values()):
             self._over(attempt)
-        self.unheard.discard(machine.name)
+        self.unreconciled.discard(machine.name)
 
     def gone(self, machine: Machine) -> None:
         """A machine is gone for certain, with all that was on it."""
         now = self._ctx.clock()
         for attempt in list(machine.attempts.values()):
             self._over(attempt)
-        self.unheard.discard(machine.name)
+        self.unreconciled.discard(machine.name)
         self.commands.forget(machine)
         self._ctx.fleet.machines.pop(machine.name, None)
         self._ctx.dead[machine.name] = now
--- a/src/poppyhold/machines/hiring.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -7,33 +7,33 @@
 from collections.abc import Callable
 
 from poppyhold.durable.store import Data
-from poppyhold.execution.attempts import Attempts
+from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.boots import Boots
 from poppyhold.machines.deletions import Deletions
-from poppyhold.machines.hires import Hires
+from poppyhold.machines.launches import Launches
 from poppyhold.machines.machine_list import MachineList
 from poppyhold.machines.machine_monitor import MachineMonitor
 from poppyhold.machines.packing import Packing
 from poppyhold.machines.provisioning import Arrivals, Provisioning
 from poppyhold.machines.space import Demand, Space, demand_of, space_of
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import NOTHING, Attempt, Machine, Room, how_many
+from poppyhold.model.fleet import NO_RESOURCES, Attempt, Machine, Resources, max_copies
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.wire.messages import Listing, Submission
 
 log = logging.getLogger(__name__)
 
 
-class Hiring:
+class Autoscaler:
     """Rents and returns machines."""
 
     def __init__(
-        self, ctx: Context, attempts: Attempts, quotas: Quotas, on_gone: Callable[[Machine], None]
+        self, ctx: Context, attempts: AttemptReconciler, quotas: Quotas, on_gone: Callable[[Machine], None]
     ) -> None:
         self._ctx, self._attempts, self._quotas = ctx, attempts, quotas
         self._options = ctx.options.provisioning
         self._provisioning = Provisioning(self._options)
-        self._hires = Hires(ctx, self._provisioning)
+        self._launches = Launches(ctx, self._provisioning)
         self._boots = Boots()
         self._deletions = Deletions(ctx, attempts, on_gone)
         self._machine_list = MachineList(ctx, self._deletions)
@@ -49,9 +49,9 @@
         ctx = self._ctx
         return self._provisioning.is_rentable(spec, ctx.machine_types.values(), ctx.clock())
 
-    def load_hire(self, name: str, data: Data) -> None:
+    def load_launch(self, name: str, data: Data) -> None:
         """A hire that an earlier leader made durable."""
-        self._hires.load(name, data)
+        self._launches.load(name, data)
 
     def listed(self, listing: Listing) -> None:
         """The cloud listed its machines."""
@@ -61,31 +61,31 @@
         """Look after the machines, and delete those that must go."""
         self._monitor.watch()
 
-    def provide(self) -> None:
+    def scale(self) -> None:
         """Rent what is missing, and return what is not needed."""
         ctx = self._ctx
         now = ctx.clock()
-        self._hires.settle()
+        self._launches.settle()
         if now < self._next_at or not ctx.machine_types:
             return
         self._next_at = now + ctx.times.heartbeat_interval_s
         spaces = self._spaces(now)
-        if self._hires.busy:
+        if self._launches.busy:
             # The cloud takes few requests: one round of hires at a time, with all that it lacks.
             return
         demands = self._demands(now)
-        purchases = self._provisioning.decide(ctx.machine_types, spaces, demands, now)
-        for purchase in purchases:
-            self._hires.buy(purchase)
+        launch_specs = self._provisioning.decide(ctx.machine_types, spaces, demands, now)
+        for launch_spec in launch_specs:
+            self._launches.launch(launch_spec)
         self._return(spaces, now)
-        if not purchases:
+        if not launch_specs:
             self._pack(spaces, now)
 
     def _pack(self, spaces: list[Space], now: float) -> None:
         """Empty little used machines, one replica at a time, when nothing waits for room."""
         ctx = self._ctx
         machines = ctx.fleet.machines
-        if self._attempts.unheard or any(j.pending > 0 and not j.over for j in ctx.fleet.jobs.values()):
+        if self._attempts.unreconciled or any(j.pending > 0 and not j.over for j in ctx.fleet.jobs.values()):
             return
         most = max(1, len(machines) // 16)
 
@@ -119,7 +119,7 @@
             if machine.up and now - machine.last_heartbeat_at > ctx.times.silent_s and machine.heard:
                 continue
             spaces.append(space_of(machine))
-        spaces += self._hires.spaces()
+        spaces += self._launches.spaces()
         return spaces
 
     def _demands(self, now: float) -> list[Demand]:
@@ -127,16 +127,16 @@
         demands = []
         left: dict[str, tuple[float, float]] = {}
 
-        def within_limit(team: str, need: Room, tasks: int) -> int:
+        def within_limit(team: str, need: Resources, tasks: int) -> int:
             # What a team's limit keeps from running needs no machine yet.
             if team not in left:
                 left[team] = self._quotas.left(team, ctx.fleet.used.get(team, [0.0, 0.0]))
             cpus, gpus = left[team]
-            most = how_many(need, (cpus, gpus, math.inf), tasks)
+            most = max_copies(need, (cpus, gpus, math.inf), tasks)
             left[team] = (cpus - most * need[0], gpus - most * need[1])
             return most
 
-        for job in sorted(ctx.fleet.jobs.values(), key=lambda job: (job.rank, job.at)):
+        for job in sorted(ctx.fleet.jobs.values(), key=lambda job: (job.priority, job.at)):
             # For a job that is at fault itself no machine is rented.
             if job.pending > 0 and not job.over and not job.failures.at_fault:
                 most = within_limit(job.spec.team, job.need, job.startable(job.pending))
@@ -160,11 +160,16 @@
             machine = space.machine
             if machine is None:
                 continue
-            if space.used or machine.attempts or not machine.up or machine.name in self._attempts.unheard:
+            if (
+                space.used
+                or machine.attempts
+                or not machine.up
+                or machine.name in self._attempts.unreconciled
+            ):
                 needed[machine.name] = now
                 continue
             since = needed[machine.name] = self._needed.get(machine.name, now)
-            idle = machine.used == NOTHING and machine.heard
+            idle = machine.used == NO_RESOURCES and machine.heard
             if idle and now - since > self._provisioning.keep_s(machine.machine_type):
                 self._deletions.mark(machine, "not needed")
         self._needed = needed
--- /dev/null
+++ b/src/poppyhold/machines/launches.py
@@ -0,0 +1,153 @@
+"""Rental requests: durable under their names before they are sent, and until their machines are known."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Iterator
+
+import msgspec
+
+from poppyhold.durable.records import LaunchRecord
+from poppyhold.durable.store import LAUNCH, Data, put, remove, stored_bytes
+from poppyhold.machines.provisioning import LaunchSpec, Provisioning
+from poppyhold.machines.space import Space
+from poppyhold.model.context import OK, REFUSED, CommitPriority, Context
+from poppyhold.model.fleet import Machine, machine_type_capacity
+from poppyhold.wire.messages import LaunchRequest, convert
+
+log = logging.getLogger(__name__)
+
+
+class Launch(msgspec.Struct, eq=False):
+    """A rental request, durable under its name before it is sent."""
+
+    name: str
+    machine_type: str
+    zone: str
+    spot: bool
+    number: int
+    machines: list[str] | None = None
+    busy: bool = False
+    retry_at: float = 0.0
+
+
+class Launches:
+    """The rental requests of this term, and those that earlier leaders left."""
+
+    def __init__(self, ctx: Context, provisioning: Provisioning) -> None:
+        self._ctx, self._provisioning = ctx, provisioning
+        self._launches: dict[str, Launch] = {}
+
+    @property
+    def busy(self) -> bool:
+        """Whether a request is on its way."""
+        return any(launch.busy for launch in self._launches.values())
+
+    def spaces(self) -> Iterator[Space]:
+        """Room of machines that were asked for and have no names yet."""
+        for launch in self._launches.values():
+            machine_type = self._ctx.machine_types.get(launch.machine_type)
+            if launch.machines is None and machine_type is not None:
+                for _ in range(launch.number):
+                    yield Space(
+                        None, machine_type, launch.zone, launch.spot, machine_type_capacity(machine_type)
+                    )
+
+    def load(self, name: str, data: Data) -> None:
+        """A hire that an earlier leader made durable: repeat it if its machines aren't known."""
+        record = convert(data, LaunchRecord)
+        launch = Launch(name, record.machine_type, record.zone, record.spot, record.number, record.machines)
+        self._launches[name] = launch
+        if launch.machines is not None:
+            self._expect(launch)
+
+    def launch(self, launch_spec: LaunchSpec) -> None:
+        """Rent machines."""
+        name = f"r-{self._ctx.number()}"
+        launch = Launch(
+            name, launch_spec.machine_type, launch_spec.zone, launch_spec.spot, launch_spec.number, busy=True
+        )
+        log.info("hire %s: %s", name, launch_spec)
+        self._launches[name] = launch
+
+        def durable(done: bool) -> None:
+            if done:
+                self._send(launch)
+            else:
+                self._launches.pop(name, None)
+
+        # Machines boot for longer than anything else takes: behind the plans of a first backlog the first
+        # requests of a fleet that began small waited for eleven seconds.
+        self._ctx.outbound.commit(
+            {}, [put(LAUNCH + name, self._data(launch))], durable, CommitPriority.SOONEST
+        )
+
+    def _data(self, launch: Launch) -> Data:
+        record = LaunchRecord(launch.machine_type, launch.zone, launch.spot, launch.number, launch.machines)
+        data: Data = msgspec.to_builtins(record)
+        if stored_bytes(data) <= self._ctx.settings.settings.state.lowest.value_bytes:
+            return data
+        # Without the names a next leader repeats the request, which rents nothing and names them again.
+        nameless: Data = msgspec.to_builtins(msgspec.structs.replace(record, machines=None))
+        return nameless
+
+    def _send(self, launch: Launch) -> None:
+        launch.busy = True
+        request = LaunchRequest(launch.name, launch.machine_type, launch.zone, launch.spot, launch.number)
+
+        def answered(outcome: str, names: list[str]) -> None:
+            launch.busy = False
+            now = self._ctx.clock()
+            log.info("hire %s: %s, %d machines", launch.name, outcome, len(names))
+            if outcome == OK:
+                launch.machines = names
+                self._ctx.outbound.commit(
+                    {}, [put(LAUNCH + launch.name, self._data(launch))], lambda done: None
+                )
+                self._expect(launch)
+                if len(names) < launch.number:
+                    self._refused(launch, now)
+            elif outcome == REFUSED:
+                # No capacity. If a copy of the request is carried out later after all, its machines
+                # show up in the list and in reports, and are used or returned like any other.
+                self._refused(launch, now)
+                self._drop(launch)
+            else:
+                launch.retry_at = now + self._ctx.times.heartbeat_interval_s * 2
+
+        self._ctx.outbound.launch(msgspec.to_builtins(request), answered)
+
+    def _refused(self, launch: Launch, now: float) -> None:
+        until = now + self._ctx.times.lease_s
+        self._provisioning.refuse(launch.machine_type, launch.zone, launch.spot, until)
+
+    def _drop(self, launch: Launch) -> None:
+        self._launches.pop(launch.name, None)
+        self._ctx.outbound.commit({}, [remove(LAUNCH + launch.name)], lambda done: None)
+
+    def _expect(self, launch: Launch) -> None:
+        """The machines of a hire are on their way."""
+        machine_type = self._ctx.machine_types.get(launch.machine_type)
+        now = self._ctx.clock()
+        for name in launch.machines or []:
+            if (
+                machine_type is not None
+                and name not in self._ctx.fleet.machines
+                and name not in self._ctx.dead
+            ):
+                machine = Machine(name, machine_type, launch.zone, launch.spot, since=now)
+                self._ctx.fleet.machines[name] = machine
+
+    def settle(self) -> None:
+        """Hires whose machines have all reported, or are gone, need no record any more."""
+        now = self._ctx.clock()
+        for launch in list(self._launches.values()):
+            if launch.machines is None:
+                if not launch.busy and launch.retry_at <= now:
+                    self._send(launch)
+            elif all(self._settled(name) for name in launch.machines):
+                self._drop(launch)
+
+    def _settled(self, name: str) -> bool:
+        machine = self._ctx.fleet.machines.get(name)
+        return machine is None or machine.recorded
--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from poppyhold.execution.attempts import Attempts
+from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.boots import Boots
 from poppyhold.machines.deletions import Deletions
 from poppyhold.machines.provisioning import Provisioning
@@ -45,7 +45,7 @@
     def __init__(
         self,
         ctx: Context,
-        attempts: Attempts,
+        attempts: AttemptReconciler,
         deletions: Deletions,
         provisioning: Provisioning,
         boots: Boots,
@@ -66,13 +66,13 @@
                 # The cloud may not answer for long; the end of a lease is proof too.
                 if now - machine.last_heartbeat_at > self._ctx.times.lease_s:
                     self._attempts.expire(machine, now)
-            elif machine.up or machine.name in self._attempts.unheard:
+            elif machine.up or machine.name in self._attempts.unreconciled:
                 self._survey(machine, survey, now)
             elif self._boots.is_hopeless(machine, self._provisioning.give_up_s(machine.machine_type), now):
                 self._deletions.mark(machine, "never came up")
         self._judge_silence(survey, now)
         for machine in self._ctx.fleet.machines.values():
-            gone = not machine.attempts and machine.name not in self._attempts.unheard
+            gone = not machine.attempts and machine.name not in self._attempts.unreconciled
             if gone and (machine.leaving or machine.draining):
                 self._deletions.mark(machine, "left")
         self._deletions.carry_out()
@@ -80,7 +80,7 @@
     def _quiet_s(self, machine: Machine, now: float) -> float:
         """For how long a machine has been silent, as far as we could have heard it."""
         times, began = self._ctx.times, self._attempts.began_at
-        if machine.heard or machine.name not in self._attempts.unheard:
+        if machine.heard or machine.name not in self._attempts.unreconciled:
             return now - max(machine.last_heartbeat_at, machine.up_at, began + times.heartbeat_interval_s * 2)
         # It was up, and was asked when our term began: a sound worker answers that at once.
         return now - began + times.lost_s / 2
@@ -123,7 +123,7 @@
             # They try the other controllers: it is our own way to them that is broken. Where a zone is cut
             # off, half of all are silent too, and those that came to us passed the others on their way: with
             # each new leader resigning for that, nothing was started for the length of the cut.
-            self._ctx.edges.resign("most workers are silent")
+            self._ctx.outbound.resign("most workers are silent")
         if survey.quiet > max(1, survey.up // 4):
             # Those that fall silent with others count as soon as they might be missed: in a zone that is cut
             # off the first ones were deleted, up to a quarter of all, before the rest had been silent long
@@ -175,9 +175,9 @@
             return 0
         machines = self._ctx.fleet.machines
 
-        def newer(box: str, session: int, sequence: int) -> bool:
+        def newer(box: str, incarnation: int, sequence: int) -> bool:
             machine = machines.get(box)
-            return machine is not None and (session, sequence) > (machine.session, machine.sequence)
+            return machine is not None and (incarnation, sequence) > (machine.incarnation, machine.sequence)
 
-        strays = self._ctx.edges.stray_workers()
-        return max((sum(newer(*worker) for worker in there) for there in strays), default=0)
+        misdirected = self._ctx.outbound.misdirected_workers()
+        return max((sum(newer(*worker) for worker in there) for there in misdirected), default=0)
--- a/src/poppyhold/machines/packing.py
+++ b/src/poppyhold/machines/packing.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 
 from poppyhold.machines.space import Space
-from poppyhold.model.fleet import Attempt, Machine, fits, plus, zone_limit
+from poppyhold.model.fleet import Attempt, Machine, add_scaled, fits, zone_limit
 from poppyhold.scheduling.placement import may_use
 from poppyhold.scheduling.pricing import shares_of
 
@@ -83,7 +83,7 @@
                     continue
                 if job.spec.one_zone and job.spec.tasks > 1 and target.zone != machine.zone:
                     continue
-                taken[index] = plus(free, job.need, -1.0)
+                taken[index] = add_scaled(free, job.need, -1.0)
                 zones[(job.id, target.zone)] = moved
                 break
             else:
--- a/src/poppyhold/machines/provisioning.py
+++ b/src/poppyhold/machines/provisioning.py
@@ -12,24 +12,24 @@
 from poppyhold.machines.space_index import SpaceIndex, allowed
 from poppyhold.model.fleet import (
     EPSILON,
-    Room,
+    Resources,
+    add_scaled,
     allowed_machine_types,
-    how_many,
-    plus,
-    room_of,
+    machine_type_capacity,
+    max_copies,
     zone_limit,
 )
 from poppyhold.options import Provisioning as ProvisioningOptions
 from poppyhold.wire.messages import MachineType, Submission
 
-HIRE_LIMIT = 50
+MAX_LAUNCH_COUNT = 50
 # More tasks than any machine holds.
 _UNBOUNDED = 1 << 30
 # Parts of the forecast's window that are told apart.
 _PARTS = 6
 
 
-class Purchase(msgspec.Struct, frozen=True):
+class LaunchSpec(msgspec.Struct, frozen=True):
     """Machines to rent."""
 
     machine_type: str
@@ -38,13 +38,13 @@
     number: int
 
 
-def _size(need: Room) -> float:
+def _size(need: Resources) -> float:
     """Size of a task by the resource that machines run out of first, as far as one can tell."""
     return need[1] if need[1] > 0 else need[0]
 
 
 # Team, class and size of a task.
-Kind = tuple[str, str, Room]
+Kind = tuple[str, str, Resources]
 
 
 def _kind(spec: Submission) -> Kind:
@@ -174,7 +174,7 @@
         spaces: list[Space],
         demands: Iterable[Demand],
         now: float,
-    ) -> list[Purchase]:
+    ) -> list[LaunchSpec]:
         """Mark the spaces that demand uses, and say what to rent for the rest."""
         bought: dict[tuple[str, str, bool], int] = {}
         zones = Counter(space.zone for space in spaces)
@@ -190,7 +190,7 @@
                 # of its own once, and a fleet that began empty rented two and a half times its need.
                 self._buy(demand, machine_types, index, zones, bought, now)
         return [
-            Purchase(machine_type, zone, spot, min(n, HIRE_LIMIT))
+            LaunchSpec(machine_type, zone, spot, min(n, MAX_LAUNCH_COUNT))
             for (machine_type, zone, spot), n in bought.items()
         ]
 
@@ -204,7 +204,7 @@
         rooms: Counter[str] = Counter()
         for space in spaces:
             if allowed(demand, space):
-                rooms[space.zone] += how_many(demand.need, space.free, demand.tasks)
+                rooms[space.zone] += max_copies(demand.need, space.free, demand.tasks)
         open_zones = {
             zone
             for machine_type in allowed_machine_types(demand.spec, machine_types.values())
@@ -228,9 +228,9 @@
         def use(space: Space) -> bool:
             nonlocal left
             room = left if demand.forecast else min(left, limit - demand.zones.get(space.zone, 0))
-            take = how_many(demand.need, space.free, room)
+            take = max_copies(demand.need, space.free, room)
             if take:
-                space.free = plus(space.free, demand.need, -take)
+                space.free = add_scaled(space.free, demand.need, -take)
                 space.used = True
                 left -= take
                 if not demand.forecast:
@@ -260,7 +260,7 @@
                 (self._room_price(demand, machine_type, spot), zones[zone], machine_type.name, zone, spot)
                 for machine_type, zone, spot in self._for_sale(demand, machine_types)
                 if self.refused_until.get((machine_type.name, zone, spot), 0.0) <= now
-                and bought.get((machine_type.name, zone, spot), 0) < HIRE_LIMIT
+                and bought.get((machine_type.name, zone, spot), 0) < MAX_LAUNCH_COUNT
             )
             # Zones with fewer machines first, where the price is the same.
             best = min(offers, default=None)
@@ -269,7 +269,9 @@
             _, _, name, zone, spot = best
             bought[(name, zone, spot)] = bought.get((name, zone, spot), 0) + 1
             zones[zone] += 1
-            space = Space(None, machine_types[name], zone, spot, room_of(machine_types[name]), used=True)
+            space = Space(
+                None, machine_types[name], zone, spot, machine_type_capacity(machine_types[name]), used=True
+            )
             fresh.append(space)
             index.add(space)
 
@@ -292,7 +294,7 @@
     @staticmethod
     def _room_price(demand: Demand, machine_type: MachineType, spot: bool) -> float:
         """Price of a task's room; a machine that is mostly left empty counts half as much again."""
-        full = how_many(demand.need, room_of(machine_type), _UNBOUNDED)
+        full = max_copies(demand.need, machine_type_capacity(machine_type), _UNBOUNDED)
         used = min(full, demand.tasks)
         price = machine_type.spot_price if spot else machine_type.price
         return price / full * (1.0 + 0.5 * (1 - used / full))
@@ -307,8 +309,8 @@
                 if demand.forecast
                 else min(demand.tasks, limit - demand.zones.get(space.zone, 0))
             )
-            take = how_many(demand.need, space.free, room)
+            take = max_copies(demand.need, space.free, room)
             if take > 0:
-                space.free = plus(space.free, demand.need, -take)
+                space.free = add_scaled(space.free, demand.need, -take)
                 demand.zones[space.zone] = demand.zones.get(space.zone, 0) + take
                 demand.tasks -= take
--- a/src/poppyhold/machines/space.py
+++ b/src/poppyhold/machines/space.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from poppyhold.model.fleet import Job, Machine, Room
+from poppyhold.model.fleet import Job, Machine, Resources
 from poppyhold.wire.messages import MachineType, Submission
 
 
@@ -12,7 +12,7 @@
     """Tasks of one shape that need room."""
 
     spec: Submission
-    need: Room
+    need: Resources
     tasks: int
     zones: dict[str, int]
     forecast: bool = False
@@ -27,7 +27,7 @@
     machine_type: MachineType
     zone: str
     spot: bool
-    free: Room
+    free: Resources
     used: bool = False
 
 
--- a/src/poppyhold/model/context.py
+++ b/src/poppyhold/model/context.py
@@ -17,13 +17,13 @@
 
 Data = dict[str, Any]
 # Machine -> its images and their sizes, least recently used first.
-Hints = dict[str, tuple[tuple[str, float], ...]]
+ImageHints = dict[str, tuple[tuple[str, float], ...]]
 
 # Outcomes of a request to another system.
 OK, REFUSED, UNSENT, UNSURE = "ok", "refused", "unsent", "unsure"
 
 
-class CommitRank(IntEnum):
+class CommitPriority(IntEnum):
     """Order of the leader's durable steps; those of one rank go in the order of their requests."""
 
     # What takes the longest behind it, or holds up everything else: hires, tokens, machines' records.
@@ -37,15 +37,15 @@
     BACKGROUND = 4
 
 
-class StrayWorker(NamedTuple):
+class MisdirectedWorker(NamedTuple):
     """A worker whose report reached a controller that does not lead, and what that report was."""
 
     machine: str
-    session: int
+    incarnation: int
     sequence: int
 
 
-class Edges(Protocol):
+class OutboundPort(Protocol):
     """Everything that the core asks of the outside. Each callback comes back on the core's thread."""
 
     def commit(
@@ -53,7 +53,7 @@
         conditions: dict[str, int],
         writes: list[Data],
         done: Callable[[bool], None],
-        rank: CommitRank = CommitRank.BACKGROUND,
+        priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
         """Carry out a transaction under our leadership, and repeat it until its outcome is certain."""
 
@@ -67,16 +67,16 @@
     ) -> None:
         """POST /do to a worker, once. ``patient`` requests don't hold up the others."""
 
-    def hire(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
+    def launch(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
         """POST /machines, once."""
 
     def delete(self, names: list[str], done: Callable[[bool], None]) -> None:
         """POST /machines/delete, once."""
 
-    def deposed(self, token: int) -> None:
+    def deposed(self, fencing_token: int) -> None:
         """A higher token than ours was seen."""
 
-    def raised(self, token: int) -> None:
+    def raised(self, fencing_token: int) -> None:
         """Our token was raised."""
 
     def resign(self, why: str) -> None:
@@ -85,7 +85,7 @@
     def over(self, job_id: str, status: str, tasks: int) -> None:
         """The final state of a job is durable."""
 
-    def stray_workers(self) -> list[list[StrayWorker]]:
+    def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
         """Workers that have turned to another controller lately, for each of those."""
 
     def may_start(self) -> bool:
@@ -94,7 +94,7 @@
     def confirmed_at(self) -> float:
         """Moment at which nobody else can have led yet."""
 
-    def proxies_until(self) -> float:
+    def delegated_leases_until(self) -> float:
         """Moment behind which no other controller answered a worker in our name."""
 
 
@@ -115,12 +115,12 @@
         # A leader that lost its way may answer workers this long; then their leases have to end. They run
         # from when a report was sent, so that its way here is on the safe side; every second counts when a
         # cut ends just before the leases that were given last.
-        self.blind_answers_s = (
+        self.unconfirmed_renewal_s = (
             workers.cancel_s - workers.lease_s * 1.002 - workers.heartbeat_interval_s * 0.15
         )
         # Who hears neither the leader nor the state service for so long stands in for it. Workers come to
         # it a good four seconds behind a cut, and only some of them have the time to come twice.
-        self.proxy_after_s = max(workers.heartbeat_interval_s * 1.5, workers.lease_s / 4)
+        self.delegated_renewal_after_s = max(workers.heartbeat_interval_s * 1.5, workers.lease_s / 4)
         # Since our term began, nobody else's answers can keep a task alive longer.
         self.others_over_s = workers.cancel_s * 1.001 + workers.heartbeat_interval_s
         self.slot_s = workers.lease_s * options.design.slot_leases
@@ -131,18 +131,18 @@
 
     settings: Settings
     options: Options
-    edges: Edges
+    outbound: OutboundPort
     clock: Callable[[], float]
     wall: Callable[[], float]
     rng: random.Random
-    term_token: int
-    token: int
+    term_fencing_token: int
+    fencing_token: int
     times: Times
     fleet: Fleet = msgspec.field(default_factory=Fleet)
     machine_types: dict[str, MachineType] = msgspec.field(default_factory=dict)
     # Machines that we deleted, and when: old lists and reports still name them.
     dead: dict[str, float] = msgspec.field(default_factory=dict)
-    hints: Hints = msgspec.field(default_factory=dict)
+    image_hints: ImageHints = msgspec.field(default_factory=dict)
     # Up to so many machines are asked for reports at one moment as a term begins.
     most_hastened: float = math.inf
     # So many silent workers are asked for reports within one interval.
@@ -153,4 +153,4 @@
     def number(self) -> int:
         """A number that no attempt and no hire has had, in this term or any other."""
         self.counter += 1
-        return (self.term_token << 24) + self.counter
+        return (self.term_fencing_token << 24) + self.counter
--- a/src/poppyhold/model/fleet.py
+++ b/src/poppyhold/model/fleet.py
@@ -10,22 +10,30 @@
 
 import msgspec
 
-from poppyhold.wire.messages import IN_PROGRESS, RANKS, Command, MachineType, Submission, TaskState, task_name
+from poppyhold.wire.messages import (
+    IN_PROGRESS,
+    PRIORITIES,
+    Command,
+    MachineType,
+    Submission,
+    TaskState,
+    task_name,
+)
 
 # Amounts of cpus, accelerators and memory, in this order.
-Room = tuple[float, float, float]
-NOTHING: Room = (0.0, 0.0, 0.0)
+Resources = tuple[float, float, float]
+NO_RESOURCES: Resources = (0.0, 0.0, 0.0)
 EPSILON = 1e-6
 
 PENDING, ACTIVE, DONE = 0, 1, 2
 
 
-def fits(need: Room, free: Room) -> bool:
+def fits(need: Resources, free: Resources) -> bool:
     """Whether ``need`` fits into ``free``."""
     return need[0] <= free[0] + EPSILON and need[1] <= free[1] + EPSILON and need[2] <= free[2] + EPSILON
 
 
-def how_many(need: Room, free: Room, most: int) -> int:
+def max_copies(need: Resources, free: Resources, most: int) -> int:
     """How many times ``need`` fits into ``free``, at most ``most``."""
     for want, have in zip(need, free, strict=True):
         if want > 0 and have != math.inf:
@@ -33,12 +41,12 @@
     return max(0, most)
 
 
-def plus(a: Room, b: Room, times: float = 1.0) -> Room:
+def add_scaled(a: Resources, b: Resources, times: float = 1.0) -> Resources:
     """``a + times * b``."""
     return (a[0] + times * b[0], a[1] + times * b[1], a[2] + times * b[2])
 
 
-def room_of(machine_type: MachineType) -> Room:
+def machine_type_capacity(machine_type: MachineType) -> Resources:
     """All the room of a machine type."""
     return (machine_type.cpus, machine_type.accelerators, machine_type.memory_gb)
 
@@ -50,7 +58,7 @@
     index: int
     number: int
     machine: Machine
-    session: int
+    incarnation: int
     sent_at: float
     status: str = TaskState.SENT
     # How the start was sent: "do", "reply", or "seen" where a report showed it first.
@@ -93,8 +101,8 @@
     spec: Submission
     version: int
     at: float
-    need: Room
-    rank: int
+    need: Resources
+    priority: int
     due_at: float | None
     states: bytearray
     active: dict[int, Attempt] = msgspec.field(default_factory=dict)
@@ -240,7 +248,7 @@
     record_asked: bool = False
     # A report of this term was seen, so that all it holds is known.
     heard: bool = False
-    session: int = 0
+    incarnation: int = 0
     sequence: int = -1
     last_heartbeat_at: float = float("-inf")
     # When the cloud last listed it.
@@ -259,9 +267,9 @@
     probe_at: float = 0.0
     attempts: dict[str, Attempt] = msgspec.field(default_factory=dict)
     # All its room, what may be in use of it, and the rest: every placement looks at these on every machine.
-    capacity: Room = NOTHING
-    used: Room = NOTHING
-    free: Room = NOTHING
+    capacity: Resources = NO_RESOURCES
+    used: Resources = NO_RESOURCES
+    free: Resources = NO_RESOURCES
     # Tells machines that are alike apart: the one that was known first goes first.
     number: int = msgspec.field(default_factory=lambda: next(_numbers))
     # Rises whenever what it holds, or what of it waits for an image, changes.
@@ -276,19 +284,19 @@
     refused_until: float = 0.0
 
     def __post_init__(self) -> None:
-        self.capacity = room_of(self.machine_type)
-        self.use(NOTHING)
+        self.capacity = machine_type_capacity(self.machine_type)
+        self.use(NO_RESOURCES)
 
-    def use(self, used: Room) -> None:
+    def use(self, used: Resources) -> None:
         """Note how much of the room may be in use."""
         self.used = used
-        self.free = plus(self.capacity, used, -1.0)
+        self.free = add_scaled(self.capacity, used, -1.0)
         self.version += 1
 
-    def free_beside(self, reserved: dict[str, Room]) -> Room:
+    def free_after_reservations(self, reserved: dict[str, Resources]) -> Resources:
         """Free room beside what is reserved on machines, by name."""
         own = reserved.get(self.name)
-        return self.free if own is None else plus(self.free, own, -1.0)
+        return self.free if own is None else add_scaled(self.free, own, -1.0)
 
     def usable(self, now: float, silent_s: float) -> bool:
         """Whether tasks may be started on it now."""
@@ -336,17 +344,17 @@
         job.active[attempt.index] = attempt
         job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
         machine.attempts[attempt.name] = attempt
-        machine.use(plus(machine.used, job.need))
+        machine.use(add_scaled(machine.used, job.need))
         used = self.used.setdefault(job.spec.team, [0.0, 0.0])
         used[0] += job.need[0]
         used[1] += job.need[1]
 
-    def unknown_use(self, unheard: Container[str]) -> Room:
+    def unknown_use(self, unreconciled: Container[str]) -> Resources:
         """Room that may be in use on machines whose tasks we can't know: it counts for every team."""
-        total = NOTHING
+        total = NO_RESOURCES
         for machine in self.machines.values():
-            if machine.name in unheard or machine.unknown_tasks:
-                total = plus(total, machine.capacity)
+            if machine.name in unreconciled or machine.unknown_tasks:
+                total = add_scaled(total, machine.capacity)
         return total
 
     def remove(self, attempt: Attempt) -> None:
@@ -355,7 +363,7 @@
         del job.active[attempt.index]
         job.zones[machine.zone] -= 1
         del machine.attempts[attempt.name]
-        machine.use(plus(machine.used, job.need, -1.0) if machine.attempts else NOTHING)
+        machine.use(add_scaled(machine.used, job.need, -1.0) if machine.attempts else NO_RESOURCES)
         used = self.used[job.spec.team]
         used[0] -= job.need[0]
         used[1] -= job.need[1]
@@ -371,7 +379,7 @@
         version=version,
         at=at,
         need=(spec.cpus, spec.accelerators, spec.memory_gb),
-        rank=RANKS.index(spec.priority),
+        priority=PRIORITIES.index(spec.priority),
         due_at=None if spec.deadline_s is None else at + spec.deadline_s,
         states=bytearray(spec.tasks),
     )
@@ -384,7 +392,7 @@
         machine_type
         for machine_type in machine_types
         if (spec.machine_types is None or machine_type.name in spec.machine_types)
-        and fits(need, room_of(machine_type))
+        and fits(need, machine_type_capacity(machine_type))
         and (spec.zone is None or spec.zone in machine_type.zones)
     ]
 
--- a/src/poppyhold/node/cloud.py
+++ b/src/poppyhold/node/cloud.py
@@ -10,7 +10,7 @@
 from poppyhold.settings import Settings, split_address
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
 from poppyhold.wire.messages import (
-    Hired,
+    LaunchResponse,
     MachineList,
     MachineType,
     MachineTypes,
@@ -52,12 +52,12 @@
             log.debug("cloud %s: %s", path, error)
             return None
 
-    def hire(self, body: Data) -> tuple[str, list[str]]:
+    def launch(self, body: Data) -> tuple[str, list[str]]:
         """Rent machines. Unless the cloud says no, the request may yet be carried out."""
         try:
             status, data = self._client.request("POST", "/machines", body, timeout=self._timeout)
             if status == HTTPStatus.OK:
-                return OK, convert(data, Hired).machines
+                return OK, convert(data, LaunchResponse).machines
         except (NotSentError, NoAnswerError, MalformedError) as error:
             log.debug("hire: %s", error)
             return UNSURE, []
--- a/src/poppyhold/node/cloud_thread.py
+++ b/src/poppyhold/node/cloud_thread.py
@@ -78,7 +78,7 @@
         self._lists = ListReader(client, cloud.list_lag_s, self._gap_s)
         self._types_s = cloud.list_lag_s * 4
         self._deletes: deque[tuple[list[str], Callable[[bool], None]]] = deque()
-        self._hires: deque[tuple[Data, Callable[[str, list[str]], None]]] = deque()
+        self._launches: deque[tuple[Data, Callable[[str, list[str]], None]]] = deque()
         self._wake = threading.Condition()
         self._stopped = False
         self._thread = threading.Thread(target=self._run, name="cloud", daemon=True)
@@ -90,10 +90,10 @@
             self._deletes.append((names, done))
             self._wake.notify()
 
-    def hire(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
+    def launch(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
         """Queue a hire."""
         with self._wake:
-            self._hires.append((body, done))
+            self._launches.append((body, done))
             self._wake.notify()
 
     def stop(self) -> None:
@@ -114,7 +114,7 @@
             if credit_at > now:
                 time.sleep(credit_at - now)
             try:
-                if self._deletes or self._hires:
+                if self._deletes or self._launches:
                     self._change()
                 elif time.monotonic() >= self._lists.due_at:
                     self._look_at_machines()
@@ -127,7 +127,7 @@
     def _await_work(self, until: float) -> None:
         """Wait for a change that is asked for, or for the time of the next look."""
         with self._wake:
-            while not (self._deletes or self._hires or self._stopped):
+            while not (self._deletes or self._launches or self._stopped):
                 rest = until - time.monotonic()
                 if rest <= 0:
                     return
@@ -139,8 +139,8 @@
             names, deleted = self._deletes.popleft()
             deleted(self._client.delete(names))
         else:
-            body, hired = self._hires.popleft()
-            hired(*self._client.hire(body))
+            body, launched = self._launches.popleft()
+            launched(*self._client.launch(body))
 
     def _look_at_types(self) -> None:
         machine_types = self._client.machine_types()
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -10,12 +10,12 @@
 from poppyhold.durable.records import MachineRecord
 from poppyhold.durable.snapshot import Snapshot
 from poppyhold.durable.store import ACTIVE, Data, Entry, final_writes
-from poppyhold.execution.attempts import Attempts
 from poppyhold.execution.completions import Completions
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.gangs import GangState
-from poppyhold.machines.hiring import Hiring
-from poppyhold.model.context import Context, Edges, Hints, Times
+from poppyhold.execution.reconciliation import AttemptReconciler
+from poppyhold.machines.autoscaler import Autoscaler
+from poppyhold.model.context import Context, ImageHints, OutboundPort, Times
 from poppyhold.model.fleet import (
     Attempt,
     Job,
@@ -50,24 +50,26 @@
         self,
         settings: Settings,
         options: Options,
-        edges: Edges,
-        token: int,
+        outbound: OutboundPort,
+        fencing_token: int,
         clock: Callable[[], float],
         wall: Callable[[], float],
         rng: random.Random,
     ) -> None:
         times = Times(settings, options)
-        self.ctx = Context(settings, options, edges, clock, wall, rng, token, token, times)
+        self.ctx = Context(settings, options, outbound, clock, wall, rng, fencing_token, fencing_token, times)
         connections = settings.settings.machine_limits.connections
         self.ctx.most_hastened = connections * options.relays.from_share
         self.ctx.quiet_pace = connections * _QUIET_SHARE
         self._quotas = Quotas(settings.settings.teams)
         self._guarantees_stale = True
         self.failures = Failures(times, clock, self._judged)
-        self.attempts = Attempts(self.ctx, self._task_done, self._attempt_over, self._task_ran, self.failures)
+        self.attempts = AttemptReconciler(
+            self.ctx, self._task_done, self._attempt_over, self._task_ran, self.failures
+        )
         self.admission = Admission(self.ctx, self._quotas, lambda job: self.job_removed(ACTIVE + job.id))
         self.dispatcher = Dispatcher(self.ctx, self.attempts, self._quotas, self.admission)
-        self.hiring = Hiring(self.ctx, self.attempts, self._quotas, self._machine_gone)
+        self.autoscaler = Autoscaler(self.ctx, self.attempts, self._quotas, self._machine_gone)
         self.completions = Completions(self.ctx)
         self.quota = self._make_quota(options)
         self._flush_at = 0.0
@@ -85,8 +87,8 @@
             self.ctx,
             options.cells,
             self._quotas,
-            lambda: self.ctx.fleet.unknown_use(self.attempts.unheard),
-            self.hiring.can_rent,
+            lambda: self.ctx.fleet.unknown_use(self.attempts.unreconciled),
+            self.autoscaler.can_rent,
             self._quotas_changed,
         )
 
@@ -96,22 +98,22 @@
     # -- the beginning of a term ---------------------------------------------------------------------
 
     def load(
-        self, snapshot: Snapshot, machine_types: Iterable[MachineType], hints: Hints | None = None
+        self, snapshot: Snapshot, machine_types: Iterable[MachineType], image_hints: ImageHints | None = None
     ) -> None:
         """Rebuild from what earlier leaders made durable; reports bring the rest.
 
         Hints are what the last leader told its peers of the machines' images: they only guide choices.
         """
         ctx = self.ctx
-        ctx.hints = hints or {}
+        ctx.image_hints = image_hints or {}
         now = ctx.clock()
         if self.quota is not None:
             self.quota.load(snapshot.quota)
         self.machine_types(machine_types)
         for name, data in snapshot.machines.items():
             self._load_machine(name, data, now)
-        for name, data in snapshot.hires.items():
-            self.hiring.load_hire(name, data)
+        for name, data in snapshot.launches.items():
+            self.autoscaler.load_launch(name, data)
         for entry in snapshot.active:
             job = self._add_job(entry)
             if job is not None and job.id in snapshot.plans:
@@ -133,14 +135,14 @@
         self.ctx.machine_types.setdefault(record.machine_type.name, record.machine_type)
         machine = Machine(name, record.machine_type, record.zone, record.spot, since=now)
         machine.endpoint = record.endpoint
-        machine.images.update(self.ctx.hints.get(name, ()))
+        machine.images.update(self.ctx.image_hints.get(name, ()))
         machine.recorded = machine.record_asked = machine.up = True
         self.ctx.fleet.machines[name] = machine
-        self.attempts.unheard.add(name)
+        self.attempts.unreconciled.add(name)
 
     def _resume(self, job: Job) -> None:
         """Go on with a job of an earlier term."""
-        self.hiring.arrivals.note(job.at, job.spec)
+        self.autoscaler.arrivals.note(job.at, job.spec)
         if not job.plan_durable:
             self.admission.arrive(job)
         if job.done == job.spec.tasks:
@@ -173,7 +175,7 @@
             return
         job = self._add_job(entry)
         if job is not None:
-            self.hiring.arrivals.note(self.ctx.clock(), job.spec)
+            self.autoscaler.arrivals.note(self.ctx.clock(), job.spec)
             self.admission.arrive(job)
 
     def job_removed(self, key: str) -> None:
@@ -184,7 +186,7 @@
         if job is None or job.over:
             return
         job.over = True
-        self.hiring.arrivals.note_end(self.ctx.clock(), job.spec)
+        self.autoscaler.arrivals.note_end(self.ctx.clock(), job.spec)
         self._guarantees_stale = True
         self.admission.forget(job)
         now = self.ctx.clock()
@@ -207,21 +209,21 @@
 
     def listed(self, listing: Listing) -> None:
         """The cloud listed its machines."""
-        self.hiring.listed(listing)
+        self.autoscaler.listed(listing)
 
     def tick(self) -> None:
         """What time alone brings about."""
         now = self.ctx.clock()
         self.admission.roll()
         self.failures.tick()
-        self.hiring.watch()
+        self.autoscaler.watch()
         self._drain(now)
-        self.attempts.commands.raise_token()
+        self.attempts.commands.raise_fencing_token()
         self.attempts.gangs.tick(now)
         if now >= self._flush_at:
             self._flush_at = now + self.ctx.times.heartbeat_interval_s / 2
             self.completions.save()
-        self.hiring.provide()
+        self.autoscaler.scale()
         if self.quota is not None:
             self.quota.tick()
         self.ctx.dirty = True
@@ -233,12 +235,12 @@
         without a rest would take all that reports leave; so they take a seventh of the time at the most.
         """
         began = self.ctx.clock()
-        if self.ctx.dirty and began >= self.settle_at and self.ctx.edges.may_start():
+        if self.ctx.dirty and began >= self.settle_at and self.ctx.outbound.may_start():
             self.ctx.dirty = False
             if self._guarantees_stale:
                 self._guarantees_stale = False
                 self._quotas.mark_guaranteed(job for job in self.ctx.fleet.jobs.values() if not job.over)
-            self.dispatcher.dispatch(self.attempts.all_heard())
+            self.dispatcher.dispatch(self.attempts.all_reconciled())
             ended = self.ctx.clock()
             rest = max(6 * (ended - began), self.ctx.times.heartbeat_interval_s / 25)
             self.settle_at = ended + min(rest, self.ctx.times.heartbeat_interval_s / 2)
@@ -253,7 +255,7 @@
 
         What runs there of cancelled jobs must be gone in time, or is none of ours.
         """
-        if self.attempts.unheard:
+        if self.attempts.unreconciled:
             return None
         return [
             machine.name
@@ -261,7 +263,7 @@
             if machine.unknown_tasks or any(attempt.job.over for attempt in machine.attempts.values())
         ]
 
-    def hints(self) -> Hints:
+    def image_hints(self) -> ImageHints:
         """The machines' images, for the next leader."""
         return {
             machine.name: tuple(machine.images.items())
@@ -310,15 +312,15 @@
 
         def durable(done: bool) -> None:
             if done:
-                self.ctx.edges.over(job.id, "done", job.spec.tasks)
+                self.ctx.outbound.over(job.id, "done", job.spec.tasks)
             # Otherwise it is over in another way, or was by a repeat of this: the watch tells.
             self.job_removed(ACTIVE + job.id)
 
-        self.ctx.edges.commit(
+        self.ctx.outbound.commit(
             {ACTIVE + job.id: job.version},
             final_writes(job.id, "done", job.spec.tasks),
             durable,
-            self.admission.rank_of(job),
+            self.admission.commit_priority(job),
         )
 
     # -- machines ------------------------------------------------------------------------------------
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -13,14 +13,14 @@
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.cancellations import Cancellation
 from poppyhold.cluster.election import Election, Term
-from poppyhold.cluster.lease_proxy import LeaseProxies, Trust
+from poppyhold.cluster.lease_delegation import LeaseDelegation, LeaseDelegations
 from poppyhold.cluster.peers import Peers, Pong
-from poppyhold.concurrency.ranked_queue import DECISIONS, HEARTBEATS, SUBMISSIONS, RankedQueue, Work
+from poppyhold.concurrency.priority_queue import DECISIONS, HEARTBEATS, SUBMISSIONS, PriorityQueue, Work
 from poppyhold.durable.committer import Committer, Unit
 from poppyhold.durable.snapshot import Snapshot, SnapshotReader
 from poppyhold.durable.store import ACTIVE, Entry, RefusedError, Store, UncertainError
 from poppyhold.durable.watch import Watch
-from poppyhold.model.context import CommitRank, Data, Hints, StrayWorker, Times
+from poppyhold.model.context import CommitPriority, Data, ImageHints, MisdirectedWorker, Times
 from poppyhold.node.cloud import CloudClient
 from poppyhold.node.cloud_thread import CloudThread
 from poppyhold.node.controller import Controller
@@ -56,7 +56,7 @@
     election: Election
     peers: Peers
     catalog: MachineCatalog
-    peer_hints: Hints
+    peer_image_hints: ImageHints
 
     def confirmed_cancellations(self) -> tuple[list[Cancellation], int]:
         """Cancellations that were confirmed to users here."""
@@ -72,20 +72,20 @@
         self._node, self._term = node, term
         self.alive = True
         limits, workers = node.settings.settings.machine_limits, node.settings.settings.workers
-        self._queue = RankedQueue(limits.max_sockets, workers.heartbeat_interval_s / 100)
+        self._queue = PriorityQueue(limits.max_sockets, workers.heartbeat_interval_s / 100)
         self._committer = Committer(node.store, node.settings, term.version, self._lost)
         self._senders = Senders(node.settings)
         self._cloud: CloudThread | None = None
         self._watch: Watch | None = None
         self._counts: dict[str, tuple[int, int]] = {}
-        self._hints: Hints = {}
+        self._image_hints: ImageHints = {}
         times = Times(node.settings, node.options)
         members = [node.settings.member, *(known.member for known in node.settings.known)]
-        self.authority = Authority(times.blind_answers_s, members, term.began_at)
-        self.proxies = LeaseProxies(times, node.skew_s)
-        self.trust: Trust | None = None
+        self.authority = Authority(times.unconfirmed_renewal_s, members, term.began_at)
+        self.delegations = LeaseDelegations(times, node.skew_s)
+        self.delegation: LeaseDelegation | None = None
         self.controller = Controller(
-            node.settings, node.options, self, term.token, time.monotonic, time.time, node.rng
+            node.settings, node.options, self, term.fencing_token, time.monotonic, time.time, node.rng
         )
         self._assignment = Assignment(
             node.options.relays.mode,
@@ -124,7 +124,7 @@
         read_at = time.monotonic()
         # Before all else: relays whose workers wait connect while the rest is made ready.
         self.relays.review(snapshot.machines.keys())
-        self.controller.load(snapshot, self._node.catalog.types.values(), dict(self._node.peer_hints))
+        self.controller.load(snapshot, self._node.catalog.types.values(), dict(self._node.peer_image_hints))
         self._cloud = CloudThread(
             self._node.settings, self._node.cloud, self._on_machine_types, self._on_listed
         )
@@ -176,7 +176,7 @@
         self.controller.tick()
         self._ask_ourselves()
         self._counts = self.controller.counts()
-        self._hints = self.controller.hints()
+        self._image_hints = self.controller.image_hints()
         self.relays.review(self.controller.ctx.fleet.machines.keys())
         self._vouch()
         if self.quota_edge is not None:
@@ -192,8 +192,8 @@
                 time.sleep(self._node.store.timeout / 4)
         return Snapshot()
 
-    def _post(self, rank: int, work: Work) -> bool:
-        return self.alive and self._queue.put(rank, work)
+    def _post(self, priority: int, work: Work) -> bool:
+        return self.alive and self._queue.put(priority, work)
 
     def _on_resync(self, entries: list[Entry]) -> None:
         self._post(DECISIONS, lambda: self.controller.resync(entries))
@@ -231,10 +231,10 @@
         sure_at = min(self.authority.synced_at, self.confirmed_at())
         excluded_machines = self.controller.excluded_machines()
         if excluded_machines is None or sure_at == float("-inf"):
-            self.trust = None
+            self.delegation = None
             return
         known_wall = time.time() - (time.monotonic() - sure_at)
-        self.trust = Trust(self.controller.ctx.token, known_wall, excluded_machines)
+        self.delegation = LeaseDelegation(self.controller.ctx.fencing_token, known_wall, excluded_machines)
 
     def _on_machine_types(self, machine_types: list[MachineType]) -> None:
         self._node.catalog.learn(machine_types)
@@ -318,9 +318,9 @@
         """Done and running tasks by job, as of the last tick."""
         return self._counts
 
-    def hints(self) -> Hints:
+    def image_hints(self) -> ImageHints:
         """The machines' images, as of the last tick."""
-        return self._hints
+        return self._image_hints
 
     # -- the edges of the core -----------------------------------------------------------------------
 
@@ -329,34 +329,34 @@
         conditions: dict[str, int],
         writes: list[Data],
         done: Callable[[bool], None],
-        rank: CommitRank = CommitRank.BACKGROUND,
+        priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
-        """See `Edges`."""
+        """See `OutboundPort`."""
 
         def durable(result: bool) -> None:
             self._post(DECISIONS, lambda: done(result))
 
-        self._committer.submit(Unit(conditions, writes, durable), rank)
+        self._committer.submit(Unit(conditions, writes, durable), priority)
 
     def do(self, box: str, endpoint: str, body: Data, done: Done, patient: bool) -> None:
-        """See `Edges`."""
+        """See `OutboundPort`."""
 
         def answered(outcome: str, heartbeat: Heartbeat | None) -> None:
             self._post(DECISIONS, lambda: done(outcome, heartbeat))
 
         self._senders.send(endpoint, body, answered, patient)
 
-    def hire(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
-        """See `Edges`."""
+    def launch(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
+        """See `OutboundPort`."""
 
         def answered(outcome: str, boxes: list[str]) -> None:
             self._post(DECISIONS, lambda: done(outcome, boxes))
 
         if self._cloud is not None:
-            self._cloud.hire(body, answered)
+            self._cloud.launch(body, answered)
 
     def delete(self, names: list[str], done: Callable[[bool], None]) -> None:
-        """See `Edges`."""
+        """See `OutboundPort`."""
 
         def deleted(result: bool) -> None:
             self._post(DECISIONS, lambda: done(result))
@@ -364,28 +364,28 @@
         if self._cloud is not None:
             self._cloud.delete(names, deleted)
 
-    def deposed(self, token: int) -> None:
-        """See `Edges`."""
-        self._node.election.saw_token(token)
+    def deposed(self, fencing_token: int) -> None:
+        """See `OutboundPort`."""
+        self._node.election.observe_fencing_token(fencing_token)
 
-    def raised(self, token: int) -> None:
-        """See `Edges`."""
-        self._node.election.raised(token)
+    def raised(self, fencing_token: int) -> None:
+        """See `OutboundPort`."""
+        self._node.election.raised(fencing_token)
 
     def resign(self, why: str) -> None:
-        """See `Edges`."""
+        """See `OutboundPort`."""
         threading.Thread(target=self._node.election.resign, args=(why,), daemon=True).start()
 
     def over(self, job_id: str, status: str, tasks: int) -> None:
-        """See `Edges`."""
+        """See `OutboundPort`."""
         self._node.users.finals.put(job_id, (status, tasks))
 
-    def stray_workers(self) -> list[list[StrayWorker]]:
-        """See `Edges`."""
-        return [view.strays for view in self._node.peers.views.values()]
+    def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
+        """See `OutboundPort`."""
+        return [view.misdirected for view in self._node.peers.views.values()]
 
     def may_start(self) -> bool:
-        """See `Edges`."""
+        """See `OutboundPort`."""
         election = self._node.election
         now = time.monotonic()
         # Both our lead and our knowledge of cancellations must be fresh.
@@ -396,9 +396,9 @@
         )
 
     def confirmed_at(self) -> float:
-        """See `Edges`."""
+        """See `OutboundPort`."""
         return self._node.election.confirmed_at if self.alive else float("-inf")
 
-    def proxies_until(self) -> float:
-        """See `Edges`."""
-        return self.proxies.until(time.monotonic())
+    def delegated_leases_until(self) -> float:
+        """See `OutboundPort`."""
+        return self.delegations.until(time.monotonic())
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -9,13 +9,13 @@
 import time
 
 from poppyhold.cluster.cancellations import Cancellation
-from poppyhold.cluster.departures import Departures
 from poppyhold.cluster.election import Election, Leader, Term
-from poppyhold.cluster.lease_proxy import LeaseProxies, LeaseProxy
+from poppyhold.cluster.lease_delegation import DelegatedRenewal, LeaseDelegations
+from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
 from poppyhold.cluster.peers import Peers, Ping, Pong
-from poppyhold.cluster.stray_workers import StrayWorkers
+from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.durable.store import Store
-from poppyhold.model.context import Hints, Times
+from poppyhold.model.context import ImageHints, Times
 from poppyhold.node.cloud import CloudClient
 from poppyhold.node.leader_term import LeaderTerm
 from poppyhold.node.machine_catalog import MachineCatalog
@@ -32,7 +32,7 @@
 log = logging.getLogger(__name__)
 
 # More workers that turned to us would not fit into a message between controllers.
-_MOST_STRAY_WORKERS = 20_000
+_MAX_MISDIRECTED_WORKERS = 20_000
 
 
 class Node:
@@ -48,10 +48,10 @@
         largest_value = settings.settings.state.lowest.value_bytes
         self.catalog = MachineCatalog(self.store, self.cloud, largest_value, self.rng)
         self._peer_counts: dict[str, tuple[int, int]] = {}
-        self.peer_hints: Hints = {}
+        self.peer_image_hints: ImageHints = {}
         self.users = Users(settings, self.store, lambda: self.catalog.types, self._count)
-        self._stray_workers = StrayWorkers(
-            min(settings.settings.machine_limits.machines, _MOST_STRAY_WORKERS),
+        self._misdirected_workers = MisdirectedWorkers(
+            min(settings.settings.machine_limits.machines, _MAX_MISDIRECTED_WORKERS),
             settings.settings.workers.lease_s / 2,
         )
         self._deposed_at = float("-inf")
@@ -70,17 +70,17 @@
             settings,
             self._describe,
             self._counts,
-            self._hints,
+            self._image_hints,
             self._reply,
             self._on_pong,
             self._refused,
-            self._proxies,
+            self._delegations,
             self._serve_relay,
             self._quota_server.answer,
             self._quota_server.most_links,
         )
         workers = settings.settings.workers
-        self.lease_proxy = LeaseProxy(self._times, self.skew_s, time.monotonic, time.time)
+        self.delegated_renewal = DelegatedRenewal(self._times, self.skew_s, time.monotonic, time.time)
         # Behind this a worker has given up the answer, as PROTOCOL says: it comes at once or not at all.
         self._heartbeat_timeout_s = heartbeat_response_timeout_s(workers)
         self._forwarding = HeartbeatForwarder(
@@ -94,7 +94,7 @@
         # A worker that is not told where to go tries another node a second later. Where all nodes have just
         # come back, that second decides whether leases end; an election takes far less.
         self._naming_s = workers.heartbeat_interval_s / 2
-        self._departures = Departures(workers.lease_s, settings.settings.machine_limits.machines)
+        self._redirect_backoff = RedirectBackoff(workers.lease_s, settings.settings.machine_limits.machines)
         self._ready_s = workers.lease_s * 0.35
         self.server = Server(
             split_address(settings.client_listen),
@@ -146,13 +146,13 @@
         leader_term = self._leader_term
         return leader_term.counts() if leader_term is not None else {}
 
-    def _hints(self) -> Hints:
+    def _image_hints(self) -> ImageHints:
         leader_term = self._leader_term
-        return leader_term.hints() if leader_term is not None else {}
+        return leader_term.image_hints() if leader_term is not None else {}
 
-    def _proxies(self) -> LeaseProxies | None:
+    def _delegations(self) -> LeaseDelegations | None:
         leader_term = self._leader_term
-        return leader_term.proxies if leader_term is not None else None
+        return leader_term.delegations if leader_term is not None else None
 
     def _count(self, job_id: str) -> tuple[int, int] | None:
         leader_term = self._leader_term
@@ -164,22 +164,22 @@
     def _describe(self) -> Ping:
         term = self.election.term
         age = time.monotonic() - max(self.store.contact_at, self._started_at)
-        workers = len(self._stray_workers.recent())
+        workers = len(self._misdirected_workers.recent())
         leader_term = self._leader_term
-        trust = leader_term.trust if leader_term is not None and leader_term.alive else None
+        delegation = leader_term.delegation if leader_term is not None and leader_term.alive else None
         known = leader_term.authority.revision if leader_term is not None else -1
         named, unnamed = self.confirmed_cancellations()
         confirmed = unnamed if unnamed < 0 else max([unnamed, *(revision for _, revision in named)])
-        token = term.token if term else 0
+        fencing_token = term.fencing_token if term else 0
         relays = leader_term is not None and self._takes_relays(leader_term)
         return Ping(
             self.settings.member,
-            token,
+            fencing_token,
             term is not None,
             age,
             confirmed,
             workers,
-            trust=trust,
+            delegation=delegation,
             known=known,
             relays=relays,
         )
@@ -193,43 +193,43 @@
         us = self._describe()
         named: list[Cancellation] = []
         unnamed: int | None = None
-        strays = self._stray_workers.recent() if ping.leading else []
+        misdirected = self._misdirected_workers.recent() if ping.leading else []
         if ping.leading and ping.known >= 0:
             self.users.cancellations.known(ping.known)
             # Read behind `us`: what is confirmed in between is named as well.
             named, unnamed = self.confirmed_cancellations()
         return Pong(
             us.member,
-            us.token,
+            us.fencing_token,
             us.leading,
             us.state_age_s,
             us.confirmed,
             us.workers,
             named,
             unnamed,
-            strays,
+            misdirected,
             self.peers.connectivity.hears(),
         )
 
     def _on_ping(self, ping: Ping) -> None:
         if ping.leading:
-            self.election.saw_token(ping.token)
-            self._forwarding.leader_spoke(ping.token, ping.relays)
-            self.lease_proxy.heard(ping.token, ping.trust)
+            self.election.observe_fencing_token(ping.fencing_token)
+            self._forwarding.leader_spoke(ping.fencing_token, ping.relays)
+            self.delegated_renewal.heard(ping.fencing_token, ping.delegation)
             counts = dict(self._peer_counts)
             counts.update({job: (done, running) for job, done, running in ping.counts})
             while len(counts) > self.settings.settings.machine_limits.ram_mb * 100:
                 counts.pop(next(iter(counts)))
             self._peer_counts = counts
             for box, held in ping.images:
-                self.peer_hints.pop(box, None)
-                self.peer_hints[box] = held
-            while len(self.peer_hints) > self.settings.settings.machine_limits.machines:
-                self.peer_hints.pop(next(iter(self.peer_hints)))
+                self.peer_image_hints.pop(box, None)
+                self.peer_image_hints[box] = held
+            while len(self.peer_image_hints) > self.settings.settings.machine_limits.machines:
+                self.peer_image_hints.pop(next(iter(self.peer_image_hints)))
 
     def _on_pong(self, pong: Pong, asked: float) -> None:
         if pong.leading:
-            self.election.saw_token(pong.token)
+            self.election.observe_fencing_token(pong.fencing_token)
             return
         # Only who does not lead: what a leader confirmed says nothing of what others confirm under its lead.
         leader_term = self._leader_term
@@ -238,7 +238,7 @@
             self._hand_over()
         leader = self.election.leader
         # It runs, and leads nothing: the key is that of a process before it.
-        if leader is None or leader.member != pong.member or pong.token:
+        if leader is None or leader.member != pong.member or pong.fencing_token:
             return
         if self._idle_leader == leader:
             # Told twice, so it is not that the answer and the election crossed.
@@ -253,7 +253,7 @@
         Two zones that cannot reach each other while both reach a third: a leader in one of the two lost all
         tasks of the other one to their leases, and could not tell for half a minute what still ran there.
         """
-        better = self.peers.connectivity.better_placed(self._times.proxy_after_s)
+        better = self.peers.connectivity.better_placed(self._times.delegated_renewal_after_s)
         view = self.peers.views.get(better) if better is not None else None
         # Who is to lead must be able to: it heard from the state service lately.
         if view is not None and time.monotonic() - view.contact_at < self.election.life_s:
@@ -269,7 +269,7 @@
         now = time.monotonic()
         lease_s = self.settings.settings.workers.lease_s
         quiet = now - self._deposed_at
-        if quiet > 6 * lease_s or (quiet > lease_s and len(self._stray_workers.recent()) > 1):
+        if quiet > 6 * lease_s or (quiet > lease_s and len(self._misdirected_workers.recent()) > 1):
             self._deposed_at = now
             self.election.depose(leader)
 
@@ -335,18 +335,18 @@
 
     def _answer_without_leader(self, heartbeat: Heartbeat) -> Answer | None:
         """The lease proxy's answer; None if we may not stand in."""
-        if heartbeat.token:
+        if heartbeat.fencing_token:
             known = self.election.leader
-            proxied = self.lease_proxy.may_answer(
+            proxied = self.delegated_renewal.may_answer(
                 heartbeat,
                 self.store.contact_at,
-                known.token if known else 0,
+                known.fencing_token if known else 0,
                 known is not None and self.peers.connectivity.unreachable(known.member),
             )
             if proxied is not None:
                 return answer(200, HeartbeatResponse(proxied).body())
             # A new machine's worker begins with any node; one that has a token has left its leader.
-            self._stray_workers.note(heartbeat)
+            self._misdirected_workers.note(heartbeat)
         return None
 
     def _redirect(self, heartbeat: Heartbeat) -> Answer | Deferred:
@@ -354,7 +354,9 @@
         leader = self.election.await_leader(self._naming_s)
         if leader is not None and leader.member != self.settings.member and not self._forwarding.is_wanted():
             now = time.monotonic()
-            wait_s = self._departures.wait_s(heartbeat, leader.token, now - self.election.leader_since, now)
+            wait_s = self._redirect_backoff.wait_s(
+                heartbeat, leader.fencing_token, now - self.election.leader_since, now
+            )
             if wait_s:
                 leader = self.election.await_next(leader, wait_s)
         # The election may have named us meanwhile.
--- a/src/poppyhold/quota/cell_quota.py
+++ b/src/poppyhold/quota/cell_quota.py
@@ -13,8 +13,8 @@
 
 from poppyhold.concurrency.pace import Pace
 from poppyhold.durable.store import Data, Entry
-from poppyhold.model.context import CommitRank, Context
-from poppyhold.model.fleet import Room
+from poppyhold.model.context import CommitPriority, Context
+from poppyhold.model.fleet import Resources
 from poppyhold.quota.alarms import AlarmKind, Alarms
 from poppyhold.quota.amounts import (
     ResourceAmount,
@@ -71,7 +71,7 @@
         ctx: Context,
         cells: Cells,
         quotas: Quotas,
-        unknown_use: Callable[[], Room],
+        unknown_use: Callable[[], Resources],
         can_rent: Callable[[Submission], bool],
         on_changed: Callable[[], None],
     ) -> None:
@@ -86,7 +86,7 @@
         }
         self._reserves = {team: reserve(first, cells.reserve) for team, (first, _) in self._seeds.items()}
         self.book = ShareBook(
-            cells.name, self._new_incarnation, self._commit, self._in_force, ctx.edges.resign
+            cells.name, self._new_incarnation, self._commit, self._in_force, ctx.outbound.resign
         )
         self._asking = Asking(cells, self.book, ctx.clock)
         keep_s = ctx.times.lease_s * cells.keep_leases
@@ -120,7 +120,7 @@
             # Other cells wait to hear of it.
             self._prepare_requests()
 
-        self._ctx.edges.commit(conditions, writes, durable, CommitRank.AWAITED)
+        self._ctx.outbound.commit(conditions, writes, durable, CommitPriority.AWAITED)
 
     def _in_force(self, team: str) -> None:
         """Plan starts against a team's share from now on."""
@@ -299,8 +299,8 @@
 
     def status(self) -> StatusReply:
         """All that this cell's leader knows."""
-        heard, unheard = self._asking.others()
-        return StatusReply(self._view(), heard, unheard, self.short(), self.differing())
+        heard, unreconciled = self._asking.others()
+        return StatusReply(self._view(), heard, unreconciled, self.short(), self.differing())
 
     def _view(self) -> CellView:
         """This cell as others are told of it, made anew once something has changed."""
--- a/src/poppyhold/quota/demand.py
+++ b/src/poppyhold/quota/demand.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import EPSILON, Job, Room, allowed_machine_types, how_many
+from poppyhold.model.fleet import EPSILON, Job, Resources, allowed_machine_types, max_copies
 from poppyhold.quota.amounts import UNIT, ResourceAmount, ResourceShare, TeamShare, to_units
 from poppyhold.quota.hold_times import HoldTimes
 from poppyhold.quota.messages import Want
@@ -113,7 +113,7 @@
         ctx: Context,
         keep_s: float,
         holds: HoldTimes,
-        unknown_use: Callable[[], Room],
+        unknown_use: Callable[[], Resources],
         can_rent: Callable[[Submission], bool],
     ) -> None:
         """``unknown_use`` is what machines that were not heard may run; it counts for every team."""
@@ -156,7 +156,7 @@
     def _add_waiting(self, demands: dict[str, TeamDemand]) -> None:
         rooms = _Rooms(self._ctx, self._can_rent)
         jobs = self._ctx.fleet.jobs.values()
-        for job in sorted(jobs, key=lambda job: (job.rank, job.at)):
+        for job in sorted(jobs, key=lambda job: (job.priority, job.at)):
             demand = demands.get(job.spec.team)
             if demand is None or job.pending <= 0 or job.over or job.finishing or job.failures.at_fault:
                 continue
@@ -222,7 +222,7 @@
             gone = machine.leaving or machine.draining or machine.deleting
             if gone or machine.taken_back_at is not None or not may_use(job, machine):
                 continue
-            count += how_many(job.need, machine.free, most - count)
+            count += max_copies(job.need, machine.free, most - count)
             if count >= most:
                 break
         return count
--- a/src/poppyhold/quota/edge.py
+++ b/src/poppyhold/quota/edge.py
@@ -9,7 +9,7 @@
 import threading
 from collections.abc import Callable
 
-from poppyhold.concurrency.ranked_queue import SUBMISSIONS, Work
+from poppyhold.concurrency.priority_queue import SUBMISSIONS, Work
 from poppyhold.quota.cell_quota import CellQuota, QuotaHealth
 from poppyhold.quota.cells import Cells
 from poppyhold.quota.link import CellLinks
--- a/src/poppyhold/relay/assignment.py
+++ b/src/poppyhold/relay/assignment.py
@@ -11,7 +11,7 @@
 
 from poppyhold.model.context import Times
 from poppyhold.relay.mode import RelayMode
-from poppyhold.relay.ranks import rank
+from poppyhold.relay.rendezvous import rendezvous_weight
 
 # No relay takes more than this times its even share of the workers.
 MOST_OF_SHARE = 1.25
@@ -223,7 +223,7 @@
         most = self._most_each()
         ranked = sorted(
             (member for member in self._zones if member != but and self._is_sound(member, now)),
-            key=lambda member: (self._zones[member] == zone, rank(member, machine)),
+            key=lambda member: (self._zones[member] == zone, rendezvous_weight(member, machine)),
             reverse=True,
         )
         under_way = Counter(sent.relay for sent in self._sent.values())
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -42,14 +42,14 @@
         self._lease_s = workers.lease_s
         # When a leader last asked for reports to be relayed.
         self._asked_at = float("-inf")
-        self._highest_token = 0
+        self._highest_fencing_token = 0
         connections = settings.settings.machine_limits.connections
         self._overflow = Overflow(int(connections * _WORKERS_SHARE), workers.lease_s, time.monotonic)
         self._link = RelayLink(
             RelayHello(settings.member, settings.domain),
             {known.member: split_address(known.address) for known in settings.known},
             self._target,
-            self._seen_token,
+            self._seen_fencing_token,
             RelayTimes(workers.heartbeat_interval_s, heartbeat_response_timeout_s(workers), workers.lease_s),
             connections,
             rng,
@@ -64,9 +64,9 @@
         """End it."""
         self._link.stop()
 
-    def leader_spoke(self, token: int, wants_relays: bool) -> None:
+    def leader_spoke(self, fencing_token: int, wants_relays: bool) -> None:
         """A leader's ping came."""
-        self._highest_token = max(self._highest_token, token)
+        self._highest_fencing_token = max(self._highest_fencing_token, fencing_token)
         self._asked_at = time.monotonic() if wants_relays else float("-inf")
 
     def is_wanted(self) -> bool:
@@ -95,7 +95,7 @@
         if relayed is None:
             return self._without_leader(heartbeat) or self._unanswered()
         if relayed.outcome is Outcome.ANSWERED:
-            return answer(HTTPStatus.OK, HeartbeatResponse(relayed.token, relayed.commands).body())
+            return answer(HTTPStatus.OK, HeartbeatResponse(relayed.fencing_token, relayed.commands).body())
         if relayed.outcome is Outcome.MOVED:
             return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": relayed.controller})
         return answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
@@ -116,7 +116,7 @@
         leader = self._leader()
         return leader.member if self.is_wanted() and leader is not None and not self._leads() else None
 
-    def _seen_token(self) -> int:
+    def _seen_fencing_token(self) -> int:
         """The highest token that we know of."""
         leader = self._leader()
-        return max(self._highest_token, leader.token if leader is not None else 0)
+        return max(self._highest_fencing_token, leader.fencing_token if leader is not None else 0)
--- a/src/poppyhold/relay/intake.py
+++ b/src/poppyhold/relay/intake.py
@@ -27,7 +27,10 @@
     def restore(self, unchanged: UnchangedHeartbeat) -> Heartbeat | None:
         """The report that a heartbeat stands for; None if the full one is not known here."""
         full = self._full.get(unchanged.machine)
-        if full is None or (full.session, full.sequence) != (unchanged.session, unchanged.full_sequence):
+        if full is None or (full.incarnation, full.sequence) != (
+            unchanged.incarnation,
+            unchanged.full_sequence,
+        ):
             return None
         return msgspec.structs.replace(full, sequence=unchanged.sequence)
 
@@ -86,4 +89,4 @@
         if answer is None:
             return RelayedAnswer(number, Outcome.REFUSED)
         self._assignment.heard(heartbeat.machine, relay.member)
-        return RelayedAnswer(number, Outcome.ANSWERED, answer.token, answer.commands)
+        return RelayedAnswer(number, Outcome.ANSWERED, answer.fencing_token, answer.commands)
--- a/src/poppyhold/relay/leader.py
+++ b/src/poppyhold/relay/leader.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from poppyhold.concurrency.ranked_queue import DECISIONS, HEARTBEATS, Work
+from poppyhold.concurrency.priority_queue import DECISIONS, HEARTBEATS, Work
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.intake import RelayIntake, RelayState
 from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayedAnswer, RelayHello
--- a/src/poppyhold/relay/link.py
+++ b/src/poppyhold/relay/link.py
@@ -58,7 +58,7 @@
         hello: RelayHello,
         addresses: dict[str, tuple[str, int]],
         target: Callable[[], str | None],
-        lowest_token: Callable[[], int],
+        lowest_fencing_token: Callable[[], int],
         times: RelayTimes,
         most: int,
         rng: random.Random,
@@ -70,7 +70,7 @@
         """
         self._on_advice = on_advice
         self._hello, self._addresses = hello, addresses
-        self._target, self._lowest_token = target, lowest_token
+        self._target, self._lowest_fencing_token = target, lowest_fencing_token
         self._times, self._rng = times, rng
         self._queue = HeartbeatQueue(most, times.patience_s)
         self._wake = threading.Condition(threading.Lock())
@@ -195,7 +195,7 @@
             self._connected = True
             if self._under_way:
                 self._round_trips.append(time.monotonic() - self._under_way.popleft())
-            responses = self._queue.take_answers(batch, time.monotonic(), self._lowest_token())
+            responses = self._queue.take_answers(batch, time.monotonic(), self._lowest_fencing_token())
             if self._queue.unsent:
                 self._wake.notify()
         self._respond(responses)
--- a/src/poppyhold/relay/messages.py
+++ b/src/poppyhold/relay/messages.py
@@ -32,7 +32,7 @@
     number: int
     waited_ms: int
     machine: str
-    session: int
+    incarnation: int
     sequence: int
     # The sequence number of that full report, of the same session.
     full_sequence: int
@@ -64,7 +64,7 @@
 
     number: int
     outcome: Outcome
-    token: int = 0
+    fencing_token: int = 0
     commands: list[Command] = []
     # Where to, for a worker that is moved.
     controller: str = ""
--- a/src/poppyhold/relay/overflow.py
+++ b/src/poppyhold/relay/overflow.py
@@ -9,7 +9,7 @@
 import threading
 from collections.abc import Callable, Sequence
 
-from poppyhold.relay.ranks import rank
+from poppyhold.relay.rendezvous import rendezvous_weight
 
 
 class Overflow:
@@ -43,7 +43,7 @@
             most = min(self._most, self._advised_most)
             if came and not returned and self._roomy and len(self._seen) >= most > 0:
                 self._sent_on[machine] = now
-                return max(self._roomy, key=lambda member: rank(member, machine))
+                return max(self._roomy, key=lambda member: rendezvous_weight(member, machine))
             self._seen.pop(machine, None)
             self._seen[machine] = now
             return None
--- a/src/poppyhold/relay/queue.py
+++ b/src/poppyhold/relay/queue.py
@@ -98,7 +98,7 @@
                     pending.number,
                     waited_ms,
                     heartbeat.machine,
-                    heartbeat.session,
+                    heartbeat.incarnation,
                     heartbeat.sequence,
                     full.sequence,
                 )
@@ -117,7 +117,7 @@
         self._full.clear()
         self._unsent = deque(self._pending)
 
-    def take_answers(self, batch: AnswerBatch, now: float, lowest_token: int) -> list[Response]:
+    def take_answers(self, batch: AnswerBatch, now: float, lowest_fencing_token: int) -> list[Response]:
         """Match answers with the reports that wait.
 
         An answer that comes too late is none: its worker has given up, and counts its lease from the report
@@ -135,7 +135,7 @@
                 continue
             del self._pending[answer.number]
             late = now - pending.arrived_at > self._patience_s
-            deposed = answer.outcome is Outcome.ANSWERED and answer.token < lowest_token
+            deposed = answer.outcome is Outcome.ANSWERED and answer.fencing_token < lowest_fencing_token
             responses.append(Response(pending, None if late or deposed else answer))
         return responses
 
--- a/src/poppyhold/relay/ranks.py
+++ b/src/poppyhold/relay/rendezvous.py
@@ -5,7 +5,7 @@
 import random
 
 
-def rank(member: str, machine: str) -> float:
+def rendezvous_weight(member: str, machine: str) -> float:
     """A figure that every process draws alike.
 
     A string as a seed is hashed with SHA-512, which `random` has loaded; `hashlib` would bring all of OpenSSL
--- a/src/poppyhold/scale/hollow.py
+++ b/src/poppyhold/scale/hollow.py
@@ -67,7 +67,7 @@
         self._next_heartbeat = time.monotonic() + rng.uniform(0.0, heartbeat_interval_s)
         self._earliest = 0.0
         self._away_until = 0.0
-        self._token_told_at = float("-inf")
+        self._fencing_token_told_at = float("-inf")
 
     async def listen(self) -> None:
         """Take direct commands; the address goes with the reports."""
@@ -108,9 +108,9 @@
             now = time.monotonic()
             if now < self._away_until or self.standin.gone:
                 continue
-            tasks, session = len(self.standin.on_machine()), self.standin.session
+            tasks, incarnation = len(self.standin.on_machine()), self.standin.incarnation
             changed = self.standin.step()
-            if self.standin.session != session:
+            if self.standin.incarnation != incarnation:
                 self._figures.leases_lost += 1
                 self._figures.tasks_lost += tasks
             if changed:
@@ -133,7 +133,7 @@
         now = time.monotonic()
         self._next_heartbeat = now + self._heartbeat_interval_s * self._rng.uniform(0.75, 1.25)
         self._earliest = now + _LEAST_BETWEEN_S
-        body, session = self.standin.heartbeat(), self.standin.session
+        body, incarnation = self.standin.heartbeat(), self.standin.incarnation
         before = self._connection.bytes
         try:
             status, answer = await self._connection.request("POST", "/hello", body, _PATIENCE_S)
@@ -143,7 +143,7 @@
         if status == HTTPStatus.OK:
             self._figures.heartbeats.note(time.monotonic() - now)
             self._figures.answered.note()
-            self._take(answer, now, session)
+            self._take(answer, now, incarnation)
         elif status == HTTPStatus.MISDIRECTED_REQUEST and self._is_elsewhere(answer.get("foreman")):
             self._figures.redirected.note()
             self._turn_to(answer["foreman"], self._rng.uniform(0.0, _REDIRECTION_S))
@@ -161,12 +161,15 @@
         self._connection = Connection(self._nodes[node])
         self._next_heartbeat = self._earliest = time.monotonic() + pause_s
 
-    def _take(self, answer: Data, sent_at: float, session: int) -> None:
-        token, tasks = self.standin.token, len(self.standin.tasks)
-        self.standin.answered(answer, sent_at, session)
+    def _take(self, answer: Data, sent_at: float, incarnation: int) -> None:
+        fencing_token, tasks = self.standin.fencing_token, len(self.standin.tasks)
+        self.standin.answered(answer, sent_at, incarnation)
         now = time.monotonic()
-        if self.standin.token > token and now - self._token_told_at > self._heartbeat_interval_s:
-            self._token_told_at = now
+        if (
+            self.standin.fencing_token > fencing_token
+            and now - self._fencing_token_told_at > self._heartbeat_interval_s
+        ):
+            self._fencing_token_told_at = now
             self._next_heartbeat = now
         if answer["orders"] or len(self.standin.tasks) != tasks:
             self._next_heartbeat = now
--- a/src/poppyhold/scale/routes.py
+++ b/src/poppyhold/scale/routes.py
@@ -39,7 +39,7 @@
     if path == "/machines/delete":
         return cloud.delete(decode(body)["boxes"])
     if method == "POST":
-        return cloud.hire(decode(body))
+        return cloud.launch(decode(body))
     return _page(cloud.listing(), asked)
 
 
--- a/src/poppyhold/scale/standins.py
+++ b/src/poppyhold/scale/standins.py
@@ -158,7 +158,7 @@
         self.endpoint = name
         self._lease_s, self._clock = lease_s, clock
         self._describe, self._on_start, self._on_done = describe, on_start, on_done
-        self.session, self.sequence, self.token = 1, 0, 0
+        self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.notice_s: float | None = None
         self.answered_sent_at = clock()
         # task -> try, status, cause, end of the current status
@@ -176,9 +176,9 @@
             "build": self.machine_type["name"],
             "paddock": self.zone,
             "loaners": self.spot,
-            "shift": self.session,
+            "shift": self.incarnation,
             "tally": self.sequence,
-            "baton": self.token,
+            "baton": self.fencing_token,
             "recallS": self.notice_s,
             "chores": [
                 {
@@ -212,7 +212,7 @@
     def restart(self) -> None:
         """The machine restarts: its tasks are gone, and a later session begins."""
         self.tasks.clear()
-        self.session += 1
+        self.incarnation += 1
         self.sequence = 0
         self.answered_sent_at = self._clock()
 
@@ -259,17 +259,17 @@
 
     def answered(self, body: Data, sent_at: float, shift: int) -> None:
         """The answer to a report came."""
-        if shift != self.session or body.get("baton", 0) < self.token:
+        if shift != self.incarnation or body.get("baton", 0) < self.fencing_token:
             return
-        self.token = body["baton"]
+        self.fencing_token = body["baton"]
         self.answered_sent_at = max(self.answered_sent_at, sent_at)
         self.execute(body["orders"])
 
     def do(self, body: Data) -> Status:
         """A direct command."""
-        if body["baton"] < self.token or body["shift"] != self.session:
+        if body["baton"] < self.fencing_token or body["shift"] != self.incarnation:
             return 409, self.heartbeat()
-        self.token = body["baton"]
+        self.fencing_token = body["baton"]
         self.execute(body["orders"])
         return 200, self.heartbeat()
 
@@ -326,7 +326,7 @@
     def __init__(self, clock: Callable[[], float], builds: list[Data], lag_s: float) -> None:
         self._clock, self.machine_types, self._lag_s = clock, builds, lag_s
         self.capacity: dict[tuple[str, str, bool], int] = {}
-        self.hires: dict[str, list[str]] = {}
+        self.launches: dict[str, list[str]] = {}
         self.machines: dict[str, Data] = {}
         self.down = False
         self.failing = 0
@@ -348,19 +348,19 @@
         }
         return name
 
-    def hire(self, body: Data) -> Status:
+    def launch(self, body: Data) -> Status:
         """Rent; a name that was answered with 200 is answered alike again."""
         if self.down:
             return 503, {"error": "trouble"}
-        if body["hire"] in self.hires:
-            return 200, {"boxes": self.hires[body["hire"]]}
+        if body["hire"] in self.launches:
+            return 200, {"boxes": self.launches[body["hire"]]}
         key = (body["build"], body["paddock"], body["loaners"])
         held = sum(1 for m in self.machines.values() if (m["build"], m["paddock"], m["loaners"]) == key)
         room = min(body["number"], self.capacity.get(key, 0) - held)
         if room <= 0:
             return 503, {"error": "no capacity"}
         names = [self.add(*key) for _ in range(room)]
-        self.hires[body["hire"]] = names
+        self.launches[body["hire"]] = names
         return 200, {"boxes": names}
 
     def delete(self, names: list[str]) -> Status:
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -10,17 +10,17 @@
 from poppyhold.durable.records import PlanRecord
 from poppyhold.durable.store import ACTIVE as ACTIVE_KEYS
 from poppyhold.durable.store import PLAN, Data, put, remove, stored_bytes
-from poppyhold.model.context import CommitRank, Context
-from poppyhold.model.fleet import NOTHING, Attempt, Job, Machine, Room, plus
+from poppyhold.model.context import CommitPriority, Context
+from poppyhold.model.fleet import NO_RESOURCES, Attempt, Job, Machine, Resources, add_scaled
 from poppyhold.scheduling.estimates import Estimates
 from poppyhold.scheduling.ledger import Ledger
 from poppyhold.scheduling.planner import Plan, Planner
 from poppyhold.scheduling.pricing import Pricing
 from poppyhold.scheduling.quotas import Quotas
-from poppyhold.wire.messages import RANKS, convert
+from poppyhold.wire.messages import PRIORITIES, convert
 
 # Jobs of this priority and above it are urgent.
-_LEAST_URGENT = RANKS.index("high")
+_LEAST_URGENT = PRIORITIES.index("high")
 
 log = logging.getLogger(__name__)
 
@@ -193,19 +193,29 @@
                 self._on_ended(job)
 
         conditions = {ACTIVE_KEYS + job.id: job.version}
-        self._ctx.edges.commit(conditions, [put(PLAN + job.id, data)], durable, self._plan_rank(job))
-
-    def _plan_rank(self, job: Job) -> CommitRank:
-        rank = self.rank_of(job)
-        return CommitRank.URGENT if rank is CommitRank.AWAITED and job.rank <= _LEAST_URGENT else rank
-
-    def rank_of(self, job: Job) -> CommitRank:
+        self._ctx.outbound.commit(
+            conditions, [put(PLAN + job.id, data)], durable, self._plan_commit_priority(job)
+        )
+
+    def _plan_commit_priority(self, job: Job) -> CommitPriority:
+        priority = self.commit_priority(job)
+        return (
+            CommitPriority.URGENT
+            if priority is CommitPriority.AWAITED and job.priority <= _LEAST_URGENT
+            else priority
+        )
+
+    def commit_priority(self, job: Job) -> CommitPriority:
         """The rank of what is made durable of a job and somebody waits for."""
-        return CommitRank.AWAITED if self._quotas.has_guarantee(job.spec.team) else CommitRank.UNGUARANTEED
+        return (
+            CommitPriority.AWAITED
+            if self._quotas.has_guarantee(job.spec.team)
+            else CommitPriority.UNGUARANTEED
+        )
 
     def remove_plan(self, job_id: str) -> None:
         """Remove the plan of a job that is over, when nobody waits for changes."""
-        self._ctx.edges.commit({}, [remove(PLAN + job_id)], lambda done: None)
+        self._ctx.outbound.commit({}, [remove(PLAN + job_id)], lambda done: None)
 
     def _record(self, job: Job) -> Data:
         """The durable form of a plan; one that does not fit loses its last slots.
@@ -250,22 +260,22 @@
 
     # -- what plans book now -------------------------------------------------------------------------
 
-    def booked_now(self) -> dict[str, Room]:
+    def booked_now(self) -> dict[str, Resources]:
         """Room of the current slot that admitted plans book and have not used yet."""
-        reserved: dict[str, Room] = {}
+        reserved: dict[str, Resources] = {}
         for job in self._ctx.fleet.jobs.values():
             if job.over:
                 continue
             for name, number in job.booked.get(self.ledger.first, {}).items():
-                reserved[name] = plus(reserved.get(name, NOTHING), job.need, number)
+                reserved[name] = add_scaled(reserved.get(name, NO_RESOURCES), job.need, number)
         return reserved
 
-    def without_own(self, reserved: dict[str, Room], job: Job) -> dict[str, Room]:
+    def without_own(self, reserved: dict[str, Resources], job: Job) -> dict[str, Resources]:
         """Booked room without what the job itself has booked now."""
         own = dict(reserved)
         for name, number in job.booked.get(self.ledger.first, {}).items():
             if name in own:
-                own[name] = plus(own[name], job.need, -number)
+                own[name] = add_scaled(own[name], job.need, -number)
         return own
 
     def use_booking(self, job: Job, machine: str) -> None:
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Collection
 
-from poppyhold.execution.attempts import Attempts
 from poppyhold.execution.gangs import GangState
+from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import NOTHING, Attempt, Job, Machine, Room, how_many, plus
+from poppyhold.model.fleet import NO_RESOURCES, Attempt, Job, Machine, Resources, add_scaled, max_copies
 from poppyhold.scheduling.admission import Admission
-from poppyhold.scheduling.free_room import RoomView
+from poppyhold.scheduling.free_capacity import FreeCapacityView
 from poppyhold.scheduling.gang_placement import GangPlacement
 from poppyhold.scheduling.placement import Choice, Placement, fetch_wait, may_use, zone_allows
 from poppyhold.scheduling.quotas import Quotas
@@ -21,9 +21,9 @@
 _PATIENCE_LEASES = 6
 
 
-def _room_for(job: Job, machine: Machine, reserved: dict[str, Room]) -> int:
+def _room_for(job: Job, machine: Machine, reserved: dict[str, Resources]) -> int:
     """How many of the job's pending tasks fit on a machine now, beside what is reserved."""
-    return how_many(job.need, machine.free_beside(reserved), job.pending)
+    return max_copies(job.need, machine.free_after_reservations(reserved), job.pending)
 
 
 class Pass:
@@ -33,14 +33,14 @@
     reports were answered so late that leases ran out.
     """
 
-    def __init__(self, machines: list[Machine], steady: list[Machine], extra: Room) -> None:
+    def __init__(self, machines: list[Machine], steady: list[Machine], extra: Resources) -> None:
         self.machines, self.steady, self.extra = machines, steady, extra
         self.zones = {machine.zone for machine in machines}
         self.hopeless: set[tuple[object, ...]] = set()
         # Teams whose limit is kept for a gang that has waited long.
         self.held_teams: set[str] = set()
         # Room by machine that is kept for such gangs.
-        self.held: dict[str, Room] = {}
+        self.held: dict[str, Resources] = {}
 
     @staticmethod
     def claim(job: Job, limited: bool, reserved: bool) -> tuple[object, ...]:
@@ -48,17 +48,17 @@
         spec = job.spec
         machine_types = None if spec.machine_types is None else tuple(spec.machine_types)
         place = (job.need, machine_types, spec.zone, spec.spot)
-        return (*place, spec.team, job.rank, job.guaranteed, limited, reserved)
+        return (*place, spec.team, job.priority, job.guaranteed, limited, reserved)
 
 
 class Rooms:
     """Free room on the machines that get our commands, and on all of them where some do not."""
 
     def __init__(self) -> None:
-        self.steady, self._all = RoomView(), RoomView()
+        self.steady, self._all = FreeCapacityView(), FreeCapacityView()
         self.views = [self.steady]
 
-    def begin(self, here: Pass, reserved: dict[str, Room]) -> None:
+    def begin(self, here: Pass, reserved: dict[str, Resources]) -> None:
         """A new pass, or the part of one that leaves more room reserved."""
         self.steady.begin(here.steady, reserved)
         self.views = [self.steady]
@@ -80,7 +80,9 @@
 class Dispatcher:
     """Starts what plans or spare room allow."""
 
-    def __init__(self, ctx: Context, attempts: Attempts, quotas: Quotas, admission: Admission) -> None:
+    def __init__(
+        self, ctx: Context, attempts: AttemptReconciler, quotas: Quotas, admission: Admission
+    ) -> None:
         self._ctx, self._attempts, self._quotas, self._admission = ctx, attempts, quotas, admission
         # What users expect of a class: seconds within which its tasks should have started.
         aims = {
@@ -91,13 +93,13 @@
         self.placement = Placement(aims, self._loss)
         self._gang_placement = GangPlacement(self.placement)
         self._relocation = Relocation(admission.pricing.weights, ctx.times, self.placement.in_time, ctx.clock)
-        self._pass = Pass([], [], NOTHING)
+        self._pass = Pass([], [], NO_RESOURCES)
         self._planned_rooms, self._unplanned_rooms = Rooms(), Rooms()
         self._rooms = self._planned_rooms
         # Jobs that passes which were broken off came to.
         self._looked_at: set[str] = set()
 
-    def dispatch(self, all_heard: bool) -> None:
+    def dispatch(self, all_reconciled: bool) -> None:
         """Start what may start now."""
         ctx = self._ctx
         now = ctx.clock()
@@ -107,7 +109,7 @@
             if job.pending > 0 and not job.over and not job.finishing and job.retry_at <= now
         ]
         # An older job's tasks may run on a machine that has not been heard yet.
-        ready = [job for job in jobs if job.plan_durable and (job.fresh or all_heard)]
+        ready = [job for job in jobs if job.plan_durable and (job.fresh or all_reconciled)]
         ready.sort(key=lambda job: self._urgency(job, now))
         waiting = [job for job in ready if not (job.admitted or job.failures.at_fault)]
         self._admission.reconsider(waiting, now)
@@ -123,7 +125,7 @@
         steady = [
             machine for machine in machines if machine.unreliable_until <= now and not suspects(machine)
         ]
-        self._pass = Pass(machines, steady, ctx.fleet.unknown_use(self._attempts.unheard))
+        self._pass = Pass(machines, steady, ctx.fleet.unknown_use(self._attempts.unreconciled))
         self.placement.begin(machines, [job for job in ctx.fleet.jobs.values() if job.active])
         self._gang_placement.begin(ctx.fleet.jobs.values())
         self._relocation.begin(self._pass.held)
@@ -148,7 +150,7 @@
                 self._start_unplanned(job, reserved)
         self._looked_at.clear()
 
-    def _look_for_room(self, rooms: Rooms, reserved: dict[str, Room]) -> None:
+    def _look_for_room(self, rooms: Rooms, reserved: dict[str, Resources]) -> None:
         """From now on, starts go by what is free beside this."""
         rooms.begin(self._pass, reserved)
         self._rooms = rooms
@@ -162,7 +164,7 @@
         elif job.admitted:
             self._start_some(job, self._admission.cap(job), self._pass.held, shared=True)
 
-    def _start_unplanned(self, job: Job, reserved: dict[str, Room]) -> None:
+    def _start_unplanned(self, job: Job, reserved: dict[str, Resources]) -> None:
         """Start on room that no plan books now."""
         booked = bool(job.booked.get(self._admission.ledger.first))
         own = self._admission.without_own(reserved, job) if booked else reserved
@@ -171,11 +173,11 @@
         else:
             self._start_some(job, job.pending, own, shared=not booked)
 
-    def _reserved(self) -> dict[str, Room]:
+    def _reserved(self) -> dict[str, Resources]:
         """Room that plans book now and have not used yet, and what is kept for gangs."""
         reserved = self._admission.booked_now()
         for name, room in self._pass.held.items():
-            reserved[name] = plus(reserved.get(name, NOTHING), room)
+            reserved[name] = add_scaled(reserved.get(name, NO_RESOURCES), room)
         return reserved
 
     def _waited_long(self, job: Job, now: float) -> bool:
@@ -192,14 +194,14 @@
         """
         spec = job.spec
         if job.service:
-            return job.rank, not job.guaranteed, 1, 0.0, job.at, job.id
+            return job.priority, not job.guaranteed, 1, 0.0, job.at, job.id
         rest = max(0.0, self._admission.estimates.seconds(job) - job.saved_s())
         group = 1 if job.due_at is None or now + rest <= job.due_at else 2
         if self._waited_long(job, now):
             # By arrival: by least work, the largest of them would again come last.
-            return job.rank, not job.guaranteed, 0, 0.0, job.at, job.id
+            return job.priority, not job.guaranteed, 0, 0.0, job.at, job.id
         work = rest * job.pending * (spec.accelerators or spec.cpus)
-        return job.rank, not job.guaranteed, group, work, job.at, job.id
+        return job.priority, not job.guaranteed, group, work, job.at, job.id
 
     def _loss(self, victim: Attempt) -> float:
         """Seconds that are lost with an attempt: of its work, and of the wait for what takes its place."""
@@ -238,7 +240,7 @@
         lost = min(ran, job.spec.save_s) if reachable else ran % job.spec.checkpoint_s
         return lost * job.spec.tasks
 
-    def _start_some(self, job: Job, most: int, reserved: dict[str, Room], shared: bool) -> None:
+    def _start_some(self, job: Job, most: int, reserved: dict[str, Resources], shared: bool) -> None:
         """Start up to so many tasks beside reserved room; ``shared``: it is the same for all jobs."""
         here = self._pass
         used = self._ctx.fleet.used
@@ -276,7 +278,7 @@
             for search in searches:
                 search.again(choice.machine)
 
-    def _searches(self, job: Job, reserved: dict[str, Room]) -> list[Search]:
+    def _searches(self, job: Job, reserved: dict[str, Resources]) -> list[Search]:
         """Where to look for places, in this order."""
         booked: set[str] = set()
         if reserved is not self._rooms.steady.reserved:
@@ -289,7 +291,7 @@
             searches.append(Search(self.placement, job, view, reserved, booked, zones))
         return searches
 
-    def _choose(self, job: Job, search: Search, reserved: dict[str, Room]) -> Choice | None:
+    def _choose(self, job: Job, search: Search, reserved: dict[str, Resources]) -> Choice | None:
         """The best machine with room; else, or where its image would come too late, one that makes room."""
         choice = search.best()
         if self._ctx.clock() < job.preempts_again_at or job.failures.at_fault:
@@ -301,7 +303,7 @@
             return choice
         return self._sooner(job, search, wait, reserved) or choice
 
-    def _sooner(self, job: Job, search: Search, wait: float, reserved: dict[str, Room]) -> Choice | None:
+    def _sooner(self, job: Job, search: Search, wait: float, reserved: dict[str, Resources]) -> Choice | None:
         """A machine that has the image, if making room there loses less than the wait elsewhere."""
         other = search.preempt(soon=True)
         if other is not None and not any(victim.job.service for victim in other.victims):
@@ -329,7 +331,7 @@
         return next((place[2] for place in places if zone_allows(job, place[2].machine.zone)), None)
 
     @staticmethod
-    def _home(job: Job, machines: Collection[Machine], reserved: dict[str, Room]) -> list[Machine]:
+    def _home(job: Job, machines: Collection[Machine], reserved: dict[str, Resources]) -> list[Machine]:
         """The machines of the zone with the most room, for a job that has to stay in one."""
         rooms: dict[str, int] = {}
         for machine in machines:
@@ -338,7 +340,7 @@
         best = max(rooms, key=lambda zone: (rooms[zone], zone), default=None)
         return [machine for machine in machines if machine.zone == best]
 
-    def _start_gang(self, job: Job, reserved: dict[str, Room]) -> None:
+    def _start_gang(self, job: Job, reserved: dict[str, Resources]) -> None:
         """Start all pending tasks of a gang in one step, or none."""
         gangs = self._attempts.gangs
         if not gangs.may_start(job):
@@ -356,7 +358,7 @@
         elif self._waited_long(job, self._ctx.clock()) and not job.failures.at_fault:
             self._hold_for_gang(job, within_limit)
 
-    def _gang_choices(self, job: Job, reserved: dict[str, Room]) -> list[Choice] | None:
+    def _gang_choices(self, job: Job, reserved: dict[str, Resources]) -> list[Choice] | None:
         """A machine for each pending task, if need be those that did not get our commands lately.
 
         Where all of the gang's room is not free, lower work makes room: for all of it, or none is stopped.
@@ -376,7 +378,7 @@
         used = self._ctx.fleet.used.get(job.spec.team, [0.0, 0.0])
         extra = self._pass.extra
         in_use = (used[0] + extra[0], used[1] + extra[1])
-        return self._quotas.allows(job.spec.team, in_use, plus(NOTHING, job.need, job.pending))
+        return self._quotas.allows(job.spec.team, in_use, add_scaled(NO_RESOURCES, job.need, job.pending))
 
     def _hold_for_gang(self, job: Job, within_limit: bool) -> None:
         """Keep freed room for a gang that has waited long, for a while at a time.
@@ -398,7 +400,7 @@
         for machine in machines:
             room = _room_for(job, machine, held)
             if room:
-                held[machine.name] = plus(held.get(machine.name, NOTHING), job.need, room)
+                held[machine.name] = add_scaled(held.get(machine.name, NO_RESOURCES), job.need, room)
         self._rooms.refresh()
 
     def _start(self, job: Job, index: int, choice: Choice) -> None:
--- a/src/poppyhold/scheduling/estimates.py
+++ b/src/poppyhold/scheduling/estimates.py
@@ -25,5 +25,5 @@
     def seconds(self, job: Job) -> float:
         """The estimate to plan with."""
         mean, count = self._bias.get(job.spec.job_class, (0.0, 0))
-        trust = count / (count + 4.0)
-        return max(0.1, job.spec.estimate_s * math.exp(mean * trust))
+        confidence = count / (count + 4.0)
+        return max(0.1, job.spec.estimate_s * math.exp(mean * confidence))
--- a/src/poppyhold/scheduling/free_room.py
+++ b/src/poppyhold/scheduling/free_capacity.py
@@ -11,7 +11,7 @@
 from collections import OrderedDict
 from collections.abc import Callable, Iterable, Set
 
-from poppyhold.model.fleet import Job, Machine, Room
+from poppyhold.model.fleet import Job, Machine, Resources
 
 # Rankings that are kept; each holds an entry for every machine with room for its kind of job.
 _RANKINGS_KEPT = 32
@@ -22,20 +22,20 @@
 Place = tuple[float, int, Machine]
 
 
-class RoomView:
+class FreeCapacityView:
     """The machines of a pass with their free room beside what is reserved, and a log of what changed."""
 
     def __init__(self) -> None:
         self.machines: dict[str, Machine] = {}
-        self.reserved: dict[str, Room] = {}
+        self.reserved: dict[str, Resources] = {}
         self.zones: set[str] = set()
         # The machine's version and its reserved room, as they were looked at last.
-        self._seen: dict[str, tuple[int, Room | None]] = {}
+        self._seen: dict[str, tuple[int, Resources | None]] = {}
         # Names of machines in the order in which they changed; how many were dropped from its beginning.
         self._log: list[str] = []
         self._dropped = 0
 
-    def begin(self, machines: Iterable[Machine], reserved: dict[str, Room]) -> None:
+    def begin(self, machines: Iterable[Machine], reserved: dict[str, Resources]) -> None:
         """A new pass over these machines."""
         self.machines = {machine.name: machine for machine in machines}
         self.zones = {machine.zone for machine in self.machines.values()}
@@ -78,7 +78,7 @@
 class Ranking:
     """The machines of a view with room for one kind of job, best first."""
 
-    def __init__(self, view: RoomView, score: Score) -> None:
+    def __init__(self, view: FreeCapacityView, score: Score) -> None:
         self._view, self._score = view, score
         self._mark = -1
         self._places: list[Place] = []
@@ -128,7 +128,7 @@
         """Scores are no longer what they were."""
         self._kept.clear()
 
-    def ranking(self, view: RoomView, job: Job, score: Score) -> Ranking:
+    def ranking(self, view: FreeCapacityView, job: Job, score: Score) -> Ranking:
         """The up-to-date ranking for jobs like this one."""
         spec = job.spec
         machine_types = None if spec.machine_types is None else tuple(spec.machine_types)
--- a/src/poppyhold/scheduling/gang_placement.py
+++ b/src/poppyhold/scheduling/gang_placement.py
@@ -6,7 +6,16 @@
 
 import msgspec
 
-from poppyhold.model.fleet import NOTHING, Attempt, Job, Machine, Room, how_many, plus, zone_limit
+from poppyhold.model.fleet import (
+    NO_RESOURCES,
+    Attempt,
+    Job,
+    Machine,
+    Resources,
+    add_scaled,
+    max_copies,
+    zone_limit,
+)
 from poppyhold.scheduling.placement import Choice, Placement, fetch_wait, may_use
 
 # A machine and how many tasks have room on it.
@@ -24,7 +33,7 @@
         return self.uses_accelerator_room, len({machine.name for machine in self.machines})
 
 
-def accelerator_companions(jobs: Iterable[Job]) -> Room:
+def accelerator_companions(jobs: Iterable[Job]) -> Resources:
     """The most of each resource that a task takes beside one accelerator, among these jobs."""
     cpus = memory = 0.0
     for job in jobs:
@@ -52,13 +61,15 @@
         self._placement = placement
         self._jobs: Iterable[Job] = ()
         # What goes with an accelerator, once a gang of this pass asks for it.
-        self._companions: Room | None = None
+        self._companions: Resources | None = None
 
     def begin(self, jobs: Iterable[Job]) -> None:
         """A new pass; what is kept free for accelerators goes by the jobs that there are."""
         self._jobs, self._companions = jobs, None
 
-    def choose(self, job: Job, machines: list[Machine], reserved: dict[str, Room]) -> list[Machine] | None:
+    def choose(
+        self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
+    ) -> list[Machine] | None:
         """A machine for each pending task, or None if they don't all have room now."""
         usable = [machine for machine in machines if may_use(job, machine)]
         found: list[Candidate] = []
@@ -68,7 +79,9 @@
                 found.append(candidate)
         return min(found, key=Candidate.cost).machines if found else None
 
-    def make_room(self, job: Job, machines: list[Machine], reserved: dict[str, Room]) -> list[Choice] | None:
+    def make_room(
+        self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
+    ) -> list[Choice] | None:
         """A machine for each pending task where lower work makes room for all of them, least loss first."""
         usable = [machine for machine in machines if may_use(job, machine)]
         found: list[tuple[float, list[Choice]]] = []
@@ -79,19 +92,21 @@
                 found.append(chosen)
         return min(found, key=lambda entry: entry[0])[1] if found else None
 
-    def _room_made(self, job: Job, machine: Machine, reserved: dict[str, Room], most: int) -> RoomMade | None:
+    def _room_made(
+        self, job: Job, machine: Machine, reserved: dict[str, Resources], most: int
+    ) -> RoomMade | None:
         """Room for up to so many tasks, with no more stops than that takes."""
-        free = machine.free_beside(reserved)
-        count = how_many(job.need, free, most)
+        free = machine.free_after_reservations(reserved)
+        count = max_copies(job.need, free, most)
         victims: list[Attempt] = []
         lost = 0.0
         stops: list[Attempt] = []
         for attempt in self._placement.stoppable_on(job, machine):
             if count >= most:
                 break
-            free = plus(free, attempt.job.need)
+            free = add_scaled(free, attempt.job.need)
             stops.append(attempt)
-            more = how_many(job.need, free, most)
+            more = max_copies(job.need, free, most)
             if more > count:
                 count = more
                 victims += stops
@@ -100,7 +115,7 @@
         return RoomMade(machine, count, victims, lost / count) if count else None
 
     def _cheapest(
-        self, job: Job, rooms: list[RoomMade], reserved: dict[str, Room]
+        self, job: Job, rooms: list[RoomMade], reserved: dict[str, Resources]
     ) -> tuple[float, list[Choice]] | None:
         left = job.pending
         total = 0.0
@@ -135,7 +150,9 @@
         for zone in sorted(zones):
             yield [machine for machine in machines if machine.zone == zone]
 
-    def _choose_among(self, job: Job, machines: list[Machine], reserved: dict[str, Room]) -> Candidate | None:
+    def _choose_among(
+        self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
+    ) -> Candidate | None:
         # Room that accelerators need comes second: without it they would stand idle.
         for keeps_companions in (True, False) if job.need[1] <= 0 else (False,):
             chosen = self._fill(job, self._options(job, machines, reserved, keeps_companions))
@@ -143,21 +160,21 @@
                 return Candidate(not keeps_companions and job.need[1] <= 0, chosen)
         return None
 
-    def _kept_for_accelerators(self) -> Room:
+    def _kept_for_accelerators(self) -> Resources:
         if self._companions is None:
             self._companions = accelerator_companions(self._jobs)
         return self._companions
 
     def _options(
-        self, job: Job, machines: list[Machine], reserved: dict[str, Room], keeps_companions: bool
+        self, job: Job, machines: list[Machine], reserved: dict[str, Resources], keeps_companions: bool
     ) -> list[Option]:
         options: list[Option] = []
-        companions = self._kept_for_accelerators() if keeps_companions else NOTHING
+        companions = self._kept_for_accelerators() if keeps_companions else NO_RESOURCES
         for machine in machines:
-            free = machine.free_beside(reserved)
+            free = machine.free_after_reservations(reserved)
             if keeps_companions:
-                free = plus(free, companions, -max(0.0, free[1]))
-            count = how_many(job.need, free, job.pending)
+                free = add_scaled(free, companions, -max(0.0, free[1]))
+            count = max_copies(job.need, free, job.pending)
             if count:
                 options.append((count, machine))
         return options
--- a/src/poppyhold/scheduling/ledger.py
+++ b/src/poppyhold/scheduling/ledger.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterator
 
-from poppyhold.model.fleet import NOTHING, Room, plus
+from poppyhold.model.fleet import NO_RESOURCES, Resources, add_scaled
 
 # In place of a slot: every slot without bookings of its own.
 STANDING = -1
@@ -19,12 +19,12 @@
 
     __slots__ = ("_kind", "_views", "capacity", "slots", "spot", "standing", "type_name", "zone")
 
-    def __init__(self, capacity: Room, zone: str, type_name: str, spot: bool) -> None:
+    def __init__(self, capacity: Resources, zone: str, type_name: str, spot: bool) -> None:
         self.capacity, self.zone, self.type_name, self.spot = capacity, zone, type_name, spot
-        self.slots: dict[int, Room] = {}
-        self.standing = NOTHING
+        self.slots: dict[int, Resources] = {}
+        self.standing = NO_RESOURCES
         # Free room and prices by slot, until the next booking there.
-        self._views: dict[int, tuple[Room, Room]] = {}
+        self._views: dict[int, tuple[Resources, Resources]] = {}
         self._kind: tuple[object, ...] | None = None
 
     def kind(self) -> tuple[object, ...]:
@@ -34,7 +34,9 @@
             self._kind = (self.zone, self.type_name, self.spot, self.capacity, self.standing, slots)
         return self._kind
 
-    def view(self, slot: int, rates: Callable[[Room, Room], Room]) -> tuple[Room, Room]:
+    def view(
+        self, slot: int, rates: Callable[[Resources, Resources], Resources]
+    ) -> tuple[Resources, Resources]:
         """Free room and the prices of a unit of each resource, in a slot or in those with no other bookings.
 
         Every plan looks at every slot of every machine; between two bookings both stay the same.
@@ -42,17 +44,17 @@
         found = self._views.get(slot)
         if found is None:
             booked = self.booked(slot)
-            found = self._views[slot] = plus(self.capacity, booked, -1.0), rates(booked, self.capacity)
+            found = self._views[slot] = add_scaled(self.capacity, booked, -1.0), rates(booked, self.capacity)
         return found
 
-    def book(self, slot: int, need: Room, times: float) -> None:
+    def book(self, slot: int, need: Resources, times: float) -> None:
         """Book in one slot, or in all."""
         self._kind = None
         if slot == STANDING:
-            self.standing = plus(self.standing, need, times)
+            self.standing = add_scaled(self.standing, need, times)
             self._views.clear()
             return
-        booked = plus(self.slots.get(slot, NOTHING), need, times)
+        booked = add_scaled(self.slots.get(slot, NO_RESOURCES), need, times)
         if all(abs(amount) < _NOTHING_LEFT for amount in booked):
             self.slots.pop(slot, None)
         else:
@@ -66,10 +68,10 @@
             del self.slots[old]
             self._views.pop(old, None)
 
-    def booked(self, slot: int) -> Room:
+    def booked(self, slot: int) -> Resources:
         """Booked room in a slot."""
         part = self.slots.get(slot)
-        return self.standing if part is None else plus(self.standing, part)
+        return self.standing if part is None else add_scaled(self.standing, part)
 
 
 # Machines of one kind: a row that tells for all of them, and their names.
@@ -124,7 +126,7 @@
             row.drop(slot)
         self._changed.update(dict.fromkeys(self.rows))
 
-    def add_machine(self, name: str, capacity: Room, zone: str, type_name: str, spot: bool) -> None:
+    def add_machine(self, name: str, capacity: Resources, zone: str, type_name: str, spot: bool) -> None:
         """Machines come with all their room free."""
         self.rows.setdefault(name, Row(capacity, zone, type_name, spot))
         self._changed[name] = None
@@ -134,7 +136,7 @@
         self.rows.pop(name, None)
         self._changed[name] = None
 
-    def book(self, name: str, need: Room, first: int, last: int | None, times: float) -> None:
+    def book(self, name: str, need: Resources, first: int, last: int | None, times: float) -> None:
         """Book (or, with negative ``times``, release) slots ``first`` to ``last``; None: every slot."""
         row = self.rows.get(name)
         if row is None:
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -7,8 +7,18 @@
 
 import msgspec
 
-from poppyhold.model.fleet import EPSILON, NOTHING, Attempt, Job, Machine, Room, fits, plus, zone_limit
-from poppyhold.scheduling.free_room import Ranking, Rankings, RoomView
+from poppyhold.model.fleet import (
+    EPSILON,
+    NO_RESOURCES,
+    Attempt,
+    Job,
+    Machine,
+    Resources,
+    add_scaled,
+    fits,
+    zone_limit,
+)
+from poppyhold.scheduling.free_capacity import FreeCapacityView, Ranking, Rankings
 from poppyhold.wire.messages import BEFORE_IMAGE, STOPPABLE
 
 # Fetches take a third longer at times, as PROTOCOL says.
@@ -67,7 +77,7 @@
         self._preemptible: dict[tuple[str, int, bool], dict[str, list[Attempt]]] = {}
         self._victims_of: dict[tuple[object, ...], tuple[int, list[Attempt] | None]] = {}
         # Room that stops of this pass will have freed before anything else that it starts there.
-        self._freed: dict[str, Room] = {}
+        self._freed: dict[str, Resources] = {}
         self._running: list[Job] = []
         self._rankings = Rankings()
 
@@ -86,13 +96,13 @@
         """A choice was carried out: the stops come before any later start on the machine."""
         name = choice.machine.name
         for victim in choice.victims:
-            self._freed[name] = plus(self._freed.get(name, NOTHING), victim.job.need)
+            self._freed[name] = add_scaled(self._freed.get(name, NO_RESOURCES), victim.job.need)
 
     def in_time(self, job: Job, wait: float) -> bool:
         """Whether a task that waits so long for its image starts within what its users expect."""
         return wait * _FETCH_SPREAD <= self._aims.get(job.spec.job_class, math.inf)
 
-    def _score(self, job: Job, machine: Machine, free: Room) -> float:
+    def _score(self, job: Job, machine: Machine, free: Resources) -> float:
         """Seconds that a placement costs any job alike; beside waits, parts of a boot time."""
         boot = machine.machine_type.boot_s
         score = fetch_wait(machine, job)
@@ -130,21 +140,21 @@
             score += boot * 0.05 * sum(1 for attempt in machine.attempts.values() if attempt.job is job)
         return score
 
-    def room_for(self, job: Job, machine: Machine, reserved: dict[str, Room]) -> float | None:
+    def room_for(self, job: Job, machine: Machine, reserved: dict[str, Resources]) -> float | None:
         """The score of a machine with free room beside what is reserved for plans; None if it has none."""
         score = self._shared_room(job, machine, reserved)
         return None if score is None else score + self._own_score(job, machine)
 
-    def _shared_room(self, job: Job, machine: Machine, reserved: dict[str, Room]) -> float | None:
+    def _shared_room(self, job: Job, machine: Machine, reserved: dict[str, Resources]) -> float | None:
         """The same for any job alike, without what this one's own tasks and failures make of it."""
         # The bulk of all machines is full: they are passed over at the price of three comparisons.
         free, need = machine.free, job.need
         if not fits(need, free) or not may_use(job, machine):
             return None
-        free = machine.free_beside(reserved)
+        free = machine.free_after_reservations(reserved)
         return self._score(job, machine, free) if fits(need, free) else None
 
-    def free(self, job: Job, view: RoomView) -> Ranking:
+    def free(self, job: Job, view: FreeCapacityView) -> Ranking:
         """Machines with free room for a task of the job or any like it, best first."""
         return self._rankings.ranking(
             view, job, lambda machine: self._shared_room(job, machine, view.reserved)
@@ -189,7 +199,7 @@
         return found
 
     def _least_loss(self, attempt: Attempt) -> tuple[int, float, float]:
-        return -attempt.job.rank, self._loss(attempt), -attempt.sent_at
+        return -attempt.job.priority, self._loss(attempt), -attempt.sent_at
 
     def loss(self, attempt: Attempt) -> float:
         """Seconds of work, or of waiting, that are lost with an attempt."""
@@ -197,7 +207,7 @@
 
     def _candidates(self, job: Job) -> dict[str, list[Attempt]]:
         """What the job may preempt, by machine. Within a pass it only gets less."""
-        claim = (job.spec.team, job.rank, job.guaranteed)
+        claim = (job.spec.team, job.priority, job.guaranteed)
         found = self._preemptible.get(claim)
         if found is None:
             found = {}
@@ -220,7 +230,7 @@
         """
         if owed is not None:
             return self._victims(job, machine, candidates, owed)
-        claim = (job.spec.team, job.rank, job.guaranteed, job.need, machine.name)
+        claim = (job.spec.team, job.priority, job.guaranteed, job.need, machine.name)
         known = self._victims_of.get(claim)
         if known is None or known[0] != machine.version:
             known = (machine.version, self._victims(job, machine, candidates, None))
@@ -235,7 +245,7 @@
             return None
         # A second start beside an earlier one's victims: were their room not counted, it would take as many
         # victims again, and a third one more than that.
-        free = plus(free, self._freed.get(machine.name, NOTHING))
+        free = add_scaled(free, self._freed.get(machine.name, NO_RESOURCES))
         if owed is None and fits(job.need, free):
             return []
         left = [
@@ -245,14 +255,14 @@
         ]
         most = free
         for attempt in left:
-            most = plus(most, attempt.job.need)
+            most = add_scaled(most, attempt.job.need)
         if not fits(job.need, most):
             return None
         left.sort(key=self._least_loss)
         chosen: list[Attempt] = []
         cpus, gpus = owed or (0.0, 0.0)
         for attempt in left:
-            free = plus(free, attempt.job.need)
+            free = add_scaled(free, attempt.job.need)
             cpus -= attempt.job.need[0]
             gpus -= attempt.job.need[1]
             chosen.append(attempt)
@@ -263,7 +273,7 @@
     @staticmethod
     def _may_preempt(job: Job, other: Job) -> bool:
         if other.spec.team == job.spec.team or other.guaranteed == job.guaranteed:
-            return other.rank > job.rank
+            return other.priority > job.priority
         # Between teams the guarantee goes before priority. Were it not so both ways, two jobs could
         # preempt one another for ever: one by its priority, the other by its guarantee.
         return job.guaranteed
--- a/src/poppyhold/scheduling/planner.py
+++ b/src/poppyhold/scheduling/planner.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from poppyhold.model.fleet import Job, Room, how_many, zone_limit
+from poppyhold.model.fleet import Job, Resources, max_copies, zone_limit
 from poppyhold.scheduling.ledger import STANDING, Group, Ledger, Row
 from poppyhold.scheduling.pricing import Pricing, priced, shares_of
 
@@ -116,13 +116,13 @@
                 found.append(Offer(cost, name, row.zone, most))
         return found
 
-    def _room_on(self, row: Row, need: Room, first: int, last: int, tasks: int) -> tuple[int, float]:
+    def _room_on(self, row: Row, need: Resources, first: int, last: int, tasks: int) -> tuple[int, float]:
         """How many tasks fit on a machine in all of the slots, and the price of one."""
         most, cost = tasks, 0.0
         own_slots = [slot for slot in range(first, last + 1) if slot in row.slots] if row.slots else []
         for slot in own_slots:
             free, prices = row.view(slot, self._pricing.rates)
-            most = how_many(need, free, most)
+            most = max_copies(need, free, most)
             if not most:
                 return 0, 0.0
             cost += priced(need, prices)
@@ -130,7 +130,7 @@
         standing = last - first + 1 - len(own_slots)
         if standing:
             free, prices = row.view(STANDING, self._pricing.rates)
-            most = how_many(need, free, most)
+            most = max_copies(need, free, most)
             cost += standing * priced(need, prices)
         return most, cost
 
@@ -157,7 +157,7 @@
             return None
         price = {offer.machine: offer.cost for offer in offers}
         cost = sum(price[name] * number for name, number in chosen.items())
-        value = self._pricing.weights[job.rank] * shares * tasks * horizon
+        value = self._pricing.weights[job.priority] * shares * tasks * horizon
         return Plan(value - cost, {first: chosen})
 
     def _plan_array(
--- a/src/poppyhold/scheduling/pricing.py
+++ b/src/poppyhold/scheduling/pricing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from poppyhold.model.fleet import Job, Room
+from poppyhold.model.fleet import Job, Resources
 from poppyhold.options import Design
 
 
@@ -27,7 +27,7 @@
             return self.high
         return float(self.low * self._ratio ** min(1.0, max(0.0, booked / capacity)))
 
-    def rates(self, booked: Room, capacity: Room) -> Room:
+    def rates(self, booked: Resources, capacity: Resources) -> Resources:
         """Prices of a unit of each resource of a machine in a slot."""
         cpus, gpus, memory = (
             self.price(used, all_) / all_ if all_ > 0 else 0.0
@@ -37,17 +37,17 @@
 
     def value(self, job: Job, shares: float, end_at: float, slot_s: float) -> float:
         """Value of ``shares`` machine shares booked for a job that ends then."""
-        value = self.weights[job.rank] * shares
+        value = self.weights[job.priority] * shares
         if job.due_at is not None and end_at > job.due_at:
             value *= self._late ** ((end_at - job.due_at) / slot_s)
         return value
 
 
-def priced(need: Room, rates: Room) -> float:
+def priced(need: Resources, rates: Resources) -> float:
     """Priced room of one task in one slot, at these prices of a unit of each resource."""
     return need[0] * rates[0] + need[1] * rates[1] + need[2] * rates[2]
 
 
-def shares_of(need: Room, capacity: Room) -> float:
+def shares_of(need: Resources, capacity: Resources) -> float:
     """Machine shares of one task, summed over resources."""
     return sum(want / all_ for want, all_ in zip(need, capacity, strict=True) if want > 0 and all_ > 0)
--- a/src/poppyhold/scheduling/quotas.py
+++ b/src/poppyhold/scheduling/quotas.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from poppyhold.model.fleet import EPSILON, Job, Room
+from poppyhold.model.fleet import EPSILON, Job, Resources
 from poppyhold.settings import Team
 
 
@@ -67,7 +67,7 @@
         quota = self._teams.get(team)
         return quota is not None and quota.has_guarantee
 
-    def ever_fits(self, team: str, need: Room, tasks: int) -> bool:
+    def ever_fits(self, team: str, need: Resources, tasks: int) -> bool:
         """Whether so many tasks stay within the team's limit."""
         quota = self._teams[team]
         return (
@@ -75,7 +75,7 @@
             and need[1] * tasks <= quota.accelerators_limit + EPSILON
         )
 
-    def allows(self, team: str, used: tuple[float, float], need: Room) -> bool:
+    def allows(self, team: str, used: tuple[float, float], need: Resources) -> bool:
         """Whether one more task stays within the team's limit.
 
         A task takes nothing of a resource that it does not need, whatever else may be in use of it: behind a
@@ -97,7 +97,7 @@
             return 0.0, 0.0
         return quota.cpus_limit - used[0], quota.accelerators_limit - used[1]
 
-    def excess(self, team: str, used: tuple[float, float], need: Room) -> tuple[float, float]:
+    def excess(self, team: str, used: tuple[float, float], need: Resources) -> tuple[float, float]:
         """By how much one more task would go beyond the team's limit."""
         quota = self._teams[team]
         return (
@@ -118,7 +118,7 @@
         """
         sums: dict[str, list[float]] = {}
         full: set[str] = set()
-        for job in sorted(jobs, key=lambda job: (job.rank, job.at, job.id)):
+        for job in sorted(jobs, key=lambda job: (job.priority, job.at, job.id)):
             team = job.spec.team
             total = sums.setdefault(team, [0.0, 0.0])
             total[0] += job.need[0] * job.spec.tasks
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from poppyhold.model.context import Times
-from poppyhold.model.fleet import EPSILON, NOTHING, Attempt, Job, Machine, Room, fits, plus
+from poppyhold.model.fleet import EPSILON, NO_RESOURCES, Attempt, Job, Machine, Resources, add_scaled, fits
 from poppyhold.scheduling.placement import Choice, fetch_wait, may_use, zone_allows
 from poppyhold.wire.messages import TaskState
 
@@ -55,9 +55,9 @@
         # When replicas moved within the last lease.
         self._moved_at: deque[float] = deque()
         self._searches_left = 0
-        self._hopeless: set[tuple[str, Room, int]] = set()
+        self._hopeless: set[tuple[str, Resources, int]] = set()
 
-    def begin(self, held: dict[str, Room]) -> None:
+    def begin(self, held: dict[str, Resources]) -> None:
         """A new pass: keep the room of replicas that are still on their way."""
         self._moves = [move for move in self._moves if _on_its_machine(move.attempt)]
         for move in self._moves:
@@ -66,10 +66,10 @@
         self._hopeless.clear()
 
     def make_room(
-        self, job: Job, wait_s: float, machines: list[Machine], reserved: dict[str, Room]
+        self, job: Job, wait_s: float, machines: list[Machine], reserved: dict[str, Resources]
     ) -> Choice | None:
         """A machine with the job's image and the replicas that move away, if that costs less than waiting."""
-        kind = (job.spec.image, job.need, job.rank)
+        kind = (job.spec.image, job.need, job.priority)
         if self._searches_left <= 0 or kind in self._hopeless or self._moves_left(machines) <= 0:
             return None
         self._searches_left -= 1
@@ -82,7 +82,7 @@
             cost = sum(move.cost for move in moves)
             if moves and (best is None or cost < best[0]):
                 best = cost, machine, moves
-        if best is None or best[0] >= wait_s * self._weights[job.rank]:
+        if best is None or best[0] >= wait_s * self._weights[job.priority]:
             self._hopeless.add(kind)
             return None
         _, machine, moves = best
@@ -105,25 +105,27 @@
         return job.spec.image in machine.images and may_use(job, machine) and zone_allows(job, machine.zone)
 
     @staticmethod
-    def _homes(machines: Iterable[Machine], reserved: dict[str, Room]) -> list[Machine]:
+    def _homes(machines: Iterable[Machine], reserved: dict[str, Resources]) -> list[Machine]:
         """Machines with some room left of all that they have."""
         roomy = (
             machine
             for machine in machines
             if all(
                 left > EPSILON
-                for left, all_ in zip(machine.free_beside(reserved), machine.capacity, strict=True)
+                for left, all_ in zip(
+                    machine.free_after_reservations(reserved), machine.capacity, strict=True
+                )
                 if all_ > 0
             )
         )
         return list(itertools.islice(roomy, _MOST_HOMES))
 
     def _moves_from(
-        self, job: Job, machine: Machine, homes: list[Machine], reserved: dict[str, Room]
+        self, job: Job, machine: Machine, homes: list[Machine], reserved: dict[str, Resources]
     ) -> list[Move]:
         """The replicas whose moves make room for one task on a machine; none if that can't be."""
         taken = dict(reserved)
-        free = machine.free_beside(reserved)
+        free = machine.free_after_reservations(reserved)
         options = [
             move
             for attempt in machine.attempts.values()
@@ -138,7 +140,7 @@
                 continue
             chosen.append(move)
             _reserve(taken, move)
-            free = plus(free, move.attempt.job.need)
+            free = add_scaled(free, move.attempt.job.need)
             if fits(job.need, free):
                 return chosen
         return []
@@ -150,7 +152,7 @@
             other.service
             and other is not job
             and not other.over
-            and other.rank >= job.rank
+            and other.priority >= job.priority
             and attempt.status == TaskState.RUNNING
             and attempt.stopping_at is None
             and attempt.running_at is not None
@@ -158,7 +160,7 @@
         )
 
     def _move(
-        self, job: Job, attempt: Attempt, homes: list[Machine], reserved: dict[str, Room]
+        self, job: Job, attempt: Attempt, homes: list[Machine], reserved: dict[str, Resources]
     ) -> Move | None:
         """The best next machine of a replica. One of the same priority only moves to where its image is."""
         other = attempt.job
@@ -168,16 +170,16 @@
                 continue
             if home.zone != attempt.machine.zone and not zone_allows(other, home.zone):
                 continue
-            if not fits(other.need, home.free_beside(reserved)):
+            if not fits(other.need, home.free_after_reservations(reserved)):
                 continue
             wait_s = fetch_wait(home, other)
-            if not self._may_move_to(other, wait_s, other.rank == job.rank):
+            if not self._may_move_to(other, wait_s, other.priority == job.priority):
                 continue
             if best is None or wait_s < best[0]:
                 best = wait_s, home
         if best is None:
             return None
-        return Move(attempt, best[1], (best[0] + self._restart_s) * self._weights[other.rank])
+        return Move(attempt, best[1], (best[0] + self._restart_s) * self._weights[other.priority])
 
     def _may_move_to(self, job: Job, wait_s: float, for_an_equal: bool) -> bool:
         """Whether a replica may wait so long on its next machine: for one of the same priority not at all."""
@@ -189,7 +191,7 @@
     return attempt.machine.attempts.get(attempt.name) is attempt
 
 
-def _reserve(rooms: dict[str, Room], move: Move) -> None:
+def _reserve(rooms: dict[str, Resources], move: Move) -> None:
     """Keep the room for a replica on its next machine."""
     name = move.home.name
-    rooms[name] = plus(rooms.get(name, NOTHING), move.attempt.job.need)
+    rooms[name] = add_scaled(rooms.get(name, NO_RESOURCES), move.attempt.job.need)
--- a/src/poppyhold/scheduling/search.py
+++ b/src/poppyhold/scheduling/search.py
@@ -5,8 +5,8 @@
 import bisect
 from collections.abc import Set
 
-from poppyhold.model.fleet import Job, Machine, Room
-from poppyhold.scheduling.free_room import Place, Ranking, RoomView
+from poppyhold.model.fleet import Job, Machine, Resources
+from poppyhold.scheduling.free_capacity import FreeCapacityView, Place, Ranking
 from poppyhold.scheduling.placement import Choice, Placement, fetch_wait, may_use, zone_allows
 
 
@@ -17,8 +17,8 @@
         self,
         placement: Placement,
         job: Job,
-        view: RoomView,
-        reserved: dict[str, Room],
+        view: FreeCapacityView,
+        reserved: dict[str, Resources],
         booked: Set[str],
         zones: Set[str],
     ) -> None:
--- a/src/poppyhold/wire/messages.py
+++ b/src/poppyhold/wire/messages.py
@@ -15,8 +15,8 @@
 # Machines' names become keys of the state service: one that can't be a key would be tried there for ever.
 _MACHINE_NAME = re.compile(r"[A-Za-z0-9._:-]{1,120}\Z")
 JOB_ID = re.compile(r"job-[0-9]{6,18}\Z", re.ASCII)
-Rank = Literal["critical", "high", "standard", "best_effort"]
-RANKS: tuple[Rank, ...] = ("critical", "high", "standard", "best_effort")
+PriorityName = Literal["critical", "high", "standard", "best_effort"]
+PRIORITIES: tuple[PriorityName, ...] = ("critical", "high", "standard", "best_effort")
 
 T = TypeVar("T")
 
@@ -66,7 +66,7 @@
     job_class: str = msgspec.field(name="lot")
     team: str = msgspec.field(name="crew")
     shape: Literal["array", "service", "group"]
-    priority: Rank = msgspec.field(name="rank")
+    priority: PriorityName = msgspec.field(name="rank")
     tasks: int = msgspec.field(name="chores")
     cpus: float
     accelerators: float
@@ -115,17 +115,17 @@
 class HeartbeatResponse(msgspec.Struct, frozen=True):
     """The answer to a report, which renews the worker's lease."""
 
-    token: int = msgspec.field(name="baton")
+    fencing_token: int = msgspec.field(name="baton")
     commands: list[Command] = msgspec.field(name="orders", default_factory=list)
 
     def body(self) -> dict[str, Any]:
         """As it is sent."""
-        return {"baton": self.token, "orders": msgspec.to_builtins(self.commands)}
+        return {"baton": self.fencing_token, "orders": msgspec.to_builtins(self.commands)}
 
 
-def direct_commands(token: int, session: int, commands: Iterable[Command]) -> dict[str, Any]:
+def direct_commands(fencing_token: int, incarnation: int, commands: Iterable[Command]) -> dict[str, Any]:
     """POST /do."""
-    return {"baton": token, "shift": session, "orders": msgspec.to_builtins(list(commands))}
+    return {"baton": fencing_token, "shift": incarnation, "orders": msgspec.to_builtins(list(commands))}
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
@@ -136,9 +136,9 @@
     machine_type: str = msgspec.field(name="build")
     zone: str = msgspec.field(name="paddock")
     spot: bool = msgspec.field(name="loaners")
-    session: int = msgspec.field(name="shift")
+    incarnation: int = msgspec.field(name="shift")
     sequence: int = msgspec.field(name="tally")
-    token: int = msgspec.field(name="baton")
+    fencing_token: int = msgspec.field(name="baton")
     notice_s: float | None = msgspec.field(name="recallS", default=None)
     tasks: list[TaskStatus] = msgspec.field(name="chores", default_factory=list)
 
@@ -193,7 +193,7 @@
     began_at: float
 
 
-class HireRequest(msgspec.Struct, frozen=True):
+class LaunchRequest(msgspec.Struct, frozen=True):
     """POST /machines."""
 
     request_id: str = msgspec.field(name="hire")
@@ -203,7 +203,7 @@
     number: int
 
 
-class Hired(msgspec.Struct, frozen=True):
+class LaunchResponse(msgspec.Struct, frozen=True):
     """The answer to POST /machines."""
 
     machines: list[str] = msgspec.field(name="boxes")
@@ -279,7 +279,7 @@
 def parse_heartbeat(value: object) -> Heartbeat:
     """Check a worker's report."""
     heartbeat = convert(value, Heartbeat)
-    if heartbeat.session < 1 or heartbeat.sequence < 0 or heartbeat.token < 0:
+    if heartbeat.incarnation < 1 or heartbeat.sequence < 0 or heartbeat.fencing_token < 0:
         raise MalformedError("shift, tally or baton is out of range")
     if not _MACHINE_NAME.match(heartbeat.machine):
         raise MalformedError("box is not a machine's name")
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from cells_world import CellsWorld
-from poppyhold.durable.store import QUOTA, TOKEN, remove
+from poppyhold.durable.store import FENCING_TOKEN, QUOTA, remove
 from poppyhold.options import Options
 from poppyhold.relay.mode import RelayMode
 from poppyhold.scale.jobs import submission
@@ -294,7 +294,7 @@
         self._for_a_while(self.world, "link_s", seconds, float(delay))
 
     def do_lose_hires(self, number: str) -> None:
-        self.world.lose_hires = int(number)
+        self.world.lose_launches = int(number)
 
     def do_outage(self, what: str, word: str, seconds: str) -> None:
         world = self.world
@@ -457,7 +457,7 @@
         self._expect(tries <= int(most), f"tasks of {job_id} started {tries} times")
 
     def _expect_rented(self, most: str) -> None:
-        rented = sum(len(names) for names in self.world.cloud.hires.values())
+        rented = sum(len(names) for names in self.world.cloud.launches.values())
         self._expect(rented <= int(most), f"{rented} machines were rented")
 
     def _expect_held(self, least: str, most: str) -> None:
@@ -486,11 +486,11 @@
         self._expect(share >= float(least), f"{share:.2f} of all reports were relayed")
 
     def _expect_sessions(self, most: str) -> None:
-        lost = [worker.name for worker in self.world.workers.values() if worker.session > 1]
+        lost = [worker.name for worker in self.world.workers.values() if worker.incarnation > 1]
         self._expect(len(lost) <= int(most), f"lost their leases: {', '.join(lost)}")
 
     def _expect_terms(self, most: str) -> None:
-        held = self.world.state.keys[TOKEN][0]["baton"]
+        held = self.world.state.keys[FENCING_TOKEN][0]["baton"]
         self._expect(held <= int(most), f"{held} terms")
 
     def _expect_settled(self) -> None:
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -10,14 +10,14 @@
 
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.connectivity import Connectivity
-from poppyhold.cluster.departures import Departures
-from poppyhold.cluster.lease_proxy import LeaseProxies, LeaseProxy, Trust
+from poppyhold.cluster.lease_delegation import DelegatedRenewal, LeaseDelegation, LeaseDelegations
+from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.durable.committer import Writer
 from poppyhold.durable.snapshot import SnapshotReader
 from poppyhold.durable.store import (
     ACTIVE,
+    FENCING_TOKEN,
     LEAD,
-    TOKEN,
     Changes,
     ConflictError,
     Entry,
@@ -28,7 +28,7 @@
     UncertainError,
     put,
 )
-from poppyhold.model.context import OK, REFUSED, UNSENT, UNSURE, CommitRank, StrayWorker, Times
+from poppyhold.model.context import OK, REFUSED, UNSENT, UNSURE, CommitPriority, MisdirectedWorker, Times
 from poppyhold.node.controller import Controller
 from poppyhold.node.leader_term import DIRECT_SHARE
 from poppyhold.node.users import Users
@@ -117,15 +117,15 @@
 
     def __init__(self, node: SimNode, baton: int, stamp: int, permit: int) -> None:
         self.node, self.world = node, node.world
-        self.token, self.version, self.lease_id = baton, stamp, permit
+        self.fencing_token, self.version, self.lease_id = baton, stamp, permit
         self.alive = True
         self.confirmed = self.world.now
-        self.proxies = LeaseProxies(node.times, 0.0)
+        self.delegations = LeaseDelegations(node.times, 0.0)
         world = self.world
-        self.authority = Authority(node.times.blind_answers_s, world.members, world.now)
+        self.authority = Authority(node.times.unconfirmed_renewal_s, world.members, world.now)
         self._writer = Writer(node.store, stamp)
         self._units: deque[tuple[dict[str, int], list[Data], Callable[[bool], None]]] = deque()
-        self._ranks: deque[CommitRank] = deque()
+        self._priorities: deque[CommitPriority] = deque()
         # Writes of the last transfer that was about to be carried out.
         self._planned: list[Data] | None = None
         # When each other cell is asked next.
@@ -187,7 +187,7 @@
             if is_transfer:
                 self.world.on_transfer_step(self.node, "written")
         self._units.popleft()
-        self._ranks.popleft()
+        self._priorities.popleft()
         self._later(0.002, lambda: done(result))
         if self._units:
             self._later(0.003, self._carry_out)
@@ -225,7 +225,7 @@
         conditions: dict[str, int],
         writes: list[Data],
         done: Callable[[bool], None],
-        rank: CommitRank = CommitRank.BACKGROUND,
+        priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
         self.world.work["commits"] += 1
         unit = (conditions, writes, done)
@@ -233,10 +233,10 @@
             self._later(0.003, self._carry_out)
         # Behind the one that is being tried, and those of its own rank.
         place = len(self._units)
-        while place > 1 and self._ranks[place - 1] > rank:
+        while place > 1 and self._priorities[place - 1] > priority:
             place -= 1
         self._units.insert(place, unit)
-        self._ranks.insert(place, rank)
+        self._priorities.insert(place, priority)
 
     def do(
         self,
@@ -285,14 +285,14 @@
 
         world.after(0.001 + world.link_s, deliver)
 
-    def hire(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
+    def launch(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
         def send() -> None:
             if self.world.cut == self.node.zone:
                 done(UNSURE, [])
                 return
-            status, answer = self.world.cloud.hire(body)
-            if self.world.lose_hires > 0 and status == 200:
-                self.world.lose_hires -= 1
+            status, answer = self.world.cloud.launch(body)
+            if self.world.lose_launches > 0 and status == 200:
+                self.world.lose_launches -= 1
                 done(UNSURE, [])
             elif status == 200:
                 done(OK, answer["boxes"])
@@ -318,7 +318,7 @@
         self.node.step_down()
 
     def raised(self, baton: int) -> None:
-        self.token = baton
+        self.fencing_token = baton
 
     def resign(self, why: str) -> None:
         self.node.resting_until = self.world.now + self.world.settings.settings.workers.lease_s
@@ -329,10 +329,10 @@
     def over(self, job_id: str, status: str, chores: int) -> None:
         self.node.users.finals.put(job_id, (status, chores))
 
-    def stray_workers(self) -> list[list[StrayWorker]]:
+    def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
         since = self.world.now - self.world.settings.settings.workers.lease_s / 2
         return [
-            [worker for at, worker in node.stray_workers.values() if at > since]
+            [worker for at, worker in node.misdirected_workers.values() if at > since]
             for node in self.world.nodes
             if node is not self.node
             and node.alive
@@ -354,16 +354,16 @@
     def confirmed_at(self) -> float:
         return self.confirmed if self.alive else float("-inf")
 
-    def proxies_until(self) -> float:
-        return self.proxies.until(self.world.now)
+    def delegated_leases_until(self) -> float:
+        return self.delegations.until(self.world.now)
 
-    def trust(self) -> Trust | None:
+    def delegation(self) -> LeaseDelegation | None:
         """What the other nodes may count on."""
         shunned = self.controller.excluded_machines()
         return (
             None
             if shunned is None
-            else Trust(self.token, min(self.confirmed, self.authority.synced_at), shunned)
+            else LeaseDelegation(self.fencing_token, min(self.confirmed, self.authority.synced_at), shunned)
         )
 
 
@@ -399,11 +399,13 @@
         self.leader_term = None
         # First revision that this process saw.
         self.first_revision = -1
-        self.stray_workers: dict[str, tuple[float, StrayWorker]] = {}
-        self.lease_proxy = LeaseProxy(self.times, 0.0, lambda: self.world.now, lambda: self.world.now)
-        self._departures = Departures(self.settings.settings.workers.lease_s, 1000)
+        self.misdirected_workers: dict[str, tuple[float, MisdirectedWorker]] = {}
+        self.delegated_renewal = DelegatedRenewal(
+            self.times, 0.0, lambda: self.world.now, lambda: self.world.now
+        )
+        self._redirect_backoff = RedirectBackoff(self.settings.settings.workers.lease_s, 1000)
         self._leader_since = self.world.now
-        self._leader_token = 0
+        self._leader_fencing_token = 0
         self.connectivity = Connectivity(self.member, self.times.heartbeat_interval_s, lambda: self.world.now)
         builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
         # Each question is a shared read by itself: the view is what users are answered from.
@@ -444,7 +446,7 @@
         if leader_term is None:
             held = self.world.state.keys.get(LEAD)
             named = self.world.leader()
-            proxied = self.lease_proxy.may_answer(
+            proxied = self.delegated_renewal.may_answer(
                 parse_heartbeat(body),
                 self.store.contact_at,
                 held[0]["baton"] if held is not None and self.has_state() else 0,
@@ -452,8 +454,8 @@
             )
             if proxied is not None:
                 return 200, {"baton": proxied, "orders": []}
-            worker = StrayWorker(body["box"], body["shift"], body["tally"])
-            self.stray_workers[worker.machine] = self.world.now, worker
+            worker = MisdirectedWorker(body["box"], body["shift"], body["tally"])
+            self.misdirected_workers[worker.machine] = self.world.now, worker
             leader = self.world.leader()
             return 421, {"foreman": leader.member} if leader is not None else {}
         if not leader_term.authority.may_answer(self.world.now, leader_term.confirmed):
@@ -482,37 +484,39 @@
             return
         status, answer = self.handle_heartbeat(body)
         if wait_s and status == 421:
-            self._await_next_leader(body, respond, self.lowest_token(), self.world.now + wait_s)
+            self._await_next_leader(body, respond, self.lowest_fencing_token(), self.world.now + wait_s)
         else:
             respond(status, answer)
 
     def _note_leader(self) -> int:
         """The leader's token, as it is known from now on."""
-        token = self.lowest_token()
-        if token != self._leader_token:
-            self._leader_token, self._leader_since = token, self.world.now
-        return token
+        fencing_token = self.lowest_fencing_token()
+        if fencing_token != self._leader_fencing_token:
+            self._leader_fencing_token, self._leader_since = fencing_token, self.world.now
+        return fencing_token
 
     def departure_wait_s(self, body: Data) -> float:
         """How long a worker waits here that has left a leader which still leads."""
         leader = self.world.leader()
         if self.relays_heartbeats() or leader in (None, self) or not self.has_state():
             return 0.0
-        token = self._note_leader()
+        fencing_token = self._note_leader()
         now = self.world.now
-        return self._departures.wait_s(parse_heartbeat(body), token, now - self._leader_since, now)
+        return self._redirect_backoff.wait_s(
+            parse_heartbeat(body), fencing_token, now - self._leader_since, now
+        )
 
     def _await_next_leader(
-        self, body: Data, respond: Callable[[int, Data], None], token: int, until: float
+        self, body: Data, respond: Callable[[int, Data], None], fencing_token: int, until: float
     ) -> None:
         if not self.alive:
             return
-        if self.frozen or (self.lowest_token() in (0, token) and self.world.now < until):
-            self.world.after(STEP_S, lambda: self._await_next_leader(body, respond, token, until))
+        if self.frozen or (self.lowest_fencing_token() in (0, fencing_token) and self.world.now < until):
+            self.world.after(STEP_S, lambda: self._await_next_leader(body, respond, fencing_token, until))
         else:
             respond(*self.handle_heartbeat(body))
 
-    def lowest_token(self) -> int:
+    def lowest_fencing_token(self) -> int:
         """The highest token that this node knows of."""
         held = self.world.state.keys.get(LEAD)
         return int(held[0]["baton"]) if held is not None and self.has_state() else 0
@@ -541,7 +545,7 @@
         self._ask_peers()
         leader_term = self.leader_term
         if leader_term is not None:
-            better = self.connectivity.better_placed(self.times.proxy_after_s)
+            better = self.connectivity.better_placed(self.times.delegated_renewal_after_s)
             if better is not None and self.has_state():
                 leader_term.resign(f"{better} reaches more controllers")
                 return
@@ -579,12 +583,14 @@
         if self.connectivity.better_placed() is not None:
             return
         permit = world.state.lease(2500)[1]["permit"]
-        held = self.store.get(TOKEN)
+        held = self.store.get(FENCING_TOKEN)
         baton = (held.data["baton"] if held else 0) + 1
         claim = {"member": self.member, "baton": baton, "permit": permit}
-        conditions = {LEAD: 0, TOKEN: held.version if held else 0}
+        conditions = {LEAD: 0, FENCING_TOKEN: held.version if held else 0}
         try:
-            stamp = self.store.commit(conditions, [put(LEAD, claim, permit), put(TOKEN, {"baton": baton})])
+            stamp = self.store.commit(
+                conditions, [put(LEAD, claim, permit), put(FENCING_TOKEN, {"baton": baton})]
+            )
         except UncertainError:
             lead = self.store.get(LEAD)
             if lead is None or lead.data["permit"] != permit:
@@ -616,10 +622,10 @@
             return
         self.tell(leader_term)
         for other in self._reached():
-            leader_term.proxies.telling(other.member, world.now)
-            other.lease_proxy.heard(leader_term.token, leader_term.trust())
-            leader_term.proxies.answered(other.member, world.now)
-            if other.leader_term is not None and other.leader_term.token > leader_term.token:
+            leader_term.delegations.telling(other.member, world.now)
+            other.delegated_renewal.heard(leader_term.fencing_token, leader_term.delegation())
+            leader_term.delegations.answered(other.member, world.now)
+            if other.leader_term is not None and other.leader_term.fencing_token > leader_term.fencing_token:
                 self.step_down()
                 return
             other.tell(leader_term)
--- a/tests/sim_relay.py
+++ b/tests/sim_relay.py
@@ -52,7 +52,7 @@
             if answer is None:
                 respond(*self._unanswered(body))
             elif answer.outcome is Outcome.ANSWERED:
-                respond(200, HeartbeatResponse(answer.token, answer.commands).body())
+                respond(200, HeartbeatResponse(answer.fencing_token, answer.commands).body())
             elif answer.outcome is Outcome.MOVED:
                 respond(421, {"foreman": answer.controller})
             else:
@@ -187,7 +187,7 @@
         if self._sent_at is not None:
             self._round_trip_s = now - self._sent_at
         self._sent_at = None
-        self._give(self._queue.take_answers(answers, now, self._node.lowest_token()))
+        self._give(self._queue.take_answers(answers, now, self._node.lowest_fencing_token()))
 
     @staticmethod
     def _give(responses: list[Response]) -> None:
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -7,7 +7,7 @@
 from guards import Guard, found_without
 from poppyhold.durable.committer import Writer
 from poppyhold.durable.store import LEAD, Data
-from poppyhold.model.fleet import NOTHING, Fleet, Room
+from poppyhold.model.fleet import NO_RESOURCES, Fleet, Resources
 from poppyhold.quota.amounts import ResourceAmount, ResourceShare
 from poppyhold.quota.cell_quota import CellQuota
 from poppyhold.quota.demand import DemandMonitor, RecentPeak, ResourceDemand
@@ -43,8 +43,8 @@
     return 0
 
 
-def _no_unknown_use(self: Fleet, unheard: object) -> Room:
-    return NOTHING
+def _no_unknown_use(self: Fleet, unreconciled: object) -> Resources:
+    return NO_RESOURCES
 
 
 def _never(*_: object) -> bool:
@@ -55,7 +55,7 @@
     return True
 
 
-def _unheard(self: ShareBook, peer: str, incarnation: str, applied: int) -> None:
+def _unreconciled(self: ShareBook, peer: str, incarnation: str, applied: int) -> None:
     """What another cell has applied is not taken note of."""
 
 
@@ -100,8 +100,8 @@
     Guard("leader_frozen_in_transfer", Writer, "commit", _without_lead),
     Guard("two_leaders", ShareBook, "transfer_to", told_at_once),
     Guard("state_outage_in_transfer", ShareBook, "_join", join_at_once),
-    Guard("cut_in_one_direction", ShareBook, "acknowledged", _unheard),
-    Guard("share_moves", ShareBook, "acknowledged", _unheard),
+    Guard("cut_in_one_direction", ShareBook, "acknowledged", _unreconciled),
+    Guard("share_moves", ShareBook, "acknowledged", _unreconciled),
     Guard("gang_at_the_edge", Dispatcher, "_gang_within_limit", _always),
     Guard("steady_and_alternating", RecentPeak, "note", _nothing_of_late),
     Guard("steady_and_alternating", HoldTimes, "seconds", _shortest_hold),
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -8,7 +8,7 @@
 from poppyhold.model.fleet import Job
 from poppyhold.scale.jobs import submission
 from poppyhold.wire.messages import ExitCause, TaskState
-from test_attempts import leading_world
+from test_reconciliation import leading_world
 from world import World
 
 
