--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -101,11 +101,11 @@
     def save(self) -> None:
         """Make completions durable that are not yet."""
         for job in self._ctx.fleet.jobs.values():
-            if job.unsaved and not (job.saving or job.finishing or job.over):
+            if job.undurable_completions and not (job.saving or job.finalizing or job.finalized):
                 self._save(job)
 
     def _save(self, job: Job) -> None:
-        indices = set(job.unsaved)
+        indices = set(job.undurable_completions)
         records = self._layout.records(job, indices)
         job.saving = True
         job.done_records |= records.keys()
@@ -124,7 +124,7 @@
             if len(outcomes) == batches:
                 job.saving = False
                 if all(outcomes):
-                    job.unsaved -= indices
+                    job.undurable_completions -= indices
 
         return durable
 
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -7,10 +7,11 @@
 from poppyhold.durable.store import FENCING_TOKEN, put
 from poppyhold.model.context import CommitPriority, Context
 from poppyhold.model.fleet import Attempt, Machine
+from poppyhold.model.outcome import RequestOutcome
 from poppyhold.wire.messages import Command, CommandKind, Heartbeat, direct_commands
 
 # A machine, the attempts whose starts were sent, the outcome, and the report that came with the answer.
-OnAnswered = Callable[[Machine, list[Attempt], str, Heartbeat | None], None]
+OnAnswered = Callable[[Machine, list[Attempt], RequestOutcome, Heartbeat | None], None]
 
 
 class DirectCommands:
@@ -22,23 +23,23 @@
         self._raising = False
         self._began_at = ctx.clock()
         # How many silent workers may be asked now, and as of when.
-        self._credit, self._credit_at = ctx.quiet_pace, self._began_at
+        self._credit, self._credit_at = ctx.silent_probe_rate, self._began_at
         # Machines with commands to be sent. A walk over all machines behind every report took a tenth of the
         # decision thread's time at 650 of them.
         self._outbox: dict[str, Machine] = {}
 
     def say(self, machine: Machine, *commands: Command) -> None:
         """Queue commands for a worker."""
-        machine.direct += commands
+        machine.queued_commands += commands
         self._outbox[machine.name] = machine
 
     def flush(self) -> None:
         """Send what is to be said to workers directly."""
         for machine in list(self._outbox.values()):
-            if machine.do_busy:
+            if machine.command_in_flight:
                 continue
-            commands, machine.direct = machine.direct[:200], machine.direct[200:]
-            if not machine.direct:
+            commands, machine.queued_commands = machine.queued_commands[:200], machine.queued_commands[200:]
+            if not machine.queued_commands:
                 del self._outbox[machine.name]
             self._do(machine, commands)
 
@@ -50,8 +51,8 @@
         """
         ctx = self._ctx
         if (
-            len(ctx.fleet.machines) <= ctx.most_hastened
-            or now - self._began_at > 1.5 * ctx.times.heartbeat_interval_s
+            len(ctx.fleet.machines) <= ctx.max_initial_probes
+            or now - self._began_at > 1.5 * ctx.durations.heartbeat_interval_s
         ):
             self.probe(machine, now)
 
@@ -61,20 +62,25 @@
         Each question is a connection and a thread of its own. Where a leader fell behind, a thousand workers
         looked silent to it, and asking each of them anew in every interval kept it from their reports.
         """
-        pace = self._ctx.quiet_pace
+        pace = self._ctx.silent_probe_rate
         self._credit = min(
-            pace, self._credit + (now - self._credit_at) * pace / self._ctx.times.heartbeat_interval_s
+            pace, self._credit + (now - self._credit_at) * pace / self._ctx.durations.heartbeat_interval_s
         )
         self._credit_at = now
-        if self._credit >= 1 and now >= machine.probe_at and not machine.do_busy:
+        if self._credit >= 1 and now >= machine.next_probe_at and not machine.command_in_flight:
             self._credit -= 1
             self.hasten(machine, now)
 
     def probe(self, machine: Machine, now: float) -> None:
         """Ask a worker for a report, and hand it our token."""
-        if machine.do_busy or now < machine.probe_at or not machine.endpoint or machine.deleting:
+        if (
+            machine.command_in_flight
+            or now < machine.next_probe_at
+            or not machine.endpoint
+            or machine.deleting
+        ):
             return
-        machine.probe_at = now + self._ctx.times.heartbeat_interval_s
+        machine.next_probe_at = now + self._ctx.durations.heartbeat_interval_s
         self._do(machine, [])
 
     def _do(self, machine: Machine, commands: list[Command]) -> None:
@@ -86,17 +92,19 @@
             for command in commands
             if command.kind is not CommandKind.START or self._wanted(machine, command)
         ]
-        machine.do_busy = True
+        machine.command_in_flight = True
         starts = [command.task for command in commands if command.kind is CommandKind.START]
         batch = [machine.attempts[name] for name in starts if name in machine.attempts]
         # An unheard worker's session is unknown: a command for none is not executed, but answered.
         body = direct_commands(ctx.fencing_token, machine.incarnation or 1, commands)
-        silent = ctx.clock() - machine.last_heartbeat_at > ctx.times.silent_s
+        silent = ctx.clock() - machine.last_heartbeat_at > ctx.durations.silent_s
 
-        def answered(outcome: str, heartbeat: Heartbeat | None) -> None:
+        def answered(outcome: RequestOutcome, heartbeat: Heartbeat | None) -> None:
             self._on_answered(machine, batch, outcome, heartbeat)
 
-        ctx.outbound.do(machine.name, machine.endpoint, body, answered, silent and bool(machine.heard))
+        ctx.outbound.send_commands(
+            machine.name, machine.endpoint, body, answered, silent and bool(machine.reconciled)
+        )
 
     def _wanted(self, machine: Machine, command: Command) -> bool:
         attempt = machine.attempts.get(command.task)
@@ -118,7 +126,7 @@
             return
         wanted = max(
             (
-                attempt.fence or 0
+                attempt.void_at_fencing_token or 0
                 for machine in ctx.fleet.machines.values()
                 for attempt in machine.attempts.values()
             ),
@@ -133,7 +141,7 @@
             self._raising = False
             if done:
                 ctx.fencing_token = fencing_token
-                ctx.outbound.raised(fencing_token)
+                ctx.outbound.fencing_token_raised(fencing_token)
 
         ctx.outbound.commit(
             {}, [put(FENCING_TOKEN, {"baton": fencing_token})], raised, CommitPriority.SOONEST
--- a/src/poppyhold/execution/failures.py
+++ b/src/poppyhold/execution/failures.py
@@ -40,7 +40,7 @@
         """A task ended with an error."""
         job, machine = attempt.job, attempt.machine
         machine.errors[job.id] = TaskError(job, now)
-        job.failed_on.add(machine.name)
+        job.failed_machines.add(machine.name)
         record = job.failures
         if attempt.running_at is not None:
             record.lasted_s = max(record.lasted_s, now - attempt.running_at)
@@ -71,7 +71,7 @@
     def completed(self, attempt: Attempt) -> None:
         """A task completed: its job is sound, and its machine if the task began behind the last error."""
         errors = attempt.machine.errors
-        if errors and attempt.sent_at > max(error.at for error in errors.values()):
+        if errors and attempt.sent_at > max(error.occurred_at for error in errors.values()):
             errors.clear()
         if attempt.job.id in self._suspected:
             self._is_sound(attempt.job)
@@ -80,7 +80,7 @@
         """Look for jobs whose tasks run on where others failed."""
         now = self._clock()
         for job in list(self._suspected.values()):
-            if job.over:
+            if job.finalized:
                 del self._suspected[job.id]
             elif any(self._outlasts(attempt, now) for attempt in job.active.values()):
                 self._is_sound(job)
@@ -112,10 +112,12 @@
         settled_at = self._clock() - self._times.cancel_s
         for error in machine.errors.values():
             sound += error.job_is_sound
-            unproven += error.may_be_the_machine and error.at < settled_at
+            unproven += error.may_be_the_machine and error.occurred_at < settled_at
         return sound >= _FEWEST_JOBS or sound + unproven >= _FEWEST_UNPROVEN_JOBS
 
     def suspects(self, machine: Machine) -> bool:
         """Whether a machine had better be used last, until it is clear who is at fault."""
         recent = self._clock() - self._times.cancel_s
-        return any(error.may_be_the_machine and error.at > recent for error in machine.errors.values())
+        return any(
+            error.may_be_the_machine and error.occurred_at > recent for error in machine.errors.values()
+        )
--- a/src/poppyhold/execution/gangs.py
+++ b/src/poppyhold/execution/gangs.py
@@ -72,7 +72,7 @@
         """The attempt number for a task that is about to start."""
         gang = self._gangs.get(job.id)
         if gang is None:
-            gang = self._gangs[job.id] = Gang(job, self._ctx.number())
+            gang = self._gangs[job.id] = Gang(job, self._ctx.next_unique_number())
             log.debug("%s: attempt %d of %d tasks", job.id, gang.number, job.spec.tasks)
         return gang.number
 
@@ -156,7 +156,7 @@
         """Machines whose tasks kept the others waiting count as failed for this gang."""
         for attempt in gang.job.active.values():
             if attempt.status in BEFORE_IMAGE:
-                gang.job.failed_on.add(attempt.machine.name)
+                gang.job.failed_machines.add(attempt.machine.name)
 
     def _grace_s(self, job: Job) -> float:
         """Time for a task to save and to wait for the others, which may be told a moment later."""
--- a/src/poppyhold/execution/heartbeat_commands.py
+++ b/src/poppyhold/execution/heartbeat_commands.py
@@ -33,8 +33,12 @@
         for attempt in machine.attempts.values():
             if attempt.stopping_at is not None:
                 commands.append(stop_command(attempt, now))
-            elif attempt.status == TaskState.SENT and attempt.via == "reply" and attempt.reply_sequence < 0:
-                attempt.reply_sequence = heartbeat.sequence
+            elif (
+                attempt.status == TaskState.SENT
+                and attempt.start_channel == "reply"
+                and attempt.response_sequence < 0
+            ):
+                attempt.response_sequence = heartbeat.sequence
                 commands.append(Command(CommandKind.START, attempt.name, attempt.number))
         return commands
 
@@ -52,7 +56,7 @@
         ]
         for task in heartbeat.tasks:
             job = self._ctx.fleet.jobs.get(split_task(task.task)[0])
-            if task.status != TaskState.EXITED and (job is None or job.over):
+            if task.status != TaskState.EXITED and (job is None or job.finalized):
                 commands.append(Command(CommandKind.STOP, task.task, task.attempt, 0.0))
         return commands
 
@@ -60,4 +64,4 @@
         """A completion must be durable first: its worker is the only one that knows of it."""
         job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
-        return job is None or job.over or index not in job.unsaved
+        return job is None or job.finalized or index not in job.undurable_completions
--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -13,8 +13,9 @@
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.gangs import Gangs
 from poppyhold.execution.heartbeat_commands import HeartbeatCommands, stop_command
-from poppyhold.model.context import REFUSED, UNSENT, UNSURE, CommitPriority, Context
+from poppyhold.model.context import CommitPriority, Context
 from poppyhold.model.fleet import DONE, Attempt, Job, Machine
+from poppyhold.model.outcome import RequestOutcome
 from poppyhold.wire.messages import (
     HAS_IMAGE,
     Command,
@@ -59,7 +60,7 @@
         ctx = self._ctx
         now = ctx.clock()
         if heartbeat.fencing_token > ctx.fencing_token:
-            ctx.outbound.deposed(heartbeat.fencing_token)
+            ctx.outbound.leadership_lost(heartbeat.fencing_token)
             return None
         machine = ctx.fleet.machines.get(heartbeat.machine)
         if machine is None:
@@ -70,11 +71,11 @@
         if heartbeat.fencing_token < ctx.term_fencing_token and self._ignores_answers(machine, now):
             self.commands.hasten(machine, now)
             return None
-        machine.last_answer = now
-        if not machine.up:
-            machine.up = True
+        machine.last_response_at = now
+        if not machine.is_up:
+            machine.is_up = True
             machine.up_at = now
-            ctx.dirty = True
+            ctx.scheduling_needed = True
         self._record(machine)
         # A report from before the worker saw our token may be a copy of any age, and so may one
         # whose sequence number is not above the last: it gets an answer, but proves nothing.
@@ -106,29 +107,29 @@
             machine.first_heartbeat_at = now
         # A worker waits four seconds for an answer that is lost, and a second to the next try.
         return now - machine.first_heartbeat_at > max(
-            self._ctx.times.lease_s / 2, 4 * self._ctx.times.heartbeat_interval_s
+            self._ctx.durations.lease_s / 2, 4 * self._ctx.durations.heartbeat_interval_s
         )
 
     def _add_unknown_machine(self, heartbeat: Heartbeat, now: float) -> Machine | None:
         """A machine that we did not know: a late hire, or one that was there before us."""
         ctx = self._ctx
         machine_type = ctx.machine_types.get(heartbeat.machine_type)
-        if machine_type is None or heartbeat.machine in ctx.dead:
+        if machine_type is None or heartbeat.machine in ctx.deleted_at:
             return None
-        machine = Machine(heartbeat.machine, machine_type, heartbeat.zone, heartbeat.spot, since=now)
+        machine = Machine(heartbeat.machine, machine_type, heartbeat.zone, heartbeat.spot, known_since=now)
         machine.images.update(ctx.image_hints.get(heartbeat.machine, ()))
         ctx.fleet.machines[heartbeat.machine] = machine
         return machine
 
     def _record(self, machine: Machine) -> None:
-        if machine.recorded or machine.record_asked or machine.deleting:
+        if machine.is_recorded or machine.record_requested or machine.deleting:
             return
-        machine.record_asked = True
+        machine.record_requested = True
 
         def durable(done: bool) -> None:
-            machine.recorded = done
-            machine.record_asked = done
-            self._ctx.dirty = True
+            machine.is_recorded = done
+            machine.record_requested = done
+            self._ctx.scheduling_needed = True
 
         record = MachineRecord(machine.endpoint, machine.machine_type, machine.zone, machine.spot)
         write = put(MACHINE + machine.name, msgspec.to_builtins(record))
@@ -143,13 +144,13 @@
         machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
         machine.last_heartbeat_at = now
         machine.unknown_tasks = set()
-        if not machine.heard:
-            machine.heard = True
-            ctx.dirty = True
-        if heartbeat.notice_s is not None and machine.taken_back_at is None:
-            machine.taken_back_at = now + heartbeat.notice_s
+        if not machine.reconciled:
+            machine.reconciled = True
+            ctx.scheduling_needed = True
+        if heartbeat.notice_s is not None and machine.preempted_at is None:
+            machine.preempted_at = now + heartbeat.notice_s
             machine.notice_at = now
-            ctx.dirty = True
+            ctx.scheduling_needed = True
         present: set[str] = set()
         for task in heartbeat.tasks:
             if task.status == TaskState.EXITED:
@@ -164,8 +165,8 @@
 
     def _begin_incarnation(self, machine: Machine, incarnation: int, now: float) -> None:
         """A later session began with nothing: whatever an earlier one held is over."""
-        times = self._ctx.times
-        if machine.heard and now - machine.last_heartbeat_at < times.lease_s / 2:
+        times = self._ctx.durations
+        if machine.reconciled and now - machine.last_heartbeat_at < times.lease_s / 2:
             # We answered all the while: our answers do not reach it, and it had better not be relied on.
             machine.unreliable_until = now + times.cancel_s
         for attempt in list(machine.attempts.values()):
@@ -180,30 +181,30 @@
 
     def _leave_alone(self, attempt: Attempt, now: float) -> None:
         """Start nothing on a machine for a while that did not take a start."""
-        times = self._ctx.times
-        if attempt.via == "reply":
+        times = self._ctx.durations
+        if attempt.start_channel == "reply":
             # Its answers do not come through.
-            attempt.machine.refused_until = now + times.lease_s / 2
-        elif attempt.fence is None:
+            attempt.machine.unschedulable_until = now + times.lease_s / 2
+        elif attempt.void_at_fencing_token is None:
             # It had the command. Most likely it holds an earlier attempt that has ended, which is removed
             # with the answer to its next report. Where the start was repeated at once, again and again, a
             # report was never its newest message.
-            attempt.machine.refused_until = now + 2 * times.heartbeat_interval_s
+            attempt.machine.unschedulable_until = now + 2 * times.heartbeat_interval_s
 
     @staticmethod
     def _absence_proves(attempt: Attempt, heartbeat: Heartbeat, answered: bool) -> bool:
         """Whether a newer report without the attempt shows that it is not there and won't be."""
         if attempt.status != TaskState.SENT:
             return True
-        if attempt.in_flight:
+        if attempt.start_in_flight:
             return False
-        if attempt.fence is not None:
+        if attempt.void_at_fencing_token is not None:
             # The start may be held back in the network: it is void once the worker has a higher token.
-            return heartbeat.fencing_token >= attempt.fence
-        if attempt.via == "reply":
+            return heartbeat.fencing_token >= attempt.void_at_fencing_token
+        if attempt.start_channel == "reply":
             # The next report is sent only when the answer has come or was given up. What was not handed out
             # yet goes with the answer to this one: it was taken for lost, and its machine got no work.
-            return answered and 0 <= attempt.reply_sequence < heartbeat.sequence
+            return answered and 0 <= attempt.response_sequence < heartbeat.sequence
         return True
 
     def _present(self, machine: Machine, task: TaskStatus, now: float) -> None:
@@ -224,7 +225,7 @@
         self._follow(attempt, status, now)
         if status == TaskState.RUNNING:
             log.debug("%s runs, %.1f s behind its start", attempt.name, now - attempt.sent_at)
-        if attempt.job.gang:
+        if attempt.job.is_gang:
             self.gangs.reported(attempt, now)
 
     @staticmethod
@@ -242,13 +243,13 @@
         job, index = attempt.job, attempt.index
         completed = job.states[index] == DONE
         self._follow(attempt, status, now)
-        self._ctx.fleet.add(attempt)
+        self._ctx.fleet.add_attempt(attempt)
         if completed:
             job.states[index] = DONE
-        if completed or job.over:
+        if completed or job.finalized:
             # It runs, so it counts; but nobody has a use for it any more.
             attempt.stopping_at = now
-        elif job.gang:
+        elif job.is_gang:
             self.gangs.adopt(attempt, now)
 
     def _ended(self, machine: Machine, task: TaskStatus, now: float) -> None:
@@ -266,14 +267,14 @@
                     self._on_ran(attempt, now)
             news = job.complete(index)
             if news:
-                job.unsaved.update(range(job.spec.tasks) if job.gang else (index,))
+                job.undurable_completions.update(range(job.spec.tasks) if job.is_gang else (index,))
             if ours and attempt is not None:
                 self._over(attempt)
             if news:
                 self._on_done(job, index)
         elif ours and attempt is not None:
             self._failed(attempt, task, now)
-            if job.gang:
+            if job.is_gang:
                 self.gangs.exited(attempt, task.cause, now)
             self._over(attempt)
 
@@ -283,38 +284,38 @@
         if task.cause == ExitCause.ERROR:
             self.failures.failed(attempt, now)
         elif task.cause in (ExitCause.NO_ROOM, ExitCause.BUSY):
-            machine.refused_until = now + 2 * self._ctx.times.heartbeat_interval_s
+            machine.unschedulable_until = now + 2 * self._ctx.durations.heartbeat_interval_s
         elif task.cause == ExitCause.UNKNOWN_TASK:
-            job.retry_at = now + self._ctx.times.heartbeat_interval_s
+            job.retry_at = now + self._ctx.durations.heartbeat_interval_s
 
     def _over(self, attempt: Attempt) -> None:
         log.debug("over: %s on %s, was %s", attempt.name, attempt.machine.name, attempt.status)
         self._on_over(attempt)
-        self._ctx.fleet.remove(attempt)
-        if attempt.job.gang:
+        self._ctx.fleet.remove_attempt(attempt)
+        if attempt.job.is_gang:
             self.gangs.gone(attempt, self._ctx.clock())
-        self._ctx.dirty = True
+        self._ctx.scheduling_needed = True
 
     # -- commands ----------------------------------------------------------------------------------
 
     def start(self, job: Job, index: int, machine: Machine, victims: list[Attempt]) -> Attempt:
         """Start a task, after stopping the victims on the same machine."""
         now = self._ctx.clock()
-        number = self.gangs.number_for(job) if job.gang else self._ctx.number()
+        number = self.gangs.number_for(job) if job.is_gang else self._ctx.next_unique_number()
         attempt = Attempt(job, index, number, machine, machine.incarnation, now)
         for victim in victims:
             self.stop(victim, 0.0, now, direct=False)
         if now < machine.unreliable_until:
-            attempt.via = "reply"
+            attempt.start_channel = "reply"
         else:
-            attempt.via = "do"
-            attempt.in_flight = True
+            attempt.start_channel = "do"
+            attempt.start_in_flight = True
             self.commands.say(
                 machine,
                 *(stop_command(victim, now) for victim in victims),
                 Command(CommandKind.START, attempt.name, attempt.number),
             )
-        self._ctx.fleet.add(attempt)
+        self._ctx.fleet.add_attempt(attempt)
         log.debug(
             "start %s of %s on %s as %d, stopping %d; %s, %.1f GB, %s",
             attempt.name,
@@ -335,7 +336,11 @@
             attempt.grace_s = grace_s
         else:
             attempt.grace_s = min(attempt.grace_s, grace_s)
-        if attempt.status == TaskState.SENT and attempt.via == "reply" and attempt.reply_sequence < 0:
+        if (
+            attempt.status == TaskState.SENT
+            and attempt.start_channel == "reply"
+            and attempt.response_sequence < 0
+        ):
             # Its start was never handed out.
             self._over(attempt)
             return
@@ -343,21 +348,21 @@
             self.commands.say(attempt.machine, stop_command(attempt, now))
 
     def _answered(
-        self, machine: Machine, batch: list[Attempt], outcome: str, heartbeat: Heartbeat | None
+        self, machine: Machine, batch: list[Attempt], outcome: RequestOutcome, heartbeat: Heartbeat | None
     ) -> None:
         ctx = self._ctx
         now = ctx.clock()
-        machine.do_busy = False
+        machine.command_in_flight = False
         if ctx.fleet.machines.get(machine.name) is not machine:
             return
         if heartbeat is not None and heartbeat.fencing_token > ctx.fencing_token:
-            ctx.outbound.deposed(heartbeat.fencing_token)
+            ctx.outbound.leadership_lost(heartbeat.fencing_token)
             return
         for attempt in batch:
             if machine.attempts.get(attempt.name) is attempt:
                 self._start_answered(attempt, outcome)
-        if outcome in (UNSENT, UNSURE):
-            machine.unreliable_until = now + ctx.times.lease_s / 2
+        if outcome in (RequestOutcome.NOT_SENT, RequestOutcome.UNKNOWN):
+            machine.unreliable_until = now + ctx.durations.lease_s / 2
         if (
             heartbeat is not None
             and heartbeat.machine == machine.name
@@ -365,19 +370,19 @@
             and (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
         ):
             self._take(machine, heartbeat, now, answered=False)
-        elif heartbeat is not None and not machine.heard and heartbeat.incarnation > machine.incarnation:
+        elif heartbeat is not None and not machine.reconciled and heartbeat.incarnation > machine.incarnation:
             # The command named another session than the worker's: ask again with the right one.
-            machine.incarnation, machine.probe_at = heartbeat.incarnation, 0.0
+            machine.incarnation, machine.next_probe_at = heartbeat.incarnation, 0.0
 
-    def _start_answered(self, attempt: Attempt, outcome: str) -> None:
-        attempt.in_flight = False
+    def _start_answered(self, attempt: Attempt, outcome: RequestOutcome) -> None:
+        attempt.start_in_flight = False
         if attempt.status != TaskState.SENT:
             return
-        if outcome in (REFUSED, UNSENT):
+        if outcome in (RequestOutcome.REJECTED, RequestOutcome.NOT_SENT):
             # Nothing was executed, and nothing can be later.
             self._over(attempt)
-        elif outcome == UNSURE:
-            attempt.fence = self._ctx.fencing_token + 1
+        elif outcome == RequestOutcome.UNKNOWN:
+            attempt.void_at_fencing_token = self._ctx.fencing_token + 1
 
     # -- proofs by time, and machines that are gone ------------------------------------------------
 
@@ -392,16 +397,18 @@
 
     def expire(self, machine: Machine, now: float) -> None:
         """End the attempts of a silent worker whose lease is over, whoever might have answered it."""
-        times = self._ctx.times
-        if machine.heard:
+        times = self._ctx.durations
+        if machine.reconciled:
             # It has followed our token, so only we and who stands in for us could renew its lease: as long
             # as nobody else led.
-            answered_at = max(machine.last_answer, self._ctx.outbound.delegated_leases_until())
-            bound = answered_at + times.lease_over_s
+            answered_at = max(machine.last_response_at, self._ctx.outbound.delegated_leases_expire_at())
+            bound = answered_at + times.lease_expired_s
         else:
             # Before our term others answered it, for as long as they could at the most.
-            bound = max(self.began_at + times.others_over_s, machine.last_answer + times.lease_over_s)
-        if now <= bound or self._ctx.outbound.confirmed_at() <= bound:
+            bound = max(
+                self.began_at + times.predecessors_expired_s, machine.last_response_at + times.lease_expired_s
+            )
+        if now <= bound or self._ctx.outbound.leadership_confirmed_at() <= bound:
             return
         if machine.attempts:
             log.debug("%s: its last lease is over, %d tasks", machine.name, len(machine.attempts))
@@ -417,5 +424,5 @@
         self.unreconciled.discard(machine.name)
         self.commands.forget(machine)
         self._ctx.fleet.machines.pop(machine.name, None)
-        self._ctx.dead[machine.name] = now
-        self._ctx.dirty = True
+        self._ctx.deleted_at[machine.name] = now
+        self._ctx.scheduling_needed = True
--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -30,7 +30,7 @@
     def __init__(
         self, ctx: Context, attempts: AttemptReconciler, quotas: Quotas, on_gone: Callable[[Machine], None]
     ) -> None:
-        self._ctx, self._attempts, self._quotas = ctx, attempts, quotas
+        self._ctx, self._reconciler, self._quotas = ctx, attempts, quotas
         self._options = ctx.options.provisioning
         self._provisioning = Provisioning(self._options)
         self._launches = Launches(ctx, self._provisioning)
@@ -39,8 +39,8 @@
         self._machine_list = MachineList(ctx, self._deletions)
         self._monitor = MachineMonitor(ctx, attempts, self._deletions, self._provisioning, self._boots)
         # The forecast looks back over a few leases, as far as the ratio of slots to leases says.
-        self.arrivals = Arrivals(2 * ctx.times.slot_s)
-        self._next_at = ctx.clock() + ctx.times.heartbeat_interval_s * 2
+        self.arrivals = Arrivals(2 * ctx.durations.slot_s)
+        self._next_at = ctx.clock() + ctx.durations.heartbeat_interval_s * 2
         # When each machine was needed last, as far as it was looked at in every round since.
         self._needed: dict[str, float] = {}
 
@@ -68,7 +68,7 @@
         self._launches.settle()
         if now < self._next_at or not ctx.machine_types:
             return
-        self._next_at = now + ctx.times.heartbeat_interval_s
+        self._next_at = now + ctx.durations.heartbeat_interval_s
         spaces = self._spaces(now)
         if self._launches.busy:
             # The cloud takes few requests: one round of hires at a time, with all that it lacks.
@@ -85,15 +85,19 @@
         """Empty little used machines, one replica at a time, when nothing waits for room."""
         ctx = self._ctx
         machines = ctx.fleet.machines
-        if self._attempts.unreconciled or any(j.pending > 0 and not j.over for j in ctx.fleet.jobs.values()):
+        if self._reconciler.unreconciled or any(
+            j.pending > 0 and not j.finalized for j in ctx.fleet.jobs.values()
+        ):
             return
         most = max(1, len(machines) // 16)
 
         def settled(attempt: Attempt) -> bool:
             # A start that is stopped soon was none to its user.
-            return attempt.running_at is not None and now - attempt.running_at > 2 * ctx.times.cancel_s
+            return attempt.running_at is not None and now - attempt.running_at > 2 * ctx.durations.cancel_s
 
-        for machine in Packing(most, settled).choose(spaces, lambda m: m.usable(now, ctx.times.silent_s)):
+        for machine in Packing(most, settled).choose(
+            spaces, lambda m: m.is_schedulable(now, ctx.durations.silent_s)
+        ):
             machine.draining = True
             log.info("empty %s: %d replicas", machine.name, len(machine.attempts))
         moving = {
@@ -103,8 +107,8 @@
             if not machine.draining or machine.deleting:
                 continue
             for attempt in machine.attempts.values():
-                if attempt.stopping_at is None and attempt.job.service and attempt.job.id not in moving:
-                    self._attempts.stop(attempt, 0.0, now)
+                if attempt.stopping_at is None and attempt.job.is_service and attempt.job.id not in moving:
+                    self._reconciler.stop(attempt, 0.0, now)
                     break
 
     def _spaces(self, now: float) -> list[Space]:
@@ -113,10 +117,14 @@
         held = [machine for machine in ctx.fleet.machines.values() if not machine.deleting]
         late = self._boots.late(held, now)
         for machine in held:
-            gone = machine.leaving or machine.draining or machine.name in late
-            if gone or machine.taken_back_at is not None:
+            gone = machine.quarantined or machine.draining or machine.name in late
+            if gone or machine.preempted_at is not None:
                 continue
-            if machine.up and now - machine.last_heartbeat_at > ctx.times.silent_s and machine.heard:
+            if (
+                machine.is_up
+                and now - machine.last_heartbeat_at > ctx.durations.silent_s
+                and machine.reconciled
+            ):
                 continue
             spaces.append(space_of(machine))
         spaces += self._launches.spaces()
@@ -130,20 +138,20 @@
         def within_limit(team: str, need: Resources, tasks: int) -> int:
             # What a team's limit keeps from running needs no machine yet.
             if team not in left:
-                left[team] = self._quotas.left(team, ctx.fleet.used.get(team, [0.0, 0.0]))
+                left[team] = self._quotas.left(team, ctx.fleet.used_by_team.get(team, [0.0, 0.0]))
             cpus, gpus = left[team]
             most = max_copies(need, (cpus, gpus, math.inf), tasks)
             left[team] = (cpus - most * need[0], gpus - most * need[1])
             return most
 
-        for job in sorted(ctx.fleet.jobs.values(), key=lambda job: (job.priority, job.at)):
+        for job in sorted(ctx.fleet.jobs.values(), key=lambda job: (job.priority, job.submitted_at)):
             # For a job that is at fault itself no machine is rented.
-            if job.pending > 0 and not job.over and not job.failures.at_fault:
-                most = within_limit(job.spec.team, job.need, job.startable(job.pending))
-                if most and (not job.gang or most == job.pending):
+            if job.pending > 0 and not job.finalized and not job.failures.at_fault:
+                most = within_limit(job.spec.team, job.task_resources, job.startable(job.pending))
+                if most and (not job.is_gang or most == job.pending):
                     demands.append(demand_of(job, most))
         boots = [machine_type.boot_s for machine_type in ctx.machine_types.values()]
-        ahead = sum(boots) / len(boots) + ctx.times.heartbeat_interval_s
+        ahead = sum(boots) / len(boots) + ctx.durations.heartbeat_interval_s
         for demand in self.arrivals.forecast(now, ahead, self._options.headroom):
             demand.tasks = within_limit(demand.spec.team, demand.need, demand.tasks)
             demands.append(demand)
@@ -163,13 +171,13 @@
             if (
                 space.used
                 or machine.attempts
-                or not machine.up
-                or machine.name in self._attempts.unreconciled
+                or not machine.is_up
+                or machine.name in self._reconciler.unreconciled
             ):
                 needed[machine.name] = now
                 continue
             since = needed[machine.name] = self._needed.get(machine.name, now)
-            idle = machine.used == NO_RESOURCES and machine.heard
+            idle = machine.used == NO_RESOURCES and machine.reconciled
             if idle and now - since > self._provisioning.keep_s(machine.machine_type):
                 self._deletions.mark(machine, "not needed")
         self._needed = needed
--- a/src/poppyhold/machines/boots.py
+++ b/src/poppyhold/machines/boots.py
@@ -32,29 +32,29 @@
         """Names of the machines that are not waited for."""
         booting = []
         for machine in machines:
-            if not machine.up:
+            if not machine.is_up:
                 booting.append(machine)
             elif machine.up_at > float("-inf"):
                 name = machine.machine_type.name
-                self._newest_up[name] = max(self._newest_up[name], machine.since)
+                self._newest_up[name] = max(self._newest_up[name], machine.known_since)
         oldest: dict[str, float] = {}
         for machine in booting:
             name = machine.machine_type.name
-            oldest[name] = min(machine.since, oldest.get(name, machine.since))
+            oldest[name] = min(machine.known_since, oldest.get(name, machine.known_since))
         return {machine.name for machine in booting if self._is_late(machine, oldest, now)}
 
     def is_hopeless(self, machine: Machine, give_up_s: float, now: float) -> bool:
         """Whether a machine is given up: much sooner where others boot than where all are slow."""
         patience = 1 if self._others_boot(machine) else _SLOW_PATIENCE
-        return now - machine.since > give_up_s * patience
+        return now - machine.known_since > give_up_s * patience
 
     def _is_late(self, machine: Machine, oldest: dict[str, float], now: float) -> bool:
         late_s = _LATE_BOOTS * machine.machine_type.boot_s
-        if now - machine.since <= late_s:
+        if now - machine.known_since <= late_s:
             return False
-        replaces_others = machine.since - oldest[machine.machine_type.name] >= late_s
+        replaces_others = machine.known_since - oldest[machine.machine_type.name] >= late_s
         return not replaces_others or self._others_boot(machine)
 
     def _others_boot(self, machine: Machine) -> bool:
         """Whether a machine of its type has come up that was rented no sooner."""
-        return self._newest_up[machine.machine_type.name] >= machine.since
+        return self._newest_up[machine.machine_type.name] >= machine.known_since
--- a/src/poppyhold/machines/deletions.py
+++ b/src/poppyhold/machines/deletions.py
@@ -21,7 +21,7 @@
     """Machines that are to be deleted, a request at a time."""
 
     def __init__(self, ctx: Context, attempts: AttemptReconciler, on_gone: Callable[[Machine], None]) -> None:
-        self._ctx, self._attempts, self._on_gone = ctx, attempts, on_gone
+        self._ctx, self._reconciler, self._on_gone = ctx, attempts, on_gone
         self._asked = False
         # Machines that were not told of yet, by reason: hundreds go at one moment at times.
         self._unlogged: dict[str, list[str]] = {}
@@ -38,7 +38,7 @@
             log.info("delete %d machines: %s: %s", len(names), why, ", ".join(names[:_NAMED]))
         self._unlogged.clear()
         # Who is not sure to lead must not delete: workers that it misses may have gone to the next leader.
-        if self._asked or not self._ctx.outbound.may_start():
+        if self._asked or not self._ctx.outbound.may_start_tasks():
             return
         names = [m.name for m in self._ctx.fleet.machines.values() if m.deleting][:DELETE_LIMIT]
         if not names:
@@ -53,11 +53,11 @@
                     if machine is not None:
                         self._gone(machine)
 
-        self._ctx.outbound.delete(names, deleted)
+        self._ctx.outbound.delete_machines(names, deleted)
 
     def _gone(self, machine: Machine) -> None:
-        recorded = machine.recorded or machine.record_asked
-        self._attempts.gone(machine)
+        recorded = machine.is_recorded or machine.record_requested
+        self._reconciler.gone(machine)
         self._on_gone(machine)
         if recorded:
             self._ctx.outbound.commit({}, [remove(MACHINE + machine.name)], lambda done: None)
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -11,8 +11,9 @@
 from poppyhold.durable.store import LAUNCH, Data, put, remove, stored_bytes
 from poppyhold.machines.provisioning import LaunchSpec, Provisioning
 from poppyhold.machines.space import Space
-from poppyhold.model.context import OK, REFUSED, CommitPriority, Context
+from poppyhold.model.context import CommitPriority, Context
 from poppyhold.model.fleet import Machine, machine_type_capacity
+from poppyhold.model.outcome import RequestOutcome
 from poppyhold.wire.messages import LaunchRequest, convert
 
 log = logging.getLogger(__name__)
@@ -63,7 +64,7 @@
 
     def launch(self, launch_spec: LaunchSpec) -> None:
         """Rent machines."""
-        name = f"r-{self._ctx.number()}"
+        name = f"r-{self._ctx.next_unique_number()}"
         launch = Launch(
             name, launch_spec.machine_type, launch_spec.zone, launch_spec.spot, launch_spec.number, busy=True
         )
@@ -95,11 +96,11 @@
         launch.busy = True
         request = LaunchRequest(launch.name, launch.machine_type, launch.zone, launch.spot, launch.number)
 
-        def answered(outcome: str, names: list[str]) -> None:
+        def answered(outcome: RequestOutcome, names: list[str]) -> None:
             launch.busy = False
             now = self._ctx.clock()
             log.info("hire %s: %s, %d machines", launch.name, outcome, len(names))
-            if outcome == OK:
+            if outcome == RequestOutcome.OK:
                 launch.machines = names
                 self._ctx.outbound.commit(
                     {}, [put(LAUNCH + launch.name, self._data(launch))], lambda done: None
@@ -107,18 +108,18 @@
                 self._expect(launch)
                 if len(names) < launch.number:
                     self._refused(launch, now)
-            elif outcome == REFUSED:
+            elif outcome == RequestOutcome.REJECTED:
                 # No capacity. If a copy of the request is carried out later after all, its machines
                 # show up in the list and in reports, and are used or returned like any other.
                 self._refused(launch, now)
                 self._drop(launch)
             else:
-                launch.retry_at = now + self._ctx.times.heartbeat_interval_s * 2
+                launch.retry_at = now + self._ctx.durations.heartbeat_interval_s * 2
 
-        self._ctx.outbound.launch(msgspec.to_builtins(request), answered)
+        self._ctx.outbound.launch_machines(msgspec.to_builtins(request), answered)
 
     def _refused(self, launch: Launch, now: float) -> None:
-        until = now + self._ctx.times.lease_s
+        until = now + self._ctx.durations.lease_s
         self._provisioning.refuse(launch.machine_type, launch.zone, launch.spot, until)
 
     def _drop(self, launch: Launch) -> None:
@@ -133,9 +134,9 @@
             if (
                 machine_type is not None
                 and name not in self._ctx.fleet.machines
-                and name not in self._ctx.dead
+                and name not in self._ctx.deleted_at
             ):
-                machine = Machine(name, machine_type, launch.zone, launch.spot, since=now)
+                machine = Machine(name, machine_type, launch.zone, launch.spot, known_since=now)
                 self._ctx.fleet.machines[name] = machine
 
     def settle(self) -> None:
@@ -150,4 +151,4 @@
 
     def _settled(self, name: str) -> bool:
         machine = self._ctx.fleet.machines.get(name)
-        return machine is None or machine.recorded
+        return machine is None or machine.is_recorded
--- a/src/poppyhold/machines/machine_list.py
+++ b/src/poppyhold/machines/machine_list.py
@@ -27,15 +27,15 @@
         ctx = self._ctx
         now = ctx.clock()
         lag = ctx.settings.settings.cloud.list_lag_s
-        for name, at in list(ctx.dead.items()):
+        for name, at in list(ctx.deleted_at.items()):
             if now - at > _LAGS_REMEMBERED * lag:
-                del ctx.dead[name]
+                del ctx.deleted_at[name]
         present = set()
         for entry in listing.machines:
             present.add(entry.name)
             self._take_entry(entry, listing.began_at, now)
         for machine in list(ctx.fleet.machines.values()):
-            seen_at = max(machine.since, machine.listed_at, machine.last_heartbeat_at)
+            seen_at = max(machine.known_since, machine.listed_at, machine.last_heartbeat_at)
             unseen_s = listing.began_at - seen_at
             if machine.name not in present and not machine.deleting and unseen_s > LAGS_MISSING * lag:
                 self._not_listed(machine)
@@ -53,18 +53,18 @@
             machine.endpoint = entry.endpoint
         if entry.status == "failed":
             self._deletions.mark(machine, "failed")
-        elif not machine.up:
-            machine.since = min(machine.since, now - entry.age_s)
+        elif not machine.is_up:
+            machine.known_since = min(machine.known_since, now - entry.age_s)
 
     def _found(self, entry: Listed, now: float) -> Machine | None:
         """A machine that we did not know: a late hire, or one of an earlier leader."""
         ctx = self._ctx
         machine_type = ctx.machine_types.get(entry.machine_type)
-        if machine_type is None or entry.name in ctx.dead:
+        if machine_type is None or entry.name in ctx.deleted_at:
             return None
-        machine = Machine(entry.name, machine_type, entry.zone, entry.spot, since=now - entry.age_s)
+        machine = Machine(entry.name, machine_type, entry.zone, entry.spot, known_since=now - entry.age_s)
         ctx.fleet.machines[entry.name] = machine
-        ctx.dirty = True
+        ctx.scheduling_needed = True
         return machine
 
     def _not_listed(self, machine: Machine) -> None:
@@ -75,7 +75,7 @@
         charged to every team, and tasks of older jobs wait, up to the certain end of its last lease, with
         each leader anew.
         """
-        if machine.up:
+        if machine.is_up:
             self._deletions.mark(machine, "not listed")
         else:
             self._ctx.fleet.machines.pop(machine.name)
--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -50,7 +50,7 @@
         provisioning: Provisioning,
         boots: Boots,
     ) -> None:
-        self._ctx, self._attempts, self._boots = ctx, attempts, boots
+        self._ctx, self._reconciler, self._boots = ctx, attempts, boots
         self._deletions, self._provisioning = deletions, provisioning
         # Since when most workers have turned to another controller.
         self._turned_away_at = float("inf")
@@ -64,26 +64,26 @@
         for machine in self._ctx.fleet.machines.values():
             if machine.deleting:
                 # The cloud may not answer for long; the end of a lease is proof too.
-                if now - machine.last_heartbeat_at > self._ctx.times.lease_s:
-                    self._attempts.expire(machine, now)
-            elif machine.up or machine.name in self._attempts.unreconciled:
+                if now - machine.last_heartbeat_at > self._ctx.durations.lease_s:
+                    self._reconciler.expire(machine, now)
+            elif machine.is_up or machine.name in self._reconciler.unreconciled:
                 self._survey(machine, survey, now)
             elif self._boots.is_hopeless(machine, self._provisioning.give_up_s(machine.machine_type), now):
                 self._deletions.mark(machine, "never came up")
         self._judge_silence(survey, now)
         for machine in self._ctx.fleet.machines.values():
-            gone = not machine.attempts and machine.name not in self._attempts.unreconciled
-            if gone and (machine.leaving or machine.draining):
+            gone = not machine.attempts and machine.name not in self._reconciler.unreconciled
+            if gone and (machine.quarantined or machine.draining):
                 self._deletions.mark(machine, "left")
         self._deletions.carry_out()
 
     def _quiet_s(self, machine: Machine, now: float) -> float:
         """For how long a machine has been silent, as far as we could have heard it."""
-        times, began = self._ctx.times, self._attempts.began_at
-        if machine.heard or machine.name not in self._attempts.unreconciled:
+        times, began = self._ctx.durations, self._reconciler.began_at
+        if machine.reconciled or machine.name not in self._reconciler.unreconciled:
             return now - max(machine.last_heartbeat_at, machine.up_at, began + times.heartbeat_interval_s * 2)
         # It was up, and was asked when our term began: a sound worker answers that at once.
-        return now - began + times.lost_s / 2
+        return now - began + times.presumed_lost_s / 2
 
     def _is_quiet(self, quiet_s: float) -> bool:
         """Whether a machine counts among those that may be silent for one and the same reason.
@@ -91,13 +91,13 @@
         Those of earlier terms are asked as a term begins. They have the time to answer before they count, or
         all of them would, and a few that hang would keep older jobs waiting for twice as long.
         """
-        times = self._ctx.times
-        return quiet_s > times.lost_s / 2 + times.heartbeat_interval_s / 2
+        times = self._ctx.durations
+        return quiet_s > times.presumed_lost_s / 2 + times.heartbeat_interval_s / 2
 
     def _survey(self, machine: Machine, survey: Survey, now: float) -> None:
         """Count a machine that should be heard, ask it if it is not, and end what it can't hold any more."""
-        times = self._ctx.times
-        heard = now - machine.last_heartbeat_at <= times.lost_s
+        times = self._ctx.durations
+        heard = now - machine.last_heartbeat_at <= times.presumed_lost_s
         survey.up += 1
         survey.heard += heard
         survey.zones_up[machine.zone] += 1
@@ -105,20 +105,20 @@
         quiet_s = self._quiet_s(machine, now)
         survey.quiet += self._is_quiet(quiet_s)
         if quiet_s > times.silent_s / 2:
-            self._attempts.commands.ask_quiet(machine, now)
-        if quiet_s > times.lost_s:
-            if machine.taken_back_at is not None and now > machine.taken_back_at - times.lost_s:
+            self._reconciler.commands.ask_quiet(machine, now)
+        if quiet_s > times.presumed_lost_s:
+            if machine.preempted_at is not None and now > machine.preempted_at - times.presumed_lost_s:
                 self._deletions.mark(machine, "recalled")
             else:
                 survey.silent.append(machine)
         if quiet_s > times.lease_s:
-            self._attempts.expire(machine, now)
-        if machine.errors and self._attempts.failures.machine_at_fault(machine):
-            machine.leaving = True
+            self._reconciler.expire(machine, now)
+        if machine.errors and self._reconciler.failures.machine_at_fault(machine):
+            machine.quarantined = True
 
     def _judge_silence(self, survey: Survey, now: float) -> None:
         """Whether silent machines are lost, or cut off, or we are."""
-        times, silent = self._ctx.times, survey.silent
+        times, silent = self._ctx.durations, survey.silent
         if self._turned_away(survey, now):
             # They try the other controllers: it is our own way to them that is broken. Where a zone is cut
             # off, half of all are silent too, and those that came to us passed the others on their way: with
@@ -134,14 +134,16 @@
         for machine in silent:
             # A zone that is cut off comes back with all its machines: its tasks start elsewhere once its
             # leases are over, but machines are given up for good only a good while behind that.
-            heard_at = max(machine.last_heartbeat_at, machine.up_at, self._attempts.began_at)
+            heard_at = max(machine.last_heartbeat_at, machine.up_at, self._reconciler.began_at)
             if machine.zone in silent_zones:
                 # Others in their place would be no more use there, and have to boot when the zone is back:
                 # 39 machines were given up 20 s before that, and their tasks waited for 50 s more. Those
                 # that are dead are listed as failed meanwhile.
                 given_up = now - heard_at > _ZONE_PATIENCE * times.cancel_s
             else:
-                given_up = now - self._many_quiet_at > times.lost_s or now - heard_at > 2 * times.cancel_s
+                given_up = (
+                    now - self._many_quiet_at > times.presumed_lost_s or now - heard_at > 2 * times.cancel_s
+                )
             if given_up:
                 self._deletions.mark(machine, "silent")
 
@@ -155,14 +157,14 @@
             self._turned_away_at = float("inf")
             return False
         self._turned_away_at = min(self._turned_away_at, now)
-        return now - self._turned_away_at >= self._ctx.times.heartbeat_interval_s
+        return now - self._turned_away_at >= self._ctx.durations.heartbeat_interval_s
 
     def _keep_out_of(self, zones: set[str], now: float) -> None:
         """Rent nothing in zones that nothing is heard of: nobody could use it there."""
         for machine_type in self._ctx.machine_types.values():
             for zone in zones.intersection(machine_type.zones):
                 for spot in (False, True):
-                    until = now + self._ctx.times.heartbeat_interval_s
+                    until = now + self._ctx.durations.heartbeat_interval_s
                     self._provisioning.refuse(machine_type.name, zone, spot, until)
 
     def _lost_to_others(self, now: float) -> int:
@@ -171,7 +173,7 @@
         A copy of an old report is none that turned away. Who has just begun to lead has no reports to compare
         with, and gives them the time to come.
         """
-        if now - self._attempts.began_at < self._ctx.times.lease_s:
+        if now - self._reconciler.began_at < self._ctx.durations.lease_s:
             return 0
         machines = self._ctx.fleet.machines
 
--- a/src/poppyhold/machines/packing.py
+++ b/src/poppyhold/machines/packing.py
@@ -60,14 +60,16 @@
     def _movable(self, machine: Machine) -> bool:
         """Only settled replicas move; a machine with array tasks is left until they are done."""
         return bool(machine.attempts) and all(
-            attempt.job.service and attempt.stopping_at is None and self._settled(attempt)
+            attempt.job.is_service and attempt.stopping_at is None and self._settled(attempt)
             for attempt in machine.attempts.values()
         )
 
     @staticmethod
     def _fits(machine: Machine, others: list[Space]) -> bool:
         taken: dict[int, tuple[float, float, float]] = {}
-        attempts = sorted(machine.attempts.values(), key=lambda a: -shares_of(a.job.need, machine.capacity))
+        attempts = sorted(
+            machine.attempts.values(), key=lambda a: -shares_of(a.job.task_resources, machine.capacity)
+        )
         zones: dict[tuple[str, str], int] = {}
         for attempt in attempts:
             job = attempt.job
@@ -76,14 +78,14 @@
                 if target is None or job.spec.image not in target.images or not may_use(job, target):
                     continue
                 free = taken.get(index, space.free)
-                if not fits(job.need, free):
+                if not fits(job.task_resources, free):
                     continue
                 moved = zones.get((job.id, target.zone), 0) + (target.zone != machine.zone)
                 if job.zones.get(target.zone, 0) + moved > zone_limit(job.spec):
                     continue
                 if job.spec.one_zone and job.spec.tasks > 1 and target.zone != machine.zone:
                     continue
-                taken[index] = add_scaled(free, job.need, -1.0)
+                taken[index] = add_scaled(free, job.task_resources, -1.0)
                 zones[(job.id, target.zone)] = moved
                 break
             else:
--- a/src/poppyhold/model/fleet.py
+++ b/src/poppyhold/model/fleet.py
@@ -62,11 +62,11 @@
     sent_at: float
     status: str = TaskState.SENT
     # How the start was sent: "do", "reply", or "seen" where a report showed it first.
-    via: str = "seen"
-    reply_sequence: int = -1
+    start_channel: str = "seen"
+    response_sequence: int = -1
     # While a direct start has no answer it may still land: until the worker saw this token.
-    in_flight: bool = False
-    fence: int | None = None
+    start_in_flight: bool = False
+    void_at_fencing_token: int | None = None
     running_at: float | None = None
     stopping_at: float | None = None
     grace_s: float = 0.0
@@ -100,50 +100,50 @@
     id: str
     spec: Submission
     version: int
-    at: float
-    need: Resources
+    submitted_at: float
+    task_resources: Resources
     priority: int
     due_at: float | None
     states: bytearray
     active: dict[int, Attempt] = msgspec.field(default_factory=dict)
     done: int = 0
     # Tasks whose completion is seen but not durable yet, and those whose record has been asked for.
-    unsaved: set[int] = msgspec.field(default_factory=set)
+    undurable_completions: set[int] = msgspec.field(default_factory=set)
     next_index: int = 0
-    returned: list[int] = msgspec.field(default_factory=list)
+    requeued: list[int] = msgspec.field(default_factory=list)
     # Seconds of work that tasks have saved, as far as we saw them run.
     progress: dict[int, float] = msgspec.field(default_factory=dict)
     admitted: bool = False
     # No controller has ever started a task of it before our term.
-    fresh: bool = True
+    never_started: bool = True
     plan_durable: bool = False
-    plan_asked: bool = False
+    plan_requested: bool = False
     # Planned starts: slot -> zone -> tasks, and their rooms in the ledger: slot -> machine -> tasks.
     plan: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
     booked: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
     planned_s: float = 0.0
-    guaranteed: bool = False
-    finishing: bool = False
+    within_guarantee: bool = False
+    finalizing: bool = False
     # Cancelled, or done and durable: kept only while something of it may still run.
-    over: bool = False
+    finalized: bool = False
     saving: bool = False
     # Keys of the records that hold its completed tasks.
     done_records: set[str] = msgspec.field(default_factory=set)
     failures: JobFailures = msgspec.field(default_factory=JobFailures)
     # Machines that its tasks had better avoid.
-    failed_on: set[str] = msgspec.field(default_factory=set)
+    failed_machines: set[str] = msgspec.field(default_factory=set)
     retry_at: float = 0.0
     # Before this moment it preempts nothing more: gangs that make room for it are saving.
-    preempts_again_at: float = 0.0
+    may_preempt_at: float = 0.0
     zones: dict[str, int] = msgspec.field(default_factory=dict)
 
     @property
-    def service(self) -> bool:
+    def is_service(self) -> bool:
         """Whether its tasks run until it is cancelled."""
         return self.spec.shape == "service"
 
     @property
-    def gang(self) -> bool:
+    def is_gang(self) -> bool:
         """Whether its tasks only run all together."""
         return self.spec.shape == "group"
 
@@ -166,17 +166,17 @@
         """Seconds of work that every pending task has saved; its job is late only by the rest."""
         if not self.progress:
             return 0.0
-        waiting = {index for index in self.returned if self.states[index] == PENDING}
+        waiting = {index for index in self.requeued if self.states[index] == PENDING}
         if not waiting or len(waiting) < self.pending:
             return 0.0
         return min(self.progress.get(index, 0.0) for index in waiting)
 
     def next_pending(self) -> int | None:
         """The pending task to start next: one that came back, else the lowest not started yet."""
-        while self.returned and self.states[self.returned[0]] != PENDING:
-            heapq.heappop(self.returned)
-        if self.returned:
-            return self.returned[0]
+        while self.requeued and self.states[self.requeued[0]] != PENDING:
+            heapq.heappop(self.requeued)
+        if self.requeued:
+            return self.requeued[0]
         while self.next_index < self.spec.tasks and self.states[self.next_index] != PENDING:
             self.next_index += 1
         return self.next_index if self.next_index < self.spec.tasks else None
@@ -187,7 +187,7 @@
         Tasks that were started before it, and go on, may still show that the job is sound.
         """
         record = self.failures
-        if not record.rounds or self.done or self.gang:
+        if not record.rounds or self.done or self.is_gang:
             return most
         probes = sum(attempt.sent_at >= record.last_at for attempt in self.active.values())
         return min(most, max(0, 1 - probes))
@@ -196,7 +196,7 @@
         """Note that a task is completed; True if that is news. The tasks of a gang complete together."""
         if not 0 <= index < self.spec.tasks or self.states[index] == DONE:
             return False
-        if self.gang:
+        if self.is_gang:
             self.states[:] = bytes([DONE]) * self.spec.tasks
             self.done = self.spec.tasks
         else:
@@ -207,24 +207,24 @@
     def release(self, index: int) -> None:
         """A task that was active is pending again."""
         self.states[index] = PENDING
-        heapq.heappush(self.returned, index)
+        heapq.heappush(self.requeued, index)
 
 
 class TaskError(msgspec.Struct, frozen=True, eq=False):
     """A task of a job ended with an error on a machine."""
 
     job: Job
-    at: float
+    occurred_at: float
 
     @property
     def job_is_sound(self) -> bool:
         """Whether the job has run elsewhere, so that the error was the machine's."""
-        return self.job.done > 0 or self.job.failures.sound_at > self.at
+        return self.job.done > 0 or self.job.failures.sound_at > self.occurred_at
 
     @property
     def may_be_the_machine(self) -> bool:
         """Whether the machine may be at fault. Of a job that ended without success nobody can tell."""
-        return self.job_is_sound or not (self.job.over or self.job.failures.at_fault)
+        return self.job_is_sound or not (self.job.finalized or self.job.failures.at_fault)
 
 
 # Machines in the order in which they became known.
@@ -238,33 +238,33 @@
     machine_type: MachineType
     zone: str
     spot: bool
-    since: float
+    known_since: float
     endpoint: str = ""
     # booting: has not reported; up; gone: proven, and out of every count.
-    up: bool = False
+    is_up: bool = False
     up_at: float = float("-inf")
     # Its name is durable, so that a next leader asks it before it starts anything.
-    recorded: bool = False
-    record_asked: bool = False
+    is_recorded: bool = False
+    record_requested: bool = False
     # A report of this term was seen, so that all it holds is known.
-    heard: bool = False
+    reconciled: bool = False
     incarnation: int = 0
     sequence: int = -1
     last_heartbeat_at: float = float("-inf")
     # When the cloud last listed it.
     listed_at: float = float("-inf")
-    last_answer: float = float("-inf")
+    last_response_at: float = float("-inf")
     # When it first reported in this term, still with the token of an earlier one.
     first_heartbeat_at: float | None = None
-    taken_back_at: float | None = None
+    preempted_at: float | None = None
     notice_at: float | None = None
-    leaving: bool = False
+    quarantined: bool = False
     # Being emptied, to be returned: its replicas move one by one.
     draining: bool = False
     deleting: bool = False
     unreliable_until: float = 0.0
-    do_busy: bool = False
-    probe_at: float = 0.0
+    command_in_flight: bool = False
+    next_probe_at: float = 0.0
     attempts: dict[str, Attempt] = msgspec.field(default_factory=dict)
     # All its room, what may be in use of it, and the rest: every placement looks at these on every machine.
     capacity: Resources = NO_RESOURCES
@@ -276,18 +276,18 @@
     version: int = 0
     images: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
     # Commands to be sent to the worker directly.
-    direct: list[Command] = msgspec.field(default_factory=list)
+    queued_commands: list[Command] = msgspec.field(default_factory=list)
     # Errors on it by job, since a task that was started behind them completed.
     errors: dict[str, TaskError] = msgspec.field(default_factory=dict)
     # Tasks on it that are none of ours: they are stopped, and nothing starts beside them.
     unknown_tasks: set[str] = msgspec.field(default_factory=set)
-    refused_until: float = 0.0
+    unschedulable_until: float = 0.0
 
     def __post_init__(self) -> None:
         self.capacity = machine_type_capacity(self.machine_type)
-        self.use(NO_RESOURCES)
+        self.set_used(NO_RESOURCES)
 
-    def use(self, used: Resources) -> None:
+    def set_used(self, used: Resources) -> None:
         """Note how much of the room may be in use."""
         self.used = used
         self.free = add_scaled(self.capacity, used, -1.0)
@@ -298,18 +298,18 @@
         own = reserved.get(self.name)
         return self.free if own is None else add_scaled(self.free, own, -1.0)
 
-    def usable(self, now: float, silent_s: float) -> bool:
+    def is_schedulable(self, now: float, silent_s: float) -> bool:
         """Whether tasks may be started on it now."""
         return (
-            self.up
-            and self.recorded
-            and self.heard
-            and not self.leaving
+            self.is_up
+            and self.is_recorded
+            and self.reconciled
+            and not self.quarantined
             and not self.draining
             and not self.deleting
-            and self.taken_back_at is None
+            and self.preempted_at is None
             and not self.unknown_tasks
-            and now >= self.refused_until
+            and now >= self.unschedulable_until
             and now - self.last_heartbeat_at <= silent_s
         )
 
@@ -335,21 +335,21 @@
     def __init__(self) -> None:
         self.machines: dict[str, Machine] = {}
         self.jobs: dict[str, Job] = {}
-        self.used: dict[str, list[float]] = {}
+        self.used_by_team: dict[str, list[float]] = {}
 
-    def add(self, attempt: Attempt) -> None:
+    def add_attempt(self, attempt: Attempt) -> None:
         """Count an attempt everywhere."""
         job, machine = attempt.job, attempt.machine
         job.states[attempt.index] = ACTIVE
         job.active[attempt.index] = attempt
         job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
         machine.attempts[attempt.name] = attempt
-        machine.use(add_scaled(machine.used, job.need))
-        used = self.used.setdefault(job.spec.team, [0.0, 0.0])
-        used[0] += job.need[0]
-        used[1] += job.need[1]
+        machine.set_used(add_scaled(machine.used, job.task_resources))
+        used = self.used_by_team.setdefault(job.spec.team, [0.0, 0.0])
+        used[0] += job.task_resources[0]
+        used[1] += job.task_resources[1]
 
-    def unknown_use(self, unreconciled: Container[str]) -> Resources:
+    def unaccounted_resources(self, unreconciled: Container[str]) -> Resources:
         """Room that may be in use on machines whose tasks we can't know: it counts for every team."""
         total = NO_RESOURCES
         for machine in self.machines.values():
@@ -357,16 +357,18 @@
                 total = add_scaled(total, machine.capacity)
         return total
 
-    def remove(self, attempt: Attempt) -> None:
+    def remove_attempt(self, attempt: Attempt) -> None:
         """An attempt is proven to be over: its task is pending, unless it is done."""
         job, machine = attempt.job, attempt.machine
         del job.active[attempt.index]
         job.zones[machine.zone] -= 1
         del machine.attempts[attempt.name]
-        machine.use(add_scaled(machine.used, job.need, -1.0) if machine.attempts else NO_RESOURCES)
-        used = self.used[job.spec.team]
-        used[0] -= job.need[0]
-        used[1] -= job.need[1]
+        machine.set_used(
+            add_scaled(machine.used, job.task_resources, -1.0) if machine.attempts else NO_RESOURCES
+        )
+        used = self.used_by_team[job.spec.team]
+        used[0] -= job.task_resources[0]
+        used[1] -= job.task_resources[1]
         if job.states[attempt.index] == ACTIVE:
             job.release(attempt.index)
 
@@ -377,8 +379,8 @@
         id=spec.name,
         spec=spec,
         version=version,
-        at=at,
-        need=(spec.cpus, spec.accelerators, spec.memory_gb),
+        submitted_at=at,
+        task_resources=(spec.cpus, spec.accelerators, spec.memory_gb),
         priority=PRIORITIES.index(spec.priority),
         due_at=None if spec.deadline_s is None else at + spec.deadline_s,
         states=bytearray(spec.tasks),
--- a/src/poppyhold/node/cloud.py
+++ b/src/poppyhold/node/cloud.py
@@ -6,7 +6,8 @@
 from http import HTTPStatus
 from typing import TypeVar
 
-from poppyhold.model.context import OK, REFUSED, UNSURE, Data
+from poppyhold.model.context import Data
+from poppyhold.model.outcome import RequestOutcome
 from poppyhold.settings import Settings, split_address
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
 from poppyhold.wire.messages import (
@@ -52,19 +53,19 @@
             log.debug("cloud %s: %s", path, error)
             return None
 
-    def launch(self, body: Data) -> tuple[str, list[str]]:
+    def launch(self, body: Data) -> tuple[RequestOutcome, list[str]]:
         """Rent machines. Unless the cloud says no, the request may yet be carried out."""
         try:
             status, data = self._client.request("POST", "/machines", body, timeout=self._timeout)
             if status == HTTPStatus.OK:
-                return OK, convert(data, LaunchResponse).machines
+                return RequestOutcome.OK, convert(data, LaunchResponse).machines
         except (NotSentError, NoAnswerError, MalformedError) as error:
             log.debug("hire: %s", error)
-            return UNSURE, []
+            return RequestOutcome.UNKNOWN, []
         no_capacity = status == HTTPStatus.SERVICE_UNAVAILABLE and data.get("error") == "no capacity"
         if no_capacity or status == HTTPStatus.BAD_REQUEST:
-            return REFUSED, []
-        return UNSURE, []
+            return RequestOutcome.REJECTED, []
+        return RequestOutcome.UNKNOWN, []
 
     def delete(self, names: list[str]) -> bool:
         """Delete machines; once True is returned they are gone."""
--- a/src/poppyhold/node/cloud_thread.py
+++ b/src/poppyhold/node/cloud_thread.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable
 
 from poppyhold.model.context import Data
+from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.cloud import CloudClient
 from poppyhold.settings import Settings
 from poppyhold.wire.messages import Listed, Listing, MachineType
@@ -78,7 +79,7 @@
         self._lists = ListReader(client, cloud.list_lag_s, self._gap_s)
         self._types_s = cloud.list_lag_s * 4
         self._deletes: deque[tuple[list[str], Callable[[bool], None]]] = deque()
-        self._launches: deque[tuple[Data, Callable[[str, list[str]], None]]] = deque()
+        self._launches: deque[tuple[Data, Callable[[RequestOutcome, list[str]], None]]] = deque()
         self._wake = threading.Condition()
         self._stopped = False
         self._thread = threading.Thread(target=self._run, name="cloud", daemon=True)
@@ -90,7 +91,7 @@
             self._deletes.append((names, done))
             self._wake.notify()
 
-    def launch(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
+    def launch(self, body: Data, done: Callable[[RequestOutcome, list[str]], None]) -> None:
         """Queue a hire."""
         with self._wake:
             self._launches.append((body, done))
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -59,17 +59,17 @@
         times = Times(settings, options)
         self.ctx = Context(settings, options, outbound, clock, wall, rng, fencing_token, fencing_token, times)
         connections = settings.settings.machine_limits.connections
-        self.ctx.most_hastened = connections * options.relays.from_share
-        self.ctx.quiet_pace = connections * _QUIET_SHARE
+        self.ctx.max_initial_probes = connections * options.relays.from_share
+        self.ctx.silent_probe_rate = connections * _QUIET_SHARE
         self._quotas = Quotas(settings.settings.teams)
         self._guarantees_stale = True
         self.failures = Failures(times, clock, self._judged)
-        self.attempts = AttemptReconciler(
+        self.reconciler = AttemptReconciler(
             self.ctx, self._task_done, self._attempt_over, self._task_ran, self.failures
         )
         self.admission = Admission(self.ctx, self._quotas, lambda job: self.job_removed(ACTIVE + job.id))
-        self.dispatcher = Dispatcher(self.ctx, self.attempts, self._quotas, self.admission)
-        self.autoscaler = Autoscaler(self.ctx, self.attempts, self._quotas, self._machine_gone)
+        self.dispatcher = Dispatcher(self.ctx, self.reconciler, self._quotas, self.admission)
+        self.autoscaler = Autoscaler(self.ctx, self.reconciler, self._quotas, self._machine_gone)
         self.completions = Completions(self.ctx)
         self.quota = self._make_quota(options)
         self._flush_at = 0.0
@@ -87,13 +87,13 @@
             self.ctx,
             options.cells,
             self._quotas,
-            lambda: self.ctx.fleet.unknown_use(self.attempts.unreconciled),
+            lambda: self.ctx.fleet.unaccounted_resources(self.reconciler.unreconciled),
             self.autoscaler.can_rent,
             self._quotas_changed,
         )
 
     def _quotas_changed(self) -> None:
-        self._guarantees_stale = self.ctx.dirty = True
+        self._guarantees_stale = self.ctx.scheduling_needed = True
 
     # -- the beginning of a term ---------------------------------------------------------------------
 
@@ -124,25 +124,25 @@
             self.admission.remove_plan(job_id)
         for prefix, records in snapshot.done.items():
             self.completions.load(prefix, records)
-        for job in sorted(ctx.fleet.jobs.values(), key=lambda job: job.at):
+        for job in sorted(ctx.fleet.jobs.values(), key=lambda job: job.submitted_at):
             self._resume(job)
         for machine in ctx.fleet.machines.values():
-            self.attempts.commands.hasten(machine, now)
+            self.reconciler.commands.hasten(machine, now)
 
     def _load_machine(self, name: str, data: Data, now: float) -> None:
         """A machine that may hold tasks of earlier terms."""
         record = convert(data, MachineRecord)
         self.ctx.machine_types.setdefault(record.machine_type.name, record.machine_type)
-        machine = Machine(name, record.machine_type, record.zone, record.spot, since=now)
+        machine = Machine(name, record.machine_type, record.zone, record.spot, known_since=now)
         machine.endpoint = record.endpoint
         machine.images.update(self.ctx.image_hints.get(name, ()))
-        machine.recorded = machine.record_asked = machine.up = True
+        machine.is_recorded = machine.record_requested = machine.is_up = True
         self.ctx.fleet.machines[name] = machine
-        self.attempts.unreconciled.add(name)
+        self.reconciler.unreconciled.add(name)
 
     def _resume(self, job: Job) -> None:
         """Go on with a job of an earlier term."""
-        self.autoscaler.arrivals.note(job.at, job.spec)
+        self.autoscaler.arrivals.note(job.submitted_at, job.spec)
         if not job.plan_durable:
             self.admission.arrive(job)
         if job.done == job.spec.tasks:
@@ -157,7 +157,7 @@
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Answer a worker's report."""
-        answer = self.attempts.handle_heartbeat(heartbeat)
+        answer = self.reconciler.handle_heartbeat(heartbeat)
         machine = self.ctx.fleet.machines.get(heartbeat.machine)
         if machine is not None:
             self._follow_machine(machine)
@@ -166,7 +166,7 @@
     def answered_at(self, machine_name: str) -> float:
         """When that machine's worker was answered last in this term."""
         machine = self.ctx.fleet.machines.get(machine_name)
-        return machine.last_answer if machine is not None else float("-inf")
+        return machine.last_response_at if machine is not None else float("-inf")
 
     def job_set(self, entry: Entry) -> None:
         """A job was accepted."""
@@ -183,20 +183,20 @@
         job_id = key.removeprefix(ACTIVE)
         self._ended.put(job_id, True)
         job = self.ctx.fleet.jobs.get(job_id)
-        if job is None or job.over:
+        if job is None or job.finalized:
             return
-        job.over = True
+        job.finalized = True
         self.autoscaler.arrivals.note_end(self.ctx.clock(), job.spec)
         self._guarantees_stale = True
         self.admission.forget(job)
         now = self.ctx.clock()
         for attempt in list(job.active.values()):
-            self.attempts.stop(attempt, 0.0, now)
+            self.reconciler.stop(attempt, 0.0, now)
         self.completions.remove(job)
-        if job.plan_durable or job.plan_asked:
+        if job.plan_durable or job.plan_requested:
             self.admission.remove_plan(job_id)
         self._prune(job)
-        self.ctx.dirty = True
+        self.ctx.scheduling_needed = True
 
     def resync(self, entries: list[Entry]) -> None:
         """The watch began anew: what is not among the entries is over."""
@@ -218,15 +218,15 @@
         self.failures.tick()
         self.autoscaler.watch()
         self._drain(now)
-        self.attempts.commands.raise_fencing_token()
-        self.attempts.gangs.tick(now)
+        self.reconciler.commands.raise_fencing_token()
+        self.reconciler.gangs.tick(now)
         if now >= self._flush_at:
-            self._flush_at = now + self.ctx.times.heartbeat_interval_s / 2
+            self._flush_at = now + self.ctx.durations.heartbeat_interval_s / 2
             self.completions.save()
         self.autoscaler.scale()
         if self.quota is not None:
             self.quota.tick()
-        self.ctx.dirty = True
+        self.ctx.scheduling_needed = True
 
     def settle(self) -> None:
         """After a batch of events: start what may start, and send it.
@@ -235,32 +235,32 @@
         without a rest would take all that reports leave; so they take a seventh of the time at the most.
         """
         began = self.ctx.clock()
-        if self.ctx.dirty and began >= self.settle_at and self.ctx.outbound.may_start():
-            self.ctx.dirty = False
+        if self.ctx.scheduling_needed and began >= self.settle_at and self.ctx.outbound.may_start_tasks():
+            self.ctx.scheduling_needed = False
             if self._guarantees_stale:
                 self._guarantees_stale = False
-                self._quotas.mark_guaranteed(job for job in self.ctx.fleet.jobs.values() if not job.over)
-            self.dispatcher.dispatch(self.attempts.all_reconciled())
+                self._quotas.mark_guaranteed(job for job in self.ctx.fleet.jobs.values() if not job.finalized)
+            self.dispatcher.dispatch(self.reconciler.all_reconciled())
             ended = self.ctx.clock()
-            rest = max(6 * (ended - began), self.ctx.times.heartbeat_interval_s / 25)
-            self.settle_at = ended + min(rest, self.ctx.times.heartbeat_interval_s / 2)
-        self.attempts.commands.flush()
+            rest = max(6 * (ended - began), self.ctx.durations.heartbeat_interval_s / 25)
+            self.settle_at = ended + min(rest, self.ctx.durations.heartbeat_interval_s / 2)
+        self.reconciler.commands.flush()
 
     def counts(self) -> dict[str, tuple[int, int]]:
         """Done and running tasks by job, for display."""
-        return {job.id: (job.done, job.running) for job in self.ctx.fleet.jobs.values() if not job.over}
+        return {job.id: (job.done, job.running) for job in self.ctx.fleet.jobs.values() if not job.finalized}
 
     def excluded_machines(self) -> list[str] | None:
         """Machines whose leases nobody may prolong but us; None before we know all of them.
 
         What runs there of cancelled jobs must be gone in time, or is none of ours.
         """
-        if self.attempts.unreconciled:
+        if self.reconciler.unreconciled:
             return None
         return [
             machine.name
             for machine in self.ctx.fleet.machines.values()
-            if machine.unknown_tasks or any(attempt.job.over for attempt in machine.attempts.values())
+            if machine.unknown_tasks or any(attempt.job.finalized for attempt in machine.attempts.values())
         ]
 
     def image_hints(self) -> ImageHints:
@@ -279,15 +279,15 @@
         except (KeyError, MalformedError):
             return None
         # Its user's clock began at the time of day that is kept with it.
-        ago = max(0.0, self.ctx.wall() - float(entry.data["at"]))
+        ago = max(0.0, self.ctx.wall_clock() - float(entry.data["at"]))
         job = make_job(spec, entry.version, self.ctx.clock() - ago)
         self.ctx.fleet.jobs[job.id] = job
         self._guarantees_stale = True
-        self.ctx.dirty = True
+        self.ctx.scheduling_needed = True
         return job
 
     def _prune(self, job: Job) -> None:
-        if job.over and not job.active:
+        if job.finalized and not job.active:
             self.ctx.fleet.jobs.pop(job.id, None)
 
     def _judged(self, job: Job) -> None:
@@ -295,24 +295,24 @@
 
     def _task_ran(self, attempt: Attempt, now: float) -> None:
         # Only whole runs tell how long a task takes.
-        if attempt.via != "seen" and attempt.running_at is not None:
+        if attempt.start_channel != "seen" and attempt.running_at is not None:
             self.admission.estimates.note(attempt.job, now - attempt.running_at)
 
     def _task_done(self, job: Job, index: int) -> None:
         other = job.active.get(index)
         if other is not None:
-            self.attempts.stop(other, 0.0, self.ctx.clock())
+            self.reconciler.stop(other, 0.0, self.ctx.clock())
         if job.done == job.spec.tasks:
             self._finish(job)
 
     def _finish(self, job: Job) -> None:
-        if job.finishing or job.over:
+        if job.finalizing or job.finalized:
             return
-        job.finishing = True
+        job.finalizing = True
 
         def durable(done: bool) -> None:
             if done:
-                self.ctx.outbound.over(job.id, "done", job.spec.tasks)
+                self.ctx.outbound.job_finalized(job.id, "done", job.spec.tasks)
             # Otherwise it is over in another way, or was by a repeat of this: the watch tells.
             self.job_removed(ACTIVE + job.id)
 
@@ -328,12 +328,12 @@
     def _attempt_over(self, attempt: Attempt) -> None:
         self.admission.over(attempt)
         job = attempt.job
-        if job.over and set(job.active) <= {attempt.index}:
+        if job.finalized and set(job.active) <= {attempt.index}:
             self.ctx.fleet.jobs.pop(job.id, None)
 
     def _follow_machine(self, machine: Machine) -> None:
-        usable = machine.up and machine.heard and not (machine.leaving or machine.deleting)
-        if usable and machine.taken_back_at is None:
+        usable = machine.is_up and machine.reconciled and not (machine.quarantined or machine.deleting)
+        if usable and machine.preempted_at is None:
             self.admission.machine_up(machine)
         else:
             self.admission.machine_out(machine)
@@ -343,18 +343,18 @@
 
     def _drain(self, now: float) -> None:
         """Move work off machines that will go: a notice may last half as long as it says."""
-        times = self.ctx.times
+        times = self.ctx.durations
         for machine in self.ctx.fleet.machines.values():
-            if (machine.taken_back_at is None and not machine.leaving) or machine.deleting:
+            if (machine.preempted_at is None and not machine.quarantined) or machine.deleting:
                 continue
             self.admission.machine_out(machine)
             left = math.inf
-            if machine.taken_back_at is not None and machine.notice_at is not None:
-                left = (machine.taken_back_at - machine.notice_at) / 2 - (now - machine.notice_at)
+            if machine.preempted_at is not None and machine.notice_at is not None:
+                left = (machine.preempted_at - machine.notice_at) / 2 - (now - machine.notice_at)
             for attempt in list(machine.attempts.values()):
                 if attempt.stopping_at is not None or not self._must_go(attempt, left, now):
                     continue
-                if attempt.job.gang:
+                if attempt.job.is_gang:
                     self._drain_gang(attempt, left, now)
                 else:
                     grace_s = (
@@ -362,20 +362,20 @@
                         if attempt.job.spec.checkpoint_s > 0
                         else 0.0
                     )
-                    self.attempts.stop(attempt, grace_s, now)
+                    self.reconciler.stop(attempt, grace_s, now)
 
     def _drain_gang(self, attempt: Attempt, left: float, now: float) -> None:
         """Move one task of a gang that assembles; a gang that runs is stopped as a whole."""
-        gangs, job = self.attempts.gangs, attempt.job
+        gangs, job = self.reconciler.gangs, attempt.job
         if gangs.state_of(job) is GangState.ASSEMBLING:
-            self.attempts.stop(attempt, 0.0, now)
+            self.reconciler.stop(attempt, 0.0, now)
         else:
             # With less time than saving takes its progress is lost anyway: the sooner it starts again.
             gangs.stop(job, now, grace_s=0.0 if left < job.spec.save_s else None)
 
     def _must_go(self, attempt: Attempt, left: float, now: float) -> bool:
         job = attempt.job
-        if job.service or attempt.status in (TaskState.SENT, TaskState.FETCHING, TaskState.WAITING):
+        if job.is_service or attempt.status in (TaskState.SENT, TaskState.FETCHING, TaskState.WAITING):
             return True
         if left == math.inf:
             # A machine at fault: whatever runs there had better start again elsewhere.
@@ -385,5 +385,5 @@
         if rest < left:
             return False
         if job.spec.checkpoint_s > 0:
-            return left < job.spec.save_s + 2 * self.ctx.times.heartbeat_interval_s
+            return left < job.spec.save_s + 2 * self.ctx.durations.heartbeat_interval_s
         return True
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -21,6 +21,7 @@
 from poppyhold.durable.store import ACTIVE, Entry, RefusedError, Store, UncertainError
 from poppyhold.durable.watch import Watch
 from poppyhold.model.context import CommitPriority, Data, ImageHints, MisdirectedWorker, Times
+from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.cloud import CloudClient
 from poppyhold.node.cloud_thread import CloudThread
 from poppyhold.node.controller import Controller
@@ -155,7 +156,7 @@
         while self.alive:
             now = time.monotonic()
             wake_at = tick_at
-            if self.controller.ctx.dirty and self.controller.settle_at > now:
+            if self.controller.ctx.scheduling_needed and self.controller.settle_at > now:
                 wake_at = min(tick_at, self.controller.settle_at)
             work = self._queue.get(max(0.0, wake_at - now))
             try:
@@ -228,7 +229,7 @@
 
     def _vouch(self) -> None:
         """Note what the other controllers may count on, should they lose us."""
-        sure_at = min(self.authority.synced_at, self.confirmed_at())
+        sure_at = min(self.authority.synced_at, self.leadership_confirmed_at())
         excluded_machines = self.controller.excluded_machines()
         if excluded_machines is None or sure_at == float("-inf"):
             self.delegation = None
@@ -312,7 +313,7 @@
 
     def may_answer(self) -> bool:
         """Whether workers may be given another lease."""
-        return self.authority.may_answer(time.monotonic(), self.confirmed_at())
+        return self.authority.may_answer(time.monotonic(), self.leadership_confirmed_at())
 
     def counts(self) -> dict[str, tuple[int, int]]:
         """Done and running tasks by job, as of the last tick."""
@@ -338,24 +339,24 @@
 
         self._committer.submit(Unit(conditions, writes, durable), priority)
 
-    def do(self, box: str, endpoint: str, body: Data, done: Done, patient: bool) -> None:
+    def send_commands(self, box: str, endpoint: str, body: Data, done: Done, patient: bool) -> None:
         """See `OutboundPort`."""
 
-        def answered(outcome: str, heartbeat: Heartbeat | None) -> None:
+        def answered(outcome: RequestOutcome, heartbeat: Heartbeat | None) -> None:
             self._post(DECISIONS, lambda: done(outcome, heartbeat))
 
         self._senders.send(endpoint, body, answered, patient)
 
-    def launch(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
+    def launch_machines(self, body: Data, done: Callable[[RequestOutcome, list[str]], None]) -> None:
         """See `OutboundPort`."""
 
-        def answered(outcome: str, boxes: list[str]) -> None:
+        def answered(outcome: RequestOutcome, boxes: list[str]) -> None:
             self._post(DECISIONS, lambda: done(outcome, boxes))
 
         if self._cloud is not None:
             self._cloud.launch(body, answered)
 
-    def delete(self, names: list[str], done: Callable[[bool], None]) -> None:
+    def delete_machines(self, names: list[str], done: Callable[[bool], None]) -> None:
         """See `OutboundPort`."""
 
         def deleted(result: bool) -> None:
@@ -364,11 +365,11 @@
         if self._cloud is not None:
             self._cloud.delete(names, deleted)
 
-    def deposed(self, fencing_token: int) -> None:
+    def leadership_lost(self, fencing_token: int) -> None:
         """See `OutboundPort`."""
         self._node.election.observe_fencing_token(fencing_token)
 
-    def raised(self, fencing_token: int) -> None:
+    def fencing_token_raised(self, fencing_token: int) -> None:
         """See `OutboundPort`."""
         self._node.election.raised(fencing_token)
 
@@ -376,7 +377,7 @@
         """See `OutboundPort`."""
         threading.Thread(target=self._node.election.resign, args=(why,), daemon=True).start()
 
-    def over(self, job_id: str, status: str, tasks: int) -> None:
+    def job_finalized(self, job_id: str, status: str, tasks: int) -> None:
         """See `OutboundPort`."""
         self._node.users.finals.put(job_id, (status, tasks))
 
@@ -384,7 +385,7 @@
         """See `OutboundPort`."""
         return [view.misdirected for view in self._node.peers.views.values()]
 
-    def may_start(self) -> bool:
+    def may_start_tasks(self) -> bool:
         """See `OutboundPort`."""
         election = self._node.election
         now = time.monotonic()
@@ -395,10 +396,10 @@
             and now - self.authority.synced_at < election.life_s * 2
         )
 
-    def confirmed_at(self) -> float:
+    def leadership_confirmed_at(self) -> float:
         """See `OutboundPort`."""
         return self._node.election.confirmed_at if self.alive else float("-inf")
 
-    def delegated_leases_until(self) -> float:
+    def delegated_leases_expire_at(self) -> float:
         """See `OutboundPort`."""
         return self.delegations.until(time.monotonic())
--- a/src/poppyhold/node/workers.py
+++ b/src/poppyhold/node/workers.py
@@ -8,14 +8,15 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from poppyhold.model.context import OK, REFUSED, UNSENT, UNSURE, Data
+from poppyhold.model.context import Data
+from poppyhold.model.outcome import RequestOutcome
 from poppyhold.settings import ConfigError, Settings, split_address
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
 from poppyhold.wire.messages import Heartbeat, MalformedError, parse_heartbeat
 
 log = logging.getLogger(__name__)
 
-Done = Callable[[str, Heartbeat | None], None]
+Done = Callable[[RequestOutcome, Heartbeat | None], None]
 
 
 class Lane:
@@ -93,13 +94,13 @@
             done(*self._post(endpoint, body))
         except Exception:
             log.exception("command to %s", endpoint)
-            done(UNSURE, None)
+            done(RequestOutcome.UNKNOWN, None)
 
-    def _post(self, endpoint: str, body: Data) -> tuple[str, Heartbeat | None]:
+    def _post(self, endpoint: str, body: Data) -> tuple[RequestOutcome, Heartbeat | None]:
         try:
             host, port = split_address(endpoint)
         except ConfigError:
-            return UNSENT, None
+            return RequestOutcome.NOT_SENT, None
         # A new connection each time: on one that was kept open, a lost command and a closed
         # connection look alike, and a lost command has to be waited out.
         client = Client(host, port, keep=0)
@@ -107,15 +108,15 @@
             status, data = client.request("POST", "/do", body, timeout=self._timeout)
         except NotSentError as error:
             log.debug("%s: %s", endpoint, error)
-            return UNSENT, None
+            return RequestOutcome.NOT_SENT, None
         except NoAnswerError as error:
             log.debug("%s: %s", endpoint, error)
-            return UNSURE, None
+            return RequestOutcome.UNKNOWN, None
         if status not in (HTTPStatus.OK, HTTPStatus.CONFLICT):
-            return REFUSED, None
+            return RequestOutcome.REJECTED, None
         try:
             heartbeat = parse_heartbeat(data)
         except MalformedError as error:
             log.debug("%s: %s", endpoint, error)
             heartbeat = None
-        return (OK if status == HTTPStatus.OK else REFUSED), heartbeat
+        return (RequestOutcome.OK if status == HTTPStatus.OK else RequestOutcome.REJECTED), heartbeat
--- a/src/poppyhold/quota/cell_quota.py
+++ b/src/poppyhold/quota/cell_quota.py
@@ -89,7 +89,7 @@
             cells.name, self._new_incarnation, self._commit, self._in_force, ctx.outbound.resign
         )
         self._asking = Asking(cells, self.book, ctx.clock)
-        keep_s = ctx.times.lease_s * cells.keep_leases
+        keep_s = ctx.durations.lease_s * cells.keep_leases
         self._holds = HoldTimes(keep_s)
         self._monitor = DemandMonitor(ctx, keep_s, self._holds, unknown_use, can_rent)
         limits = ctx.settings.settings.state.lowest
@@ -276,7 +276,7 @@
     def _check_use(self) -> None:
         """More in use than the share can only come from a version, or a file, that knows of no shares."""
         for team, record in self.book.records.items():
-            used = self._ctx.fleet.used.get(team, [0.0, 0.0])
+            used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
             above = [
                 f"{name} {amount:g} of {from_units(part.limit):g}"
                 for name, amount, part in zip(RESOURCES, used, parts_of(record.share), strict=True)
@@ -291,7 +291,7 @@
 
     def short(self) -> list[str]:
         """Teams whose work has waited for a larger share for more than a lease."""
-        return self._asking.short(self._ctx.times.lease_s)
+        return self._asking.short(self._ctx.durations.lease_s)
 
     def health(self) -> QuotaHealth:
         """What a readiness check shows."""
@@ -312,7 +312,7 @@
         teams = []
         for team, record in self.book.records.items():
             demand = self._demands.get(team)
-            used = self._ctx.fleet.used.get(team, [0.0, 0.0])
+            used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
             spare = TeamAmount()
             if demand is not None:
                 spare = self._spare(team, record.share, demand, demand.is_stuck)
--- a/src/poppyhold/quota/demand.py
+++ b/src/poppyhold/quota/demand.py
@@ -126,7 +126,7 @@
         """Note what the teams' tasks may use at this very moment, the unheard machines' room included."""
         unknown = self._unknown_use()
         for team, demand in demands.items():
-            used = self._ctx.fleet.used.get(team, [0.0, 0.0])
+            used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
             demand.cpus.may_run = _units_above(used[0] + unknown[0])
             demand.accelerators.may_run = _units_above(used[1] + unknown[1])
 
@@ -145,7 +145,7 @@
     def _note_use(self, team: str, demand: TeamDemand, now: float) -> None:
         if team not in self._peaks:
             self._peaks[team] = RecentPeak(), RecentPeak()
-        used = self._ctx.fleet.used.get(team, [0.0, 0.0])
+        used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
         cpus, accelerators = self._peaks[team]
         # Peaks reach back by half to a whole hold.
         window_s = self._holds.seconds(team, now) / 2
@@ -156,25 +156,25 @@
     def _add_waiting(self, demands: dict[str, TeamDemand]) -> None:
         rooms = _Rooms(self._ctx, self._can_rent)
         jobs = self._ctx.fleet.jobs.values()
-        for job in sorted(jobs, key=lambda job: (job.priority, job.at)):
+        for job in sorted(jobs, key=lambda job: (job.priority, job.submitted_at)):
             demand = demands.get(job.spec.team)
-            if demand is None or job.pending <= 0 or job.over or job.finishing or job.failures.at_fault:
+            if demand is None or job.pending <= 0 or job.finalized or job.finalizing or job.failures.at_fault:
                 continue
             tasks = job.startable(job.pending)
             if not tasks or not rooms.ever_fits(job):
                 continue
             startable = rooms.take(job, tasks)
-            demand.cpus.waiting += to_units(job.need[0] * tasks)
-            demand.cpus.startable += to_units(job.need[0] * startable)
-            demand.accelerators.waiting += to_units(job.need[1] * tasks)
-            demand.accelerators.startable += to_units(job.need[1] * startable)
+            demand.cpus.waiting += to_units(job.task_resources[0] * tasks)
+            demand.cpus.startable += to_units(job.task_resources[0] * startable)
+            demand.accelerators.waiting += to_units(job.task_resources[1] * tasks)
+            demand.accelerators.startable += to_units(job.task_resources[1] * startable)
 
     def _is_stuck(self, team: str, demand: TeamDemand, share: TeamShare, now: float) -> bool:
         """Whether work has waited for a while beside an idle share: others may use that.
 
         Two cells that each hold half of what a gang needs would otherwise keep their halves for ever.
         """
-        used = sum(self._ctx.fleet.used.get(team, [0.0, 0.0]))
+        used = sum(self._ctx.fleet.used_by_team.get(team, [0.0, 0.0]))
         progress = self._progress.setdefault(team, _Progress(used, now))
         waits = demand.accelerators.waits_beside(share.accelerators) or demand.cpus.waits_beside(share.cpus)
         if not waits or used != progress.used:
@@ -193,7 +193,7 @@
     @staticmethod
     def _kind(job: Job) -> tuple[object, ...]:
         types = job.spec.machine_types
-        return job.need, None if types is None else tuple(types), job.spec.zone, job.spec.spot
+        return job.task_resources, None if types is None else tuple(types), job.spec.zone, job.spec.spot
 
     def ever_fits(self, job: Job) -> bool:
         """Whether some machine type fits."""
@@ -210,7 +210,7 @@
         found = min(tasks, self._left[kind])
         if found < tasks and self._can_rent(job.spec):
             found = tasks
-        elif job.gang and found < tasks:
+        elif job.is_gang and found < tasks:
             return 0
         self._left[kind] -= min(found, self._left[kind])
         return found
@@ -219,10 +219,10 @@
         """Tasks that held machines have room for, a bounded number."""
         count, most = 0, self._ctx.settings.settings.machine_limits.machines
         for machine in self._ctx.fleet.machines.values():
-            gone = machine.leaving or machine.draining or machine.deleting
-            if gone or machine.taken_back_at is not None or not may_use(job, machine):
+            gone = machine.quarantined or machine.draining or machine.deleting
+            if gone or machine.preempted_at is not None or not may_use(job, machine):
                 continue
-            count += max_copies(job.need, machine.free, most - count)
+            count += max_copies(job.task_resources, machine.free, most - count)
             if count >= most:
                 break
         return count
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -33,7 +33,7 @@
         design = ctx.options.design
         self.ledger = Ledger(design.horizon_slots)
         self.pricing = Pricing(design)
-        self.planner = Planner(self.pricing, self.ledger, ctx.times.slot_s, design.work_units)
+        self.planner = Planner(self.pricing, self.ledger, ctx.durations.slot_s, design.work_units)
         self.estimates = Estimates()
         self.ledger.first = self._slot()
         self._released = True
@@ -41,7 +41,7 @@
         self._largest_record = ctx.settings.settings.state.lowest.value_bytes
 
     def _slot(self) -> int:
-        return int(self._ctx.wall() / self._ctx.times.slot_s)
+        return int(self._ctx.wall_clock() / self._ctx.durations.slot_s)
 
     # -- the ledger follows the fleet ----------------------------------------------------------------
 
@@ -76,8 +76,8 @@
         if times > 0:
             estimate = self.estimates.seconds(job)
             attempt.booked_until = self.ledger.first + self.planner.span(estimate) - 1
-        last = None if job.service else attempt.booked_until
-        self.ledger.book(attempt.machine.name, job.need, self.ledger.first, last, times)
+        last = None if job.is_service else attempt.booked_until
+        self.ledger.book(attempt.machine.name, job.task_resources, self.ledger.first, last, times)
 
     def over(self, attempt: Attempt) -> None:
         """An attempt is over: what it booked is released, and what it saved is there for the next."""
@@ -105,15 +105,15 @@
         if job.failures.at_fault:
             self.forget(job)
             job.admitted, job.plan = False, {}
-        if not job.over:
+        if not job.finalized:
             self._write(job)
 
     def _book_plan(self, job: Job, name: str, slot: int, number: int) -> None:
-        if job.service:
-            self.ledger.book(name, job.need, slot, None, number)
+        if job.is_service:
+            self.ledger.book(name, job.task_resources, slot, None, number)
         else:
             span = self.planner.span(self._planned_estimate(job))
-            self.ledger.book(name, job.need, slot, slot + span - 1, number)
+            self.ledger.book(name, job.task_resources, slot, slot + span - 1, number)
 
     def _planned_estimate(self, job: Job) -> float:
         # What was booked must be released alike, though the bias that is learned moves on.
@@ -139,13 +139,13 @@
             self._book_plan(job, name, slot, number)
         for machine in self._ctx.fleet.machines.values():
             for attempt in machine.attempts.values():
-                if attempt.booked and not attempt.job.service and attempt.booked_until < slot:
+                if attempt.booked and not attempt.job.is_service and attempt.booked_until < slot:
                     # Objection in DESIGN: without this, a task that outruns its estimate makes
                     # its room look free, and cheap.
                     attempt.booked_until = slot
-                    self.ledger.book(machine.name, attempt.job.need, slot, slot, 1.0)
+                    self.ledger.book(machine.name, attempt.job.task_resources, slot, slot, 1.0)
         self._released = True
-        self._ctx.dirty = True
+        self._ctx.scheduling_needed = True
 
     # -- admission -----------------------------------------------------------------------------------
 
@@ -178,16 +178,16 @@
 
     def _write(self, job: Job) -> None:
         """Make durable that tasks of the job may start from now on, as counts per zone and slot."""
-        if job.plan_asked:
+        if job.plan_requested:
             return
-        job.plan_asked = True
+        job.plan_requested = True
         data = self._record(job)
 
         def durable(done: bool) -> None:
-            job.plan_asked = False
+            job.plan_requested = False
             if done:
                 job.plan_durable = True
-                self._ctx.dirty = True
+                self._ctx.scheduling_needed = True
             else:
                 # Its record is gone: it is over, and the news of that came before its own.
                 self._on_ended(job)
@@ -232,7 +232,7 @@
 
     def load(self, job: Job, data: Data) -> None:
         """Take a plan that an earlier leader made durable."""
-        job.fresh = False
+        job.never_started = False
         job.plan_durable = True
         record = convert(data, PlanRecord)
         job.plan = {int(slot): zones for slot, zones in record.slots.items()}
@@ -253,7 +253,7 @@
         if not self._released or now < self._reconsider_at:
             return
         self._released = False
-        self._reconsider_at = now + self._ctx.times.heartbeat_interval_s
+        self._reconsider_at = now + self._ctx.durations.heartbeat_interval_s
         for job in waiting[: self._ctx.options.design.work_units]:
             if not job.booked and self._try_admit(job):
                 self._write(job)
@@ -264,10 +264,10 @@
         """Room of the current slot that admitted plans book and have not used yet."""
         reserved: dict[str, Resources] = {}
         for job in self._ctx.fleet.jobs.values():
-            if job.over:
+            if job.finalized:
                 continue
             for name, number in job.booked.get(self.ledger.first, {}).items():
-                reserved[name] = add_scaled(reserved.get(name, NO_RESOURCES), job.need, number)
+                reserved[name] = add_scaled(reserved.get(name, NO_RESOURCES), job.task_resources, number)
         return reserved
 
     def without_own(self, reserved: dict[str, Resources], job: Job) -> dict[str, Resources]:
@@ -275,7 +275,7 @@
         own = dict(reserved)
         for name, number in job.booked.get(self.ledger.first, {}).items():
             if name in own:
-                own[name] = add_scaled(own[name], job.need, -number)
+                own[name] = add_scaled(own[name], job.task_resources, -number)
         return own
 
     def use_booking(self, job: Job, machine: str) -> None:
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -23,7 +23,7 @@
 
 def _room_for(job: Job, machine: Machine, reserved: dict[str, Resources]) -> int:
     """How many of the job's pending tasks fit on a machine now, beside what is reserved."""
-    return max_copies(job.need, machine.free_after_reservations(reserved), job.pending)
+    return max_copies(job.task_resources, machine.free_after_reservations(reserved), job.pending)
 
 
 class Pass:
@@ -47,8 +47,8 @@
         """All that decides whether there is a place for a task of a job, zones aside."""
         spec = job.spec
         machine_types = None if spec.machine_types is None else tuple(spec.machine_types)
-        place = (job.need, machine_types, spec.zone, spec.spot)
-        return (*place, spec.team, job.priority, job.guaranteed, limited, reserved)
+        place = (job.task_resources, machine_types, spec.zone, spec.spot)
+        return (*place, spec.team, job.priority, job.within_guarantee, limited, reserved)
 
 
 class Rooms:
@@ -83,7 +83,7 @@
     def __init__(
         self, ctx: Context, attempts: AttemptReconciler, quotas: Quotas, admission: Admission
     ) -> None:
-        self._ctx, self._attempts, self._quotas, self._admission = ctx, attempts, quotas, admission
+        self._ctx, self._reconciler, self._quotas, self._admission = ctx, attempts, quotas, admission
         # What users expect of a class: seconds within which its tasks should have started.
         aims = {
             objective.job_class: objective.within_s
@@ -92,7 +92,9 @@
         }
         self.placement = Placement(aims, self._loss)
         self._gang_placement = GangPlacement(self.placement)
-        self._relocation = Relocation(admission.pricing.weights, ctx.times, self.placement.in_time, ctx.clock)
+        self._relocation = Relocation(
+            admission.pricing.weights, ctx.durations, self.placement.in_time, ctx.clock
+        )
         self._pass = Pass([], [], NO_RESOURCES)
         self._planned_rooms, self._unplanned_rooms = Rooms(), Rooms()
         self._rooms = self._planned_rooms
@@ -106,32 +108,34 @@
         jobs = [
             job
             for job in ctx.fleet.jobs.values()
-            if job.pending > 0 and not job.over and not job.finishing and job.retry_at <= now
+            if job.pending > 0 and not job.finalized and not job.finalizing and job.retry_at <= now
         ]
         # An older job's tasks may run on a machine that has not been heard yet.
-        ready = [job for job in jobs if job.plan_durable and (job.fresh or all_reconciled)]
+        ready = [job for job in jobs if job.plan_durable and (job.never_started or all_reconciled)]
         ready.sort(key=lambda job: self._urgency(job, now))
         waiting = [job for job in ready if not (job.admitted or job.failures.at_fault)]
         self._admission.reconsider(waiting, now)
         if not ready:
             return
         machines = [
-            machine for machine in ctx.fleet.machines.values() if machine.usable(now, ctx.times.silent_s)
+            machine
+            for machine in ctx.fleet.machines.values()
+            if machine.is_schedulable(now, ctx.durations.silent_s)
         ]
         if not machines:
             return
         # Machines that did not get our commands lately, or may be at fault, come last.
-        suspects = self._attempts.failures.suspects
+        suspects = self._reconciler.failures.suspects
         steady = [
             machine for machine in machines if machine.unreliable_until <= now and not suspects(machine)
         ]
-        self._pass = Pass(machines, steady, ctx.fleet.unknown_use(self._attempts.unreconciled))
+        self._pass = Pass(machines, steady, ctx.fleet.unaccounted_resources(self._reconciler.unreconciled))
         self.placement.begin(machines, [job for job in ctx.fleet.jobs.values() if job.active])
         self._gang_placement.begin(ctx.fleet.jobs.values())
         self._relocation.begin(self._pass.held)
         # A backlog that meets a thousand empty machines takes seconds: reports must not wait for it. The next
         # pass goes on with those that this one did not come to.
-        budget_s = ctx.times.heartbeat_interval_s / 16
+        budget_s = ctx.durations.heartbeat_interval_s / 16
         self._look_for_room(self._planned_rooms, self._pass.held)
         stop_at = ctx.clock() + budget_s
         ready.sort(key=lambda job: job.id in self._looked_at)
@@ -143,7 +147,7 @@
         stop_at = ctx.clock() + budget_s
         for job in ready:
             if ctx.clock() > stop_at:
-                ctx.dirty = True
+                ctx.scheduling_needed = True
                 return
             self._looked_at.add(job.id)
             if job.pending > 0:
@@ -157,7 +161,7 @@
 
     def _start_planned(self, job: Job, now: float) -> None:
         """Start what the job's plan lets start by now."""
-        if job.gang:
+        if job.is_gang:
             # One that has waited long goes first like one with a plan.
             if self._waited_long(job, now) or (job.admitted and self._admission.cap(job) >= job.pending):
                 self._start_gang(job, self._pass.held)
@@ -168,7 +172,7 @@
         """Start on room that no plan books now."""
         booked = bool(job.booked.get(self._admission.ledger.first))
         own = self._admission.without_own(reserved, job) if booked else reserved
-        if job.gang:
+        if job.is_gang:
             self._start_gang(job, own)
         else:
             self._start_some(job, job.pending, own, shared=not booked)
@@ -182,7 +186,11 @@
 
     def _waited_long(self, job: Job, now: float) -> bool:
         """Whether a job that has not begun is no longer passed over for others."""
-        return not job.active and not job.done and now - job.at > self._ctx.times.lease_s * _PATIENCE_LEASES
+        return (
+            not job.active
+            and not job.done
+            and now - job.submitted_at > self._ctx.durations.lease_s * _PATIENCE_LEASES
+        )
 
     def _urgency(self, job: Job, now: float) -> tuple[int, bool, int, float, float, str]:
         """Order of the jobs that wait: priority, guarantee, and then by what their value does.
@@ -193,23 +201,23 @@
         goes first all the same, so that none starves.
         """
         spec = job.spec
-        if job.service:
-            return job.priority, not job.guaranteed, 1, 0.0, job.at, job.id
+        if job.is_service:
+            return job.priority, not job.within_guarantee, 1, 0.0, job.submitted_at, job.id
         rest = max(0.0, self._admission.estimates.seconds(job) - job.saved_s())
         group = 1 if job.due_at is None or now + rest <= job.due_at else 2
         if self._waited_long(job, now):
             # By arrival: by least work, the largest of them would again come last.
-            return job.priority, not job.guaranteed, 0, 0.0, job.at, job.id
+            return job.priority, not job.within_guarantee, 0, 0.0, job.submitted_at, job.id
         work = rest * job.pending * (spec.accelerators or spec.cpus)
-        return job.priority, not job.guaranteed, group, work, job.at, job.id
+        return job.priority, not job.within_guarantee, group, work, job.submitted_at, job.id
 
     def _loss(self, victim: Attempt) -> float:
         """Seconds that are lost with an attempt: of its work, and of the wait for what takes its place."""
         job, boot = victim.job, victim.machine.machine_type.boot_s
-        if job.service:
+        if job.is_service:
             # Somebody waits for a replica all the time; an array's task only at its end.
             return boot
-        if job.gang:
+        if job.is_gang:
             return boot + self._gang_loss(victim)
         if victim.running_at is None:
             return 0.0
@@ -222,7 +230,7 @@
                 0.0, self._admission.estimates.seconds(job) - job.progress.get(victim.index, 0.0) - ran
             )
             slack = job.due_at - now - rest
-            if 0 <= slack < lost + self._ctx.times.lease_s:
+            if 0 <= slack < lost + self._ctx.durations.lease_s:
                 lost += boot
         return lost
 
@@ -234,7 +242,7 @@
         ran = now - victim.running_at
         if job.spec.checkpoint_s <= 0:
             return ran * job.spec.tasks
-        silent_s = self._ctx.times.silent_s
+        silent_s = self._ctx.durations.silent_s
         # It saves its progress only if all of its machines can be told in time.
         reachable = all(now - mate.machine.last_heartbeat_at <= silent_s for mate in job.active.values())
         lost = min(ran, job.spec.save_s) if reachable else ran % job.spec.checkpoint_s
@@ -243,7 +251,7 @@
     def _start_some(self, job: Job, most: int, reserved: dict[str, Resources], shared: bool) -> None:
         """Start up to so many tasks beside reserved room; ``shared``: it is the same for all jobs."""
         here = self._pass
-        used = self._ctx.fleet.used
+        used = self._ctx.fleet.used_by_team
         if job.spec.team in here.held_teams:
             return
         searches: list[Search] = []
@@ -254,7 +262,7 @@
                 return
             mine = used.get(job.spec.team, [0.0, 0.0])
             in_use = (mine[0] + here.extra[0], mine[1] + here.extra[1])
-            limited = not self._quotas.allows(job.spec.team, in_use, job.need)
+            limited = not self._quotas.allows(job.spec.team, in_use, job.task_resources)
             # Room that the job itself has booked is free for it alone; at the limit no free room counts.
             alike = shared or limited
             claim = here.claim(job, limited, bool(reserved) and not limited)
@@ -294,7 +302,7 @@
     def _choose(self, job: Job, search: Search, reserved: dict[str, Resources]) -> Choice | None:
         """The best machine with room; else, or where its image would come too late, one that makes room."""
         choice = search.best()
-        if self._ctx.clock() < job.preempts_again_at or job.failures.at_fault:
+        if self._ctx.clock() < job.may_preempt_at or job.failures.at_fault:
             return choice
         if choice is None:
             return search.preempt()
@@ -306,7 +314,7 @@
     def _sooner(self, job: Job, search: Search, wait: float, reserved: dict[str, Resources]) -> Choice | None:
         """A machine that has the image, if making room there loses less than the wait elsewhere."""
         other = search.preempt(soon=True)
-        if other is not None and not any(victim.job.service for victim in other.victims):
+        if other is not None and not any(victim.job.is_service for victim in other.victims):
             saved = wait - fetch_wait(other.machine, job)
             if sum(self._loss(victim) for victim in other.victims) <= saved:
                 return other
@@ -326,7 +334,7 @@
             ):
                 # One at a time: what is being stopped still counts, and would be made up for twice.
                 return None
-        owed = self._quotas.excess(job.spec.team, in_use, job.need)
+        owed = self._quotas.excess(job.spec.team, in_use, job.task_resources)
         places = self.placement.preemptible(job, self._pass.steady, owed)
         return next((place[2] for place in places if zone_allows(job, place[2].machine.zone)), None)
 
@@ -342,7 +350,7 @@
 
     def _start_gang(self, job: Job, reserved: dict[str, Resources]) -> None:
         """Start all pending tasks of a gang in one step, or none."""
-        gangs = self._attempts.gangs
+        gangs = self._reconciler.gangs
         if not gangs.may_start(job):
             return
         within_limit = self._gang_within_limit(job)
@@ -375,10 +383,12 @@
 
     def _gang_within_limit(self, job: Job) -> bool:
         """Whether all pending tasks together stay within the team's limit."""
-        used = self._ctx.fleet.used.get(job.spec.team, [0.0, 0.0])
+        used = self._ctx.fleet.used_by_team.get(job.spec.team, [0.0, 0.0])
         extra = self._pass.extra
         in_use = (used[0] + extra[0], used[1] + extra[1])
-        return self._quotas.allows(job.spec.team, in_use, add_scaled(NO_RESOURCES, job.need, job.pending))
+        return self._quotas.allows(
+            job.spec.team, in_use, add_scaled(NO_RESOURCES, job.task_resources, job.pending)
+        )
 
     def _hold_for_gang(self, job: Job, within_limit: bool) -> None:
         """Keep freed room for a gang that has waited long, for a while at a time.
@@ -386,7 +396,7 @@
         Smaller jobs would take each room that is released, and the gang would never find enough at once. Held
         without end, a gang that nothing can serve would block all others.
         """
-        waited_s = self._ctx.clock() - job.at - self._ctx.times.lease_s * _PATIENCE_LEASES
+        waited_s = self._ctx.clock() - job.submitted_at - self._ctx.durations.lease_s * _PATIENCE_LEASES
         hold_s = self._ctx.settings.settings.workers.gang_wait_s
         if int(waited_s / hold_s) % 2:
             return
@@ -400,25 +410,27 @@
         for machine in machines:
             room = _room_for(job, machine, held)
             if room:
-                held[machine.name] = add_scaled(held.get(machine.name, NO_RESOURCES), job.need, room)
+                held[machine.name] = add_scaled(
+                    held.get(machine.name, NO_RESOURCES), job.task_resources, room
+                )
         self._rooms.refresh()
 
     def _start(self, job: Job, index: int, choice: Choice) -> None:
         if self._await_gangs(job, choice):
             return
-        attempt = self._attempts.start(job, index, choice.machine, choice.victims)
+        attempt = self._reconciler.start(job, index, choice.machine, choice.victims)
         self.placement.take(choice)
         self._admission.use_booking(job, choice.machine.name)
         self._admission.book(attempt, 1.0)
 
     def _await_gangs(self, job: Job, choice: Choice) -> bool:
         """Whether a start has to wait for gangs among its victims, which are stopped whole and save first."""
-        gangs = {victim.job.id: victim.job for victim in choice.victims if victim.job.gang}
+        gangs = {victim.job.id: victim.job for victim in choice.victims if victim.job.is_gang}
         if not gangs:
             return False
         now = self._ctx.clock()
         for gang in gangs.values():
-            self._attempts.gangs.stop(gang, now)
+            self._reconciler.gangs.stop(gang, now)
         saving_s = max(gang.spec.save_s for gang in gangs.values())
-        job.preempts_again_at = now + saving_s + 2 * self._ctx.times.heartbeat_interval_s
+        job.may_preempt_at = now + saving_s + 2 * self._ctx.durations.heartbeat_interval_s
         return True
--- a/src/poppyhold/scheduling/free_capacity.py
+++ b/src/poppyhold/scheduling/free_capacity.py
@@ -134,7 +134,7 @@
         machine_types = None if spec.machine_types is None else tuple(spec.machine_types)
         kind = (
             id(view),
-            job.need,
+            job.task_resources,
             spec.image,
             spec.image_gb,
             spec.job_class,
--- a/src/poppyhold/scheduling/gang_placement.py
+++ b/src/poppyhold/scheduling/gang_placement.py
@@ -37,10 +37,10 @@
     """The most of each resource that a task takes beside one accelerator, among these jobs."""
     cpus = memory = 0.0
     for job in jobs:
-        accelerators = job.need[1]
+        accelerators = job.task_resources[1]
         if accelerators > 0:
-            cpus = max(cpus, job.need[0] / accelerators)
-            memory = max(memory, job.need[2] / accelerators)
+            cpus = max(cpus, job.task_resources[0] / accelerators)
+            memory = max(memory, job.task_resources[2] / accelerators)
     return cpus, 0.0, memory
 
 
@@ -97,16 +97,16 @@
     ) -> RoomMade | None:
         """Room for up to so many tasks, with no more stops than that takes."""
         free = machine.free_after_reservations(reserved)
-        count = max_copies(job.need, free, most)
+        count = max_copies(job.task_resources, free, most)
         victims: list[Attempt] = []
         lost = 0.0
         stops: list[Attempt] = []
         for attempt in self._placement.stoppable_on(job, machine):
             if count >= most:
                 break
-            free = add_scaled(free, attempt.job.need)
+            free = add_scaled(free, attempt.job.task_resources)
             stops.append(attempt)
-            more = max_copies(job.need, free, most)
+            more = max_copies(job.task_resources, free, most)
             if more > count:
                 count = more
                 victims += stops
@@ -154,10 +154,10 @@
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
     ) -> Candidate | None:
         # Room that accelerators need comes second: without it they would stand idle.
-        for keeps_companions in (True, False) if job.need[1] <= 0 else (False,):
+        for keeps_companions in (True, False) if job.task_resources[1] <= 0 else (False,):
             chosen = self._fill(job, self._options(job, machines, reserved, keeps_companions))
             if chosen is not None:
-                return Candidate(not keeps_companions and job.need[1] <= 0, chosen)
+                return Candidate(not keeps_companions and job.task_resources[1] <= 0, chosen)
         return None
 
     def _kept_for_accelerators(self) -> Resources:
@@ -174,7 +174,7 @@
             free = machine.free_after_reservations(reserved)
             if keeps_companions:
                 free = add_scaled(free, companions, -max(0.0, free[1]))
-            count = max_copies(job.need, free, job.pending)
+            count = max_copies(job.task_resources, free, job.pending)
             if count:
                 options.append((count, machine))
         return options
@@ -206,7 +206,7 @@
         wait = fetch_wait(machine, job)
         holds_all = count >= left
         return (
-            machine.name in job.failed_on,
+            machine.name in job.failed_machines,
             not self._placement.in_time(job, wait),
             not holds_all,
             machine.spot,
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -96,7 +96,7 @@
         """A choice was carried out: the stops come before any later start on the machine."""
         name = choice.machine.name
         for victim in choice.victims:
-            self._freed[name] = add_scaled(self._freed.get(name, NO_RESOURCES), victim.job.need)
+            self._freed[name] = add_scaled(self._freed.get(name, NO_RESOURCES), victim.job.task_resources)
 
     def in_time(self, job: Job, wait: float) -> bool:
         """Whether a task that waits so long for its image starts within what its users expect."""
@@ -114,7 +114,11 @@
         # Packing: machines that are nearly full first, so that others empty.
         capacity = machine.capacity
         left = max(
-            ((free[i] - job.need[i]) / capacity[i] for i in range(3) if capacity[i] > 0 and job.need[i] > 0),
+            (
+                (free[i] - job.task_resources[i]) / capacity[i]
+                for i in range(3)
+                if capacity[i] > 0 and job.task_resources[i] > 0
+            ),
             default=0.0,
         )
         score += left * boot * 0.02
@@ -126,17 +130,17 @@
     @staticmethod
     def own_machines(job: Job) -> set[str]:
         """Machines that count differently for this very job than for others like it."""
-        if job.service and job.spec.tasks > 1:
-            return job.failed_on | {attempt.machine.name for attempt in job.active.values()}
-        return job.failed_on
+        if job.is_service and job.spec.tasks > 1:
+            return job.failed_machines | {attempt.machine.name for attempt in job.active.values()}
+        return job.failed_machines
 
     @staticmethod
     def _own_score(job: Job, machine: Machine) -> float:
         """What a placement costs this very job beyond others like it."""
         boot = machine.machine_type.boot_s
-        score = boot if machine.name in job.failed_on else 0.0
+        score = boot if machine.name in job.failed_machines else 0.0
         # Replicas on one machine are lost together.
-        if job.service and job.spec.tasks > 1:
+        if job.is_service and job.spec.tasks > 1:
             score += boot * 0.05 * sum(1 for attempt in machine.attempts.values() if attempt.job is job)
         return score
 
@@ -148,7 +152,7 @@
     def _shared_room(self, job: Job, machine: Machine, reserved: dict[str, Resources]) -> float | None:
         """The same for any job alike, without what this one's own tasks and failures make of it."""
         # The bulk of all machines is full: they are passed over at the price of three comparisons.
-        free, need = machine.free, job.need
+        free, need = machine.free, job.task_resources
         if not fits(need, free) or not may_use(job, machine):
             return None
         free = machine.free_after_reservations(reserved)
@@ -194,7 +198,9 @@
         """What the job may preempt on a machine where nothing was stopped in this pass, least loss first."""
         if machine.name in self._freed or not may_use(job, machine):
             return []
-        found = [attempt for attempt in self._candidates(job).get(machine.name, ()) if not attempt.job.gang]
+        found = [
+            attempt for attempt in self._candidates(job).get(machine.name, ()) if not attempt.job.is_gang
+        ]
         found.sort(key=self._least_loss)
         return found
 
@@ -207,7 +213,7 @@
 
     def _candidates(self, job: Job) -> dict[str, list[Attempt]]:
         """What the job may preempt, by machine. Within a pass it only gets less."""
-        claim = (job.spec.team, job.priority, job.guaranteed)
+        claim = (job.spec.team, job.priority, job.within_guarantee)
         found = self._preemptible.get(claim)
         if found is None:
             found = {}
@@ -230,7 +236,7 @@
         """
         if owed is not None:
             return self._victims(job, machine, candidates, owed)
-        claim = (job.spec.team, job.priority, job.guaranteed, job.need, machine.name)
+        claim = (job.spec.team, job.priority, job.within_guarantee, job.task_resources, machine.name)
         known = self._victims_of.get(claim)
         if known is None or known[0] != machine.version:
             known = (machine.version, self._victims(job, machine, candidates, None))
@@ -241,12 +247,12 @@
         self, job: Job, machine: Machine, candidates: list[Attempt], owed: tuple[float, float] | None
     ) -> list[Attempt] | None:
         free = machine.free
-        if owed is None and fits(job.need, free):
+        if owed is None and fits(job.task_resources, free):
             return None
         # A second start beside an earlier one's victims: were their room not counted, it would take as many
         # victims again, and a third one more than that.
         free = add_scaled(free, self._freed.get(machine.name, NO_RESOURCES))
-        if owed is None and fits(job.need, free):
+        if owed is None and fits(job.task_resources, free):
             return []
         left = [
             attempt
@@ -255,25 +261,25 @@
         ]
         most = free
         for attempt in left:
-            most = add_scaled(most, attempt.job.need)
-        if not fits(job.need, most):
+            most = add_scaled(most, attempt.job.task_resources)
+        if not fits(job.task_resources, most):
             return None
         left.sort(key=self._least_loss)
         chosen: list[Attempt] = []
         cpus, gpus = owed or (0.0, 0.0)
         for attempt in left:
-            free = add_scaled(free, attempt.job.need)
-            cpus -= attempt.job.need[0]
-            gpus -= attempt.job.need[1]
+            free = add_scaled(free, attempt.job.task_resources)
+            cpus -= attempt.job.task_resources[0]
+            gpus -= attempt.job.task_resources[1]
             chosen.append(attempt)
-            if fits(job.need, free) and (owed is None or (cpus <= EPSILON and gpus <= EPSILON)):
+            if fits(job.task_resources, free) and (owed is None or (cpus <= EPSILON and gpus <= EPSILON)):
                 return chosen
         return None
 
     @staticmethod
     def _may_preempt(job: Job, other: Job) -> bool:
-        if other.spec.team == job.spec.team or other.guaranteed == job.guaranteed:
+        if other.spec.team == job.spec.team or other.within_guarantee == job.within_guarantee:
             return other.priority > job.priority
         # Between teams the guarantee goes before priority. Were it not so both ways, two jobs could
         # preempt one another for ever: one by its priority, the other by its guarantee.
-        return job.guaranteed
+        return job.within_guarantee
--- a/src/poppyhold/scheduling/planner.py
+++ b/src/poppyhold/scheduling/planner.py
@@ -54,13 +54,13 @@
         groups = self._groups(job)
         if not groups or tasks <= 0:
             return None
-        shares = max(shares_of(job.need, row.capacity) for row, _ in groups)
+        shares = max(shares_of(job.task_resources, row.capacity) for row, _ in groups)
         best: Plan | None = None
         for zone in self._zones(job, groups):
             chosen = [group for group in groups if zone is None or group[0].zone == zone]
             found = (
                 self._plan_service(job, tasks, chosen, shares)
-                if job.service
+                if job.is_service
                 else self._plan_array(job, tasks, estimate_s, now, chosen, shares)
             )
             if found is not None and (best is None or found.payoff > best.payoff):
@@ -99,7 +99,11 @@
         ``part`` is the part of a slot that a task takes, where several fit one after another. What a zone
         offers beyond all the tasks is left out.
         """
-        need = job.need if part == 1.0 else (job.need[0] * part, job.need[1] * part, job.need[2] * part)
+        need = (
+            job.task_resources
+            if part == 1.0
+            else (job.task_resources[0] * part, job.task_resources[1] * part, job.task_resources[2] * part)
+        )
         alike: list[tuple[float, str, int, Group]] = []
         for group in groups:
             most, cost = self._room_on(group[0], need, first, last, tasks)
@@ -173,7 +177,7 @@
         span = self.span(estimate_s)
         part = min(1.0, max(estimate_s / self._slot_s, 0.01)) if span == 1 else 1.0
         # A gang is one unit of work: it starts whole in a slot.
-        unit = tasks if job.gang else max(1, math.ceil(tasks / self._units))
+        unit = tasks if job.is_gang else max(1, math.ceil(tasks / self._units))
         steps = math.ceil(tasks / unit)
         # What lies beyond the horizon is carried forward: the last slots take a cut-off span.
         tables: list[list[float]] = []
--- a/src/poppyhold/scheduling/quotas.py
+++ b/src/poppyhold/scheduling/quotas.py
@@ -118,11 +118,11 @@
         """
         sums: dict[str, list[float]] = {}
         full: set[str] = set()
-        for job in sorted(jobs, key=lambda job: (job.priority, job.at, job.id)):
+        for job in sorted(jobs, key=lambda job: (job.priority, job.submitted_at, job.id)):
             team = job.spec.team
             total = sums.setdefault(team, [0.0, 0.0])
-            total[0] += job.need[0] * job.spec.tasks
-            total[1] += job.need[1] * job.spec.tasks
+            total[0] += job.task_resources[0] * job.spec.tasks
+            total[1] += job.task_resources[1] * job.spec.tasks
             if team not in full and not self.within_guarantee(team, total[0], total[1]):
                 full.add(team)
-            job.guaranteed = team not in full
+            job.within_guarantee = team not in full
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -69,7 +69,7 @@
         self, job: Job, wait_s: float, machines: list[Machine], reserved: dict[str, Resources]
     ) -> Choice | None:
         """A machine with the job's image and the replicas that move away, if that costs less than waiting."""
-        kind = (job.spec.image, job.need, job.priority)
+        kind = (job.spec.image, job.task_resources, job.priority)
         if self._searches_left <= 0 or kind in self._hopeless or self._moves_left(machines) <= 0:
             return None
         self._searches_left -= 1
@@ -140,8 +140,8 @@
                 continue
             chosen.append(move)
             _reserve(taken, move)
-            free = add_scaled(free, move.attempt.job.need)
-            if fits(job.need, free):
+            free = add_scaled(free, move.attempt.job.task_resources)
+            if fits(job.task_resources, free):
                 return chosen
         return []
 
@@ -149,9 +149,9 @@
         """Whether a replica may move for the job. A start that is stopped soon was none to its user."""
         other = attempt.job
         return (
-            other.service
+            other.is_service
             and other is not job
-            and not other.over
+            and not other.finalized
             and other.priority >= job.priority
             and attempt.status == TaskState.RUNNING
             and attempt.stopping_at is None
@@ -170,7 +170,7 @@
                 continue
             if home.zone != attempt.machine.zone and not zone_allows(other, home.zone):
                 continue
-            if not fits(other.need, home.free_after_reservations(reserved)):
+            if not fits(other.task_resources, home.free_after_reservations(reserved)):
                 continue
             wait_s = fetch_wait(home, other)
             if not self._may_move_to(other, wait_s, other.priority == job.priority):
@@ -194,4 +194,4 @@
 def _reserve(rooms: dict[str, Resources], move: Move) -> None:
     """Keep the room for a replica on its next machine."""
     name = move.home.name
-    rooms[name] = add_scaled(rooms.get(name, NO_RESOURCES), move.attempt.job.need)
+    rooms[name] = add_scaled(rooms.get(name, NO_RESOURCES), move.attempt.job.task_resources)
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -28,7 +28,8 @@
     UncertainError,
     put,
 )
-from poppyhold.model.context import OK, REFUSED, UNSENT, UNSURE, CommitPriority, MisdirectedWorker, Times
+from poppyhold.model.context import CommitPriority, MisdirectedWorker, Times
+from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.controller import Controller
 from poppyhold.node.leader_term import DIRECT_SHARE
 from poppyhold.node.users import Users
@@ -216,7 +217,9 @@
         if not self.alive or not self.node.alive or self.node.frozen:
             return
         self.controller.settle()
-        if self.controller.ctx.dirty and self.controller.settle_at > max(self.world.now, self.woken_at):
+        if self.controller.ctx.scheduling_needed and self.controller.settle_at > max(
+            self.world.now, self.woken_at
+        ):
             self.woken_at = self.controller.settle_at
             self.world.after(self.woken_at - self.world.now, self.settle)
 
@@ -238,23 +241,23 @@
         self._units.insert(place, unit)
         self._priorities.insert(place, priority)
 
-    def do(
+    def send_commands(
         self,
         box: str,
         endpoint: str,
         body: Data,
-        done: Callable[[str, Heartbeat | None], None],
+        done: Callable[[RequestOutcome, Heartbeat | None], None],
         patient: bool,
     ) -> None:
         world = self.world
         worker = world.workers.get(endpoint)
 
-        def answered(outcome: str, heartbeat: Data | None) -> None:
+        def answered(outcome: RequestOutcome, heartbeat: Data | None) -> None:
             parsed = parse_heartbeat(heartbeat) if heartbeat is not None else None
             self._later(0.001 + world.link_s, lambda: done(outcome, parsed))
 
         if worker is None or worker.gone or self.node.cut_workers:
-            self._later(1.5, lambda: done(UNSENT, None))
+            self._later(1.5, lambda: done(RequestOutcome.NOT_SENT, None))
             return
         how = world.troubles.get(worker.name, set())
         if world.severed(self.node.zone, worker.zone):
@@ -265,43 +268,46 @@
                 worker.do(body)
 
             world.after(LATE_S, deliver_late)
-            self._later(1.5, lambda: done(UNSURE, None))
+            self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
             return
         if how & {"hang", "hold"}:
             # The command waits in the network or in a hanging machine, and is carried out later.
             worker.held_commands.append(body)
-            self._later(1.5, lambda: done(UNSURE, None))
+            self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
             return
         if "deaf" in how:
-            self._later(1.5, lambda: done(UNSENT, None))
+            self._later(1.5, lambda: done(RequestOutcome.NOT_SENT, None))
             return
 
         def deliver() -> None:
             status, heartbeat = worker.do(body)
             if "mute" in how:
-                self._later(1.5, lambda: done(UNSURE, None))
+                self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
                 return
-            answered(OK if status == 200 else REFUSED, heartbeat)
+            answered(RequestOutcome.OK if status == 200 else RequestOutcome.REJECTED, heartbeat)
 
         world.after(0.001 + world.link_s, deliver)
 
-    def launch(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
+    def launch_machines(self, body: Data, done: Callable[[RequestOutcome, list[str]], None]) -> None:
         def send() -> None:
             if self.world.cut == self.node.zone:
-                done(UNSURE, [])
+                done(RequestOutcome.UNKNOWN, [])
                 return
             status, answer = self.world.cloud.launch(body)
             if self.world.lose_launches > 0 and status == 200:
                 self.world.lose_launches -= 1
-                done(UNSURE, [])
+                done(RequestOutcome.UNKNOWN, [])
             elif status == 200:
-                done(OK, answer["boxes"])
+                done(RequestOutcome.OK, answer["boxes"])
             else:
-                done(REFUSED if answer["error"] == "no capacity" else UNSURE, [])
+                done(
+                    RequestOutcome.REJECTED if answer["error"] == "no capacity" else RequestOutcome.UNKNOWN,
+                    [],
+                )
 
         self._later(0.1, send)
 
-    def delete(self, names: list[str], done: Callable[[bool], None]) -> None:
+    def delete_machines(self, names: list[str], done: Callable[[bool], None]) -> None:
         def send() -> None:
             if self.world.cut == self.node.zone:
                 done(False)
@@ -314,10 +320,10 @@
 
         self._later(0.1, send)
 
-    def deposed(self, baton: int) -> None:
+    def leadership_lost(self, baton: int) -> None:
         self.node.step_down()
 
-    def raised(self, baton: int) -> None:
+    def fencing_token_raised(self, baton: int) -> None:
         self.fencing_token = baton
 
     def resign(self, why: str) -> None:
@@ -326,7 +332,7 @@
             self.world.state.end(self.lease_id)
         self.node.step_down()
 
-    def over(self, job_id: str, status: str, chores: int) -> None:
+    def job_finalized(self, job_id: str, status: str, chores: int) -> None:
         self.node.users.finals.put(job_id, (status, chores))
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
@@ -347,14 +353,14 @@
             return None
         return self.controller.handle_heartbeat(heartbeat)
 
-    def may_start(self) -> bool:
+    def may_start_tasks(self) -> bool:
         now = self.world.now
         return self.alive and now - self.confirmed < 2.5 and now - self.authority.synced_at < 5.0
 
-    def confirmed_at(self) -> float:
+    def leadership_confirmed_at(self) -> float:
         return self.confirmed if self.alive else float("-inf")
 
-    def delegated_leases_until(self) -> float:
+    def delegated_leases_expire_at(self) -> float:
         return self.delegations.until(self.world.now)
 
     def delegation(self) -> LeaseDelegation | None:
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -92,7 +92,7 @@
 GUARDS = [
     Guard("last_accelerator", Quotas, "set", _settings_alone),
     Guard("cancelled_still_counts", ResourceDemand, "kept", _nothing_kept),
-    Guard("unheard_machine_counts", Fleet, "unknown_use", _no_unknown_use),
+    Guard("unheard_machine_counts", Fleet, "unaccounted_resources", _no_unknown_use),
     Guard("two_gangs_with_half_each", DemandMonitor, "_is_stuck", _never),
     Guard("without_the_file", CellQuota, "_check_use", _unchecked),
     Guard("late_writes_and_messages", ShareBook, "_is_next", always_next),
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -105,12 +105,12 @@
     self: GangPlacement, job: Job, machines: list[Machine], reserved: dict[str, Resources]
 ) -> list[Machine] | None:
     """Tasks of a gang start as soon as there is room for one."""
-    return next(([machine] for machine in machines if max_copies(job.need, machine.free, 1)), None)
+    return next(([machine] for machine in machines if max_copies(job.task_resources, machine.free, 1)), None)
 
 
 # Guard that is taken out -> scenario that must then break a rule or miss what it expects.
 GUARDS = [
-    Guard("late_run_after_cancel", DirectCommands, "raise_token", _always),
+    Guard("late_run_after_cancel", DirectCommands, "raise_fencing_token", _always),
     Guard("held_start_after_leader_change", AttemptReconciler, "_absence_proves", _always),
     Guard("limit_while_unreachable", Quotas, "allows", _always),
     Guard("isolated_leader", Authority, "may_answer", _always),
@@ -120,7 +120,7 @@
     Guard("zone_cut", DelegatedRenewal, "may_answer", _never),
     Guard("zone_cut_long", LeaseDelegations, "until", _long_ago),
     Guard("cancelled_before_the_cut", Controller, "excluded_machines", _nobody),
-    Guard("limit_and_cancelled", Fleet, "unknown_use", _no_room),
+    Guard("limit_and_cancelled", Fleet, "unaccounted_resources", _no_room),
     Guard("mute_machines_and_copies", MachineMonitor, "_lost_to_others", _all_of_them),
     Guard("deaf_machine", AttemptReconciler, "_ignores_answers", _never),
     Guard("gap", Cancellations, "named", _told_nothing),
@@ -137,13 +137,13 @@
     Guard("gang_not_starved", Dispatcher, "_hold_for_gang", _never),
     Guard("gang_team_limit", Dispatcher, "_hold_for_gang", _never),
     Guard("gang_half_sent", Gangs, "adopt", _never),
-    Guard("gang_half_heard", AttemptReconciler, "all_heard", _always),
+    Guard("gang_half_heard", AttemptReconciler, "all_reconciled", _always),
     Guard("gang_short_notice", Controller, "_drain_gang", _never),
     Guard("gang_leader_crash_in_stop", Gangs, "stop", _kill),
     Guard("gang_cancelled_at_once", Controller, "job_removed", _never),
     Guard("gang_machine_hangs", Gangs, "gone", _never),
     Guard("gang_done_by_one_report", Job, "complete", _complete_one),
-    Guard("gang_unsure_start", DirectCommands, "raise_token", _always),
+    Guard("gang_unsure_start", DirectCommands, "raise_fencing_token", _always),
     Guard("zone_partition", Connectivity, "better_placed", _never),
     Guard("few_hang_at_change_of_leader", MachineMonitor, "_is_quiet", _always),
     Guard("zone_partition_of_two", DelegatedRenewal, "_is_partition", _never),
@@ -182,7 +182,7 @@
 
 def _late_alone(self: Boots, machine: Machine, oldest: dict[str, float], now: float) -> bool:
     """Each machine is late by itself, whatever others do."""
-    return now - machine.since > 1.5 * machine.machine_type.boot_s
+    return now - machine.known_since > 1.5 * machine.machine_type.boot_s
 
 
 def _behind_a_change_too(
@@ -207,7 +207,7 @@
 
 def _hopeless_alone(self: Boots, machine: Machine, give_up_s: float, now: float) -> bool:
     """Each machine is given up by itself, whatever others do."""
-    return now - machine.since > give_up_s
+    return now - machine.known_since > give_up_s
 
 
 GUARDS += [
@@ -235,7 +235,7 @@
 GUARDS += [
     Guard("relay_batches_twice_and_late", AttemptReconciler, "_is_newer", _always),
     Guard("relay_cut_while_cancelled", Controller, "excluded_machines", _nobody),
-    Guard("relay_gang", AttemptReconciler, "all_heard", _always),
+    Guard("relay_gang", AttemptReconciler, "all_reconciled", _always),
 ]
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -27,7 +27,7 @@
 from poppyhold.execution.direct_commands import DirectCommands
 from poppyhold.machines.space import Demand, Space
 from poppyhold.machines.space_index import SpaceIndex
-from poppyhold.model.fleet import Machine, add_scaled, fits, make_job, max_copies
+from poppyhold.model.fleet import Job, Machine, add_scaled, fits, make_job, max_copies
 from poppyhold.node.cloud_thread import CloudThread, ListReader
 from poppyhold.options import parse_options
 from poppyhold.scale.jobs import submission, wire
@@ -306,7 +306,7 @@
 # -- what is computed ------------------------------------------------------------------------------------
 
 
-def _job(number: int, cpus: float, accelerators: float, **fields: object) -> Any:
+def _job(number: int, cpus: float, accelerators: float, **fields: object) -> Job:
     spec = submission(
         f"job-{number:06d}", {"cpus": cpus, "accelerators": accelerators, "memGb": 1.0, **fields}
     )
@@ -315,7 +315,7 @@
 
 def _machine(name: str, zone: str, used: float) -> Machine:
     machine = Machine(name, LARGE, zone, False, 0.0)
-    machine.use((used, 0.0, 0.0))
+    machine.set_used((used, 0.0, 0.0))
     return machine
 
 
@@ -338,7 +338,7 @@
     view.begin([machines[index] for index in sorted(present)], {})
     ranking = Ranking(view, score)
     for index, used, comes in changes:
-        machines[index].use((float(used), 0.0, 0.0))
+        machines[index].set_used((float(used), 0.0, 0.0))
         if comes:
             present.add(index)
             view.changed(machines[index])
@@ -358,7 +358,7 @@
     view.begin([machine], {})
     ranking = Ranking(view, lambda m: m.free[0] if m.free[0] >= 4 else None)
     ranking.update()
-    machine.use((16.0, 0.0, 0.0))
+    machine.set_used((16.0, 0.0, 0.0))
     # Its guard: a machine that something starts on is reported to the view.
     assert ranking.best({"a"}, set()) is not None
     view.changed(machine)
@@ -402,7 +402,7 @@
     index = SpaceIndex(indexed)
     for cpus, tasks, zone in demands:
         job = _job(1, float(cpus), 0.0, paddock=zone, loaners=True)
-        demand = Demand(job.spec, job.need, tasks, {})
+        demand = Demand(job.spec, job.task_resources, tasks, {})
         left = _serve(index, demand)
         assert left == _serve_plainly(plain, demand)
     assert sorted(space.free for space in indexed) == sorted(space.free for space in plain)
@@ -452,17 +452,17 @@
     for machine in machines.values():
         machine.endpoint = "127.0.0.1:9"
 
-    def do(box: str, endpoint: str, body: Any, done: Any, patient: bool) -> None:
+    def send_commands(box: str, endpoint: str, body: Any, done: Any, patient: bool) -> None:
         asked.append(box)
 
     ctx: Any = SimpleNamespace(
         clock=lambda: now[0],
-        times=SimpleNamespace(heartbeat_interval_s=2.0, silent_s=7.0),
+        durations=SimpleNamespace(heartbeat_interval_s=2.0, silent_s=7.0),
         fleet=SimpleNamespace(machines=machines),
-        outbound=SimpleNamespace(do=do),
+        outbound=SimpleNamespace(send_commands=send_commands),
         fencing_token=1,
-        most_hastened=2000.0,
-        quiet_pace=100.0,
+        max_initial_probes=2000.0,
+        silent_probe_rate=100.0,
     )
     commands = DirectCommands(ctx, lambda attempt: None, lambda *answered: None)
     for machine in machines.values():
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -50,14 +50,14 @@
     world, _ = leading_world()
     old = world.workers["vm-000001"].heartbeat()
     leader_term = next_leader(world)
-    attempts = leader_term.controller.attempts
+    attempts = leader_term.controller.reconciler
     assert attempts.unreconciled == {"vm-000001"}
     answer = leader_term.controller.handle_heartbeat(parse_heartbeat(old))
     machine = leader_term.controller.ctx.fleet.machines["vm-000001"]
     # No order but stops, nothing adopted, not heard, and what it holds still counts as unknown.
     assert answer is not None
     assert answer.body() == {"baton": leader_term.fencing_token, "orders": []}
-    assert not machine.heard and not machine.attempts and attempts.unreconciled == {"vm-000001"}
+    assert not machine.reconciled and not machine.attempts and attempts.unreconciled == {"vm-000001"}
     assert not attempts.all_reconciled()
     # Nor does a node that may stand in for this leader take it.
     other = next(node for node in world.nodes if node.alive and node.leader_term is None)
@@ -107,11 +107,11 @@
     if via == "reply":
         machine.unreliable_until = world.now + 1000.0
     world.run(world.now + 6.0)
-    assert (machine.heard, machine.recorded, new.tasks) == (True, False, {})
+    assert (machine.reconciled, machine.is_recorded, new.tasks) == (True, False, {})
     world.late_writes = 0.0
     world.run(world.now + 30.0)
     assert len(new.on_machine()) == 4
-    assert {attempt.via for attempt in machine.attempts.values()} == {via}
+    assert {attempt.start_channel for attempt in machine.attempts.values()} == {via}
     assert world.broken == []
 
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -38,7 +38,7 @@
 def brute_force(job: Job, ledger: Ledger, pricing: Pricing, estimate_s: float) -> float | None:
     """The best payoff over every way to start the tasks, one slot and machine each."""
     part = estimate_s / SLOT_S
-    need = (job.need[0] * part, job.need[1] * part, job.need[2] * part)
+    need = (job.task_resources[0] * part, job.task_resources[1] * part, job.task_resources[2] * part)
     places = [(slot, name) for slot in range(ledger.horizon) for name in ledger.rows]
     best: float | None = None
     for chosen in itertools.combinations_with_replacement(places, job.spec.tasks):
@@ -52,7 +52,7 @@
         else:
             last = max(slot for slot, _ in chosen)
             end_at = estimate_s if last == 0 else (last + 1) * SLOT_S
-            shares = shares_of(job.need, (16.0, 4.0, 64.0)) * job.spec.tasks * part
+            shares = shares_of(job.task_resources, (16.0, 4.0, 64.0)) * job.spec.tasks * part
             payoff = pricing.value(job, shares, end_at, SLOT_S) - cost
             best = payoff if best is None else max(best, payoff)
     return best
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -33,22 +33,24 @@
     machine = controller.ctx.fleet.machines["vm-000001"]
     worker = world.workers["vm-000001"]
     sent: list[dict[str, Any]] = []
-    leader_term.do = lambda box, endpoint, body, done, patient: sent.append(body)  # type: ignore[method-assign]
-    machine.do_busy = True
+    leader_term.send_commands = lambda box, endpoint, body, done, patient: sent.append(body)  # type: ignore[method-assign]
+    machine.command_in_flight = True
     job = controller.ctx.fleet.jobs["job-000001"]
-    controller.attempts.stop(job.active[0], 0.0, world.now)
+    controller.reconciler.stop(job.active[0], 0.0, world.now)
     worker.tasks.clear()
     worker.incarnation += 1
-    machine.direct.clear()
+    machine.queued_commands.clear()
     second = submission("job-000002", {"chores": 1})
     world.jobs["job-000002"] = second
-    waiting = controller.attempts.start(job, 0, machine, [])
-    assert [command.kind for command in machine.direct] == ["run"]
+    waiting = controller.reconciler.start(job, 0, machine, [])
+    assert [command.kind for command in machine.queued_commands] == ["run"]
     leader_term.node.handle_heartbeat(worker.heartbeat())
     assert machine.attempts.get(waiting.name) is not waiting
-    machine.do_busy = False
-    machine.direct = [command for command in machine.direct if command.attempt == waiting.number]
-    controller.attempts.commands.flush()
+    machine.command_in_flight = False
+    machine.queued_commands = [
+        command for command in machine.queued_commands if command.attempt == waiting.number
+    ]
+    controller.reconciler.commands.flush()
     assert all(order["try"] != waiting.number for body in sent for order in body["orders"])
 
 
@@ -57,11 +59,11 @@
     controller = leader_term.controller
     machine = controller.ctx.fleet.machines["vm-000001"]
     sent: list[dict[str, Any]] = []
-    leader_term.do = lambda box, endpoint, body, done, patient: sent.append(body)  # type: ignore[method-assign]
-    machine.do_busy = True
+    leader_term.send_commands = lambda box, endpoint, body, done, patient: sent.append(body)  # type: ignore[method-assign]
+    machine.command_in_flight = True
     job = controller.ctx.fleet.jobs["job-000001"]
     attempt = job.active[0]
-    controller.attempts.commands.say(machine, Command(CommandKind.START, attempt.name, attempt.number + 1))
-    machine.do_busy = False
-    controller.attempts.commands.flush()
+    controller.reconciler.commands.say(machine, Command(CommandKind.START, attempt.name, attempt.number + 1))
+    machine.command_in_flight = False
+    controller.reconciler.commands.flush()
     assert sent and sent[0]["orders"] == []
