--- a/src/poppyhold/cluster/lease_delegation.py
+++ b/src/poppyhold/cluster/lease_delegation.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from poppyhold.model.context import Times
+from poppyhold.model.durations import Durations
 from poppyhold.wire.messages import Heartbeat
 
 log = logging.getLogger(__name__)
@@ -34,7 +34,7 @@
     """The side of a controller that may have to renew leases for the leader."""
 
     def __init__(
-        self, times: Times, skew_s: float, clock: Callable[[], float], wall: Callable[[], float]
+        self, times: Durations, skew_s: float, clock: Callable[[], float], wall: Callable[[], float]
     ) -> None:
         self._times, self._skew_s, self._clock, self._wall = times, skew_s, clock, wall
         self._delegation: LeaseDelegation | None = None
@@ -96,7 +96,7 @@
 class LeaseDelegations:
     """The side of the leader: until when others may have answered workers in its name."""
 
-    def __init__(self, times: Times, skew_s: float) -> None:
+    def __init__(self, times: Durations, skew_s: float) -> None:
         self._times = times
         # Both ends' times of day may be off, and ours moves on between saying and sending.
         self._longest_s = times.unconfirmed_renewal_s * 1.001 + 4 * skew_s
--- a/src/poppyhold/cluster/misdirected_workers.py
+++ b/src/poppyhold/cluster/misdirected_workers.py
@@ -4,7 +4,7 @@
 
 import time
 
-from poppyhold.model.context import MisdirectedWorker
+from poppyhold.model.outbound import MisdirectedWorker
 from poppyhold.wire.messages import Heartbeat
 
 
--- a/src/poppyhold/cluster/peers.py
+++ b/src/poppyhold/cluster/peers.py
@@ -15,7 +15,8 @@
 from poppyhold.cluster.change_feed import ChangeFeed
 from poppyhold.cluster.connectivity import Connectivity
 from poppyhold.cluster.lease_delegation import LeaseDelegation, LeaseDelegations
-from poppyhold.model.context import ImageHints, MisdirectedWorker
+from poppyhold.model.context import ImageHints
+from poppyhold.model.outbound import MisdirectedWorker
 from poppyhold.quota.messages import Answer as QuotaAnswer
 from poppyhold.quota.messages import Opening as QuotaOpening
 from poppyhold.relay.messages import RelayHello
--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -22,7 +22,7 @@
     UncertainError,
     put,
 )
-from poppyhold.model.context import CommitPriority
+from poppyhold.model.outbound import CommitPriority
 from poppyhold.settings import Settings
 
 log = logging.getLogger(__name__)
--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -9,7 +9,7 @@
 from poppyhold.durable.records import CompletionsRecord
 from poppyhold.durable.store import ACTIVE, DONE_STRETCHES, DONE_TASKS, Data, put, remove
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import DONE, Job
+from poppyhold.model.entities import DONE, Job
 from poppyhold.settings import State
 
 # Tasks that a hexadecimal digit stands for.
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -5,8 +5,9 @@
 from collections.abc import Callable
 
 from poppyhold.durable.store import FENCING_TOKEN, put
-from poppyhold.model.context import CommitPriority, Context
-from poppyhold.model.fleet import Attempt, Machine
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Attempt, Machine
+from poppyhold.model.outbound import CommitPriority
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.wire.messages import Command, CommandKind, Heartbeat, direct_commands
 
--- a/src/poppyhold/execution/failures.py
+++ b/src/poppyhold/execution/failures.py
@@ -10,8 +10,8 @@
 import logging
 from collections.abc import Callable
 
-from poppyhold.model.context import Times
-from poppyhold.model.fleet import Attempt, Job, Machine, TaskError
+from poppyhold.model.durations import Durations
+from poppyhold.model.entities import Attempt, Job, Machine, TaskError
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +30,9 @@
 class Failures:
     """Judges failed tasks. What it knows of a job is kept with the job, so that it goes with it."""
 
-    def __init__(self, times: Times, clock: Callable[[], float], on_changed: Callable[[Job], None]) -> None:
+    def __init__(
+        self, times: Durations, clock: Callable[[], float], on_changed: Callable[[Job], None]
+    ) -> None:
         """``on_changed`` is called when a job is found to be at fault, or sound after all."""
         self._times, self._clock, self._on_changed = times, clock, on_changed
         # Jobs whose tasks have failed and have not been shown to be sound since.
--- a/src/poppyhold/execution/gangs.py
+++ b/src/poppyhold/execution/gangs.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import Attempt, Job
+from poppyhold.model.entities import Attempt, Job
 from poppyhold.wire.messages import BEFORE_IMAGE, ExitCause, TaskState
 
 log = logging.getLogger(__name__)
--- a/src/poppyhold/execution/heartbeat_commands.py
+++ b/src/poppyhold/execution/heartbeat_commands.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import Attempt, Machine
+from poppyhold.model.entities import Attempt, Machine
 from poppyhold.wire.messages import Command, CommandKind, Heartbeat, TaskState, TaskStatus, split_task
 
 
--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -13,8 +13,9 @@
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.gangs import Gangs
 from poppyhold.execution.heartbeat_commands import HeartbeatCommands, stop_command
-from poppyhold.model.context import CommitPriority, Context
-from poppyhold.model.fleet import DONE, Attempt, Job, Machine
+from poppyhold.model.context import Context
+from poppyhold.model.entities import DONE, Attempt, Job, Machine
+from poppyhold.model.outbound import CommitPriority
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.wire.messages import (
     HAS_IMAGE,
--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -17,7 +17,8 @@
 from poppyhold.machines.provisioning import Arrivals, Provisioning
 from poppyhold.machines.space import Demand, Space, demand_of, space_of
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import NO_RESOURCES, Attempt, Machine, Resources, max_copies
+from poppyhold.model.entities import Attempt, Machine
+from poppyhold.model.resources import NO_RESOURCES, Resources, max_copies
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.wire.messages import Listing, Submission
 
--- a/src/poppyhold/machines/boots.py
+++ b/src/poppyhold/machines/boots.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from collections.abc import Iterable
 
-from poppyhold.model.fleet import Machine
+from poppyhold.model.entities import Machine
 
 # A boot takes up to so many times the usual, as PROTOCOL says; what takes longer may take several times as
 # long, or never end.
--- a/src/poppyhold/machines/deletions.py
+++ b/src/poppyhold/machines/deletions.py
@@ -8,7 +8,7 @@
 from poppyhold.durable.store import MACHINE, remove
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import Machine
+from poppyhold.model.entities import Machine
 
 log = logging.getLogger(__name__)
 
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -11,9 +11,11 @@
 from poppyhold.durable.store import LAUNCH, Data, put, remove, stored_bytes
 from poppyhold.machines.provisioning import LaunchSpec, Provisioning
 from poppyhold.machines.space import Space
-from poppyhold.model.context import CommitPriority, Context
-from poppyhold.model.fleet import Machine, machine_type_capacity
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Machine
+from poppyhold.model.outbound import CommitPriority
 from poppyhold.model.outcome import RequestOutcome
+from poppyhold.model.resources import machine_type_capacity
 from poppyhold.wire.messages import LaunchRequest, convert
 
 log = logging.getLogger(__name__)
--- a/src/poppyhold/machines/machine_list.py
+++ b/src/poppyhold/machines/machine_list.py
@@ -4,7 +4,7 @@
 
 from poppyhold.machines.deletions import Deletions
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import Machine
+from poppyhold.model.entities import Machine
 from poppyhold.wire.messages import Listed, Listing
 
 # Lists may name a machine that was deleted for so many times their usual lag.
--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -11,7 +11,7 @@
 from poppyhold.machines.deletions import Deletions
 from poppyhold.machines.provisioning import Provisioning
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import Machine
+from poppyhold.model.entities import Machine
 
 # Machines of one zone that must all be silent to take the zone for cut off; fewer may have died together.
 _FEWEST_OF_A_ZONE = 3
--- a/src/poppyhold/machines/packing.py
+++ b/src/poppyhold/machines/packing.py
@@ -5,7 +5,9 @@
 from collections.abc import Callable, Iterable
 
 from poppyhold.machines.space import Space
-from poppyhold.model.fleet import Attempt, Machine, add_scaled, fits, zone_limit
+from poppyhold.model.constraints import zone_limit
+from poppyhold.model.entities import Attempt, Machine
+from poppyhold.model.resources import add_scaled, fits
 from poppyhold.scheduling.placement import may_use
 from poppyhold.scheduling.pricing import shares_of
 
--- a/src/poppyhold/machines/provisioning.py
+++ b/src/poppyhold/machines/provisioning.py
@@ -10,15 +10,8 @@
 
 from poppyhold.machines.space import Demand, Space
 from poppyhold.machines.space_index import SpaceIndex, allowed
-from poppyhold.model.fleet import (
-    EPSILON,
-    Resources,
-    add_scaled,
-    allowed_machine_types,
-    machine_type_capacity,
-    max_copies,
-    zone_limit,
-)
+from poppyhold.model.constraints import allowed_machine_types, zone_limit
+from poppyhold.model.resources import EPSILON, Resources, add_scaled, machine_type_capacity, max_copies
 from poppyhold.options import Provisioning as ProvisioningOptions
 from poppyhold.wire.messages import MachineType, Submission
 
--- a/src/poppyhold/machines/space.py
+++ b/src/poppyhold/machines/space.py
@@ -4,7 +4,8 @@
 
 import msgspec
 
-from poppyhold.model.fleet import Job, Machine, Resources
+from poppyhold.model.entities import Job, Machine
+from poppyhold.model.resources import Resources
 from poppyhold.wire.messages import MachineType, Submission
 
 
--- a/src/poppyhold/machines/space_index.py
+++ b/src/poppyhold/machines/space_index.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from poppyhold.machines.space import Demand, Space
-from poppyhold.model.fleet import fits
+from poppyhold.model.resources import fits
 
 # What decides which spaces serve a demand, and in which order.
 Claim = tuple[object, ...]
--- /dev/null
+++ b/src/poppyhold/model/constraints.py
@@ -0,0 +1,25 @@
+"""Where the tasks of a job may be placed, as its submission says."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from poppyhold.model.resources import fits, machine_type_capacity
+from poppyhold.wire.messages import MachineType, Submission
+
+
+def allowed_machine_types(spec: Submission, machine_types: Iterable[MachineType]) -> list[MachineType]:
+    """Machine types that a task of a job may use and fits on."""
+    need = (spec.cpus, spec.accelerators, spec.memory_gb)
+    return [
+        machine_type
+        for machine_type in machine_types
+        if (spec.machine_types is None or machine_type.name in spec.machine_types)
+        and fits(need, machine_type_capacity(machine_type))
+        and (spec.zone is None or spec.zone in machine_type.zones)
+    ]
+
+
+def zone_limit(spec: Submission) -> int:
+    """How many tasks of a job one zone may hold."""
+    return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
--- /dev/null
+++ b/src/poppyhold/model/entities.py
@@ -0,0 +1,314 @@
+"""Jobs, machines and attempts, as the decision core knows them. They refer to one another."""
+
+from __future__ import annotations
+
+import heapq
+import itertools
+from collections import OrderedDict
+
+import msgspec
+
+from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled, machine_type_capacity
+from poppyhold.wire.messages import (
+    IN_PROGRESS,
+    PRIORITIES,
+    Command,
+    MachineType,
+    Submission,
+    TaskState,
+    task_name,
+)
+
+PENDING, ACTIVE, DONE = 0, 1, 2
+
+
+class Attempt(msgspec.Struct, eq=False):
+    """One try of a task on a machine, from the moment its start may reach the worker."""
+
+    job: Job
+    index: int
+    number: int
+    machine: Machine
+    incarnation: int
+    sent_at: float
+    status: str = TaskState.SENT
+    # How the start was sent: "do", "reply", or "seen" where a report showed it first.
+    start_channel: str = "seen"
+    response_sequence: int = -1
+    # While a direct start has no answer it may still land: until the worker saw this token.
+    start_in_flight: bool = False
+    void_at_fencing_token: int | None = None
+    running_at: float | None = None
+    stopping_at: float | None = None
+    grace_s: float = 0.0
+    booked_until: int = 0
+    booked: bool = False
+
+    @property
+    def name(self) -> str:
+        """The task's name."""
+        return task_name(self.job.id, self.index)
+
+
+class JobFailures(msgspec.Struct, eq=False):
+    """What is held against a job whose tasks end with errors; see `execution.failures`."""
+
+    # Times that tasks failed, those that were started together counted once, and machines that they failed
+    # on, since the job was shown to be sound.
+    rounds: int = 0
+    machines: set[str] = msgspec.field(default_factory=set)
+    last_at: float = float("-inf")
+    # The longest that a failed task ran.
+    lasted_s: float = 0.0
+    # It fails on every machine, as far as one can tell; and when it was last shown to be sound.
+    at_fault: bool = False
+    sound_at: float = float("-inf")
+
+
+class Job(msgspec.Struct, eq=False):
+    """An accepted job that is not over."""
+
+    id: str
+    spec: Submission
+    version: int
+    submitted_at: float
+    task_resources: Resources
+    priority: int
+    due_at: float | None
+    states: bytearray
+    active: dict[int, Attempt] = msgspec.field(default_factory=dict)
+    done: int = 0
+    # Tasks whose completion is seen but not durable yet, and those whose record has been asked for.
+    undurable_completions: set[int] = msgspec.field(default_factory=set)
+    next_index: int = 0
+    requeued: list[int] = msgspec.field(default_factory=list)
+    # Seconds of work that tasks have saved, as far as we saw them run.
+    progress: dict[int, float] = msgspec.field(default_factory=dict)
+    admitted: bool = False
+    # No controller has ever started a task of it before our term.
+    never_started: bool = True
+    plan_durable: bool = False
+    plan_requested: bool = False
+    # Planned starts: slot -> zone -> tasks, and their rooms in the ledger: slot -> machine -> tasks.
+    plan: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
+    booked: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
+    planned_s: float = 0.0
+    within_guarantee: bool = False
+    finalizing: bool = False
+    # Cancelled, or done and durable: kept only while something of it may still run.
+    finalized: bool = False
+    saving: bool = False
+    # Keys of the records that hold its completed tasks.
+    done_records: set[str] = msgspec.field(default_factory=set)
+    failures: JobFailures = msgspec.field(default_factory=JobFailures)
+    # Machines that its tasks had better avoid.
+    failed_machines: set[str] = msgspec.field(default_factory=set)
+    retry_at: float = 0.0
+    # Before this moment it preempts nothing more: gangs that make room for it are saving.
+    may_preempt_at: float = 0.0
+    zones: dict[str, int] = msgspec.field(default_factory=dict)
+
+    @property
+    def is_service(self) -> bool:
+        """Whether its tasks run until it is cancelled."""
+        return self.spec.shape == "service"
+
+    @property
+    def is_gang(self) -> bool:
+        """Whether its tasks only run all together."""
+        return self.spec.shape == "group"
+
+    @property
+    def remaining(self) -> int:
+        """Tasks that are not done."""
+        return self.spec.tasks - self.done
+
+    @property
+    def pending(self) -> int:
+        """Tasks that are neither done nor may run."""
+        return self.spec.tasks - self.done - len(self.active)
+
+    @property
+    def running(self) -> int:
+        """Tasks that run, for display."""
+        return sum(1 for attempt in self.active.values() if attempt.status in IN_PROGRESS)
+
+    def saved_s(self) -> float:
+        """Seconds of work that every pending task has saved; its job is late only by the rest."""
+        if not self.progress:
+            return 0.0
+        waiting = {index for index in self.requeued if self.states[index] == PENDING}
+        if not waiting or len(waiting) < self.pending:
+            return 0.0
+        return min(self.progress.get(index, 0.0) for index in waiting)
+
+    def next_pending(self) -> int | None:
+        """The pending task to start next: one that came back, else the lowest not started yet."""
+        while self.requeued and self.states[self.requeued[0]] != PENDING:
+            heapq.heappop(self.requeued)
+        if self.requeued:
+            return self.requeued[0]
+        while self.next_index < self.spec.tasks and self.states[self.next_index] != PENDING:
+            self.next_index += 1
+        return self.next_index if self.next_index < self.spec.tasks else None
+
+    def startable(self, most: int) -> int:
+        """How many of up to ``most`` tasks may be started now: one at a time behind a failure.
+
+        Tasks that were started before it, and go on, may still show that the job is sound.
+        """
+        record = self.failures
+        if not record.rounds or self.done or self.is_gang:
+            return most
+        probes = sum(attempt.sent_at >= record.last_at for attempt in self.active.values())
+        return min(most, max(0, 1 - probes))
+
+    def complete(self, index: int) -> bool:
+        """Note that a task is completed; True if that is news. The tasks of a gang complete together."""
+        if not 0 <= index < self.spec.tasks or self.states[index] == DONE:
+            return False
+        if self.is_gang:
+            self.states[:] = bytes([DONE]) * self.spec.tasks
+            self.done = self.spec.tasks
+        else:
+            self.states[index] = DONE
+            self.done += 1
+        return True
+
+    def release(self, index: int) -> None:
+        """A task that was active is pending again."""
+        self.states[index] = PENDING
+        heapq.heappush(self.requeued, index)
+
+
+class TaskError(msgspec.Struct, frozen=True, eq=False):
+    """A task of a job ended with an error on a machine."""
+
+    job: Job
+    occurred_at: float
+
+    @property
+    def job_is_sound(self) -> bool:
+        """Whether the job has run elsewhere, so that the error was the machine's."""
+        return self.job.done > 0 or self.job.failures.sound_at > self.occurred_at
+
+    @property
+    def may_be_the_machine(self) -> bool:
+        """Whether the machine may be at fault. Of a job that ended without success nobody can tell."""
+        return self.job_is_sound or not (self.job.finalized or self.job.failures.at_fault)
+
+
+# Machines in the order in which they became known.
+_numbers = itertools.count()
+
+
+class Machine(msgspec.Struct, eq=False):
+    """A machine that we hold, or may hold."""
+
+    name: str
+    machine_type: MachineType
+    zone: str
+    spot: bool
+    known_since: float
+    endpoint: str = ""
+    # booting: has not reported; up; gone: proven, and out of every count.
+    is_up: bool = False
+    up_at: float = float("-inf")
+    # Its name is durable, so that a next leader asks it before it starts anything.
+    is_recorded: bool = False
+    record_requested: bool = False
+    # A report of this term was seen, so that all it holds is known.
+    reconciled: bool = False
+    incarnation: int = 0
+    sequence: int = -1
+    last_heartbeat_at: float = float("-inf")
+    # When the cloud last listed it.
+    listed_at: float = float("-inf")
+    last_response_at: float = float("-inf")
+    # When it first reported in this term, still with the token of an earlier one.
+    first_heartbeat_at: float | None = None
+    preempted_at: float | None = None
+    notice_at: float | None = None
+    quarantined: bool = False
+    # Being emptied, to be returned: its replicas move one by one.
+    draining: bool = False
+    deleting: bool = False
+    unreliable_until: float = 0.0
+    command_in_flight: bool = False
+    next_probe_at: float = 0.0
+    attempts: dict[str, Attempt] = msgspec.field(default_factory=dict)
+    # All its room, what may be in use of it, and the rest: every placement looks at these on every machine.
+    capacity: Resources = NO_RESOURCES
+    used: Resources = NO_RESOURCES
+    free: Resources = NO_RESOURCES
+    # Tells machines that are alike apart: the one that was known first goes first.
+    number: int = msgspec.field(default_factory=lambda: next(_numbers))
+    # Rises whenever what it holds, or what of it waits for an image, changes.
+    version: int = 0
+    images: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
+    # Commands to be sent to the worker directly.
+    queued_commands: list[Command] = msgspec.field(default_factory=list)
+    # Errors on it by job, since a task that was started behind them completed.
+    errors: dict[str, TaskError] = msgspec.field(default_factory=dict)
+    # Tasks on it that are none of ours: they are stopped, and nothing starts beside them.
+    unknown_tasks: set[str] = msgspec.field(default_factory=set)
+    unschedulable_until: float = 0.0
+
+    def __post_init__(self) -> None:
+        self.capacity = machine_type_capacity(self.machine_type)
+        self.set_used(NO_RESOURCES)
+
+    def set_used(self, used: Resources) -> None:
+        """Note how much of the room may be in use."""
+        self.used = used
+        self.free = add_scaled(self.capacity, used, -1.0)
+        self.version += 1
+
+    def free_after_reservations(self, reserved: dict[str, Resources]) -> Resources:
+        """Free room beside what is reserved on machines, by name."""
+        own = reserved.get(self.name)
+        return self.free if own is None else add_scaled(self.free, own, -1.0)
+
+    def is_schedulable(self, now: float, silent_s: float) -> bool:
+        """Whether tasks may be started on it now."""
+        return (
+            self.is_up
+            and self.is_recorded
+            and self.reconciled
+            and not self.quarantined
+            and not self.draining
+            and not self.deleting
+            and self.preempted_at is None
+            and not self.unknown_tasks
+            and now >= self.unschedulable_until
+            and now - self.last_heartbeat_at <= silent_s
+        )
+
+    def touch_image(self, image: str, size: float) -> None:
+        """Follow the worker's cache: most recently used last, oldest dropped first."""
+        if image not in self.images:
+            self.version += 1
+        self.images[image] = size
+        self.images.move_to_end(image)
+        total = sum(self.images.values())
+        held = {attempt.job.spec.image for attempt in self.attempts.values()}
+        for name in list(self.images):
+            if total <= self.machine_type.cache_gb:
+                return
+            if name != image and name not in held:
+                total -= self.images.pop(name)
+                self.version += 1
+
+
+def make_job(spec: Submission, version: int, at: float) -> Job:
+    """Build a job from its accepted submission."""
+    return Job(
+        id=spec.name,
+        spec=spec,
+        version=version,
+        submitted_at=at,
+        task_resources=(spec.cpus, spec.accelerators, spec.memory_gb),
+        priority=PRIORITIES.index(spec.priority),
+        due_at=None if spec.deadline_s is None else at + spec.deadline_s,
+        states=bytearray(spec.tasks),
+    )
--- a/src/poppyhold/node/cloud.py
+++ b/src/poppyhold/node/cloud.py
@@ -6,7 +6,7 @@
 from http import HTTPStatus
 from typing import TypeVar
 
-from poppyhold.model.context import Data
+from poppyhold.model.outbound import Data
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.settings import Settings, split_address
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
--- a/src/poppyhold/node/cloud_thread.py
+++ b/src/poppyhold/node/cloud_thread.py
@@ -8,7 +8,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from poppyhold.model.context import Data
+from poppyhold.model.outbound import Data
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.cloud import CloudClient
 from poppyhold.settings import Settings
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -15,13 +15,10 @@
 from poppyhold.execution.gangs import GangState
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.autoscaler import Autoscaler
-from poppyhold.model.context import Context, ImageHints, OutboundPort, Times
-from poppyhold.model.fleet import (
-    Attempt,
-    Job,
-    Machine,
-    make_job,
-)
+from poppyhold.model.context import Context, ImageHints
+from poppyhold.model.durations import Durations
+from poppyhold.model.entities import Attempt, Job, Machine, make_job
+from poppyhold.model.outbound import OutboundPort
 from poppyhold.options import Options
 from poppyhold.quota.cell_quota import CellQuota
 from poppyhold.scheduling.admission import Admission
@@ -56,7 +53,7 @@
         wall: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        times = Times(settings, options)
+        times = Durations(settings, options)
         self.ctx = Context(settings, options, outbound, clock, wall, rng, fencing_token, fencing_token, times)
         connections = settings.settings.machine_limits.connections
         self.ctx.max_initial_probes = connections * options.relays.from_share
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -20,7 +20,9 @@
 from poppyhold.durable.snapshot import Snapshot, SnapshotReader
 from poppyhold.durable.store import ACTIVE, Entry, RefusedError, Store, UncertainError
 from poppyhold.durable.watch import Watch
-from poppyhold.model.context import CommitPriority, Data, ImageHints, MisdirectedWorker, Times
+from poppyhold.model.context import ImageHints
+from poppyhold.model.durations import Durations
+from poppyhold.model.outbound import CommitPriority, Data, MisdirectedWorker
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.cloud import CloudClient
 from poppyhold.node.cloud_thread import CloudThread
@@ -80,7 +82,7 @@
         self._watch: Watch | None = None
         self._counts: dict[str, tuple[int, int]] = {}
         self._image_hints: ImageHints = {}
-        times = Times(node.settings, node.options)
+        times = Durations(node.settings, node.options)
         members = [node.settings.member, *(known.member for known in node.settings.known)]
         self.authority = Authority(times.unconfirmed_renewal_s, members, term.began_at)
         self.delegations = LeaseDelegations(times, node.skew_s)
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -15,7 +15,8 @@
 from poppyhold.cluster.peers import Peers, Ping, Pong
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.durable.store import Store
-from poppyhold.model.context import ImageHints, Times
+from poppyhold.model.context import ImageHints
+from poppyhold.model.durations import Durations
 from poppyhold.node.cloud import CloudClient
 from poppyhold.node.leader_term import LeaderTerm
 from poppyhold.node.machine_catalog import MachineCatalog
@@ -41,7 +42,7 @@
     def __init__(self, settings: Settings, options: Options) -> None:
         self.settings, self.options = settings, options
         self.skew_s = settings.settings.skew_ms / 1000
-        self._times = Times(settings, options)
+        self._times = Durations(settings, options)
         self.rng = random.Random()
         self.store = Store(settings)
         self.cloud = CloudClient(settings)
--- a/src/poppyhold/node/users.py
+++ b/src/poppyhold/node/users.py
@@ -26,7 +26,7 @@
     put,
     stored_bytes,
 )
-from poppyhold.model.fleet import allowed_machine_types
+from poppyhold.model.constraints import allowed_machine_types
 from poppyhold.reads.job_reads import JobReads
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import Deployment, Settings
--- a/src/poppyhold/node/workers.py
+++ b/src/poppyhold/node/workers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from poppyhold.model.context import Data
+from poppyhold.model.outbound import Data
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.settings import ConfigError, Settings, split_address
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
--- a/src/poppyhold/quota/cell_quota.py
+++ b/src/poppyhold/quota/cell_quota.py
@@ -13,8 +13,9 @@
 
 from poppyhold.concurrency.pace import Pace
 from poppyhold.durable.store import Data, Entry
-from poppyhold.model.context import CommitPriority, Context
-from poppyhold.model.fleet import Resources
+from poppyhold.model.context import Context
+from poppyhold.model.outbound import CommitPriority
+from poppyhold.model.resources import Resources
 from poppyhold.quota.alarms import AlarmKind, Alarms
 from poppyhold.quota.amounts import (
     ResourceAmount,
--- a/src/poppyhold/quota/demand.py
+++ b/src/poppyhold/quota/demand.py
@@ -8,8 +8,10 @@
 
 import msgspec
 
+from poppyhold.model.constraints import allowed_machine_types
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import EPSILON, Job, Resources, allowed_machine_types, max_copies
+from poppyhold.model.entities import Job
+from poppyhold.model.resources import EPSILON, Resources, max_copies
 from poppyhold.quota.amounts import UNIT, ResourceAmount, ResourceShare, TeamShare, to_units
 from poppyhold.quota.hold_times import HoldTimes
 from poppyhold.quota.messages import Want
--- a/src/poppyhold/relay/assignment.py
+++ b/src/poppyhold/relay/assignment.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from poppyhold.model.context import Times
+from poppyhold.model.durations import Durations
 from poppyhold.relay.mode import RelayMode
 from poppyhold.relay.rendezvous import rendezvous_weight
 
@@ -52,7 +52,7 @@
         most_direct: float,
         member: str,
         zone: str,
-        times: Times,
+        times: Durations,
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -10,8 +10,10 @@
 from poppyhold.durable.records import PlanRecord
 from poppyhold.durable.store import ACTIVE as ACTIVE_KEYS
 from poppyhold.durable.store import PLAN, Data, put, remove, stored_bytes
-from poppyhold.model.context import CommitPriority, Context
-from poppyhold.model.fleet import NO_RESOURCES, Attempt, Job, Machine, Resources, add_scaled
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Attempt, Job, Machine
+from poppyhold.model.outbound import CommitPriority
+from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled
 from poppyhold.scheduling.estimates import Estimates
 from poppyhold.scheduling.ledger import Ledger
 from poppyhold.scheduling.planner import Plan, Planner
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -7,7 +7,8 @@
 from poppyhold.execution.gangs import GangState
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import NO_RESOURCES, Attempt, Job, Machine, Resources, add_scaled, max_copies
+from poppyhold.model.entities import Attempt, Job, Machine
+from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled, max_copies
 from poppyhold.scheduling.admission import Admission
 from poppyhold.scheduling.free_capacity import FreeCapacityView
 from poppyhold.scheduling.gang_placement import GangPlacement
--- a/src/poppyhold/scheduling/estimates.py
+++ b/src/poppyhold/scheduling/estimates.py
@@ -4,7 +4,7 @@
 
 import math
 
-from poppyhold.model.fleet import Job
+from poppyhold.model.entities import Job
 
 
 class Estimates:
--- a/src/poppyhold/scheduling/free_capacity.py
+++ b/src/poppyhold/scheduling/free_capacity.py
@@ -11,7 +11,8 @@
 from collections import OrderedDict
 from collections.abc import Callable, Iterable, Set
 
-from poppyhold.model.fleet import Job, Machine, Resources
+from poppyhold.model.entities import Job, Machine
+from poppyhold.model.resources import Resources
 
 # Rankings that are kept; each holds an entry for every machine with room for its kind of job.
 _RANKINGS_KEPT = 32
--- a/src/poppyhold/scheduling/gang_placement.py
+++ b/src/poppyhold/scheduling/gang_placement.py
@@ -6,16 +6,9 @@
 
 import msgspec
 
-from poppyhold.model.fleet import (
-    NO_RESOURCES,
-    Attempt,
-    Job,
-    Machine,
-    Resources,
-    add_scaled,
-    max_copies,
-    zone_limit,
-)
+from poppyhold.model.constraints import zone_limit
+from poppyhold.model.entities import Attempt, Job, Machine
+from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled, max_copies
 from poppyhold.scheduling.placement import Choice, Placement, fetch_wait, may_use
 
 # A machine and how many tasks have room on it.
--- a/src/poppyhold/scheduling/ledger.py
+++ b/src/poppyhold/scheduling/ledger.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterator
 
-from poppyhold.model.fleet import NO_RESOURCES, Resources, add_scaled
+from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled
 
 # In place of a slot: every slot without bookings of its own.
 STANDING = -1
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -7,17 +7,9 @@
 
 import msgspec
 
-from poppyhold.model.fleet import (
-    EPSILON,
-    NO_RESOURCES,
-    Attempt,
-    Job,
-    Machine,
-    Resources,
-    add_scaled,
-    fits,
-    zone_limit,
-)
+from poppyhold.model.constraints import zone_limit
+from poppyhold.model.entities import Attempt, Job, Machine
+from poppyhold.model.resources import EPSILON, NO_RESOURCES, Resources, add_scaled, fits
 from poppyhold.scheduling.free_capacity import FreeCapacityView, Ranking, Rankings
 from poppyhold.wire.messages import BEFORE_IMAGE, STOPPABLE
 
--- a/src/poppyhold/scheduling/planner.py
+++ b/src/poppyhold/scheduling/planner.py
@@ -6,7 +6,9 @@
 
 import msgspec
 
-from poppyhold.model.fleet import Job, Resources, max_copies, zone_limit
+from poppyhold.model.constraints import zone_limit
+from poppyhold.model.entities import Job
+from poppyhold.model.resources import Resources, max_copies
 from poppyhold.scheduling.ledger import STANDING, Group, Ledger, Row
 from poppyhold.scheduling.pricing import Pricing, priced, shares_of
 
--- a/src/poppyhold/scheduling/pricing.py
+++ b/src/poppyhold/scheduling/pricing.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from poppyhold.model.fleet import Job, Resources
+from poppyhold.model.entities import Job
+from poppyhold.model.resources import Resources
 from poppyhold.options import Design
 
 
--- a/src/poppyhold/scheduling/quotas.py
+++ b/src/poppyhold/scheduling/quotas.py
@@ -7,7 +7,8 @@
 
 import msgspec
 
-from poppyhold.model.fleet import EPSILON, Job, Resources
+from poppyhold.model.entities import Job
+from poppyhold.model.resources import EPSILON, Resources
 from poppyhold.settings import Team
 
 
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -14,8 +14,9 @@
 
 import msgspec
 
-from poppyhold.model.context import Times
-from poppyhold.model.fleet import EPSILON, NO_RESOURCES, Attempt, Job, Machine, Resources, add_scaled, fits
+from poppyhold.model.durations import Durations
+from poppyhold.model.entities import Attempt, Job, Machine
+from poppyhold.model.resources import EPSILON, NO_RESOURCES, Resources, add_scaled, fits
 from poppyhold.scheduling.placement import Choice, fetch_wait, may_use, zone_allows
 from poppyhold.wire.messages import TaskState
 
@@ -42,7 +43,7 @@
     def __init__(
         self,
         weights: Sequence[float],
-        times: Times,
+        times: Durations,
         in_time: Callable[[Job, float], bool],
         clock: Callable[[], float],
     ) -> None:
--- a/src/poppyhold/scheduling/search.py
+++ b/src/poppyhold/scheduling/search.py
@@ -5,7 +5,8 @@
 import bisect
 from collections.abc import Set
 
-from poppyhold.model.fleet import Job, Machine, Resources
+from poppyhold.model.entities import Job, Machine
+from poppyhold.model.resources import Resources
 from poppyhold.scheduling.free_capacity import FreeCapacityView, Place, Ranking
 from poppyhold.scheduling.placement import Choice, Placement, fetch_wait, may_use, zone_allows
 
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -28,7 +28,8 @@
     UncertainError,
     put,
 )
-from poppyhold.model.context import CommitPriority, MisdirectedWorker, Times
+from poppyhold.model.durations import Durations
+from poppyhold.model.outbound import CommitPriority, MisdirectedWorker
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.controller import Controller
 from poppyhold.node.leader_term import DIRECT_SHARE
@@ -380,7 +381,7 @@
         self.world, self.member = world, member
         self.zone = world.zones[world.members.index(member) % len(world.zones)]
         self.settings, self.options = world.settings, world.options
-        self.times = Times(world.settings, Options())
+        self.times = Durations(world.settings, Options())
         self.alive = True
         self.refused = False
         self.cut_workers = False
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -7,7 +7,8 @@
 from guards import Guard, found_without
 from poppyhold.durable.committer import Writer
 from poppyhold.durable.store import LEAD, Data
-from poppyhold.model.fleet import NO_RESOURCES, Fleet, Resources
+from poppyhold.model.fleet import Fleet
+from poppyhold.model.resources import NO_RESOURCES, Resources
 from poppyhold.quota.amounts import ResourceAmount, ResourceShare
 from poppyhold.quota.cell_quota import CellQuota
 from poppyhold.quota.demand import DemandMonitor, RecentPeak, ResourceDemand
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -12,7 +12,7 @@
 from poppyhold.durable.machine_types import machine_type_records
 from poppyhold.durable.store import DONE_STRETCHES, DONE_TASKS, MACHINE_TYPES, MORE_MACHINE_TYPES
 from poppyhold.execution.completions import Layout, decode_bits
-from poppyhold.model.fleet import make_job
+from poppyhold.model.entities import make_job
 from poppyhold.options import load_options, parse_options
 from poppyhold.scale.jobs import build_data as world_build
 from poppyhold.scale.jobs import submission
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -5,7 +5,7 @@
 import pytest
 
 from poppyhold.execution.gangs import Gangs, GangState
-from poppyhold.model.fleet import Job
+from poppyhold.model.entities import Job
 from poppyhold.scale.jobs import submission
 from poppyhold.wire.messages import ExitCause, TaskState
 from test_reconciliation import leading_world
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -19,7 +19,9 @@
 from poppyhold.machines.boots import Boots
 from poppyhold.machines.launches import Launches
 from poppyhold.machines.machine_monitor import MachineMonitor, Survey
-from poppyhold.model.fleet import DONE, NO_RESOURCES, Fleet, Job, Machine, Resources, max_copies
+from poppyhold.model.entities import DONE, Job, Machine
+from poppyhold.model.fleet import Fleet
+from poppyhold.model.resources import NO_RESOURCES, Resources, max_copies
 from poppyhold.node.controller import Controller
 from poppyhold.scheduling.dispatch import Dispatcher, Pass
 from poppyhold.scheduling.gang_placement import GangPlacement
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -27,7 +27,8 @@
 from poppyhold.execution.direct_commands import DirectCommands
 from poppyhold.machines.space import Demand, Space
 from poppyhold.machines.space_index import SpaceIndex
-from poppyhold.model.fleet import Job, Machine, add_scaled, fits, make_job, max_copies
+from poppyhold.model.entities import Job, Machine, make_job
+from poppyhold.model.resources import add_scaled, fits, max_copies
 from poppyhold.node.cloud_thread import CloudThread, ListReader
 from poppyhold.options import parse_options
 from poppyhold.scale.jobs import submission, wire
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -9,7 +9,8 @@
 
 import world
 from poppyhold.durable.store import ACTIVE, Entry
-from poppyhold.model.fleet import Job, add_scaled, fits, make_job
+from poppyhold.model.entities import Job, make_job
+from poppyhold.model.resources import add_scaled, fits
 from poppyhold.options import Design
 from poppyhold.scale import jobs
 from poppyhold.scheduling.ledger import Ledger
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -16,7 +16,7 @@
 from poppyhold.cluster.peers import Ping, Pong
 from poppyhold.concurrency.priority_queue import Work
 from poppyhold.durable.store import LEAD
-from poppyhold.model.context import Times
+from poppyhold.model.durations import Durations
 from poppyhold.options import Options, load_options, parse_options
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.intake import RelayIntake, RelayState
@@ -203,7 +203,7 @@
     clock: Callable[[], float], mode: RelayMode = RelayMode.FORCED, from_workers: float = 8.0
 ) -> Assignment:
     """An assignment of a leader in zone a."""
-    times = Times(World(1, 10.0, 30.0, []).settings, Options())
+    times = Durations(World(1, 10.0, 30.0, []).settings, Options())
     return Assignment(mode, from_workers, 8.0, "hive-0", "a", times, clock, random.Random(1))
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -25,7 +25,7 @@
     UncertainError,
     put,
 )
-from poppyhold.model.context import CommitPriority
+from poppyhold.model.outbound import CommitPriority
 from poppyhold.scale.jobs import submission
 from poppyhold.scale.standins import StateStandIn
 from poppyhold.settings import Team
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -19,7 +19,7 @@
 
 from poppyhold.cluster.lease_delegation import LeaseDelegation
 from poppyhold.cluster.peers import Message, Ping, Pong
-from poppyhold.model.context import MisdirectedWorker
+from poppyhold.model.outbound import MisdirectedWorker
 from poppyhold.settings import NextState, Team
 from poppyhold.wire.messages import MachineType, Submission
 from scenario import Scenario
