--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -101,13 +101,15 @@
     def save(self) -> None:
         """Make completions durable that are not yet."""
         for job in self._ctx.fleet.jobs.values():
-            if job.undurable_completions and not (job.saving or job.finalizing or job.finalized):
+            if job.undurable_completions and not (
+                job.completions_save_in_flight or job.finalizing or job.finalized
+            ):
                 self._save(job)
 
     def _save(self, job: Job) -> None:
         indices = set(job.undurable_completions)
         records = self._layout.records(job, indices)
-        job.saving = True
+        job.completions_save_in_flight = True
         job.done_records |= records.keys()
         writes = [put(key, data) for key, data in records.items()]
         batches = [writes[i : i + self._most_changes] for i in range(0, len(writes), self._most_changes)]
@@ -122,7 +124,7 @@
         def durable(done: bool) -> None:
             outcomes.append(done)
             if len(outcomes) == batches:
-                job.saving = False
+                job.completions_save_in_flight = False
                 if all(outcomes):
                     job.undurable_completions -= indices
 
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -20,21 +20,21 @@
 
     def __init__(self, ctx: Context, on_void: Callable[[Attempt], None], on_answered: OnAnswered) -> None:
         """``on_void``: a start that waited here is not sent any more."""
-        self._ctx, self._on_void, self._on_answered = ctx, on_void, on_answered
-        self._raising = False
+        self._ctx, self._on_start_discarded, self._on_response = ctx, on_void, on_answered
+        self._raise_in_flight = False
         self._began_at = ctx.clock()
         # How many silent workers may be asked now, and as of when.
-        self._credit, self._credit_at = ctx.silent_probe_rate, self._began_at
+        self._probe_credit, self._probe_credit_at = ctx.silent_probe_rate, self._began_at
         # Machines with commands to be sent. A walk over all machines behind every report took a tenth of the
         # decision thread's time at 650 of them.
         self._outbox: dict[str, Machine] = {}
 
-    def say(self, machine: Machine, *commands: Command) -> None:
+    def enqueue(self, machine: Machine, *commands: Command) -> None:
         """Queue commands for a worker."""
         machine.queued_commands += commands
         self._outbox[machine.name] = machine
 
-    def flush(self) -> None:
+    def send_queued(self) -> None:
         """Send what is to be said to workers directly."""
         for machine in list(self._outbox.values()):
             if machine.command_in_flight:
@@ -42,9 +42,9 @@
             commands, machine.queued_commands = machine.queued_commands[:200], machine.queued_commands[200:]
             if not machine.queued_commands:
                 del self._outbox[machine.name]
-            self._do(machine, commands)
+            self._send(machine, commands)
 
-    def hasten(self, machine: Machine, now: float) -> None:
+    def request_heartbeat(self, machine: Machine, now: float) -> None:
         """Ask a worker that has not taken our token yet for a report, unless there are very many of them.
 
         Behind a change of leader every worker reports by itself within an interval. With 4,000 of them,
@@ -55,24 +55,26 @@
             len(ctx.fleet.machines) <= ctx.max_initial_probes
             or now - self._began_at > 1.5 * ctx.durations.heartbeat_interval_s
         ):
-            self.probe(machine, now)
+            self._probe(machine, now)
 
-    def ask_quiet(self, machine: Machine, now: float) -> None:
+    def probe_silent_worker(self, machine: Machine, now: float) -> None:
         """Ask a worker that is silent for a report, within a pace.
 
         Each question is a connection and a thread of its own. Where a leader fell behind, a thousand workers
         looked silent to it, and asking each of them anew in every interval kept it from their reports.
         """
         pace = self._ctx.silent_probe_rate
-        self._credit = min(
-            pace, self._credit + (now - self._credit_at) * pace / self._ctx.durations.heartbeat_interval_s
+        self._probe_credit = min(
+            pace,
+            self._probe_credit
+            + (now - self._probe_credit_at) * pace / self._ctx.durations.heartbeat_interval_s,
         )
-        self._credit_at = now
-        if self._credit >= 1 and now >= machine.next_probe_at and not machine.command_in_flight:
-            self._credit -= 1
-            self.hasten(machine, now)
+        self._probe_credit_at = now
+        if self._probe_credit >= 1 and now >= machine.next_probe_at and not machine.command_in_flight:
+            self._probe_credit -= 1
+            self.request_heartbeat(machine, now)
 
-    def probe(self, machine: Machine, now: float) -> None:
+    def _probe(self, machine: Machine, now: float) -> None:
         """Ask a worker for a report, and hand it our token."""
         if (
             machine.command_in_flight
@@ -82,16 +84,16 @@
         ):
             return
         machine.next_probe_at = now + self._ctx.durations.heartbeat_interval_s
-        self._do(machine, [])
+        self._send(machine, [])
 
-    def _do(self, machine: Machine, commands: list[Command]) -> None:
+    def _send(self, machine: Machine, commands: list[Command]) -> None:
         ctx = self._ctx
         # A start that waited here may be void by now: its session ended and the task runs elsewhere, or it
         # is to be stopped. What was never sent is over.
         commands = [
             command
             for command in commands
-            if command.kind is not CommandKind.START or self._wanted(machine, command)
+            if command.kind is not CommandKind.START or self._is_still_wanted(machine, command)
         ]
         machine.command_in_flight = True
         starts = [command.task for command in commands if command.kind is CommandKind.START]
@@ -101,29 +103,29 @@
         silent = ctx.clock() - machine.last_heartbeat_at > ctx.durations.silent_s
 
         def answered(outcome: RequestOutcome, heartbeat: Heartbeat | None) -> None:
-            self._on_answered(machine, batch, outcome, heartbeat)
+            self._on_response(machine, batch, outcome, heartbeat)
 
         ctx.outbound.send_commands(
             machine.name, machine.endpoint, body, answered, silent and bool(machine.reconciled)
         )
 
-    def _wanted(self, machine: Machine, command: Command) -> bool:
+    def _is_still_wanted(self, machine: Machine, command: Command) -> bool:
         attempt = machine.attempts.get(command.task)
         if attempt is None or attempt.number != command.attempt:
             return False
         if attempt.stopping_at is not None:
-            self._on_void(attempt)
+            self._on_start_discarded(attempt)
             return False
         return True
 
-    def forget(self, machine: Machine) -> None:
+    def discard(self, machine: Machine) -> None:
         """A machine is gone."""
         self._outbox.pop(machine.name, None)
 
     def raise_fencing_token(self) -> None:
         """Raise our token if a start is in limbo: commands under the old one then are void."""
         ctx = self._ctx
-        if self._raising:
+        if self._raise_in_flight:
             return
         wanted = max(
             (
@@ -135,11 +137,11 @@
         )
         if wanted <= ctx.fencing_token:
             return
-        self._raising = True
+        self._raise_in_flight = True
         fencing_token = ctx.fencing_token + 1
 
         def raised(done: bool) -> None:
-            self._raising = False
+            self._raise_in_flight = False
             if done:
                 ctx.fencing_token = fencing_token
                 ctx.outbound.fencing_token_raised(fencing_token)
--- a/src/poppyhold/execution/failures.py
+++ b/src/poppyhold/execution/failures.py
@@ -34,11 +34,11 @@
         self, times: Durations, clock: Callable[[], float], on_changed: Callable[[Job], None]
     ) -> None:
         """``on_changed`` is called when a job is found to be at fault, or sound after all."""
-        self._times, self._clock, self._on_changed = times, clock, on_changed
+        self._times, self._clock, self._on_verdict_changed = times, clock, on_changed
         # Jobs whose tasks have failed and have not been shown to be sound since.
         self._suspected: dict[str, Job] = {}
 
-    def failed(self, attempt: Attempt, now: float) -> None:
+    def task_failed(self, attempt: Attempt, now: float) -> None:
         """A task ended with an error."""
         job, machine = attempt.job, attempt.machine
         machine.errors[job.id] = TaskError(job, now)
@@ -58,7 +58,7 @@
         if not record.at_fault and self._fails_everywhere(job):
             log.info("%s fails on every machine: %d so far", job.id, len(record.machines))
             record.at_fault = True
-            self._on_changed(job)
+            self._on_verdict_changed(job)
 
     @staticmethod
     def _fails_everywhere(job: Job) -> bool:
@@ -70,13 +70,13 @@
             job.failures.rounds = _MOST_DOUBLINGS
             self._suspected[job.id] = job
 
-    def completed(self, attempt: Attempt) -> None:
+    def task_completed(self, attempt: Attempt) -> None:
         """A task completed: its job is sound, and its machine if the task began behind the last error."""
         errors = attempt.machine.errors
         if errors and attempt.sent_at > max(error.occurred_at for error in errors.values()):
             errors.clear()
         if attempt.job.id in self._suspected:
-            self._is_sound(attempt.job)
+            self._mark_sound(attempt.job)
 
     def tick(self) -> None:
         """Look for jobs whose tasks run on where others failed."""
@@ -85,7 +85,7 @@
             if job.finalized:
                 del self._suspected[job.id]
             elif any(self._outlasts(attempt, now) for attempt in job.active.values()):
-                self._is_sound(job)
+                self._mark_sound(job)
 
     def _outlasts(self, attempt: Attempt, now: float) -> bool:
         record = attempt.job.failures
@@ -93,7 +93,7 @@
             return False
         return now - attempt.running_at > _OUTLASTS * (record.lasted_s + self._times.heartbeat_interval_s)
 
-    def _is_sound(self, job: Job) -> None:
+    def _mark_sound(self, job: Job) -> None:
         """Take back what is held against a job. The time its tasks lasted stays: it may have been chance."""
         del self._suspected[job.id]
         record = job.failures
@@ -103,7 +103,7 @@
         job.retry_at = 0.0
         if record.at_fault:
             record.at_fault = False
-            self._on_changed(job)
+            self._on_verdict_changed(job)
 
     def machine_at_fault(self, machine: Machine) -> bool:
         """Whether different jobs fail on it that are sound elsewhere.
@@ -117,7 +117,7 @@
             unproven += error.may_be_the_machine and error.occurred_at < settled_at
         return sound >= _FEWEST_JOBS or sound + unproven >= _FEWEST_UNPROVEN_JOBS
 
-    def suspects(self, machine: Machine) -> bool:
+    def is_suspect(self, machine: Machine) -> bool:
         """Whether a machine had better be used last, until it is clear who is at fault."""
         recent = self._clock() - self._times.cancel_s
         return any(
--- a/src/poppyhold/execution/gangs.py
+++ b/src/poppyhold/execution/gangs.py
@@ -23,7 +23,7 @@
     """What an attempt is doing."""
 
     # No task is on a machine, or may be: room for all of them is looked for.
-    WAITING_FOR_ROOM = "waiting for room"
+    WAITING_FOR_CAPACITY = "waiting for capacity"
     # Tasks were started and none was seen to run: one that is proven lost is replaced under the same number.
     ASSEMBLING = "assembling"
     # The gang was seen to run: without one of its tasks it fails.
@@ -62,13 +62,13 @@
     def state_of(self, job: Job) -> GangState:
         """The state of a gang's attempt."""
         gang = self._gangs.get(job.id)
-        return GangState.WAITING_FOR_ROOM if gang is None else gang.state
+        return GangState.WAITING_FOR_CAPACITY if gang is None else gang.state
 
     def may_start(self, job: Job) -> bool:
         """Whether tasks may be started: those of a new attempt, or replacements in one that assembles."""
-        return self.state_of(job) in (GangState.WAITING_FOR_ROOM, GangState.ASSEMBLING)
+        return self.state_of(job) in (GangState.WAITING_FOR_CAPACITY, GangState.ASSEMBLING)
 
-    def number_for(self, job: Job) -> int:
+    def attempt_number(self, job: Job) -> int:
         """The attempt number for a task that is about to start."""
         gang = self._gangs.get(job.id)
         if gang is None:
@@ -86,9 +86,9 @@
             log.warning("%s: attempts %d and %d at once", job.id, gang.number, attempt.number)
             self._fail(gang, "two attempts", now)
             return
-        self.reported(attempt, now)
+        self.task_reported(attempt, now)
 
-    def reported(self, attempt: Attempt, now: float) -> None:
+    def task_reported(self, attempt: Attempt, now: float) -> None:
         """A task's state changed, as its worker reports."""
         gang = self._gangs.get(attempt.job.id)
         if gang is None:
@@ -105,7 +105,7 @@
         elif attempt.status == TaskState.WAITING and gang.waiting_since is None:
             gang.waiting_since = now
 
-    def exited(self, attempt: Attempt, cause: str | None, now: float) -> None:
+    def task_exited(self, attempt: Attempt, cause: str | None, now: float) -> None:
         """A task ended otherwise than by completion; it still counts as part of the attempt."""
         gang = self._gangs.get(attempt.job.id)
         if gang is None or gang.state in (GangState.STOPPING, GangState.FAILED):
@@ -116,7 +116,7 @@
                 self._avoid_late_machines(gang)
             self._fail(gang, f"{attempt.name} ended: {cause}", now)
 
-    def gone(self, attempt: Attempt, now: float) -> None:
+    def task_terminated(self, attempt: Attempt, now: float) -> None:
         """A task is proven gone and is no longer part of the attempt."""
         job = attempt.job
         gang = self._gangs.get(job.id)
@@ -137,7 +137,7 @@
         gang.state = GangState.STOPPING
         self._stop_tasks(gang, grace, now)
 
-    def give_up(self, job: Job, reason: str, now: float) -> None:
+    def abandon(self, job: Job, reason: str, now: float) -> None:
         """Release the room of an attempt that can't be completed."""
         gang = self._gangs.get(job.id)
         if gang is not None and gang.state is GangState.ASSEMBLING:
--- a/src/poppyhold/execution/heartbeat_commands.py
+++ b/src/poppyhold/execution/heartbeat_commands.py
@@ -21,12 +21,12 @@
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
 
-    def for_news(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
+    def commands_for_new_heartbeat(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
         """All that is due, behind a report that was taken as the truth about its machine."""
         commands: list[Command] = []
         for task in heartbeat.tasks:
             if task.status == TaskState.EXITED:
-                if self._may_reap(task):
+                if self._may_forget_exit(task):
                     commands.append(Command(CommandKind.FORGET, task.task, task.attempt))
             elif task.task in machine.unknown_tasks:
                 commands.append(Command(CommandKind.STOP, task.task, task.attempt, 0.0))
@@ -42,7 +42,7 @@
                 commands.append(Command(CommandKind.START, attempt.name, attempt.number))
         return commands
 
-    def stops(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
+    def stop_commands(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
         """Stops for what must not go on: every answer that renews a lease carries them.
 
         A report that proves nothing may all the same be the worker's own, and its answer the last one that
@@ -60,7 +60,7 @@
                 commands.append(Command(CommandKind.STOP, task.task, task.attempt, 0.0))
         return commands
 
-    def _may_reap(self, task: TaskStatus) -> bool:
+    def _may_forget_exit(self, task: TaskStatus) -> bool:
         """A completion must be durable first: its worker is the only one that knows of it."""
         job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -44,14 +44,18 @@
         failures: Failures,
     ) -> None:
         self._ctx = ctx
-        self._on_done, self._on_over, self._on_ran = on_done, on_over, on_ran
+        self._on_task_completed, self._on_attempt_terminated, self._on_run_completed = (
+            on_done,
+            on_over,
+            on_ran,
+        )
         self.gangs = Gangs(ctx, self.stop)
         self.failures = failures
         # Machines that may hold tasks of terms before ours and have not been heard in it.
         self.unreconciled: set[str] = set()
         self._all_reconciled_logged = False
         self._heartbeat_commands = HeartbeatCommands(ctx)
-        self.commands = DirectCommands(ctx, self._over, self._answered)
+        self.commands = DirectCommands(ctx, self.mark_terminated, self._handle_command_response)
         self.began_at = ctx.clock()
 
     # -- reports ---------------------------------------------------------------------------------
@@ -69,25 +73,25 @@
             if machine is None:
                 return None
         machine.endpoint = heartbeat.endpoint
-        if heartbeat.fencing_token < ctx.term_fencing_token and self._ignores_answers(machine, now):
-            self.commands.hasten(machine, now)
+        if heartbeat.fencing_token < ctx.term_fencing_token and self._ignores_responses(machine, now):
+            self.commands.request_heartbeat(machine, now)
             return None
         machine.last_response_at = now
         if not machine.is_up:
             machine.is_up = True
             machine.up_at = now
             ctx.scheduling_needed = True
-        self._record(machine)
+        self._request_record(machine)
         # A report from before the worker saw our token may be a copy of any age, and so may one
         # whose sequence number is not above the last: it gets an answer, but proves nothing.
         if heartbeat.fencing_token < ctx.term_fencing_token:
-            self.commands.hasten(machine, now)
-            commands = self._heartbeat_commands.stops(machine, heartbeat, now)
+            self.commands.request_heartbeat(machine, now)
+            commands = self._heartbeat_commands.stop_commands(machine, heartbeat, now)
         elif self._is_newer(heartbeat, machine):
-            self._take(machine, heartbeat, now, answered=True)
-            commands = self._heartbeat_commands.for_news(machine, heartbeat, now)
+            self.apply_heartbeat(machine, heartbeat, now, answered=True)
+            commands = self._heartbeat_commands.commands_for_new_heartbeat(machine, heartbeat, now)
         else:
-            commands = self._heartbeat_commands.stops(machine, heartbeat, now)
+            commands = self._heartbeat_commands.stop_commands(machine, heartbeat, now)
         return HeartbeatResponse(ctx.fencing_token, commands)
 
     @staticmethod
@@ -95,7 +99,7 @@
         """Whether a report is newer than all before it; copies and late ones, relayed or not, are none."""
         return (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
 
-    def _ignores_answers(self, machine: Machine, now: float) -> bool:
+    def _ignores_responses(self, machine: Machine, now: float) -> bool:
         """Whether a worker from before our term seems not to hear us, so that its lease had better end.
 
         Its reports arrive, but our token does not reach it: every answer would be counted as a lease that its
@@ -122,7 +126,7 @@
         ctx.fleet.machines[heartbeat.machine] = machine
         return machine
 
-    def _record(self, machine: Machine) -> None:
+    def _request_record(self, machine: Machine) -> None:
         if machine.is_recorded or machine.record_requested or machine.deleting:
             return
         machine.record_requested = True
@@ -137,7 +141,7 @@
         # Nothing starts on the machine before: a plan's record serves nobody without one.
         self._ctx.outbound.commit({}, [write], durable, CommitPriority.SOONEST)
 
-    def _take(self, machine: Machine, heartbeat: Heartbeat, now: float, answered: bool) -> None:
+    def apply_heartbeat(self, machine: Machine, heartbeat: Heartbeat, now: float, answered: bool) -> None:
         """Take a report that is newer than all before it as the truth about its machine."""
         ctx = self._ctx
         if heartbeat.incarnation > machine.incarnation:
@@ -155,13 +159,13 @@
         present: set[str] = set()
         for task in heartbeat.tasks:
             if task.status == TaskState.EXITED:
-                self._ended(machine, task, now)
+                self._handle_exit(machine, task, now)
             else:
                 present.add(task.task)
-                self._present(machine, task, now)
+                self._observe_task(machine, task, now)
         for attempt in list(machine.attempts.values()):
-            if attempt.name not in present and self._absence_proves(attempt, heartbeat, answered):
-                self._lost(attempt, now)
+            if attempt.name not in present and self._absence_proves_termination(attempt, heartbeat, answered):
+                self._mark_absent(attempt, now)
         self.unreconciled.discard(machine.name)
 
     def _begin_incarnation(self, machine: Machine, incarnation: int, now: float) -> None:
@@ -172,15 +176,15 @@
             machine.unreliable_until = now + times.cancel_s
         for attempt in list(machine.attempts.values()):
             if attempt.incarnation < incarnation:
-                self._over(attempt)
+                self.mark_terminated(attempt)
 
-    def _lost(self, attempt: Attempt, now: float) -> None:
+    def _mark_absent(self, attempt: Attempt, now: float) -> None:
         """A report proves that the attempt is not on its machine."""
         if attempt.status == TaskState.SENT and attempt.stopping_at is None:
-            self._leave_alone(attempt, now)
-        self._over(attempt)
+            self._back_off_machine(attempt, now)
+        self.mark_terminated(attempt)
 
-    def _leave_alone(self, attempt: Attempt, now: float) -> None:
+    def _back_off_machine(self, attempt: Attempt, now: float) -> None:
         """Start nothing on a machine for a while that did not take a start."""
         times = self._ctx.durations
         if attempt.start_channel == "reply":
@@ -193,7 +197,7 @@
             attempt.machine.unschedulable_until = now + 2 * times.heartbeat_interval_s
 
     @staticmethod
-    def _absence_proves(attempt: Attempt, heartbeat: Heartbeat, answered: bool) -> bool:
+    def _absence_proves_termination(attempt: Attempt, heartbeat: Heartbeat, answered: bool) -> bool:
         """Whether a newer report without the attempt shows that it is not there and won't be."""
         if attempt.status != TaskState.SENT:
             return True
@@ -208,13 +212,13 @@
             return answered and 0 <= attempt.response_sequence < heartbeat.sequence
         return True
 
-    def _present(self, machine: Machine, task: TaskStatus, now: float) -> None:
+    def _observe_task(self, machine: Machine, task: TaskStatus, now: float) -> None:
         job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
         attempt = machine.attempts.get(task.task)
         if attempt is not None and attempt.number == task.attempt:
             if attempt.status != task.status:
-                self._changed(attempt, task.status, now)
+                self._handle_status_change(attempt, task.status, now)
         elif attempt is None and job is not None and 0 <= index < job.spec.tasks and index not in job.active:
             self._adopt(
                 Attempt(job, index, task.attempt, machine, machine.incarnation, now), task.status, now
@@ -222,15 +226,15 @@
         else:
             machine.unknown_tasks.add(task.task)
 
-    def _changed(self, attempt: Attempt, status: str, now: float) -> None:
-        self._follow(attempt, status, now)
+    def _handle_status_change(self, attempt: Attempt, status: str, now: float) -> None:
+        self._update_status(attempt, status, now)
         if status == TaskState.RUNNING:
             log.debug("%s runs, %.1f s behind its start", attempt.name, now - attempt.sent_at)
         if attempt.job.is_gang:
-            self.gangs.reported(attempt, now)
+            self.gangs.task_reported(attempt, now)
 
     @staticmethod
-    def _follow(attempt: Attempt, status: str, now: float) -> None:
+    def _update_status(attempt: Attempt, status: str, now: float) -> None:
         attempt.status = status
         attempt.machine.version += 1
         if status == TaskState.RUNNING:
@@ -243,7 +247,7 @@
         """Count a task that an earlier leader started."""
         job, index = attempt.job, attempt.index
         completed = job.states[index] == DONE
-        self._follow(attempt, status, now)
+        self._update_status(attempt, status, now)
         self._ctx.fleet.add_attempt(attempt)
         if completed:
             job.states[index] = DONE
@@ -253,7 +257,7 @@
         elif job.is_gang:
             self.gangs.adopt(attempt, now)
 
-    def _ended(self, machine: Machine, task: TaskStatus, now: float) -> None:
+    def _handle_exit(self, machine: Machine, task: TaskStatus, now: float) -> None:
         job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
         if job is None or not 0 <= index < job.spec.tasks:
@@ -263,38 +267,39 @@
         if task.cause == ExitCause.DONE:
             machine.touch_image(job.spec.image, job.spec.image_gb)
             if ours and attempt is not None:
-                self.failures.completed(attempt)
+                self.failures.task_completed(attempt)
                 if attempt.running_at is not None:
-                    self._on_ran(attempt, now)
+                    self._on_run_completed(attempt, now)
             news = job.complete(index)
             if news:
                 job.undurable_completions.update(range(job.spec.tasks) if job.is_gang else (index,))
             if ours and attempt is not None:
-                self._over(attempt)
+                self.mark_terminated(attempt)
             if news:
-                self._on_done(job, index)
+                self._on_task_completed(job, index)
         elif ours and attempt is not None:
-            self._failed(attempt, task, now)
+            self._handle_failure(attempt, task, now)
             if job.is_gang:
-                self.gangs.exited(attempt, task.cause, now)
-            self._over(attempt)
+                self.gangs.task_exited(attempt, task.cause, now)
+            self.mark_terminated(attempt)
 
-    def _failed(self, attempt: Attempt, task: TaskStatus, now: float) -> None:
+    def _handle_failure(self, attempt: Attempt, task: TaskStatus, now: float) -> None:
         job, machine = attempt.job, attempt.machine
         log.debug("%s on %s ended: %s", attempt.name, machine.name, task.cause)
         if task.cause == ExitCause.ERROR:
-            self.failures.failed(attempt, now)
+            self.failures.task_failed(attempt, now)
         elif task.cause in (ExitCause.NO_ROOM, ExitCause.BUSY):
             machine.unschedulable_until = now + 2 * self._ctx.durations.heartbeat_interval_s
         elif task.cause == ExitCause.UNKNOWN_TASK:
             job.retry_at = now + self._ctx.durations.heartbeat_interval_s
 
-    def _over(self, attempt: Attempt) -> None:
+    def mark_terminated(self, attempt: Attempt) -> None:
+        """Remove an attempt that is proven to be over."""
         log.debug("over: %s on %s, was %s", attempt.name, attempt.machine.name, attempt.status)
-        self._on_over(attempt)
+        self._on_attempt_terminated(attempt)
         self._ctx.fleet.remove_attempt(attempt)
         if attempt.job.is_gang:
-            self.gangs.gone(attempt, self._ctx.clock())
+            self.gangs.task_terminated(attempt, self._ctx.clock())
         self._ctx.scheduling_needed = True
 
     # -- commands ----------------------------------------------------------------------------------
@@ -302,7 +307,7 @@
     def start(self, job: Job, index: int, machine: Machine, victims: list[Attempt]) -> Attempt:
         """Start a task, after stopping the victims on the same machine."""
         now = self._ctx.clock()
-        number = self.gangs.number_for(job) if job.is_gang else self._ctx.next_unique_number()
+        number = self.gangs.attempt_number(job) if job.is_gang else self._ctx.next_unique_number()
         attempt = Attempt(job, index, number, machine, machine.incarnation, now)
         for victim in victims:
             self.stop(victim, 0.0, now, direct=False)
@@ -311,7 +316,7 @@
         else:
             attempt.start_channel = "do"
             attempt.start_in_flight = True
-            self.commands.say(
+            self.commands.enqueue(
                 machine,
                 *(stop_command(victim, now) for victim in victims),
                 Command(CommandKind.START, attempt.name, attempt.number),
@@ -343,12 +348,12 @@
             and attempt.response_sequence < 0
         ):
             # Its start was never handed out.
-            self._over(attempt)
+            self.mark_terminated(attempt)
             return
         if direct:
-            self.commands.say(attempt.machine, stop_command(attempt, now))
+            self.commands.enqueue(attempt.machine, stop_command(attempt, now))
 
-    def _answered(
+    def _handle_command_response(
         self, machine: Machine, batch: list[Attempt], outcome: RequestOutcome, heartbeat: Heartbeat | None
     ) -> None:
         ctx = self._ctx
@@ -361,7 +366,7 @@
             return
         for attempt in batch:
             if machine.attempts.get(attempt.name) is attempt:
-                self._start_answered(attempt, outcome)
+                self._handle_start_outcome(attempt, outcome)
         if outcome in (RequestOutcome.NOT_SENT, RequestOutcome.UNKNOWN):
             machine.unreliable_until = now + ctx.durations.lease_s / 2
         if (
@@ -370,18 +375,18 @@
             and heartbeat.fencing_token >= ctx.term_fencing_token
             and (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
         ):
-            self._take(machine, heartbeat, now, answered=False)
+            self.apply_heartbeat(machine, heartbeat, now, answered=False)
         elif heartbeat is not None and not machine.reconciled and heartbeat.incarnation > machine.incarnation:
             # The command named another session than the worker's: ask again with the right one.
             machine.incarnation, machine.next_probe_at = heartbeat.incarnation, 0.0
 
-    def _start_answered(self, attempt: Attempt, outcome: RequestOutcome) -> None:
+    def _handle_start_outcome(self, attempt: Attempt, outcome: RequestOutcome) -> None:
         attempt.start_in_flight = False
         if attempt.status != TaskState.SENT:
             return
         if outcome in (RequestOutcome.REJECTED, RequestOutcome.NOT_SENT):
             # Nothing was executed, and nothing can be later.
-            self._over(attempt)
+            self.mark_terminated(attempt)
         elif outcome == RequestOutcome.UNKNOWN:
             attempt.void_at_fencing_token = self._ctx.fencing_token + 1
 
@@ -396,7 +401,7 @@
             log.info("all machines heard after %.1f s", self._ctx.clock() - self.began_at)
         return True
 
-    def expire(self, machine: Machine, now: float) -> None:
+    def expire_leases(self, machine: Machine, now: float) -> None:
         """End the attempts of a silent worker whose lease is over, whoever might have answered it."""
         times = self._ctx.durations
         if machine.reconciled:
@@ -414,16 +419,16 @@
         if machine.attempts:
             log.debug("%s: its last lease is over, %d tasks", machine.name, len(machine.attempts))
         for attempt in list(machine.attempts.values()):
-            self._over(attempt)
+            self.mark_terminated(attempt)
         self.unreconciled.discard(machine.name)
 
-    def gone(self, machine: Machine) -> None:
+    def machine_deleted(self, machine: Machine) -> None:
         """A machine is gone for certain, with all that was on it."""
         now = self._ctx.clock()
         for attempt in list(machine.attempts.values()):
-            self._over(attempt)
+            self.mark_terminated(attempt)
         self.unreconciled.discard(machine.name)
-        self.commands.forget(machine)
+        self.commands.discard(machine)
         self._ctx.fleet.machines.pop(machine.name, None)
         self._ctx.deleted_at[machine.name] = now
         self._ctx.scheduling_needed = True
--- a/src/poppyhold/machines/deletions.py
+++ b/src/poppyhold/machines/deletions.py
@@ -57,7 +57,7 @@
 
     def _gone(self, machine: Machine) -> None:
         recorded = machine.is_recorded or machine.record_requested
-        self._reconciler.gone(machine)
+        self._reconciler.machine_deleted(machine)
         self._on_gone(machine)
         if recorded:
             self._ctx.outbound.commit({}, [remove(MACHINE + machine.name)], lambda done: None)
--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -65,7 +65,7 @@
             if machine.deleting:
                 # The cloud may not answer for long; the end of a lease is proof too.
                 if now - machine.last_heartbeat_at > self._ctx.durations.lease_s:
-                    self._reconciler.expire(machine, now)
+                    self._reconciler.expire_leases(machine, now)
             elif machine.is_up or machine.name in self._reconciler.unreconciled:
                 self._survey(machine, survey, now)
             elif self._boots.is_hopeless(machine, self._provisioning.give_up_s(machine.machine_type), now):
@@ -105,14 +105,14 @@
         quiet_s = self._quiet_s(machine, now)
         survey.quiet += self._is_quiet(quiet_s)
         if quiet_s > times.silent_s / 2:
-            self._reconciler.commands.ask_quiet(machine, now)
+            self._reconciler.commands.probe_silent_worker(machine, now)
         if quiet_s > times.presumed_lost_s:
             if machine.preempted_at is not None and now > machine.preempted_at - times.presumed_lost_s:
                 self._deletions.mark(machine, "recalled")
             else:
                 survey.silent.append(machine)
         if quiet_s > times.lease_s:
-            self._reconciler.expire(machine, now)
+            self._reconciler.expire_leases(machine, now)
         if machine.errors and self._reconciler.failures.machine_at_fault(machine):
             machine.quarantined = True
 
--- a/src/poppyhold/machines/packing.py
+++ b/src/poppyhold/machines/packing.py
@@ -83,7 +83,7 @@
                 if not fits(job.task_resources, free):
                     continue
                 moved = zones.get((job.id, target.zone), 0) + (target.zone != machine.zone)
-                if job.zones.get(target.zone, 0) + moved > zone_limit(job.spec):
+                if job.active_by_zone.get(target.zone, 0) + moved > zone_limit(job.spec):
                     continue
                 if job.spec.one_zone and job.spec.tasks > 1 and target.zone != machine.zone:
                     continue
--- a/src/poppyhold/machines/space.py
+++ b/src/poppyhold/machines/space.py
@@ -41,4 +41,4 @@
 
 def demand_of(job: Job, most: int) -> Demand:
     """What a job's pending tasks need, at most ``most`` of them."""
-    return Demand(job.spec, job.task_resources, min(job.pending, most), dict(job.zones))
+    return Demand(job.spec, job.task_resources, min(job.pending, most), dict(job.active_by_zone))
--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -97,7 +97,7 @@
     finalizing: bool = False
     # Cancelled, or done and durable: kept only while something of it may still run.
     finalized: bool = False
-    saving: bool = False
+    completions_save_in_flight: bool = False
     # Keys of the records that hold its completed tasks.
     done_records: set[str] = msgspec.field(default_factory=set)
     failures: JobFailures = msgspec.field(default_factory=JobFailures)
@@ -106,7 +106,7 @@
     retry_at: float = 0.0
     # Before this moment it preempts nothing more: gangs that make room for it are saving.
     may_preempt_at: float = 0.0
-    zones: dict[str, int] = msgspec.field(default_factory=dict)
+    active_by_zone: dict[str, int] = msgspec.field(default_factory=dict)
 
     @property
     def is_service(self) -> bool:
--- a/src/poppyhold/model/fleet.py
+++ b/src/poppyhold/model/fleet.py
@@ -21,7 +21,7 @@
         job, machine = attempt.job, attempt.machine
         job.states[attempt.index] = ACTIVE
         job.active[attempt.index] = attempt
-        job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
+        job.active_by_zone[machine.zone] = job.active_by_zone.get(machine.zone, 0) + 1
         machine.attempts[attempt.name] = attempt
         machine.set_used(add_scaled(machine.used, job.task_resources))
         used = self.used_by_team.setdefault(job.spec.team, [0.0, 0.0])
@@ -40,7 +40,7 @@
         """An attempt is proven to be over: its task is pending, unless it is done."""
         job, machine = attempt.job, attempt.machine
         del job.active[attempt.index]
-        job.zones[machine.zone] -= 1
+        job.active_by_zone[machine.zone] -= 1
         del machine.attempts[attempt.name]
         machine.set_used(
             add_scaled(machine.used, job.task_resources, -1.0) if machine.attempts else NO_RESOURCES
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -124,7 +124,7 @@
         for job in sorted(ctx.fleet.jobs.values(), key=lambda job: job.submitted_at):
             self._resume(job)
         for machine in ctx.fleet.machines.values():
-            self.reconciler.commands.hasten(machine, now)
+            self.reconciler.commands.request_heartbeat(machine, now)
 
     def _load_machine(self, name: str, data: Data, now: float) -> None:
         """A machine that may hold tasks of earlier terms."""
@@ -241,7 +241,7 @@
             ended = self.ctx.clock()
             rest = max(6 * (ended - began), self.ctx.durations.heartbeat_interval_s / 25)
             self.settle_at = ended + min(rest, self.ctx.durations.heartbeat_interval_s / 2)
-        self.reconciler.commands.flush()
+        self.reconciler.commands.send_queued()
 
     def counts(self) -> dict[str, tuple[int, int]]:
         """Done and running tasks by job, for display."""
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -126,7 +126,7 @@
         if not machines:
             return
         # Machines that did not get our commands lately, or may be at fault, come last.
-        suspects = self._reconciler.failures.suspects
+        suspects = self._reconciler.failures.is_suspect
         steady = [
             machine for machine in machines if machine.unreliable_until <= now and not suspects(machine)
         ]
@@ -363,7 +363,7 @@
                     self._start(job, index, choice)
                     self._rooms.changed(choice.machine)
         elif gangs.state_of(job) is GangState.ASSEMBLING:
-            gangs.give_up(job, "no room for a replacement", self._ctx.clock())
+            gangs.abandon(job, "no room for a replacement", self._ctx.clock())
         elif self._waited_long(job, self._ctx.clock()) and not job.failures.at_fault:
             self._hold_for_gang(job, within_limit)
 
--- a/src/poppyhold/scheduling/gang_placement.py
+++ b/src/poppyhold/scheduling/gang_placement.py
@@ -113,7 +113,7 @@
         left = job.pending
         total = 0.0
         chosen: list[Choice] = []
-        zones = dict(job.zones)
+        zones = dict(job.active_by_zone)
         limit = zone_limit(job.spec)
         for room in sorted(rooms, key=lambda room: (room.cost, -room.count)):
             take = min(room.count, left, limit - zones.get(room.machine.zone, 0))
@@ -136,7 +136,7 @@
         if not job.spec.one_zone:
             yield machines
             return
-        held = {zone for zone, count in job.zones.items() if count > 0}
+        held = {zone for zone, count in job.active_by_zone.items() if count > 0}
         zones = held or {machine.zone for machine in machines}
         if len(held) > 1:
             return
@@ -177,7 +177,7 @@
         if sum(count for count, _ in options) < left:
             return None
         chosen: list[Machine] = []
-        zones = dict(job.zones)
+        zones = dict(job.active_by_zone)
         limit = zone_limit(job.spec)
         while left and options:
             best = self._best(job, options, left)
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -36,9 +36,9 @@
 
 def zone_allows(job: Job, zone: str) -> bool:
     """Whether one more task of the job may be in the zone, given all that may be on a machine."""
-    if job.spec.one_zone and any(count > 0 and held != zone for held, count in job.zones.items()):
+    if job.spec.one_zone and any(count > 0 and held != zone for held, count in job.active_by_zone.items()):
         return False
-    return job.zones.get(zone, 0) < zone_limit(job.spec)
+    return job.active_by_zone.get(zone, 0) < zone_limit(job.spec)
 
 
 def fetch_wait(machine: Machine, job: Job) -> float:
--- a/src/poppyhold/scheduling/planner.py
+++ b/src/poppyhold/scheduling/planner.py
@@ -88,7 +88,7 @@
     def _zones(self, job: Job, groups: list[Group]) -> list[str | None]:
         if not job.spec.one_zone:
             return [None]
-        held = [zone for zone, count in job.zones.items() if count > 0]
+        held = [zone for zone, count in job.active_by_zone.items() if count > 0]
         found: list[str | None] = []
         found += held or sorted({row.zone for row, _ in groups})
         return found
@@ -158,7 +158,7 @@
     def _plan_service(self, job: Job, tasks: int, groups: list[Group], shares: float) -> Plan | None:
         first, horizon = self._ledger.first, self._ledger.horizon
         offers = self.offers(job, groups, first, first + horizon - 1, tasks)
-        chosen = self.fill(job, offers, tasks, job.zones)
+        chosen = self.fill(job, offers, tasks, job.active_by_zone)
         if sum(chosen.values()) < tasks:
             return None
         price = {offer.machine: offer.cost for offer in offers}
@@ -212,7 +212,7 @@
             here = choices[offset][left]
             if here:
                 number = min(here * unit, tasks)
-                chosen = self.fill(job, offers[offset], number, job.zones)
+                chosen = self.fill(job, offers[offset], number, job.active_by_zone)
                 starts[first + offset] = chosen
                 left -= here
         self._trim(starts, tasks)
@@ -236,7 +236,7 @@
     def _costs(self, job: Job, offers: list[Offer], tasks: int, unit: int, steps: int) -> list[float]:
         """Cost of starting 0, 1, ... units in a slot; infinite where they don't fit."""
         costs = [0.0] + [INFINITE] * steps
-        chosen = self.fill(job, offers, tasks, job.zones)
+        chosen = self.fill(job, offers, tasks, job.active_by_zone)
         price = {offer.machine: offer.cost for offer in offers}
         total, placed, step = 0.0, 0, 1
         for name, chosen_here in chosen.items():
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -40,7 +40,7 @@
     assert job.running == 3
     world.run(world.now + 25.0)
     assert world.told[job_id] == "done"
-    assert gangs.state_of(job) is GangState.WAITING_FOR_ROOM
+    assert gangs.state_of(job) is GangState.WAITING_FOR_CAPACITY
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
 def test_ends_of_a_task_that_end_the_attempt(cause: ExitCause, state: GangState) -> None:
     world, gangs, job_id = assembling_world()
     job = job_of(world, job_id)
-    gangs.exited(job.active[1], cause, world.now)
+    gangs.task_exited(job.active[1], cause, world.now)
     failed = state is GangState.FAILED
     assert gangs.state_of(job) is state
     assert gangs.may_start(job) is not failed
@@ -76,5 +76,5 @@
     # A task that is seen to save shows a new leader that the stop has begun, and changes nothing here.
     first = job.active[0]
     first.status = TaskState.SAVING
-    gangs.reported(first, world.now)
+    gangs.task_reported(first, world.now)
     assert gangs.state_of(job) is GangState.STOPPING
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -94,7 +94,7 @@
 
 
 def _only_from_the_beginning(self: Gangs, job: Job) -> bool:
-    return self.state_of(job) is GangState.WAITING_FOR_ROOM
+    return self.state_of(job) is GangState.WAITING_FOR_CAPACITY
 
 
 def _kill(self: Gangs, job: Job, now: float, grace_s: float | None = None) -> None:
@@ -113,25 +113,25 @@
 # Guard that is taken out -> scenario that must then break a rule or miss what it expects.
 GUARDS = [
     Guard("late_run_after_cancel", DirectCommands, "raise_fencing_token", _always),
-    Guard("held_start_after_leader_change", AttemptReconciler, "_absence_proves", _always),
+    Guard("held_start_after_leader_change", AttemptReconciler, "_absence_proves_termination", _always),
     Guard("limit_while_unreachable", Quotas, "allows", _always),
     Guard("isolated_leader", Authority, "may_answer", _always),
     Guard("lost_hire_answer", Launches, "load", _count_nothing),
-    Guard("done_before_reap", HeartbeatCommands, "_may_reap", _always),
+    Guard("done_before_reap", HeartbeatCommands, "_may_forget_exit", _always),
     Guard("large_fleet", Pass, "claim", _unlike),
     Guard("zone_cut", DelegatedRenewal, "may_answer", _never),
     Guard("zone_cut_long", LeaseDelegations, "until", _long_ago),
     Guard("cancelled_before_the_cut", Controller, "excluded_machines", _nobody),
     Guard("limit_and_cancelled", Fleet, "unaccounted_resources", _no_room),
     Guard("mute_machines_and_copies", MachineMonitor, "_lost_to_others", _all_of_them),
-    Guard("deaf_machine", AttemptReconciler, "_ignores_answers", _never),
+    Guard("deaf_machine", AttemptReconciler, "_ignores_responses", _never),
     Guard("gap", Cancellations, "named", _told_nothing),
     Guard("gap", Authority, "learned", _never),
     Guard("gap_unnamed", Authority, "learned", _learned_all),
     Guard("gangs_compete", GangPlacement, "choose", _one_by_one),
     Guard("gang_task_lost_before_start", Gangs, "may_start", _only_from_the_beginning),
     Guard("gang_task_lost_while_running", Gangs, "_fail", _never),
-    Guard("gang_gives_up_its_room", Gangs, "give_up", _never),
+    Guard("gang_gives_up_its_room", Gangs, "abandon", _never),
     Guard("gang_alone", Gangs, "_avoid_late_machines", _never),
     Guard("gang_recall", Gangs, "stop", _kill),
     Guard("gang_preempts", GangPlacement, "make_room", _never),
@@ -143,7 +143,7 @@
     Guard("gang_short_notice", Controller, "_drain_gang", _never),
     Guard("gang_leader_crash_in_stop", Gangs, "stop", _kill),
     Guard("gang_cancelled_at_once", Controller, "job_removed", _never),
-    Guard("gang_machine_hangs", Gangs, "gone", _never),
+    Guard("gang_machine_hangs", Gangs, "task_terminated", _never),
     Guard("gang_done_by_one_report", Job, "complete", _complete_one),
     Guard("gang_unsure_start", DirectCommands, "raise_fencing_token", _always),
     Guard("zone_partition", Connectivity, "better_placed", _never),
@@ -177,7 +177,7 @@
     Guard("mistake_in_a_wide_job", Failures, "load", _never),
     Guard("gang_with_a_mistake", Failures, "_fails_everywhere", _never),
     Guard("faulty_machine_among_mistakes", Failures, "machine_at_fault", _never),
-    Guard("sound_job_on_a_faulty_machine", Failures, "_is_sound", _never),
+    Guard("sound_job_on_a_faulty_machine", Failures, "_mark_sound", _never),
     Guard("guests", Quotas, "within_guarantee", _guests_alone),
 ]
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -467,14 +467,14 @@
     )
     commands = DirectCommands(ctx, lambda attempt: None, lambda *answered: None)
     for machine in machines.values():
-        commands.ask_quiet(machine, now[0])
+        commands.probe_silent_worker(machine, now[0])
     assert len(asked) == 100
     now[0] = 1.0
     for machine in machines.values():
-        commands.ask_quiet(machine, now[0])
+        commands.probe_silent_worker(machine, now[0])
     # Half an interval on, half as many more, and nobody whose answer is still out.
     assert len(asked) == len(set(asked)) == 150
     # As a term of few machines begins, all are asked at once.
     for machine in machines.values():
-        commands.hasten(machine, now[0])
+        commands.request_heartbeat(machine, now[0])
     assert len(asked) == 1000
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -50,7 +50,7 @@
     machine.queued_commands = [
         command for command in machine.queued_commands if command.attempt == waiting.number
     ]
-    controller.reconciler.commands.flush()
+    controller.reconciler.commands.send_queued()
     assert all(order["try"] != waiting.number for body in sent for order in body["orders"])
 
 
@@ -63,7 +63,9 @@
     machine.command_in_flight = True
     job = controller.ctx.fleet.jobs["job-000001"]
     attempt = job.active[0]
-    controller.reconciler.commands.say(machine, Command(CommandKind.START, attempt.name, attempt.number + 1))
+    controller.reconciler.commands.enqueue(
+        machine, Command(CommandKind.START, attempt.name, attempt.number + 1)
+    )
     machine.command_in_flight = False
-    controller.reconciler.commands.flush()
+    controller.reconciler.commands.send_queued()
     assert sent and sent[0]["orders"] == []
