--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -9,7 +9,7 @@
 from poppyhold.durable.records import CompletionsRecord
 from poppyhold.durable.store import ACTIVE, DONE_STRETCHES, DONE_TASKS, Data, put, remove
 from poppyhold.model.context import Context
-from poppyhold.model.entities import DONE, Job
+from poppyhold.model.entities import TASK_DONE, Job, JobPhase
 from poppyhold.settings import State
 
 # Tasks that a hexadecimal digit stands for.
@@ -28,7 +28,7 @@
     """The completed tasks among these, the first in the lowest bit, in hexadecimal."""
     bits = 0
     for offset, state in enumerate(states):
-        if state == DONE:
+        if state == TASK_DONE:
             bits |= 1 << offset
     return f"{bits:x}"
 
@@ -101,8 +101,8 @@
     def save(self) -> None:
         """Make completions durable that are not yet."""
         for job in self._ctx.fleet.jobs.values():
-            if job.undurable_completions and not (
-                job.completions_save_in_flight or job.finalizing or job.finalized
+            if job.undurable_completions and (
+                not job.completions_save_in_flight and job.phase is JobPhase.ACTIVE
             ):
                 self._save(job)
 
--- a/src/poppyhold/execution/failures.py
+++ b/src/poppyhold/execution/failures.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from poppyhold.model.durations import Durations
-from poppyhold.model.entities import Attempt, Job, Machine, TaskError
+from poppyhold.model.entities import Attempt, Job, JobPhase, Machine, TaskError
 
 log = logging.getLogger(__name__)
 
@@ -82,7 +82,7 @@
         """Look for jobs whose tasks run on where others failed."""
         now = self._clock()
         for job in list(self._suspected.values()):
-            if job.finalized:
+            if job.phase is JobPhase.FINALIZED:
                 del self._suspected[job.id]
             elif any(self._outlasts(attempt, now) for attempt in job.active.values()):
                 self._mark_sound(job)
--- a/src/poppyhold/execution/heartbeat_commands.py
+++ b/src/poppyhold/execution/heartbeat_commands.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from poppyhold.model.context import Context
-from poppyhold.model.entities import Attempt, Machine
+from poppyhold.model.entities import Attempt, JobPhase, Machine, StartChannel
 from poppyhold.wire.messages import Command, CommandKind, Heartbeat, TaskState, TaskStatus, split_task
 
 
@@ -35,7 +35,7 @@
                 commands.append(stop_command(attempt, now))
             elif (
                 attempt.status == TaskState.SENT
-                and attempt.start_channel == "reply"
+                and attempt.start_channel is StartChannel.HEARTBEAT_RESPONSE
                 and attempt.response_sequence < 0
             ):
                 attempt.response_sequence = heartbeat.sequence
@@ -56,7 +56,7 @@
         ]
         for task in heartbeat.tasks:
             job = self._ctx.fleet.jobs.get(split_task(task.task)[0])
-            if task.status != TaskState.EXITED and (job is None or job.finalized):
+            if task.status != TaskState.EXITED and (job is None or job.phase is JobPhase.FINALIZED):
                 commands.append(Command(CommandKind.STOP, task.task, task.attempt, 0.0))
         return commands
 
@@ -64,4 +64,4 @@
         """A completion must be durable first: its worker is the only one that knows of it."""
         job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
-        return job is None or job.finalized or index not in job.undurable_completions
+        return job is None or job.phase is JobPhase.FINALIZED or index not in job.undurable_completions
--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -14,7 +14,7 @@
 from poppyhold.execution.gangs import Gangs
 from poppyhold.execution.heartbeat_commands import HeartbeatCommands, stop_command
 from poppyhold.model.context import Context
-from poppyhold.model.entities import DONE, Attempt, Job, Machine
+from poppyhold.model.entities import TASK_DONE, Attempt, Job, JobPhase, Machine, RecordState, StartChannel
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.wire.messages import (
@@ -127,13 +127,12 @@
         return machine
 
     def _request_record(self, machine: Machine) -> None:
-        if machine.is_recorded or machine.record_requested or machine.deleting:
+        if machine.record_state is not RecordState.NOT_RECORDED or machine.deleting:
             return
-        machine.record_requested = True
+        machine.record_state = RecordState.REQUESTED
 
         def durable(done: bool) -> None:
-            machine.is_recorded = done
-            machine.record_requested = done
+            machine.record_state = RecordState.DURABLE if done else RecordState.NOT_RECORDED
             self._ctx.scheduling_needed = True
 
         record = MachineRecord(machine.endpoint, machine.machine_type, machine.zone, machine.spot)
@@ -187,7 +186,7 @@
     def _back_off_machine(self, attempt: Attempt, now: float) -> None:
         """Start nothing on a machine for a while that did not take a start."""
         times = self._ctx.durations
-        if attempt.start_channel == "reply":
+        if attempt.start_channel is StartChannel.HEARTBEAT_RESPONSE:
             # Its answers do not come through.
             attempt.machine.unschedulable_until = now + times.lease_s / 2
         elif attempt.void_at_fencing_token is None:
@@ -206,7 +205,7 @@
         if attempt.void_at_fencing_token is not None:
             # The start may be held back in the network: it is void once the worker has a higher token.
             return heartbeat.fencing_token >= attempt.void_at_fencing_token
-        if attempt.start_channel == "reply":
+        if attempt.start_channel is StartChannel.HEARTBEAT_RESPONSE:
             # The next report is sent only when the answer has come or was given up. What was not handed out
             # yet goes with the answer to this one: it was taken for lost, and its machine got no work.
             return answered and 0 <= attempt.response_sequence < heartbeat.sequence
@@ -246,12 +245,12 @@
     def _adopt(self, attempt: Attempt, status: str, now: float) -> None:
         """Count a task that an earlier leader started."""
         job, index = attempt.job, attempt.index
-        completed = job.states[index] == DONE
+        completed = job.states[index] == TASK_DONE
         self._update_status(attempt, status, now)
         self._ctx.fleet.add_attempt(attempt)
         if completed:
-            job.states[index] = DONE
-        if completed or job.finalized:
+            job.states[index] = TASK_DONE
+        if completed or job.phase is JobPhase.FINALIZED:
             # It runs, so it counts; but nobody has a use for it any more.
             attempt.stopping_at = now
         elif job.is_gang:
@@ -312,9 +311,9 @@
         for victim in victims:
             self.stop(victim, 0.0, now, direct=False)
         if now < machine.unreliable_until:
-            attempt.start_channel = "reply"
+            attempt.start_channel = StartChannel.HEARTBEAT_RESPONSE
         else:
-            attempt.start_channel = "do"
+            attempt.start_channel = StartChannel.DIRECT
             attempt.start_in_flight = True
             self.commands.enqueue(
                 machine,
@@ -344,7 +343,7 @@
             attempt.grace_s = min(attempt.grace_s, grace_s)
         if (
             attempt.status == TaskState.SENT
-            and attempt.start_channel == "reply"
+            and attempt.start_channel is StartChannel.HEARTBEAT_RESPONSE
             and attempt.response_sequence < 0
         ):
             # Its start was never handed out.
--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -17,7 +17,7 @@
 from poppyhold.machines.provisioning import Arrivals, Provisioning
 from poppyhold.machines.space import Demand, Space, demand_of, space_of
 from poppyhold.model.context import Context
-from poppyhold.model.entities import Attempt, Machine
+from poppyhold.model.entities import Attempt, JobPhase, Machine
 from poppyhold.model.resources import NO_RESOURCES, Resources, max_copies
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.wire.messages import Listing, Submission
@@ -87,7 +87,7 @@
         ctx = self._ctx
         machines = ctx.fleet.machines
         if self._reconciler.unreconciled or any(
-            j.pending > 0 and not j.finalized for j in ctx.fleet.jobs.values()
+            j.pending > 0 and j.phase is not JobPhase.FINALIZED for j in ctx.fleet.jobs.values()
         ):
             return
         most = max(1, len(machines) // 16)
@@ -147,7 +147,7 @@
 
         for job in sorted(ctx.fleet.jobs.values(), key=lambda job: (job.priority, job.submitted_at)):
             # For a job that is at fault itself no machine is rented.
-            if job.pending > 0 and not job.finalized and not job.failures.at_fault:
+            if job.pending > 0 and job.phase is not JobPhase.FINALIZED and not job.failures.at_fault:
                 most = within_limit(job.spec.team, job.task_resources, job.startable(job.pending))
                 if most and (not job.is_gang or most == job.pending):
                     demands.append(demand_of(job, most))
--- a/src/poppyhold/machines/deletions.py
+++ b/src/poppyhold/machines/deletions.py
@@ -8,7 +8,7 @@
 from poppyhold.durable.store import MACHINE, remove
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.model.context import Context
-from poppyhold.model.entities import Machine
+from poppyhold.model.entities import Machine, RecordState
 
 log = logging.getLogger(__name__)
 
@@ -56,7 +56,7 @@
         self._ctx.outbound.delete_machines(names, deleted)
 
     def _gone(self, machine: Machine) -> None:
-        recorded = machine.is_recorded or machine.record_requested
+        recorded = machine.record_state is not RecordState.NOT_RECORDED
         self._reconciler.machine_deleted(machine)
         self._on_gone(machine)
         if recorded:
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -12,7 +12,7 @@
 from poppyhold.machines.provisioning import LaunchSpec, Provisioning
 from poppyhold.machines.space import Space
 from poppyhold.model.context import Context
-from poppyhold.model.entities import Machine
+from poppyhold.model.entities import Machine, RecordState
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.model.resources import machine_type_capacity
@@ -153,4 +153,4 @@
 
     def _settled(self, name: str) -> bool:
         machine = self._ctx.fleet.machines.get(name)
-        return machine is None or machine.is_recorded
+        return machine is None or machine.record_state is RecordState.DURABLE
--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -5,6 +5,8 @@
 import heapq
 import itertools
 from collections import OrderedDict
+from enum import Enum
+from typing import Final
 
 import msgspec
 
@@ -19,7 +21,46 @@
     task_name,
 )
 
-PENDING, ACTIVE, DONE = 0, 1, 2
+# The states of a job's tasks. They are plain integers because a job keeps one byte for each of its tasks in a
+# bytearray, which the search for the next pending task reads byte by byte.
+TASK_PENDING: Final = 0
+TASK_ACTIVE: Final = 1
+TASK_DONE: Final = 2
+
+
+class StartChannel(Enum):
+    """How the start of an attempt reached its worker, or how the attempt became known."""
+
+    # By a command that was sent to the worker.
+    DIRECT = "direct"
+    # With the response to one of the worker's heartbeats.
+    HEARTBEAT_RESPONSE = "heartbeat response"
+    # A heartbeat showed the attempt first: an earlier leader started it.
+    OBSERVED = "observed"
+
+
+class RecordState(Enum):
+    """Whether a machine's record is durable: NOT_RECORDED -> REQUESTED -> DURABLE, or back if that fails."""
+
+    NOT_RECORDED = "not recorded"
+    REQUESTED = "requested"
+    # A next leader asks the machine before it starts anything.
+    DURABLE = "durable"
+
+
+class JobPhase(Enum):
+    """The life cycle of a job: ACTIVE -> FINALIZING -> FINALIZED; a cancelled one skips FINALIZING."""
+
+    ACTIVE = "active"
+    # All its tasks are done, and its final record is being written.
+    FINALIZING = "finalizing"
+    # Cancelled, or done and durable: kept only while something of it may still run.
+    FINALIZED = "finalized"
+
+
+# Bound once: reading a member from its enum takes several times as long as the rest of the comparison, and
+# every scheduling cycle asks every machine.
+_RECORD_IS_DURABLE = RecordState.DURABLE
 
 
 class Attempt(msgspec.Struct, eq=False):
@@ -32,8 +73,7 @@
     incarnation: int
     sent_at: float
     status: str = TaskState.SENT
-    # How the start was sent: "do", "reply", or "seen" where a report showed it first.
-    start_channel: str = "seen"
+    start_channel: StartChannel = StartChannel.OBSERVED
     response_sequence: int = -1
     # While a direct start has no answer it may still land: until the worker saw this token.
     start_in_flight: bool = False
@@ -87,16 +127,16 @@
     admitted: bool = False
     # No controller has ever started a task of it before our term.
     never_started: bool = True
+    # Whether a plan has been made durable once, and whether one is being written. A durable plan may be written
+    # again, so these are two facts and not the steps of one life cycle.
     plan_durable: bool = False
-    plan_requested: bool = False
+    plan_write_in_flight: bool = False
     # Planned starts: slot -> zone -> tasks, and their rooms in the ledger: slot -> machine -> tasks.
     plan: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
     booked: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
     planned_s: float = 0.0
     within_guarantee: bool = False
-    finalizing: bool = False
-    # Cancelled, or done and durable: kept only while something of it may still run.
-    finalized: bool = False
+    phase: JobPhase = JobPhase.ACTIVE
     completions_save_in_flight: bool = False
     # Keys of the records that hold its completed tasks.
     done_records: set[str] = msgspec.field(default_factory=set)
@@ -137,18 +177,18 @@
         """Seconds of work that every pending task has saved; its job is late only by the rest."""
         if not self.progress:
             return 0.0
-        waiting = {index for index in self.requeued if self.states[index] == PENDING}
+        waiting = {index for index in self.requeued if self.states[index] == TASK_PENDING}
         if not waiting or len(waiting) < self.pending:
             return 0.0
         return min(self.progress.get(index, 0.0) for index in waiting)
 
     def next_pending(self) -> int | None:
         """The pending task to start next: one that came back, else the lowest not started yet."""
-        while self.requeued and self.states[self.requeued[0]] != PENDING:
+        while self.requeued and self.states[self.requeued[0]] != TASK_PENDING:
             heapq.heappop(self.requeued)
         if self.requeued:
             return self.requeued[0]
-        while self.next_index < self.spec.tasks and self.states[self.next_index] != PENDING:
+        while self.next_index < self.spec.tasks and self.states[self.next_index] != TASK_PENDING:
             self.next_index += 1
         return self.next_index if self.next_index < self.spec.tasks else None
 
@@ -165,19 +205,19 @@
 
     def complete(self, index: int) -> bool:
         """Note that a task is completed; True if that is news. The tasks of a gang complete together."""
-        if not 0 <= index < self.spec.tasks or self.states[index] == DONE:
+        if not 0 <= index < self.spec.tasks or self.states[index] == TASK_DONE:
             return False
         if self.is_gang:
-            self.states[:] = bytes([DONE]) * self.spec.tasks
+            self.states[:] = bytes([TASK_DONE]) * self.spec.tasks
             self.done = self.spec.tasks
         else:
-            self.states[index] = DONE
+            self.states[index] = TASK_DONE
             self.done += 1
         return True
 
     def release(self, index: int) -> None:
         """A task that was active is pending again."""
-        self.states[index] = PENDING
+        self.states[index] = TASK_PENDING
         heapq.heappush(self.requeued, index)
 
 
@@ -195,7 +235,7 @@
     @property
     def may_be_the_machine(self) -> bool:
         """Whether the machine may be at fault. Of a job that ended without success nobody can tell."""
-        return self.job_is_sound or not (self.job.finalized or self.job.failures.at_fault)
+        return self.job_is_sound or not (self.job.phase is JobPhase.FINALIZED or self.job.failures.at_fault)
 
 
 # Machines in the order in which they became known.
@@ -214,9 +254,7 @@
     # booting: has not reported; up; gone: proven, and out of every count.
     is_up: bool = False
     up_at: float = float("-inf")
-    # Its name is durable, so that a next leader asks it before it starts anything.
-    is_recorded: bool = False
-    record_requested: bool = False
+    record_state: RecordState = RecordState.NOT_RECORDED
     # A report of this term was seen, so that all it holds is known.
     reconciled: bool = False
     incarnation: int = 0
@@ -273,7 +311,7 @@
         """Whether tasks may be started on it now."""
         return (
             self.is_up
-            and self.is_recorded
+            and self.record_state is _RECORD_IS_DURABLE
             and self.reconciled
             and not self.quarantined
             and not self.draining
--- a/src/poppyhold/model/fleet.py
+++ b/src/poppyhold/model/fleet.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Container
 
-from poppyhold.model.entities import ACTIVE, Attempt, Job, Machine
+from poppyhold.model.entities import TASK_ACTIVE, Attempt, Job, Machine
 from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled
 
 
@@ -19,7 +19,7 @@
     def add_attempt(self, attempt: Attempt) -> None:
         """Count an attempt everywhere."""
         job, machine = attempt.job, attempt.machine
-        job.states[attempt.index] = ACTIVE
+        job.states[attempt.index] = TASK_ACTIVE
         job.active[attempt.index] = attempt
         job.active_by_zone[machine.zone] = job.active_by_zone.get(machine.zone, 0) + 1
         machine.attempts[attempt.name] = attempt
@@ -48,5 +48,5 @@
         used = self.used_by_team[job.spec.team]
         used[0] -= job.task_resources[0]
         used[1] -= job.task_resources[1]
-        if job.states[attempt.index] == ACTIVE:
+        if job.states[attempt.index] == TASK_ACTIVE:
             job.release(attempt.index)
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -17,7 +17,7 @@
 from poppyhold.machines.autoscaler import Autoscaler
 from poppyhold.model.context import Context, ImageHints
 from poppyhold.model.durations import Durations
-from poppyhold.model.entities import Attempt, Job, Machine, make_job
+from poppyhold.model.entities import Attempt, Job, JobPhase, Machine, RecordState, StartChannel, make_job
 from poppyhold.model.outbound import OutboundPort
 from poppyhold.options import Options
 from poppyhold.quota.cell_quota import CellQuota
@@ -133,7 +133,7 @@
         machine = Machine(name, record.machine_type, record.zone, record.spot, known_since=now)
         machine.endpoint = record.endpoint
         machine.images.update(self.ctx.image_hints.get(name, ()))
-        machine.is_recorded = machine.record_requested = machine.is_up = True
+        machine.record_state, machine.is_up = RecordState.DURABLE, True
         self.ctx.fleet.machines[name] = machine
         self.reconciler.unreconciled.add(name)
 
@@ -180,9 +180,9 @@
         job_id = key.removeprefix(ACTIVE)
         self._ended.put(job_id, True)
         job = self.ctx.fleet.jobs.get(job_id)
-        if job is None or job.finalized:
+        if job is None or job.phase is JobPhase.FINALIZED:
             return
-        job.finalized = True
+        job.phase = JobPhase.FINALIZED
         self.autoscaler.arrivals.note_end(self.ctx.clock(), job.spec)
         self._guarantees_stale = True
         self.admission.forget(job)
@@ -190,7 +190,7 @@
         for attempt in list(job.active.values()):
             self.reconciler.stop(attempt, 0.0, now)
         self.completions.remove(job)
-        if job.plan_durable or job.plan_requested:
+        if job.plan_durable or job.plan_write_in_flight:
             self.admission.remove_plan(job_id)
         self._prune(job)
         self.ctx.scheduling_needed = True
@@ -236,7 +236,9 @@
             self.ctx.scheduling_needed = False
             if self._guarantees_stale:
                 self._guarantees_stale = False
-                self._quotas.mark_guaranteed(job for job in self.ctx.fleet.jobs.values() if not job.finalized)
+                self._quotas.mark_guaranteed(
+                    job for job in self.ctx.fleet.jobs.values() if job.phase is not JobPhase.FINALIZED
+                )
             self.dispatcher.dispatch(self.reconciler.all_reconciled())
             ended = self.ctx.clock()
             rest = max(6 * (ended - began), self.ctx.durations.heartbeat_interval_s / 25)
@@ -245,7 +247,11 @@
 
     def counts(self) -> dict[str, tuple[int, int]]:
         """Done and running tasks by job, for display."""
-        return {job.id: (job.done, job.running) for job in self.ctx.fleet.jobs.values() if not job.finalized}
+        return {
+            job.id: (job.done, job.running)
+            for job in self.ctx.fleet.jobs.values()
+            if job.phase is not JobPhase.FINALIZED
+        }
 
     def excluded_machines(self) -> list[str] | None:
         """Machines whose leases nobody may prolong but us; None before we know all of them.
@@ -254,10 +260,12 @@
         """
         if self.reconciler.unreconciled:
             return None
+        finalized = JobPhase.FINALIZED
         return [
             machine.name
             for machine in self.ctx.fleet.machines.values()
-            if machine.unknown_tasks or any(attempt.job.finalized for attempt in machine.attempts.values())
+            if machine.unknown_tasks
+            or any(attempt.job.phase is finalized for attempt in machine.attempts.values())
         ]
 
     def image_hints(self) -> ImageHints:
@@ -284,7 +292,7 @@
         return job
 
     def _prune(self, job: Job) -> None:
-        if job.finalized and not job.active:
+        if job.phase is JobPhase.FINALIZED and not job.active:
             self.ctx.fleet.jobs.pop(job.id, None)
 
     def _judged(self, job: Job) -> None:
@@ -292,7 +300,7 @@
 
     def _task_ran(self, attempt: Attempt, now: float) -> None:
         # Only whole runs tell how long a task takes.
-        if attempt.start_channel != "seen" and attempt.running_at is not None:
+        if attempt.start_channel is not StartChannel.OBSERVED and attempt.running_at is not None:
             self.admission.estimates.note(attempt.job, now - attempt.running_at)
 
     def _task_done(self, job: Job, index: int) -> None:
@@ -303,9 +311,9 @@
             self._finish(job)
 
     def _finish(self, job: Job) -> None:
-        if job.finalizing or job.finalized:
+        if job.phase is not JobPhase.ACTIVE:
             return
-        job.finalizing = True
+        job.phase = JobPhase.FINALIZING
 
         def durable(done: bool) -> None:
             if done:
@@ -325,7 +333,7 @@
     def _attempt_over(self, attempt: Attempt) -> None:
         self.admission.over(attempt)
         job = attempt.job
-        if job.finalized and set(job.active) <= {attempt.index}:
+        if job.phase is JobPhase.FINALIZED and set(job.active) <= {attempt.index}:
             self.ctx.fleet.jobs.pop(job.id, None)
 
     def _follow_machine(self, machine: Machine) -> None:
--- a/src/poppyhold/quota/demand.py
+++ b/src/poppyhold/quota/demand.py
@@ -10,7 +10,7 @@
 
 from poppyhold.model.constraints import allowed_machine_types
 from poppyhold.model.context import Context
-from poppyhold.model.entities import Job
+from poppyhold.model.entities import Job, JobPhase
 from poppyhold.model.resources import EPSILON, Resources, max_copies
 from poppyhold.quota.amounts import UNIT, ResourceAmount, ResourceShare, TeamShare, to_units
 from poppyhold.quota.hold_times import HoldTimes
@@ -160,7 +160,12 @@
         jobs = self._ctx.fleet.jobs.values()
         for job in sorted(jobs, key=lambda job: (job.priority, job.submitted_at)):
             demand = demands.get(job.spec.team)
-            if demand is None or job.pending <= 0 or job.finalized or job.finalizing or job.failures.at_fault:
+            if (
+                demand is None
+                or job.pending <= 0
+                or job.phase is not JobPhase.ACTIVE
+                or job.failures.at_fault
+            ):
                 continue
             tasks = job.startable(job.pending)
             if not tasks or not rooms.ever_fits(job):
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -11,7 +11,7 @@
 from poppyhold.durable.store import ACTIVE as ACTIVE_KEYS
 from poppyhold.durable.store import PLAN, Data, put, remove, stored_bytes
 from poppyhold.model.context import Context
-from poppyhold.model.entities import Attempt, Job, Machine
+from poppyhold.model.entities import Attempt, Job, JobPhase, Machine
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled
 from poppyhold.scheduling.estimates import Estimates
@@ -107,7 +107,7 @@
         if job.failures.at_fault:
             self.forget(job)
             job.admitted, job.plan = False, {}
-        if not job.finalized:
+        if job.phase is not JobPhase.FINALIZED:
             self._write(job)
 
     def _book_plan(self, job: Job, name: str, slot: int, number: int) -> None:
@@ -180,13 +180,13 @@
 
     def _write(self, job: Job) -> None:
         """Make durable that tasks of the job may start from now on, as counts per zone and slot."""
-        if job.plan_requested:
+        if job.plan_write_in_flight:
             return
-        job.plan_requested = True
+        job.plan_write_in_flight = True
         data = self._record(job)
 
         def durable(done: bool) -> None:
-            job.plan_requested = False
+            job.plan_write_in_flight = False
             if done:
                 job.plan_durable = True
                 self._ctx.scheduling_needed = True
@@ -266,7 +266,7 @@
         """Room of the current slot that admitted plans book and have not used yet."""
         reserved: dict[str, Resources] = {}
         for job in self._ctx.fleet.jobs.values():
-            if job.finalized:
+            if job.phase is JobPhase.FINALIZED:
                 continue
             for name, number in job.booked.get(self.ledger.first, {}).items():
                 reserved[name] = add_scaled(reserved.get(name, NO_RESOURCES), job.task_resources, number)
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -7,7 +7,7 @@
 from poppyhold.execution.gangs import GangState
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.model.context import Context
-from poppyhold.model.entities import Attempt, Job, Machine
+from poppyhold.model.entities import Attempt, Job, JobPhase, Machine
 from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled, max_copies
 from poppyhold.scheduling.admission import Admission
 from poppyhold.scheduling.free_capacity import FreeCapacityView
@@ -109,7 +109,7 @@
         jobs = [
             job
             for job in ctx.fleet.jobs.values()
-            if job.pending > 0 and not job.finalized and not job.finalizing and job.retry_at <= now
+            if job.pending > 0 and job.phase is JobPhase.ACTIVE and job.retry_at <= now
         ]
         # An older job's tasks may run on a machine that has not been heard yet.
         ready = [job for job in jobs if job.plan_durable and (job.never_started or all_reconciled)]
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from poppyhold.model.durations import Durations
-from poppyhold.model.entities import Attempt, Job, Machine
+from poppyhold.model.entities import Attempt, Job, JobPhase, Machine
 from poppyhold.model.resources import EPSILON, NO_RESOURCES, Resources, add_scaled, fits
 from poppyhold.scheduling.placement import Choice, fetch_wait, may_use, zone_allows
 from poppyhold.wire.messages import TaskState
@@ -152,7 +152,7 @@
         return (
             other.is_service
             and other is not job
-            and not other.finalized
+            and other.phase is not JobPhase.FINALIZED
             and other.priority >= job.priority
             and attempt.status == TaskState.RUNNING
             and attempt.stopping_at is None
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -19,7 +19,7 @@
 from poppyhold.machines.boots import Boots
 from poppyhold.machines.launches import Launches
 from poppyhold.machines.machine_monitor import MachineMonitor, Survey
-from poppyhold.model.entities import DONE, Job, Machine
+from poppyhold.model.entities import TASK_DONE, Job, Machine
 from poppyhold.model.fleet import Fleet
 from poppyhold.model.resources import NO_RESOURCES, Resources, max_copies
 from poppyhold.node.controller import Controller
@@ -87,8 +87,8 @@
 
 def _complete_one(self: Job, index: int) -> bool:
     """One task that is done completes that task alone."""
-    news = self.states[index] != DONE
-    self.states[index] = DONE
+    news = self.states[index] != TASK_DONE
+    self.states[index] = TASK_DONE
     self.done += news
     return news
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -9,6 +9,7 @@
 from poppyhold.cluster.election import Election, Term
 from poppyhold.cluster.lease_delegation import LeaseDelegation
 from poppyhold.durable.store import ACTIVE, FINAL, LEAD, PLAN, Entry, UncertainError
+from poppyhold.model.entities import RecordState, StartChannel
 from poppyhold.options import Options
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.settings import Team
@@ -91,8 +92,8 @@
     assert "job-000007" not in controller.ctx.fleet.jobs
 
 
-@pytest.mark.parametrize("via", ["do", "reply"])
-def test_nothing_starts_on_a_machine_before_its_record_is_durable(via: str) -> None:
+@pytest.mark.parametrize("via", [StartChannel.DIRECT, StartChannel.HEARTBEAT_RESPONSE])
+def test_nothing_starts_on_a_machine_before_its_record_is_durable(via: StartChannel) -> None:
     # It is up at once and has room, while writes lag; the leader may end at any moment, and the next one
     # would not know that the machine holds anything.
     world, leader_term = leading_world()
@@ -104,10 +105,11 @@
     new = world.add_worker(world.cloud.add("small", "a", False, "running"))
     world.run(world.now + 2.5)
     machine = leader_term.controller.ctx.fleet.machines[new.name]
-    if via == "reply":
+    if via is StartChannel.HEARTBEAT_RESPONSE:
         machine.unreliable_until = world.now + 1000.0
     world.run(world.now + 6.0)
-    assert (machine.reconciled, machine.is_recorded, new.tasks) == (True, False, {})
+    assert (machine.reconciled, new.tasks) == (True, {})
+    assert machine.record_state is RecordState.REQUESTED
     world.late_writes = 0.0
     world.run(world.now + 30.0)
     assert len(new.on_machine()) == 4
