--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -127,8 +127,8 @@
     admitted: bool = False
     # No controller has ever started a task of it before our term.
     never_started: bool = True
-    # Whether a plan has been made durable once, and whether one is being written. A durable plan may be written
-    # again, so these are two facts and not the steps of one life cycle.
+    # Whether a plan has been made durable once, and whether one is being written. A durable plan may be
+    # written again, so these are two facts and not the steps of one life cycle.
     plan_durable: bool = False
     plan_write_in_flight: bool = False
     # Planned starts: slot -> zone -> tasks, and their rooms in the ledger: slot -> machine -> tasks.
