--- /dev/null
+++ b/tests/wire_kinds.py
@@ -0,0 +1,155 @@
+"""The types of everything that is stored or sent, by what it is called there.
+
+This is the only place where `test_wire_forms.py` names types of the program. `sample` fills a type with
+values from its fields' types alone, in the form in which it is stored or sent.
+"""
+
+from __future__ import annotations
+
+import itertools
+from collections.abc import Iterator
+from typing import Any
+
+from msgspec import inspect
+
+from poppyhold.cluster.peers import Ping, Pong
+from poppyhold.durable.records import CompletionsRecord, HireRecord, MachineRecord, PlanRecord
+from poppyhold.quota.messages import NotLeading, ShareReply, ShareRequest, StatusReply, StatusRequest
+from poppyhold.quota.records import IdentityRecord, PeerRecord, ShareRecord
+from poppyhold.quota.status import QuotaStatus
+from poppyhold.relay.messages import AnswerBatch, Outcome, RelayHello, ReportBatch
+from poppyhold.scale.cells import CellsResult
+from poppyhold.scale.profile import Profile
+from poppyhold.scale.result import Result
+from poppyhold.settings import Settings
+from poppyhold.wire.messages import (
+    Command,
+    CommandKind,
+    ExitCause,
+    Hired,
+    HireRequest,
+    MachineList,
+    MachineTypes,
+    Rank,
+    Report,
+    ReportAnswer,
+    Submission,
+    TaskState,
+)
+
+# Maps: values of the state service, bodies of the outside protocols, files that are read, and JSON output.
+MAPS: dict[str, Any] = {
+    "ph/a/JOB, spec": Submission,
+    "ph/d/JOB/N": CompletionsRecord,
+    "ph/e/JOB/N": CompletionsRecord,
+    "ph/h/HIRE": HireRecord,
+    "ph/m/MACHINE": MachineRecord,
+    "ph/p/JOB": PlanRecord,
+    "ph/q/c/CELL": PeerRecord,
+    "ph/q/i": IdentityRecord,
+    "ph/q/s/TEAM": ShareRecord,
+    "ph/t": MachineTypes,
+    "ph/t/N": MachineTypes,
+    "POST /api/jobs": Submission,
+    "POST /hello": Report,
+    "POST /hello, answer": ReportAnswer,
+    "POST /do, order": Command,
+    "POST /do, answer": Report,
+    "GET /machine_types, answer": MachineTypes,
+    "GET /machines, answer": MachineList,
+    "POST /machines": HireRequest,
+    "POST /machines, answer": Hired,
+    "settings file": Settings,
+    "scale profile": Profile,
+    "scale --json": Result,
+    "scale --json, cells": CellsResult,
+    "quota status --json": QuotaStatus,
+}
+
+# Tagged tuples between controllers, by tag.
+MESSAGES: dict[str, Any] = {
+    "ping": Ping,
+    "pong": Pong,
+    "relay": RelayHello,
+    "reports": ReportBatch,
+    "answers": AnswerBatch,
+    "share": ShareRequest,
+    "shared": ShareReply,
+    "elsewhere": NotLeading,
+    "share?": StatusRequest,
+    "share!": StatusReply,
+}
+
+# Words and numbers with a fixed meaning.
+WORDS: dict[str, Any] = {
+    "task status": TaskState,
+    "task cause": ExitCause,
+    "order verb": CommandKind,
+    "relayed answer": Outcome,
+    "rank": Rank,
+}
+
+
+def words(kind: Any) -> list[Any]:
+    """All words of a closed set."""
+    return _words(inspect.type_info(kind))
+
+
+def _words(kind: Any) -> list[Any]:
+    if isinstance(kind, inspect.EnumType):
+        return sorted(member.value for member in kind.cls)
+    return sorted(kind.values)
+
+
+def sample(kind: Any, only_required: bool = False) -> Any:
+    """A value of a type as it is stored or sent: all fields, none at its default, or those required."""
+    return _sample(inspect.type_info(kind), only_required, itertools.count(1))
+
+
+def _sample(kind: Any, only_required: bool, numbers: Iterator[int], default: object = None) -> Any:
+    if isinstance(kind, inspect.UnionType):
+        kind = next(each for each in kind.types if not isinstance(each, inspect.NoneType))
+    if isinstance(kind, inspect.StructType):
+        return _struct(kind, only_required, numbers)
+    if isinstance(kind, inspect.DictType):
+        key = str(_sample(kind.key_type, only_required, numbers))
+        return {key: _sample(kind.value_type, only_required, numbers)}
+    items = _item_types(kind)
+    if items is not None:
+        return [_sample(item, only_required, numbers) for item in items]
+    return _scalar(kind, numbers, default)
+
+
+def _struct(kind: inspect.StructType, only_required: bool, numbers: Iterator[int]) -> Any:
+    fields = {
+        field.encode_name: _sample(field.type, only_required, numbers, field.default)
+        for field in kind.fields
+        if field.required or not only_required
+    }
+    if not kind.array_like:
+        return fields
+    return [*([kind.tag] if kind.tag else []), *fields.values()]
+
+
+def _item_types(kind: Any) -> list[Any] | None:
+    """The types of a list's sample; None: it is none."""
+    if isinstance(kind, inspect.ListType | inspect.VarTupleType | inspect.CollectionType):
+        return [kind.item_type] * 2
+    if isinstance(kind, inspect.NamedTupleType):
+        return [field.type for field in kind.fields]
+    return list(kind.item_types) if isinstance(kind, inspect.TupleType) else None
+
+
+def _scalar(kind: Any, numbers: Iterator[int], default: object) -> Any:
+    match kind:
+        case inspect.BoolType():
+            return default is not True
+        case inspect.IntType():
+            return next(numbers)
+        case inspect.FloatType():
+            return next(numbers) + 0.5
+        case inspect.StrType() | inspect.AnyType():
+            return f"text-{next(numbers)}"
+        case inspect.EnumType() | inspect.LiteralType():
+            return next(word for word in reversed(_words(kind)) if word != default)
+    raise TypeError(f"no sample of {kind}")
