--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -3,7 +3,7 @@
 `fixtures/wire_forms.json` was written by the code of commit 5d1323a, the last one before attributes, types
 and modules were renamed. Nothing here names an attribute: a recorded form is read and written again, and has
 to be the same. Two fields of one type that change places in a tuple between controllers are not noticed by
-that.
+that. `test_program_forms.py` has what a running controller writes without a type of its own.
 
 A form that is added on purpose is recorded by `python tests/test_wire_forms.py`, which adds what the fixture
 does not have and changes nothing that it has.
