--- a/tests/test_program_forms.py
+++ b/tests/test_program_forms.py
@@ -4,6 +4,8 @@
 it sends is noted as lines, one for each name with the type of what stands there. The fixture
 `program_forms.json` holds those of commit 5d1323a, the last one before attributes, types and modules were
 renamed: lines that each of its runs had, and lines that some had. No attribute of what is sent is named here.
+What is read in the wrong order from a tuple between controllers is not noticed, as long as it is written in
+the right one.
 
 A form that is added on purpose is recorded by `python tests/test_program_forms.py`, which adds a run's lines.
 """
