--- a/src/poppyhold/quota/messages.py
+++ b/src/poppyhold/quota/messages.py
@@ -118,7 +118,7 @@
 
     own: CellView
     others: list[HeardView] = []
-    unreconciled: list[str] = []
+    uncontacted: list[str] = []
     # Teams whose share is too small for what waits, and settings that differ from the records.
     short: list[str] = []
     differing: list[str] = []
--- a/src/poppyhold/quota/status.py
+++ b/src/poppyhold/quota/status.py
@@ -54,7 +54,7 @@
     """All cells as the leader of one of them knows them."""
 
     cells: list[CellStatus]
-    unreconciled: list[str]
+    uncontacted: list[str] = msgspec.field(name="unheard")
     short: list[str]
     differing: list[str]
     problems: list[str]
@@ -99,10 +99,10 @@
     ages = {reply.own.cell: 0.0, **{heard.view.cell: heard.age_s for heard in reply.others}}
     views = {reply.own.cell: reply.own, **{heard.view.cell: heard.view for heard in reply.others}}
     moving = _by_taker(views)
-    complete = not reply.unreconciled and are_of_one_moment(views)
+    complete = not reply.uncontacted and are_of_one_moment(views)
     return QuotaStatus(
         [_cell_status(view, ages[name], moving.get(name, [])) for name, view in views.items()],
-        reply.unreconciled,
+        reply.uncontacted,
         reply.short,
         reply.differing,
         problems(views) if complete else [],
@@ -150,7 +150,7 @@
             figures = f"{row.guaranteed:>10g} {limit:>10} {row.used:>10g} {row.in_transit:>10g}"
             lines.append(f"  {row.team:<24} {row.resource:<5} {figures}")
         lines += [f"  ALARM {alarm}" for alarm in cell.alarms]
-    lines += [f"cell {cell}: never heard by this leader" for cell in status.unreconciled]
+    lines += [f"cell {cell}: never heard by this leader" for cell in status.uncontacted]
     lines += [
         f"team {team}: its work has waited for a larger share for more than a lease" for team in status.short
     ]
--- a/tests/test_program_forms.py
+++ b/tests/test_program_forms.py
@@ -251,7 +251,7 @@
         outside = self.outside
         with outside.lock:
             outside.worker.step()
-            body, sent_at, shift = outside.worker.report(), time.monotonic(), outside.worker.session
+            body, sent_at, shift = outside.worker.heartbeat(), time.monotonic(), outside.worker.incarnation
         status, answer = self.ask("POST", "/hello", body)
         if status == 200:
             with outside.lock:
--- a/tests/wire_kinds.py
+++ b/tests/wire_kinds.py
@@ -13,11 +13,11 @@
 from msgspec import inspect
 
 from poppyhold.cluster.peers import Ping, Pong
-from poppyhold.durable.records import CompletionsRecord, HireRecord, MachineRecord, PlanRecord
+from poppyhold.durable.records import CompletionsRecord, LaunchRecord, MachineRecord, PlanRecord
 from poppyhold.quota.messages import NotLeading, ShareReply, ShareRequest, StatusReply, StatusRequest
 from poppyhold.quota.records import IdentityRecord, PeerRecord, ShareRecord
 from poppyhold.quota.status import QuotaStatus
-from poppyhold.relay.messages import AnswerBatch, Outcome, RelayHello, ReportBatch
+from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayHello
 from poppyhold.scale.cells import CellsResult
 from poppyhold.scale.profile import Profile
 from poppyhold.scale.result import Result
@@ -26,13 +26,13 @@
     Command,
     CommandKind,
     ExitCause,
-    Hired,
-    HireRequest,
+    Heartbeat,
+    HeartbeatResponse,
+    LaunchRequest,
+    LaunchResponse,
     MachineList,
     MachineTypes,
-    Rank,
-    Report,
-    ReportAnswer,
+    PriorityName,
     Submission,
     TaskState,
 )
@@ -42,7 +42,7 @@
     "ph/a/JOB, spec": Submission,
     "ph/d/JOB/N": CompletionsRecord,
     "ph/e/JOB/N": CompletionsRecord,
-    "ph/h/HIRE": HireRecord,
+    "ph/h/HIRE": LaunchRecord,
     "ph/m/MACHINE": MachineRecord,
     "ph/p/JOB": PlanRecord,
     "ph/q/c/CELL": PeerRecord,
@@ -51,14 +51,14 @@
     "ph/t": MachineTypes,
     "ph/t/N": MachineTypes,
     "POST /api/jobs": Submission,
-    "POST /hello": Report,
-    "POST /hello, answer": ReportAnswer,
+    "POST /hello": Heartbeat,
+    "POST /hello, answer": HeartbeatResponse,
     "POST /do, order": Command,
-    "POST /do, answer": Report,
+    "POST /do, answer": Heartbeat,
     "GET /machine_types, answer": MachineTypes,
     "GET /machines, answer": MachineList,
-    "POST /machines": HireRequest,
-    "POST /machines, answer": Hired,
+    "POST /machines": LaunchRequest,
+    "POST /machines, answer": LaunchResponse,
     "settings file": Settings,
     "scale profile": Profile,
     "scale --json": Result,
@@ -71,7 +71,7 @@
     "ping": Ping,
     "pong": Pong,
     "relay": RelayHello,
-    "reports": ReportBatch,
+    "reports": HeartbeatBatch,
     "answers": AnswerBatch,
     "share": ShareRequest,
     "shared": ShareReply,
@@ -86,7 +86,7 @@
     "task cause": ExitCause,
     "order verb": CommandKind,
     "relayed answer": Outcome,
-    "rank": Rank,
+    "rank": PriorityName,
 }
 
 
