--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -9,18 +9,14 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from poppyhold.durable.store import (
-    FENCING_TOKEN,
-    LEAD,
-    LEAD_PREFIX,
-    ConflictError,
-    Entry,
-    LeaseGoneError,
-    RefusedError,
-    Store,
-    UncertainError,
-    put,
+from poppyhold.durable.errors import (
+    ConditionFailedError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StoreRejectedError,
 )
+from poppyhold.durable.keys import FENCING_TOKEN_KEY, LEADER_KEY, LEADER_PREFIX
+from poppyhold.durable.store import Entry, Store, put
 from poppyhold.durable.watch import Watch
 from poppyhold.options import Options
 from poppyhold.settings import Settings
@@ -81,7 +77,7 @@
         self.term: Term | None = None
         # The term was certainly ours at this moment.
         self.confirmed_at = float("-inf")
-        self.watch = Watch(store, LEAD_PREFIX, lease_s / 5, self._on_snapshot, self._on_change)
+        self.watch = Watch(store, LEADER_PREFIX, lease_s / 5, self._on_snapshot, self._on_change)
         self._thread = threading.Thread(target=self._run, name="election", daemon=True)
 
     def start(self) -> None:
@@ -113,7 +109,7 @@
             return
         try:
             self._store.end_lease(term.lease_id)
-        except (RefusedError, UncertainError) as error:
+        except (StoreRejectedError, OutcomeUnknownError) as error:
             log.debug("handing over: %s", error)
             return
         self._resting_until = time.monotonic() + self._rest_s
@@ -179,17 +175,17 @@
     def _end_lease(self, lease_id: int) -> None:
         try:
             self._store.end_lease(lease_id)
-        except (RefusedError, UncertainError) as error:
+        except (StoreRejectedError, OutcomeUnknownError) as error:
             log.debug("lease %s: %s", lease_id, error)
 
     def _on_snapshot(self, entries: list[Entry]) -> None:
         self._snapshot_seen = True
-        self._seen(next((entry for entry in entries if entry.key == LEAD), None))
+        self._seen(next((entry for entry in entries if entry.key == LEADER_KEY), None))
 
     def _on_change(self, change: Entry | str, version: int) -> None:
         if isinstance(change, Entry):
             self._seen(change)
-        elif change == LEAD:
+        elif change == LEADER_KEY:
             term = self.term
             if term is None or version > term.version:
                 self._seen(None)
@@ -226,10 +222,10 @@
             return self._renew_s - (asked - self.confirmed_at)
         try:
             self._store.extend(term.lease_id, self._renew_s * 2)
-        except LeaseGoneError:
+        except LeaseExpiredError:
             self.deposed("our lease ended")
             return 0.0
-        except (RefusedError, UncertainError) as error:
+        except (StoreRejectedError, OutcomeUnknownError) as error:
             # An outage and a refusal of us alone look the same: go on for now. What we may still do
             # without confirmation is bounded in `authority`.
             log.debug("renewal: %s", error)
@@ -257,22 +253,23 @@
             lease_id = self._store.lease(self.life_s)
             asked = time.monotonic()
             self._stand(lease_id, asked)
-        except (RefusedError, UncertainError, LeaseGoneError, ConflictError) as error:
+        except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError, ConditionFailedError) as error:
             log.debug("campaign: %s", error)
         return self._renew_s * self._rng.uniform(0.3, 0.7)
 
     def _stand(self, lease_id: int, asked: float) -> None:
-        held = self._store.get(FENCING_TOKEN)
+        held = self._store.get(FENCING_TOKEN_KEY)
         fencing_token = (held.data["baton"] if held else 0) + 1
         claim = {"member": self._member, "baton": fencing_token, "permit": lease_id}
-        conditions = {LEAD: 0, FENCING_TOKEN: held.version if held else 0}
+        conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.version if held else 0}
         try:
             version = self._store.commit(
-                conditions, [put(LEAD, claim, lease_id), put(FENCING_TOKEN, {"baton": fencing_token})]
+                conditions,
+                [put(LEADER_KEY, claim, lease_id), put(FENCING_TOKEN_KEY, {"baton": fencing_token})],
             )
-        except UncertainError:
+        except OutcomeUnknownError:
             # Perhaps it went through: the key itself tells. The permit is ours alone.
-            entry = self._store.get(LEAD)
+            entry = self._store.get(LEADER_KEY)
             if entry is None or entry.data.get("permit") != lease_id:
                 raise
             version = entry.version
--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -10,18 +10,15 @@
 from typing import NamedTuple
 
 from poppyhold.concurrency.pace import Pace
-from poppyhold.durable.store import (
-    FENCE,
-    LEAD,
-    ConflictError,
-    Data,
+from poppyhold.durable.errors import (
+    ConditionFailedError,
     InvalidRequestError,
-    LeaseGoneError,
-    RefusedError,
-    Store,
-    UncertainError,
-    put,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StoreRejectedError,
 )
+from poppyhold.durable.keys import LEADER_KEY, WRITE_FENCE_KEY
+from poppyhold.durable.store import Data, Store, put
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.settings import Settings
 
@@ -45,37 +42,37 @@
         self._unsure = False
 
     def commit(self, conditions: dict[str, int], writes: list[Data]) -> None:
-        """Try a transaction once. Behind `UncertainError` it may be repeated.
+        """Try a transaction once. Behind `OutcomeUnknownError` it may be repeated.
 
         If it went through after all, the repeat is the same again, or fails conditions of its own.
         """
         if self._fence is None or self._unsure:
             self._raise_fence()
-        own = {LEAD: self._lead_version, FENCE: self._fence or 0}
+        own = {LEADER_KEY: self._lead_version, WRITE_FENCE_KEY: self._fence or 0}
         try:
             self._store.commit({**own, **conditions}, writes)
-        except UncertainError:
+        except OutcomeUnknownError:
             self._unsure = True
             raise
-        except ConflictError as conflict:
-            if FENCE in conflict.failed and LEAD not in conflict.failed:
+        except ConditionFailedError as conflict:
+            if WRITE_FENCE_KEY in conflict.failed_keys and LEADER_KEY not in conflict.failed_keys:
                 # It is ours alone to change: whoever did, look at it again.
                 self._fence = None
-                raise RefusedError("the fence has moved") from conflict
+                raise StoreRejectedError("the fence has moved") from conflict
             raise
 
     def _raise_fence(self) -> None:
         if self._unsure and self._fence is not None:
-            own = {LEAD: self._lead_version, FENCE: self._fence}
+            own = {LEADER_KEY: self._lead_version, WRITE_FENCE_KEY: self._fence}
             try:
-                self._fence = self._store.commit(own, [put(FENCE, {"behind": self._fence})])
+                self._fence = self._store.commit(own, [put(WRITE_FENCE_KEY, {"behind": self._fence})])
                 self._unsure = False
                 return
-            except ConflictError as conflict:
-                if LEAD in conflict.failed:
+            except ConditionFailedError as conflict:
+                if LEADER_KEY in conflict.failed_keys:
                     raise
                 # A try of this very step that had no answer was carried out: that has the same effect.
-        entry = self._store.get(FENCE)
+        entry = self._store.get(WRITE_FENCE_KEY)
         self._fence = entry.version if entry is not None else 0
         self._unsure = False
 
@@ -168,12 +165,12 @@
         while units and not self._stopped:
             try:
                 self._writer.commit(conditions, writes)
-            except ConflictError as conflict:
+            except ConditionFailedError as conflict:
                 self._conflicted(units, conflict)
             except InvalidRequestError as error:
                 log.warning("commit of %d changes: %s", len(writes), error)
                 self._rejected(units)
-            except (RefusedError, UncertainError, LeaseGoneError) as error:
+            except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError) as error:
                 # Every unit may be repeated: its writes are the same each time, and its conditions
                 # fail if the first try went through after all, which the unit's owner looks into.
                 log.debug("commit: %s", error)
@@ -187,9 +184,9 @@
                     unit.done(True)
             return
 
-    def _conflicted(self, units: list[Unit], conflict: ConflictError) -> None:
+    def _conflicted(self, units: list[Unit], conflict: ConditionFailedError) -> None:
         """A condition failed: ours to lead, or one of a unit's own."""
-        if LEAD in conflict.failed:
+        if LEADER_KEY in conflict.failed_keys:
             self._stopped = True
             self._on_deposed()
         elif len(units) == 1:
--- /dev/null
+++ b/src/poppyhold/durable/errors.py
@@ -0,0 +1,51 @@
+"""What may go wrong with a request to the state service, by what its caller may do next."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+
+class StoreError(Exception):
+    """A request to the state service failed."""
+
+
+class StoreRejectedError(StoreError):
+    """The request was certainly not carried out: it may be repeated."""
+
+
+class InvalidRequestError(StoreRejectedError):
+    """The state service will never carry the request out, most likely because it is above a limit.
+
+    A repeat is of no use; a smaller request may be.
+    """
+
+
+class OutcomeUnknownError(StoreError):
+    """The request may have been carried out, or may be later.
+
+    Only a request that may take effect twice can be repeated as it is; the others have to be fenced first.
+    """
+
+
+class ConditionFailedError(StoreError):
+    """A compare-and-swap failed: the conditions on ``failed_keys`` did not hold, and nothing was written."""
+
+    def __init__(self, failed_keys: Iterable[str]) -> None:
+        self.failed_keys = list(failed_keys)
+        super().__init__(", ".join(self.failed_keys))
+
+
+class LeaseExpiredError(StoreError):
+    """A lease has expired, with the keys on it: its holder must get another one."""
+
+    def __init__(self, lease_id: int | None = None) -> None:
+        super().__init__("the lease has expired" if lease_id is None else f"lease {lease_id} has expired")
+        self.lease_id = lease_id
+
+
+class WatchCompactedError(StoreError):
+    """The state service no longer has the changes after a revision: the prefix has to be read anew."""
+
+    def __init__(self, prefix: str, revision: int) -> None:
+        super().__init__(f"changes of {prefix} after revision {revision} are compacted")
+        self.prefix, self.revision = prefix, revision
--- a/src/poppyhold/durable/machine_types.py
+++ b/src/poppyhold/durable/machine_types.py
@@ -6,8 +6,9 @@
 
 import msgspec
 
+from poppyhold.durable.keys import MACHINE_TYPES_KEY, MORE_MACHINE_TYPES_PREFIX
 from poppyhold.durable.prefix_reader import PrefixReader
-from poppyhold.durable.store import MACHINE_TYPES, MORE_MACHINE_TYPES, Data, Store, put, stored_bytes
+from poppyhold.durable.store import Data, Store, put, stored_bytes
 from poppyhold.wire.messages import MachineType, MachineTypes, convert
 
 
@@ -22,14 +23,14 @@
             held = []
         held.append(data)
     records.append({"builds": held})
-    keys = [MACHINE_TYPES, *(f"{MORE_MACHINE_TYPES}{number}" for number in range(1, len(records)))]
+    keys = [MACHINE_TYPES_KEY, *(f"{MORE_MACHINE_TYPES_PREFIX}{number}" for number in range(1, len(records)))]
     return [put(key, record) for key, record in zip(keys, records, strict=True)]
 
 
 def read_machine_types(store: Store) -> list[MachineType] | None:
     """The stored machine types, or None if none were stored yet."""
-    first = store.get(MACHINE_TYPES)
+    first = store.get(MACHINE_TYPES_KEY)
     if first is None:
         return None
-    records = [first, *PrefixReader(store, MORE_MACHINE_TYPES).read()]
+    records = [first, *PrefixReader(store, MORE_MACHINE_TYPES_PREFIX).read()]
     return [known for record in records for known in convert(record.data, MachineTypes).machine_types]
--- a/src/poppyhold/durable/snapshot.py
+++ b/src/poppyhold/durable/snapshot.py
@@ -4,23 +4,27 @@
 
 from collections.abc import Iterable
 
-from poppyhold.durable.prefix_reader import PrefixReader
-from poppyhold.durable.store import (
-    ACTIVE,
-    DONE_STRETCHES,
-    DONE_TASKS,
-    LAUNCH,
-    MACHINE,
-    PLAN,
-    QUOTA,
-    Data,
-    Entry,
-    Store,
-    grouped,
+from poppyhold.durable.keys import (
+    ACTIVE_JOB_PREFIX,
+    COMPLETION_RANGES_PREFIX,
+    COMPLETIONS_PREFIX,
+    LAUNCH_PREFIX,
+    MACHINE_PREFIX,
+    PLAN_PREFIX,
+    QUOTA_PREFIX,
 )
+from poppyhold.durable.prefix_reader import PrefixReader
+from poppyhold.durable.store import Data, Entry, Store, grouped
 
 # The active jobs come first: what is known of one that ends meanwhile is dropped.
-_PREFIXES = (ACTIVE, PLAN, DONE_TASKS, DONE_STRETCHES, LAUNCH, MACHINE)
+_PREFIXES = (
+    ACTIVE_JOB_PREFIX,
+    PLAN_PREFIX,
+    COMPLETIONS_PREFIX,
+    COMPLETION_RANGES_PREFIX,
+    LAUNCH_PREFIX,
+    MACHINE_PREFIX,
+)
 
 
 class Snapshot:
@@ -53,7 +57,7 @@
 
     def __init__(self, store: Store, with_quota: bool = False) -> None:
         """``with_quota``: this is one cell of several, and has shares of teams' limits."""
-        prefixes = (*_PREFIXES, QUOTA) if with_quota else _PREFIXES
+        prefixes = (*_PREFIXES, QUOTA_PREFIX) if with_quota else _PREFIXES
         self._readers = {prefix: PrefixReader(store, prefix) for prefix in prefixes}
 
     def read(self) -> Snapshot:
@@ -61,12 +65,12 @@
         for reader in self._readers.values():
             reader.read()
         return Snapshot(
-            self._readers[ACTIVE].entries,
-            self._records(PLAN),
-            {prefix: self._records(prefix) for prefix in (DONE_TASKS, DONE_STRETCHES)},
-            self._records(LAUNCH),
-            self._records(MACHINE),
-            self._readers[QUOTA].entries if QUOTA in self._readers else (),
+            self._readers[ACTIVE_JOB_PREFIX].entries,
+            self._records(PLAN_PREFIX),
+            {prefix: self._records(prefix) for prefix in (COMPLETIONS_PREFIX, COMPLETION_RANGES_PREFIX)},
+            self._records(LAUNCH_PREFIX),
+            self._records(MACHINE_PREFIX),
+            self._readers[QUOTA_PREFIX].entries if QUOTA_PREFIX in self._readers else (),
         )
 
     def _records(self, prefix: str) -> dict[str, Data]:
--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -8,31 +8,18 @@
 from http import HTTPStatus
 from typing import Any, NamedTuple
 
+from poppyhold.durable.errors import (
+    ConditionFailedError,
+    InvalidRequestError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StoreRejectedError,
+    WatchCompactedError,
+)
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, EMPTY_PREFIX, FINAL_JOB_PREFIX
 from poppyhold.settings import Settings, split_address
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
 
-ROOT = "ph/"
-LEAD = ROOT + "l/lead"
-LEAD_PREFIX = ROOT + "l/"
-FENCING_TOKEN = ROOT + "b"
-# What a leader changes to make its transactions without an answer void.
-FENCE = ROOT + "c"
-MACHINE_TYPES = ROOT + "t"
-# Machine types that don't fit into the first record; older versions don't read them.
-MORE_MACHINE_TYPES = ROOT + "t/"
-ACTIVE = ROOT + "a/"
-FINAL = ROOT + "f/"
-PLAN = ROOT + "p/"
-DONE_TASKS = ROOT + "d/"
-# Completed tasks of very large jobs, in stretches for a smaller value; older versions don't read them.
-DONE_STRETCHES = ROOT + "e/"
-LAUNCH = ROOT + "h/"
-MACHINE = ROOT + "m/"
-# Shares of limits of a cell among several; without others there are none.
-QUOTA = ROOT + "q/"
-# No key ever begins so.
-NO_KEYS = ROOT + "none/"
-
 Data = dict[str, Any]
 
 
@@ -59,30 +46,6 @@
     revision: int
 
 
-class RefusedError(Exception):
-    """The request was certainly not carried out."""
-
-
-class UncertainError(Exception):
-    """The request may have been carried out, or may be later."""
-
-
-class InvalidRequestError(RefusedError):
-    """The state service will never carry the request out: most likely it is above a limit."""
-
-
-class ConflictError(Exception):
-    """A condition of a transaction failed."""
-
-    def __init__(self, failed: list[str]) -> None:
-        super().__init__(", ".join(failed))
-        self.failed = failed
-
-
-class LeaseGoneError(Exception):
-    """A lease is over, or a watch's start is too old."""
-
-
 def put(key: str, data: Data, lease_id: int | None = None) -> Data:
     """Build the write that sets a key."""
     write: Data = {"set": key, "data": data}
@@ -111,13 +74,13 @@
         try:
             status, data = self._client.request(method, path, body, timeout=timeout)
         except NotSentError as error:
-            raise RefusedError(str(error)) from error
+            raise StoreRejectedError(str(error)) from error
         except NoAnswerError as error:
-            raise UncertainError(str(error)) from error
+            raise OutcomeUnknownError(str(error)) from error
         if status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
-            raise RefusedError(str(status))
+            raise StoreRejectedError(str(status))
         if status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            raise UncertainError(str(status))
+            raise OutcomeUnknownError(str(status))
         self.contact_at = self._clock()
         return status, data
 
@@ -127,7 +90,7 @@
         if status == HTTPStatus.NOT_FOUND:
             return None
         if status != HTTPStatus.OK:
-            raise RefusedError(f"{status} {data}")
+            raise StoreRejectedError(f"{status} {data}")
         return Entry(key, data["data"], data["stamp"])
 
     def page(self, prefix: str, after: str, most: int = 1000) -> Page:
@@ -135,7 +98,7 @@
         since = f"&since={after}" if after else ""
         status, data = self._call("GET", f"/kv?prefix={prefix}{since}&most={most}", None, self.timeout * 2)
         if status != HTTPStatus.OK:
-            raise RefusedError(f"{status} {data}")
+            raise StoreRejectedError(f"{status} {data}")
         entries = [Entry(e["key"], e["data"], e["stamp"]) for e in data["entries"]]
         return Page(entries, bool(data.get("more")) and bool(entries), data["ledger"])
 
@@ -144,7 +107,7 @@
 
         A list of keys tells it, as PROTOCOL says; the answer for a key that exists tells only that key's.
         """
-        return self.page(NO_KEYS, "", most=1).revision
+        return self.page(EMPTY_PREFIX, "", most=1).revision
 
     def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
         """Carry out a transaction and return its revision."""
@@ -153,25 +116,25 @@
         if status == HTTPStatus.OK:
             return int(data["ledger"])
         if status == HTTPStatus.CONFLICT:
-            raise ConflictError(data.get("failed", []))
+            raise ConditionFailedError(data.get("failed", []))
         if data.get("error") == "no such lease":
-            raise LeaseGoneError("lease")
+            raise LeaseExpiredError
         raise InvalidRequestError(f"{status} {data}")
 
     def lease(self, life_s: float) -> int:
         """Get a lease."""
         status, data = self._call("POST", "/leases", {"lifeMs": max(100, int(life_s * 1000))}, self.timeout)
         if status != HTTPStatus.OK:
-            raise RefusedError(f"{status} {data}")
+            raise StoreRejectedError(f"{status} {data}")
         return int(data["permit"])
 
     def extend(self, lease_id: int, timeout: float) -> None:
         """Renew a lease."""
         status, data = self._call("POST", f"/leases/{lease_id}/extend", {}, timeout)
         if status == HTTPStatus.NOT_FOUND:
-            raise LeaseGoneError("lease")
+            raise LeaseExpiredError(lease_id)
         if status != HTTPStatus.OK:
-            raise RefusedError(f"{status} {data}")
+            raise StoreRejectedError(f"{status} {data}")
 
     def end_lease(self, lease_id: int) -> None:
         """End a lease at once, with the keys on it."""
@@ -182,9 +145,9 @@
         path = f"/follow?prefix={prefix}&since={since}&holdMs={int(hold_s * 1000)}"
         status, data = self._call("GET", path, None, hold_s + self.timeout)
         if status == HTTPStatus.GONE:
-            raise LeaseGoneError("watch")
+            raise WatchCompactedError(prefix, since)
         if status != HTTPStatus.OK:
-            raise RefusedError(f"{status} {data}")
+            raise StoreRejectedError(f"{status} {data}")
         return Changes(data["events"], int(data["ledger"]))
 
 
@@ -198,7 +161,7 @@
 
     Its plan means nothing without it, and is removed by the leader when nobody waits for changes.
     """
-    return [remove(ACTIVE + job_id), put(FINAL + job_id, {"s": status, "n": tasks})]
+    return [remove(ACTIVE_JOB_PREFIX + job_id), put(FINAL_JOB_PREFIX + job_id, {"s": status, "n": tasks})]
 
 
 def grouped(entries: Iterable[Entry], prefix: str) -> dict[str, Data]:
--- a/src/poppyhold/durable/watch.py
+++ b/src/poppyhold/durable/watch.py
@@ -7,8 +7,9 @@
 import time
 from collections.abc import Callable
 
+from poppyhold.durable.errors import OutcomeUnknownError, StoreRejectedError, WatchCompactedError
 from poppyhold.durable.prefix_reader import PrefixReader
-from poppyhold.durable.store import Entry, LeaseGoneError, RefusedError, Store, UncertainError
+from poppyhold.durable.store import Entry, Store
 
 log = logging.getLogger(__name__)
 
@@ -57,9 +58,9 @@
                     self.first_revision = revision
                 if self._on_synced is not None:
                     self._on_synced(asked, revision)
-            except LeaseGoneError:
+            except WatchCompactedError:
                 revision = -1
-            except (RefusedError, UncertainError):
+            except (StoreRejectedError, OutcomeUnknownError):
                 self._stop.wait(self._hold_s / 10)
             except Exception:
                 # A watch that ended would leave the node blind: start over.
--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -6,8 +6,9 @@
 
 import msgspec
 
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, COMPLETION_RANGES_PREFIX, COMPLETIONS_PREFIX
 from poppyhold.durable.records import CompletionsRecord
-from poppyhold.durable.store import ACTIVE, DONE_STRETCHES, DONE_TASKS, Data, put, remove
+from poppyhold.durable.store import Data, put, remove
 from poppyhold.model.context import Context
 from poppyhold.model.entities import DONE, Job
 from poppyhold.settings import State
@@ -70,9 +71,9 @@
         first = number * self.coarse
         tasks = min(self.coarse, job.spec.tasks - first)
         if tasks // _TASKS_A_DIGIT + _FRAME_BYTES <= self._largest_bytes:
-            return f"{DONE_TASKS}{job.id}/{number}", first, self.coarse
+            return f"{COMPLETIONS_PREFIX}{job.id}/{number}", first, self.coarse
         number = index // self.fine
-        return f"{DONE_STRETCHES}{job.id}/{number}", number * self.fine, self.fine
+        return f"{COMPLETION_RANGES_PREFIX}{job.id}/{number}", number * self.fine, self.fine
 
 
 class Completions:
@@ -86,7 +87,7 @@
 
     def load(self, prefix: str, records: dict[str, Data]) -> None:
         """Take the records that earlier leaders made durable; those of jobs that are over are removed."""
-        size = self._layout.coarse if prefix == DONE_TASKS else self._layout.fine
+        size = self._layout.coarse if prefix == COMPLETIONS_PREFIX else self._layout.fine
         for name, data in records.items():
             job_id, _, number = name.rpartition("/")
             job = self._ctx.fleet.jobs.get(job_id)
@@ -113,7 +114,7 @@
         batches = [writes[i : i + self._most_changes] for i in range(0, len(writes), self._most_changes)]
         saved = self._saved(job, indices, len(batches))
         for batch in batches:
-            self._ctx.outbound.commit({ACTIVE + job.id: job.version}, batch, saved)
+            self._ctx.outbound.commit({ACTIVE_JOB_PREFIX + job.id: job.version}, batch, saved)
 
     @staticmethod
     def _saved(job: Job, indices: set[int], batches: int) -> Callable[[bool], None]:
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Callable
 
-from poppyhold.durable.store import FENCING_TOKEN, put
+from poppyhold.durable.keys import FENCING_TOKEN_KEY
+from poppyhold.durable.store import put
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Attempt, Machine
 from poppyhold.model.outbound import CommitPriority
@@ -145,5 +146,5 @@
                 ctx.outbound.fencing_token_raised(fencing_token)
 
         ctx.outbound.commit(
-            {}, [put(FENCING_TOKEN, {"baton": fencing_token})], raised, CommitPriority.SOONEST
+            {}, [put(FENCING_TOKEN_KEY, {"baton": fencing_token})], raised, CommitPriority.SOONEST
         )
--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -7,8 +7,9 @@
 
 import msgspec
 
+from poppyhold.durable.keys import MACHINE_PREFIX
 from poppyhold.durable.records import MachineRecord
-from poppyhold.durable.store import MACHINE, put
+from poppyhold.durable.store import put
 from poppyhold.execution.direct_commands import DirectCommands
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.gangs import Gangs
@@ -133,7 +134,7 @@
             self._ctx.scheduling_needed = True
 
         record = MachineRecord(machine.endpoint, machine.machine_type, machine.zone, machine.spot)
-        write = put(MACHINE + machine.name, msgspec.to_builtins(record))
+        write = put(MACHINE_PREFIX + machine.name, msgspec.to_builtins(record))
         # Nothing starts on the machine before: a plan's record serves nobody without one.
         self._ctx.outbound.commit({}, [write], durable, CommitPriority.SOONEST)
 
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -7,9 +7,10 @@
 from collections.abc import Callable, Iterable
 
 from poppyhold.concurrency.recent import Recent
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
 from poppyhold.durable.records import MachineRecord
 from poppyhold.durable.snapshot import Snapshot
-from poppyhold.durable.store import ACTIVE, Data, Entry, final_writes
+from poppyhold.durable.store import Data, Entry, final_writes
 from poppyhold.execution.completions import Completions
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.gangs import GangState
@@ -64,7 +65,9 @@
         self.reconciler = AttemptReconciler(
             self.ctx, self._task_done, self._attempt_over, self._task_ran, self.failures
         )
-        self.admission = Admission(self.ctx, self._quotas, lambda job: self.job_removed(ACTIVE + job.id))
+        self.admission = Admission(
+            self.ctx, self._quotas, lambda job: self.job_removed(ACTIVE_JOB_PREFIX + job.id)
+        )
         self.dispatcher = Dispatcher(self.ctx, self.reconciler, self._quotas, self.admission)
         self.autoscaler = Autoscaler(self.ctx, self.reconciler, self._quotas, self._machine_gone)
         self.completions = Completions(self.ctx)
@@ -167,7 +170,7 @@
 
     def job_set(self, entry: Entry) -> None:
         """A job was accepted."""
-        job_id = entry.key.removeprefix(ACTIVE)
+        job_id = entry.key.removeprefix(ACTIVE_JOB_PREFIX)
         if job_id in self.ctx.fleet.jobs or job_id in self._ended:
             return
         job = self._add_job(entry)
@@ -177,7 +180,7 @@
 
     def job_removed(self, key: str) -> None:
         """A job is over: cancelled by its user, or done by us."""
-        job_id = key.removeprefix(ACTIVE)
+        job_id = key.removeprefix(ACTIVE_JOB_PREFIX)
         self._ended.put(job_id, True)
         job = self.ctx.fleet.jobs.get(job_id)
         if job is None or job.finalized:
@@ -199,8 +202,8 @@
         """The watch began anew: what is not among the entries is over."""
         present = {entry.key for entry in entries}
         for job_id in list(self.ctx.fleet.jobs):
-            if ACTIVE + job_id not in present:
-                self.job_removed(ACTIVE + job_id)
+            if ACTIVE_JOB_PREFIX + job_id not in present:
+                self.job_removed(ACTIVE_JOB_PREFIX + job_id)
         for entry in entries:
             self.job_set(entry)
 
@@ -311,10 +314,10 @@
             if done:
                 self.ctx.outbound.job_finalized(job.id, "done", job.spec.tasks)
             # Otherwise it is over in another way, or was by a repeat of this: the watch tells.
-            self.job_removed(ACTIVE + job.id)
+            self.job_removed(ACTIVE_JOB_PREFIX + job.id)
 
         self.ctx.outbound.commit(
-            {ACTIVE + job.id: job.version},
+            {ACTIVE_JOB_PREFIX + job.id: job.version},
             final_writes(job.id, "done", job.spec.tasks),
             durable,
             self.admission.commit_priority(job),
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -17,8 +17,10 @@
 from poppyhold.cluster.peers import Peers, Pong
 from poppyhold.concurrency.priority_queue import DECISIONS, HEARTBEATS, SUBMISSIONS, PriorityQueue, Work
 from poppyhold.durable.committer import Committer, Unit
+from poppyhold.durable.errors import OutcomeUnknownError, StoreRejectedError
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
 from poppyhold.durable.snapshot import Snapshot, SnapshotReader
-from poppyhold.durable.store import ACTIVE, Entry, RefusedError, Store, UncertainError
+from poppyhold.durable.store import Entry, Store
 from poppyhold.durable.watch import Watch
 from poppyhold.model.context import ImageHints
 from poppyhold.model.durations import Durations
@@ -133,7 +135,7 @@
         )
         self._watch = Watch(
             self._node.store,
-            ACTIVE,
+            ACTIVE_JOB_PREFIX,
             self._node.settings.settings.workers.lease_s / 5,
             self._on_resync,
             self._on_job,
@@ -190,7 +192,7 @@
         while self.alive:
             try:
                 return reader.read()
-            except (RefusedError, UncertainError) as error:
+            except (StoreRejectedError, OutcomeUnknownError) as error:
                 log.debug("reading: %s", error)
                 time.sleep(self._node.store.timeout / 4)
         return Snapshot()
@@ -219,7 +221,7 @@
     def _act_on(self, member: str, cancelled: Iterable[Cancellation], bound: int, asked: float) -> None:
         """Stop what a controller confirmed as cancelled: it is durable, seen here or not."""
         for job_id, _ in cancelled:
-            self.controller.job_removed(ACTIVE + job_id)
+            self.controller.job_removed(ACTIVE_JOB_PREFIX + job_id)
         self.authority.learned(member, asked, bound)
 
     def _ask_ourselves(self) -> None:
--- a/src/poppyhold/node/machine_catalog.py
+++ b/src/poppyhold/node/machine_catalog.py
@@ -7,8 +7,14 @@
 import threading
 from collections.abc import Iterable
 
+from poppyhold.durable.errors import (
+    ConditionFailedError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StoreRejectedError,
+)
 from poppyhold.durable.machine_types import machine_type_records, read_machine_types
-from poppyhold.durable.store import ConflictError, LeaseGoneError, RefusedError, Store, UncertainError
+from poppyhold.durable.store import Store
 from poppyhold.node.cloud import CloudClient
 from poppyhold.wire.messages import MachineType, MalformedError
 
@@ -33,7 +39,7 @@
                 if stored is not None:
                     self.learn(stored)
                     return
-            except (RefusedError, UncertainError, MalformedError) as error:
+            except (StoreRejectedError, OutcomeUnknownError, MalformedError) as error:
                 log.debug("machine types: %s", error)
             machine_types = self._cloud.machine_types()
             if machine_types:
@@ -57,5 +63,5 @@
             for record in machine_type_records(self.types.values(), self._largest_value):
                 self._store.commit({}, [record])
             self._published = shapes
-        except (RefusedError, UncertainError, ConflictError, LeaseGoneError) as error:
+        except (StoreRejectedError, OutcomeUnknownError, ConditionFailedError, LeaseExpiredError) as error:
             log.debug("machine types: %s", error)
--- a/src/poppyhold/node/users.py
+++ b/src/poppyhold/node/users.py
@@ -12,20 +12,15 @@
 from poppyhold.cluster.cancellations import Cancellations
 from poppyhold.concurrency.pace import Pace
 from poppyhold.concurrency.recent import Recent
-from poppyhold.durable.store import (
-    ACTIVE,
-    FINAL,
-    ConflictError,
-    Data,
+from poppyhold.durable.errors import (
+    ConditionFailedError,
     InvalidRequestError,
-    LeaseGoneError,
-    RefusedError,
-    Store,
-    UncertainError,
-    final_writes,
-    put,
-    stored_bytes,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StoreRejectedError,
 )
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FINAL_JOB_PREFIX
+from poppyhold.durable.store import Data, Store, final_writes, put, stored_bytes
 from poppyhold.model.constraints import allowed_machine_types
 from poppyhold.reads.job_reads import JobReads
 from poppyhold.scheduling.quotas import Quotas
@@ -111,7 +106,7 @@
     def _or_later(self, work: Callable[[], Answer]) -> Answer:
         try:
             return work()
-        except (RefusedError, UncertainError, LeaseGoneError) as error:
+        except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError) as error:
             log.debug("state service: %s", error)
             return self._later()
 
@@ -156,15 +151,16 @@
                     return answer(200, known)
             try:
                 self._store.commit(
-                    {ACTIVE + spec.name: 0, FINAL + spec.name: 0}, [put(ACTIVE + spec.name, data)]
+                    {ACTIVE_JOB_PREFIX + spec.name: 0, FINAL_JOB_PREFIX + spec.name: 0},
+                    [put(ACTIVE_JOB_PREFIX + spec.name, data)],
                 )
-            except UncertainError:
+            except OutcomeUnknownError:
                 # Perhaps it went through: the repeat will tell.
                 continue
             except InvalidRequestError as error:
                 log.warning("%s: %s", spec.name, error)
                 return self._too_long(spec)
-            except ConflictError:
+            except ConditionFailedError:
                 # It is there, be it by our own try before: what it is now is what its user is told.
                 repeat = True
             else:
@@ -195,7 +191,7 @@
         final = self.finals.get(job_id)
         if final is None:
             # In this order: a job moves from the active ones to the final ones, and never back.
-            if self._store.get(ACTIVE + job_id) is not None:
+            if self._store.get(ACTIVE_JOB_PREFIX + job_id) is not None:
                 return self._active_state(job_id)
             final = self._read_final(job_id)
             if final is None:
@@ -204,7 +200,7 @@
 
     def _read_final(self, job_id: str) -> tuple[str, int] | None:
         """The final state of a job that was not active at a moment before; None if it was never accepted."""
-        entry = self._store.get(FINAL + job_id)
+        entry = self._store.get(FINAL_JOB_PREFIX + job_id)
         if entry is None:
             return None
         final = (entry.data["s"], entry.data["n"])
@@ -261,7 +257,7 @@
             final = self.finals.get(job_id)
             if final is not None:
                 return answer(200, {"nameId": job_id, "status": final[0]})
-            entry = self._store.get(ACTIVE + job_id)
+            entry = self._store.get(ACTIVE_JOB_PREFIX + job_id)
             if entry is None:
                 if self._look_up(job_id) is None:
                     return answer(404, {"error": "unknown job"})
@@ -269,9 +265,9 @@
             try:
                 tasks = entry.data["spec"]["chores"]
                 revision = self._store.commit(
-                    {ACTIVE + job_id: entry.version}, final_writes(job_id, "cancelled", tasks)
+                    {ACTIVE_JOB_PREFIX + job_id: entry.version}, final_writes(job_id, "cancelled", tasks)
                 )
-            except (ConflictError, UncertainError):
+            except (ConditionFailedError, OutcomeUnknownError):
                 # It moved, or may have: look again.
                 continue
             self._keep_final(job_id, ("cancelled", tasks), revision)
--- a/src/poppyhold/quota/records.py
+++ b/src/poppyhold/quota/records.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from poppyhold.durable.store import QUOTA
+from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.quota.amounts import TeamAmount, TeamShare
 
 # One record: which cell this is, and the incarnation of its records.
-IDENTITY = QUOTA + "i"
+IDENTITY = QUOTA_PREFIX + "i"
 # A record for each team.
-SHARE = QUOTA + "s/"
+SHARE = QUOTA_PREFIX + "s/"
 # A record for each other cell.
-PEER = QUOTA + "c/"
+PEER = QUOTA_PREFIX + "c/"
 
 
 class IdentityRecord(msgspec.Struct, frozen=True):
--- a/src/poppyhold/reads/catch_up.py
+++ b/src/poppyhold/reads/catch_up.py
@@ -10,8 +10,10 @@
 
 import msgspec
 
+from poppyhold.durable.errors import WatchCompactedError
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
 from poppyhold.durable.prefix_reader import PageCollector
-from poppyhold.durable.store import ACTIVE, Changes, LeaseGoneError, Page, Store
+from poppyhold.durable.store import Changes, Page, Store
 from poppyhold.reads.job_view import JobView
 
 # Follows of one attempt, at the most. One is enough but where the store's answers are late.
@@ -37,7 +39,7 @@
 
     def carry_out(self, store: Store) -> Page:
         """Ask the state service."""
-        return store.page(ACTIVE, self.after)
+        return store.page(ACTIVE_JOB_PREFIX, self.after)
 
 
 class Follow(msgspec.Struct, frozen=True):
@@ -47,7 +49,7 @@
 
     def carry_out(self, store: Store) -> Changes:
         """Ask the state service."""
-        return store.follow(ACTIVE, self.since, 0.0)
+        return store.follow(ACTIVE_JOB_PREFIX, self.since, 0.0)
 
 
 Step = ReadRevision | ReadPage | Follow
@@ -76,7 +78,7 @@
             raise BehindError
         try:
             changes = yield Follow(view.revision)
-        except LeaseGoneError:
+        except WatchCompactedError:
             # The store has dropped changes that we have not seen.
             view.forget()
             continue
@@ -102,7 +104,7 @@
         while True:
             try:
                 answer = step.carry_out(store)
-            except LeaseGoneError as error:
+            except WatchCompactedError as error:
                 step = steps.throw(error)
             else:
                 step = steps.send(answer)
--- a/src/poppyhold/reads/job_reads.py
+++ b/src/poppyhold/reads/job_reads.py
@@ -11,7 +11,9 @@
 
 from poppyhold.concurrency.pace import Pace
 from poppyhold.concurrency.recent import Recent
-from poppyhold.durable.store import ACTIVE, LeaseGoneError, RefusedError, Store, UncertainError
+from poppyhold.durable.errors import OutcomeUnknownError, StoreRejectedError, WatchCompactedError
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
+from poppyhold.durable.store import Store
 from poppyhold.reads.catch_up import BehindError, carry_out, catch_up
 from poppyhold.reads.job_view import JobView
 from poppyhold.reads.rounds import Round, Rounds
@@ -68,7 +70,7 @@
         """Whether a job is active, at a moment behind the beginning of this call.
 
         Raises:
-            RefusedError: the state service did not tell in time. Nothing is answered from memory then:
+            StoreRejectedError: the state service did not tell in time. Nothing is answered from memory then:
                 another controller may have told something newer.
         """
         outcome = self._await_round()
@@ -77,8 +79,8 @@
             with self._changed:
                 return job_id in self._view
         if outcome is Outcome.ASK_ALONE:
-            return self._store.get(ACTIVE + job_id) is not None
-        raise RefusedError("the store's revision could not be read")
+            return self._store.get(ACTIVE_JOB_PREFIX + job_id) is not None
+        raise StoreRejectedError("the store's revision could not be read")
 
     def _await_round(self) -> Outcome:
         """Wait for the first round that begins from now on, or carry it out."""
@@ -89,7 +91,7 @@
             begin_at = self._begin_at(now)
             while (outcome := self._outcomes.get(str(number))) is None:
                 if now >= give_up_at:
-                    raise RefusedError("no answer in time")
+                    raise StoreRejectedError("no answer in time")
                 # Other rounds may have been begun, and paid for, since this question came.
                 begin_at = max(begin_at, self._pace.ready_at())
                 if not self._rounds.running and now >= begin_at:
@@ -134,7 +136,7 @@
         fresh = self._view.copy()
         try:
             carry_out(catch_up(fresh), self._store)
-        except (RefusedError, UncertainError, LeaseGoneError):
+        except (StoreRejectedError, OutcomeUnknownError, WatchCompactedError):
             return Outcome.FAILED
         except BehindError:
             # Reads of single keys are right whatever a follow says of its revision.
--- a/src/poppyhold/reads/job_view.py
+++ b/src/poppyhold/reads/job_view.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Iterable
 
-from poppyhold.durable.store import ACTIVE, Changes, Entry
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
+from poppyhold.durable.store import Changes, Entry
 
 
 class JobView:
@@ -23,7 +24,7 @@
 
     def reset(self, entries: Iterable[Entry], revision: int) -> None:
         """Begin anew with all active jobs; changes behind the revision may be among them already."""
-        self._active = {entry.key.removeprefix(ACTIVE) for entry in entries}
+        self._active = {entry.key.removeprefix(ACTIVE_JOB_PREFIX) for entry in entries}
         self.revision = revision
 
     def forget(self) -> None:
@@ -35,9 +36,9 @@
         """Take every change behind our revision, in order."""
         for event in changes.events:
             if "set" in event:
-                self._active.add(event["set"].removeprefix(ACTIVE))
+                self._active.add(event["set"].removeprefix(ACTIVE_JOB_PREFIX))
             else:
-                self._active.discard(event["remove"].removeprefix(ACTIVE))
+                self._active.discard(event["remove"].removeprefix(ACTIVE_JOB_PREFIX))
         self.revision = max(self.revision, changes.revision)
 
     def __contains__(self, job_id: str) -> bool:
--- a/src/poppyhold/scale/cell_checks.py
+++ b/src/poppyhold/scale/cell_checks.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from poppyhold.durable.store import QUOTA
+from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.quota.amounts import from_units
 from poppyhold.quota.messages import CellView, PeerView, TeamView
 from poppyhold.quota.records import IDENTITY, PEER, SHARE, IdentityRecord, PeerRecord, ShareRecord
@@ -33,7 +33,7 @@
 
 def stored_view(state: StateStandIn) -> CellView:
     """A cell's shares as they are stored."""
-    entries = state.scan(QUOTA, "", _LARGEST_PAGE)[1]["entries"]
+    entries = state.scan(QUOTA_PREFIX, "", _LARGEST_PAGE)[1]["entries"]
     cell = incarnation = ""
     teams, peers = [], []
     for entry in entries:
--- a/src/poppyhold/scale/outside.py
+++ b/src/poppyhold/scale/outside.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from http import HTTPStatus
 
-from poppyhold.durable.store import QUOTA
+from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.scale.profile import StateLimits
 from poppyhold.scale.routes import cloud_route, parse_query, state_route
 from poppyhold.scale.standins import CloudStandIn, StateStandIn
@@ -79,7 +79,7 @@
 
     def _note_quota(self, writes: list[dict[str, object]]) -> None:
         """Count what is written of shares."""
-        count = sum(str(write.get("set")).startswith(QUOTA) for write in writes)
+        count = sum(str(write.get("set")).startswith(QUOTA_PREFIX) for write in writes)
         self.quota_writes += count
         self.quota_commits += count > 0
 
--- a/src/poppyhold/scale/run.py
+++ b/src/poppyhold/scale/run.py
@@ -14,7 +14,7 @@
 import msgspec
 import psutil
 
-from poppyhold.durable.store import LEAD
+from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.scale.checks import RuleChecks
 from poppyhold.scale.controllers import ControllerProcess, Controllers, team_limits
 from poppyhold.scale.fleet import Fleet
@@ -183,7 +183,7 @@
         await self.controllers.start(controller)
 
     def _leader(self) -> str | None:
-        held = self.state.standin.keys.get(LEAD)
+        held = self.state.standin.keys.get(LEADER_KEY)
         member = held[0]["member"] if held is not None else None
         if member is not None and self._measured_at is not None:
             self._led.add(member)
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, PLAN_PREFIX
 from poppyhold.durable.records import PlanRecord
-from poppyhold.durable.store import ACTIVE as ACTIVE_KEYS
-from poppyhold.durable.store import PLAN, Data, put, remove, stored_bytes
+from poppyhold.durable.store import Data, put, remove, stored_bytes
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Attempt, Job, Machine
 from poppyhold.model.outbound import CommitPriority
@@ -194,9 +194,9 @@
                 # Its record is gone: it is over, and the news of that came before its own.
                 self._on_ended(job)
 
-        conditions = {ACTIVE_KEYS + job.id: job.version}
+        conditions = {ACTIVE_JOB_PREFIX + job.id: job.version}
         self._ctx.outbound.commit(
-            conditions, [put(PLAN + job.id, data)], durable, self._plan_commit_priority(job)
+            conditions, [put(PLAN_PREFIX + job.id, data)], durable, self._plan_commit_priority(job)
         )
 
     def _plan_commit_priority(self, job: Job) -> CommitPriority:
@@ -217,7 +217,7 @@
 
     def remove_plan(self, job_id: str) -> None:
         """Remove the plan of a job that is over, when nobody waits for changes."""
-        self._ctx.outbound.commit({}, [remove(PLAN + job_id)], lambda done: None)
+        self._ctx.outbound.commit({}, [remove(PLAN_PREFIX + job_id)], lambda done: None)
 
     def _record(self, job: Job) -> Data:
         """The durable form of a plan; one that does not fit loses its last slots.
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -10,7 +10,8 @@
 import msgspec
 
 from poppyhold.cluster.peers import Opening
-from poppyhold.durable.store import QUOTA, Entry
+from poppyhold.durable.keys import QUOTA_PREFIX
+from poppyhold.durable.store import Entry
 from poppyhold.options import Options
 from poppyhold.quota.amounts import UNIT, to_units, whole_share
 from poppyhold.quota.cells import Cell, CellController, Cells, check_cells
@@ -141,7 +142,7 @@
     def _book(self, world: World) -> ShareBook:
         """What is durable of a cell's shares."""
         book = ShareBook("", str, lambda conditions, writes, done: None, lambda team: None, lambda why: None)
-        entries = world.state.scan(QUOTA, "", 1000)[1]["entries"]
+        entries = world.state.scan(QUOTA_PREFIX, "", 1000)[1]["entries"]
         book.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
         return book
 
--- a/tests/quota_model.py
+++ b/tests/quota_model.py
@@ -6,17 +6,9 @@
 from enum import Enum
 
 from poppyhold.durable.committer import Writer
-from poppyhold.durable.store import (
-    LEAD,
-    QUOTA,
-    ConflictError,
-    Data,
-    Entry,
-    RefusedError,
-    Store,
-    UncertainError,
-    put,
-)
+from poppyhold.durable.errors import ConditionFailedError, OutcomeUnknownError, StoreRejectedError
+from poppyhold.durable.keys import LEADER_KEY, QUOTA_PREFIX
+from poppyhold.durable.store import Data, Entry, Store, put
 from poppyhold.quota.amounts import UNIT, ResourceAmount, ResourceShare, TeamAmount, TeamShare, seed
 from poppyhold.quota.messages import PROTOCOL_VERSION, ShareReply, ShareRequest
 from poppyhold.quota.records import Transfer
@@ -57,15 +49,15 @@
         body = {"if": [{"key": key, "stamp": stamp} for key, stamp in conditions.items()], "writes": writes}
         outcome, self.outcome = self.outcome, Outcome.ANSWERED
         if outcome is Outcome.REFUSED:
-            raise RefusedError("503")
+            raise StoreRejectedError("503")
         if outcome is Outcome.LATE:
             self._late.append(lambda: self._state.commit(body) and None)
-            raise UncertainError("late")
+            raise OutcomeUnknownError("late")
         status, answer = self._state.commit(body)
         if status == 409:
-            raise ConflictError(answer["failed"])
+            raise ConditionFailedError(answer["failed"])
         if outcome is Outcome.LOST:
-            raise UncertainError("lost")
+            raise OutcomeUnknownError("lost")
         return int(answer["ledger"])
 
 
@@ -79,7 +71,7 @@
         self.steps: list[tuple[dict[str, int], list[Data], Callable[[bool], None]]] = []
         self.deposed = self.unclear = False
         self.book = ShareBook(cell.name, cell.draw, self._commit, lambda team: None, self._on_unclear)
-        entries = cell.state.scan(QUOTA, "", 1000)[1]["entries"]
+        entries = cell.state.scan(QUOTA_PREFIX, "", 1000)[1]["entries"]
         self.book.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
 
     def _commit(self, conditions: dict[str, int], writes: list[Data], done: Callable[[bool], None]) -> None:
@@ -96,12 +88,12 @@
         self.store.outcome = outcome
         try:
             self.writer.commit(conditions, writes)
-        except ConflictError as conflict:
-            if LEAD in conflict.failed:
+        except ConditionFailedError as conflict:
+            if LEADER_KEY in conflict.failed_keys:
                 self.deposed = True
                 return
             result = False
-        except (RefusedError, UncertainError):
+        except (StoreRejectedError, OutcomeUnknownError):
             return
         else:
             result = True
@@ -187,7 +179,7 @@
         """A new leader; the one before does not know yet."""
         if self.leader is not None:
             self.former = [*self.former[-1:], self.leader]
-        answer = self.state.commit({"writes": [put(LEAD, {"member": self.name})]})[1]
+        answer = self.state.commit({"writes": [put(LEADER_KEY, {"member": self.name})]})[1]
         self.leader = Leader(self, answer["ledger"])
 
     def crash(self) -> None:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -8,7 +8,8 @@
 import msgspec
 
 from cells_world import CellsWorld
-from poppyhold.durable.store import FENCING_TOKEN, QUOTA, remove
+from poppyhold.durable.keys import FENCING_TOKEN_KEY, QUOTA_PREFIX
+from poppyhold.durable.store import remove
 from poppyhold.options import Options
 from poppyhold.relay.mode import RelayMode
 from poppyhold.scale.jobs import submission
@@ -143,7 +144,7 @@
 
     @staticmethod
     def _remove_shares(world: World) -> None:
-        keys = [key for key in world.state.keys if key.startswith(QUOTA)]
+        keys = [key for key in world.state.keys if key.startswith(QUOTA_PREFIX)]
         for node in world.nodes:
             node.crash(3.0)
         for key in keys:
@@ -490,7 +491,7 @@
         self._expect(len(lost) <= int(most), f"lost their leases: {', '.join(lost)}")
 
     def _expect_terms(self, most: str) -> None:
-        held = self.world.state.keys[FENCING_TOKEN][0]["baton"]
+        held = self.world.state.keys[FENCING_TOKEN_KEY][0]["baton"]
         self._expect(held <= int(most), f"{held} terms")
 
     def _expect_settled(self) -> None:
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -13,21 +13,15 @@
 from poppyhold.cluster.lease_delegation import DelegatedRenewal, LeaseDelegation, LeaseDelegations
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.durable.committer import Writer
-from poppyhold.durable.snapshot import SnapshotReader
-from poppyhold.durable.store import (
-    ACTIVE,
-    FENCING_TOKEN,
-    LEAD,
-    Changes,
-    ConflictError,
-    Entry,
-    LeaseGoneError,
-    Page,
-    RefusedError,
-    Store,
-    UncertainError,
-    put,
+from poppyhold.durable.errors import (
+    ConditionFailedError,
+    OutcomeUnknownError,
+    StoreRejectedError,
+    WatchCompactedError,
 )
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FENCING_TOKEN_KEY, LEADER_KEY
+from poppyhold.durable.snapshot import SnapshotReader
+from poppyhold.durable.store import Changes, Entry, Page, Store, put
 from poppyhold.model.durations import Durations
 from poppyhold.model.outbound import CommitPriority, MisdirectedWorker
 from poppyhold.model.outcome import RequestOutcome
@@ -74,7 +68,7 @@
     def _state(self) -> StateStandIn:
         world = self._node.world
         if not self._node.alive or not self._node.has_state():
-            raise RefusedError("503")
+            raise StoreRejectedError("503")
         self.contact_at = world.now
         return world.state
 
@@ -90,7 +84,7 @@
     def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
         state = self._state()
         if state.is_too_old(since):
-            raise LeaseGoneError("watch")
+            raise WatchCompactedError(prefix, since)
         return Changes(state.changes(prefix, since), state.ledger)
 
     def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
@@ -100,17 +94,17 @@
         world.work["changes"] += len(writes)
         if world.late_writes and world.rng.random() < world.late_writes:
             world.after(world.rng.uniform(2.0, 12.0), lambda: world.carry_out_late(body))
-            raise UncertainError("late")
+            raise OutcomeUnknownError("late")
         status, answer = state.commit(body)
         if status == 409:
-            raise ConflictError(answer["failed"])
+            raise ConditionFailedError(answer["failed"])
         if status != 200:
-            raise RefusedError(str(answer))
+            raise StoreRejectedError(str(answer))
         if self._node.lose_answers > 0:
             self._node.lose_answers -= 1
-            raise UncertainError("lost")
+            raise OutcomeUnknownError("lost")
         if world.lost_answers and world.rng.random() < world.lost_answers:
-            raise UncertainError("lost")
+            raise OutcomeUnknownError("lost")
         return int(answer["ledger"])
 
 
@@ -176,12 +170,12 @@
                 return
         try:
             self._writer.commit(conditions, writes)
-        except ConflictError as conflict:
-            if LEAD in conflict.failed:
+        except ConditionFailedError as conflict:
+            if LEADER_KEY in conflict.failed_keys:
                 self.node.step_down()
                 return
             result = False
-        except (RefusedError, UncertainError):
+        except (StoreRejectedError, OutcomeUnknownError):
             self._later(0.2, self._carry_out)
             return
         else:
@@ -451,7 +445,7 @@
         """POST /hello."""
         leader_term = self.leader_term
         if leader_term is None:
-            held = self.world.state.keys.get(LEAD)
+            held = self.world.state.keys.get(LEADER_KEY)
             named = self.world.leader()
             proxied = self.delegated_renewal.may_answer(
                 parse_heartbeat(body),
@@ -525,7 +519,7 @@
 
     def lowest_fencing_token(self) -> int:
         """The highest token that this node knows of."""
-        held = self.world.state.keys.get(LEAD)
+        held = self.world.state.keys.get(LEADER_KEY)
         return int(held[0]["baton"]) if held is not None and self.has_state() else 0
 
     def has_state(self) -> bool:
@@ -545,7 +539,7 @@
                 self._campaign()
             if self.first_revision < 0:
                 self.first_revision = self.store.revision()
-        except (RefusedError, UncertainError, ConflictError):
+        except (StoreRejectedError, OutcomeUnknownError, ConditionFailedError):
             pass
         self._note_leader()
         self._listen()
@@ -568,11 +562,11 @@
             leader_term.next_list = asked + 4.0
             boxes = [convert(b, Listed) for b in world.cloud.listing()[1]["boxes"]]
             leader_term.controller.listed(Listing(boxes, asked))
-        if self.store.get(LEAD) is None or world.state.extend(leader_term.lease_id)[0] == 404:
+        if self.store.get(LEADER_KEY) is None or world.state.extend(leader_term.lease_id)[0] == 404:
             self.step_down()
             return
         leader_term.confirmed = asked
-        for event in world.state.changes(ACTIVE, leader_term.authority.revision):
+        for event in world.state.changes(ACTIVE_JOB_PREFIX, leader_term.authority.revision):
             if "set" in event:
                 leader_term.controller.job_set(Entry(event["set"], event["data"], event["stamp"]))
             else:
@@ -581,7 +575,7 @@
 
     def _campaign(self) -> None:
         world = self.world
-        lead = self.store.get(LEAD)
+        lead = self.store.get(LEADER_KEY)
         if lead is not None:
             if lead.data["member"] == self.member:
                 # A claim of ours that had no answer, or of a process of ours before this one.
@@ -590,16 +584,16 @@
         if self.connectivity.better_placed() is not None:
             return
         permit = world.state.lease(2500)[1]["permit"]
-        held = self.store.get(FENCING_TOKEN)
+        held = self.store.get(FENCING_TOKEN_KEY)
         baton = (held.data["baton"] if held else 0) + 1
         claim = {"member": self.member, "baton": baton, "permit": permit}
-        conditions = {LEAD: 0, FENCING_TOKEN: held.version if held else 0}
+        conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.version if held else 0}
         try:
             stamp = self.store.commit(
-                conditions, [put(LEAD, claim, permit), put(FENCING_TOKEN, {"baton": baton})]
+                conditions, [put(LEADER_KEY, claim, permit), put(FENCING_TOKEN_KEY, {"baton": baton})]
             )
-        except UncertainError:
-            lead = self.store.get(LEAD)
+        except OutcomeUnknownError:
+            lead = self.store.get(LEADER_KEY)
             if lead is None or lead.data["permit"] != permit:
                 raise
             stamp = lead.version
@@ -642,5 +636,5 @@
         self.users.cancellations.known(leader.authority.revision)
         named, bound = self.users.cancellations.named(self.first_revision)
         for job_id, _ in named:
-            leader.controller.job_removed(ACTIVE + job_id)
+            leader.controller.job_removed(ACTIVE_JOB_PREFIX + job_id)
         leader.authority.learned(self.member, self.world.now, bound)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -6,7 +6,8 @@
 
 from guards import Guard, found_without
 from poppyhold.durable.committer import Writer
-from poppyhold.durable.store import LEAD, Data
+from poppyhold.durable.keys import LEADER_KEY
+from poppyhold.durable.store import Data
 from poppyhold.model.fleet import Fleet
 from poppyhold.model.resources import NO_RESOURCES, Resources
 from poppyhold.quota.amounts import ResourceAmount, ResourceShare
@@ -73,7 +74,7 @@
 
 
 def _without_lead(writer: Writer, conditions: dict[str, int], writes: list[Data]) -> None:
-    own = {key: stamp for key, stamp in conditions.items() if key != LEAD}
+    own = {key: stamp for key, stamp in conditions.items() if key != LEADER_KEY}
     writer._store.commit(own, writes)
 
 
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -6,7 +6,8 @@
 
 from poppyhold.cluster.connectivity import Connectivity
 from poppyhold.cluster.election import Election, Term
-from poppyhold.durable.store import RefusedError, Store, UncertainError
+from poppyhold.durable.errors import OutcomeUnknownError, StoreRejectedError
+from poppyhold.durable.store import Store
 from poppyhold.options import Options
 from poppyhold.settings import Team
 from world import World
@@ -118,7 +119,7 @@
         self.ended.append(lease_id)
 
 
-@pytest.mark.parametrize("error", [None, RefusedError("503"), UncertainError("lost")], ids=str)
+@pytest.mark.parametrize("error", [None, StoreRejectedError("503"), OutcomeUnknownError("lost")], ids=str)
 def test_a_lead_is_handed_over_only_if_the_state_service_takes_it_back(error: Exception | None) -> None:
     # In a run a leader resigned as an outage began, and nobody led for 50 s.
     store, deposed = Ending(error), []
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -9,8 +9,13 @@
 import msgspec
 import pytest
 
+from poppyhold.durable.keys import (
+    COMPLETION_RANGES_PREFIX,
+    COMPLETIONS_PREFIX,
+    MACHINE_TYPES_KEY,
+    MORE_MACHINE_TYPES_PREFIX,
+)
 from poppyhold.durable.machine_types import machine_type_records
-from poppyhold.durable.store import DONE_STRETCHES, DONE_TASKS, MACHINE_TYPES, MORE_MACHINE_TYPES
 from poppyhold.execution.completions import Layout, decode_bits
 from poppyhold.model.entities import make_job
 from poppyhold.options import load_options, parse_options
@@ -127,7 +132,7 @@
 def test_completions_of_the_largest_job_fit_their_records(value_kb: float, next_kb: float | None) -> None:
     job = make_job(parse_submission(wire(chores=100_000)), 1, 0.0)
     layout = Layout(State(value_kb=value_kb, next=NextState(value_kb=next_kb)))
-    sizes = {DONE_TASKS: layout.coarse, DONE_STRETCHES: layout.fine}
+    sizes = {COMPLETIONS_PREFIX: layout.coarse, COMPLETION_RANGES_PREFIX: layout.fine}
     size = layout.coarse
     done = [0, 1, size - 1, size, 54_321, 99_999]
     for index in done:
@@ -135,7 +140,7 @@
     found: list[int] = []
     for key, data in layout.records(job, range(100_000)).items():
         assert len(msgspec.json.encode(data)) <= min(value_kb, next_kb or value_kb) * 1024
-        prefix, number = key[: len(DONE_TASKS)], int(key.rpartition("/")[2])
+        prefix, number = key[: len(COMPLETIONS_PREFIX)], int(key.rpartition("/")[2])
         found += [number * sizes[prefix] + offset for offset in decode_bits(data["d"])]
     assert sorted(found) == done
 
@@ -173,8 +178,8 @@
     builds = [convert({**data, "name": f"type-{number}"}, MachineType) for number in range(20)]
     records = machine_type_records(builds, 2048)
     assert len(records) > 1
-    assert records[0]["set"] == MACHINE_TYPES
-    assert all(record["set"].startswith(MORE_MACHINE_TYPES) for record in records[1:])
+    assert records[0]["set"] == MACHINE_TYPES_KEY
+    assert all(record["set"].startswith(MORE_MACHINE_TYPES_PREFIX) for record in records[1:])
     assert all(len(msgspec.json.encode(record["data"])) <= 2048 for record in records)
     read = [build for record in records for build in convert(record["data"], MachineTypes).machine_types]
     assert read == builds
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,9 +21,11 @@
 from poppyhold.cli import main
 from poppyhold.cluster.change_feed import ChangeFeed
 from poppyhold.cluster.peers import _MOST_COUNTS, _MOST_IMAGES, Ping, receive_opening
+from poppyhold.durable.errors import StoreRejectedError
+from poppyhold.durable.keys import MACHINE_PREFIX
 from poppyhold.durable.prefix_reader import PrefixReader
 from poppyhold.durable.snapshot import SnapshotReader
-from poppyhold.durable.store import MACHINE, Entry, Page, RefusedError, Store
+from poppyhold.durable.store import Entry, Page, Store
 from poppyhold.execution.direct_commands import DirectCommands
 from poppyhold.machines.space import Demand, Space
 from poppyhold.machines.space_index import SpaceIndex
@@ -148,8 +150,12 @@
     def page(self, prefix: str, after: str, most: int = 1000) -> Page:
         self.pages += 1
         if self.pages in self._failing:
-            raise RefusedError("429")
-        names = [f"{MACHINE}vm-{number:06d}" for number in range(MACHINES)] if prefix == MACHINE else []
+            raise StoreRejectedError("429")
+        names = (
+            [f"{MACHINE_PREFIX}vm-{number:06d}" for number in range(MACHINES)]
+            if prefix == MACHINE_PREFIX
+            else []
+        )
         later = [name for name in names if name > after]
         entries = [Entry(name, {"e": "", "b": {}, "z": "a", "s": False}, 7) for name in later[:most]]
         return Page(entries, len(later) > most, 100 + self.pages)
@@ -157,11 +163,13 @@
 
 def test_a_page_that_fails_is_asked_for_again_and_no_other() -> None:
     store = PagedStore({3})
-    reader = PrefixReader(store, MACHINE)
-    with pytest.raises(RefusedError):
+    reader = PrefixReader(store, MACHINE_PREFIX)
+    with pytest.raises(StoreRejectedError):
         reader.read()
     entries = reader.read()
-    assert [entry.key for entry in entries] == [f"{MACHINE}vm-{number:06d}" for number in range(MACHINES)]
+    assert [entry.key for entry in entries] == [
+        f"{MACHINE_PREFIX}vm-{number:06d}" for number in range(MACHINES)
+    ]
     assert store.pages == 5
     assert (reader.revision, reader.last_revision) == (101, 105)
 
@@ -174,7 +182,7 @@
         try:
             snapshot = reader.read()
             break
-        except RefusedError:
+        except StoreRejectedError:
             failures += 1
     assert len(snapshot.machines) == MACHINES
     # Nine pages in all, five of them empty ones, and the four that were refused.
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -8,7 +8,9 @@
 
 from poppyhold.cluster.election import Election, Term
 from poppyhold.cluster.lease_delegation import LeaseDelegation
-from poppyhold.durable.store import ACTIVE, FINAL, LEAD, PLAN, Entry, UncertainError
+from poppyhold.durable.errors import OutcomeUnknownError
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FINAL_JOB_PREFIX, LEADER_KEY, PLAN_PREFIX
+from poppyhold.durable.store import Entry
 from poppyhold.options import Options
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.settings import Team
@@ -74,8 +76,8 @@
     _, leader_term = leading_world()
     controller = leader_term.controller
     job = wire(submission("job-000007", {"chores": 1}))
-    controller.job_removed(ACTIVE + "job-000007")
-    controller.job_set(Entry(ACTIVE + "job-000007", {"spec": job, "at": 0.0}, 99))
+    controller.job_removed(ACTIVE_JOB_PREFIX + "job-000007")
+    controller.job_set(Entry(ACTIVE_JOB_PREFIX + "job-000007", {"spec": job, "at": 0.0}, 99))
     assert "job-000007" not in controller.ctx.fleet.jobs
 
 
@@ -85,7 +87,7 @@
     world, leader_term = leading_world()
     controller = leader_term.controller
     job = wire(submission("job-000007", {"chores": 1}))
-    controller.job_set(Entry(ACTIVE + "job-000007", {"spec": job, "at": 0.0}, 99))
+    controller.job_set(Entry(ACTIVE_JOB_PREFIX + "job-000007", {"spec": job, "at": 0.0}, 99))
     assert "job-000007" in controller.ctx.fleet.jobs
     world.run(world.now + 2.0)
     assert "job-000007" not in controller.ctx.fleet.jobs
@@ -129,14 +131,14 @@
     assert (status, body["status"]) == (200, "cancelled")
     # Named to the leader by the revision that it has, though its own commit never told it.
     named, _ = node.users.cancellations.named(0)
-    assert named == [("job-000002", world.state.keys[FINAL + "job-000002"][1])]
+    assert named == [("job-000002", world.state.keys[FINAL_JOB_PREFIX + "job-000002"][1])]
     # The leader's writes: the last completion is told as done, a plan and the token are simply there.
     third = submission("job-000003", {"chores": 1, "guessS": 2.0, "sizeGb": 0.1})
     leader_term.node.lose_answers = 3
     world.submit(third)
     world.run(world.now + 12.0)
     assert world.told["job-000003"] == "done"
-    assert PLAN + "job-000003" not in world.state.keys
+    assert PLAN_PREFIX + "job-000003" not in world.state.keys
     assert world.broken == []
 
 
@@ -152,19 +154,19 @@
     permit = store.state.lease(2500)[1]["permit"]
     candidate(store, won)._stand(permit, 0.0)
     assert [term.lease_id for term in won] == [permit]
-    assert store.state.keys[LEAD][1] == won[0].version
+    assert store.state.keys[LEADER_KEY][1] == won[0].version
 
 
 def test_claim_that_is_carried_out_late_takes_the_lead_from_nobody() -> None:
     store = Fickle("late")
     won: list[Term] = []
     first, second = (store.state.lease(2500)[1]["permit"] for _ in range(2))
-    with pytest.raises(UncertainError):
+    with pytest.raises(OutcomeUnknownError):
         candidate(store, won)._stand(first, 0.0)
     candidate(store, won)._stand(second, 0.0)
     assert store.carry_out_late() == [409]
     assert [term.lease_id for term in won] == [second]
-    assert store.state.keys[LEAD][0]["permit"] == second
+    assert store.state.keys[LEADER_KEY][0]["permit"] == second
 
 
 def test_repeats_cost_no_changes() -> None:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -8,7 +8,8 @@
 import pytest
 
 import world
-from poppyhold.durable.store import ACTIVE, Entry
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
+from poppyhold.durable.store import Entry
 from poppyhold.model.entities import Job, make_job
 from poppyhold.model.resources import add_scaled, fits
 from poppyhold.options import Design
@@ -129,7 +130,7 @@
     dispatcher._start_unplanned = lambda job, reserved: started.append(job.id)  # type: ignore[method-assign]
     for number in range(1, 7):
         fleet.submit(jobs.submission(f"job-{number:06d}", {}))
-        key = f"{ACTIVE}job-{number:06d}"
+        key = f"{ACTIVE_JOB_PREFIX}job-{number:06d}"
         leader.leader_term.controller.job_set(Entry(key, *fleet.state.keys[key][:2]))
     for job in dispatcher._ctx.fleet.jobs.values():
         job.plan_durable = True
--- a/tests/test_quota_links.py
+++ b/tests/test_quota_links.py
@@ -13,8 +13,8 @@
 
 from poppyhold.cli import main
 from poppyhold.cluster.election import Leader
+from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.durable.snapshot import SnapshotReader
-from poppyhold.durable.store import QUOTA
 from poppyhold.options import Options, parse_options
 from poppyhold.quota.amounts import UNIT, ResourceAmount, ResourceShare, TeamAmount, TeamShare
 from poppyhold.quota.cells import Cell, CellController, Cells
@@ -188,7 +188,7 @@
     scenario.play()
     assert scenario.world.broken + scenario.failures == []
     assert set(read) == {f"ph/{name}/" for name in ("a", "p", "d", "e", "h", "m", "none")}
-    assert not [key for key in state.keys if key.startswith(QUOTA)]
+    assert not [key for key in state.keys if key.startswith(QUOTA_PREFIX)]
     leader = scenario.world.leader()
     assert leader is not None
     assert leader.leader_term is not None
@@ -196,7 +196,7 @@
     # With the file it is one prefix more.
     read.clear()
     SnapshotReader(leader.store, with_quota=True).read()
-    assert QUOTA in read
+    assert QUOTA_PREFIX in read
 
 
 # -- operators' settings -------------------------------------------------------------------------------
--- a/tests/test_reads.py
+++ b/tests/test_reads.py
@@ -18,7 +18,9 @@
 )
 
 from poppyhold.concurrency.pace import Pace
-from poppyhold.durable.store import ACTIVE, Changes, Entry, LeaseGoneError, Page, RefusedError, Store
+from poppyhold.durable.errors import StoreRejectedError, WatchCompactedError
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
+from poppyhold.durable.store import Changes, Entry, Page, Store
 from poppyhold.reads.catch_up import BehindError, Follow, ReadPage, ReadRevision, Step, carry_out, catch_up
 from poppyhold.reads.job_reads import JobReads
 from poppyhold.reads.job_view import JobView
@@ -59,16 +61,16 @@
         if isinstance(step, ReadRevision):
             return self.revision
         if isinstance(step, ReadPage):
-            keys = sorted(ACTIVE + job for job, state in self.states.items() if state == ACCEPTED)
+            keys = sorted(ACTIVE_JOB_PREFIX + job for job, state in self.states.items() if state == ACCEPTED)
             later = [key for key in keys if key > step.after]
             return Page([Entry(key, {}, 1) for key in later[:1]], len(later) > 1, self.revision)
         if step.since < self.kept_from:
-            raise LeaseGoneError("watch")
+            raise WatchCompactedError(ACTIVE_JOB_PREFIX, step.since)
         upto = max(step.since, self.revision - lag)
         events = [
-            {"set": ACTIVE + w.job_id, "data": {}, "stamp": w.revision}
+            {"set": ACTIVE_JOB_PREFIX + w.job_id, "data": {}, "stamp": w.revision}
             if w.state == ACCEPTED
-            else {"remove": ACTIVE + w.job_id, "stamp": w.revision}
+            else {"remove": ACTIVE_JOB_PREFIX + w.job_id, "stamp": w.revision}
             for w in self.log
             if step.since < w.revision <= upto
         ]
@@ -198,7 +200,7 @@
         elif node.step is not None:
             try:
                 node.answer = self.store.answer(node.step, lag)
-            except LeaseGoneError as error:
+            except WatchCompactedError as error:
                 node.answer = error
 
     @rule(index=st.integers(0, NODES - 1))
@@ -281,7 +283,7 @@
         return
     try:
         view.apply((yield Follow(view.revision)))
-    except LeaseGoneError:
+    except WatchCompactedError:
         view.forget()
         yield from catch_up(view)
 
@@ -304,7 +306,7 @@
             continue
         try:
             view.apply((yield Follow(view.revision)))
-        except LeaseGoneError:
+        except WatchCompactedError:
             view.forget()
 
 
@@ -317,7 +319,7 @@
             return
         try:
             view.apply((yield Follow(view.revision)))
-        except LeaseGoneError:
+        except WatchCompactedError:
             view.apply(Changes([], present))
 
 
@@ -376,18 +378,18 @@
     assert isinstance(next(running), ReadRevision)
     assert isinstance(running.send(1), ReadPage)
     # A job of the second page is accepted at 2 and over at 3, between the pages.
-    first = Page([Entry(ACTIVE + JOBS[0], {}, 1)], True, 1)
+    first = Page([Entry(ACTIVE_JOB_PREFIX + JOBS[0], {}, 1)], True, 1)
     assert isinstance(running.send(first), ReadPage)
     step = _send(running, Page([], False, 3))
     if step is not None:
         assert step == Follow(1)
         # A follow that is late shows the job's beginning and not its end: another one must come.
-        late = Changes([{"set": ACTIVE + JOBS[1], "data": {}, "stamp": 2}], 2)
+        late = Changes([{"set": ACTIVE_JOB_PREFIX + JOBS[1], "data": {}, "stamp": 2}], 2)
         assert _send(running, late) == Follow(2)
-        assert _send(running, Changes([{"remove": ACTIVE + JOBS[1], "stamp": 3}], 3)) is None
+        assert _send(running, Changes([{"remove": ACTIVE_JOB_PREFIX + JOBS[1], "stamp": 3}], 3)) is None
     else:
         # The next question's round meets the late follow.
-        view.apply(Changes([{"set": ACTIVE + JOBS[1], "data": {}, "stamp": 2}], 2))
+        view.apply(Changes([{"set": ACTIVE_JOB_PREFIX + JOBS[1], "data": {}, "stamp": 2}], 2))
     return JOBS[1] in view
 
 
@@ -420,11 +422,13 @@
         self.requests.append(kind)
         assert self.gate.wait(10.0)
         if self.refuses:
-            raise RefusedError("503")
+            raise StoreRejectedError("503")
 
     def get(self, key: str) -> Entry | None:
         self._request("get")
-        return Entry(key, {}, 1) if key in (ACTIVE + JOBS[0], ACTIVE + JOBS[1]) else None
+        return (
+            Entry(key, {}, 1) if key in (ACTIVE_JOB_PREFIX + JOBS[0], ACTIVE_JOB_PREFIX + JOBS[1]) else None
+        )
 
     def revision(self) -> int:
         self._request("revision")
@@ -432,7 +436,9 @@
 
     def page(self, prefix: str, after: str, most: int = 1000) -> Page:
         self._request("page")
-        return Page([Entry(ACTIVE + JOBS[0], {}, 1), Entry(ACTIVE + JOBS[1], {}, 1)], False, 7)
+        return Page(
+            [Entry(ACTIVE_JOB_PREFIX + JOBS[0], {}, 1), Entry(ACTIVE_JOB_PREFIX + JOBS[1], {}, 1)], False, 7
+        )
 
     def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
         self._request("follow")
@@ -445,7 +451,7 @@
     def ask(index: int) -> None:
         try:
             answers.append(reads.is_active(JOBS[index % 2]))
-        except RefusedError as error:
+        except StoreRejectedError as error:
             answers.append(str(error))
 
     threads = [threading.Thread(target=ask, args=(index,)) for index in range(count)]
@@ -479,7 +485,7 @@
     reads = JobReads(store, gather_s=0.0, patience_s=10.0, fewest_shared=1)
     assert reads.is_active(JOBS[0])
     store.refuses = True
-    with pytest.raises(RefusedError):
+    with pytest.raises(StoreRejectedError):
         reads.is_active(JOBS[0])
     store.refuses = False
     assert reads.is_active(JOBS[0])
@@ -493,7 +499,7 @@
     runner.start()
     while not store.requests:
         runner.join(0.01)
-    with pytest.raises(RefusedError):
+    with pytest.raises(StoreRejectedError):
         reads.is_active(JOBS[0])
     store.gate.set()
     runner.join(10.0)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -15,7 +15,7 @@
 
 from poppyhold.cluster.peers import Ping, Pong
 from poppyhold.concurrency.priority_queue import Work
-from poppyhold.durable.store import LEAD
+from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.model.durations import Durations
 from poppyhold.options import Options, load_options, parse_options
 from poppyhold.relay.assignment import Assignment
@@ -484,8 +484,8 @@
     answers = term.intake.handle(state, batch, world.now)
     assert [answer.outcome for answer in answers.answers] == [Outcome.ANSWERED]
     # Another one takes the lead while the answers are on their way.
-    held = world.state.keys[LEAD]
-    world.state.keys[LEAD] = ({**held[0], "baton": held[0]["baton"] + 1}, *held[1:])
+    held = world.state.keys[LEADER_KEY]
+    world.state.keys[LEADER_KEY] = ({**held[0], "baton": held[0]["baton"] + 1}, *held[1:])
     node.relay._answered(state, term, answers)
     assert told and told[0] != 200
 
--- a/tests/test_share_book.py
+++ b/tests/test_share_book.py
@@ -11,7 +11,8 @@
 
 from guards import take_out
 from poppyhold.durable.committer import Writer
-from poppyhold.durable.store import LEAD, QUOTA, Data, Entry
+from poppyhold.durable.keys import LEADER_KEY, QUOTA_PREFIX
+from poppyhold.durable.store import Data, Entry
 from poppyhold.quota.amounts import (
     UNIT,
     ResourceAmount,
@@ -289,7 +290,7 @@
 
 
 def _without_fence(writer: Writer, conditions: dict[str, int], writes: list[Data]) -> None:
-    writer._store.commit({LEAD: writer._lead_version, **conditions}, writes)
+    writer._store.commit({LEADER_KEY: writer._lead_version, **conditions}, writes)
 
 
 GUARDS = [
@@ -387,7 +388,7 @@
 def test_records_of_another_cell_let_nothing_start() -> None:
     cell = Fleet().cells[0]
     book = ShareBook("west", str, lambda conditions, writes, done: None, lambda team: None, lambda why: None)
-    entries = cell.state.scan(QUOTA, "", 1000)[1]["entries"]
+    entries = cell.state.scan(QUOTA_PREFIX, "", 1000)[1]["entries"]
     book.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
     with pytest.raises(OtherCellError):
         book.check_identity()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,19 +12,14 @@
 import pytest
 
 from poppyhold.durable.committer import Committer, Unit, Writer
-from poppyhold.durable.store import (
-    FENCING_TOKEN,
-    LAUNCH,
-    LEAD,
-    PLAN,
-    ConflictError,
-    Entry,
+from poppyhold.durable.errors import (
+    ConditionFailedError,
     InvalidRequestError,
-    RefusedError,
-    Store,
-    UncertainError,
-    put,
+    OutcomeUnknownError,
+    StoreRejectedError,
 )
+from poppyhold.durable.keys import FENCING_TOKEN_KEY, LAUNCH_PREFIX, LEADER_KEY, PLAN_PREFIX
+from poppyhold.durable.store import Entry, Store, put
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.scale.jobs import submission
 from poppyhold.scale.standins import StateStandIn
@@ -51,15 +46,15 @@
         body = {"if": [{"key": k, "stamp": s} for k, s in conditions.items()], "writes": writes}
         fate = self.fates.popleft() if self.fates else "answered"
         if fate == "refused":
-            raise RefusedError("503")
+            raise StoreRejectedError("503")
         if fate == "late":
             self.late.append(body)
-            raise UncertainError("late")
+            raise OutcomeUnknownError("late")
         status, answer = self.state.commit(body)
         if fate == "lost":
-            raise UncertainError("lost")
+            raise OutcomeUnknownError("lost")
         if status == 409:
-            raise ConflictError(answer["failed"])
+            raise ConditionFailedError(answer["failed"])
         return int(answer["ledger"])
 
     def carry_out_late(self) -> list[int]:
@@ -70,7 +65,7 @@
 def leader(*fates: str) -> tuple[Fickle, Writer]:
     """A store with a leader's key, and that leader's writer."""
     store = Fickle()
-    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    stamp = store.commit({}, [put(LEADER_KEY, {"member": "hive-0"})])
     store.fates.extend(fates)
     return store, Writer(store, stamp)
 
@@ -81,7 +76,7 @@
         try:
             writer.commit({}, [put(key, {"v": value})])
             return
-        except (RefusedError, UncertainError):
+        except (StoreRejectedError, OutcomeUnknownError):
             continue
     raise AssertionError("never certain")
 
@@ -97,7 +92,7 @@
 
 
 @pytest.mark.parametrize("fates", FATES, ids=" ".join)
-@pytest.mark.parametrize("key", [FENCING_TOKEN, PLAN + "job-000001"])
+@pytest.mark.parametrize("key", [FENCING_TOKEN_KEY, PLAN_PREFIX + "job-000001"])
 def test_late_transactions_undo_nothing_newer(fates: list[str], key: str) -> None:
     store, writer = leader(*fates)
     for value in (1, 2, 3):
@@ -117,11 +112,11 @@
     clock = SimpleNamespace(monotonic=time.monotonic, sleep=pauses.append)
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
     store = Fickle()
-    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    stamp = store.commit({}, [put(LEADER_KEY, {"member": "hive-0"})])
     store.fates.extend(["refused"] * 12)
     done = threading.Event()
     committer = Committer(store, settings, stamp, lambda: None)
-    committer.submit(Unit({}, [put(FENCING_TOKEN, {"v": 1})], lambda result: done.set()))
+    committer.submit(Unit({}, [put(FENCING_TOKEN_KEY, {"v": 1})], lambda result: done.set()))
     assert done.wait(60.0)
     committer.stop()
     assert len(pauses) == 12
@@ -149,7 +144,7 @@
     clock = SimpleNamespace(monotonic=time.monotonic, sleep=lambda seconds: time.sleep(seconds / 100))
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
     store = Limited(most_changes=1, largest=9)
-    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    stamp = store.commit({}, [put(LEADER_KEY, {"member": "hive-0"})])
     committer = Committer(store, settings, stamp, lambda: None)
     outcomes: list[tuple[int, bool]] = []
     last = threading.Event()
@@ -164,23 +159,23 @@
 
     # The second is too large by itself, and all of them are too many for one transaction.
     for value in (1, 10, 3, 4):
-        committer.submit(Unit({}, [put(f"{PLAN}{value}", {"v": value})], note(value)))
+        committer.submit(Unit({}, [put(f"{PLAN_PREFIX}{value}", {"v": value})], note(value)))
     assert last.wait(60.0)
     committer.stop()
     assert outcomes == [(1, True), (3, True), (4, True)]
-    assert f"{PLAN}10" not in store.state.keys
+    assert f"{PLAN_PREFIX}10" not in store.state.keys
 
 
 def test_a_new_leader_voids_what_the_old_one_left() -> None:
     store, old = leader("late")
-    with pytest.raises(UncertainError):
-        old.commit({}, [put(FENCING_TOKEN, {"v": 1})])
-    stamp = store.commit({}, [put(LEAD, {"member": "hive-1"})])
-    until_certain(Writer(store, stamp), FENCING_TOKEN, 2)
+    with pytest.raises(OutcomeUnknownError):
+        old.commit({}, [put(FENCING_TOKEN_KEY, {"v": 1})])
+    stamp = store.commit({}, [put(LEADER_KEY, {"member": "hive-1"})])
+    until_certain(Writer(store, stamp), FENCING_TOKEN_KEY, 2)
     assert store.carry_out_late() == [409]
-    with pytest.raises(ConflictError, match=LEAD):
-        old.commit({}, [put(FENCING_TOKEN, {"v": 3})])
-    assert store.state.keys[FENCING_TOKEN][0] == {"v": 2}
+    with pytest.raises(ConditionFailedError, match=LEADER_KEY):
+        old.commit({}, [put(FENCING_TOKEN_KEY, {"v": 3})])
+    assert store.state.keys[FENCING_TOKEN_KEY][0] == {"v": 2}
 
 
 class Held(Fickle):
@@ -203,25 +198,25 @@
     # A hundred plans at two thirds of 25 changes a second kept the first hires of a fleet back for 11 s.
     settings = World(1, 10.0, 30.0, []).settings
     store = Held()
-    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    stamp = store.commit({}, [put(LEADER_KEY, {"member": "hive-0"})])
     committer = Committer(store, settings, stamp, lambda: None)
     left = threading.Semaphore(0)
 
     def submit(key: str, priority: CommitPriority) -> None:
         committer.submit(Unit({}, [put(key, {})], lambda result: left.release()), priority)
 
-    submit(f"{PLAN}first", CommitPriority.AWAITED)
+    submit(f"{PLAN_PREFIX}first", CommitPriority.AWAITED)
     assert store.reached.wait(60.0)
     submit("records", CommitPriority.BACKGROUND)
     for number in range(20):
-        submit(f"{PLAN}{number:02d}", CommitPriority.AWAITED)
-    submit(f"{LAUNCH}r-1", CommitPriority.SOONEST)
+        submit(f"{PLAN_PREFIX}{number:02d}", CommitPriority.AWAITED)
+    submit(f"{LAUNCH_PREFIX}r-1", CommitPriority.SOONEST)
     store.go_on.set()
     for _ in range(23):
         assert left.acquire(timeout=60.0)
     committer.stop()
-    plans = [f"{PLAN}{number:02d}" for number in range(20)]
-    assert store.order == [f"{PLAN}first", f"{LAUNCH}r-1", *plans, "records"]
+    plans = [f"{PLAN_PREFIX}{number:02d}" for number in range(20)]
+    assert store.order == [f"{PLAN_PREFIX}first", f"{LAUNCH_PREFIX}r-1", *plans, "records"]
 
 
 def test_plans_of_urgent_jobs_go_first_and_those_of_guests_last(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -237,7 +232,9 @@
         done: Any,
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
-        ranks.update({write["set"]: priority for write in writes if write.get("set", "").startswith(PLAN)})
+        ranks.update(
+            {write["set"]: priority for write in writes if write.get("set", "").startswith(PLAN_PREFIX)}
+        )
         inner(self, conditions, writes, done, priority)
 
     monkeypatch.setattr(SimLeaderTerm, "commit", commit)
@@ -247,7 +244,7 @@
     for job_id, (team, priority) in jobs.items():
         world.submit(submission(job_id, {"crew": team, "rank": priority}))
     world.run(8.0)
-    assert [ranks[PLAN + job_id] for job_id in jobs] == [
+    assert [ranks[PLAN_PREFIX + job_id] for job_id in jobs] == [
         CommitPriority.UNGUARANTEED,
         CommitPriority.AWAITED,
         CommitPriority.URGENT,
--- a/tests/world.py
+++ b/tests/world.py
@@ -12,9 +12,7 @@
 from typing import NamedTuple
 
 from gang_standin import GangStandIn
-from poppyhold.durable.store import (
-    LEAD,
-)
+from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.options import Options
 from poppyhold.relay.mode import RelayMode
 from poppyhold.scale.jobs import ZONES, Data, build_data, submission, wire
@@ -357,7 +355,7 @@
 
     def leader(self) -> SimNode | None:
         """The node that the leader's key names, if it runs."""
-        held = self.state.keys.get(LEAD)
+        held = self.state.keys.get(LEADER_KEY)
         for node in self.nodes:
             if held is not None and node.member == held[0]["member"] and node.alive:
                 return node
