--- a/src/poppyhold/cluster/lease_delegation.py
+++ b/src/poppyhold/cluster/lease_delegation.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from poppyhold.model.durations import Durations
-from poppyhold.wire.messages import Heartbeat
+from poppyhold.wire.worker_messages import Heartbeat
 
 log = logging.getLogger(__name__)
 
--- a/src/poppyhold/cluster/misdirected_workers.py
+++ b/src/poppyhold/cluster/misdirected_workers.py
@@ -5,7 +5,7 @@
 import time
 
 from poppyhold.model.outbound import MisdirectedWorker
-from poppyhold.wire.messages import Heartbeat
+from poppyhold.wire.worker_messages import Heartbeat
 
 
 class MisdirectedWorkers:
--- a/src/poppyhold/cluster/redirect_backoff.py
+++ b/src/poppyhold/cluster/redirect_backoff.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from poppyhold.concurrency.recent import Recent
-from poppyhold.wire.messages import Heartbeat
+from poppyhold.wire.worker_messages import Heartbeat
 
 # Share of a lease that such a worker is kept waiting for the next leader.
 _WAIT_RATIO = 0.25
--- a/src/poppyhold/durable/machine_types.py
+++ b/src/poppyhold/durable/machine_types.py
@@ -9,7 +9,8 @@
 from poppyhold.durable.keys import MACHINE_TYPES_KEY, MORE_MACHINE_TYPES_PREFIX
 from poppyhold.durable.prefix_reader import PrefixReader
 from poppyhold.durable.store import Data, Store, put, stored_bytes
-from poppyhold.wire.messages import MachineType, MachineTypes, convert
+from poppyhold.wire.cloud_messages import MachineType, MachineTypes
+from poppyhold.wire.codec import convert
 
 
 def machine_type_records(machine_types: Iterable[MachineType], most_bytes: int) -> list[Data]:
--- a/src/poppyhold/durable/records.py
+++ b/src/poppyhold/durable/records.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from poppyhold.wire.messages import MachineType
+from poppyhold.wire.cloud_messages import MachineType
 
 
 class MachineRecord(msgspec.Struct, frozen=True):
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -10,7 +10,7 @@
 from poppyhold.model.entities import Attempt, Machine
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.model.outcome import RequestOutcome
-from poppyhold.wire.messages import Command, CommandKind, Heartbeat, direct_commands
+from poppyhold.wire.worker_messages import Command, CommandKind, DirectCommandsRequest, Heartbeat
 
 # A machine, the attempts whose starts were sent, the outcome, and the report that came with the answer.
 OnAnswered = Callable[[Machine, list[Attempt], RequestOutcome, Heartbeat | None], None]
@@ -98,14 +98,14 @@
         starts = [command.task for command in commands if command.kind is CommandKind.START]
         batch = [machine.attempts[name] for name in starts if name in machine.attempts]
         # An unheard worker's session is unknown: a command for none is not executed, but answered.
-        body = direct_commands(ctx.fencing_token, machine.incarnation or 1, commands)
+        request = DirectCommandsRequest(ctx.fencing_token, machine.incarnation or 1, commands)
         silent = ctx.clock() - machine.last_heartbeat_at > ctx.durations.silent_s
 
         def answered(outcome: RequestOutcome, heartbeat: Heartbeat | None) -> None:
             self._on_answered(machine, batch, outcome, heartbeat)
 
         ctx.outbound.send_commands(
-            machine.name, machine.endpoint, body, answered, silent and bool(machine.reconciled)
+            machine.name, machine.endpoint, request.body(), answered, silent and bool(machine.reconciled)
         )
 
     def _wanted(self, machine: Machine, command: Command) -> bool:
--- a/src/poppyhold/execution/gangs.py
+++ b/src/poppyhold/execution/gangs.py
@@ -14,7 +14,7 @@
 
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Attempt, Job
-from poppyhold.wire.messages import BEFORE_IMAGE, ExitCause, TaskState
+from poppyhold.wire.worker_messages import BEFORE_IMAGE, ExitCause, TaskState
 
 log = logging.getLogger(__name__)
 
--- a/src/poppyhold/execution/heartbeat_commands.py
+++ b/src/poppyhold/execution/heartbeat_commands.py
@@ -4,7 +4,8 @@
 
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Attempt, Machine
-from poppyhold.wire.messages import Command, CommandKind, Heartbeat, TaskState, TaskStatus, split_task
+from poppyhold.wire.task_names import split_task
+from poppyhold.wire.worker_messages import Command, CommandKind, Heartbeat, TaskState, TaskStatus
 
 
 def stop_command(attempt: Attempt, now: float) -> Command:
--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -18,7 +18,8 @@
 from poppyhold.model.entities import DONE, Attempt, Job, Machine
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.model.outcome import RequestOutcome
-from poppyhold.wire.messages import (
+from poppyhold.wire.task_names import split_task
+from poppyhold.wire.worker_messages import (
     HAS_IMAGE,
     Command,
     CommandKind,
@@ -27,7 +28,6 @@
     HeartbeatResponse,
     TaskState,
     TaskStatus,
-    split_task,
 )
 
 log = logging.getLogger(__name__)
--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -20,7 +20,8 @@
 from poppyhold.model.entities import Attempt, Machine
 from poppyhold.model.resources import NO_RESOURCES, Resources, max_copies
 from poppyhold.scheduling.quotas import Quotas
-from poppyhold.wire.messages import Listing, Submission
+from poppyhold.wire.cloud_messages import MachineListing
+from poppyhold.wire.user_messages import Submission
 
 log = logging.getLogger(__name__)
 
@@ -54,7 +55,7 @@
         """A hire that an earlier leader made durable."""
         self._launches.load(name, data)
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: MachineListing) -> None:
         """The cloud listed its machines."""
         self._machine_list.take(listing)
 
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -17,7 +17,8 @@
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.model.resources import machine_type_capacity
-from poppyhold.wire.messages import LaunchRequest, convert
+from poppyhold.wire.cloud_messages import LaunchRequest
+from poppyhold.wire.codec import convert
 
 log = logging.getLogger(__name__)
 
--- a/src/poppyhold/machines/machine_list.py
+++ b/src/poppyhold/machines/machine_list.py
@@ -5,7 +5,7 @@
 from poppyhold.machines.deletions import Deletions
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Machine
-from poppyhold.wire.messages import Listed, Listing
+from poppyhold.wire.cloud_messages import ListedMachine, MachineListing
 
 # Lists may name a machine that was deleted for so many times their usual lag.
 _LAGS_REMEMBERED = 40
@@ -19,7 +19,7 @@
     def __init__(self, ctx: Context, deletions: Deletions) -> None:
         self._ctx, self._deletions = ctx, deletions
 
-    def take(self, listing: Listing) -> None:
+    def take(self, listing: MachineListing) -> None:
         """Take what a list shows. That a machine is missing from it proves nothing.
 
         It tells of the time when its first page was asked for: of what came since it knows nothing.
@@ -40,7 +40,7 @@
             if machine.name not in present and not machine.deleting and unseen_s > LAGS_MISSING * lag:
                 self._not_listed(machine)
 
-    def _take_entry(self, entry: Listed, listed_at: float, now: float) -> None:
+    def _take_entry(self, entry: ListedMachine, listed_at: float, now: float) -> None:
         """A machine is on the list."""
         machine = self._ctx.fleet.machines.get(entry.name)
         if machine is None:
@@ -56,7 +56,7 @@
         elif not machine.is_up:
             machine.known_since = min(machine.known_since, now - entry.age_s)
 
-    def _found(self, entry: Listed, now: float) -> Machine | None:
+    def _found(self, entry: ListedMachine, now: float) -> Machine | None:
         """A machine that we did not know: a late hire, or one of an earlier leader."""
         ctx = self._ctx
         machine_type = ctx.machine_types.get(entry.machine_type)
--- a/src/poppyhold/machines/provisioning.py
+++ b/src/poppyhold/machines/provisioning.py
@@ -13,7 +13,8 @@
 from poppyhold.model.constraints import allowed_machine_types, zone_limit
 from poppyhold.model.resources import EPSILON, Resources, add_scaled, machine_type_capacity, max_copies
 from poppyhold.options import Provisioning as ProvisioningOptions
-from poppyhold.wire.messages import MachineType, Submission
+from poppyhold.wire.cloud_messages import MachineType
+from poppyhold.wire.user_messages import Submission
 
 MAX_LAUNCH_COUNT = 50
 # More tasks than any machine holds.
--- a/src/poppyhold/machines/space.py
+++ b/src/poppyhold/machines/space.py
@@ -6,7 +6,8 @@
 
 from poppyhold.model.entities import Job, Machine
 from poppyhold.model.resources import Resources
-from poppyhold.wire.messages import MachineType, Submission
+from poppyhold.wire.cloud_messages import MachineType
+from poppyhold.wire.user_messages import Submission
 
 
 class Demand(msgspec.Struct, eq=False):
--- a/src/poppyhold/model/constraints.py
+++ b/src/poppyhold/model/constraints.py
@@ -5,7 +5,8 @@
 from collections.abc import Iterable
 
 from poppyhold.model.resources import fits, machine_type_capacity
-from poppyhold.wire.messages import MachineType, Submission
+from poppyhold.wire.cloud_messages import MachineType
+from poppyhold.wire.user_messages import Submission
 
 
 def allowed_machine_types(spec: Submission, machine_types: Iterable[MachineType]) -> list[MachineType]:
--- a/src/poppyhold/model/context.py
+++ b/src/poppyhold/model/context.py
@@ -13,7 +13,7 @@
 from poppyhold.model.outbound import OutboundPort
 from poppyhold.options import Options
 from poppyhold.settings import Settings
-from poppyhold.wire.messages import MachineType
+from poppyhold.wire.cloud_messages import MachineType
 
 # Machine -> its images and their sizes, least recently used first.
 ImageHints = dict[str, tuple[tuple[str, float], ...]]
--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -9,15 +9,10 @@
 import msgspec
 
 from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled, machine_type_capacity
-from poppyhold.wire.messages import (
-    IN_PROGRESS,
-    PRIORITIES,
-    Command,
-    MachineType,
-    Submission,
-    TaskState,
-    task_name,
-)
+from poppyhold.wire.cloud_messages import MachineType
+from poppyhold.wire.task_names import task_name
+from poppyhold.wire.user_messages import PRIORITIES, Submission
+from poppyhold.wire.worker_messages import IN_PROGRESS, Command, TaskState
 
 PENDING, ACTIVE, DONE = 0, 1, 2
 
--- a/src/poppyhold/model/outbound.py
+++ b/src/poppyhold/model/outbound.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from poppyhold.model.outcome import RequestOutcome
-from poppyhold.wire.messages import Heartbeat
+from poppyhold.wire.worker_messages import Heartbeat
 
 Data = dict[str, Any]
 
--- a/src/poppyhold/model/resources.py
+++ b/src/poppyhold/model/resources.py
@@ -4,7 +4,7 @@
 
 import math
 
-from poppyhold.wire.messages import MachineType
+from poppyhold.wire.cloud_messages import MachineType
 
 # Amounts of cpus, accelerators and memory, in this order.
 Resources = tuple[float, float, float]
--- a/src/poppyhold/node/cloud.py
+++ b/src/poppyhold/node/cloud.py
@@ -9,15 +9,9 @@
 from poppyhold.model.outbound import Data
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.settings import Settings, split_address
+from poppyhold.wire.cloud_messages import LaunchResponse, MachineListPage, MachineType, MachineTypes
+from poppyhold.wire.codec import MalformedError, convert
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
-from poppyhold.wire.messages import (
-    LaunchResponse,
-    MachineList,
-    MachineType,
-    MachineTypes,
-    MalformedError,
-    convert,
-)
 
 log = logging.getLogger(__name__)
 
@@ -40,10 +34,10 @@
         answer = self._get("/machine_types", MachineTypes)
         return answer.machine_types if answer is not None else None
 
-    def page(self, since: str) -> MachineList | None:
+    def page(self, since: str) -> MachineListPage | None:
         """One page of the list, or None."""
         after = f"since={since}&" if since else ""
-        return self._get(f"/machines?{after}most={LIST_PAGE}", MachineList)
+        return self._get(f"/machines?{after}most={LIST_PAGE}", MachineListPage)
 
     def _get(self, path: str, kind: type[T]) -> T | None:
         try:
--- a/src/poppyhold/node/cloud_thread.py
+++ b/src/poppyhold/node/cloud_thread.py
@@ -12,7 +12,7 @@
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.cloud import CloudClient
 from poppyhold.settings import Settings
-from poppyhold.wire.messages import Listed, Listing, MachineType
+from poppyhold.wire.cloud_messages import ListedMachine, MachineListing, MachineType
 
 log = logging.getLogger(__name__)
 
@@ -33,11 +33,11 @@
         self._shortest_s = lag_s / 2
         self._began_at = 0.0
         self._pages = 0
-        self._entries: list[Listed] = []
+        self._entries: list[ListedMachine] = []
         # When the next page, or the next list, is due.
         self.due_at = time.monotonic()
 
-    def read_page(self) -> Listing | None:
+    def read_page(self) -> MachineListing | None:
         """Read the next page; the list, once it is whole."""
         now = time.monotonic()
         if not self._pages:
@@ -52,7 +52,7 @@
         if page.more and page.machines:
             self.due_at = now + self._gap_s / LIST_SHARE
             return None
-        listing = Listing(self._entries, self._began_at)
+        listing = MachineListing(self._entries, self._began_at)
         self._begin_anew()
         return listing
 
@@ -71,7 +71,7 @@
         settings: Settings,
         client: CloudClient,
         on_machine_types: Callable[[list[MachineType]], None],
-        on_listed: Callable[[Listing], None],
+        on_listed: Callable[[MachineListing], None],
     ) -> None:
         self._client, self._on_machine_types, self._on_listed = client, on_machine_types, on_listed
         cloud = settings.settings.cloud
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -26,16 +26,10 @@
 from poppyhold.scheduling.dispatch import Dispatcher
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import Settings
-from poppyhold.wire.messages import (
-    Heartbeat,
-    HeartbeatResponse,
-    Listing,
-    MachineType,
-    MalformedError,
-    TaskState,
-    convert,
-    parse_submission,
-)
+from poppyhold.wire.cloud_messages import MachineListing, MachineType
+from poppyhold.wire.codec import MalformedError, convert
+from poppyhold.wire.user_messages import parse_submission
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, TaskState
 
 # Silent workers that are asked for reports within an interval, as a share of the connections.
 _QUIET_SHARE = 0.25
@@ -207,7 +201,7 @@
         for entry in entries:
             self.job_set(entry)
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: MachineListing) -> None:
         """The cloud listed its machines."""
         self.autoscaler.listed(listing)
 
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -39,8 +39,9 @@
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.leader import RelayServer
 from poppyhold.settings import Settings
+from poppyhold.wire.cloud_messages import MachineListing, MachineType
 from poppyhold.wire.http import Answer, Deferred, answer
-from poppyhold.wire.messages import Heartbeat, HeartbeatResponse, Listing, MachineType
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
 log = logging.getLogger(__name__)
 
@@ -246,7 +247,7 @@
         self._node.catalog.publish()
         self._post(DECISIONS, lambda: self.controller.machine_types(machine_types))
 
-    def _on_listed(self, listing: Listing) -> None:
+    def _on_listed(self, listing: MachineListing) -> None:
         self._post(DECISIONS, lambda: self.controller.listed(listing))
 
     def _lost(self) -> None:
--- a/src/poppyhold/node/machine_catalog.py
+++ b/src/poppyhold/node/machine_catalog.py
@@ -16,7 +16,8 @@
 from poppyhold.durable.machine_types import machine_type_records, read_machine_types
 from poppyhold.durable.store import Store
 from poppyhold.node.cloud import CloudClient
-from poppyhold.wire.messages import MachineType, MalformedError
+from poppyhold.wire.cloud_messages import MachineType
+from poppyhold.wire.codec import MalformedError
 
 log = logging.getLogger(__name__)
 
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -27,8 +27,9 @@
 from poppyhold.relay.leader import heartbeat_response_timeout_s
 from poppyhold.relay.messages import RelayHello
 from poppyhold.settings import Settings, split_address
+from poppyhold.wire.codec import MalformedError, decode
 from poppyhold.wire.http import Answer, Deferred, Server, answer
-from poppyhold.wire.messages import Heartbeat, HeartbeatResponse, MalformedError, decode, parse_heartbeat
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, parse_heartbeat
 
 log = logging.getLogger(__name__)
 
--- a/src/poppyhold/node/users.py
+++ b/src/poppyhold/node/users.py
@@ -25,8 +25,11 @@
 from poppyhold.reads.job_reads import JobReads
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import Deployment, Settings
+from poppyhold.wire.cloud_messages import MachineType
+from poppyhold.wire.codec import MalformedError, decode
 from poppyhold.wire.http import Answer, answer
-from poppyhold.wire.messages import JOB_ID, MachineType, MalformedError, Submission, decode, parse_submission
+from poppyhold.wire.task_names import JOB_ID
+from poppyhold.wire.user_messages import Submission, parse_submission
 
 log = logging.getLogger(__name__)
 
--- a/src/poppyhold/node/workers.py
+++ b/src/poppyhold/node/workers.py
@@ -11,8 +11,9 @@
 from poppyhold.model.outbound import Data
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.settings import ConfigError, Settings, split_address
+from poppyhold.wire.codec import MalformedError
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
-from poppyhold.wire.messages import Heartbeat, MalformedError, parse_heartbeat
+from poppyhold.wire.worker_messages import Heartbeat, parse_heartbeat
 
 log = logging.getLogger(__name__)
 
--- a/src/poppyhold/quota/cell_quota.py
+++ b/src/poppyhold/quota/cell_quota.py
@@ -49,7 +49,7 @@
 )
 from poppyhold.quota.totals import RESOURCES, parts_of
 from poppyhold.scheduling.quotas import Quotas
-from poppyhold.wire.messages import Submission
+from poppyhold.wire.user_messages import Submission
 
 log = logging.getLogger(__name__)
 
--- a/src/poppyhold/quota/demand.py
+++ b/src/poppyhold/quota/demand.py
@@ -16,7 +16,7 @@
 from poppyhold.quota.hold_times import HoldTimes
 from poppyhold.quota.messages import Want
 from poppyhold.scheduling.placement import may_use
-from poppyhold.wire.messages import Submission
+from poppyhold.wire.user_messages import Submission
 
 
 class RecentPeak:
--- a/src/poppyhold/quota/share_book.py
+++ b/src/poppyhold/quota/share_book.py
@@ -31,7 +31,7 @@
     Transfer,
     share_key,
 )
-from poppyhold.wire.messages import convert
+from poppyhold.wire.codec import convert
 
 log = logging.getLogger(__name__)
 
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -14,7 +14,7 @@
 from poppyhold.relay.overflow import Overflow
 from poppyhold.settings import Settings, split_address
 from poppyhold.wire.http import Answer, Deferred, answer
-from poppyhold.wire.messages import Heartbeat, HeartbeatResponse
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
 # Share of a relay's connections that workers may take; the rest is for users and for workers on their way.
 _WORKERS_SHARE = 0.9
--- a/src/poppyhold/relay/intake.py
+++ b/src/poppyhold/relay/intake.py
@@ -8,7 +8,7 @@
 
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayedAnswer, UnchangedHeartbeat
-from poppyhold.wire.messages import Heartbeat, HeartbeatResponse
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
 
 class RelayState:
--- a/src/poppyhold/relay/leader.py
+++ b/src/poppyhold/relay/leader.py
@@ -15,7 +15,7 @@
 from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayedAnswer, RelayHello
 from poppyhold.settings import Workers
 from poppyhold.wire.frames import receive, send_at_once, shut
-from poppyhold.wire.messages import Heartbeat, HeartbeatResponse
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
 _decoder = msgspec.msgpack.Decoder(HeartbeatBatch)
 # A worker waits so long for the answer to a report.
--- a/src/poppyhold/relay/link.py
+++ b/src/poppyhold/relay/link.py
@@ -16,7 +16,7 @@
 from poppyhold.relay.queue import HeartbeatQueue, Respond, Response
 from poppyhold.relay.regaining import Regaining
 from poppyhold.wire.frames import receive, send, shut
-from poppyhold.wire.messages import Heartbeat
+from poppyhold.wire.worker_messages import Heartbeat
 
 log = logging.getLogger(__name__)
 
--- a/src/poppyhold/relay/messages.py
+++ b/src/poppyhold/relay/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from poppyhold.wire.messages import Command, Heartbeat
+from poppyhold.wire.worker_messages import Command, Heartbeat
 
 
 class RelayHello(msgspec.Struct, frozen=True, array_like=True, tag="relay"):
--- a/src/poppyhold/relay/queue.py
+++ b/src/poppyhold/relay/queue.py
@@ -20,7 +20,7 @@
     RelayedAnswer,
     UnchangedHeartbeat,
 )
-from poppyhold.wire.messages import Heartbeat
+from poppyhold.wire.worker_messages import Heartbeat
 
 # Called once for each report: with the leader's answer, or with None if there is none in time.
 Respond = Callable[[RelayedAnswer | None], None]
--- a/src/poppyhold/scale/cell_checks.py
+++ b/src/poppyhold/scale/cell_checks.py
@@ -16,7 +16,7 @@
 from poppyhold.scale.checks import RuleChecks
 from poppyhold.scale.run import ScaleRun
 from poppyhold.scale.standins import StateStandIn
-from poppyhold.wire.messages import convert
+from poppyhold.wire.codec import convert
 
 _SLACK = 1e-6
 _MOST_KEPT = 50
--- a/src/poppyhold/scale/hollow.py
+++ b/src/poppyhold/scale/hollow.py
@@ -15,7 +15,7 @@
 from poppyhold.scale.measure import Latency, Rate
 from poppyhold.scale.standins import WorkerStandIn
 from poppyhold.scale.wire import Connection, Data, HttpServer, NoAnswerError, Status
-from poppyhold.wire.messages import decode
+from poppyhold.wire.codec import decode
 
 # What PROTOCOL says of every worker: its patience, its pause before the next node, the least time between two
 # reports, and the longest way to the node that it was sent to.
--- a/src/poppyhold/scale/outside.py
+++ b/src/poppyhold/scale/outside.py
@@ -13,7 +13,7 @@
 from poppyhold.scale.routes import cloud_route, parse_query, state_route
 from poppyhold.scale.standins import CloudStandIn, StateStandIn
 from poppyhold.scale.wire import HttpServer, Status
-from poppyhold.wire.messages import decode
+from poppyhold.wire.codec import decode
 
 _TICK_S = 0.02
 CLOUD_RPS, CLOUD_LATENCY_S, CLOUD_LAG_S = 4.0, 0.08, 8.0
--- a/src/poppyhold/scale/routes.py
+++ b/src/poppyhold/scale/routes.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from poppyhold.scale.standins import CloudStandIn, StateStandIn, Status
-from poppyhold.wire.messages import decode
+from poppyhold.wire.codec import decode
 
 _LARGEST_LIST = 500
 
--- a/src/poppyhold/scale/standins.py
+++ b/src/poppyhold/scale/standins.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from poppyhold.wire.messages import encode
+from poppyhold.wire.codec import encode
 
 Data = dict[str, Any]
 Status = tuple[int, Data]
--- a/src/poppyhold/scale/wire.py
+++ b/src/poppyhold/scale/wire.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from poppyhold.wire.messages import MalformedError, decode, encode
+from poppyhold.wire.codec import MalformedError, decode, encode
 
 Data = dict[str, Any]
 Status = tuple[int, Data]
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -19,7 +19,8 @@
 from poppyhold.scheduling.planner import Plan, Planner
 from poppyhold.scheduling.pricing import Pricing
 from poppyhold.scheduling.quotas import Quotas
-from poppyhold.wire.messages import PRIORITIES, convert
+from poppyhold.wire.codec import convert
+from poppyhold.wire.user_messages import PRIORITIES
 
 # Jobs of this priority and above it are urgent.
 _LEAST_URGENT = PRIORITIES.index("high")
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -11,7 +11,7 @@
 from poppyhold.model.entities import Attempt, Job, Machine
 from poppyhold.model.resources import EPSILON, NO_RESOURCES, Resources, add_scaled, fits
 from poppyhold.scheduling.free_capacity import FreeCapacityView, Ranking, Rankings
-from poppyhold.wire.messages import BEFORE_IMAGE, STOPPABLE
+from poppyhold.wire.worker_messages import BEFORE_IMAGE, STOPPABLE
 
 # Fetches take a third longer at times, as PROTOCOL says.
 _FETCH_SPREAD = 4 / 3
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -18,7 +18,7 @@
 from poppyhold.model.entities import Attempt, Job, Machine
 from poppyhold.model.resources import EPSILON, NO_RESOURCES, Resources, add_scaled, fits
 from poppyhold.scheduling.placement import Choice, fetch_wait, may_use, zone_allows
-from poppyhold.wire.messages import TaskState
+from poppyhold.wire.worker_messages import TaskState
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/src/poppyhold/wire/codec.py
@@ -0,0 +1,48 @@
+"""The codec of bodies on the outside protocols: CBOR maps, checked against message types."""
+
+from __future__ import annotations
+
+from typing import Any, TypeVar
+
+import cbor2
+import msgspec
+
+BODY_LIMIT = 64 * 1024
+
+T = TypeVar("T")
+
+
+class MalformedError(Exception):
+    """A body is not what the protocol says; its sender has to change it."""
+
+
+def encode(body: object) -> bytes:
+    """Encode a body as CBOR."""
+    return cbor2.dumps(body)
+
+
+def decode(body: bytes) -> dict[str, Any]:
+    """Decode a body, which must be a CBOR map.
+
+    Raises:
+        MalformedError: it is not CBOR, or no map.
+    """
+    try:
+        value = cbor2.loads(body)
+    except Exception as error:  # cbor2 raises many kinds on hostile input
+        raise MalformedError("not CBOR") from error
+    if not isinstance(value, dict):
+        raise MalformedError("not a map")
+    return value
+
+
+def convert(value: object, kind: type[T]) -> T:
+    """Check a decoded body against a message type.
+
+    Raises:
+        MalformedError: a field is missing, or has another type.
+    """
+    try:
+        return msgspec.convert(value, kind)
+    except (msgspec.ValidationError, OverflowError, RecursionError, TypeError) as error:
+        raise MalformedError(str(error)) from error
--- a/src/poppyhold/wire/http.py
+++ b/src/poppyhold/wire/http.py
@@ -14,8 +14,8 @@
 from http import HTTPStatus
 from typing import Any
 
+from poppyhold.wire.codec import BODY_LIMIT, encode
 from poppyhold.wire.http_fields import read_fields
-from poppyhold.wire.messages import BODY_LIMIT, encode
 
 log = logging.getLogger(__name__)
 
--- a/src/poppyhold/wire/http_client.py
+++ b/src/poppyhold/wire/http_client.py
@@ -8,8 +8,8 @@
 import time
 from typing import Any
 
+from poppyhold.wire.codec import MalformedError, decode, encode
 from poppyhold.wire.http_fields import read_fields
-from poppyhold.wire.messages import MalformedError, decode, encode
 
 # A connection that has been idle so long is not used again: the other side may close it meanwhile.
 _KEEP_S = 15.0
--- /dev/null
+++ b/src/poppyhold/wire/worker_messages.py
@@ -0,0 +1,131 @@
+"""The workers' protocol: heartbeats, their responses and direct commands."""
+
+from __future__ import annotations
+
+import re
+from enum import StrEnum
+from typing import Any
+
+import msgspec
+
+from poppyhold.wire import field_names as names
+from poppyhold.wire.codec import MalformedError, convert
+
+# Machines' names become keys of the state service: one that can't be a key would be tried there for ever.
+_MACHINE_NAME = re.compile(r"[A-Za-z0-9._:-]{1,120}\Z")
+
+
+class TaskState(StrEnum):
+    """State of a task in a heartbeat; `SENT`, which is never sent, is an attempt that none has shown yet."""
+
+    SENT = "sent"
+    FETCHING = "pulling"
+    WAITING = "waiting"
+    RUNNING = "running"
+    SAVING = "flushing"
+    EXITED = "ended"
+
+
+# Tasks whose machine does not have their image yet.
+BEFORE_IMAGE = frozenset({TaskState.SENT, TaskState.FETCHING})
+# Tasks whose machine has their image, once they are seen.
+HAS_IMAGE = frozenset({TaskState.WAITING, TaskState.RUNNING})
+# Tasks that may be stopped to free capacity.
+STOPPABLE = frozenset({TaskState.FETCHING, TaskState.WAITING, TaskState.RUNNING})
+# Tasks that users are told of as running.
+IN_PROGRESS = frozenset({TaskState.RUNNING, TaskState.SAVING})
+
+
+class ExitCause(StrEnum):
+    """Why a task exited."""
+
+    DONE = "done"
+    STOPPED = "stopped"
+    ERROR = "error"
+    NO_ROOM = "no_room"
+    BUSY = "busy"
+    UNKNOWN_TASK = "no_such"
+    PEER_LOST = "mates_gone"
+    GANG_INCOMPLETE = "alone"
+
+
+class TaskStatus(msgspec.Struct, frozen=True):
+    """A task in a worker's heartbeat."""
+
+    task: str = msgspec.field(name=names.TASK)
+    attempt: int = msgspec.field(name=names.ATTEMPT)
+    status: str
+    cause: str | None = None
+    kept: bool | None = None
+
+
+class CommandKind(StrEnum):
+    """What a worker is told to do with a task."""
+
+    START = "run"
+    STOP = "stop"
+    FORGET = "reap"
+
+
+class Command(msgspec.Struct, frozen=True, omit_defaults=True):
+    """A command to a worker, in the response to its heartbeat or sent directly."""
+
+    kind: CommandKind = msgspec.field(name=names.COMMAND_KIND)
+    task: str = msgspec.field(name=names.TASK)
+    attempt: int = msgspec.field(name=names.ATTEMPT)
+    # Time to save, in seconds; with every stop.
+    grace_s: float | None = msgspec.field(name=names.GRACE_S, default=None)
+
+
+class HeartbeatResponse(msgspec.Struct, frozen=True):
+    """The response to a heartbeat, which renews the worker's lease."""
+
+    fencing_token: int = msgspec.field(name=names.FENCING_TOKEN)
+    commands: list[Command] = msgspec.field(name=names.COMMANDS, default_factory=list)
+
+    def body(self) -> dict[str, Any]:
+        """The body of the response."""
+        body: dict[str, Any] = msgspec.to_builtins(self)
+        return body
+
+
+class DirectCommandsRequest(msgspec.Struct, frozen=True):
+    """POST /do: commands that go straight to a worker, void for any other incarnation of it."""
+
+    fencing_token: int = msgspec.field(name=names.FENCING_TOKEN)
+    incarnation: int = msgspec.field(name=names.INCARNATION)
+    commands: list[Command] = msgspec.field(name=names.COMMANDS)
+
+    def body(self) -> dict[str, Any]:
+        """The body of the request."""
+        body: dict[str, Any] = msgspec.to_builtins(self)
+        return body
+
+
+class Heartbeat(msgspec.Struct, frozen=True):
+    """POST /hello, and the responses of /do and /show."""
+
+    machine: str = msgspec.field(name=names.MACHINE)
+    endpoint: str
+    machine_type: str = msgspec.field(name=names.MACHINE_TYPE)
+    zone: str = msgspec.field(name=names.ZONE)
+    spot: bool = msgspec.field(name=names.SPOT)
+    incarnation: int = msgspec.field(name=names.INCARNATION)
+    sequence: int = msgspec.field(name=names.SEQUENCE)
+    fencing_token: int = msgspec.field(name=names.FENCING_TOKEN)
+    notice_s: float | None = msgspec.field(name=names.PREEMPTION_NOTICE_S, default=None)
+    tasks: list[TaskStatus] = msgspec.field(name=names.TASKS, default_factory=list)
+
+
+def parse_heartbeat(value: object) -> Heartbeat:
+    """Check a worker's heartbeat.
+
+    Raises:
+        MalformedError: it is not of the protocol's form, or a number is out of range.
+    """
+    heartbeat = convert(value, Heartbeat)
+    if heartbeat.incarnation < 1 or heartbeat.sequence < 0 or heartbeat.fencing_token < 0:
+        raise MalformedError("shift, tally or baton is out of range")
+    if not _MACHINE_NAME.match(heartbeat.machine):
+        raise MalformedError("box is not a machine's name")
+    return heartbeat
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -37,16 +37,9 @@
 from poppyhold.relay.mode import RelayMode
 from poppyhold.scale.jobs import Data
 from poppyhold.scale.standins import StateStandIn
-from poppyhold.wire.messages import (
-    Heartbeat,
-    HeartbeatResponse,
-    Listed,
-    Listing,
-    MachineType,
-    convert,
-    encode,
-    parse_heartbeat,
-)
+from poppyhold.wire.cloud_messages import ListedMachine, MachineListing, MachineType
+from poppyhold.wire.codec import convert, encode
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, parse_heartbeat
 from sim_relay import SimRelay
 
 if TYPE_CHECKING:
@@ -560,8 +553,8 @@
         asked = world.now
         if not world.cloud.down and asked >= leader_term.next_list:
             leader_term.next_list = asked + 4.0
-            boxes = [convert(b, Listed) for b in world.cloud.listing()[1]["boxes"]]
-            leader_term.controller.listed(Listing(boxes, asked))
+            boxes = [convert(b, ListedMachine) for b in world.cloud.listing()[1]["boxes"]]
+            leader_term.controller.listed(MachineListing(boxes, asked))
         if self.store.get(LEADER_KEY) is None or world.state.extend(leader_term.lease_id)[0] == 404:
             self.step_down()
             return
--- a/tests/sim_relay.py
+++ b/tests/sim_relay.py
@@ -12,7 +12,7 @@
 from poppyhold.relay.queue import HeartbeatQueue, Response
 from poppyhold.relay.regaining import Regaining
 from poppyhold.scale.standins import Data
-from poppyhold.wire.messages import HeartbeatResponse, parse_heartbeat
+from poppyhold.wire.worker_messages import HeartbeatResponse, parse_heartbeat
 
 if TYPE_CHECKING:
     from sim_node import SimLeaderTerm, SimNode
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -23,15 +23,10 @@
 from poppyhold.scale.jobs import submission
 from poppyhold.scale.jobs import wire as as_sent
 from poppyhold.settings import ConfigError, NextState, State, Team, load_settings
-from poppyhold.wire.messages import (
-    MachineType,
-    MachineTypes,
-    MalformedError,
-    convert,
-    encode,
-    parse_heartbeat,
-    parse_submission,
-)
+from poppyhold.wire.cloud_messages import MachineType, MachineTypes
+from poppyhold.wire.codec import MalformedError, convert, encode
+from poppyhold.wire.user_messages import parse_submission
+from poppyhold.wire.worker_messages import parse_heartbeat
 from world import World
 
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -7,7 +7,7 @@
 from poppyhold.execution.gangs import Gangs, GangState
 from poppyhold.model.entities import Job
 from poppyhold.scale.jobs import submission
-from poppyhold.wire.messages import ExitCause, TaskState
+from poppyhold.wire.worker_messages import ExitCause, TaskState
 from test_reconciliation import leading_world
 from world import World
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -27,7 +27,7 @@
 from poppyhold.scheduling.gang_placement import GangPlacement
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.scheduling.relocation import Relocation
-from poppyhold.wire.messages import Heartbeat
+from poppyhold.wire.worker_messages import Heartbeat
 from scenario import FOLDER
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -39,10 +39,11 @@
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import ConfigError, MachineLimits, Team
 from poppyhold.settings import Settings as Deployed
+from poppyhold.wire.cloud_messages import ListedMachine, MachineType
+from poppyhold.wire.cloud_messages import MachineListPage as ListPage
 from poppyhold.wire.frames import send
 from poppyhold.wire.http import Server, answer
-from poppyhold.wire.messages import Listed, MachineType, parse_submission
-from poppyhold.wire.messages import MachineList as ListPage
+from poppyhold.wire.user_messages import parse_submission
 from world import World
 
 MACHINES = 4000
@@ -192,9 +193,9 @@
 # -- the cloud's lists -----------------------------------------------------------------------------------
 
 
-def _listed(name: str) -> Listed:
+def _listed(name: str) -> ListedMachine:
     """A machine of the list."""
-    return Listed(name, machine_type="large", zone="a", spot=False, status="running")
+    return ListedMachine(name, machine_type="large", zone="a", spot=False, status="running")
 
 
 class ListingCloud:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -14,7 +14,8 @@
 from poppyhold.options import Options
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.settings import Team
-from poppyhold.wire.messages import encode, parse_heartbeat
+from poppyhold.wire.codec import encode
+from poppyhold.wire.worker_messages import parse_heartbeat
 from sim_node import SimLeaderTerm
 from test_reconciliation import leading_world
 from test_store import Fickle
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -20,9 +20,9 @@
 from poppyhold.scale.controllers import free_port
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.settings import Known, Outside, Team, split_address
+from poppyhold.wire.codec import encode
 from poppyhold.wire.frames import send
 from poppyhold.wire.http import Answer
-from poppyhold.wire.messages import encode
 from test_smoke import Outside as OutsideStandIns
 from test_smoke import eventually
 from world import World
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -18,7 +18,7 @@
 from poppyhold.scheduling.planner import Planner
 from poppyhold.scheduling.pricing import Pricing, priced, shares_of
 from poppyhold.settings import Team
-from poppyhold.wire.messages import Submission, parse_submission
+from poppyhold.wire.user_messages import Submission, parse_submission
 
 SLOT_S = 60.0
 
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -6,7 +6,7 @@
 
 from poppyhold.scale.jobs import submission
 from poppyhold.settings import Team
-from poppyhold.wire.messages import Command, CommandKind
+from poppyhold.wire.worker_messages import Command, CommandKind
 from sim_node import SimLeaderTerm
 from world import World
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -28,7 +28,7 @@
 from poppyhold.relay.queue import HeartbeatQueue
 from poppyhold.relay.regaining import Regaining
 from poppyhold.settings import ConfigError, Workers
-from poppyhold.wire.messages import Command, CommandKind, Heartbeat, HeartbeatResponse, TaskStatus
+from poppyhold.wire.worker_messages import Command, CommandKind, Heartbeat, HeartbeatResponse, TaskStatus
 from scenario import Scenario
 from test_smoke import eventually
 from world import World
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -23,9 +23,9 @@
 from poppyhold.scale.routes import cloud_route, parse_query, state_route
 from poppyhold.scale.standins import CloudStandIn, StateStandIn, WorkerStandIn
 from poppyhold.settings import MachineLimits, Workers, strains
+from poppyhold.wire.codec import decode, encode
 from poppyhold.wire.http import Answer, Deferred, Server
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
-from poppyhold.wire.messages import decode, encode
 from world import World
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -21,7 +21,8 @@
 from poppyhold.cluster.peers import Message, Ping, Pong
 from poppyhold.model.outbound import MisdirectedWorker
 from poppyhold.settings import NextState, Team
-from poppyhold.wire.messages import MachineType, Submission
+from poppyhold.wire.cloud_messages import MachineType
+from poppyhold.wire.user_messages import Submission
 from scenario import Scenario
 from world import World
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -20,8 +20,8 @@
 from poppyhold.settings import Cloud as CloudLimits
 from poppyhold.settings import Deployment as DeploymentSettings
 from poppyhold.settings import Known, NextState, Objective, Outside, Settings, State, Team, Workers
+from poppyhold.wire.codec import encode
 from poppyhold.wire.http import Answer
-from poppyhold.wire.messages import encode
 from sim_node import STEP_S, SimNode
 
 # Users ask once in so many steps.
