--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -7,8 +7,9 @@
 
 import msgspec
 
+from poppyhold.durable.keys import MACHINE_PREFIX
 from poppyhold.durable.records import MachineRecord
-from poppyhold.durable.store import MACHINE, put
+from poppyhold.durable.store import put
 from poppyhold.execution.direct_commands import DirectCommands
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.gangs import Gangs
@@ -17,7 +18,8 @@
 from poppyhold.model.entities import TASK_DONE, Attempt, Job, JobPhase, Machine, RecordState, StartChannel
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.model.outcome import RequestOutcome
-from poppyhold.wire.messages import (
+from poppyhold.wire.task_names import split_task
+from poppyhold.wire.worker_messages import (
     HAS_IMAGE,
     Command,
     CommandKind,
@@ -26,7 +28,6 @@
     HeartbeatResponse,
     TaskState,
     TaskStatus,
-    split_task,
 )
 
 log = logging.getLogger(__name__)
@@ -136,7 +137,7 @@
             self._ctx.scheduling_needed = True
 
         record = MachineRecord(machine.endpoint, machine.machine_type, machine.zone, machine.spot)
-        write = put(MACHINE + machine.name, msgspec.to_builtins(record))
+        write = put(MACHINE_PREFIX + machine.name, msgspec.to_builtins(record))
         # Nothing starts on the machine before: a plan's record serves nobody without one.
         self._ctx.outbound.commit({}, [write], durable, CommitPriority.SOONEST)
 
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -34,13 +34,13 @@
 
 import poppyhold
 from poppyhold.cli import main
-from poppyhold.durable import store
+from poppyhold.durable import keys
 from poppyhold.options import parse_options
 from poppyhold.options_pb2 import Options as OptionsMessage
 from poppyhold.quota import records
 from poppyhold.scale.__main__ import main as scale_main
 from poppyhold.settings import ConfigError, load_settings
-from poppyhold.wire.messages import convert, decode, encode
+from poppyhold.wire.codec import convert, decode, encode
 from wire_kinds import MAPS, MESSAGES, WORDS, sample, words
 
 FIXTURE_FILE = Path(__file__).parent / "fixtures" / "wire_forms.json"
@@ -144,7 +144,7 @@
 
 def _keys() -> list[str]:
     """Every key and prefix of keys that the state service knows, whatever its constant is called."""
-    texts = [value for module in (store, records) for value in vars(module).values()]
+    texts = [value for module in (keys, records) for value in vars(module).values()]
     return sorted({text for text in texts if isinstance(text, str) and text.startswith("ph/")})
 
 
