--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -11,15 +11,10 @@
 import msgspec
 
 from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled, machine_type_capacity
-from poppyhold.wire.messages import (
-    IN_PROGRESS,
-    PRIORITIES,
-    Command,
-    MachineType,
-    Submission,
-    TaskState,
-    task_name,
-)
+from poppyhold.wire.cloud_messages import MachineType
+from poppyhold.wire.task_names import task_name
+from poppyhold.wire.user_messages import PRIORITIES, Submission
+from poppyhold.wire.worker_messages import IN_PROGRESS, Command, TaskState
 
 # The states of a job's tasks. They are plain integers because a job keeps one byte for each of its tasks in a
 # bytearray, which the search for the next pending task reads byte by byte.
--- a/src/poppyhold/model/resources.py
+++ b/src/poppyhold/model/resources.py
@@ -5,7 +5,7 @@
 import math
 from typing import Final
 
-from poppyhold.wire.messages import MachineType
+from poppyhold.wire.cloud_messages import MachineType
 
 # Amounts of cpus, accelerators and memory in GB, at the indices below. This is a plain tuple because the
 # interpreter has fast paths for indexing and building exact tuples only: as a NamedTuple, ``fits`` takes 1.6
