--- /dev/null
+++ b/src/poppyhold/execution/attempt_lifecycle.py
@@ -0,0 +1,119 @@
+"""The life cycle of attempts: how they are started and stopped, and how they are removed once proven over."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from poppyhold.execution.direct_commands import DirectCommands, OnCommandResponse
+from poppyhold.execution.gangs import Gangs
+from poppyhold.execution.heartbeat_commands import stop_command
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Attempt, Job, Machine, StartChannel
+from poppyhold.model.outcome import RequestOutcome
+from poppyhold.wire.worker_messages import Command, CommandKind, TaskState
+
+log = logging.getLogger(__name__)
+
+
+class AttemptLifecycle:
+    """Starts, stops and removes attempts, and tells their gangs."""
+
+    def __init__(
+        self,
+        ctx: Context,
+        on_command_response: OnCommandResponse,
+        on_attempt_terminated: Callable[[Attempt], None],
+    ) -> None:
+        """Create the life cycle of one term's attempts.
+
+        Args:
+            ctx: What the parts of the core share.
+            on_command_response: Called with the outcome of each request to a worker.
+            on_attempt_terminated: Called before an attempt that is proven to be over is removed.
+        """
+        self._ctx, self._on_attempt_terminated = ctx, on_attempt_terminated
+        self.gangs = Gangs(ctx, self.stop)
+        self.commands = DirectCommands(ctx, self.mark_terminated, on_command_response)
+
+    def start(self, job: Job, index: int, machine: Machine, victims: list[Attempt]) -> Attempt:
+        """Start a task, after stopping the victims on the same machine."""
+        now = self._ctx.clock()
+        number = self.gangs.attempt_number(job) if job.is_gang else self._ctx.next_unique_number()
+        attempt = Attempt(job, index, number, machine, machine.incarnation, now)
+        for victim in victims:
+            self.stop(victim, 0.0, now, direct=False)
+        if now < machine.unreliable_until:
+            attempt.start_channel = StartChannel.HEARTBEAT_RESPONSE
+        else:
+            attempt.start_channel = StartChannel.DIRECT
+            attempt.start_in_flight = True
+            self.commands.enqueue(
+                machine,
+                *(stop_command(victim, now) for victim in victims),
+                Command(CommandKind.START, attempt.name, attempt.number),
+            )
+        self._ctx.fleet.add_attempt(attempt)
+        log.debug(
+            "start task: task=%s class=%s machine=%s attempt=%d victims=%d image=%s image_gb=%.1f cached=%s",
+            attempt.name,
+            job.spec.job_class,
+            machine.name,
+            number,
+            len(victims),
+            job.spec.image,
+            job.spec.image_gb,
+            job.spec.image in machine.images,
+        )
+        return attempt
+
+    def stop(self, attempt: Attempt, grace_s: float, now: float, direct: bool = True) -> None:
+        """Stop an attempt; the command is repeated until the attempt is proven to be over.
+
+        Args:
+            attempt: The attempt.
+            grace_s: Time that its task has to save.
+            now: The moment.
+            direct: Whether to send the command at once; it goes with responses to heartbeats in any case.
+        """
+        if attempt.stopping_at is None:
+            attempt.stopping_at = now
+            attempt.grace_s = grace_s
+        else:
+            attempt.grace_s = min(attempt.grace_s, grace_s)
+        if (
+            attempt.status == TaskState.SENT
+            and attempt.start_channel is StartChannel.HEARTBEAT_RESPONSE
+            and attempt.response_sequence < 0
+        ):
+            # Its start was never handed out.
+            self.mark_terminated(attempt)
+            return
+        if direct:
+            self.commands.enqueue(attempt.machine, stop_command(attempt, now))
+
+    def handle_start_outcome(self, attempt: Attempt, outcome: RequestOutcome) -> None:
+        """Handle the outcome of the request that carried an attempt's start."""
+        attempt.start_in_flight = False
+        if attempt.status != TaskState.SENT:
+            return
+        if outcome in (RequestOutcome.REJECTED, RequestOutcome.NOT_SENT):
+            # Nothing was executed, and nothing can be later.
+            self.mark_terminated(attempt)
+        elif outcome == RequestOutcome.UNKNOWN:
+            attempt.void_at_fencing_token = self._ctx.fencing_token + 1
+
+    def mark_terminated(self, attempt: Attempt) -> None:
+        """Remove an attempt that is proven to be over."""
+        log.debug(
+            "attempt terminated: task=%s machine=%s attempt=%d status=%s",
+            attempt.name,
+            attempt.machine.name,
+            attempt.number,
+            attempt.status,
+        )
+        self._on_attempt_terminated(attempt)
+        self._ctx.fleet.remove_attempt(attempt)
+        if attempt.job.is_gang:
+            self.gangs.task_terminated(attempt, self._ctx.clock())
+        self._ctx.scheduling_needed = True
--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -1,4 +1,4 @@
-"""The durable record of completed tasks: a bit for each task, in stretches that fit into a stored value."""
+"""The durable record of completed tasks: a bit for each task, in ranges that fit into a stored value."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
 from poppyhold.settings import State
 
 # Tasks that a hexadecimal digit stands for.
-_TASKS_A_DIGIT = 4
-_LEAST_STRETCH = 64
-# What a record holds beside its digits, at the most.
+_TASKS_PER_DIGIT = 4
+# Tasks of a range at the least, however small the values may be.
+_LEAST_RANGE = 64
+# Bytes of a record beside its digits, at the most.
 _FRAME_BYTES = 16
 
 
-def _stretch(value_bytes: int) -> int:
-    """Tasks in a record that may fill a quarter of the largest value with each of its four bits."""
-    return max(_LEAST_STRETCH, value_bytes // _TASKS_A_DIGIT * _TASKS_A_DIGIT)
+def _range_size(value_bytes: int) -> int:
+    """Tasks of a record: one digit, for four tasks, in each four bytes of the largest value."""
+    return max(_LEAST_RANGE, value_bytes // _TASKS_PER_DIGIT * _TASKS_PER_DIGIT)
 
 
 def encode_bits(states: bytearray) -> str:
-    """The completed tasks among these, the first in the lowest bit, in hexadecimal."""
+    """Encode which of these tasks are completed, the first in the lowest bit, in hexadecimal."""
     bits = 0
     for offset, state in enumerate(states):
         if state == TASK_DONE:
@@ -35,7 +36,7 @@
 
 
 def decode_bits(text: str) -> Iterator[int]:
-    """Offsets of the tasks that a record calls completed."""
+    """Yield the offsets of the tasks that a record holds as completed."""
     bits = int(text, 16)
     while bits:
         lowest = bits & -bits
@@ -43,21 +44,25 @@
         bits ^= lowest
 
 
+def _ignore_outcome(done: bool) -> None:
+    """Take no notice: what is left of a finalized job the next leader removes as it loads the records."""
+
+
 class Layout:
-    """Which record holds which tasks.
+    """Decides which record holds which tasks.
 
-    Every version numbers the records under `ph/d/` by the value size that holds now. Where such a record
-    would not fit once the announced limits hold, the tasks go to smaller records under `ph/e/`, which older
+    Every version numbers the records under `ph/d/` by the value size that applies now. Where such a record
+    would not fit once the announced limits apply, the tasks go to smaller records under `ph/e/`, which older
     versions don't read: they start such a task anew, and its worker answers that it is done.
     """
 
     def __init__(self, limits: State) -> None:
         self._largest_bytes = limits.lowest.value_bytes
-        self.coarse = _stretch(limits.value_bytes)
-        self.fine = _stretch(self._largest_bytes)
+        self.coarse = _range_size(limits.value_bytes)
+        self.fine = _range_size(self._largest_bytes)
 
     def records(self, job: Job, indices: Iterable[int]) -> dict[str, Data]:
-        """The records, by key, that these tasks belong to, as they have to be now."""
+        """Return the records, by key, that these tasks belong to, as they have to be now."""
         found: dict[str, Data] = {}
         for index in indices:
             key, first, size = self._place(job, index)
@@ -70,14 +75,14 @@
         number = index // self.coarse
         first = number * self.coarse
         tasks = min(self.coarse, job.spec.tasks - first)
-        if tasks // _TASKS_A_DIGIT + _FRAME_BYTES <= self._largest_bytes:
+        if tasks // _TASKS_PER_DIGIT + _FRAME_BYTES <= self._largest_bytes:
             return f"{COMPLETIONS_PREFIX}{job.id}/{number}", first, self.coarse
         number = index // self.fine
         return f"{COMPLETION_RANGES_PREFIX}{job.id}/{number}", number * self.fine, self.fine
 
 
 class Completions:
-    """Reads and writes the records of one term."""
+    """Reads and writes the records of completed tasks during one term."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
@@ -86,13 +91,13 @@
         self._most_changes = limits.lowest.txn_ops
 
     def load(self, prefix: str, records: dict[str, Data]) -> None:
-        """Take the records that earlier leaders made durable; those of jobs that are over are removed."""
+        """Load the records that earlier leaders made durable; those of finalized jobs are removed."""
         size = self._layout.coarse if prefix == COMPLETIONS_PREFIX else self._layout.fine
         for name, data in records.items():
             job_id, _, number = name.rpartition("/")
             job = self._ctx.fleet.jobs.get(job_id)
             if job is None:
-                self._ctx.outbound.commit({}, [remove(prefix + name)], lambda done: None)
+                self._ctx.outbound.commit({}, [remove(prefix + name)], _ignore_outcome)
                 continue
             job.done_records.add(prefix + name)
             record = msgspec.convert(data, CompletionsRecord)
@@ -100,7 +105,7 @@
                 job.complete(int(number) * size + offset)
 
     def save(self) -> None:
-        """Make completions durable that are not yet."""
+        """Make completions durable that are not yet, one save of a job at a time."""
         for job in self._ctx.fleet.jobs.values():
             if job.undurable_completions and (
                 not job.completions_save_in_flight and job.phase is JobPhase.ACTIVE
@@ -114,25 +119,26 @@
         job.done_records |= records.keys()
         writes = [put(key, data) for key, data in records.items()]
         batches = [writes[i : i + self._most_changes] for i in range(0, len(writes), self._most_changes)]
-        saved = self._saved(job, indices, len(batches))
+        on_committed = self._on_batch_committed(job, indices, len(batches))
         for batch in batches:
-            self._ctx.outbound.commit({ACTIVE_JOB_PREFIX + job.id: job.version}, batch, saved)
+            self._ctx.outbound.commit({ACTIVE_JOB_PREFIX + job.id: job.version}, batch, on_committed)
 
     @staticmethod
-    def _saved(job: Job, indices: set[int], batches: int) -> Callable[[bool], None]:
+    def _on_batch_committed(job: Job, indices: set[int], batches: int) -> Callable[[bool], None]:
+        """Return the callback of a save in so many batches: it counts as durable once all of them are."""
         outcomes: list[bool] = []
 
-        def durable(done: bool) -> None:
+        def on_committed(done: bool) -> None:
             outcomes.append(done)
             if len(outcomes) == batches:
                 job.completions_save_in_flight = False
                 if all(outcomes):
                     job.undurable_completions -= indices
 
-        return durable
+        return on_committed
 
     def remove(self, job: Job) -> None:
-        """A job is over: its records are of no use any more."""
+        """Remove the records of a finalized job."""
         writes = [remove(key) for key in sorted(job.done_records)]
         for first in range(0, len(writes), self._most_changes):
-            self._ctx.outbound.commit({}, writes[first : first + self._most_changes], lambda done: None)
+            self._ctx.outbound.commit({}, writes[first : first + self._most_changes], _ignore_outcome)
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -1,4 +1,4 @@
-"""Commands that go straight to workers: what waits to be sent, and the token that makes lost ones void."""
+"""Commands that are sent to workers directly, and the fencing token that makes lost ones void."""
 
 from __future__ import annotations
 
@@ -12,63 +12,87 @@
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.wire.worker_messages import Command, CommandKind, DirectCommandsRequest, Heartbeat
 
-# A machine, the attempts whose starts were sent, the outcome, and the report that came with the answer.
-OnAnswered = Callable[[Machine, list[Attempt], RequestOutcome, Heartbeat | None], None]
+# A machine, the attempts whose starts were sent, the outcome, and the heartbeat that came with the response.
+OnCommandResponse = Callable[[Machine, list[Attempt], RequestOutcome, Heartbeat | None], None]
 
 
-class DirectCommands:
-    """One request to a machine at a time; what comes meanwhile waits and goes with the next."""
+# Commands in one request to a worker.
+_MOST_COMMANDS = 200
+# For this many heartbeat intervals after a term began, its workers are asked for heartbeats only where there
+# are few of them.
+_INITIAL_PROBE_INTERVALS = 1.5
+
 
-    def __init__(self, ctx: Context, on_void: Callable[[Attempt], None], on_answered: OnAnswered) -> None:
-        """``on_void``: a start that waited here is not sent any more."""
-        self._ctx, self._on_start_discarded, self._on_response = ctx, on_void, on_answered
+class DirectCommands:
+    """Sends one request to a machine at a time; commands that come meanwhile wait for the next."""
+
+    def __init__(
+        self,
+        ctx: Context,
+        on_start_discarded: Callable[[Attempt], None],
+        on_response: OnCommandResponse,
+    ) -> None:
+        """Create the queues of one term.
+
+        Args:
+            ctx: What the parts of the core share.
+            on_start_discarded: Called with an attempt whose start waited here and won't be sent any more.
+            on_response: Called with the outcome of each request.
+        """
+        self._ctx, self._on_start_discarded, self._on_response = ctx, on_start_discarded, on_response
+        # Whether a higher fencing token is being made durable.
         self._raise_in_flight = False
         self._began_at = ctx.clock()
-        # How many silent workers may be asked now, and as of when.
+        # A token bucket: how many silent workers may be asked now, and when that was counted.
         self._probe_credit, self._probe_credit_at = ctx.silent_probe_rate, self._began_at
-        # Machines with commands to be sent. A walk over all machines behind every report took a tenth of the
-        # decision thread's time at 650 of them.
+        # Machines with commands to be sent. A walk over all machines after every heartbeat took a tenth of
+        # the decision thread's time at 650 of them.
         self._outbox: dict[str, Machine] = {}
 
     def enqueue(self, machine: Machine, *commands: Command) -> None:
-        """Queue commands for a worker."""
+        """Queue commands for a worker; `send_queued` sends them."""
         machine.queued_commands += commands
         self._outbox[machine.name] = machine
 
     def send_queued(self) -> None:
-        """Send what is to be said to workers directly."""
+        """Send the queued commands to workers that have no request in flight."""
         for machine in list(self._outbox.values()):
             if machine.command_in_flight:
                 continue
-            commands, machine.queued_commands = machine.queued_commands[:200], machine.queued_commands[200:]
+            commands, machine.queued_commands = (
+                machine.queued_commands[:_MOST_COMMANDS],
+                machine.queued_commands[_MOST_COMMANDS:],
+            )
             if not machine.queued_commands:
                 del self._outbox[machine.name]
             self._send(machine, commands)
 
     def request_heartbeat(self, machine: Machine, now: float) -> None:
-        """Ask a worker that has not taken our token yet for a report, unless there are very many of them.
+        """Ask a worker that has not taken our token yet for a heartbeat, unless there are very many of them.
 
-        Behind a change of leader every worker reports by itself within an interval. With 4,000 of them,
-        asking each over a connection of its own kept the leader from those reports, and leases ended.
+        After a change of leader every worker sends a heartbeat by itself within an interval. With 4,000 of
+        them, asking each over a connection of its own kept the leader from those heartbeats, and leases
+        ended.
         """
         ctx = self._ctx
         if (
             len(ctx.fleet.machines) <= ctx.max_initial_probes
-            or now - self._began_at > 1.5 * ctx.durations.heartbeat_interval_s
+            or now - self._began_at > _INITIAL_PROBE_INTERVALS * ctx.durations.heartbeat_interval_s
         ):
             self._probe(machine, now)
 
     def probe_silent_worker(self, machine: Machine, now: float) -> None:
-        """Ask a worker that is silent for a report, within a pace.
+        """Ask a worker that is silent for a heartbeat, at a limited rate.
 
-        Each question is a connection and a thread of its own. Where a leader fell behind, a thousand workers
-        looked silent to it, and asking each of them anew in every interval kept it from their reports.
+        Each request takes a connection and a thread of its own. Where a leader fell behind, a thousand
+        workers looked silent to it, and asking each of them anew in every interval kept it from their
+        heartbeats.
         """
-        pace = self._ctx.silent_probe_rate
+        rate = self._ctx.silent_probe_rate
         self._probe_credit = min(
-            pace,
+            rate,
             self._probe_credit
-            + (now - self._probe_credit_at) * pace / self._ctx.durations.heartbeat_interval_s,
+            + (now - self._probe_credit_at) * rate / self._ctx.durations.heartbeat_interval_s,
         )
         self._probe_credit_at = now
         if self._probe_credit >= 1 and now >= machine.next_probe_at and not machine.command_in_flight:
@@ -76,7 +100,7 @@
             self.request_heartbeat(machine, now)
 
     def _probe(self, machine: Machine, now: float) -> None:
-        """Ask a worker for a report, and hand it our token."""
+        """Ask a worker for a heartbeat, and tell it our token."""
         if (
             machine.command_in_flight
             or now < machine.next_probe_at
@@ -89,8 +113,8 @@
 
     def _send(self, machine: Machine, commands: list[Command]) -> None:
         ctx = self._ctx
-        # A start that waited here may be void by now: its session ended and the task runs elsewhere, or it
-        # is to be stopped. What was never sent is over.
+        # A start that waited here may be void by now: its incarnation ended and the task runs elsewhere, or
+        # it is to be stopped. An attempt whose start was never sent is over.
         commands = [
             command
             for command in commands
@@ -98,19 +122,21 @@
         ]
         machine.command_in_flight = True
         starts = [command.task for command in commands if command.kind is CommandKind.START]
-        batch = [machine.attempts[name] for name in starts if name in machine.attempts]
-        # An unheard worker's session is unknown: a command for none is not executed, but answered.
+        sent = [machine.attempts[name] for name in starts if name in machine.attempts]
+        # An unreconciled worker's incarnation is unknown: a command for another one is answered but not
+        # carried out.
         request = DirectCommandsRequest(ctx.fencing_token, machine.incarnation or 1, commands)
         silent = ctx.clock() - machine.last_heartbeat_at > ctx.durations.silent_s
 
-        def answered(outcome: RequestOutcome, heartbeat: Heartbeat | None) -> None:
-            self._on_response(machine, batch, outcome, heartbeat)
+        def on_response(outcome: RequestOutcome, heartbeat: Heartbeat | None) -> None:
+            self._on_response(machine, sent, outcome, heartbeat)
 
         ctx.outbound.send_commands(
-            machine.name, machine.endpoint, request.body(), answered, silent and bool(machine.reconciled)
+            machine.name, machine.endpoint, request.body(), on_response, silent and bool(machine.reconciled)
         )
 
     def _is_still_wanted(self, machine: Machine, command: Command) -> bool:
+        """Whether a queued start is still to be sent; its attempt is over if it is to be stopped."""
         attempt = machine.attempts.get(command.task)
         if attempt is None or attempt.number != command.attempt:
             return False
@@ -120,11 +146,14 @@
         return True
 
     def discard(self, machine: Machine) -> None:
-        """A machine is gone."""
+        """Drop the commands for a machine that is deleted."""
         self._outbox.pop(machine.name, None)
 
     def raise_fencing_token(self) -> None:
-        """Raise our token if a start is in limbo: commands under the old one then are void."""
+        """Raise our token if it is unknown whether a start was carried out.
+
+        Commands with the old token are void once a worker has seen the new one.
+        """
         ctx = self._ctx
         if self._raise_in_flight:
             return
@@ -141,12 +170,12 @@
         self._raise_in_flight = True
         fencing_token = ctx.fencing_token + 1
 
-        def raised(done: bool) -> None:
+        def on_committed(done: bool) -> None:
             self._raise_in_flight = False
             if done:
                 ctx.fencing_token = fencing_token
                 ctx.outbound.fencing_token_raised(fencing_token)
 
         ctx.outbound.commit(
-            {}, [put(FENCING_TOKEN_KEY, {"baton": fencing_token})], raised, CommitPriority.SOONEST
+            {}, [put(FENCING_TOKEN_KEY, {"baton": fencing_token})], on_committed, CommitPriority.SOONEST
         )
--- a/src/poppyhold/execution/failures.py
+++ b/src/poppyhold/execution/failures.py
@@ -1,7 +1,7 @@
 """Tasks that fail: whether the job is at fault, which fails everywhere, or the machine, which fails them all.
 
 A job at fault is started ever more seldom, one task at a time, until its user cancels it. A machine at fault
-is returned. What tells them apart is success: a task that completed, or that has run for much longer
+is deleted. What tells them apart is success: a task that completed, or that has run for much longer
 elsewhere than the failed ones ran, shows that its job is sound, and a completed one that its machine is.
 """
 
@@ -16,30 +16,33 @@
 log = logging.getLogger(__name__)
 
 # A job that fails on more machines than this without any success is taken to be at fault.
-_FEW_MACHINES = 2
-# Sound jobs that fail on a machine before it is taken to be at fault: one may have met something else.
-_FEWEST_JOBS = 2
+_MOST_MACHINES_BEFORE_VERDICT = 2
+# Sound jobs that fail on a machine before it is taken to be at fault: one may have failed for another reason.
+_LEAST_SOUND_JOBS = 2
 # The same where nothing tells whether the jobs are sound.
-_FEWEST_UNPROVEN_JOBS = 3
-# A task that runs so many times as long as the failed ones did shows that its job is sound.
-_OUTLASTS = 2
-# The pause behind a failure doubles up to so many times.
-_MOST_DOUBLINGS = 8
+_LEAST_UNPROVEN_JOBS = 3
+# A task that runs this many times as long as the failed ones did shows that its job is sound.
+_PROOF_RUN_FACTOR = 2
+# The backoff after a failure doubles up to this many times.
+_MOST_BACKOFF_DOUBLINGS = 8
 
 
 class Failures:
-    """Judges failed tasks. What it knows of a job is kept with the job, so that it goes with it."""
+    """Judges failed tasks. What it knows of a job is kept in the job, so that it is dropped with it."""
 
     def __init__(
-        self, times: Durations, clock: Callable[[], float], on_changed: Callable[[Job], None]
+        self, durations: Durations, clock: Callable[[], float], on_verdict_changed: Callable[[Job], None]
     ) -> None:
-        """``on_changed`` is called when a job is found to be at fault, or sound after all."""
-        self._times, self._clock, self._on_verdict_changed = times, clock, on_changed
+        """Create the judge of one term.
+
+        ``on_verdict_changed`` is called when a job is found to be at fault, or sound after all.
+        """
+        self._durations, self._clock, self._on_verdict_changed = durations, clock, on_verdict_changed
         # Jobs whose tasks have failed and have not been shown to be sound since.
         self._suspected: dict[str, Job] = {}
 
     def task_failed(self, attempt: Attempt, now: float) -> None:
-        """A task ended with an error."""
+        """Handle a task that ended with an error."""
         job, machine = attempt.job, attempt.machine
         machine.errors[job.id] = TaskError(job, now)
         job.failed_machines.add(machine.name)
@@ -52,26 +55,31 @@
             record.rounds += 1
         record.last_at = now
         # A sound job goes on at once: its task only has to avoid the machine.
-        doublings = 0 if job.done else min(record.rounds, _MOST_DOUBLINGS)
-        job.retry_at = now + min(self._times.heartbeat_interval_s * 2**doublings, self._times.cancel_s)
+        doublings = 0 if job.done else min(record.rounds, _MOST_BACKOFF_DOUBLINGS)
+        job.retry_at = now + min(
+            self._durations.heartbeat_interval_s * 2**doublings, self._durations.cancel_s
+        )
         self._suspected[job.id] = job
         if not record.at_fault and self._fails_everywhere(job):
-            log.info("%s fails on every machine: %d so far", job.id, len(record.machines))
+            log.info("job fails on every machine: job=%s machines=%d", job.id, len(record.machines))
             record.at_fault = True
             self._on_verdict_changed(job)
 
     @staticmethod
     def _fails_everywhere(job: Job) -> bool:
-        return not job.done and len(job.failures.machines) > _FEW_MACHINES
+        return not job.done and len(job.failures.machines) > _MOST_MACHINES_BEFORE_VERDICT
 
     def load(self, job: Job) -> None:
-        """Take over what an earlier leader found of a job."""
+        """Take the verdict of an earlier leader on a job."""
         if job.failures.at_fault:
-            job.failures.rounds = _MOST_DOUBLINGS
+            job.failures.rounds = _MOST_BACKOFF_DOUBLINGS
             self._suspected[job.id] = job
 
     def task_completed(self, attempt: Attempt) -> None:
-        """A task completed: its job is sound, and its machine if the task began behind the last error."""
+        """Handle a completed task.
+
+        Its job is sound, and so is its machine if the task was started after the last error there.
+        """
         errors = attempt.machine.errors
         if errors and attempt.sent_at > max(error.occurred_at for error in errors.values()):
             errors.clear()
@@ -91,10 +99,12 @@
         record = attempt.job.failures
         if attempt.running_at is None or attempt.machine.name in record.machines:
             return False
-        return now - attempt.running_at > _OUTLASTS * (record.lasted_s + self._times.heartbeat_interval_s)
+        return now - attempt.running_at > _PROOF_RUN_FACTOR * (
+            record.lasted_s + self._durations.heartbeat_interval_s
+        )
 
     def _mark_sound(self, job: Job) -> None:
-        """Take back what is held against a job. The time its tasks lasted stays: it may have been chance."""
+        """Clear what is held against a job, but not the time its tasks lasted: it may have been chance."""
         del self._suspected[job.id]
         record = job.failures
         record.sound_at = self._clock()
@@ -108,18 +118,18 @@
     def machine_at_fault(self, machine: Machine) -> bool:
         """Whether different jobs fail on it that are sound elsewhere.
 
-        Two jobs with a mistake that begin on the same machine must not cost it, nor two of them the fleet.
+        Two faulty jobs that begin on the same machine must not cost that machine, nor two of them the fleet.
         """
         sound = unproven = 0
-        settled_at = self._clock() - self._times.cancel_s
+        settled_at = self._clock() - self._durations.cancel_s
         for error in machine.errors.values():
             sound += error.job_is_sound
             unproven += error.may_be_the_machine and error.occurred_at < settled_at
-        return sound >= _FEWEST_JOBS or sound + unproven >= _FEWEST_UNPROVEN_JOBS
+        return sound >= _LEAST_SOUND_JOBS or sound + unproven >= _LEAST_UNPROVEN_JOBS
 
     def is_suspect(self, machine: Machine) -> bool:
-        """Whether a machine had better be used last, until it is clear who is at fault."""
-        recent = self._clock() - self._times.cancel_s
+        """Whether a machine should be used last, until it is clear what is at fault."""
+        recent = self._clock() - self._durations.cancel_s
         return any(
             error.may_be_the_machine and error.occurred_at > recent for error in machine.errors.values()
         )
--- a/src/poppyhold/execution/gangs.py
+++ b/src/poppyhold/execution/gangs.py
@@ -1,7 +1,7 @@
-"""The life of a gang's attempt: the tasks of the job run all at the same time, or none does.
+"""The life cycle of a gang's attempt: the tasks of the job run all at the same time, or none does.
 
 Tasks of a gang find one another by the number of their attempt. Each state below says what the controller may
-do; what a single task does is known from its worker's reports alone, as for tasks of any other job.
+do; what a single task does is known from its worker's heartbeats alone, as for tasks of any other job.
 """
 
 from __future__ import annotations
@@ -20,30 +20,31 @@
 
 
 class GangState(Enum):
-    """What an attempt is doing."""
+    """The state of a gang's attempt."""
 
-    # No task is on a machine, or may be: room for all of them is looked for.
+    # No task is on a machine, or may be: capacity for all of them is looked for.
     WAITING_FOR_CAPACITY = "waiting for capacity"
     # Tasks were started and none was seen to run: one that is proven lost is replaced under the same number.
     ASSEMBLING = "assembling"
     # The gang was seen to run: without one of its tasks it fails.
     RUNNING = "running"
-    # Every task was told to stop and has the time to save.
+    # Every task was told to stop, and has the time to save.
     STOPPING = "stopping"
-    # The attempt can't complete: every task is stopped, and the next attempt waits until all are gone.
+    # The attempt can't complete: every task is stopped, and the next attempt waits until all are proven over.
     FAILED = "failed"
 
 
-# Ends of a task that end its attempt, whatever was seen of the others.
+# Exit causes of a task that fail its gang's attempt, whatever was seen of the others.
 _FATAL_CAUSES = frozenset(
     {ExitCause.PEER_LOST, ExitCause.GANG_INCOMPLETE, ExitCause.ERROR, ExitCause.UNKNOWN_TASK}
 )
 
+# An attempt, the time that its task has to save in seconds, and the moment.
 StopTask = Callable[[Attempt, float, float], None]
 
 
 class Gang(msgspec.Struct, eq=False):
-    """An attempt of a gang, from its first start command until every task is proven gone."""
+    """An attempt of a gang, from its first start command until every task is proven over."""
 
     job: Job
     number: int
@@ -53,9 +54,10 @@
 
 
 class Gangs:
-    """Follows the attempts of all gangs; stops go through the function that stops a task."""
+    """Follows the attempts of all gangs."""
 
     def __init__(self, ctx: Context, stop_task: StopTask) -> None:
+        """Create the gangs of one term; ``stop_task`` stops a single task."""
         self._ctx, self._stop_task = ctx, stop_task
         self._gangs: dict[str, Gang] = {}
 
@@ -69,27 +71,32 @@
         return self.state_of(job) in (GangState.WAITING_FOR_CAPACITY, GangState.ASSEMBLING)
 
     def attempt_number(self, job: Job) -> int:
-        """The attempt number for a task that is about to start."""
+        """Return the attempt number for a task that is about to start; the first one begins an attempt."""
         gang = self._gangs.get(job.id)
         if gang is None:
             gang = self._gangs[job.id] = Gang(job, self._ctx.next_unique_number())
-            log.debug("%s: attempt %d of %d tasks", job.id, gang.number, job.spec.tasks)
+            log.debug("gang attempt begins: job=%s attempt=%d tasks=%d", job.id, gang.number, job.spec.tasks)
         return gang.number
 
     def adopt(self, attempt: Attempt, now: float) -> None:
-        """A report showed a task that an earlier leader started."""
+        """Count a task that an earlier leader started, as a heartbeat showed it."""
         job = attempt.job
         gang = self._gangs.setdefault(job.id, Gang(job, attempt.number))
         if attempt.number != gang.number:
-            # No attempt begins before the last is proven gone, so this is not expected. Neither of them can
+            # No attempt begins before the last is proven over, so this is not expected. Neither of them can
             # be trusted to be whole.
-            log.warning("%s: attempts %d and %d at once", job.id, gang.number, attempt.number)
+            log.warning(
+                "two gang attempts at once: job=%s attempt=%d other_attempt=%d",
+                job.id,
+                gang.number,
+                attempt.number,
+            )
             self._fail(gang, "two attempts", now)
             return
         self.task_reported(attempt, now)
 
     def task_reported(self, attempt: Attempt, now: float) -> None:
-        """A task's state changed, as its worker reports."""
+        """Handle a task whose status changed, as its worker's heartbeat says."""
         gang = self._gangs.get(attempt.job.id)
         if gang is None:
             return
@@ -106,18 +113,18 @@
             gang.waiting_since = now
 
     def task_exited(self, attempt: Attempt, cause: str | None, now: float) -> None:
-        """A task ended otherwise than by completion; it still counts as part of the attempt."""
+        """Handle a task that ended otherwise than by completion; it still counts as part of the attempt."""
         gang = self._gangs.get(attempt.job.id)
         if gang is None or gang.state in (GangState.STOPPING, GangState.FAILED):
             return
         if cause in _FATAL_CAUSES:
             if cause == ExitCause.GANG_INCOMPLETE:
-                # Workers keep the same time as we do: whose report or tick comes first is chance.
+                # Workers wait for the same time as we do: whose heartbeat or tick comes first is chance.
                 self._avoid_late_machines(gang)
             self._fail(gang, f"{attempt.name} ended: {cause}", now)
 
     def task_terminated(self, attempt: Attempt, now: float) -> None:
-        """A task is proven gone and is no longer part of the attempt."""
+        """Handle a task that is proven over and is no longer part of the attempt."""
         job = attempt.job
         gang = self._gangs.get(job.id)
         if gang is None:
@@ -125,7 +132,7 @@
         if not job.active:
             del self._gangs[job.id]
         elif gang.state is GangState.RUNNING and job.remaining:
-            self._fail(gang, f"{attempt.name} is gone", now)
+            self._fail(gang, f"{attempt.name} is over", now)
 
     def stop(self, job: Job, now: float, grace_s: float | None = None) -> None:
         """Stop all tasks in one step; with the time to save unless another grace period is given."""
@@ -133,18 +140,18 @@
         if gang is None or gang.state is GangState.FAILED:
             return
         grace = self._grace_s(job) if grace_s is None else grace_s
-        log.debug("%s: stop attempt %d, grace %.1f s", job.id, gang.number, grace)
+        log.debug("stop gang: job=%s attempt=%d grace_s=%.1f", job.id, gang.number, grace)
         gang.state = GangState.STOPPING
         self._stop_tasks(gang, grace, now)
 
     def abandon(self, job: Job, reason: str, now: float) -> None:
-        """Release the room of an attempt that can't be completed."""
+        """Fail an attempt that can't be completed, so that its capacity is released."""
         gang = self._gangs.get(job.id)
         if gang is not None and gang.state is GangState.ASSEMBLING:
             self._fail(gang, reason, now)
 
     def tick(self, now: float) -> None:
-        """Give up the attempts that waited too long for one of their tasks."""
+        """Fail the attempts that waited too long for one of their tasks."""
         wait_s = self._ctx.settings.settings.workers.gang_wait_s
         for gang in list(self._gangs.values()):
             since = gang.waiting_since
@@ -153,7 +160,7 @@
                 self._fail(gang, "not complete in time", now)
 
     def _avoid_late_machines(self, gang: Gang) -> None:
-        """Machines whose tasks kept the others waiting count as failed for this gang."""
+        """Count machines whose tasks kept the others waiting as failed for this gang."""
         for attempt in gang.job.active.values():
             if attempt.status in BEFORE_IMAGE:
                 gang.job.failed_machines.add(attempt.machine.name)
@@ -164,7 +171,7 @@
         return job.spec.save_s + workers.gang_peer_s + workers.heartbeat_interval_s
 
     def _fail(self, gang: Gang, reason: str, now: float) -> None:
-        log.debug("%s: attempt %d failed: %s", gang.job.id, gang.number, reason)
+        log.debug("gang failed: job=%s attempt=%d reason=%s", gang.job.id, gang.number, reason)
         gang.state = GangState.FAILED
         self._stop_tasks(gang, 0.0, now)
 
--- a/src/poppyhold/execution/heartbeat_commands.py
+++ b/src/poppyhold/execution/heartbeat_commands.py
@@ -1,4 +1,4 @@
-"""The commands that go with the answer to a worker's report."""
+"""The commands that go with the response to a worker's heartbeat."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def stop_command(attempt: Attempt, now: float) -> Command:
-    """The stop of an attempt; once its time to save is over, at once."""
+    """Return the command that stops an attempt; without grace once its time to save has passed."""
     grace_s = attempt.grace_s
     if attempt.stopping_at is not None and now > attempt.stopping_at + grace_s:
         grace_s = 0.0
@@ -17,13 +17,13 @@
 
 
 class HeartbeatCommands:
-    """Chooses them by what the report shows and what the machine should hold."""
+    """Chooses commands by what the heartbeat shows and what the machine should hold."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
 
     def commands_for_new_heartbeat(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
-        """All that is due, behind a report that was taken as the truth about its machine."""
+        """Return all that is due after a heartbeat that was applied as the truth about its machine."""
         commands: list[Command] = []
         for task in heartbeat.tasks:
             if task.status == TaskState.EXITED:
@@ -44,11 +44,11 @@
         return commands
 
     def stop_commands(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
-        """Stops for what must not go on: every answer that renews a lease carries them.
+        """Return stops for all that must not go on: every response that renews a lease carries them.
 
-        A report that proves nothing may all the same be the worker's own, and its answer the last one that
-        arrives for a lease: without these, a task cancelled long ago would live that lease to its end. What
-        is not there is not harmed by them, and who sent a copy drops the answer.
+        A heartbeat that proves nothing may all the same be the worker's own, and its response the last one
+        that arrives for a lease: without these, a task cancelled long ago would live that lease to its end. A
+        stop of a task that is not there does no harm, and whoever sent a copy drops the response.
         """
         commands = [
             stop_command(attempt, now)
@@ -62,7 +62,10 @@
         return commands
 
     def _may_forget_exit(self, task: TaskStatus) -> bool:
-        """A completion must be durable first: its worker is the only one that knows of it."""
+        """Whether a worker may forget a task that ended.
+
+        A completion must be durable first: the worker is the only one that knows of it.
+        """
         job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
         return job is None or job.phase is JobPhase.FINALIZED or index not in job.undurable_completions
--- /dev/null
+++ b/src/poppyhold/execution/lease_expiry.py
@@ -0,0 +1,66 @@
+"""Proofs that machines hold nothing any more: their last lease has expired, or they are deleted."""
+
+from __future__ import annotations
+
+import logging
+
+from poppyhold.execution.attempt_lifecycle import AttemptLifecycle
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Machine
+
+log = logging.getLogger(__name__)
+
+
+class LeaseExpiry:
+    """Ends the attempts of machines whose leases have expired, and tracks the unreconciled machines."""
+
+    def __init__(self, ctx: Context, lifecycle: AttemptLifecycle) -> None:
+        self._ctx, self._lifecycle = ctx, lifecycle
+        # When the term began.
+        self.began_at = ctx.clock()
+        # Machines that may hold tasks of earlier terms, and have neither reported in this one nor been proven
+        # empty.
+        self.unreconciled: set[str] = set()
+        self._all_reconciled_logged = False
+
+    def all_reconciled(self) -> bool:
+        """Whether every machine that may hold tasks of earlier terms has reported or is proven empty."""
+        if self.unreconciled:
+            return False
+        if not self._all_reconciled_logged:
+            self._all_reconciled_logged = True
+            log.info("all machines reconciled: after_s=%.1f", self._ctx.clock() - self.began_at)
+        return True
+
+    def expire_leases(self, machine: Machine, now: float) -> None:
+        """End the attempts of a silent worker if its lease has expired, whoever may have renewed it last."""
+        durations = self._ctx.durations
+        if machine.reconciled:
+            # It has followed our token, so only we and our delegates could renew its lease: as long as nobody
+            # else led.
+            renewed_at = max(machine.last_response_at, self._ctx.outbound.delegated_leases_expire_at())
+            bound = renewed_at + durations.lease_expired_s
+        else:
+            # Before our term others renewed its lease, for as long as they could at the most.
+            bound = max(
+                self.began_at + durations.predecessors_expired_s,
+                machine.last_response_at + durations.lease_expired_s,
+            )
+        if now <= bound or self._ctx.outbound.leadership_confirmed_at() <= bound:
+            return
+        if machine.attempts:
+            log.debug("lease expired: machine=%s attempts=%d", machine.name, len(machine.attempts))
+        for attempt in list(machine.attempts.values()):
+            self._lifecycle.mark_terminated(attempt)
+        self.unreconciled.discard(machine.name)
+
+    def machine_deleted(self, machine: Machine) -> None:
+        """Remove a machine that the cloud has deleted, with all that was on it."""
+        now = self._ctx.clock()
+        for attempt in list(machine.attempts.values()):
+            self._lifecycle.mark_terminated(attempt)
+        self.unreconciled.discard(machine.name)
+        self._lifecycle.commands.discard(machine)
+        self._ctx.fleet.machines.pop(machine.name, None)
+        self._ctx.deleted_at[machine.name] = now
+        self._ctx.scheduling_needed = True
--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -87,7 +87,7 @@
         """Empty little used machines, one replica at a time, when nothing waits for room."""
         ctx = self._ctx
         machines = ctx.fleet.machines
-        if self._reconciler.unreconciled or any(
+        if self._reconciler.lease_expiry.unreconciled or any(
             j.pending > 0 and j.phase is not JobPhase.FINALIZED for j in ctx.fleet.jobs.values()
         ):
             return
@@ -110,7 +110,7 @@
                 continue
             for attempt in machine.attempts.values():
                 if attempt.stopping_at is None and attempt.job.is_service and attempt.job.id not in moving:
-                    self._reconciler.stop(attempt, 0.0, now)
+                    self._reconciler.lifecycle.stop(attempt, 0.0, now)
                     break
 
     def _spaces(self, now: float) -> list[Space]:
@@ -174,7 +174,7 @@
                 space.used
                 or machine.attempts
                 or not machine.is_up
-                or machine.name in self._reconciler.unreconciled
+                or machine.name in self._reconciler.lease_expiry.unreconciled
             ):
                 needed[machine.name] = now
                 continue
--- a/src/poppyhold/machines/deletions.py
+++ b/src/poppyhold/machines/deletions.py
@@ -58,7 +58,7 @@
 
     def _gone(self, machine: Machine) -> None:
         recorded = machine.record_state is not RecordState.NOT_RECORDED
-        self._reconciler.machine_deleted(machine)
+        self._reconciler.lease_expiry.machine_deleted(machine)
         self._on_gone(machine)
         if recorded:
             self._ctx.outbound.commit({}, [remove(MACHINE_PREFIX + machine.name)], lambda done: None)
--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -65,22 +65,22 @@
             if machine.deleting:
                 # The cloud may not answer for long; the end of a lease is proof too.
                 if now - machine.last_heartbeat_at > self._ctx.durations.lease_s:
-                    self._reconciler.expire_leases(machine, now)
-            elif machine.is_up or machine.name in self._reconciler.unreconciled:
+                    self._reconciler.lease_expiry.expire_leases(machine, now)
+            elif machine.is_up or machine.name in self._reconciler.lease_expiry.unreconciled:
                 self._survey(machine, survey, now)
             elif self._boots.is_hopeless(machine, self._provisioning.give_up_s(machine.machine_type), now):
                 self._deletions.mark(machine, "never came up")
         self._judge_silence(survey, now)
         for machine in self._ctx.fleet.machines.values():
-            gone = not machine.attempts and machine.name not in self._reconciler.unreconciled
+            gone = not machine.attempts and machine.name not in self._reconciler.lease_expiry.unreconciled
             if gone and (machine.quarantined or machine.draining):
                 self._deletions.mark(machine, "left")
         self._deletions.carry_out()
 
     def _quiet_s(self, machine: Machine, now: float) -> float:
         """For how long a machine has been silent, as far as we could have heard it."""
-        times, began = self._ctx.durations, self._reconciler.began_at
-        if machine.reconciled or machine.name not in self._reconciler.unreconciled:
+        times, began = self._ctx.durations, self._reconciler.lease_expiry.began_at
+        if machine.reconciled or machine.name not in self._reconciler.lease_expiry.unreconciled:
             return now - max(machine.last_heartbeat_at, machine.up_at, began + times.heartbeat_interval_s * 2)
         # It was up, and was asked when our term began: a sound worker answers that at once.
         return now - began + times.presumed_lost_s / 2
@@ -105,14 +105,14 @@
         quiet_s = self._quiet_s(machine, now)
         survey.quiet += self._is_quiet(quiet_s)
         if quiet_s > times.silent_s / 2:
-            self._reconciler.commands.probe_silent_worker(machine, now)
+            self._reconciler.lifecycle.commands.probe_silent_worker(machine, now)
         if quiet_s > times.presumed_lost_s:
             if machine.preempted_at is not None and now > machine.preempted_at - times.presumed_lost_s:
                 self._deletions.mark(machine, "recalled")
             else:
                 survey.silent.append(machine)
         if quiet_s > times.lease_s:
-            self._reconciler.expire_leases(machine, now)
+            self._reconciler.lease_expiry.expire_leases(machine, now)
         if machine.errors and self._reconciler.failures.machine_at_fault(machine):
             machine.quarantined = True
 
@@ -134,7 +134,7 @@
         for machine in silent:
             # A zone that is cut off comes back with all its machines: its tasks start elsewhere once its
             # leases are over, but machines are given up for good only a good while behind that.
-            heard_at = max(machine.last_heartbeat_at, machine.up_at, self._reconciler.began_at)
+            heard_at = max(machine.last_heartbeat_at, machine.up_at, self._reconciler.lease_expiry.began_at)
             if machine.zone in silent_zones:
                 # Others in their place would be no more use there, and have to boot when the zone is back:
                 # 39 machines were given up 20 s before that, and their tasks waited for 50 s more. Those
@@ -173,7 +173,7 @@
         A copy of an old report is none that turned away. Who has just begun to lead has no reports to compare
         with, and gives them the time to come.
         """
-        if now - self._reconciler.began_at < self._ctx.durations.lease_s:
+        if now - self._reconciler.lease_expiry.began_at < self._ctx.durations.lease_s:
             return 0
         machines = self._ctx.fleet.machines
 
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -81,7 +81,7 @@
             self.ctx,
             options.cells,
             self._quotas,
-            lambda: self.ctx.fleet.unaccounted_resources(self.reconciler.unreconciled),
+            lambda: self.ctx.fleet.unaccounted_resources(self.reconciler.lease_expiry.unreconciled),
             self.autoscaler.can_rent,
             self._quotas_changed,
         )
@@ -121,7 +121,7 @@
         for job in sorted(ctx.fleet.jobs.values(), key=lambda job: job.submitted_at):
             self._resume(job)
         for machine in ctx.fleet.machines.values():
-            self.reconciler.commands.request_heartbeat(machine, now)
+            self.reconciler.lifecycle.commands.request_heartbeat(machine, now)
 
     def _load_machine(self, name: str, data: Data, now: float) -> None:
         """A machine that may hold tasks of earlier terms."""
@@ -132,7 +132,7 @@
         machine.images.update(self.ctx.image_hints.get(name, ()))
         machine.record_state, machine.is_up = RecordState.DURABLE, True
         self.ctx.fleet.machines[name] = machine
-        self.reconciler.unreconciled.add(name)
+        self.reconciler.lease_expiry.unreconciled.add(name)
 
     def _resume(self, job: Job) -> None:
         """Go on with a job of an earlier term."""
@@ -185,7 +185,7 @@
         self.admission.forget(job)
         now = self.ctx.clock()
         for attempt in list(job.active.values()):
-            self.reconciler.stop(attempt, 0.0, now)
+            self.reconciler.lifecycle.stop(attempt, 0.0, now)
         self.completions.remove(job)
         if job.plan_durable or job.plan_write_in_flight:
             self.admission.remove_plan(job_id)
@@ -212,8 +212,8 @@
         self.failures.tick()
         self.autoscaler.watch()
         self._drain(now)
-        self.reconciler.commands.raise_fencing_token()
-        self.reconciler.gangs.tick(now)
+        self.reconciler.lifecycle.commands.raise_fencing_token()
+        self.reconciler.lifecycle.gangs.tick(now)
         if now >= self._flush_at:
             self._flush_at = now + self.ctx.durations.heartbeat_interval_s / 2
             self.completions.save()
@@ -236,11 +236,11 @@
                 self._quotas.mark_guaranteed(
                     job for job in self.ctx.fleet.jobs.values() if job.phase is not JobPhase.FINALIZED
                 )
-            self.dispatcher.dispatch(self.reconciler.all_reconciled())
+            self.dispatcher.dispatch(self.reconciler.lease_expiry.all_reconciled())
             ended = self.ctx.clock()
             rest = max(6 * (ended - began), self.ctx.durations.heartbeat_interval_s / 25)
             self.settle_at = ended + min(rest, self.ctx.durations.heartbeat_interval_s / 2)
-        self.reconciler.commands.send_queued()
+        self.reconciler.lifecycle.commands.send_queued()
 
     def counts(self) -> dict[str, tuple[int, int]]:
         """Done and running tasks by job, for display."""
@@ -255,7 +255,7 @@
 
         What runs there of cancelled jobs must be gone in time, or is none of ours.
         """
-        if self.reconciler.unreconciled:
+        if self.reconciler.lease_expiry.unreconciled:
             return None
         finalized = JobPhase.FINALIZED
         return [
@@ -303,7 +303,7 @@
     def _task_done(self, job: Job, index: int) -> None:
         other = job.active.get(index)
         if other is not None:
-            self.reconciler.stop(other, 0.0, self.ctx.clock())
+            self.reconciler.lifecycle.stop(other, 0.0, self.ctx.clock())
         if job.done == job.spec.tasks:
             self._finish(job)
 
@@ -364,13 +364,13 @@
                         if attempt.job.spec.checkpoint_s > 0
                         else 0.0
                     )
-                    self.reconciler.stop(attempt, grace_s, now)
+                    self.reconciler.lifecycle.stop(attempt, grace_s, now)
 
     def _drain_gang(self, attempt: Attempt, left: float, now: float) -> None:
         """Move one task of a gang that assembles; a gang that runs is stopped as a whole."""
-        gangs, job = self.reconciler.gangs, attempt.job
+        gangs, job = self.reconciler.lifecycle.gangs, attempt.job
         if gangs.state_of(job) is GangState.ASSEMBLING:
-            self.reconciler.stop(attempt, 0.0, now)
+            self.reconciler.lifecycle.stop(attempt, 0.0, now)
         else:
             # With less time than saving takes its progress is lost anyway: the sooner it starts again.
             gangs.stop(job, now, grace_s=0.0 if left < job.spec.save_s else None)
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -130,7 +130,9 @@
         steady = [
             machine for machine in machines if machine.unreliable_until <= now and not suspects(machine)
         ]
-        self._pass = Pass(machines, steady, ctx.fleet.unaccounted_resources(self._reconciler.unreconciled))
+        self._pass = Pass(
+            machines, steady, ctx.fleet.unaccounted_resources(self._reconciler.lease_expiry.unreconciled)
+        )
         self.placement.begin(machines, [job for job in ctx.fleet.jobs.values() if job.active])
         self._gang_placement.begin(ctx.fleet.jobs.values())
         self._relocation.begin(self._pass.held)
@@ -351,7 +353,7 @@
 
     def _start_gang(self, job: Job, reserved: dict[str, Resources]) -> None:
         """Start all pending tasks of a gang in one step, or none."""
-        gangs = self._reconciler.gangs
+        gangs = self._reconciler.lifecycle.gangs
         if not gangs.may_start(job):
             return
         within_limit = self._gang_within_limit(job)
@@ -419,7 +421,7 @@
     def _start(self, job: Job, index: int, choice: Choice) -> None:
         if self._await_gangs(job, choice):
             return
-        attempt = self._reconciler.start(job, index, choice.machine, choice.victims)
+        attempt = self._reconciler.lifecycle.start(job, index, choice.machine, choice.victims)
         self.placement.take(choice)
         self._admission.use_booking(job, choice.machine.name)
         self._admission.book(attempt, 1.0)
@@ -431,7 +433,7 @@
             return False
         now = self._ctx.clock()
         for gang in gangs.values():
-            self._reconciler.gangs.stop(gang, now)
+            self._reconciler.lifecycle.gangs.stop(gang, now)
         saving_s = max(gang.spec.save_s for gang in gangs.values())
         job.may_preempt_at = now + saving_s + 2 * self._ctx.durations.heartbeat_interval_s
         return True
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -205,7 +205,7 @@
         leader = self.worlds[cell].leader()
         term = leader.leader_term if leader is not None else None
         quota = term.controller.quota if term is not None else None
-        if term is None or quota is None or term.controller.reconciler.unreconciled:
+        if term is None or quota is None or term.controller.reconciler.lease_expiry.unreconciled:
             return True
         if any("use above share" in alarm for alarm in quota.alarms.texts()):
             return True
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -18,7 +18,7 @@
     gang = {"shape": "group", "chores": 3, "bundle": "img-9", "sizeGb": 40.0, "guessS": 20.0}
     world.submit(submission("job-000002", gang))
     world.run(world.now + 1.0)
-    return world, leader_term.controller.reconciler.gangs, "job-000002"
+    return world, leader_term.controller.reconciler.lifecycle.gangs, "job-000002"
 
 
 def job_of(world: World, job_id: str) -> Job:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -15,6 +15,7 @@
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.gangs import Gangs, GangState
 from poppyhold.execution.heartbeat_commands import HeartbeatCommands
+from poppyhold.execution.lease_expiry import LeaseExpiry
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.boots import Boots
 from poppyhold.machines.launches import Launches
@@ -139,7 +140,7 @@
     Guard("gang_not_starved", Dispatcher, "_hold_for_gang", _never),
     Guard("gang_team_limit", Dispatcher, "_hold_for_gang", _never),
     Guard("gang_half_sent", Gangs, "adopt", _never),
-    Guard("gang_half_heard", AttemptReconciler, "all_reconciled", _always),
+    Guard("gang_half_heard", LeaseExpiry, "all_reconciled", _always),
     Guard("gang_short_notice", Controller, "_drain_gang", _never),
     Guard("gang_leader_crash_in_stop", Gangs, "stop", _kill),
     Guard("gang_cancelled_at_once", Controller, "job_removed", _never),
@@ -237,7 +238,7 @@
 GUARDS += [
     Guard("relay_batches_twice_and_late", AttemptReconciler, "_is_newer", _always),
     Guard("relay_cut_while_cancelled", Controller, "excluded_machines", _nobody),
-    Guard("relay_gang", AttemptReconciler, "all_reconciled", _always),
+    Guard("relay_gang", LeaseExpiry, "all_reconciled", _always),
 ]
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -55,14 +55,18 @@
     old = world.workers["vm-000001"].heartbeat()
     leader_term = next_leader(world)
     attempts = leader_term.controller.reconciler
-    assert attempts.unreconciled == {"vm-000001"}
+    assert attempts.lease_expiry.unreconciled == {"vm-000001"}
     answer = leader_term.controller.handle_heartbeat(parse_heartbeat(old))
     machine = leader_term.controller.ctx.fleet.machines["vm-000001"]
     # No order but stops, nothing adopted, not heard, and what it holds still counts as unknown.
     assert answer is not None
     assert answer.body() == {"baton": leader_term.fencing_token, "orders": []}
-    assert not machine.reconciled and not machine.attempts and attempts.unreconciled == {"vm-000001"}
-    assert not attempts.all_reconciled()
+    assert (
+        not machine.reconciled
+        and not machine.attempts
+        and attempts.lease_expiry.unreconciled == {"vm-000001"}
+    )
+    assert not attempts.lease_expiry.all_reconciled()
     # Nor does a node that may stand in for this leader take it.
     other = next(node for node in world.nodes if node.alive and node.leader_term is None)
     other.delegated_renewal.heard(
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -36,13 +36,13 @@
     leader_term.send_commands = lambda box, endpoint, body, done, patient: sent.append(body)  # type: ignore[method-assign]
     machine.command_in_flight = True
     job = controller.ctx.fleet.jobs["job-000001"]
-    controller.reconciler.stop(job.active[0], 0.0, world.now)
+    controller.reconciler.lifecycle.stop(job.active[0], 0.0, world.now)
     worker.tasks.clear()
     worker.incarnation += 1
     machine.queued_commands.clear()
     second = submission("job-000002", {"chores": 1})
     world.jobs["job-000002"] = second
-    waiting = controller.reconciler.start(job, 0, machine, [])
+    waiting = controller.reconciler.lifecycle.start(job, 0, machine, [])
     assert [command.kind for command in machine.queued_commands] == ["run"]
     leader_term.node.handle_heartbeat(worker.heartbeat())
     assert machine.attempts.get(waiting.name) is not waiting
@@ -50,7 +50,7 @@
     machine.queued_commands = [
         command for command in machine.queued_commands if command.attempt == waiting.number
     ]
-    controller.reconciler.commands.send_queued()
+    controller.reconciler.lifecycle.commands.send_queued()
     assert all(order["try"] != waiting.number for body in sent for order in body["orders"])
 
 
@@ -63,9 +63,9 @@
     machine.command_in_flight = True
     job = controller.ctx.fleet.jobs["job-000001"]
     attempt = job.active[0]
-    controller.reconciler.commands.enqueue(
+    controller.reconciler.lifecycle.commands.enqueue(
         machine, Command(CommandKind.START, attempt.name, attempt.number + 1)
     )
     machine.command_in_flight = False
-    controller.reconciler.commands.send_queued()
+    controller.reconciler.lifecycle.commands.send_queued()
     assert sent and sent[0]["orders"] == []
