--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from poppyhold.durable.changes import Entry, WatchEvent, put_record
 from poppyhold.durable.errors import (
     ConditionFailedError,
     LeaseExpiredError,
@@ -16,10 +17,13 @@
     StoreRejectedError,
 )
 from poppyhold.durable.keys import FENCING_TOKEN_KEY, LEADER_KEY, LEADER_PREFIX
-from poppyhold.durable.store import Entry, Store, put
+from poppyhold.durable.records import FencingTokenRecord, LeaderRecord
+from poppyhold.durable.store import Store
 from poppyhold.durable.watch import Watch
 from poppyhold.options import Options
 from poppyhold.settings import Settings
+from poppyhold.wire import field_names as names
+from poppyhold.wire.codec import convert
 
 log = logging.getLogger(__name__)
 
@@ -108,7 +112,7 @@
         if term is None:
             return
         try:
-            self._store.end_lease(term.lease_id)
+            self._store.revoke_lease(term.lease_id)
         except (StoreRejectedError, OutcomeUnknownError) as error:
             log.debug("handing over: %s", error)
             return
@@ -174,7 +178,7 @@
 
     def _end_lease(self, lease_id: int) -> None:
         try:
-            self._store.end_lease(lease_id)
+            self._store.revoke_lease(lease_id)
         except (StoreRejectedError, OutcomeUnknownError) as error:
             log.debug("lease %s: %s", lease_id, error)
 
@@ -182,19 +186,19 @@
         self._snapshot_seen = True
         self._seen(next((entry for entry in entries if entry.key == LEADER_KEY), None))
 
-    def _on_change(self, change: Entry | str, version: int) -> None:
+    def _on_change(self, change: WatchEvent) -> None:
         if isinstance(change, Entry):
             self._seen(change)
-        elif change == LEADER_KEY:
+        elif change.key == LEADER_KEY:
             term = self.term
-            if term is None or version > term.version:
+            if term is None or change.revision > term.version:
                 self._seen(None)
 
     def _seen(self, entry: Entry | None) -> None:
         leader = None
         if entry is not None:
-            data = entry.data
-            leader = Leader(data["member"], data["baton"], data["permit"], entry.version)
+            record = convert(entry.data, LeaderRecord)
+            leader = Leader(record.member, record.fencing_token, record.lease_id, entry.revision)
         term = self.term
         if term is not None and (leader is None or leader.version > term.version):
             self._name(leader)
@@ -221,7 +225,7 @@
         if asked - self.confirmed_at < self._renew_s * 0.9:
             return self._renew_s - (asked - self.confirmed_at)
         try:
-            self._store.extend(term.lease_id, self._renew_s * 2)
+            self._store.renew_lease(term.lease_id, self._renew_s * 2)
         except LeaseExpiredError:
             self.deposed("our lease ended")
             return 0.0
@@ -259,20 +263,23 @@
 
     def _stand(self, lease_id: int, asked: float) -> None:
         held = self._store.get(FENCING_TOKEN_KEY)
-        fencing_token = (held.data["baton"] if held else 0) + 1
-        claim = {"member": self._member, "baton": fencing_token, "permit": lease_id}
-        conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.version if held else 0}
+        fencing_token = (convert(held.data, FencingTokenRecord).fencing_token if held else 0) + 1
+        claim = LeaderRecord(self._member, fencing_token, lease_id)
+        conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.revision if held else 0}
         try:
             version = self._store.commit(
                 conditions,
-                [put(LEADER_KEY, claim, lease_id), put(FENCING_TOKEN_KEY, {"baton": fencing_token})],
+                [
+                    put_record(LEADER_KEY, claim, lease_id),
+                    put_record(FENCING_TOKEN_KEY, FencingTokenRecord(fencing_token)),
+                ],
             )
         except OutcomeUnknownError:
             # Perhaps it went through: the key itself tells. The permit is ours alone.
             entry = self._store.get(LEADER_KEY)
-            if entry is None or entry.data.get("permit") != lease_id:
+            if entry is None or entry.data.get(names.LEASE_ID) != lease_id:
                 raise
-            version = entry.version
+            version = entry.revision
         term = Term(fencing_token, version, lease_id, time.monotonic())
         with self._lock:
             self.leader = Leader(self._member, fencing_token, lease_id, version)
--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -1,4 +1,4 @@
-"""The leader's group commit: its durable steps, many to a transaction, each void once it leads no more."""
+"""The leader's group commit: durable steps, many to a transaction, each conditional on its leadership."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 import threading
 import time
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
 from poppyhold.concurrency.pace import Pace
+from poppyhold.durable.changes import Write, put_record
 from poppyhold.durable.errors import (
     ConditionFailedError,
     InvalidRequestError,
@@ -18,162 +19,190 @@
     StoreRejectedError,
 )
 from poppyhold.durable.keys import LEADER_KEY, WRITE_FENCE_KEY
-from poppyhold.durable.store import Data, Store, put
+from poppyhold.durable.records import WriteFenceRecord
+from poppyhold.durable.store import Store
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.settings import Settings
 
 log = logging.getLogger(__name__)
 
-# Units of a transaction, at the most: one whose condition fails makes all of them go one by one.
+# Units of a transaction, at the most: one whose condition fails makes all of them be committed one by one.
 _MOST_UNITS = 8
+# The state service allows so many conditions for each write of a transaction.
+_CONDITIONS_PER_WRITE = 4
+# Conditions of every transaction of a leader: on its key and on its write fence.
+_LEADER_CONDITIONS = 2
 
 
-class Writer:
-    """A leader's transactions, one at a time: each is conditional on its key and on its fence.
+class FencedWriter:
+    """A leader's transactions, one at a time: each is conditional on the leader's key and on the write fence.
 
-    One without an answer may be carried out late, behind newer ones of the same leader: an old plan, hire,
-    machine or record of completions would come back, or the token fall. So before the next transaction the
-    fence is changed, and what was tried before is void.
+    A transaction whose outcome is unknown may be carried out late, after newer ones of the same leader: an
+    old plan, launch, machine or record of completions would come back, or the fencing token fall. So before
+    the next transaction the write fence is changed, and whatever was tried before is void.
     """
 
-    def __init__(self, store: Store, lead_version: int) -> None:
-        self._store, self._lead_version = store, lead_version
-        self._fence: int | None = None
-        self._unsure = False
+    def __init__(self, store: Store, leader_key_revision: int) -> None:
+        self._store, self._leader_key_revision = store, leader_key_revision
+        # Revision of the write fence; None before it was read.
+        self._fence_revision: int | None = None
+        # Whether the last transaction may still be carried out.
+        self._outcome_unknown = False
 
-    def commit(self, conditions: dict[str, int], writes: list[Data]) -> None:
-        """Try a transaction once. Behind `OutcomeUnknownError` it may be repeated.
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> None:
+        """Try a transaction once. After `OutcomeUnknownError` it may be repeated.
 
-        If it went through after all, the repeat is the same again, or fails conditions of its own.
+        If it was carried out after all, the repeat writes the same again, or fails conditions of its own.
+
+        Raises:
+            ConditionFailedError: a condition of the transaction failed, or the one on the leader's key: then
+                somebody else leads.
+            StoreRejectedError: it was not carried out, and may be repeated.
+            OutcomeUnknownError: it may have been carried out.
         """
-        if self._fence is None or self._unsure:
+        if self._fence_revision is None or self._outcome_unknown:
             self._raise_fence()
-        own = {LEADER_KEY: self._lead_version, WRITE_FENCE_KEY: self._fence or 0}
+        leader_conditions = {
+            LEADER_KEY: self._leader_key_revision,
+            WRITE_FENCE_KEY: self._fence_revision or 0,
+        }
         try:
-            self._store.commit({**own, **conditions}, writes)
+            self._store.commit({**leader_conditions, **conditions}, writes)
         except OutcomeUnknownError:
-            self._unsure = True
+            self._outcome_unknown = True
             raise
-        except ConditionFailedError as conflict:
-            if WRITE_FENCE_KEY in conflict.failed_keys and LEADER_KEY not in conflict.failed_keys:
-                # It is ours alone to change: whoever did, look at it again.
-                self._fence = None
-                raise StoreRejectedError("the fence has moved") from conflict
+        except ConditionFailedError as error:
+            if WRITE_FENCE_KEY in error.failed_keys and LEADER_KEY not in error.failed_keys:
+                # Only we change it, so an earlier try of ours did: read it again.
+                self._fence_revision = None
+                raise StoreRejectedError("the write fence has changed") from error
             raise
 
     def _raise_fence(self) -> None:
-        if self._unsure and self._fence is not None:
-            own = {LEADER_KEY: self._lead_version, WRITE_FENCE_KEY: self._fence}
+        if self._outcome_unknown and self._fence_revision is not None:
+            conditions = {LEADER_KEY: self._leader_key_revision, WRITE_FENCE_KEY: self._fence_revision}
+            fence = put_record(WRITE_FENCE_KEY, WriteFenceRecord(self._fence_revision))
             try:
-                self._fence = self._store.commit(own, [put(WRITE_FENCE_KEY, {"behind": self._fence})])
-                self._unsure = False
+                self._fence_revision = self._store.commit(conditions, [fence])
+                self._outcome_unknown = False
                 return
-            except ConditionFailedError as conflict:
-                if LEADER_KEY in conflict.failed_keys:
+            except ConditionFailedError as error:
+                if LEADER_KEY in error.failed_keys:
                     raise
-                # A try of this very step that had no answer was carried out: that has the same effect.
+                # An earlier try of this very step, whose outcome was unknown, was carried out: that has the
+                # same effect.
         entry = self._store.get(WRITE_FENCE_KEY)
-        self._fence = entry.version if entry is not None else 0
-        self._unsure = False
+        self._fence_revision = entry.revision if entry is not None else 0
+        self._outcome_unknown = False
 
 
-class Unit(NamedTuple):
-    """One durable step of the leader: it is carried out whole or not at all."""
+class CommitUnit(NamedTuple):
+    """One durable step of the leader, which is carried out whole or not at all."""
 
     conditions: dict[str, int]
-    writes: list[Data]
-    done: Callable[[bool], None]
+    writes: Sequence[Write]
+    # Called with True once the step is durable, with False if one of its conditions failed.
+    on_committed: Callable[[bool], None]
 
 
 class Committer:
-    """The leader's writes, many units to a transaction, each conditional on the leader's key."""
+    """A thread that commits the leader's steps, many to a transaction, until it leads no more."""
 
     def __init__(
-        self, store: Store, settings: Settings, lead_version: int, on_deposed: Callable[[], None]
+        self,
+        store: Store,
+        settings: Settings,
+        leader_key_revision: int,
+        on_leadership_lost: Callable[[], None],
     ) -> None:
-        self._writer, self._on_deposed = Writer(store, lead_version), on_deposed
+        self._writer = FencedWriter(store, leader_key_revision)
+        self._on_leadership_lost = on_leadership_lost
         limits = settings.settings.state.lowest
-        self._ops = limits.txn_ops
+        self._most_writes = limits.txn_ops
         # Two thirds of the writes: the rest is for the users' nodes and the election. A burst of a third of a
         # second's worth goes out at once.
-        self._pace = Pace(limits.write_rps / 1.5, burst=self._ops / 2)
-        self._pause_s = 2 / limits.rps
-        self._longest_pause_s = max(self._pause_s, settings.settings.workers.heartbeat_interval_s / 8)
-        # By rank; each in order, lest the oldest starve in a burst.
-        self._queues: dict[CommitPriority, deque[Unit]] = {priority: deque() for priority in CommitPriority}
-        self._wake = threading.Condition()
+        self._pace = Pace(limits.write_rps / 1.5, burst=self._most_writes / 2)
+        self._retry_pause_s = 2 / limits.rps
+        self._longest_pause_s = max(self._retry_pause_s, settings.settings.workers.heartbeat_interval_s / 8)
+        # By priority, and each in the order of submission, lest the oldest starve in a burst.
+        self._queues: dict[CommitPriority, deque[CommitUnit]] = {
+            priority: deque() for priority in CommitPriority
+        }
+        self._queued = threading.Condition()
         self._stopped = False
         self._thread = threading.Thread(target=self._run, name="committer", daemon=True)
         self._thread.start()
 
-    def submit(self, unit: Unit, priority: CommitPriority = CommitPriority.BACKGROUND) -> None:
-        """Queue a unit; its ``done`` is called with True once durable, False if a condition failed."""
-        with self._wake:
+    def submit(self, unit: CommitUnit, priority: CommitPriority = CommitPriority.BACKGROUND) -> None:
+        """Queue a unit; its ``on_committed`` is called on the committer's thread."""
+        with self._queued:
             self._queues[priority].append(unit)
-            self._wake.notify()
+            self._queued.notify()
 
     def stop(self) -> None:
         """End the thread; units that are queued are dropped."""
-        with self._wake:
+        with self._queued:
             self._stopped = True
-            self._wake.notify()
-
-    def _next_queue(self) -> deque[Unit] | None:
-        """The first queue that holds anything."""
-        return next((self._queues[priority] for priority in CommitPriority if self._queues[priority]), None)
-
-    def _take(self) -> list[Unit]:
-        with self._wake:
-            while not (self._next_queue() or self._stopped):
-                self._wake.wait()
-            units: list[Unit] = []
+            self._queued.notify()
+
+    def _first_queue(self) -> deque[CommitUnit] | None:
+        """The queue of the highest priority that holds anything."""
+        return next((queue for queue in self._queues.values() if queue), None)
+
+    def _next_batch(self) -> list[CommitUnit]:
+        """Wait for units; those that go with the next transaction, or none if the thread is to end."""
+        with self._queued:
+            while not (self._first_queue() or self._stopped):
+                self._queued.wait()
+            units: list[CommitUnit] = []
             writes = conditions = 0
             keys: set[str] = set()
-            while (waiting := self._next_queue()) and not self._stopped:
-                unit = waiting[0]
+            while (queue := self._first_queue()) and not self._stopped:
+                unit = queue[0]
                 writes += len(unit.writes)
                 conditions += len(unit.conditions)
-                own = {str(write.get("set") or write.get("remove")) for write in unit.writes}
+                unit_keys = {write.key for write in unit.writes}
                 if units and (
-                    writes > self._ops
-                    or conditions + 2 > 4 * self._ops
+                    writes > self._most_writes
+                    or conditions + _LEADER_CONDITIONS > _CONDITIONS_PER_WRITE * self._most_writes
                     or len(units) >= _MOST_UNITS
-                    # What order two changes of a key have within a transaction is not said.
-                    or not keys.isdisjoint(own)
+                    # The protocol does not say in which order a transaction writes the same key twice.
+                    or not keys.isdisjoint(unit_keys)
                 ):
                     break
-                keys |= own
-                units.append(waiting.popleft())
+                keys |= unit_keys
+                units.append(queue.popleft())
             return units
 
     def _run(self) -> None:
         while not self._stopped:
-            units = self._take()
+            units = self._next_batch()
             wait_s = self._pace.ready_at() - time.monotonic()
             if wait_s > 0:
                 time.sleep(wait_s)
             self._pace.spend(sum(len(unit.writes) for unit in units), time.monotonic())
-            self._carry_out(units)
+            self._commit(units)
 
-    def _carry_out(self, units: list[Unit]) -> None:
+    def _commit(self, units: list[CommitUnit]) -> None:
+        """Commit units in one transaction, and repeat it until its outcome is certain."""
         conditions: dict[str, int] = {}
-        writes: list[Data] = []
+        writes: list[Write] = []
         for unit in units:
             conditions.update(unit.conditions)
             writes += unit.writes
-        pause_s = self._pause_s
+        pause_s = self._retry_pause_s
         while units and not self._stopped:
             try:
                 self._writer.commit(conditions, writes)
-            except ConditionFailedError as conflict:
-                self._conflicted(units, conflict)
+            except ConditionFailedError as error:
+                self._on_condition_failed(units, error)
             except InvalidRequestError as error:
-                log.warning("commit of %d changes: %s", len(writes), error)
-                self._rejected(units)
+                log.warning("commit rejected: units=%d writes=%d: %s", len(units), len(writes), error)
+                self._on_rejected(units)
             except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError) as error:
                 # Every unit may be repeated: its writes are the same each time, and its conditions
-                # fail if the first try went through after all, which the unit's owner looks into.
-                log.debug("commit: %s", error)
+                # fail if the first try was carried out after all, which the unit's owner looks into.
+                log.debug("commit to be retried: units=%d writes=%d: %s", len(units), len(writes), error)
                 # At the same pace all through an outage, this alone took half of the requests that the state
                 # service allows, from renewals and users as well.
                 time.sleep(pause_s)
@@ -181,29 +210,29 @@
                 continue
             else:
                 for unit in units:
-                    unit.done(True)
+                    unit.on_committed(True)
             return
 
-    def _conflicted(self, units: list[Unit], conflict: ConditionFailedError) -> None:
-        """A condition failed: ours to lead, or one of a unit's own."""
-        if LEADER_KEY in conflict.failed_keys:
+    def _on_condition_failed(self, units: list[CommitUnit], error: ConditionFailedError) -> None:
+        """The condition on our leadership failed, or one of a unit's own."""
+        if LEADER_KEY in error.failed_keys:
             self._stopped = True
-            self._on_deposed()
+            self._on_leadership_lost()
         elif len(units) == 1:
-            units[0].done(False)
+            units[0].on_committed(False)
         else:
-            self._one_by_one(units)
+            self._commit_separately(units)
 
-    def _rejected(self, units: list[Unit]) -> None:
+    def _on_rejected(self, units: list[CommitUnit]) -> None:
         """The transaction is above a limit, perhaps one that was lowered without notice."""
         if len(units) > 1:
-            self._one_by_one(units)
+            self._commit_separately(units)
             return
-        # It can't be dropped: whoever waits for it goes by whether it is durable. But nothing else may wait
-        # for it, so it goes to the end of the line.
+        # It can't be dropped: whoever waits for it relies on whether it is durable. But nothing else may wait
+        # for it, so it goes to the end of the queue.
         time.sleep(self._longest_pause_s)
         self.submit(units[0])
 
-    def _one_by_one(self, units: list[Unit]) -> None:
+    def _commit_separately(self, units: list[CommitUnit]) -> None:
         for unit in units:
-            self._carry_out([unit])
+            self._commit([unit])
--- a/src/poppyhold/durable/prefix_reader.py
+++ b/src/poppyhold/durable/prefix_reader.py
@@ -2,24 +2,25 @@
 
 from __future__ import annotations
 
-from poppyhold.durable.store import Entry, Page, Store
+from poppyhold.durable.changes import Entry
+from poppyhold.durable.store import Page, Store
 
 
 class PageCollector:
     """Puts the pages of one prefix together, in their order.
 
     Several pages are no snapshot: a key of a later page may show a newer state than the revision. Whoever
-    goes on from that revision with a watch sees every change from there on, some for the second time.
+    continues from that revision with a watch sees every change from there on, some for the second time.
     """
 
     def __init__(self) -> None:
         self.entries: list[Entry] = []
         self.complete = False
-        # The next page begins behind this key.
+        # The next page begins after this key.
         self.after = ""
-        # Revision of the first page; all that is read is at least as new.
+        # Revision of the first page, -1 before it; all that is read is at least as new.
         self.revision = -1
-        # Revision of the last page: behind a watch that has come so far, nothing that was read is newer.
+        # Revision of the last page: after a watch that has come so far, nothing that was read is newer.
         self.last_revision = -1
 
     def add(self, page: Page) -> None:
@@ -41,7 +42,7 @@
         self._store, self._prefix = store, prefix
 
     def read(self) -> list[Entry]:
-        """Read what is left, and return all entries; behind an error, call it again to go on."""
+        """Read the pages that are left, and return all entries; after an error, call it again to continue."""
         while not self.complete:
             self.add(self._store.page(self._prefix, self.after))
         return self.entries
--- a/src/poppyhold/durable/records.py
+++ b/src/poppyhold/durable/records.py
@@ -1,4 +1,4 @@
-"""The durable records of the core, a struct for each family of keys.
+"""The durable records, a struct for each family of keys (`durable.keys`).
 
 Their stored names are those of every version: fields are only added, with defaults.
 """
@@ -7,30 +7,60 @@
 
 import msgspec
 
+from poppyhold.durable.changes import Delete, Write, put_record
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FINAL_JOB_PREFIX
+from poppyhold.wire import field_names as names
 from poppyhold.wire.cloud_messages import MachineType
 
 
+class LeaderRecord(msgspec.Struct, frozen=True):
+    """Which controller leads, with its fencing token and the lease that the key is on."""
+
+    member: str
+    fencing_token: int = msgspec.field(name=names.FENCING_TOKEN)
+    lease_id: int = msgspec.field(name=names.LEASE_ID)
+
+
+class FencingTokenRecord(msgspec.Struct, frozen=True):
+    """The highest fencing token that was given out."""
+
+    fencing_token: int = msgspec.field(name=names.FENCING_TOKEN)
+
+
+class WriteFenceRecord(msgspec.Struct, frozen=True):
+    """The write fence: only its revision matters, and the one before it is kept for diagnosis."""
+
+    previous_revision: int = msgspec.field(name="behind")
+
+
+class FinalRecord(msgspec.Struct, frozen=True):
+    """A job's final state, with the number of its tasks."""
+
+    status: str = msgspec.field(name="s")
+    tasks: int = msgspec.field(name="n")
+
+
 class MachineRecord(msgspec.Struct, frozen=True):
     """A machine that may hold tasks."""
 
     endpoint: str
-    machine_type: MachineType = msgspec.field(name="build")
-    zone: str = msgspec.field(name="paddock")
-    spot: bool = msgspec.field(name="loaners")
+    machine_type: MachineType = msgspec.field(name=names.MACHINE_TYPE)
+    zone: str = msgspec.field(name=names.ZONE)
+    spot: bool = msgspec.field(name=names.SPOT)
 
 
 class LaunchRecord(msgspec.Struct, frozen=True):
-    """A rental request, and its machines' names once they are known."""
+    """A launch request, and its machines' names once they are known."""
 
-    machine_type: str = msgspec.field(name="build")
-    zone: str = msgspec.field(name="paddock")
-    spot: bool = msgspec.field(name="loaners")
+    machine_type: str = msgspec.field(name=names.MACHINE_TYPE)
+    zone: str = msgspec.field(name=names.ZONE)
+    spot: bool = msgspec.field(name=names.SPOT)
     number: int
-    machines: list[str] | None = msgspec.field(name="boxes", default=None)
+    machines: list[str] | None = msgspec.field(name=names.MACHINES, default=None)
 
 
 class PlanRecord(msgspec.Struct, frozen=True):
-    """That tasks of a job may start: counts per slot and zone. With no slots, on spare room alone."""
+    """That tasks of a job may start: counts per slot and zone. With no slots, on spare capacity alone."""
 
     slots: dict[str, dict[str, int]] = msgspec.field(name="s")
     # The job fails on every machine, as far as one can tell.
@@ -38,6 +68,17 @@
 
 
 class CompletionsRecord(msgspec.Struct, frozen=True):
-    """Completed tasks of a stretch of a job: a bit each, the first the lowest, in hexadecimal."""
+    """Completed tasks of a range of a job: a bit each, the first the lowest, in hexadecimal."""
 
     bits: str = msgspec.field(name="d")
+
+
+def final_writes(job_id: str, status: str, tasks: int) -> list[Write]:
+    """The writes that move a job's record from the active jobs to the final ones.
+
+    Its plan means nothing without it: the leader removes that once it learns of the change.
+    """
+    return [
+        Delete(ACTIVE_JOB_PREFIX + job_id),
+        put_record(FINAL_JOB_PREFIX + job_id, FinalRecord(status, tasks)),
+    ]
--- a/src/poppyhold/durable/snapshot.py
+++ b/src/poppyhold/durable/snapshot.py
@@ -1,9 +1,10 @@
-"""What the state service holds when a term of leading begins."""
+"""What the state service holds when a leader's term begins."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
+from poppyhold.durable.changes import Data, Entry
 from poppyhold.durable.keys import (
     ACTIVE_JOB_PREFIX,
     COMPLETION_RANGES_PREFIX,
@@ -14,7 +15,7 @@
     QUOTA_PREFIX,
 )
 from poppyhold.durable.prefix_reader import PrefixReader
-from poppyhold.durable.store import Data, Entry, Store, grouped
+from poppyhold.durable.store import Store
 
 # The active jobs come first: what is known of one that ends meanwhile is dropped.
 _PREFIXES = (
@@ -41,7 +42,7 @@
     ) -> None:
         self.active = list(active)
         self.plans = plans or {}
-        # By the prefix of the records.
+        # Records of completions, by their prefix.
         self.done = done or {}
         self.launches = launches or {}
         self.machines = machines or {}
@@ -49,29 +50,31 @@
 
 
 class SnapshotReader:
-    """Reads all of it, page by page. Behind a page that failed it goes on where it was.
+    """Reads a snapshot page by page. After a page that failed it continues where it was.
 
-    Only the leader writes what comes behind the active jobs, so that nothing of it changes while it is read;
-    the active jobs are read once more by the watch that goes on from here.
+    Only the leader writes the prefixes after that of the active jobs, so nothing of them changes while they
+    are read; the active jobs are read once more by the watch that continues from here.
     """
 
     def __init__(self, store: Store, with_quota: bool = False) -> None:
-        """``with_quota``: this is one cell of several, and has shares of teams' limits."""
+        """``with_quota``: this is one cell of several, and has quota allocations."""
         prefixes = (*_PREFIXES, QUOTA_PREFIX) if with_quota else _PREFIXES
         self._readers = {prefix: PrefixReader(store, prefix) for prefix in prefixes}
 
     def read(self) -> Snapshot:
-        """Read what is left; behind an error, call it again to go on."""
+        """Read the pages that are left; after an error, call it again to continue."""
         for reader in self._readers.values():
             reader.read()
+        quota = self._readers.get(QUOTA_PREFIX)
         return Snapshot(
-            self._readers[ACTIVE_JOB_PREFIX].entries,
-            self._records(PLAN_PREFIX),
-            {prefix: self._records(prefix) for prefix in (COMPLETIONS_PREFIX, COMPLETION_RANGES_PREFIX)},
-            self._records(LAUNCH_PREFIX),
-            self._records(MACHINE_PREFIX),
-            self._readers[QUOTA_PREFIX].entries if QUOTA_PREFIX in self._readers else (),
+            active=self._readers[ACTIVE_JOB_PREFIX].entries,
+            plans=self._records(PLAN_PREFIX),
+            done={prefix: self._records(prefix) for prefix in (COMPLETIONS_PREFIX, COMPLETION_RANGES_PREFIX)},
+            launches=self._records(LAUNCH_PREFIX),
+            machines=self._records(MACHINE_PREFIX),
+            quota=quota.entries if quota is not None else (),
         )
 
     def _records(self, prefix: str) -> dict[str, Data]:
-        return grouped(self._readers[prefix].entries, prefix)
+        """The records below a prefix, by the rest of their key."""
+        return {entry.key.removeprefix(prefix): entry.data for entry in self._readers[prefix].entries}
--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -1,13 +1,22 @@
-"""The state service: the keys that are stored there, and a typed client."""
+"""The state service: a typed client of a consensus-backed key-value store with leases and watches."""
 
 from __future__ import annotations
 
 import json
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Sequence
 from http import HTTPStatus
 from typing import Any, NamedTuple
 
+from poppyhold.durable.changes import (
+    Data,
+    Entry,
+    WatchEvent,
+    Write,
+    decode_entry,
+    decode_event,
+    encode_writes,
+)
 from poppyhold.durable.errors import (
     ConditionFailedError,
     InvalidRequestError,
@@ -16,19 +25,17 @@
     StoreRejectedError,
     WatchCompactedError,
 )
-from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, EMPTY_PREFIX, FINAL_JOB_PREFIX
+from poppyhold.durable.keys import EMPTY_PREFIX
 from poppyhold.settings import Settings, split_address
+from poppyhold.wire import field_names as names
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
 
-Data = dict[str, Any]
-
-
-class Entry(NamedTuple):
-    """A key with its data and the revision of its last change."""
-
-    key: str
-    data: Data
-    version: int
+# Entries of a page, at the most.
+_PAGE_ENTRIES = 1000
+# The shortest lease that the state service grants.
+_SHORTEST_LEASE_MS = 100
+# Connections that are kept open between requests.
+_IDLE_CONNECTIONS = 8
 
 
 class Page(NamedTuple):
@@ -40,130 +47,136 @@
 
 
 class Changes(NamedTuple):
-    """Every change behind a revision, in order, and the revision that they go up to."""
+    """Every change after a revision, in order, and the revision that they go up to."""
 
-    events: list[Data]
+    events: list[WatchEvent]
     revision: int
 
 
-def put(key: str, data: Data, lease_id: int | None = None) -> Data:
-    """Build the write that sets a key."""
-    write: Data = {"set": key, "data": data}
-    if lease_id is not None:
-        write["permit"] = lease_id
-    return write
-
-
-def remove(key: str) -> Data:
-    """Build the write that removes a key."""
-    return {"remove": key}
-
-
 class Store:
-    """Typed calls to the state service. It never retries: the callers know what a repeat means."""
+    """Typed calls to the state service. It never retries: the callers know what a repeat means.
+
+    Every call raises `StoreRejectedError` if it certainly had no effect, and `OutcomeUnknownError` if it may
+    have had one or may have it later.
+    """
 
     def __init__(self, settings: Settings, clock: Callable[[], float] = time.monotonic) -> None:
         host, port = split_address(settings.outside.state)
-        self._client = Client(host, port, keep=8)
+        self._client = Client(host, port, keep=_IDLE_CONNECTIONS)
         self._clock = clock
-        # An answer usually takes milliseconds, now and then some hundreds.
+        # A response usually takes milliseconds, now and then some hundreds.
         self.timeout = settings.settings.workers.lease_s / 8
+        # When the state service last responded.
         self.contact_at = float("-inf")
 
     def _call(self, method: str, path: str, body: Data | None, timeout: float) -> tuple[int, Data]:
         try:
             status, data = self._client.request(method, path, body, timeout=timeout)
         except NotSentError as error:
-            raise StoreRejectedError(str(error)) from error
+            raise StoreRejectedError(f"{method} {path}: not sent: {error}") from error
         except NoAnswerError as error:
-            raise OutcomeUnknownError(str(error)) from error
+            raise OutcomeUnknownError(f"{method} {path}: no response: {error}") from error
         if status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
-            raise StoreRejectedError(str(status))
+            raise StoreRejectedError(f"{method} {path}: status {status}")
         if status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            raise OutcomeUnknownError(str(status))
+            raise OutcomeUnknownError(f"{method} {path}: status {status}")
         self.contact_at = self._clock()
         return status, data
 
     def get(self, key: str) -> Entry | None:
-        """Read a key."""
-        status, data = self._call("GET", f"/kv/{key}", None, self.timeout)
+        """Read a key; None if it does not exist."""
+        path = f"/kv/{key}"
+        status, data = self._call("GET", path, None, self.timeout)
         if status == HTTPStatus.NOT_FOUND:
             return None
-        if status != HTTPStatus.OK:
-            raise StoreRejectedError(f"{status} {data}")
-        return Entry(key, data["data"], data["stamp"])
+        _check_ok(status, data, path)
+        return Entry(key, data["data"], data[names.KEY_REVISION])
 
-    def page(self, prefix: str, after: str, most: int = 1000) -> Page:
-        """Read the keys with a prefix that come behind one of them; the first ones behind the empty text."""
+    def page(self, prefix: str, after: str, most: int = _PAGE_ENTRIES) -> Page:
+        """Read the keys with a prefix that follow a key; the first ones follow the empty string."""
         since = f"&since={after}" if after else ""
-        status, data = self._call("GET", f"/kv?prefix={prefix}{since}&most={most}", None, self.timeout * 2)
-        if status != HTTPStatus.OK:
-            raise StoreRejectedError(f"{status} {data}")
-        entries = [Entry(e["key"], e["data"], e["stamp"]) for e in data["entries"]]
-        return Page(entries, bool(data.get("more")) and bool(entries), data["ledger"])
+        path = f"/kv?prefix={prefix}{since}&most={most}"
+        status, data = self._call("GET", path, None, self.timeout * 2)
+        _check_ok(status, data, path)
+        entries = [decode_entry(entry) for entry in data["entries"]]
+        return Page(entries, bool(data.get("more")) and bool(entries), data[names.REVISION])
 
     def revision(self) -> int:
-        """The store's revision at a moment behind the beginning of this call.
+        """The store's revision at a moment after the beginning of this call.
 
-        A list of keys tells it, as PROTOCOL says; the answer for a key that exists tells only that key's.
+        A list of keys tells it, as PROTOCOL says; the response for a key that exists tells only that key's.
         """
         return self.page(EMPTY_PREFIX, "", most=1).revision
 
-    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
-        """Carry out a transaction and return its revision."""
-        body = {"if": [{"key": k, "stamp": s} for k, s in conditions.items()], "writes": writes}
-        status, data = self._call("POST", "/commit", body, self.timeout)
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
+        """Carry out a transaction and return its revision.
+
+        ``conditions`` are the revisions that keys must have, 0 for those that must not exist.
+
+        Raises:
+            ConditionFailedError: a condition did not hold; nothing was written.
+            LeaseExpiredError: the lease of a write has expired; nothing was written.
+            InvalidRequestError: the transaction will never be carried out.
+        """
+        status, data = self._call("POST", "/commit", transaction_body(conditions, writes), self.timeout)
         if status == HTTPStatus.OK:
-            return int(data["ledger"])
+            return int(data[names.REVISION])
         if status == HTTPStatus.CONFLICT:
             raise ConditionFailedError(data.get("failed", []))
         if data.get("error") == "no such lease":
             raise LeaseExpiredError
-        raise InvalidRequestError(f"{status} {data}")
-
-    def lease(self, life_s: float) -> int:
-        """Get a lease."""
-        status, data = self._call("POST", "/leases", {"lifeMs": max(100, int(life_s * 1000))}, self.timeout)
-        if status != HTTPStatus.OK:
-            raise StoreRejectedError(f"{status} {data}")
-        return int(data["permit"])
-
-    def extend(self, lease_id: int, timeout: float) -> None:
-        """Renew a lease."""
-        status, data = self._call("POST", f"/leases/{lease_id}/extend", {}, timeout)
+        raise InvalidRequestError(f"/commit: status {status}: {data}")
+
+    def lease(self, ttl_s: float) -> int:
+        """Get a lease with a time to live, and return its ID."""
+        body = {names.LEASE_MS: max(_SHORTEST_LEASE_MS, int(ttl_s * 1000))}
+        status, data = self._call("POST", "/leases", body, self.timeout)
+        _check_ok(status, data, "/leases")
+        return int(data[names.LEASE_ID])
+
+    def renew_lease(self, lease_id: int, timeout: float) -> None:
+        """Renew a lease for its time to live.
+
+        Raises:
+            LeaseExpiredError: it has expired already.
+        """
+        path = f"/leases/{lease_id}/extend"
+        status, data = self._call("POST", path, {}, timeout)
         if status == HTTPStatus.NOT_FOUND:
             raise LeaseExpiredError(lease_id)
-        if status != HTTPStatus.OK:
-            raise StoreRejectedError(f"{status} {data}")
+        _check_ok(status, data, path)
 
-    def end_lease(self, lease_id: int) -> None:
-        """End a lease at once, with the keys on it."""
+    def revoke_lease(self, lease_id: int) -> None:
+        """End a lease at once, and delete the keys on it."""
         self._call("DELETE", f"/leases/{lease_id}", None, self.timeout)
 
     def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
-        """Wait for changes behind ``since``, for ``hold_s`` seconds at the most."""
+        """Wait for changes after revision ``since``, for ``hold_s`` seconds at the most.
+
+        Raises:
+            WatchCompactedError: the state service no longer has all of them.
+        """
         path = f"/follow?prefix={prefix}&since={since}&holdMs={int(hold_s * 1000)}"
         status, data = self._call("GET", path, None, hold_s + self.timeout)
         if status == HTTPStatus.GONE:
             raise WatchCompactedError(prefix, since)
-        if status != HTTPStatus.OK:
-            raise StoreRejectedError(f"{status} {data}")
-        return Changes(data["events"], int(data["ledger"]))
+        _check_ok(status, data, path)
+        return Changes([decode_event(event) for event in data["events"]], int(data[names.REVISION]))
 
 
-def stored_bytes(data: Data) -> int:
-    """The size of a value as JSON, the way of writing it that takes the most."""
-    return len(json.dumps(data))
+def _check_ok(status: int, data: Data, path: str) -> None:
+    if status != HTTPStatus.OK:
+        raise StoreRejectedError(f"{path}: status {status}: {data}")
 
 
-def final_writes(job_id: str, status: str, tasks: int) -> list[Data]:
-    """The writes that move a job's record to the final ones.
+def transaction_body(conditions: dict[str, int], writes: Sequence[Write]) -> Data:
+    """Encode a transaction as it is sent."""
+    return {
+        "if": [{"key": key, names.KEY_REVISION: revision} for key, revision in conditions.items()],
+        "writes": encode_writes(writes),
+    }
 
-    Its plan means nothing without it, and is removed by the leader when nobody waits for changes.
-    """
-    return [remove(ACTIVE_JOB_PREFIX + job_id), put(FINAL_JOB_PREFIX + job_id, {"s": status, "n": tasks})]
 
-
-def grouped(entries: Iterable[Entry], prefix: str) -> dict[str, Data]:
-    """Data by the rest of the key behind a prefix."""
-    return {entry.key.removeprefix(prefix): entry.data for entry in entries}
+def stored_bytes(data: Any) -> int:
+    """The size of a value as JSON, which takes more than any other form in which it may be stored."""
+    return len(json.dumps(data))
--- a/src/poppyhold/durable/watch.py
+++ b/src/poppyhold/durable/watch.py
@@ -1,4 +1,4 @@
-"""Following a prefix of the state service."""
+"""Watching a prefix of the state service."""
 
 from __future__ import annotations
 
@@ -7,15 +7,23 @@
 import time
 from collections.abc import Callable
 
+from poppyhold.durable.changes import Entry, WatchEvent
 from poppyhold.durable.errors import OutcomeUnknownError, StoreRejectedError, WatchCompactedError
 from poppyhold.durable.prefix_reader import PrefixReader
-from poppyhold.durable.store import Entry, Store
+from poppyhold.durable.store import Store
 
 log = logging.getLogger(__name__)
 
+# Nothing was read yet, or changes are missing: the prefix is to be read whole.
+_UNREAD = -1
+
 
 class Watch:
-    """A thread that keeps up with a prefix: a snapshot first, then every change in order."""
+    """A thread that keeps up with a prefix: a snapshot first, then every change in order.
+
+    The callbacks come on this thread. ``on_caught_up`` is told the moment of a request and the revision up to
+    which all that the state service knew then has been handed on.
+    """
 
     def __init__(
         self,
@@ -23,18 +31,18 @@
         prefix: str,
         hold_s: float,
         on_snapshot: Callable[[list[Entry]], None],
-        on_change: Callable[[Entry | str, int], None],
+        on_change: Callable[[WatchEvent], None],
         clock: Callable[[], float] = time.monotonic,
-        on_synced: Callable[[float, int], None] | None = None,
+        on_caught_up: Callable[[float, int], None] | None = None,
     ) -> None:
         self._store, self._prefix, self._hold_s = store, prefix, hold_s
         self._on_snapshot, self._on_change, self._clock = on_snapshot, on_change, clock
-        self._on_synced = on_synced
+        self._on_caught_up = on_caught_up
         self._stop = threading.Event()
         # Under way as long as a snapshot is not read whole.
         self._reader = PrefixReader(store, prefix)
-        # Revision of the first snapshot.
-        self.first_revision = -1
+        # Revision of the first snapshot; -1 before it was read.
+        self.first_revision = _UNREAD
         self._thread = threading.Thread(target=self._run, name=f"watch {prefix}", daemon=True)
 
     def start(self) -> Watch:
@@ -47,29 +55,31 @@
         self._stop.set()
 
     def _run(self) -> None:
-        revision = -1
+        revision = _UNREAD
         while not self._stop.is_set():
-            asked = self._clock()
+            asked_at = self._clock()
             try:
                 revision = self._read() if revision < 0 else self._follow(revision)
                 if self._stop.is_set():
                     return
                 if self.first_revision < 0:
                     self.first_revision = revision
-                if self._on_synced is not None:
-                    self._on_synced(asked, revision)
-            except WatchCompactedError:
-                revision = -1
-            except (StoreRejectedError, OutcomeUnknownError):
+                if self._on_caught_up is not None:
+                    self._on_caught_up(asked_at, revision)
+            except WatchCompactedError as error:
+                log.debug("watch begins anew: prefix=%s: %s", self._prefix, error)
+                revision = _UNREAD
+            except (StoreRejectedError, OutcomeUnknownError) as error:
+                log.debug("watch to be retried: prefix=%s revision=%d: %s", self._prefix, revision, error)
                 self._stop.wait(self._hold_s / 10)
             except Exception:
-                # A watch that ended would leave the node blind: start over.
-                log.exception("watch %s", self._prefix)
-                revision = -1
+                # Thread boundary: a watch that ended would leave the node blind, so it begins anew.
+                log.exception("watch failed and begins anew: prefix=%s", self._prefix)
+                revision = _UNREAD
                 self._stop.wait(self._hold_s / 10)
 
     def _read(self) -> int:
-        """Read all keys; the revision that they are of."""
+        """Read all keys, and hand them on; the revision as of which they were read."""
         entries = self._reader.read()
         revision = self._reader.revision
         self._reader = PrefixReader(self._store, self._prefix)
@@ -78,14 +88,10 @@
         return revision
 
     def _follow(self, since: int) -> int:
-        """Wait for changes and hand them on, in order; the revision that they go up to."""
-        events, revision = self._store.follow(self._prefix, since, self._hold_s)
-        for event in events:
+        """Wait for changes, and hand them on in order; the revision that they go up to."""
+        changes = self._store.follow(self._prefix, since, self._hold_s)
+        for event in changes.events:
             if self._stop.is_set():
                 break
-            if "set" in event:
-                entry = Entry(event["set"], event["data"], event["stamp"])
-                self._on_change(entry, entry.version)
-            else:
-                self._on_change(event["remove"], event["stamp"])
-        return revision
+            self._on_change(event)
+        return changes.revision
--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
+from poppyhold.durable.changes import Data, Delete, Put
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, COMPLETION_RANGES_PREFIX, COMPLETIONS_PREFIX
 from poppyhold.durable.records import CompletionsRecord
-from poppyhold.durable.store import Data, put, remove
 from poppyhold.model.context import Context
 from poppyhold.model.entities import DONE, Job
 from poppyhold.settings import State
@@ -92,7 +92,7 @@
             job_id, _, number = name.rpartition("/")
             job = self._ctx.fleet.jobs.get(job_id)
             if job is None:
-                self._ctx.outbound.commit({}, [remove(prefix + name)], lambda done: None)
+                self._ctx.outbound.commit({}, [Delete(prefix + name)], lambda done: None)
                 continue
             job.done_records.add(prefix + name)
             record = msgspec.convert(data, CompletionsRecord)
@@ -110,7 +110,7 @@
         records = self._layout.records(job, indices)
         job.saving = True
         job.done_records |= records.keys()
-        writes = [put(key, data) for key, data in records.items()]
+        writes = [Put(key, data) for key, data in records.items()]
         batches = [writes[i : i + self._most_changes] for i in range(0, len(writes), self._most_changes)]
         saved = self._saved(job, indices, len(batches))
         for batch in batches:
@@ -131,6 +131,6 @@
 
     def remove(self, job: Job) -> None:
         """A job is over: its records are of no use any more."""
-        writes = [remove(key) for key in sorted(job.done_records)]
+        writes = [Delete(key) for key in sorted(job.done_records)]
         for first in range(0, len(writes), self._most_changes):
             self._ctx.outbound.commit({}, writes[first : first + self._most_changes], lambda done: None)
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -4,8 +4,9 @@
 
 from collections.abc import Callable
 
+from poppyhold.durable.changes import put_record
 from poppyhold.durable.keys import FENCING_TOKEN_KEY
-from poppyhold.durable.store import put
+from poppyhold.durable.records import FencingTokenRecord
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Attempt, Machine
 from poppyhold.model.outbound import CommitPriority
@@ -146,5 +147,8 @@
                 ctx.outbound.fencing_token_raised(fencing_token)
 
         ctx.outbound.commit(
-            {}, [put(FENCING_TOKEN_KEY, {"baton": fencing_token})], raised, CommitPriority.SOONEST
+            {},
+            [put_record(FENCING_TOKEN_KEY, FencingTokenRecord(fencing_token))],
+            raised,
+            CommitPriority.SOONEST,
         )
--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -5,11 +5,9 @@
 import logging
 from collections.abc import Callable
 
-import msgspec
-
+from poppyhold.durable.changes import put_record
 from poppyhold.durable.keys import MACHINE_PREFIX
 from poppyhold.durable.records import MachineRecord
-from poppyhold.durable.store import put
 from poppyhold.execution.direct_commands import DirectCommands
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.gangs import Gangs
@@ -134,7 +132,7 @@
             self._ctx.scheduling_needed = True
 
         record = MachineRecord(machine.endpoint, machine.machine_type, machine.zone, machine.spot)
-        write = put(MACHINE_PREFIX + machine.name, msgspec.to_builtins(record))
+        write = put_record(MACHINE_PREFIX + machine.name, record)
         # Nothing starts on the machine before: a plan's record serves nobody without one.
         self._ctx.outbound.commit({}, [write], durable, CommitPriority.SOONEST)
 
--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -6,7 +6,7 @@
 import math
 from collections.abc import Callable
 
-from poppyhold.durable.store import Data
+from poppyhold.durable.changes import Data
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.boots import Boots
 from poppyhold.machines.deletions import Deletions
--- a/src/poppyhold/machines/deletions.py
+++ b/src/poppyhold/machines/deletions.py
@@ -5,8 +5,8 @@
 import logging
 from collections.abc import Callable
 
+from poppyhold.durable.changes import Delete
 from poppyhold.durable.keys import MACHINE_PREFIX
-from poppyhold.durable.store import remove
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Machine
@@ -61,4 +61,4 @@
         self._reconciler.gone(machine)
         self._on_gone(machine)
         if recorded:
-            self._ctx.outbound.commit({}, [remove(MACHINE_PREFIX + machine.name)], lambda done: None)
+            self._ctx.outbound.commit({}, [Delete(MACHINE_PREFIX + machine.name)], lambda done: None)
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -7,9 +7,10 @@
 
 import msgspec
 
+from poppyhold.durable.changes import Data, Delete, Put
 from poppyhold.durable.keys import LAUNCH_PREFIX
 from poppyhold.durable.records import LaunchRecord
-from poppyhold.durable.store import Data, put, remove, stored_bytes
+from poppyhold.durable.store import stored_bytes
 from poppyhold.machines.provisioning import LaunchSpec, Provisioning
 from poppyhold.machines.space import Space
 from poppyhold.model.context import Context
@@ -84,7 +85,7 @@
         # Machines boot for longer than anything else takes: behind the plans of a first backlog the first
         # requests of a fleet that began small waited for eleven seconds.
         self._ctx.outbound.commit(
-            {}, [put(LAUNCH_PREFIX + name, self._data(launch))], durable, CommitPriority.SOONEST
+            {}, [Put(LAUNCH_PREFIX + name, self._data(launch))], durable, CommitPriority.SOONEST
         )
 
     def _data(self, launch: Launch) -> Data:
@@ -107,7 +108,7 @@
             if outcome == RequestOutcome.OK:
                 launch.machines = names
                 self._ctx.outbound.commit(
-                    {}, [put(LAUNCH_PREFIX + launch.name, self._data(launch))], lambda done: None
+                    {}, [Put(LAUNCH_PREFIX + launch.name, self._data(launch))], lambda done: None
                 )
                 self._expect(launch)
                 if len(names) < launch.number:
@@ -128,7 +129,7 @@
 
     def _drop(self, launch: Launch) -> None:
         self._launches.pop(launch.name, None)
-        self._ctx.outbound.commit({}, [remove(LAUNCH_PREFIX + launch.name)], lambda done: None)
+        self._ctx.outbound.commit({}, [Delete(LAUNCH_PREFIX + launch.name)], lambda done: None)
 
     def _expect(self, launch: Launch) -> None:
         """The machines of a hire are on their way."""
--- a/src/poppyhold/model/outbound.py
+++ b/src/poppyhold/model/outbound.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from enum import IntEnum
 from typing import Any, NamedTuple, Protocol
 
+from poppyhold.durable.changes import Write
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.wire.worker_messages import Heartbeat
 
@@ -40,7 +41,7 @@
     def commit(
         self,
         conditions: dict[str, int],
-        writes: list[Data],
+        writes: Sequence[Write],
         done: Callable[[bool], None],
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable, Iterable
 
 from poppyhold.concurrency.recent import Recent
+from poppyhold.durable.changes import Data, Entry
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
-from poppyhold.durable.records import MachineRecord
+from poppyhold.durable.records import MachineRecord, final_writes
 from poppyhold.durable.snapshot import Snapshot
-from poppyhold.durable.store import Data, Entry, final_writes
 from poppyhold.execution.completions import Completions
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.gangs import GangState
@@ -274,7 +274,7 @@
             return None
         # Its user's clock began at the time of day that is kept with it.
         ago = max(0.0, self.ctx.wall_clock() - float(entry.data["at"]))
-        job = make_job(spec, entry.version, self.ctx.clock() - ago)
+        job = make_job(spec, entry.revision, self.ctx.clock() - ago)
         self.ctx.fleet.jobs[job.id] = job
         self._guarantees_stale = True
         self.ctx.scheduling_needed = True
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -6,7 +6,7 @@
 import random
 import threading
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
 from http import HTTPStatus
 from typing import Protocol
 
@@ -16,11 +16,12 @@
 from poppyhold.cluster.lease_delegation import LeaseDelegation, LeaseDelegations
 from poppyhold.cluster.peers import Peers, Pong
 from poppyhold.concurrency.priority_queue import DECISIONS, HEARTBEATS, SUBMISSIONS, PriorityQueue, Work
-from poppyhold.durable.committer import Committer, Unit
+from poppyhold.durable.changes import Entry, WatchEvent, Write
+from poppyhold.durable.committer import Committer, CommitUnit
 from poppyhold.durable.errors import OutcomeUnknownError, StoreRejectedError
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
 from poppyhold.durable.snapshot import Snapshot, SnapshotReader
-from poppyhold.durable.store import Entry, Store
+from poppyhold.durable.store import Store
 from poppyhold.durable.watch import Watch
 from poppyhold.model.context import ImageHints
 from poppyhold.model.durations import Durations
@@ -140,7 +141,7 @@
             self._node.settings.settings.workers.lease_s / 5,
             self._on_resync,
             self._on_job,
-            on_synced=self._on_synced,
+            on_caught_up=self._on_caught_up,
         ).start()
         self.relays.review(self.controller.ctx.fleet.machines.keys())
         log.info(
@@ -204,14 +205,14 @@
     def _on_resync(self, entries: list[Entry]) -> None:
         self._post(DECISIONS, lambda: self.controller.resync(entries))
 
-    def _on_job(self, change: Entry | str, version: int) -> None:
+    def _on_job(self, change: WatchEvent) -> None:
         if isinstance(change, Entry):
             self._post(SUBMISSIONS, lambda: self.controller.job_set(change))
         else:
             # A cancellation is not a submission: it is acted on with the decisions.
-            self._post(DECISIONS, lambda: self.controller.job_removed(change))
+            self._post(DECISIONS, lambda: self.controller.job_removed(change.key))
 
-    def _on_synced(self, asked: float, revision: int) -> None:
+    def _on_caught_up(self, asked: float, revision: int) -> None:
         # In line behind the changes that it stands for.
         self._post(DECISIONS, lambda: self.authority.synced(asked, revision))
 
@@ -333,7 +334,7 @@
     def commit(
         self,
         conditions: dict[str, int],
-        writes: list[Data],
+        writes: Sequence[Write],
         done: Callable[[bool], None],
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
@@ -342,7 +343,7 @@
         def durable(result: bool) -> None:
             self._post(DECISIONS, lambda: done(result))
 
-        self._committer.submit(Unit(conditions, writes, durable), priority)
+        self._committer.submit(CommitUnit(conditions, writes, durable), priority)
 
     def send_commands(self, box: str, endpoint: str, body: Data, done: Done, patient: bool) -> None:
         """See `OutboundPort`."""
--- a/src/poppyhold/node/machine_catalog.py
+++ b/src/poppyhold/node/machine_catalog.py
@@ -13,7 +13,7 @@
     OutcomeUnknownError,
     StoreRejectedError,
 )
-from poppyhold.durable.machine_types import machine_type_records, read_machine_types
+from poppyhold.durable.machine_types import machine_type_writes, read_machine_types
 from poppyhold.durable.store import Store
 from poppyhold.node.cloud import CloudClient
 from poppyhold.wire.cloud_messages import MachineType
@@ -61,8 +61,8 @@
         if shapes == self._published:
             return
         try:
-            for record in machine_type_records(self.types.values(), self._largest_value):
-                self._store.commit({}, [record])
+            for write in machine_type_writes(self.types.values(), self._largest_value):
+                self._store.commit({}, [write])
             self._published = shapes
         except (StoreRejectedError, OutcomeUnknownError, ConditionFailedError, LeaseExpiredError) as error:
             log.debug("machine types: %s", error)
--- a/src/poppyhold/node/users.py
+++ b/src/poppyhold/node/users.py
@@ -12,6 +12,7 @@
 from poppyhold.cluster.cancellations import Cancellations
 from poppyhold.concurrency.pace import Pace
 from poppyhold.concurrency.recent import Recent
+from poppyhold.durable.changes import Data, Put
 from poppyhold.durable.errors import (
     ConditionFailedError,
     InvalidRequestError,
@@ -20,7 +21,8 @@
     StoreRejectedError,
 )
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FINAL_JOB_PREFIX
-from poppyhold.durable.store import Data, Store, final_writes, put, stored_bytes
+from poppyhold.durable.records import final_writes
+from poppyhold.durable.store import Store, stored_bytes
 from poppyhold.model.constraints import allowed_machine_types
 from poppyhold.reads.job_reads import JobReads
 from poppyhold.scheduling.quotas import Quotas
@@ -155,7 +157,7 @@
             try:
                 self._store.commit(
                     {ACTIVE_JOB_PREFIX + spec.name: 0, FINAL_JOB_PREFIX + spec.name: 0},
-                    [put(ACTIVE_JOB_PREFIX + spec.name, data)],
+                    [Put(ACTIVE_JOB_PREFIX + spec.name, data)],
                 )
             except OutcomeUnknownError:
                 # Perhaps it went through: the repeat will tell.
@@ -207,7 +209,7 @@
         if entry is None:
             return None
         final = (entry.data["s"], entry.data["n"])
-        self._keep_final(job_id, final, entry.version)
+        self._keep_final(job_id, final, entry.revision)
         return final
 
     def _active_state(self, job_id: str) -> dict[str, object]:
@@ -268,7 +270,7 @@
             try:
                 tasks = entry.data["spec"]["chores"]
                 revision = self._store.commit(
-                    {ACTIVE_JOB_PREFIX + job_id: entry.version}, final_writes(job_id, "cancelled", tasks)
+                    {ACTIVE_JOB_PREFIX + job_id: entry.revision}, final_writes(job_id, "cancelled", tasks)
                 )
             except (ConditionFailedError, OutcomeUnknownError):
                 # It moved, or may have: look again.
--- a/src/poppyhold/quota/cell_quota.py
+++ b/src/poppyhold/quota/cell_quota.py
@@ -8,11 +8,11 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
 from typing import NamedTuple
 
 from poppyhold.concurrency.pace import Pace
-from poppyhold.durable.store import Data, Entry
+from poppyhold.durable.changes import Entry, Write
 from poppyhold.model.context import Context
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.model.resources import Resources
@@ -111,7 +111,9 @@
     def _new_incarnation(self) -> str:
         return f"{self._ctx.rng.getrandbits(64):016x}"
 
-    def _commit(self, conditions: dict[str, int], writes: list[Data], done: Callable[[bool], None]) -> None:
+    def _commit(
+        self, conditions: dict[str, int], writes: Sequence[Write], done: Callable[[bool], None]
+    ) -> None:
         def durable(result: bool) -> None:
             done(result)
             for line in self._taking if result else ():
--- a/src/poppyhold/quota/share_book.py
+++ b/src/poppyhold/quota/share_book.py
@@ -2,8 +2,8 @@
 
 No I/O and no clock: durable steps go out through ``commit`` and come back through its callback, on the same
 thread. One step is under way at a time, and a step that may or may not have been carried out is repeated by
-the committer behind a new fence until it certainly was (`durable.committer.Writer`). What starts are planned
-against is never more than what is durable:
+the committer behind a new fence until it certainly was (`durable.committer.FencedWriter`). What starts are
+planned against is never more than what is durable:
 
 - an amount that is given leaves the share in force before its write goes out;
 - an amount that is taken joins it only when its write is known to be durable.
@@ -14,12 +14,12 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Protocol
 
 import msgspec
 
-from poppyhold.durable.store import Data, Entry, put
+from poppyhold.durable.changes import Entry, Put, Write, put_record
 from poppyhold.quota.amounts import TeamAmount, TeamShare
 from poppyhold.quota.records import (
     IDENTITY,
@@ -40,7 +40,7 @@
     """A durable step under the leader's key: repeated until certain, False if a condition failed."""
 
     def __call__(
-        self, conditions: dict[str, int], writes: list[Data], done: Callable[[bool], None], /
+        self, conditions: dict[str, int], writes: Sequence[Write], done: Callable[[bool], None], /
     ) -> None:
         """Carry it out."""
 
@@ -154,12 +154,12 @@
         if self.busy:
             return True
         conditions: dict[str, int] = {}
-        writes: list[Data] = []
+        writes: list[Write] = []
         identity = self.identity
         if identity is None:
             identity = IdentityRecord(self.cell, self._new_incarnation())
             conditions[IDENTITY] = 0
-            writes.append(put(IDENTITY, msgspec.to_builtins(identity)))
+            writes.append(put_record(IDENTITY, identity))
         records = [ShareRecord(team, *shares[team]) for team in missing[: max(0, most - len(writes))]]
         for record in records:
             conditions[share_key(record.team)] = 0
@@ -281,7 +281,7 @@
 
     # -- durable steps ---------------------------------------------------------------------------------
 
-    def _step(self, conditions: dict[str, int], writes: list[Data], durable: Callable[[], None]) -> None:
+    def _step(self, conditions: dict[str, int], writes: Sequence[Write], durable: Callable[[], None]) -> None:
         self.busy = True
 
         def done(result: bool) -> None:
@@ -300,9 +300,9 @@
     return msgspec.structs.replace(record, share=share, version=record.version + 1)
 
 
-def _put_share(record: ShareRecord) -> Data:
-    return put(share_key(record.team), msgspec.to_builtins(record))
+def _put_share(record: ShareRecord) -> Put:
+    return put_record(share_key(record.team), record)
 
 
-def _put_peer(peer: str, record: PeerRecord) -> Data:
-    return put(PEER + peer, msgspec.to_builtins(record))
+def _put_peer(peer: str, record: PeerRecord) -> Put:
+    return put_record(PEER + peer, record)
--- a/src/poppyhold/reads/job_view.py
+++ b/src/poppyhold/reads/job_view.py
@@ -4,8 +4,9 @@
 
 from collections.abc import Iterable
 
+from poppyhold.durable.changes import Entry
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
-from poppyhold.durable.store import Changes, Entry
+from poppyhold.durable.store import Changes
 
 
 class JobView:
@@ -35,10 +36,11 @@
     def apply(self, changes: Changes) -> None:
         """Take every change behind our revision, in order."""
         for event in changes.events:
-            if "set" in event:
-                self._active.add(event["set"].removeprefix(ACTIVE_JOB_PREFIX))
+            job_id = event.key.removeprefix(ACTIVE_JOB_PREFIX)
+            if isinstance(event, Entry):
+                self._active.add(job_id)
             else:
-                self._active.discard(event["remove"].removeprefix(ACTIVE_JOB_PREFIX))
+                self._active.discard(job_id)
         self.revision = max(self.revision, changes.revision)
 
     def __contains__(self, job_id: str) -> bool:
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -7,9 +7,10 @@
 
 import msgspec
 
+from poppyhold.durable.changes import Data, Delete, Put
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, PLAN_PREFIX
 from poppyhold.durable.records import PlanRecord
-from poppyhold.durable.store import Data, put, remove, stored_bytes
+from poppyhold.durable.store import stored_bytes
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Attempt, Job, Machine
 from poppyhold.model.outbound import CommitPriority
@@ -197,7 +198,7 @@
 
         conditions = {ACTIVE_JOB_PREFIX + job.id: job.version}
         self._ctx.outbound.commit(
-            conditions, [put(PLAN_PREFIX + job.id, data)], durable, self._plan_commit_priority(job)
+            conditions, [Put(PLAN_PREFIX + job.id, data)], durable, self._plan_commit_priority(job)
         )
 
     def _plan_commit_priority(self, job: Job) -> CommitPriority:
@@ -218,7 +219,7 @@
 
     def remove_plan(self, job_id: str) -> None:
         """Remove the plan of a job that is over, when nobody waits for changes."""
-        self._ctx.outbound.commit({}, [remove(PLAN_PREFIX + job_id)], lambda done: None)
+        self._ctx.outbound.commit({}, [Delete(PLAN_PREFIX + job_id)], lambda done: None)
 
     def _record(self, job: Job) -> Data:
         """The durable form of a plan; one that does not fit loses its last slots.
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from poppyhold.cluster.peers import Opening
+from poppyhold.durable.changes import Entry
 from poppyhold.durable.keys import QUOTA_PREFIX
-from poppyhold.durable.store import Entry
 from poppyhold.options import Options
 from poppyhold.quota.amounts import UNIT, to_units, whole_share
 from poppyhold.quota.cells import Cell, CellController, Cells, check_cells
--- a/tests/quota_model.py
+++ b/tests/quota_model.py
@@ -2,13 +2,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from enum import Enum
 
-from poppyhold.durable.committer import Writer
+from poppyhold.durable.changes import Entry, Put, Write
+from poppyhold.durable.committer import FencedWriter
 from poppyhold.durable.errors import ConditionFailedError, OutcomeUnknownError, StoreRejectedError
 from poppyhold.durable.keys import LEADER_KEY, QUOTA_PREFIX
-from poppyhold.durable.store import Data, Entry, Store, put
+from poppyhold.durable.store import Store, transaction_body
 from poppyhold.quota.amounts import UNIT, ResourceAmount, ResourceShare, TeamAmount, TeamShare, seed
 from poppyhold.quota.messages import PROTOCOL_VERSION, ShareReply, ShareRequest
 from poppyhold.quota.records import Transfer
@@ -45,8 +46,8 @@
         status, body = self._state.get(key)
         return Entry(key, body["data"], body["stamp"]) if status == 200 else None
 
-    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
-        body = {"if": [{"key": key, "stamp": stamp} for key, stamp in conditions.items()], "writes": writes}
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
+        body = transaction_body(conditions, writes)
         outcome, self.outcome = self.outcome, Outcome.ANSWERED
         if outcome is Outcome.REFUSED:
             raise StoreRejectedError("503")
@@ -67,14 +68,16 @@
     def __init__(self, cell: ModelCell, lead_version: int) -> None:
         self.cell = cell
         self.store = ScriptedStore(cell.state, cell.late)
-        self.writer = Writer(self.store, lead_version)
-        self.steps: list[tuple[dict[str, int], list[Data], Callable[[bool], None]]] = []
+        self.writer = FencedWriter(self.store, lead_version)
+        self.steps: list[tuple[dict[str, int], Sequence[Write], Callable[[bool], None]]] = []
         self.deposed = self.unclear = False
         self.book = ShareBook(cell.name, cell.draw, self._commit, lambda team: None, self._on_unclear)
         entries = cell.state.scan(QUOTA_PREFIX, "", 1000)[1]["entries"]
         self.book.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
 
-    def _commit(self, conditions: dict[str, int], writes: list[Data], done: Callable[[bool], None]) -> None:
+    def _commit(
+        self, conditions: dict[str, int], writes: Sequence[Write], done: Callable[[bool], None]
+    ) -> None:
         self.steps.append((conditions, writes, done))
 
     def _on_unclear(self, why: str) -> None:
@@ -179,7 +182,7 @@
         """A new leader; the one before does not know yet."""
         if self.leader is not None:
             self.former = [*self.former[-1:], self.leader]
-        answer = self.state.commit({"writes": [put(LEADER_KEY, {"member": self.name})]})[1]
+        answer = self.state.commit(transaction_body({}, [Put(LEADER_KEY, {"member": self.name})]))[1]
         self.leader = Leader(self, answer["ledger"])
 
     def crash(self) -> None:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -8,8 +8,9 @@
 import msgspec
 
 from cells_world import CellsWorld
+from poppyhold.durable.changes import Delete
 from poppyhold.durable.keys import FENCING_TOKEN_KEY, QUOTA_PREFIX
-from poppyhold.durable.store import remove
+from poppyhold.durable.store import transaction_body
 from poppyhold.options import Options
 from poppyhold.relay.mode import RelayMode
 from poppyhold.scale.jobs import submission
@@ -148,7 +149,7 @@
         for node in world.nodes:
             node.crash(3.0)
         for key in keys:
-            world.state.commit({"writes": [remove(key)]})
+            world.state.commit(transaction_body({}, [Delete(key)]))
 
     def do_swap_cell(self, name: str) -> None:
         """The cell's controllers come back with a file that gives the cell another name."""
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING, Any
 
 import msgspec
@@ -12,7 +12,8 @@
 from poppyhold.cluster.connectivity import Connectivity
 from poppyhold.cluster.lease_delegation import DelegatedRenewal, LeaseDelegation, LeaseDelegations
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
-from poppyhold.durable.committer import Writer
+from poppyhold.durable.changes import Entry, Put, Write, decode_entry, decode_event
+from poppyhold.durable.committer import FencedWriter
 from poppyhold.durable.errors import (
     ConditionFailedError,
     OutcomeUnknownError,
@@ -21,7 +22,7 @@
 )
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FENCING_TOKEN_KEY, LEADER_KEY
 from poppyhold.durable.snapshot import SnapshotReader
-from poppyhold.durable.store import Changes, Entry, Page, Store, put
+from poppyhold.durable.store import Changes, Page, Store, transaction_body
 from poppyhold.model.durations import Durations
 from poppyhold.model.outbound import CommitPriority, MisdirectedWorker
 from poppyhold.model.outcome import RequestOutcome
@@ -71,17 +72,17 @@
 
     def page(self, prefix: str, after: str, most: int = 1000) -> Page:
         _, body = self._state().scan(prefix, after, most)
-        entries = [Entry(e["key"], e["data"], e["stamp"]) for e in body["entries"]]
+        entries = [decode_entry(entry) for entry in body["entries"]]
         return Page(entries, body["more"], body["ledger"])
 
     def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
         state = self._state()
         if state.is_too_old(since):
             raise WatchCompactedError(prefix, since)
-        return Changes(state.changes(prefix, since), state.ledger)
+        return Changes([decode_event(event) for event in state.changes(prefix, since)], state.ledger)
 
-    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
-        body = {"if": [{"key": k, "stamp": s} for k, s in conditions.items()], "writes": writes}
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
+        body = transaction_body(conditions, writes)
         state, world = self._state(), self._node.world
         # Those of a transaction whose conditions fail count as well.
         world.work["changes"] += len(writes)
@@ -112,11 +113,11 @@
         self.delegations = LeaseDelegations(node.times, 0.0)
         world = self.world
         self.authority = Authority(node.times.unconfirmed_renewal_s, world.members, world.now)
-        self._writer = Writer(node.store, stamp)
-        self._units: deque[tuple[dict[str, int], list[Data], Callable[[bool], None]]] = deque()
+        self._writer = FencedWriter(node.store, stamp)
+        self._units: deque[tuple[dict[str, int], Sequence[Write], Callable[[bool], None]]] = deque()
         self._priorities: deque[CommitPriority] = deque()
         # Writes of the last transfer that was about to be carried out.
-        self._planned: list[Data] | None = None
+        self._planned: Sequence[Write] | None = None
         # When each other cell is asked next.
         self.asks_at: dict[int, float] = {}
         self.controller = Controller(
@@ -154,7 +155,7 @@
     def _carry_out(self) -> None:
         """One try of the first unit that waits, as the committer's thread does."""
         conditions, writes, done = self._units[0]
-        is_transfer = any(str(write.get("set")).startswith(PEER) for write in writes)
+        is_transfer = any(isinstance(write, Put) and write.key.startswith(PEER) for write in writes)
         if is_transfer and self._planned is not writes:
             self._planned = writes
             self.world.on_transfer_step(self.node, "planned")
@@ -214,7 +215,7 @@
     def commit(
         self,
         conditions: dict[str, int],
-        writes: list[Data],
+        writes: Sequence[Write],
         done: Callable[[bool], None],
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
@@ -560,10 +561,11 @@
             return
         leader_term.confirmed = asked
         for event in world.state.changes(ACTIVE_JOB_PREFIX, leader_term.authority.revision):
-            if "set" in event:
-                leader_term.controller.job_set(Entry(event["set"], event["data"], event["stamp"]))
+            change = decode_event(event)
+            if isinstance(change, Entry):
+                leader_term.controller.job_set(change)
             else:
-                leader_term.controller.job_removed(event["remove"])
+                leader_term.controller.job_removed(change.key)
         leader_term.authority.synced(asked, world.state.ledger)
 
     def _campaign(self) -> None:
@@ -580,16 +582,16 @@
         held = self.store.get(FENCING_TOKEN_KEY)
         baton = (held.data["baton"] if held else 0) + 1
         claim = {"member": self.member, "baton": baton, "permit": permit}
-        conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.version if held else 0}
+        conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.revision if held else 0}
         try:
             stamp = self.store.commit(
-                conditions, [put(LEADER_KEY, claim, permit), put(FENCING_TOKEN_KEY, {"baton": baton})]
+                conditions, [Put(LEADER_KEY, claim, permit), Put(FENCING_TOKEN_KEY, {"baton": baton})]
             )
         except OutcomeUnknownError:
             lead = self.store.get(LEADER_KEY)
             if lead is None or lead.data["permit"] != permit:
                 raise
-            stamp = lead.version
+            stamp = lead.revision
         self.leader_term = SimLeaderTerm(self, baton, stamp, permit)
         world.a_leader_begins(self)
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+
 import pytest
 
 from guards import Guard, found_without
-from poppyhold.durable.committer import Writer
+from poppyhold.durable.changes import Write
+from poppyhold.durable.committer import FencedWriter
 from poppyhold.durable.keys import LEADER_KEY
-from poppyhold.durable.store import Data
 from poppyhold.model.fleet import Fleet
 from poppyhold.model.resources import NO_RESOURCES, Resources
 from poppyhold.quota.amounts import ResourceAmount, ResourceShare
@@ -73,7 +75,7 @@
     return None
 
 
-def _without_lead(writer: Writer, conditions: dict[str, int], writes: list[Data]) -> None:
+def _without_lead(writer: FencedWriter, conditions: dict[str, int], writes: Sequence[Write]) -> None:
     own = {key: stamp for key, stamp in conditions.items() if key != LEADER_KEY}
     writer._store.commit(own, writes)
 
@@ -99,7 +101,7 @@
     Guard("without_the_file", CellQuota, "_check_use", _unchecked),
     Guard("late_writes_and_messages", ShareBook, "_is_next", always_next),
     Guard("leader_killed_in_transfer", ShareBook, "_join", join_at_once),
-    Guard("leader_frozen_in_transfer", Writer, "commit", _without_lead),
+    Guard("leader_frozen_in_transfer", FencedWriter, "commit", _without_lead),
     Guard("two_leaders", ShareBook, "transfer_to", told_at_once),
     Guard("state_outage_in_transfer", ShareBook, "_join", join_at_once),
     Guard("cut_in_one_direction", ShareBook, "acknowledged", _unreconciled),
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -113,7 +113,7 @@
         self.error = error
         self.ended: list[int] = []
 
-    def end_lease(self, lease_id: int) -> None:
+    def revoke_lease(self, lease_id: int) -> None:
         if self.error is not None:
             raise self.error
         self.ended.append(lease_id)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -15,7 +15,7 @@
     MACHINE_TYPES_KEY,
     MORE_MACHINE_TYPES_PREFIX,
 )
-from poppyhold.durable.machine_types import machine_type_records
+from poppyhold.durable.machine_types import machine_type_writes
 from poppyhold.execution.completions import Layout, decode_bits
 from poppyhold.model.entities import make_job
 from poppyhold.options import load_options, parse_options
@@ -171,14 +171,14 @@
 def test_machine_types_are_stored_within_the_limit_and_read_again() -> None:
     data = world_build("small", 4, 10.0)
     builds = [convert({**data, "name": f"type-{number}"}, MachineType) for number in range(20)]
-    records = machine_type_records(builds, 2048)
+    records = machine_type_writes(builds, 2048)
     assert len(records) > 1
-    assert records[0]["set"] == MACHINE_TYPES_KEY
-    assert all(record["set"].startswith(MORE_MACHINE_TYPES_PREFIX) for record in records[1:])
-    assert all(len(msgspec.json.encode(record["data"])) <= 2048 for record in records)
-    read = [build for record in records for build in convert(record["data"], MachineTypes).machine_types]
+    assert records[0].key == MACHINE_TYPES_KEY
+    assert all(record.key.startswith(MORE_MACHINE_TYPES_PREFIX) for record in records[1:])
+    assert all(len(msgspec.json.encode(record.data)) <= 2048 for record in records)
+    read = [build for record in records for build in convert(record.data, MachineTypes).machine_types]
     assert read == builds
-    assert len(machine_type_records(builds[:2], 8192)) == 1
+    assert len(machine_type_writes(builds[:2], 8192)) == 1
 
 
 def test_limits_are_the_smaller_of_now_and_next() -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,11 +21,12 @@
 from poppyhold.cli import main
 from poppyhold.cluster.change_feed import ChangeFeed
 from poppyhold.cluster.peers import _MOST_COUNTS, _MOST_IMAGES, Ping, receive_opening
+from poppyhold.durable.changes import Entry
 from poppyhold.durable.errors import StoreRejectedError
 from poppyhold.durable.keys import MACHINE_PREFIX
 from poppyhold.durable.prefix_reader import PrefixReader
 from poppyhold.durable.snapshot import SnapshotReader
-from poppyhold.durable.store import Entry, Page, Store
+from poppyhold.durable.store import Page, Store
 from poppyhold.execution.direct_commands import DirectCommands
 from poppyhold.machines.space import Demand, Space
 from poppyhold.machines.space_index import SpaceIndex
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -8,9 +8,9 @@
 
 from poppyhold.cluster.election import Election, Term
 from poppyhold.cluster.lease_delegation import LeaseDelegation
+from poppyhold.durable.changes import Entry
 from poppyhold.durable.errors import OutcomeUnknownError
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FINAL_JOB_PREFIX, LEADER_KEY, PLAN_PREFIX
-from poppyhold.durable.store import Entry
 from poppyhold.options import Options
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.settings import Team
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -8,8 +8,8 @@
 import pytest
 
 import world
+from poppyhold.durable.changes import Entry
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
-from poppyhold.durable.store import Entry
 from poppyhold.model.entities import Job, make_job
 from poppyhold.model.resources import add_scaled, fits
 from poppyhold.options import Design
--- a/tests/test_reads.py
+++ b/tests/test_reads.py
@@ -18,9 +18,10 @@
 )
 
 from poppyhold.concurrency.pace import Pace
+from poppyhold.durable.changes import DeletedKey, Entry
 from poppyhold.durable.errors import StoreRejectedError, WatchCompactedError
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
-from poppyhold.durable.store import Changes, Entry, Page, Store
+from poppyhold.durable.store import Changes, Page, Store
 from poppyhold.reads.catch_up import BehindError, Follow, ReadPage, ReadRevision, Step, carry_out, catch_up
 from poppyhold.reads.job_reads import JobReads
 from poppyhold.reads.job_view import JobView
@@ -68,9 +69,9 @@
             raise WatchCompactedError(ACTIVE_JOB_PREFIX, step.since)
         upto = max(step.since, self.revision - lag)
         events = [
-            {"set": ACTIVE_JOB_PREFIX + w.job_id, "data": {}, "stamp": w.revision}
+            Entry(ACTIVE_JOB_PREFIX + w.job_id, {}, w.revision)
             if w.state == ACCEPTED
-            else {"remove": ACTIVE_JOB_PREFIX + w.job_id, "stamp": w.revision}
+            else DeletedKey(ACTIVE_JOB_PREFIX + w.job_id, w.revision)
             for w in self.log
             if step.since < w.revision <= upto
         ]
@@ -384,12 +385,12 @@
     if step is not None:
         assert step == Follow(1)
         # A follow that is late shows the job's beginning and not its end: another one must come.
-        late = Changes([{"set": ACTIVE_JOB_PREFIX + JOBS[1], "data": {}, "stamp": 2}], 2)
+        late = Changes([Entry(ACTIVE_JOB_PREFIX + JOBS[1], {}, 2)], 2)
         assert _send(running, late) == Follow(2)
-        assert _send(running, Changes([{"remove": ACTIVE_JOB_PREFIX + JOBS[1], "stamp": 3}], 3)) is None
+        assert _send(running, Changes([DeletedKey(ACTIVE_JOB_PREFIX + JOBS[1], 3)], 3)) is None
     else:
         # The next question's round meets the late follow.
-        view.apply(Changes([{"set": ACTIVE_JOB_PREFIX + JOBS[1], "data": {}, "stamp": 2}], 2))
+        view.apply(Changes([Entry(ACTIVE_JOB_PREFIX + JOBS[1], {}, 2)], 2))
     return JOBS[1] in view
 
 
--- a/tests/test_share_book.py
+++ b/tests/test_share_book.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 
 import pytest
 from hypothesis import given, settings
@@ -10,9 +10,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from guards import take_out
-from poppyhold.durable.committer import Writer
+from poppyhold.durable.changes import Entry, Write
+from poppyhold.durable.committer import FencedWriter
 from poppyhold.durable.keys import LEADER_KEY, QUOTA_PREFIX
-from poppyhold.durable.store import Data, Entry
 from poppyhold.quota.amounts import (
     UNIT,
     ResourceAmount,
@@ -285,12 +285,12 @@
     return None
 
 
-def _without_lead(writer: Writer, conditions: dict[str, int], writes: list[Data]) -> None:
+def _without_lead(writer: FencedWriter, conditions: dict[str, int], writes: Sequence[Write]) -> None:
     writer._store.commit(conditions, writes)
 
 
-def _without_fence(writer: Writer, conditions: dict[str, int], writes: list[Data]) -> None:
-    writer._store.commit({LEADER_KEY: writer._lead_version, **conditions}, writes)
+def _without_fence(writer: FencedWriter, conditions: dict[str, int], writes: Sequence[Write]) -> None:
+    writer._store.commit({LEADER_KEY: writer._leader_key_revision, **conditions}, writes)
 
 
 GUARDS = [
@@ -298,8 +298,8 @@
     pytest.param(started_before_the_write, ShareBook, "_leave", _leave_later, id="leaves-first"),
     pytest.param(started_before_it_was_taken, ShareBook, "_join", join_at_once, id="joins-last"),
     pytest.param(told_before_it_was_written, ShareBook, "transfer_to", told_at_once, id="durable-first"),
-    pytest.param(frozen_in_a_gift, Writer, "commit", _without_lead, id="lead"),
-    pytest.param(carried_out_late, Writer, "commit", _without_fence, id="fence"),
+    pytest.param(frozen_in_a_gift, FencedWriter, "commit", _without_lead, id="lead"),
+    pytest.param(carried_out_late, FencedWriter, "commit", _without_fence, id="fence"),
 ]
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -5,13 +5,14 @@
 import threading
 import time
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from types import SimpleNamespace
 from typing import Any
 
 import pytest
 
-from poppyhold.durable.committer import Committer, Unit, Writer
+from poppyhold.durable.changes import Entry, Put, Write
+from poppyhold.durable.committer import Committer, CommitUnit, FencedWriter
 from poppyhold.durable.errors import (
     ConditionFailedError,
     InvalidRequestError,
@@ -19,7 +20,7 @@
     StoreRejectedError,
 )
 from poppyhold.durable.keys import FENCING_TOKEN_KEY, LAUNCH_PREFIX, LEADER_KEY, PLAN_PREFIX
-from poppyhold.durable.store import Entry, Store, put
+from poppyhold.durable.store import Store, transaction_body
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.scale.jobs import submission
 from poppyhold.scale.standins import StateStandIn
@@ -42,8 +43,8 @@
         status, body = self.state.get(key)
         return Entry(key, body["data"], body["stamp"]) if status == 200 else None
 
-    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
-        body = {"if": [{"key": k, "stamp": s} for k, s in conditions.items()], "writes": writes}
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
+        body = transaction_body(conditions, writes)
         fate = self.fates.popleft() if self.fates else "answered"
         if fate == "refused":
             raise StoreRejectedError("503")
@@ -62,19 +63,19 @@
         return [self.state.commit(body)[0] for body in self.late]
 
 
-def leader(*fates: str) -> tuple[Fickle, Writer]:
+def leader(*fates: str) -> tuple[Fickle, FencedWriter]:
     """A store with a leader's key, and that leader's writer."""
     store = Fickle()
-    stamp = store.commit({}, [put(LEADER_KEY, {"member": "hive-0"})])
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     store.fates.extend(fates)
-    return store, Writer(store, stamp)
+    return store, FencedWriter(store, stamp)
 
 
-def until_certain(writer: Writer, key: str, value: int) -> None:
+def until_certain(writer: FencedWriter, key: str, value: int) -> None:
     """Write as the committer does: repeat what had no answer."""
     for _ in range(10):
         try:
-            writer.commit({}, [put(key, {"v": value})])
+            writer.commit({}, [Put(key, {"v": value})])
             return
         except (StoreRejectedError, OutcomeUnknownError):
             continue
@@ -112,11 +113,11 @@
     clock = SimpleNamespace(monotonic=time.monotonic, sleep=pauses.append)
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
     store = Fickle()
-    stamp = store.commit({}, [put(LEADER_KEY, {"member": "hive-0"})])
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     store.fates.extend(["refused"] * 12)
     done = threading.Event()
     committer = Committer(store, settings, stamp, lambda: None)
-    committer.submit(Unit({}, [put(FENCING_TOKEN_KEY, {"v": 1})], lambda result: done.set()))
+    committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], lambda result: done.set()))
     assert done.wait(60.0)
     committer.stop()
     assert len(pauses) == 12
@@ -131,8 +132,8 @@
         super().__init__()
         self.most_changes, self.largest = most_changes, largest
 
-    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
-        too_large = any(write["data"].get("v", 0) > self.largest for write in writes)
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
+        too_large = any(isinstance(write, Put) and write.data.get("v", 0) > self.largest for write in writes)
         if len(writes) > self.most_changes or too_large:
             raise InvalidRequestError("400")
         return super().commit(conditions, writes)
@@ -144,7 +145,7 @@
     clock = SimpleNamespace(monotonic=time.monotonic, sleep=lambda seconds: time.sleep(seconds / 100))
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
     store = Limited(most_changes=1, largest=9)
-    stamp = store.commit({}, [put(LEADER_KEY, {"member": "hive-0"})])
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     committer = Committer(store, settings, stamp, lambda: None)
     outcomes: list[tuple[int, bool]] = []
     last = threading.Event()
@@ -159,7 +160,7 @@
 
     # The second is too large by itself, and all of them are too many for one transaction.
     for value in (1, 10, 3, 4):
-        committer.submit(Unit({}, [put(f"{PLAN_PREFIX}{value}", {"v": value})], note(value)))
+        committer.submit(CommitUnit({}, [Put(f"{PLAN_PREFIX}{value}", {"v": value})], note(value)))
     assert last.wait(60.0)
     committer.stop()
     assert outcomes == [(1, True), (3, True), (4, True)]
@@ -169,12 +170,12 @@
 def test_a_new_leader_voids_what_the_old_one_left() -> None:
     store, old = leader("late")
     with pytest.raises(OutcomeUnknownError):
-        old.commit({}, [put(FENCING_TOKEN_KEY, {"v": 1})])
-    stamp = store.commit({}, [put(LEADER_KEY, {"member": "hive-1"})])
-    until_certain(Writer(store, stamp), FENCING_TOKEN_KEY, 2)
+        old.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})])
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-1"})])
+    until_certain(FencedWriter(store, stamp), FENCING_TOKEN_KEY, 2)
     assert store.carry_out_late() == [409]
     with pytest.raises(ConditionFailedError, match=LEADER_KEY):
-        old.commit({}, [put(FENCING_TOKEN_KEY, {"v": 3})])
+        old.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 3})])
     assert store.state.keys[FENCING_TOKEN_KEY][0] == {"v": 2}
 
 
@@ -186,11 +187,11 @@
         self.reached, self.go_on = threading.Event(), threading.Event()
         self.order: list[str] = []
 
-    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
         if conditions:
             self.reached.set()
             assert self.go_on.wait(60.0)
-            self.order += [write["set"] for write in writes]
+            self.order += [write.key for write in writes]
         return super().commit(conditions, writes)
 
 
@@ -198,12 +199,12 @@
     # A hundred plans at two thirds of 25 changes a second kept the first hires of a fleet back for 11 s.
     settings = World(1, 10.0, 30.0, []).settings
     store = Held()
-    stamp = store.commit({}, [put(LEADER_KEY, {"member": "hive-0"})])
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     committer = Committer(store, settings, stamp, lambda: None)
     left = threading.Semaphore(0)
 
     def submit(key: str, priority: CommitPriority) -> None:
-        committer.submit(Unit({}, [put(key, {})], lambda result: left.release()), priority)
+        committer.submit(CommitUnit({}, [Put(key, {})], lambda result: left.release()), priority)
 
     submit(f"{PLAN_PREFIX}first", CommitPriority.AWAITED)
     assert store.reached.wait(60.0)
@@ -228,12 +229,16 @@
     def commit(
         self: SimLeaderTerm,
         conditions: Data,
-        writes: list[Data],
+        writes: Sequence[Write],
         done: Any,
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
         ranks.update(
-            {write["set"]: priority for write in writes if write.get("set", "").startswith(PLAN_PREFIX)}
+            {
+                write.key: priority
+                for write in writes
+                if isinstance(write, Put) and write.key.startswith(PLAN_PREFIX)
+            }
         )
         inner(self, conditions, writes, done, priority)
 
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -31,6 +31,7 @@
 import cbor2
 import msgspec
 import pytest
+from poppyhold.wire.messages import convert, decode, encode
 
 import poppyhold
 from poppyhold.cli import main
@@ -40,7 +41,6 @@
 from poppyhold.quota import records
 from poppyhold.scale.__main__ import main as scale_main
 from poppyhold.settings import ConfigError, load_settings
-from poppyhold.wire.messages import convert, decode, encode
 from wire_kinds import MAPS, MESSAGES, WORDS, sample, words
 
 FIXTURE_FILE = Path(__file__).parent / "fixtures" / "wire_forms.json"
--- a/tests/wire_kinds.py
+++ b/tests/wire_kinds.py
@@ -11,17 +11,6 @@
 from typing import Any
 
 from msgspec import inspect
-
-from poppyhold.cluster.peers import Ping, Pong
-from poppyhold.durable.records import CompletionsRecord, HireRecord, MachineRecord, PlanRecord
-from poppyhold.quota.messages import NotLeading, ShareReply, ShareRequest, StatusReply, StatusRequest
-from poppyhold.quota.records import IdentityRecord, PeerRecord, ShareRecord
-from poppyhold.quota.status import QuotaStatus
-from poppyhold.relay.messages import AnswerBatch, Outcome, RelayHello, ReportBatch
-from poppyhold.scale.cells import CellsResult
-from poppyhold.scale.profile import Profile
-from poppyhold.scale.result import Result
-from poppyhold.settings import Settings
 from poppyhold.wire.messages import (
     Command,
     CommandKind,
@@ -37,6 +26,17 @@
     TaskState,
 )
 
+from poppyhold.cluster.peers import Ping, Pong
+from poppyhold.durable.records import CompletionsRecord, HireRecord, MachineRecord, PlanRecord
+from poppyhold.quota.messages import NotLeading, ShareReply, ShareRequest, StatusReply, StatusRequest
+from poppyhold.quota.records import IdentityRecord, PeerRecord, ShareRecord
+from poppyhold.quota.status import QuotaStatus
+from poppyhold.relay.messages import AnswerBatch, Outcome, RelayHello, ReportBatch
+from poppyhold.scale.cells import CellsResult
+from poppyhold.scale.profile import Profile
+from poppyhold.scale.result import Result
+from poppyhold.settings import Settings
+
 # Maps: values of the state service, bodies of the outside protocols, files that are read, and JSON output.
 MAPS: dict[str, Any] = {
     "ph/a/JOB, spec": Submission,
