--- a/src/poppyhold/machines/deletions.py
+++ b/src/poppyhold/machines/deletions.py
@@ -9,7 +9,7 @@
 from poppyhold.durable.keys import MACHINE_PREFIX
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.model.context import Context
-from poppyhold.model.entities import Machine
+from poppyhold.model.entities import Machine, RecordState
 
 log = logging.getLogger(__name__)
 
@@ -57,8 +57,8 @@
         self._ctx.outbound.delete_machines(names, deleted)
 
     def _gone(self, machine: Machine) -> None:
-        recorded = machine.is_recorded or machine.record_requested
-        self._reconciler.gone(machine)
+        recorded = machine.record_state is not RecordState.NOT_RECORDED
+        self._reconciler.machine_deleted(machine)
         self._on_gone(machine)
         if recorded:
             self._ctx.outbound.commit({}, [Delete(MACHINE_PREFIX + machine.name)], lambda done: None)
