--- a/src/poppyhold/cluster/__init__.py
+++ b/src/poppyhold/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Which controller leads, and what controllers tell one another."""
+"""Leader election, lease delegation, and the messages between the controllers of a cell."""
--- a/src/poppyhold/cluster/authority.py
+++ b/src/poppyhold/cluster/authority.py
@@ -1,4 +1,4 @@
-"""How long a leader that lost the state service may go on answering workers."""
+"""How long a leader that lost the state service may go on renewing workers' leases."""
 
 from __future__ import annotations
 
@@ -6,42 +6,45 @@
 
 
 class Authority:
-    """What a leader knows of cancellations, and what it may do without confirmation from the state service.
+    """What a leader knows of cancellations, and what it may do without confirmation by the state service.
 
-    A cancellation that we have not acted on was confirmed to its user behind the last moment at which we were
-    in step with the state service, and by a controller that we have not asked since. So we may answer until a
-    lease given now would end later than `cancel_s` behind the last moment at which every controller, this one
-    too, was asked and had confirmed nothing that we had not acted on.
+    A cancellation that the leader has not acted on was confirmed to its user after the last moment at which
+    the leader had caught up with the state service, and by a controller that has not been asked since. So the
+    leader may renew leases until one that is renewed now would end later than `cancel_s` after its
+    watermark: the last moment at which every controller, itself included, had been asked and had confirmed
+    nothing that the leader had not acted on.
     """
 
     def __init__(self, unconfirmed_renewal_s: float, members: Iterable[str], began_at: float) -> None:
         self._unconfirmed_renewal_s = unconfirmed_renewal_s
-        self._clear_at = {member: float("-inf") for member in members}
+        # Up to which moment every cancellation that a controller confirmed is acted on.
+        self._peer_watermarks = {member: float("-inf") for member in members}
         # Every change before this moment, and up to this revision, has been acted on.
-        self.synced_at = began_at
-        self.revision = -1
+        self.watch_caught_up_at = began_at
+        self.acted_on_revision = -1
 
-    def synced(self, asked: float, revision: int) -> None:
-        """All that the state service told of when it was asked is acted on."""
-        self.synced_at, self.revision = asked, revision
+    def observe_watch(self, asked_at: float, revision: int) -> None:
+        """All changes that the state service knew of when it was asked are acted on."""
+        self.watch_caught_up_at, self.acted_on_revision = asked_at, revision
 
-    def learned(self, member: str, asked: float, bound: int) -> None:
-        """What a controller named when it was asked is acted on; all else it confirmed came by ``bound``.
+    def observe_peer(self, member: str, asked_at: float, bound: int) -> None:
+        """The cancellations that a controller listed are acted on; all others it confirmed came by ``bound``.
 
-        The moment of the question counts: between its answer and now the controller may have confirmed more.
+        The moment of the request counts: between its response and now the controller may have confirmed more.
+        A bound of -1 says that the controller can't know.
         """
-        if 0 <= bound <= self.revision:
-            self._clear_at[member] = max(asked, self._clear_at[member])
+        if 0 <= bound <= self.acted_on_revision:
+            self._peer_watermarks[member] = max(asked_at, self._peer_watermarks[member])
 
-    def known_until(self, confirmed_at: float) -> float:
-        """No cancellation that was confirmed up to this moment is unknown to us.
+    def cancellations_known_until(self, confirmed_at: float) -> float:
+        """The watermark: every cancellation that was confirmed before this moment is acted on.
 
-        ``confirmed_at`` is when the lead was last confirmed as ours. The next leader counts on our answers to
-        end within `cancel_s` of its beginning, and the state service may go on to tell of jobs behind that.
-        Controllers that are asked have not begun to lead by then, or we step down on their answer.
+        ``confirmed_at`` is when our leadership was last confirmed. The next leader relies on our renewals to
+        end within `cancel_s` of its beginning, and the state service may still tell us of jobs after that.
+        Controllers that are asked have not begun to lead by then, or we step down on their response.
         """
-        return max(min(self.synced_at, confirmed_at), min(self._clear_at.values()))
+        return max(min(self.watch_caught_up_at, confirmed_at), min(self._peer_watermarks.values()))
 
-    def may_answer(self, now: float, confirmed_at: float) -> bool:
-        """Whether a worker may be given another lease."""
-        return now <= self.known_until(confirmed_at) + self._unconfirmed_renewal_s
+    def may_renew_leases(self, now: float, confirmed_at: float) -> bool:
+        """Whether a worker's lease may be renewed."""
+        return now <= self.cancellations_known_until(confirmed_at) + self._unconfirmed_renewal_s
--- a/src/poppyhold/cluster/cancellations.py
+++ b/src/poppyhold/cluster/cancellations.py
@@ -3,47 +3,67 @@
 from __future__ import annotations
 
 import threading
+from typing import NamedTuple
 
-# Job and revision.
-Cancellation = tuple[str, int]
+
+class Cancellation(NamedTuple):
+    """A job whose cancellation is durable with a revision."""
+
+    job_id: str
+    revision: int
+
+
+class CancellationReport(NamedTuple):
+    """What a controller tells the leader of the cancellations that it confirmed to users."""
+
+    listed: list[Cancellation]
+    # The highest revision of all that are not listed; -1: that can't be said.
+    unlisted_revision: int
 
 
 class Cancellations:
-    """What was confirmed here: by job as far as there is room, and the highest revision of the rest.
+    """Cancellations confirmed here: listed by job within a bound, and the highest revision of the others.
 
     A cancellation is durable before it is confirmed, so any leader may act on it at once. One that is not
-    named counts through its revision: a leader that does not know every change up to it stops to answer in
-    time.
+    listed counts through its revision: a leader that does not know every change up to it stops renewing
+    leases in time.
     """
 
     def __init__(self, most: int) -> None:
+        """``most`` cancellations are listed."""
         self._most = most
-        self._named: dict[str, int] = {}
-        # Highest revision of those that were confirmed and are no longer named.
-        self._unnamed = -1
+        # Revisions by job, oldest first.
+        self._listed: dict[str, int] = {}
+        # Highest revision of those that were confirmed and are no longer listed.
+        self._unlisted_revision = -1
         self._lock = threading.Lock()
 
     def add(self, job_id: str, revision: int) -> None:
         """A job's cancellation is about to be confirmed to a user; it is durable with this revision."""
         with self._lock:
-            if revision <= self._unnamed:
+            if revision <= self._unlisted_revision:
                 return
-            self._named[job_id] = revision
-            while len(self._named) > self._most:
-                oldest = next(iter(self._named))
-                self._unnamed = max(self._unnamed, self._named.pop(oldest))
+            self._listed[job_id] = revision
+            while len(self._listed) > self._most:
+                self._unlist(next(iter(self._listed)))
 
-    def known(self, acted_on: int) -> None:
-        """A leader knows every change up to this revision: no need to name those."""
+    def acknowledge(self, acted_on_revision: int) -> None:
+        """A leader has acted on every change up to this revision: no need to list those."""
         with self._lock:
-            for job_id in [job_id for job_id, revision in self._named.items() if revision <= acted_on]:
-                self._unnamed = max(self._unnamed, self._named.pop(job_id))
+            acted_on = [job_id for job_id, revision in self._listed.items() if revision <= acted_on_revision]
+            for job_id in acted_on:
+                self._unlist(job_id)
+
+    def _unlist(self, job_id: str) -> None:
+        self._unlisted_revision = max(self._unlisted_revision, self._listed.pop(job_id))
 
-    def named(self, first: int) -> tuple[list[Cancellation], int]:
-        """Those that are named, and the highest revision of all others; -1: that can't be said.
+    def report(self, first_revision: int) -> CancellationReport:
+        """The cancellations that are listed, and a bound of all others.
 
-        ``first`` is the first revision that this process saw: what one before it confirmed came by then.
-        Before it saw one (-1) nothing can be said of that, whatever it confirmed itself meanwhile.
+        ``first_revision`` is the first revision that this process saw: what one before it confirmed came
+        by then. Before it saw one (-1) nothing can be said of that, whatever this one confirmed meanwhile.
         """
         with self._lock:
-            return list(self._named.items()), max(self._unnamed, first) if first >= 0 else -1
+            listed = [Cancellation(job_id, revision) for job_id, revision in self._listed.items()]
+            bound = max(self._unlisted_revision, first_revision) if first_revision >= 0 else -1
+            return CancellationReport(listed, bound)
--- a/src/poppyhold/cluster/change_feed.py
+++ b/src/poppyhold/cluster/change_feed.py
@@ -1,4 +1,4 @@
-"""What another controller was not sent yet, in pieces that fit into a message."""
+"""Changes that another controller was not sent yet, in batches that fit into a message."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class ChangeFeed(Generic[V]):
-    """Follows a map of values by name for one listener. Names that are gone are not sent."""
+    """Follows a map of values by name for one receiver. Names that are gone are not sent."""
 
     def __init__(self, most: int) -> None:
-        """At most ``most`` entries go at a time."""
+        """At most ``most`` entries are sent at a time."""
         self._most = most
         self._sent: dict[str, V] = {}
-        # Whether the last piece left anything out.
-        self.behind = False
+        # Whether the last batch may have left something out.
+        self.has_more = False
 
-    def next(self, values: dict[str, V]) -> list[tuple[str, V]]:
-        """The next piece of what differs from what was sent."""
+    def next_batch(self, values: dict[str, V]) -> list[tuple[str, V]]:
+        """The next of the entries that differ from what was sent."""
         changed = (entry for entry in values.items() if self._sent.get(entry[0]) != entry[1])
-        piece = list(islice(changed, self._most))
-        self.behind = len(piece) == self._most
+        batch = list(islice(changed, self._most))
+        self.has_more = len(batch) == self._most
         for name in self._sent.keys() - values.keys():
             del self._sent[name]
-        self._sent.update(piece)
-        return piece
+        self._sent.update(batch)
+        return batch
--- /dev/null
+++ b/src/poppyhold/cluster/delegated_renewals.py
@@ -0,0 +1,87 @@
+"""Renewals of workers' leases in the name of a leader that can't be reached (`cluster.lease_delegation`)."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from poppyhold.cluster.lease_delegation import LeaseDelegation
+from poppyhold.model.durations import Durations
+from poppyhold.wire.worker_messages import Heartbeat
+
+log = logging.getLogger(__name__)
+
+
+class DelegatedRenewals:
+    """The delegate's side: decides whether a worker's lease may be renewed for the leader."""
+
+    def __init__(
+        self,
+        durations: Durations,
+        skew_s: float,
+        clock: Callable[[], float],
+        wall_clock: Callable[[], float],
+    ) -> None:
+        self._durations, self._skew_s = durations, skew_s
+        self._clock, self._wall_clock = clock, wall_clock
+        self._delegation: LeaseDelegation | None = None
+        self._leader_heard_at = float("-inf")
+        # Whether leases are being renewed, so that the first renewal alone is logged.
+        self._renewing = False
+
+    def observe_leader(self, fencing_token: int, delegation: LeaseDelegation | None) -> None:
+        """A leader's ping came. One that can't delegate anything yet, as after a failover, revokes it all."""
+        if self._delegation is None or fencing_token >= self._delegation.fencing_token:
+            self._delegation, self._leader_heard_at = delegation, self._clock()
+            self._renewing = False
+
+    def renewal_fencing_token(
+        self,
+        heartbeat: Heartbeat,
+        store_contact_at: float,
+        known_fencing_token: int,
+        leader_unreachable: bool,
+    ) -> int | None:
+        """The fencing token to renew a worker's lease with; None if that is not for us to do.
+
+        ``store_contact_at`` is when the state service last responded to us, ``known_fencing_token`` that of
+        the leader's key, and ``leader_unreachable`` whether nothing of ours gets through to the leader.
+        """
+        delegation, now = self._delegation, self._clock()
+        renewal_after_s = self._durations.delegated_renewal_after_s
+        if delegation is None or now - self._leader_heard_at <= renewal_after_s:
+            return None
+        if now - store_contact_at <= renewal_after_s and not (
+            self._is_partition(delegation, known_fencing_token) and leader_unreachable
+        ):
+            log.debug("lease not renewed, the state service names the leader: machine=%s", heartbeat.machine)
+            return None
+        # A delayed message may come late: its own time of day tells how old it is.
+        expires_at_wall = delegation.known_until_wall + self._durations.unconfirmed_renewal_s
+        if self._wall_clock() + 2 * self._skew_s > expires_at_wall:
+            return None
+        if (
+            heartbeat.fencing_token != delegation.fencing_token
+            or known_fencing_token > delegation.fencing_token
+            or heartbeat.machine in delegation.excluded_machines
+        ):
+            log.debug(
+                "lease not renewed: machine=%s fencing_token=%d delegated_fencing_token=%d",
+                heartbeat.machine,
+                heartbeat.fencing_token,
+                delegation.fencing_token,
+            )
+            return None
+        if not self._renewing:
+            self._renewing = True
+            log.info("renewing leases in the leader's name: fencing_token=%d", delegation.fencing_token)
+        return delegation.fencing_token
+
+    @staticmethod
+    def _is_partition(delegation: LeaseDelegation, known_fencing_token: int) -> bool:
+        """Whether the leader still leads though it is not heard: its workers here may not reach it either.
+
+        Where two zones can't reach each other and the third is cut off, both have the state service, and
+        nobody could lead for all: the leases of the zone without the leader ended after ten seconds.
+        """
+        return known_fencing_token == delegation.fencing_token
--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -34,14 +34,14 @@
     member: str
     fencing_token: int
     lease_id: int
-    version: int
+    key_revision: int
 
 
 class Term(NamedTuple):
     """Our own term of leading."""
 
     fencing_token: int
-    version: int
+    key_revision: int
     lease_id: int
     began_at: float
 
@@ -61,17 +61,17 @@
     ) -> None:
         self._member = settings.member
         self._store, self._rng = store, rng
-        self._on_elected, self._on_deposed = on_elected, on_deposed
+        self._on_elected, self._on_leadership_lost = on_elected, on_deposed
         # Whether a controller that is placed better should campaign before us.
-        self._yields = yields
+        self._should_yield = yields
         lease_s = settings.settings.workers.lease_s
-        self.life_s = lease_s * options.leadership.term_leases
-        self._renew_s = self.life_s / options.leadership.renewals
-        self._rest_s = lease_s
+        self.lease_ttl_s = lease_s * options.leadership.term_leases
+        self._renew_s = self.lease_ttl_s / options.leadership.renewals
+        self._stand_back_s = lease_s
         self._lock = threading.Lock()
         self._wake = threading.Event()
         self._stopped = False
-        self._resting_until = 0.0
+        self._standing_back_until = 0.0
         self._vacant_since = time.monotonic()
         self.leader: Leader | None = None
         # When we learnt of this leader.
@@ -96,14 +96,14 @@
 
     def resign(self, why: str) -> None:
         """Give the term up, for another node to lead, and stand back for a lease."""
-        self._resting_until = time.monotonic() + self._rest_s
+        self._standing_back_until = time.monotonic() + self._stand_back_s
         term = self.term
-        self.deposed(why)
+        self.step_down(why)
         if term is not None:
-            self._end_lease(term.lease_id)
+            self._revoke_lease(term.lease_id)
         self._wake.set()
 
-    def hand_over(self, why: str) -> None:
+    def transfer_leadership(self, why: str) -> None:
         """Give the term up only if the state service takes it back: in an outage nobody else could have it.
 
         A leader that resigned just as an outage began left the fleet without one to its end.
@@ -116,10 +116,10 @@
         except (StoreRejectedError, OutcomeUnknownError) as error:
             log.debug("handing over: %s", error)
             return
-        self._resting_until = time.monotonic() + self._rest_s
-        self.deposed(why)
+        self._standing_back_until = time.monotonic() + self._stand_back_s
+        self.step_down(why)
 
-    def deposed(self, why: str) -> None:
+    def step_down(self, why: str) -> None:
         """Our term is over."""
         with self._lock:
             if self.term is None:
@@ -127,16 +127,16 @@
             self.term = None
             self.confirmed_at = float("-inf")
         log.info("no longer leading: %s", why)
-        self._on_deposed()
+        self._on_leadership_lost()
         self._wake.set()
 
     def observe_fencing_token(self, fencing_token: int) -> None:
         """Step down at once if somebody holds a higher token than ours."""
         term = self.term
         if term is not None and fencing_token > term.fencing_token:
-            self.deposed(f"baton {fencing_token} was seen")
+            self.step_down(f"baton {fencing_token} was seen")
 
-    def raised(self, fencing_token: int) -> None:
+    def record_fencing_token(self, fencing_token: int) -> None:
         """Our own token was raised within the term."""
         with self._lock:
             if self.term is not None:
@@ -149,7 +149,7 @@
                 self._named.wait(timeout)
             return self.leader
 
-    def await_next(self, leader: Leader, timeout: float) -> Leader | None:
+    def await_next_leader(self, leader: Leader, timeout: float) -> Leader | None:
         """Wait a moment for another leader than this one; the leader as it is then."""
         with self._named:
             self._named.wait_for(lambda: self.leader not in (None, leader) or self._stopped, timeout)
@@ -167,16 +167,16 @@
             if leader is not None:
                 self._named.notify_all()
 
-    def depose(self, leader: Leader) -> None:
+    def expire_lease(self, leader: Leader) -> None:
         """End the lease of a leader whose process is gone. This is safe even if it is not:
 
         every step of a leader is conditional on its key, and workers follow the higher token.
         """
-        if self.leader == leader and time.monotonic() >= self._resting_until:
+        if self.leader == leader and time.monotonic() >= self._standing_back_until:
             log.info("deposing %s", leader.member)
-            self._end_lease(leader.lease_id)
+            self._revoke_lease(leader.lease_id)
 
-    def _end_lease(self, lease_id: int) -> None:
+    def _revoke_lease(self, lease_id: int) -> None:
         try:
             self._store.revoke_lease(lease_id)
         except (StoreRejectedError, OutcomeUnknownError) as error:
@@ -191,7 +191,7 @@
             self._seen(change)
         elif change.key == LEADER_KEY:
             term = self.term
-            if term is None or change.revision > term.version:
+            if term is None or change.revision > term.key_revision:
                 self._seen(None)
 
     def _seen(self, entry: Entry | None) -> None:
@@ -200,10 +200,10 @@
             record = convert(entry.data, LeaderRecord)
             leader = Leader(record.member, record.fencing_token, record.lease_id, entry.revision)
         term = self.term
-        if term is not None and (leader is None or leader.version > term.version):
+        if term is not None and (leader is None or leader.key_revision > term.key_revision):
             self._name(leader)
-            self.deposed("the leader's key changed")
-        elif term is None or (leader is not None and leader.version == term.version):
+            self.step_down("the leader's key changed")
+        elif term is None or (leader is not None and leader.key_revision == term.key_revision):
             self._name(leader)
         self._wake.set()
 
@@ -227,7 +227,7 @@
         try:
             self._store.renew_lease(term.lease_id, self._renew_s * 2)
         except LeaseExpiredError:
-            self.deposed("our lease ended")
+            self.step_down("our lease ended")
             return 0.0
         except (StoreRejectedError, OutcomeUnknownError) as error:
             # An outage and a refusal of us alone look the same: go on for now. What we may still do
@@ -240,28 +240,28 @@
 
     def _campaign(self) -> float:
         now = time.monotonic()
-        if now < self._resting_until:
-            return self._resting_until - now
+        if now < self._standing_back_until:
+            return self._standing_back_until - now
         if not self._snapshot_seen:
             return self._renew_s / 4
         leader = self.leader
         if leader is not None:
             if leader.member == self._member:
                 # A process of ours before this one held it.
-                self._end_lease(leader.lease_id)
+                self._revoke_lease(leader.lease_id)
                 return self._renew_s / 2
-            return self.life_s
-        if now - self._vacant_since < self.life_s and self._yields():
+            return self.lease_ttl_s
+        if now - self._vacant_since < self.lease_ttl_s and self._should_yield():
             return self._renew_s / 2
         try:
-            lease_id = self._store.lease(self.life_s)
+            lease_id = self._store.lease(self.lease_ttl_s)
             asked = time.monotonic()
-            self._stand(lease_id, asked)
+            self._claim_leadership(lease_id, asked)
         except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError, ConditionFailedError) as error:
             log.debug("campaign: %s", error)
         return self._renew_s * self._rng.uniform(0.3, 0.7)
 
-    def _stand(self, lease_id: int, asked: float) -> None:
+    def _claim_leadership(self, lease_id: int, asked: float) -> None:
         held = self._store.get(FENCING_TOKEN_KEY)
         fencing_token = (convert(held.data, FencingTokenRecord).fencing_token if held else 0) + 1
         claim = LeaderRecord(self._member, fencing_token, lease_id)
--- a/src/poppyhold/cluster/misdirected_workers.py
+++ b/src/poppyhold/cluster/misdirected_workers.py
@@ -1,4 +1,4 @@
-"""Workers that follow a leader and have lately reported to this controller, which does not lead."""
+"""Workers that follow a leader and have lately sent a heartbeat to this controller, which does not lead."""
 
 from __future__ import annotations
 
@@ -9,21 +9,22 @@
 
 
 class MisdirectedWorkers:
-    """A bounded memory of them; the leader asks for it with its pings."""
+    """Remembers the last of them, up to a number; the leader gets them with the responses to its pings."""
 
     def __init__(self, most: int, recent_s: float) -> None:
         self._most, self._recent_s = most, recent_s
-        self._reported: dict[str, tuple[float, MisdirectedWorker]] = {}
+        # By machine, the longest silent first.
+        self._received: dict[str, tuple[float, MisdirectedWorker]] = {}
 
-    def note(self, heartbeat: Heartbeat) -> None:
-        """A worker reported here."""
-        self._reported.pop(heartbeat.machine, None)
+    def record(self, heartbeat: Heartbeat) -> None:
+        """A worker sent a heartbeat here."""
+        self._received.pop(heartbeat.machine, None)
         worker = MisdirectedWorker(heartbeat.machine, heartbeat.incarnation, heartbeat.sequence)
-        self._reported[heartbeat.machine] = time.monotonic(), worker
-        if len(self._reported) > self._most:
-            self._reported.pop(next(iter(self._reported)), None)
+        self._received[heartbeat.machine] = time.monotonic(), worker
+        if len(self._received) > self._most:
+            self._received.pop(next(iter(self._received)), None)
 
     def recent(self) -> list[MisdirectedWorker]:
-        """Those of the last moments."""
+        """Those whose heartbeat came within ``recent_s``."""
         since = time.monotonic() - self._recent_s
-        return [worker for at, worker in list(self._reported.values()) if at > since]
+        return [worker for received_at, worker in list(self._received.values()) if received_at > since]
--- a/src/poppyhold/cluster/peers.py
+++ b/src/poppyhold/cluster/peers.py
@@ -14,7 +14,7 @@
 from poppyhold.cluster.cancellations import Cancellation
 from poppyhold.cluster.change_feed import ChangeFeed
 from poppyhold.cluster.connectivity import Connectivity
-from poppyhold.cluster.lease_delegation import LeaseDelegation, LeaseDelegations
+from poppyhold.cluster.lease_delegation import DelegationTracker, LeaseDelegation
 from poppyhold.model.context import ImageHints
 from poppyhold.model.outbound import MisdirectedWorker
 from poppyhold.quota.messages import Answer as QuotaAnswer
@@ -42,18 +42,18 @@
     # Seconds since the state service last answered the sender.
     state_age_s: float
     # Highest revision of a cancellation that the sender confirmed to a user; -1: it can't know.
-    confirmed: int
+    confirmed_revision: int
     # Workers that turned to it lately.
     workers: int
-    counts: list[Count] = []
+    task_counts: list[Count] = []
     # Images of machines whose images changed: a next leader starts from them.
-    images: list[tuple[str, tuple[tuple[str, float], ...]]] = []
+    image_hints: list[tuple[str, tuple[tuple[str, float], ...]]] = []
     # What a leader is sure of, for those who may have to stand in for it.
     delegation: LeaseDelegation | None = None
     # Revision up to which a leader has acted on every cancellation; -1: it does not lead, or does not say.
-    known: int = -1
+    acted_on_revision: int = -1
     # Whether a leader takes reports that others relay to it. A version before this field never does.
-    relays: bool = False
+    accepts_relays: bool = False
 
 
 class Pong(msgspec.Struct, frozen=True, array_like=True, tag="pong"):
@@ -63,21 +63,21 @@
     fencing_token: int
     leading: bool
     state_age_s: float
-    confirmed: int
+    confirmed_revision: int
     workers: int
     # Cancellations that it confirmed to users and that the leader may not know, and the highest revision of
     # all others that it confirmed. None from a version that names none: then `confirmed` bounds all of them.
-    cancelled: list[Cancellation] = []
-    unnamed: int | None = None
+    cancellations: list[Cancellation] = []
+    unlisted_revision: int | None = None
     # The workers that turned to it lately: the leader knows whether it has heard newer reports of them.
-    misdirected: list[MisdirectedWorker] = []
+    misdirected_workers: list[MisdirectedWorker] = []
     # Other controllers that answered it lately. None are named by a version before this field.
-    hears: list[str] = []
+    reachable_peers: list[str] = []
 
     @property
-    def bound(self) -> int:
+    def cancellations_bound(self) -> int:
         """Who knows every change up to this revision knows all that is not named; -1: that can't be said."""
-        return self.confirmed if self.unnamed is None else self.unnamed
+        return self.confirmed_revision if self.unlisted_revision is None else self.unlisted_revision
 
 
 Message = Ping | Pong
@@ -95,8 +95,8 @@
     """What we know of another controller."""
 
     # When the state service answered it last.
-    contact_at: float
-    misdirected: list[MisdirectedWorker]
+    store_contact_at: float
+    misdirected_workers: list[MisdirectedWorker]
 
 
 class Peers:
@@ -111,7 +111,7 @@
         reply: Callable[[Ping], Pong],
         on_pong: Callable[[Pong, float], None],
         on_refused: Callable[[str], None],
-        delegations: Callable[[], LeaseDelegations | None],
+        delegations: Callable[[], DelegationTracker | None],
         on_relay: Callable[[socket.socket, RelayHello], None],
         on_quota: Callable[[QuotaOpening], QuotaAnswer],
         quota_links: int = 0,
@@ -194,7 +194,7 @@
                     self._talk(connection, known)
             except (OSError, ValueError, msgspec.MsgspecError) as error:
                 log.debug("peer %s: %s", known.member, error)
-                self.connectivity.lost(known.member, timed_out=isinstance(error, TimeoutError))
+                self.connectivity.connection_lost(known.member, timed_out=isinstance(error, TimeoutError))
                 if isinstance(error, ConnectionRefusedError):
                     self._on_refused(known.member)
             except Exception:
@@ -205,26 +205,28 @@
         counts: ChangeFeed[tuple[int, int]] = ChangeFeed(_MOST_COUNTS)
         images: ChangeFeed[tuple[tuple[str, float], ...]] = ChangeFeed(_MOST_IMAGES)
         while not self._stop.is_set():
-            changed_counts = [(job, *pair) for job, pair in counts.next(self._counts())]
-            changed_images = images.next(self._image_hints())
+            changed_counts = [(job, *pair) for job, pair in counts.next_batch(self._counts())]
+            changed_images = images.next_batch(self._image_hints())
             asked = time.monotonic()
             delegations = self._delegations()
             if delegations is not None:
-                delegations.telling(known.member, asked)
-            ping = msgspec.structs.replace(self._describe(), counts=changed_counts, images=changed_images)
+                delegations.record_grant(known.member, asked)
+            ping = msgspec.structs.replace(
+                self._describe(), task_counts=changed_counts, image_hints=changed_images
+            )
             send(connection, ping)
             message = receive_opening(connection)
             if not isinstance(message, Pong) or message.member != known.member:
                 # What a leader may do depends on who answered.
                 raise ValueError(f"not a pong of {known.member}")
             self._note(known.member, message, asked)
-            self.connectivity.answered(known.member, message.hears)
+            self.connectivity.record_response(known.member, message.reachable_peers)
             if delegations is not None:
-                delegations.answered(known.member, asked)
+                delegations.record_response(known.member, asked)
             self._on_pong(message, asked)
-            behind = counts.behind or images.behind
+            behind = counts.has_more or images.has_more
             self._stop.wait(self._every_s / _PIECES_EACH if behind else self._every_s)
 
     def _note(self, member: str, pong: Pong, asked: float) -> None:
         contact_at = asked - pong.state_age_s
-        self.views[member] = PeerView(contact_at, pong.misdirected)
+        self.views[member] = PeerView(contact_at, pong.misdirected_workers)
--- a/src/poppyhold/cluster/redirect_backoff.py
+++ b/src/poppyhold/cluster/redirect_backoff.py
@@ -7,34 +7,34 @@
 
 # Share of a lease that such a worker is kept waiting for the next leader.
 _WAIT_RATIO = 0.25
-# Share of a lease within which a new leader is found by its workers.
-_FOUND_RATIO = 0.5
+# Share of a lease within which the workers find a new leader.
+_DISCOVERY_RATIO = 0.5
 
 
 class RedirectBackoff:
-    """Tells how long a worker waits for the leader to change before it is sent back to it.
-
-    Where a leader's way to the workers drops packets, a worker comes four seconds behind its last report and
-    another one later. Sent straight back, it waited four seconds more, and by then its lease was over: in a
-    fleet of 200 machines 400 tasks were lost though the next leader stood ready before the leases ended.
-    The leader resigns as soon as most workers have turned away, within two seconds of the first ones. Who
-    comes once more within a lease has waited in vain, and its lease may be about to end: it is sent back at
-    once.
+    """Decides how long a worker is kept waiting for a failover before it is redirected to the same leader.
+
+    Where a leader's way to the workers drops packets, a worker comes four seconds after its last heartbeat
+    and another one later. Redirected at once, it waited four seconds more, and by then its lease had expired:
+    in a fleet of 200 machines 400 tasks were lost though the next leader stood ready before the leases ended.
+    The leader resigns as soon as most workers have turned away, within two seconds of the first ones. A
+    worker that comes once more within a lease has waited in vain, and its lease may be about to expire: it is
+    redirected at once.
     """
 
     def __init__(self, lease_s: float, most_workers: int) -> None:
-        """At most ``most_workers`` that waited are remembered."""
+        """At most ``most_workers`` workers that waited are remembered."""
         self._lease_s = lease_s
-        self._wait_s, self._found_s = lease_s * _WAIT_RATIO, lease_s * _FOUND_RATIO
+        self._wait_s, self._discovery_s = lease_s * _WAIT_RATIO, lease_s * _DISCOVERY_RATIO
         self._waited_at: Recent[float] = Recent(most_workers)
 
     def wait_s(self, heartbeat: Heartbeat, leader_fencing_token: int, led_s: float, now: float) -> float:
-        """How long to wait; no time for workers that may not have found this leader yet.
+        """How long to wait; not at all for workers that may not have found this leader yet.
 
-        Behind a change they have its token from its direct commands before they report to it. ``led_s`` is
-        for how long it has led.
+        After a failover they have its fencing token from its direct commands before they send it heartbeats.
+        ``led_s`` is for how long it has led.
         """
-        if heartbeat.fencing_token < leader_fencing_token or led_s <= self._found_s:
+        if heartbeat.fencing_token < leader_fencing_token or led_s <= self._discovery_s:
             return 0.0
         waited_at = self._waited_at.get(heartbeat.machine)
         if waited_at is not None and now - waited_at < self._lease_s:
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -13,7 +13,7 @@
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.cancellations import Cancellation
 from poppyhold.cluster.election import Election, Term
-from poppyhold.cluster.lease_delegation import LeaseDelegation, LeaseDelegations
+from poppyhold.cluster.lease_delegation import DelegationTracker, LeaseDelegation
 from poppyhold.cluster.peers import Peers, Pong
 from poppyhold.concurrency.priority_queue import DECISIONS, HEARTBEATS, SUBMISSIONS, PriorityQueue, Work
 from poppyhold.durable.changes import Entry, WatchEvent, Write
@@ -80,7 +80,7 @@
         self.alive = True
         limits, workers = node.settings.settings.machine_limits, node.settings.settings.workers
         self._queue = PriorityQueue(limits.max_sockets, workers.heartbeat_interval_s / 100)
-        self._committer = Committer(node.store, node.settings, term.version, self._lost)
+        self._committer = Committer(node.store, node.settings, term.key_revision, self._lost)
         self._senders = Senders(node.settings)
         self._cloud: CloudThread | None = None
         self._watch: Watch | None = None
@@ -89,7 +89,7 @@
         times = Durations(node.settings, node.options)
         members = [node.settings.member, *(known.member for known in node.settings.known)]
         self.authority = Authority(times.unconfirmed_renewal_s, members, term.began_at)
-        self.delegations = LeaseDelegations(times, node.skew_s)
+        self.delegations = DelegationTracker(times, node.skew_s)
         self.delegation: LeaseDelegation | None = None
         self.controller = Controller(
             node.settings, node.options, self, term.fencing_token, time.monotonic, time.time, node.rng
@@ -214,28 +214,30 @@
 
     def _on_caught_up(self, asked: float, revision: int) -> None:
         # In line behind the changes that it stands for.
-        self._post(DECISIONS, lambda: self.authority.synced(asked, revision))
+        self._post(DECISIONS, lambda: self.authority.observe_watch(asked, revision))
 
     def peer_answered(self, pong: Pong, asked: float) -> None:
         """Another controller answered which cancellations it confirmed to users."""
-        self._post(DECISIONS, lambda: self._act_on(pong.member, pong.cancelled, pong.bound, asked))
+        self._post(
+            DECISIONS, lambda: self._act_on(pong.member, pong.cancellations, pong.cancellations_bound, asked)
+        )
 
     def _act_on(self, member: str, cancelled: Iterable[Cancellation], bound: int, asked: float) -> None:
         """Stop what a controller confirmed as cancelled: it is durable, seen here or not."""
         for job_id, _ in cancelled:
             self.controller.job_removed(ACTIVE_JOB_PREFIX + job_id)
-        self.authority.learned(member, asked, bound)
+        self.authority.observe_peer(member, asked, bound)
 
     def _ask_ourselves(self) -> None:
         """What our own edge confirmed may not have come back to us when the state service refuses us."""
         asked = time.monotonic()
-        self._node.users.cancellations.known(self.authority.revision)
+        self._node.users.cancellations.acknowledge(self.authority.acted_on_revision)
         named, bound = self._node.confirmed_cancellations()
         self._act_on(self._node.settings.member, named, bound, asked)
 
     def _vouch(self) -> None:
         """Note what the other controllers may count on, should they lose us."""
-        sure_at = min(self.authority.synced_at, self.leadership_confirmed_at())
+        sure_at = min(self.authority.watch_caught_up_at, self.leadership_confirmed_at())
         excluded_machines = self.controller.excluded_machines()
         if excluded_machines is None or sure_at == float("-inf"):
             self.delegation = None
@@ -252,7 +254,7 @@
         self._post(DECISIONS, lambda: self.controller.listed(listing))
 
     def _lost(self) -> None:
-        self._node.election.deposed("a write was refused under our key")
+        self._node.election.step_down("a write was refused under our key")
 
     def stop(self) -> None:
         """End the term: nothing of it is answered or sent from now on."""
@@ -319,7 +321,7 @@
 
     def may_answer(self) -> bool:
         """Whether workers may be given another lease."""
-        return self.authority.may_answer(time.monotonic(), self.leadership_confirmed_at())
+        return self.authority.may_renew_leases(time.monotonic(), self.leadership_confirmed_at())
 
     def counts(self) -> dict[str, tuple[int, int]]:
         """Done and running tasks by job, as of the last tick."""
@@ -377,7 +379,7 @@
 
     def fencing_token_raised(self, fencing_token: int) -> None:
         """See `OutboundPort`."""
-        self._node.election.raised(fencing_token)
+        self._node.election.record_fencing_token(fencing_token)
 
     def resign(self, why: str) -> None:
         """See `OutboundPort`."""
@@ -389,7 +391,7 @@
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
         """See `OutboundPort`."""
-        return [view.misdirected for view in self._node.peers.views.values()]
+        return [view.misdirected_workers for view in self._node.peers.views.values()]
 
     def may_start_tasks(self) -> bool:
         """See `OutboundPort`."""
@@ -398,8 +400,8 @@
         # Both our lead and our knowledge of cancellations must be fresh.
         return (
             self.alive
-            and now - election.confirmed_at < election.life_s
-            and now - self.authority.synced_at < election.life_s * 2
+            and now - election.confirmed_at < election.lease_ttl_s
+            and now - self.authority.watch_caught_up_at < election.lease_ttl_s * 2
         )
 
     def leadership_confirmed_at(self) -> float:
@@ -408,4 +410,4 @@
 
     def delegated_leases_expire_at(self) -> float:
         """See `OutboundPort`."""
-        return self.delegations.until(time.monotonic())
+        return self.delegations.latest_renewal_at(time.monotonic())
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -9,8 +9,9 @@
 import time
 
 from poppyhold.cluster.cancellations import Cancellation
+from poppyhold.cluster.delegated_renewals import DelegatedRenewals
 from poppyhold.cluster.election import Election, Leader, Term
-from poppyhold.cluster.lease_delegation import DelegatedRenewal, LeaseDelegations
+from poppyhold.cluster.lease_delegation import DelegationTracker
 from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
 from poppyhold.cluster.peers import Peers, Ping, Pong
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
@@ -82,7 +83,7 @@
             self._quota_server.most_links,
         )
         workers = settings.settings.workers
-        self.delegated_renewal = DelegatedRenewal(self._times, self.skew_s, time.monotonic, time.time)
+        self.delegated_renewal = DelegatedRenewals(self._times, self.skew_s, time.monotonic, time.time)
         # Behind this a worker has given up the answer, as PROTOCOL says: it comes at once or not at all.
         self._heartbeat_timeout_s = heartbeat_response_timeout_s(workers)
         self._forwarding = HeartbeatForwarder(
@@ -142,7 +143,7 @@
 
     def _yields(self) -> bool:
         """Whether another controller should campaign before this one."""
-        return self.peers.connectivity.better_placed() is not None
+        return self.peers.connectivity.better_connected_peer() is not None
 
     def _counts(self) -> dict[str, tuple[int, int]]:
         leader_term = self._leader_term
@@ -152,7 +153,7 @@
         leader_term = self._leader_term
         return leader_term.image_hints() if leader_term is not None else {}
 
-    def _delegations(self) -> LeaseDelegations | None:
+    def _delegations(self) -> DelegationTracker | None:
         leader_term = self._leader_term
         return leader_term.delegations if leader_term is not None else None
 
@@ -169,7 +170,7 @@
         workers = len(self._misdirected_workers.recent())
         leader_term = self._leader_term
         delegation = leader_term.delegation if leader_term is not None and leader_term.alive else None
-        known = leader_term.authority.revision if leader_term is not None else -1
+        known = leader_term.authority.acted_on_revision if leader_term is not None else -1
         named, unnamed = self.confirmed_cancellations()
         confirmed = unnamed if unnamed < 0 else max([unnamed, *(revision for _, revision in named)])
         fencing_token = term.fencing_token if term else 0
@@ -182,13 +183,13 @@
             confirmed,
             workers,
             delegation=delegation,
-            known=known,
-            relays=relays,
+            acted_on_revision=known,
+            accepts_relays=relays,
         )
 
     def confirmed_cancellations(self) -> tuple[list[Cancellation], int]:
         """Cancellations that we confirmed to users, as `Cancellations.named` says."""
-        return self.users.cancellations.named(self.election.watch.first_revision)
+        return self.users.cancellations.report(self.election.watch.first_revision)
 
     def _reply(self, ping: Ping) -> Pong:
         self._on_ping(ping)
@@ -196,8 +197,8 @@
         named: list[Cancellation] = []
         unnamed: int | None = None
         misdirected = self._misdirected_workers.recent() if ping.leading else []
-        if ping.leading and ping.known >= 0:
-            self.users.cancellations.known(ping.known)
+        if ping.leading and ping.acted_on_revision >= 0:
+            self.users.cancellations.acknowledge(ping.acted_on_revision)
             # Read behind `us`: what is confirmed in between is named as well.
             named, unnamed = self.confirmed_cancellations()
         return Pong(
@@ -205,25 +206,25 @@
             us.fencing_token,
             us.leading,
             us.state_age_s,
-            us.confirmed,
+            us.confirmed_revision,
             us.workers,
             named,
             unnamed,
             misdirected,
-            self.peers.connectivity.hears(),
+            self.peers.connectivity.reachable_peers(),
         )
 
     def _on_ping(self, ping: Ping) -> None:
         if ping.leading:
             self.election.observe_fencing_token(ping.fencing_token)
-            self._forwarding.leader_spoke(ping.fencing_token, ping.relays)
-            self.delegated_renewal.heard(ping.fencing_token, ping.delegation)
+            self._forwarding.leader_spoke(ping.fencing_token, ping.accepts_relays)
+            self.delegated_renewal.observe_leader(ping.fencing_token, ping.delegation)
             counts = dict(self._peer_counts)
-            counts.update({job: (done, running) for job, done, running in ping.counts})
+            counts.update({job: (done, running) for job, done, running in ping.task_counts})
             while len(counts) > self.settings.settings.machine_limits.ram_mb * 100:
                 counts.pop(next(iter(counts)))
             self._peer_counts = counts
-            for box, held in ping.images:
+            for box, held in ping.image_hints:
                 self.peer_image_hints.pop(box, None)
                 self.peer_image_hints[box] = held
             while len(self.peer_image_hints) > self.settings.settings.machine_limits.machines:
@@ -245,7 +246,7 @@
         if self._idle_leader == leader:
             # Told twice, so it is not that the answer and the election crossed.
             self._idle_leader = None
-            self.election.depose(leader)
+            self.election.expire_lease(leader)
         else:
             self._idle_leader = leader
 
@@ -255,11 +256,11 @@
         Two zones that cannot reach each other while both reach a third: a leader in one of the two lost all
         tasks of the other one to their leases, and could not tell for half a minute what still ran there.
         """
-        better = self.peers.connectivity.better_placed(self._times.delegated_renewal_after_s)
+        better = self.peers.connectivity.better_connected_peer(self._times.delegated_renewal_after_s)
         view = self.peers.views.get(better) if better is not None else None
         # Who is to lead must be able to: it heard from the state service lately.
-        if view is not None and time.monotonic() - view.contact_at < self.election.life_s:
-            self.election.hand_over(f"{better} reaches more controllers")
+        if view is not None and time.monotonic() - view.store_contact_at < self.election.lease_ttl_s:
+            self.election.transfer_leadership(f"{better} reaches more controllers")
 
     def _refused(self, member: str) -> None:
         leader = self.election.leader
@@ -273,7 +274,7 @@
         quiet = now - self._deposed_at
         if quiet > 6 * lease_s or (quiet > lease_s and len(self._misdirected_workers.recent()) > 1):
             self._deposed_at = now
-            self.election.depose(leader)
+            self.election.expire_lease(leader)
 
     # -- relaying ------------------------------------------------------------------------------------
 
@@ -315,7 +316,7 @@
         # as good as another, and none may say otherwise: balancers are slow to take a node back. Nodes
         # hear from the state service at different moments, so only a clear lead of a peer counts.
         ours = max(self.store.contact_at, self._started_at)
-        behind = any(view.contact_at - ours > self._ready_s for view in self.peers.views.values())
+        behind = any(view.store_contact_at - ours > self._ready_s for view in self.peers.views.values())
         if not self.catalog.types or behind:
             return answer(503, {"error": "not ready"}, Retry_After="1")
         body: dict[str, object] = {"member": self.settings.member}
@@ -339,16 +340,16 @@
         """The lease proxy's answer; None if we may not stand in."""
         if heartbeat.fencing_token:
             known = self.election.leader
-            proxied = self.delegated_renewal.may_answer(
+            proxied = self.delegated_renewal.renewal_fencing_token(
                 heartbeat,
                 self.store.contact_at,
                 known.fencing_token if known else 0,
-                known is not None and self.peers.connectivity.unreachable(known.member),
+                known is not None and self.peers.connectivity.is_unreachable(known.member),
             )
             if proxied is not None:
                 return answer(200, HeartbeatResponse(proxied).body())
             # A new machine's worker begins with any node; one that has a token has left its leader.
-            self._misdirected_workers.note(heartbeat)
+            self._misdirected_workers.record(heartbeat)
         return None
 
     def _redirect(self, heartbeat: Heartbeat) -> Answer | Deferred:
@@ -360,7 +361,7 @@
                 heartbeat, leader.fencing_token, now - self.election.leader_since, now
             )
             if wait_s:
-                leader = self.election.await_next(leader, wait_s)
+                leader = self.election.await_next_leader(leader, wait_s)
         # The election may have named us meanwhile.
         return self._answer_heartbeat(heartbeat) or self._elsewhere(leader)
 
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -10,7 +10,8 @@
 
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.connectivity import Connectivity
-from poppyhold.cluster.lease_delegation import DelegatedRenewal, LeaseDelegation, LeaseDelegations
+from poppyhold.cluster.delegated_renewals import DelegatedRenewals
+from poppyhold.cluster.lease_delegation import DelegationTracker, LeaseDelegation
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.durable.changes import Entry, Put, Write, decode_entry, decode_event
 from poppyhold.durable.committer import FencedWriter
@@ -110,7 +111,7 @@
         self.fencing_token, self.version, self.lease_id = baton, stamp, permit
         self.alive = True
         self.confirmed = self.world.now
-        self.delegations = LeaseDelegations(node.times, 0.0)
+        self.delegations = DelegationTracker(node.times, 0.0)
         world = self.world
         self.authority = Authority(node.times.unconfirmed_renewal_s, world.members, world.now)
         self._writer = FencedWriter(node.store, stamp)
@@ -144,7 +145,7 @@
         self.intake = RelayIntake(
             self.answer_heartbeat, self.controller.answered_at, self.assignment, patience_s
         )
-        self.authority.synced(world.now, node.store.revision())
+        self.authority.observe_watch(world.now, node.store.revision())
         self.controller.load(
             SnapshotReader(node.store, with_quota=node.options.cells is not None).read(),
             [convert(b, MachineType) for b in world.cloud.machine_types],
@@ -338,19 +339,19 @@
     def answer_heartbeat(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
         """The answer to a report that a relay passed on."""
         now = self.world.now
-        if not self.alive or now >= late_at or not self.authority.may_answer(now, self.confirmed):
+        if not self.alive or now >= late_at or not self.authority.may_renew_leases(now, self.confirmed):
             return None
         return self.controller.handle_heartbeat(heartbeat)
 
     def may_start_tasks(self) -> bool:
         now = self.world.now
-        return self.alive and now - self.confirmed < 2.5 and now - self.authority.synced_at < 5.0
+        return self.alive and now - self.confirmed < 2.5 and now - self.authority.watch_caught_up_at < 5.0
 
     def leadership_confirmed_at(self) -> float:
         return self.confirmed if self.alive else float("-inf")
 
     def delegated_leases_expire_at(self) -> float:
-        return self.delegations.until(self.world.now)
+        return self.delegations.latest_renewal_at(self.world.now)
 
     def delegation(self) -> LeaseDelegation | None:
         """What the other nodes may count on."""
@@ -358,7 +359,9 @@
         return (
             None
             if shunned is None
-            else LeaseDelegation(self.fencing_token, min(self.confirmed, self.authority.synced_at), shunned)
+            else LeaseDelegation(
+                self.fencing_token, min(self.confirmed, self.authority.watch_caught_up_at), shunned
+            )
         )
 
 
@@ -395,7 +398,7 @@
         # First revision that this process saw.
         self.first_revision = -1
         self.misdirected_workers: dict[str, tuple[float, MisdirectedWorker]] = {}
-        self.delegated_renewal = DelegatedRenewal(
+        self.delegated_renewal = DelegatedRenewals(
             self.times, 0.0, lambda: self.world.now, lambda: self.world.now
         )
         self._redirect_backoff = RedirectBackoff(self.settings.settings.workers.lease_s, 1000)
@@ -441,7 +444,7 @@
         if leader_term is None:
             held = self.world.state.keys.get(LEADER_KEY)
             named = self.world.leader()
-            proxied = self.delegated_renewal.may_answer(
+            proxied = self.delegated_renewal.renewal_fencing_token(
                 parse_heartbeat(body),
                 self.store.contact_at,
                 held[0]["baton"] if held is not None and self.has_state() else 0,
@@ -453,7 +456,7 @@
             self.misdirected_workers[worker.machine] = self.world.now, worker
             leader = self.world.leader()
             return 421, {"foreman": leader.member} if leader is not None else {}
-        if not leader_term.authority.may_answer(self.world.now, leader_term.confirmed):
+        if not leader_term.authority.may_renew_leases(self.world.now, leader_term.confirmed):
             return 503, {}
         heartbeat = parse_heartbeat(body)
         relay = leader_term.assignment.assign(
@@ -540,7 +543,7 @@
         self._ask_peers()
         leader_term = self.leader_term
         if leader_term is not None:
-            better = self.connectivity.better_placed(self.times.delegated_renewal_after_s)
+            better = self.connectivity.better_connected_peer(self.times.delegated_renewal_after_s)
             if better is not None and self.has_state():
                 leader_term.resign(f"{better} reaches more controllers")
                 return
@@ -560,13 +563,13 @@
             self.step_down()
             return
         leader_term.confirmed = asked
-        for event in world.state.changes(ACTIVE_JOB_PREFIX, leader_term.authority.revision):
+        for event in world.state.changes(ACTIVE_JOB_PREFIX, leader_term.authority.acted_on_revision):
             change = decode_event(event)
             if isinstance(change, Entry):
                 leader_term.controller.job_set(change)
             else:
                 leader_term.controller.job_removed(change.key)
-        leader_term.authority.synced(asked, world.state.ledger)
+        leader_term.authority.observe_watch(asked, world.state.ledger)
 
     def _campaign(self) -> None:
         world = self.world
@@ -576,7 +579,7 @@
                 # A claim of ours that had no answer, or of a process of ours before this one.
                 world.state.end(lead.data["permit"])
             return
-        if self.connectivity.better_placed() is not None:
+        if self.connectivity.better_connected_peer() is not None:
             return
         permit = world.state.lease(2500)[1]["permit"]
         held = self.store.get(FENCING_TOKEN_KEY)
@@ -610,7 +613,7 @@
     def _listen(self) -> None:
         """Hear from the others whom they reach."""
         for other in self._reached():
-            self.connectivity.answered(other.member, other.connectivity.hears())
+            self.connectivity.record_response(other.member, other.connectivity.reachable_peers())
 
     def _ask_peers(self) -> None:
         world, leader_term = self.world, self.leader_term
@@ -618,9 +621,9 @@
             return
         self.tell(leader_term)
         for other in self._reached():
-            leader_term.delegations.telling(other.member, world.now)
-            other.delegated_renewal.heard(leader_term.fencing_token, leader_term.delegation())
-            leader_term.delegations.answered(other.member, world.now)
+            leader_term.delegations.record_grant(other.member, world.now)
+            other.delegated_renewal.observe_leader(leader_term.fencing_token, leader_term.delegation())
+            leader_term.delegations.record_response(other.member, world.now)
             if other.leader_term is not None and other.leader_term.fencing_token > leader_term.fencing_token:
                 self.step_down()
                 return
@@ -628,8 +631,8 @@
 
     def tell(self, leader: SimLeaderTerm) -> None:
         """Tell a leader which cancellations were told here, as peers' messages do."""
-        self.users.cancellations.known(leader.authority.revision)
-        named, bound = self.users.cancellations.named(self.first_revision)
+        self.users.cancellations.acknowledge(leader.authority.acted_on_revision)
+        named, bound = self.users.cancellations.report(self.first_revision)
         for job_id, _ in named:
             leader.controller.job_removed(ACTIVE_JOB_PREFIX + job_id)
-        leader.authority.learned(self.member, self.world.now, bound)
+        leader.authority.observe_peer(self.member, self.world.now, bound)
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -25,85 +25,85 @@
 
 def test_who_reaches_all_that_we_reach_and_more_is_placed_better() -> None:
     links = Connectivity("a", 2.0, Clock())
-    links.answered("b", ["a", "c"])
-    assert links.better_placed() == "b"
+    links.record_response("b", ["a", "c"])
+    assert links.better_connected_peer() == "b"
     # Now we reach all that it reaches.
-    links.answered("c", ["a", "b"])
-    assert links.better_placed() is None
+    links.record_response("c", ["a", "b"])
+    assert links.better_connected_peer() is None
 
 
 def test_who_reaches_others_but_not_all_of_ours_is_not_placed_better() -> None:
     links = Connectivity("a", 2.0, Clock())
-    links.answered("b", ["a", "d"])
-    links.answered("c", ["a"])
-    assert links.better_placed() is None
+    links.record_response("b", ["a", "d"])
+    links.record_response("c", ["a"])
+    assert links.better_connected_peer() is None
 
 
 def test_who_does_not_hear_us_or_names_nobody_is_not_placed_better() -> None:
     links = Connectivity("a", 2.0, Clock())
-    links.answered("b", ["c", "d"])
-    assert links.better_placed() is None
+    links.record_response("b", ["c", "d"])
+    assert links.better_connected_peer() is None
     # A version before this one.
-    links.answered("b", [])
-    assert links.better_placed() is None
+    links.record_response("b", [])
+    assert links.better_connected_peer() is None
 
 
 def test_answers_grow_old_and_broken_links_count_at_once() -> None:
     clock = Clock()
     links = Connectivity("a", 2.0, clock)
-    links.answered("b", ["a", "c"])
-    links.lost("b", timed_out=False)
-    assert links.hears() == []
-    links.answered("b", ["a", "c"])
+    links.record_response("b", ["a", "c"])
+    links.connection_lost("b", timed_out=False)
+    assert links.reachable_peers() == []
+    links.record_response("b", ["a", "c"])
     clock.now = 2.5
-    assert links.better_placed() is None
+    assert links.better_connected_peer() is None
 
 
 def test_only_who_has_been_missed_for_a_while_makes_another_one_better() -> None:
     clock = Clock()
     links = Connectivity("a", 2.0, clock)
-    links.answered("b", ["a", "c"])
-    links.answered("c", ["a", "b"])
+    links.record_response("b", ["a", "c"])
+    links.record_response("c", ["a", "b"])
     clock.now = 1.0
-    links.lost("c", timed_out=False)
-    links.answered("b", ["a", "c"])
-    assert links.better_placed() == "b"
-    assert links.better_placed(unheard_s=2.5) is None
+    links.connection_lost("c", timed_out=False)
+    links.record_response("b", ["a", "c"])
+    assert links.better_connected_peer() == "b"
+    assert links.better_connected_peer(unreachable_s=2.5) is None
     clock.now = 2.5
-    links.answered("b", ["a", "c"])
-    assert links.better_placed(unheard_s=2.5) == "b"
+    links.record_response("b", ["a", "c"])
+    assert links.better_connected_peer(unreachable_s=2.5) == "b"
     # Who comes back just then, after a cut of its own, has not to be waited for once more.
-    links.lost("b", timed_out=False)
+    links.connection_lost("b", timed_out=False)
     clock.now = 10.0
-    assert links.better_placed(unheard_s=2.5) is None
-    links.answered("b", ["a", "c"])
-    assert links.better_placed(unheard_s=2.5) == "b"
-    links.answered("c", ["a", "b"])
-    assert links.better_placed() is None
+    assert links.better_connected_peer(unreachable_s=2.5) is None
+    links.record_response("b", ["a", "c"])
+    assert links.better_connected_peer(unreachable_s=2.5) == "b"
+    links.record_response("c", ["a", "b"])
+    assert links.better_connected_peer() is None
 
 
 def test_who_was_never_heard_counts_from_the_beginning() -> None:
     clock = Clock()
     links = Connectivity("a", 2.0, clock)
     clock.now = 1.0
-    links.answered("b", ["a", "c"])
-    assert links.better_placed(unheard_s=2.5) is None
+    links.record_response("b", ["a", "c"])
+    assert links.better_connected_peer(unreachable_s=2.5) is None
     clock.now = 2.5
-    links.answered("b", ["a", "c"])
-    assert links.better_placed(unheard_s=2.5) == "b"
+    links.record_response("b", ["a", "c"])
+    assert links.better_connected_peer(unreachable_s=2.5) == "b"
 
 
 def test_only_who_gives_no_answer_at_all_is_unreachable() -> None:
     links = Connectivity("a", 2.0, Clock())
-    links.lost("b", timed_out=True)
-    links.lost("c", timed_out=False)
-    assert (links.unreachable("b"), links.unreachable("c")) == (True, False)
+    links.connection_lost("b", timed_out=True)
+    links.connection_lost("c", timed_out=False)
+    assert (links.is_unreachable("b"), links.is_unreachable("c")) == (True, False)
     # It is there, and refuses us: perhaps a packet filter, or its process has just ended.
-    links.lost("b", timed_out=False)
-    assert not links.unreachable("b")
-    links.lost("b", timed_out=True)
-    links.answered("b", ["a"])
-    assert not links.unreachable("b")
+    links.connection_lost("b", timed_out=False)
+    assert not links.is_unreachable("b")
+    links.connection_lost("b", timed_out=True)
+    links.record_response("b", ["a"])
+    assert not links.is_unreachable("b")
 
 
 class Ending(Store):
@@ -134,7 +134,7 @@
         world.rng,
     )
     election.term = Term(5, 40, 7, 0.0)
-    election.hand_over("another one reaches more")
+    election.transfer_leadership("another one reaches more")
     assert (election.term is None, deposed, store.ended) == (
         (True, [True], [7]) if error is None else (False, [], [])
     )
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -8,7 +8,8 @@
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.cancellations import Cancellations
 from poppyhold.cluster.connectivity import Connectivity
-from poppyhold.cluster.lease_delegation import DelegatedRenewal, LeaseDelegations
+from poppyhold.cluster.delegated_renewals import DelegatedRenewals
+from poppyhold.cluster.lease_delegation import DelegationTracker
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.execution.completions import Completions
 from poppyhold.execution.direct_commands import DirectCommands
@@ -73,7 +74,7 @@
 
 def _learned_all(self: Authority, member: str, asked: float, bound: int) -> None:
     """Whatever a controller told, it is taken for known."""
-    self._clear_at[member] = asked
+    self._peer_watermarks[member] = asked
 
 
 def _count_nothing(self: Launches, name: str, data: object) -> None:
@@ -115,19 +116,19 @@
     Guard("late_run_after_cancel", DirectCommands, "raise_fencing_token", _always),
     Guard("held_start_after_leader_change", AttemptReconciler, "_absence_proves_termination", _always),
     Guard("limit_while_unreachable", Quotas, "allows", _always),
-    Guard("isolated_leader", Authority, "may_answer", _always),
+    Guard("isolated_leader", Authority, "may_renew_leases", _always),
     Guard("lost_hire_answer", Launches, "load", _count_nothing),
     Guard("done_before_reap", HeartbeatCommands, "_may_forget_exit", _always),
     Guard("large_fleet", Pass, "claim", _unlike),
-    Guard("zone_cut", DelegatedRenewal, "may_answer", _never),
-    Guard("zone_cut_long", LeaseDelegations, "until", _long_ago),
+    Guard("zone_cut", DelegatedRenewals, "renewal_fencing_token", _never),
+    Guard("zone_cut_long", DelegationTracker, "latest_renewal_at", _long_ago),
     Guard("cancelled_before_the_cut", Controller, "excluded_machines", _nobody),
     Guard("limit_and_cancelled", Fleet, "unaccounted_resources", _no_room),
     Guard("mute_machines_and_copies", MachineMonitor, "_lost_to_others", _all_of_them),
     Guard("deaf_machine", AttemptReconciler, "_ignores_responses", _never),
-    Guard("gap", Cancellations, "named", _told_nothing),
-    Guard("gap", Authority, "learned", _never),
-    Guard("gap_unnamed", Authority, "learned", _learned_all),
+    Guard("gap", Cancellations, "report", _told_nothing),
+    Guard("gap", Authority, "observe_peer", _never),
+    Guard("gap_unnamed", Authority, "observe_peer", _learned_all),
     Guard("gangs_compete", GangPlacement, "choose", _one_by_one),
     Guard("gang_task_lost_before_start", Gangs, "may_start", _only_from_the_beginning),
     Guard("gang_task_lost_while_running", Gangs, "_fail", _never),
@@ -146,9 +147,9 @@
     Guard("gang_machine_hangs", Gangs, "task_terminated", _never),
     Guard("gang_done_by_one_report", Job, "complete", _complete_one),
     Guard("gang_unsure_start", DirectCommands, "raise_fencing_token", _always),
-    Guard("zone_partition", Connectivity, "better_placed", _never),
+    Guard("zone_partition", Connectivity, "better_connected_peer", _never),
     Guard("few_hang_at_change_of_leader", MachineMonitor, "_is_quiet", _always),
-    Guard("zone_partition_of_two", DelegatedRenewal, "_is_partition", _never),
+    Guard("zone_partition_of_two", DelegatedRenewals, "_is_partition", _never),
     Guard("zone_cut_keeps_machines", Survey, "silent_zones", _no_zones),
     Guard("zone_cut_keeps_machines", MachineMonitor, "_keep_out_of", _never),
     Guard("image_holders_make_room", Relocation, "make_room", _never),
@@ -204,7 +205,9 @@
     self: RedirectBackoff, heartbeat: Heartbeat, leader_fencing_token: int, led_s: float, now: float
 ) -> float:
     """Workers wait each time that they come."""
-    return self._wait_s if heartbeat.fencing_token >= leader_fencing_token and led_s > self._found_s else 0.0
+    return (
+        self._wait_s if heartbeat.fencing_token >= leader_fencing_token and led_s > self._discovery_s else 0.0
+    )
 
 
 def _hopeless_alone(self: Boots, machine: Machine, give_up_s: float, now: float) -> bool:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -113,21 +113,21 @@
     near, far = socket.socketpair()
     with near, far:
         for _ in range(30):
-            image_piece, count_piece = image_feed.next(images), count_feed.next(counts)
+            image_piece, count_piece = image_feed.next_batch(images), count_feed.next_batch(counts)
             ping = Ping(
                 "hive-0", 1, True, 0.0, 0, 0, [(job, *pair) for job, pair in count_piece], image_piece
             )
             with_receiver(near, far, ping)
             told_images.update(image_piece)
             told_counts.update(count_piece)
-            if not (image_feed.behind or count_feed.behind):
+            if not (image_feed.has_more or count_feed.has_more):
                 break
     assert told_images == images
     assert told_counts == counts
-    assert image_feed.next(images) == []
+    assert image_feed.next_batch(images) == []
     images["vm-000001"] = ()
     del images["vm-000002"]
-    assert image_feed.next(images) == [("vm-000001", ())]
+    assert image_feed.next_batch(images) == [("vm-000001", ())]
 
 
 def with_receiver(near: socket.socket, far: socket.socket, ping: Ping) -> None:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -65,7 +65,7 @@
     assert not attempts.all_reconciled()
     # Nor does a node that may stand in for this leader take it.
     other = next(node for node in world.nodes if node.alive and node.leader_term is None)
-    other.delegated_renewal.heard(
+    other.delegated_renewal.observe_leader(
         leader_term.fencing_token, LeaseDelegation(leader_term.fencing_token, world.now, [])
     )
     world.now += 2 * other.times.delegated_renewal_after_s
@@ -133,7 +133,7 @@
     status, body, _ = node.users.abort("job-000002")
     assert (status, body["status"]) == (200, "cancelled")
     # Named to the leader by the revision that it has, though its own commit never told it.
-    named, _ = node.users.cancellations.named(0)
+    named, _ = node.users.cancellations.report(0)
     assert named == [("job-000002", world.state.keys[FINAL_JOB_PREFIX + "job-000002"][1])]
     # The leader's writes: the last completion is told as done, a plan and the token are simply there.
     third = submission("job-000003", {"chores": 1, "guessS": 2.0, "sizeGb": 0.1})
@@ -155,9 +155,9 @@
     store = Fickle("lost")
     won: list[Term] = []
     permit = store.state.lease(2500)[1]["permit"]
-    candidate(store, won)._stand(permit, 0.0)
+    candidate(store, won)._claim_leadership(permit, 0.0)
     assert [term.lease_id for term in won] == [permit]
-    assert store.state.keys[LEADER_KEY][1] == won[0].version
+    assert store.state.keys[LEADER_KEY][1] == won[0].key_revision
 
 
 def test_claim_that_is_carried_out_late_takes_the_lead_from_nobody() -> None:
@@ -165,8 +165,8 @@
     won: list[Term] = []
     first, second = (store.state.lease(2500)[1]["permit"] for _ in range(2))
     with pytest.raises(OutcomeUnknownError):
-        candidate(store, won)._stand(first, 0.0)
-    candidate(store, won)._stand(second, 0.0)
+        candidate(store, won)._claim_leadership(first, 0.0)
+    candidate(store, won)._claim_leadership(second, 0.0)
     assert store.carry_out_late() == [409]
     assert [term.lease_id for term in won] == [second]
     assert store.state.keys[LEADER_KEY][0]["permit"] == second
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,7 +11,7 @@
 import pytest
 
 from poppyhold.cluster.authority import Authority
-from poppyhold.cluster.cancellations import Cancellations
+from poppyhold.cluster.cancellations import Cancellation, Cancellations
 from poppyhold.cluster.peers import Opening, Peers, Ping, Pong, receive_opening
 from poppyhold.node.service import Node
 from poppyhold.options import Options
@@ -48,19 +48,19 @@
     old = over_a_connection(PONG)
     assert isinstance(old, Pong)
     # A version that names nothing: all that it told came by the one revision that it says.
-    assert (old.cancelled, old.bound, old.hears) == ([], 40, [])
+    assert (old.cancellations, old.cancellations_bound, old.reachable_peers) == ([], 40, [])
     newer = over_a_connection(
         [*PONG, [["job-000001", 41]], 12, [["vm-1", 1, 7]], ["hive-2"], "a further field", {"and": "more"}]
     )
     assert isinstance(newer, Pong)
-    assert (newer.cancelled, newer.bound) == ([("job-000001", 41)], 12)
-    assert newer.misdirected == [("vm-1", 1, 7)]
-    assert newer.hears == ["hive-2"]
+    assert (newer.cancellations, newer.cancellations_bound) == ([("job-000001", 41)], 12)
+    assert newer.misdirected_workers == [("vm-1", 1, 7)]
+    assert newer.reachable_peers == ["hive-2"]
     ping = over_a_connection(PING)
     assert isinstance(ping, Ping)
-    assert ping.known == -1
+    assert ping.acted_on_revision == -1
     # A version that says nothing of relays never takes reports from them.
-    assert not ping.relays
+    assert not ping.accepts_relays
     assert isinstance(over_a_connection([*PING, [], [], None, 39, True, "a further field"]), Ping)
 
 
@@ -75,7 +75,7 @@
 
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        send(ours, Pong("hive-1", 0, False, 0.5, 41, 3, [("job-000001", 41)], 12))
+        send(ours, Pong("hive-1", 0, False, 0.5, 41, 3, [Cancellation("job-000001", 41)], 12))
         size = int.from_bytes(theirs.recv(4), "big")
         assert msgspec.msgpack.decode(theirs.recv(size), type=OldPong).told == 41
 
@@ -88,36 +88,36 @@
 
 def test_what_is_not_named_bounds_what_a_leader_knows() -> None:
     confirmed = Cancellations(2)
-    assert confirmed.named(-1) == ([], -1)
-    assert confirmed.named(5) == ([], 5)
+    assert confirmed.report(-1) == ([], -1)
+    assert confirmed.report(5) == ([], 5)
     confirmed.add("job-000001", 10)
     confirmed.add("job-000002", 11)
-    assert confirmed.named(5) == ([("job-000001", 10), ("job-000002", 11)], 5)
+    assert confirmed.report(5) == ([("job-000001", 10), ("job-000002", 11)], 5)
     # One too many: the oldest counts by its revision alone.
     confirmed.add("job-000003", 12)
-    assert confirmed.named(5) == ([("job-000002", 11), ("job-000003", 12)], 10)
-    confirmed.known(11)
-    assert confirmed.named(5) == ([("job-000003", 12)], 11)
+    assert confirmed.report(5) == ([("job-000002", 11), ("job-000003", 12)], 10)
+    confirmed.acknowledge(11)
+    assert confirmed.report(5) == ([("job-000003", 12)], 11)
     # A process that has seen no revision can't know what the one before it confirmed.
-    assert confirmed.named(-1) == ([("job-000003", 12)], -1)
+    assert confirmed.report(-1) == ([("job-000003", 12)], -1)
 
 
 def test_only_moments_of_asking_count_and_only_of_all_controllers() -> None:
     authority = Authority(20.0, ["a", "b"], began_at=0.0)
-    authority.synced(1.0, 10)
-    authority.learned("a", 30.0, 10)
-    assert authority.known_until(50.0) == 1.0
-    authority.learned("b", 25.0, 9)
-    assert authority.known_until(50.0) == 25.0
+    authority.observe_watch(1.0, 10)
+    authority.observe_peer("a", 30.0, 10)
+    assert authority.cancellations_known_until(50.0) == 1.0
+    authority.observe_peer("b", 25.0, 9)
+    assert authority.cancellations_known_until(50.0) == 25.0
     # It confirmed something that was not acted on, or can't know: the moment stays where it was.
-    authority.learned("b", 40.0, 11)
-    authority.learned("b", 41.0, -1)
-    assert authority.may_answer(45.0, 50.0)
-    assert not authority.may_answer(45.1, 50.0)
-    authority.synced(42.0, 11)
-    assert authority.may_answer(62.0, 50.0)
+    authority.observe_peer("b", 40.0, 11)
+    authority.observe_peer("b", 41.0, -1)
+    assert authority.may_renew_leases(45.0, 50.0)
+    assert not authority.may_renew_leases(45.1, 50.0)
+    authority.observe_watch(42.0, 11)
+    assert authority.may_renew_leases(62.0, 50.0)
     # Who still hears of jobs but not that it leads has perhaps been followed by another.
-    assert not authority.may_answer(62.0, 41.0)
+    assert not authority.may_renew_leases(62.0, 41.0)
 
 
 class Impostor:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -460,7 +460,7 @@
         old.decode(msgspec.msgpack.encode(RelayHello("hive-1", "a")))
     # Its pings end before the field that asks for relays.
     ping = msgspec.msgpack.encode(["ping", "hive-0", 7, True, 0.5, 12, 2, [], [], None, 41])
-    assert old.decode(ping) == Ping("hive-0", 7, True, 0.5, 12, 2, [], [], None, 41, relays=False)
+    assert old.decode(ping) == Ping("hive-0", 7, True, 0.5, 12, 2, [], [], None, 41, accepts_relays=False)
 
 
 # -- in virtual time -----------------------------------------------------------------------------------
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -17,6 +17,7 @@
 import msgspec
 import pytest
 
+from poppyhold.cluster.cancellations import Cancellation
 from poppyhold.cluster.lease_delegation import LeaseDelegation
 from poppyhold.cluster.peers import Message, Ping, Pong
 from poppyhold.model.outbound import MisdirectedWorker
@@ -44,7 +45,17 @@
     LeaseDelegation(7, 1000.5, ["vm-000002"]),
     41,
 )
-PONG = Pong("hive-1", 6, False, 1.5, 11, 1, [("job-000006", 40)], 39, [MisdirectedWorker("vm-000003", 2, 17)])
+PONG = Pong(
+    "hive-1",
+    6,
+    False,
+    1.5,
+    11,
+    1,
+    [Cancellation("job-000006", 40)],
+    39,
+    [MisdirectedWorker("vm-000003", 2, 17)],
+)
 
 
 @pytest.mark.parametrize(("kind", "expected"), [("ping", PING), ("pong", PONG)])
@@ -65,8 +76,10 @@
 
 def _as_sent(text: str) -> str:
     """A field's type with what a named tuple is on the wire, which shows its fields' types and no names."""
-    types = ", ".join(kind.__name__ for kind in get_type_hints(MisdirectedWorker).values())
-    sent = _without_modules(text).replace(MisdirectedWorker.__name__, f"tuple[{types}]")
+    sent = _without_modules(text)
+    for named in (MisdirectedWorker, Cancellation):
+        types = ", ".join(kind.__name__ for kind in get_type_hints(named).values())
+        sent = sent.replace(named.__name__, f"tuple[{types}]")
     for present, recorded in RECORDED_TYPE_NAMES.items():
         sent = sent.replace(present, recorded)
     return sent
