--- a/src/poppyhold/execution/machine_records.py
+++ b/src/poppyhold/execution/machine_records.py
@@ -2,11 +2,9 @@
 
 from __future__ import annotations
 
-import msgspec
-
+from poppyhold.durable.changes import put_record
 from poppyhold.durable.keys import MACHINE_PREFIX
 from poppyhold.durable.records import MachineRecord
-from poppyhold.durable.store import put
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Machine, RecordState
 from poppyhold.model.outbound import CommitPriority
@@ -23,6 +21,6 @@
         ctx.scheduling_needed = True
 
     record = MachineRecord(machine.endpoint, machine.machine_type, machine.zone, machine.spot)
-    write = put(MACHINE_PREFIX + machine.name, msgspec.to_builtins(record))
+    write = put_record(MACHINE_PREFIX + machine.name, record)
     # Nothing starts on the machine before: a plan's record is of no use to a leader that does not know of it.
     ctx.outbound.commit({}, [write], on_committed, CommitPriority.SOONEST)
