--- a/src/poppyhold/model/constraints.py
+++ b/src/poppyhold/model/constraints.py
@@ -1,4 +1,4 @@
-"""Where the tasks of a job may be placed, as its submission says."""
+"""Constraints of a submission on where the tasks of its job may be placed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def allowed_machine_types(spec: Submission, machine_types: Iterable[MachineType]) -> list[MachineType]:
-    """Machine types that a task of a job may use and fits on."""
+    """Return the machine types that a task of a job may use and fits on."""
     need = (spec.cpus, spec.accelerators, spec.memory_gb)
     return [
         machine_type
@@ -22,5 +22,5 @@
 
 
 def zone_limit(spec: Submission) -> int:
-    """How many tasks of a job one zone may hold."""
+    """Return how many tasks of a job one zone may hold."""
     return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
--- a/src/poppyhold/model/context.py
+++ b/src/poppyhold/model/context.py
@@ -5,6 +5,7 @@
 import math
 import random
 from collections.abc import Callable
+from typing import Final
 
 import msgspec
 
@@ -19,31 +20,49 @@
 ImageHints = dict[str, tuple[tuple[str, float], ...]]
 
 
-class Context(msgspec.Struct, eq=False):
-    """Shared by the parts of one term's core; only the decision thread touches it."""
+class Context(msgspec.Struct, eq=False, kw_only=True):
+    """Shared by the parts of one term's core; only the decision thread touches it.
 
-    settings: Settings
-    options: Options
-    outbound: OutboundPort
-    clock: Callable[[], float]
-    wall_clock: Callable[[], float]
-    rng: random.Random
-    term_fencing_token: int
+    The final fields are what a term is given as it begins. The others are its state, each with the one part
+    that writes it, or the reason why several do.
+    """
+
+    # -- given as the term begins ----------------------------------------------------------------
+
+    settings: Final[Settings]
+    options: Final[Options]
+    durations: Final[Durations]
+    outbound: Final[OutboundPort]
+    clock: Final[Callable[[], float]]
+    wall_clock: Final[Callable[[], float]]
+    rng: Final[random.Random]
+    # The fencing token that the term began with.
+    term_fencing_token: Final[int]
+    # Up to this many machines are asked for heartbeats at one moment as a term begins.
+    max_initial_probes: Final[float] = math.inf
+    # This many silent workers are asked for heartbeats within one interval.
+    silent_probe_rate: Final[float] = 1e9
+
+    # -- state of the term -----------------------------------------------------------------------
+
+    # The fencing token of commands, raised within the term. Written by `execution.direct_commands`.
     fencing_token: int
-    durations: Durations
+    # Jobs and machines. Each part writes those of their fields that it decides on.
     fleet: Fleet = msgspec.field(default_factory=Fleet)
+    # Written by `node.controller`: as a term begins, and as the cloud tells its machine types.
     machine_types: dict[str, MachineType] = msgspec.field(default_factory=dict)
-    # Machines that we deleted, and when: old lists and reports still name them.
+    # Machines that were deleted, and when: old lists and heartbeats still name them. `execution.lease_expiry`
+    # adds them, and `machines.machine_list` drops them once no list can name them any more.
     deleted_at: dict[str, float] = msgspec.field(default_factory=dict)
+    # What the last leader told of the machines' images. Written by `node.controller` as a term begins.
     image_hints: ImageHints = msgspec.field(default_factory=dict)
-    # Up to so many machines are asked for reports at one moment as a term begins.
-    max_initial_probes: float = math.inf
-    # So many silent workers are asked for reports within one interval.
-    silent_probe_rate: float = 1e9
+    # Raised by whatever changes what could be started; lowered by `node.controller` before each scheduling
+    # cycle, and raised again by `scheduling.dispatch` for a cycle that it broke off.
     scheduling_needed: bool = True
-    counter: int = 0
+    # Numbers given out in this term. Written by `next_unique_number` alone.
+    numbers_issued: int = 0
 
     def next_unique_number(self) -> int:
-        """A number that no attempt and no hire has had, in this term or any other."""
-        self.counter += 1
-        return (self.term_fencing_token << 24) + self.counter
+        """Return a number that no attempt and no launch has had, in this term or any other."""
+        self.numbers_issued += 1
+        return (self.term_fencing_token << 24) + self.numbers_issued
--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -1,4 +1,4 @@
-"""Jobs, machines and attempts, as the decision core knows them. They refer to one another."""
+"""Jobs, machines and attempts as the decision core knows them, in one module as they refer to one another."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 class Attempt(msgspec.Struct, eq=False):
-    """One try of a task on a machine, from the moment its start may reach the worker."""
+    """One attempt at a task on a machine, from the moment its start may reach the worker."""
 
     job: Job
     index: int
@@ -69,11 +69,14 @@
     sent_at: float
     status: str = TaskState.SENT
     start_channel: StartChannel = StartChannel.OBSERVED
+    # The sequence number of the heartbeat whose response carried the start; -1 before that.
     response_sequence: int = -1
-    # While a direct start has no answer it may still land: until the worker saw this token.
+    # A direct start was sent, and its response has not come yet.
     start_in_flight: bool = False
+    # It is unknown whether a direct start was carried out; it may be until the worker has seen this token.
     void_at_fencing_token: int | None = None
     running_at: float | None = None
+    # When it was told to stop, and the time to save that its task has from then on.
     stopping_at: float | None = None
     grace_s: float = 0.0
     booked_until: int = 0
@@ -86,7 +89,7 @@
 
 
 class JobFailures(msgspec.Struct, eq=False):
-    """What is held against a job whose tasks end with errors; see `execution.failures`."""
+    """What is known of a job whose tasks end with errors; see `execution.failures`."""
 
     # Times that tasks failed, those that were started together counted once, and machines that they failed
     # on, since the job was shown to be sound.
@@ -101,7 +104,7 @@
 
 
 class Job(msgspec.Struct, eq=False):
-    """An accepted job that is not over."""
+    """An accepted job, until it is finalized and nothing of it may run any more."""
 
     id: str
     spec: Submission
@@ -110,37 +113,42 @@
     task_resources: Resources
     priority: int
     due_at: float | None
+    # ``TASK_PENDING``, ``TASK_ACTIVE`` or ``TASK_DONE`` for each task.
     states: bytearray
+    # The attempts that may run, by index.
     active: dict[int, Attempt] = msgspec.field(default_factory=dict)
     done: int = 0
-    # Tasks whose completion is seen but not durable yet, and those whose record has been asked for.
+    # Tasks whose completion is seen but not durable yet.
     undurable_completions: set[int] = msgspec.field(default_factory=set)
+    # No task below this index is pending but those in the heap, which were active before.
     next_index: int = 0
     requeued: list[int] = msgspec.field(default_factory=list)
-    # Seconds of work that tasks have saved, as far as we saw them run.
+    # Seconds of work that tasks have saved in checkpoints, as far as we saw them run.
     progress: dict[int, float] = msgspec.field(default_factory=dict)
     admitted: bool = False
-    # No controller has ever started a task of it before our term.
+    # Whether no controller can have started a task of it before our term.
     never_started: bool = True
     # Whether a plan has been made durable once, and whether one is being written. A durable plan may be
     # written again, so these are two facts and not the steps of one life cycle.
     plan_durable: bool = False
     plan_write_in_flight: bool = False
-    # Planned starts: slot -> zone -> tasks, and their rooms in the ledger: slot -> machine -> tasks.
+    # Planned starts: slot -> zone -> tasks, and what they book in the ledger: slot -> machine -> tasks.
     plan: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
     booked: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
     planned_s: float = 0.0
     within_guarantee: bool = False
     phase: JobPhase = JobPhase.ACTIVE
+    # Whether records of its completed tasks are being written.
     completions_save_in_flight: bool = False
     # Keys of the records that hold its completed tasks.
     done_records: set[str] = msgspec.field(default_factory=set)
     failures: JobFailures = msgspec.field(default_factory=JobFailures)
-    # Machines that its tasks had better avoid.
+    # Machines that its tasks should avoid.
     failed_machines: set[str] = msgspec.field(default_factory=set)
     retry_at: float = 0.0
-    # Before this moment it preempts nothing more: gangs that make room for it are saving.
+    # Before this moment it preempts nothing more: gangs that it preempted are saving.
     may_preempt_at: float = 0.0
+    # How many of its attempts may run in each zone.
     active_by_zone: dict[str, int] = msgspec.field(default_factory=dict)
 
     @property
@@ -155,21 +163,21 @@
 
     @property
     def remaining(self) -> int:
-        """Tasks that are not done."""
+        """The number of tasks that are not done."""
         return self.spec.tasks - self.done
 
     @property
     def pending(self) -> int:
-        """Tasks that are neither done nor may run."""
+        """The number of tasks that are neither done nor active."""
         return self.spec.tasks - self.done - len(self.active)
 
     @property
     def running(self) -> int:
-        """Tasks that run, for display."""
+        """The number of tasks that run, for display."""
         return sum(1 for attempt in self.active.values() if attempt.status in IN_PROGRESS)
 
     def saved_s(self) -> float:
-        """Seconds of work that every pending task has saved; its job is late only by the rest."""
+        """Return the seconds of work that every pending task has saved: only the rest is still to be done."""
         if not self.progress:
             return 0.0
         waiting = {index for index in self.requeued if self.states[index] == TASK_PENDING}
@@ -178,7 +186,7 @@
         return min(self.progress.get(index, 0.0) for index in waiting)
 
     def next_pending(self) -> int | None:
-        """The pending task to start next: one that came back, else the lowest not started yet."""
+        """Return the pending task to start next: the lowest that was active before, else the lowest."""
         while self.requeued and self.states[self.requeued[0]] != TASK_PENDING:
             heapq.heappop(self.requeued)
         if self.requeued:
@@ -188,9 +196,9 @@
         return self.next_index if self.next_index < self.spec.tasks else None
 
     def startable(self, most: int) -> int:
-        """How many of up to ``most`` tasks may be started now: one at a time behind a failure.
+        """Return how many of up to ``most`` tasks may be started now: one at a time after a failure.
 
-        Tasks that were started before it, and go on, may still show that the job is sound.
+        Tasks that were started before the failure, and go on, may still show that the job is sound.
         """
         record = self.failures
         if not record.rounds or self.done or self.is_gang:
@@ -199,7 +207,7 @@
         return min(most, max(0, 1 - probes))
 
     def complete(self, index: int) -> bool:
-        """Note that a task is completed; True if that is news. The tasks of a gang complete together."""
+        """Note that a task is completed; return whether that is new. A gang's tasks complete together."""
         if not 0 <= index < self.spec.tasks or self.states[index] == TASK_DONE:
             return False
         if self.is_gang:
@@ -211,7 +219,7 @@
         return True
 
     def release(self, index: int) -> None:
-        """A task that was active is pending again."""
+        """Make an active task pending again."""
         self.states[index] = TASK_PENDING
         heapq.heappush(self.requeued, index)
 
@@ -229,7 +237,7 @@
 
     @property
     def may_be_the_machine(self) -> bool:
-        """Whether the machine may be at fault. Of a job that ended without success nobody can tell."""
+        """Whether the machine may be at fault. For a job that ended without success it can't be told."""
         return self.job_is_sound or not (self.job.phase is JobPhase.FINALIZED or self.job.failures.at_fault)
 
 
@@ -246,45 +254,53 @@
     spot: bool
     known_since: float
     endpoint: str = ""
-    # booting: has not reported; up; gone: proven, and out of every count.
+    # Whether it has sent a heartbeat, in this term or an earlier one, and when the first of this term came.
     is_up: bool = False
     up_at: float = float("-inf")
     record_state: RecordState = RecordState.NOT_RECORDED
-    # A report of this term was seen, so that all it holds is known.
+    # A heartbeat of this term was applied, so that all it holds is known.
     reconciled: bool = False
+    # Those of its newest heartbeat.
     incarnation: int = 0
     sequence: int = -1
     last_heartbeat_at: float = float("-inf")
     # When the cloud last listed it.
     listed_at: float = float("-inf")
+    # When its worker was last answered.
     last_response_at: float = float("-inf")
-    # When it first reported in this term, still with the token of an earlier one.
+    # When its first heartbeat came in this term, still with the token of an earlier one.
     first_heartbeat_at: float | None = None
+    # When the cloud takes it back, and when the notice of that came.
     preempted_at: float | None = None
     notice_at: float | None = None
+    # At fault: it is emptied and deleted.
     quarantined: bool = False
-    # Being emptied, to be returned: its replicas move one by one.
+    # Being emptied to scale in: its replicas move one by one.
     draining: bool = False
+    # To be deleted: nothing starts on it any more.
     deleting: bool = False
+    # Until then starts go with responses to heartbeats: direct commands may not reach it.
     unreliable_until: float = 0.0
     command_in_flight: bool = False
     next_probe_at: float = 0.0
     attempts: dict[str, Attempt] = msgspec.field(default_factory=dict)
-    # All its room, what may be in use of it, and the rest: every placement looks at these on every machine.
+    # All its resources, what may be in use of them, and the rest. Every placement reads these of every
+    # machine.
     capacity: Resources = NO_RESOURCES
     used: Resources = NO_RESOURCES
     free: Resources = NO_RESOURCES
-    # Tells machines that are alike apart: the one that was known first goes first.
+    # Orders machines that are alike: the one that was known first goes first.
     number: int = msgspec.field(default_factory=lambda: next(_numbers))
     # Rises whenever what it holds, or what of it waits for an image, changes.
     version: int = 0
     images: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
     # Commands to be sent to the worker directly.
     queued_commands: list[Command] = msgspec.field(default_factory=list)
-    # Errors on it by job, since a task that was started behind them completed.
+    # Errors on it by job, since a task that was started after all earlier ones completed.
     errors: dict[str, TaskError] = msgspec.field(default_factory=dict)
-    # Tasks on it that are none of ours: they are stopped, and nothing starts beside them.
+    # Tasks on it that we know no attempt of: they are stopped, and nothing starts beside them.
     unknown_tasks: set[str] = msgspec.field(default_factory=set)
+    # Until then nothing starts on it.
     unschedulable_until: float = 0.0
 
     def __post_init__(self) -> None:
@@ -292,13 +308,13 @@
         self.set_used(NO_RESOURCES)
 
     def set_used(self, used: Resources) -> None:
-        """Note how much of the room may be in use."""
+        """Note how much of its resources may be in use."""
         self.used = used
         self.free = add_scaled(self.capacity, used, -1.0)
         self.version += 1
 
     def free_after_reservations(self, reserved: dict[str, Resources]) -> Resources:
-        """Free room beside what is reserved on machines, by name."""
+        """Return what is free beside the resources reserved on machines, by name."""
         own = reserved.get(self.name)
         return self.free if own is None else add_scaled(self.free, own, -1.0)
 
@@ -318,7 +334,7 @@
         )
 
     def touch_image(self, image: str, size: float) -> None:
-        """Follow the worker's cache: most recently used last, oldest dropped first."""
+        """Note that the worker used an image. Its cache drops the images that were used the longest ago."""
         if image not in self.images:
             self.version += 1
         self.images[image] = size
--- a/src/poppyhold/model/fleet.py
+++ b/src/poppyhold/model/fleet.py
@@ -18,7 +18,7 @@
         self.used_by_team: dict[str, list[float]] = {}
 
     def add_attempt(self, attempt: Attempt) -> None:
-        """Count an attempt everywhere."""
+        """Count an attempt in its job, its machine and its team."""
         job, machine = attempt.job, attempt.machine
         job.states[attempt.index] = TASK_ACTIVE
         job.active[attempt.index] = attempt
--- a/src/poppyhold/model/outbound.py
+++ b/src/poppyhold/model/outbound.py
@@ -1,4 +1,4 @@
-"""The decision core's way out: what it asks of the threads that do I/O for it."""
+"""The outbound port of the decision core: what it asks of the threads that do I/O for it."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class CommitPriority(IntEnum):
-    """Order of the leader's durable steps; those of one rank go in the order of their requests."""
+    """Order of the leader's commits; those of one priority go in the order of their requests."""
 
-    # What takes the longest behind it, or holds up everything else: hires, tokens, machines' records.
+    # What begins the longest waits, or holds up everything else: launches, fencing tokens, machines' records.
     SOONEST = 0
-    # Plans of urgent jobs. A swarm of short jobs takes more changes than there are, and behind its plans
-    # those of critical replicas waited for a minute.
+    # Plans of urgent jobs. A swarm of short jobs needs more changes than the state service takes, and the
+    # plans of critical replicas waited for a minute until its plans were written.
     URGENT = 1
-    # What else somebody waits for: plans and ends of jobs; those of teams without a guarantee come behind.
+    # What else somebody waits for: plans and ends of jobs; those of teams without a guarantee come later.
     AWAITED = 2
     UNGUARANTEED = 3
     BACKGROUND = 4
 
 
 class MisdirectedWorker(NamedTuple):
-    """A worker whose report reached a controller that does not lead, and what that report was."""
+    """A worker whose heartbeat reached a controller that does not lead, and which heartbeat that was."""
 
     machine: str
     incarnation: int
@@ -36,53 +36,63 @@
 
 
 class OutboundPort(Protocol):
-    """Everything that the core asks of the outside. Each callback comes back on the core's thread."""
+    """Everything that the core asks of other systems. Each callback is called on the decision thread."""
 
     def commit(
         self,
         conditions: dict[str, int],
         writes: Sequence[Write],
-        done: Callable[[bool], None],
+        on_committed: Callable[[bool], None],
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
-        """Carry out a transaction under our leadership, and repeat it until its outcome is certain."""
+        """Carry out a transaction under our leadership, and repeat it until its outcome is certain.
+
+        Args:
+            conditions: Keys and the revisions that they must have; 0 for a key that must not exist.
+            writes: What to write.
+            on_committed: Called with whether the writes are durable.
+            priority: What goes first where several commits wait.
+        """
 
     def send_commands(
         self,
-        box: str,
+        machine: str,
         endpoint: str,
         body: Data,
-        done: Callable[[RequestOutcome, Heartbeat | None], None],
+        on_response: Callable[[RequestOutcome, Heartbeat | None], None],
         patient: bool,
     ) -> None:
-        """POST /do to a worker, once. ``patient`` requests don't hold up the others."""
+        """POST commands to a worker, once.
+
+        ``patient`` requests may take long, and don't hold up the others.
+        """
 
-    def launch_machines(self, body: Data, done: Callable[[RequestOutcome, list[str]], None]) -> None:
-        """POST /machines, once."""
+    def launch_machines(self, body: Data, on_response: Callable[[RequestOutcome, list[str]], None]) -> None:
+        """Ask the cloud for machines, once; ``on_response`` gets their names."""
 
-    def delete_machines(self, names: list[str], done: Callable[[bool], None]) -> None:
-        """POST /machines/delete, once."""
+    def delete_machines(self, names: list[str], on_response: Callable[[bool], None]) -> None:
+        """Ask the cloud to delete machines, once; ``on_response`` gets whether it has."""
 
     def leadership_lost(self, fencing_token: int) -> None:
-        """A higher token than ours was seen."""
+        """Note that a higher fencing token than ours was seen."""
 
     def fencing_token_raised(self, fencing_token: int) -> None:
-        """Our token was raised."""
+        """Note that our fencing token was raised."""
 
     def resign(self, why: str) -> None:
-        """Let another node lead."""
+        """Give up leadership, so that another controller leads."""
 
     def job_finalized(self, job_id: str, status: str, tasks: int) -> None:
-        """The final state of a job is durable."""
+        """Note that the final state of a job is durable."""
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
-        """Workers that have turned to another controller lately, for each of those."""
+        """Return the workers that have turned to another controller lately, for each of those controllers."""
 
     def may_start_tasks(self) -> bool:
-        """Whether our leadership was confirmed lately enough to start tasks."""
+        """Whether our leadership was confirmed recently enough to start tasks."""
 
     def leadership_confirmed_at(self) -> float:
-        """Moment at which nobody else can have led yet."""
+        """Return the last moment at which certainly nobody else led."""
 
     def delegated_leases_expire_at(self) -> float:
-        """Moment behind which no other controller answered a worker in our name."""
+        """Return the moment after which no delegate renewed a worker's lease in our name."""
--- a/src/poppyhold/model/outcome.py
+++ b/src/poppyhold/model/outcome.py
@@ -6,7 +6,7 @@
 
 
 class RequestOutcome(StrEnum):
-    """What is known of a request once it was answered or given up."""
+    """What is known of a request once it was answered or timed out."""
 
     OK = "ok"
     # It was answered, and nothing of it was or will be carried out.
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -49,10 +49,20 @@
         rng: random.Random,
     ) -> None:
         times = Durations(settings, options)
-        self.ctx = Context(settings, options, outbound, clock, wall, rng, fencing_token, fencing_token, times)
         connections = settings.settings.machine_limits.connections
-        self.ctx.max_initial_probes = connections * options.relays.from_share
-        self.ctx.silent_probe_rate = connections * _QUIET_SHARE
+        self.ctx = Context(
+            settings=settings,
+            options=options,
+            durations=times,
+            outbound=outbound,
+            clock=clock,
+            wall_clock=wall,
+            rng=rng,
+            term_fencing_token=fencing_token,
+            max_initial_probes=connections * options.relays.from_share,
+            silent_probe_rate=connections * _QUIET_SHARE,
+            fencing_token=fencing_token,
+        )
         self._quotas = Quotas(settings.settings.teams)
         self._guarantees_stale = True
         self.failures = Failures(times, clock, self._judged)
