--- a/src/poppyhold/capacity.py
+++ b/src/poppyhold/capacity.py
@@ -8,9 +8,8 @@
 from poppyhold.machines.machine_list import LAGS_MISSING
 from poppyhold.node.cloud import LIST_PAGE
 from poppyhold.node.cloud_thread import LIST_SHARE
-from poppyhold.options import Options
+from poppyhold.options import Options, RelayMode
 from poppyhold.relay.assignment import MOST_OF_SHARE
-from poppyhold.relay.mode import RelayMode
 from poppyhold.settings import BASE_MB, CONNECTION_MB, MACHINE_MB, Settings
 
 # The leader's processor time: cores a machine with its starts, and what a line through two runs leaves.
--- a/src/poppyhold/cli.py
+++ b/src/poppyhold/cli.py
@@ -12,7 +12,9 @@
 from typing import TYPE_CHECKING
 
 from poppyhold import __version__
-from poppyhold.settings import ConfigError, Settings, load_settings, strains
+from poppyhold.configuration_checks import ConfigError
+from poppyhold.settings import Settings
+from poppyhold.settings_file import limit_warnings, load_settings
 
 if TYPE_CHECKING:
     from poppyhold.options import Options
@@ -74,7 +76,7 @@
     args = _parser().parse_args(argv)
     logging.basicConfig(stream=sys.stderr, level=_log_level(), format="%(levelname).1s %(name)s: %(message)s")
     from poppyhold.capacity import shortfalls
-    from poppyhold.options import load_options
+    from poppyhold.options_file import load_options
     from poppyhold.quota.amounts import check_limits
 
     try:
@@ -87,7 +89,7 @@
         return 2
     if args.command == "quota":
         return _quota_status(settings, options, args.json)
-    for line in [*strains(settings), *shortfalls(settings, options)]:
+    for line in [*limit_warnings(settings), *shortfalls(settings, options)]:
         log.warning("%s", line)
     if args.command == "check-config":
         print("ok")
--- a/src/poppyhold/cluster/peers.py
+++ b/src/poppyhold/cluster/peers.py
@@ -15,12 +15,13 @@
 from poppyhold.cluster.change_feed import ChangeFeed
 from poppyhold.cluster.connectivity import Connectivity
 from poppyhold.cluster.lease_delegation import DelegationTracker, LeaseDelegation
+from poppyhold.configuration_checks import split_address
 from poppyhold.model.context import ImageHints
 from poppyhold.model.outbound import MisdirectedWorker
 from poppyhold.quota.messages import Answer as QuotaAnswer
 from poppyhold.quota.messages import Opening as QuotaOpening
 from poppyhold.relay.messages import RelayHello
-from poppyhold.settings import Known, Settings, split_address
+from poppyhold.settings import Known, Settings
 from poppyhold.wire.frames import receive, send
 
 log = logging.getLogger(__name__)
--- /dev/null
+++ b/src/poppyhold/configuration_checks.py
@@ -0,0 +1,56 @@
+"""Checks that the settings and the options file have in common."""
+
+from __future__ import annotations
+
+import math
+from collections import Counter
+from collections.abc import Iterable
+
+_HIGHEST_PORT = 65535
+
+
+class ConfigError(Exception):
+    """A settings or options file that can't be used; the text names the field."""
+
+
+def split_address(text: str, field: str = "address") -> tuple[str, int]:
+    """Split ``host:port``.
+
+    Raises:
+        ConfigError: names the field.
+    """
+    host, _, port = text.rpartition(":")
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= _HIGHEST_PORT:
+        raise ConfigError(f"{field}: {text!r} is not host:port")
+    return host, int(port)
+
+
+def check_unique(field: str, names: Iterable[str]) -> None:
+    """Check that no name is there twice.
+
+    Raises:
+        ConfigError: names the field and the name.
+    """
+    twice = next((name for name, times in Counter(names).items() if times > 1), None)
+    if twice is not None:
+        raise ConfigError(f"{field}: {twice!r} is there twice")
+
+
+def check_positive(field: str, value: float) -> None:
+    """Check that a value is above 0 and finite.
+
+    Raises:
+        ConfigError: names the field.
+    """
+    if not 0 < value < math.inf:
+        raise ConfigError(f"{field}: must be above 0")
+
+
+def check_not_negative(field: str, value: float) -> None:
+    """Check that a value is not below 0, and finite.
+
+    Raises:
+        ConfigError: names the field.
+    """
+    if not 0 <= value < math.inf:
+        raise ConfigError(f"{field}: must not be below 0")
--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -8,6 +8,7 @@
 from http import HTTPStatus
 from typing import Any, NamedTuple
 
+from poppyhold.configuration_checks import split_address
 from poppyhold.durable.changes import (
     Data,
     Entry,
@@ -26,7 +27,7 @@
     WatchCompactedError,
 )
 from poppyhold.durable.keys import EMPTY_PREFIX
-from poppyhold.settings import Settings, split_address
+from poppyhold.settings import Settings
 from poppyhold.wire import field_names as names
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
 
--- a/src/poppyhold/node/cloud.py
+++ b/src/poppyhold/node/cloud.py
@@ -6,9 +6,10 @@
 from http import HTTPStatus
 from typing import TypeVar
 
+from poppyhold.configuration_checks import split_address
 from poppyhold.model.outbound import Data
 from poppyhold.model.outcome import RequestOutcome
-from poppyhold.settings import Settings, split_address
+from poppyhold.settings import Settings
 from poppyhold.wire.cloud_messages import LaunchResponse, MachineListPage, MachineType, MachineTypes
 from poppyhold.wire.codec import MalformedError, convert
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -15,6 +15,7 @@
 from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
 from poppyhold.cluster.peers import Peers, Ping, Pong
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
+from poppyhold.configuration_checks import split_address
 from poppyhold.durable.store import Store
 from poppyhold.model.context import ImageHints
 from poppyhold.model.durations import Durations
@@ -27,7 +28,7 @@
 from poppyhold.relay.forwarding import HeartbeatForwarder
 from poppyhold.relay.leader import heartbeat_response_timeout_s
 from poppyhold.relay.messages import RelayHello
-from poppyhold.settings import Settings, split_address
+from poppyhold.settings import Settings
 from poppyhold.wire.codec import MalformedError, decode
 from poppyhold.wire.http import Answer, Deferred, Server, answer
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, parse_heartbeat
--- a/src/poppyhold/node/workers.py
+++ b/src/poppyhold/node/workers.py
@@ -8,9 +8,10 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
+from poppyhold.configuration_checks import ConfigError, split_address
 from poppyhold.model.outbound import Data
 from poppyhold.model.outcome import RequestOutcome
-from poppyhold.settings import ConfigError, Settings, split_address
+from poppyhold.settings import Settings
 from poppyhold.wire.codec import MalformedError
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
 from poppyhold.wire.worker_messages import Heartbeat, parse_heartbeat
--- a/src/poppyhold/options.py
+++ b/src/poppyhold/options.py
@@ -1,18 +1,13 @@
-"""The operators' own settings, in protobuf text format (see options.proto)."""
+"""The operators' options, a type for each section; `options_file` reads and checks them."""
 
 from __future__ import annotations
 
-from pathlib import Path
-from typing import TYPE_CHECKING
+from enum import Enum
 
 import msgspec
 
-from poppyhold.quota.cells import Cell, CellController, Cells, check_cells
-from poppyhold.relay.mode import RelayMode
-from poppyhold.settings import ConfigError
-
-if TYPE_CHECKING:
-    from poppyhold.options_pb2 import Cells as CellsMessage
+# What weights of cells' parts are counted in.
+_WEIGHT = 1_000_000_000
 
 
 class Design(msgspec.Struct, frozen=True):
@@ -45,6 +40,15 @@
     give_up_boots: float = 4.0
 
 
+class RelayMode(Enum):
+    """When controllers relay workers' heartbeats to the leader."""
+
+    # From a share of the limit of connections on.
+    AUTO = "auto"
+    OFF = "off"
+    FORCED = "forced"
+
+
 class Relays(msgspec.Struct, frozen=True):
     """Whether other controllers take workers' reports for the leader."""
 
@@ -58,6 +62,50 @@
     machines: int = 0
 
 
+class CellController(msgspec.Struct, frozen=True):
+    """A controller of another cell, and where its `back` listener is reached from here."""
+
+    member: str
+    address: str
+
+
+class Cell(msgspec.Struct, frozen=True):
+    """Another cell: its part of every limit and guarantee, and its controllers."""
+
+    name: str
+    part: float
+    controllers: tuple[CellController, ...] = ()
+
+
+class Cells(msgspec.Struct, frozen=True):
+    """This cell and the others."""
+
+    name: str
+    part: float
+    others: tuple[Cell, ...]
+    # The longest that a cell holds back what it used lately, as a multiple of workers.lease_s.
+    keep_leases: float = 1.0
+    # The part of the state service's changes that moves of shares may take.
+    moves_share: float = 0.2
+    # The part of its first shares that a cell never gives away.
+    reserve: float = 0.0
+
+    @property
+    def weights(self) -> dict[str, int]:
+        """Each cell's part as a whole number, in an order that is the same in all cells."""
+        parts = {self.name: self.part, **{cell.name: cell.part for cell in self.others}}
+        return {name: round(parts[name] * _WEIGHT) for name in sorted(parts)}
+
+    @property
+    def layout(self) -> str:
+        """A text that is the same in all cells that agree on the cells and their parts."""
+        return " ".join(f"{name}={weight}" for name, weight in self.weights.items())
+
+    def other(self, name: str) -> Cell | None:
+        """The other cell of that name."""
+        return next((cell for cell in self.others if cell.name == name), None)
+
+
 class Options(msgspec.Struct, frozen=True):
     """All of them."""
 
@@ -68,91 +116,3 @@
     fleet: Fleet = Fleet()
     # None: the fleet is one cell, and nothing of `quota` runs.
     cells: Cells | None = None
-
-
-# Field, lowest and highest value that make sense.
-_BOUNDS = {
-    "design.slot_leases": (0.5, 1000.0),
-    "design.horizon_slots": (1, 512),
-    "design.work_units": (1, 256),
-    "design.weight_critical": (1e-6, 1e6),
-    "design.weight_high": (1e-6, 1e6),
-    "design.weight_standard": (1e-6, 1e6),
-    "design.weight_best_effort": (1e-6, 1e6),
-    "design.lowest_price": (1e-6, 1.0),
-    "design.late_value": (0.0, 1.0),
-    "leadership.term_leases": (0.02, 2.0),
-    "leadership.renewals": (2.0, 20.0),
-    "leadership.silent_reports": (1.5, 100.0),
-    "provisioning.headroom": (0.0, 10.0),
-    "provisioning.keep_boots": (0.0, 100.0),
-    "provisioning.give_up_boots": (1.5, 100.0),
-    "relays.from_share": (0.01, 1000.0),
-    "fleet.machines": (0, 100_000),
-    "cells.keep_leases": (0.1, 1000.0),
-    "cells.moves_share": (0.001, 0.5),
-    "cells.reserve": (0.0, 1.0),
-}
-
-
-def parse_options(text: str) -> Options:
-    """Parse and check options; fields that are left out have their defaults."""
-    if all(not line.strip() or line.lstrip().startswith("#") for line in text.splitlines()):
-        # Nothing is set. A controller that restarts is waited for, and loading protobuf takes a good
-        # part of its start.
-        return Options()
-    from google.protobuf import text_format
-
-    from poppyhold.options_pb2 import Options as Message
-    from poppyhold.options_pb2 import Relays as RelaysMessage
-
-    message = Message()
-    try:
-        text_format.Parse(text, message)
-    except text_format.ParseError as error:
-        raise ConfigError(str(error)) from error
-    values: dict[str, dict[str, float | str]] = {}
-    for name, (low, high) in _BOUNDS.items():
-        section, field = name.split(".")
-        part = getattr(message, section)
-        if not part.HasField(field):
-            continue
-        value = getattr(part, field)
-        if not low <= value <= high:
-            raise ConfigError(f"{name}: must be within {low} and {high}")
-        values.setdefault(section, {})[field] = value
-    if message.relays.HasField("mode"):
-        mode = RelaysMessage.Mode.Name(message.relays.mode)
-        values.setdefault("relays", {})["mode"] = mode.lower()
-    cells = values.pop("cells", {})
-    options = msgspec.convert(values, Options)
-    if message.HasField("cells"):
-        options = msgspec.structs.replace(options, cells=_cells(message.cells, cells))
-    return options
-
-
-def _cells(section: CellsMessage, bounded: dict[str, float | str]) -> Cells:
-    """The section of cells; ``bounded`` are the figures that were checked before."""
-    others = tuple(
-        Cell(
-            other.name,
-            other.part,
-            tuple(CellController(each.member, each.address) for each in other.controllers),
-        )
-        for other in section.others
-    )
-    return check_cells(
-        msgspec.convert({"name": section.name, "part": section.part, "others": others, **bounded}, Cells)
-    )
-
-
-def load_options(path: str | Path | None) -> Options:
-    """Read an options file; without one, every default."""
-    if path is None:
-        return Options()
-    try:
-        return parse_options(Path(path).read_text(encoding="utf-8"))
-    except OSError as error:
-        raise ConfigError(f"{path}: {error.strerror}") from error
-    except (ConfigError, UnicodeDecodeError) as error:
-        raise ConfigError(f"{path}: {error}") from error
--- a/src/poppyhold/quota/amounts.py
+++ b/src/poppyhold/quota/amounts.py
@@ -7,8 +7,9 @@
 
 import msgspec
 
+from poppyhold.configuration_checks import ConfigError
 from poppyhold.scheduling.quotas import TeamQuota
-from poppyhold.settings import ConfigError, Settings, Team
+from poppyhold.settings import Settings, Team
 
 # One CPU or accelerator.
 UNIT = 1000
--- a/src/poppyhold/quota/asking.py
+++ b/src/poppyhold/quota/asking.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import NamedTuple
 
-from poppyhold.quota.cells import Cells
+from poppyhold.options import Cells
 from poppyhold.quota.demand import TeamDemand
 from poppyhold.quota.messages import (
     PROTOCOL_VERSION,
--- a/src/poppyhold/quota/cell_quota.py
+++ b/src/poppyhold/quota/cell_quota.py
@@ -16,6 +16,7 @@
 from poppyhold.model.context import Context
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.model.resources import Resources
+from poppyhold.options import Cells
 from poppyhold.quota.alarms import AlarmKind, Alarms
 from poppyhold.quota.amounts import (
     ResourceAmount,
@@ -29,7 +30,6 @@
     whole_share,
 )
 from poppyhold.quota.asking import Asking
-from poppyhold.quota.cells import Cells
 from poppyhold.quota.demand import DemandMonitor, TeamDemand
 from poppyhold.quota.hold_times import HoldTimes
 from poppyhold.quota.messages import (
--- a/src/poppyhold/quota/edge.py
+++ b/src/poppyhold/quota/edge.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 
 from poppyhold.concurrency.priority_queue import SUBMISSIONS, Work
+from poppyhold.options import Cells
 from poppyhold.quota.cell_quota import CellQuota, QuotaHealth
-from poppyhold.quota.cells import Cells
 from poppyhold.quota.link import CellLinks
 from poppyhold.quota.messages import Answer, Opening, ShareReply, ShareRequest, StatusRequest
 from poppyhold.settings import Settings
--- a/src/poppyhold/quota/link.py
+++ b/src/poppyhold/quota/link.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from poppyhold.quota.cells import Cell
+from poppyhold.configuration_checks import split_address
+from poppyhold.options import Cell
 from poppyhold.quota.messages import Answer, NotLeading, ShareReply, ShareRequest
-from poppyhold.settings import split_address
 from poppyhold.wire.frames import receive, send
 
 log = logging.getLogger(__name__)
--- a/src/poppyhold/quota/server.py
+++ b/src/poppyhold/quota/server.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from poppyhold.cluster.election import Leader
-from poppyhold.quota.cells import Cells
+from poppyhold.options import Cells
 from poppyhold.quota.messages import (
     PROTOCOL_VERSION,
     Answer,
--- a/src/poppyhold/relay/assignment.py
+++ b/src/poppyhold/relay/assignment.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from poppyhold.model.durations import Durations
-from poppyhold.relay.mode import RelayMode
+from poppyhold.options import RelayMode
 from poppyhold.relay.rendezvous import rendezvous_weight
 
 # No relay takes more than this times its even share of the workers.
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -8,11 +8,12 @@
 from http import HTTPStatus
 
 from poppyhold.cluster.election import Leader
+from poppyhold.configuration_checks import split_address
 from poppyhold.relay.leader import heartbeat_response_timeout_s
 from poppyhold.relay.link import RelayLink, RelayTimes
 from poppyhold.relay.messages import Outcome, RelayedAnswer, RelayHello
 from poppyhold.relay.overflow import Overflow
-from poppyhold.settings import Settings, split_address
+from poppyhold.settings import Settings
 from poppyhold.wire.http import Answer, Deferred, answer
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
--- a/src/poppyhold/settings.py
+++ b/src/poppyhold/settings.py
@@ -1,18 +1,10 @@
-"""The platform's settings file (TOML), checked; fields we don't know are ignored."""
+"""The platform's settings, as its file names them; `settings_file` reads and checks it."""
 
 from __future__ import annotations
 
-import tomllib
-from collections import Counter
-from pathlib import Path
-
 import msgspec
 
 
-class ConfigError(Exception):
-    """A settings or options file that can't be used; the text names the field."""
-
-
 class Known(msgspec.Struct, frozen=True):
     """Another controller."""
 
@@ -109,9 +101,9 @@
 # state; and what that state alone takes where a worker reports through a relay. See docs/CAPACITY.md.
 BASE_MB, CONNECTION_MB, MACHINE_MB = 30.0, 0.06, 0.02
 # Sockets and threads for the state service, the cloud, other controllers and commands; fewer are not enough.
-_LEAST_SOCKETS = 64
+LEAST_SOCKETS = 64
 # Share of the threads that users' and workers' connections may take.
-_CONNECTION_SHARE = 0.68
+CONNECTION_SHARE = 0.68
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
@@ -124,22 +116,22 @@
     @property
     def threads(self) -> int:
         """What threads that hold a connection each are counted in: sockets, as far as memory carries them."""
-        return min(self.max_sockets, int(self.carried / _CONNECTION_SHARE))
+        return min(self.max_sockets, int(self.carried / CONNECTION_SHARE))
 
     @property
     def carried(self) -> int:
         """Connections with their threads that memory carries."""
-        return max(_LEAST_SOCKETS, int((self.ram_mb - BASE_MB) / CONNECTION_MB))
+        return max(LEAST_SOCKETS, int((self.ram_mb - BASE_MB) / CONNECTION_MB))
 
     @property
     def connections(self) -> int:
         """Connections from users and workers: beside them are commands to workers, peers and the rest."""
-        return min(int(self.max_sockets * _CONNECTION_SHARE), self.carried)
+        return min(int(self.max_sockets * CONNECTION_SHARE), self.carried)
 
     @property
     def machines(self) -> int:
         """Machines whose state memory carries; what is kept of each machine is bounded by it."""
-        return max(_LEAST_SOCKETS, int((self.ram_mb - BASE_MB) / MACHINE_MB))
+        return max(LEAST_SOCKETS, int((self.ram_mb - BASE_MB) / MACHINE_MB))
 
 
 class Deployment(msgspec.Struct, frozen=True):
@@ -166,126 +158,3 @@
     outside: Outside
     settings: Deployment
     known: list[Known] = []
-
-
-# A job's move to its final record takes three changes in one transaction.
-_LEAST_CHANGES = 3
-
-# What must be above 0 for the ratios built on it to mean anything.
-_POSITIVE = {
-    "workers": ("report_s", "lease_s", "cancel_s", "gang_wait_s", "gang_peer_s"),
-    "state": ("rps", "write_rps", "value_kb", "txn_ops"),
-    "cloud": ("rps", "list_lag_s"),
-    "machine_limits": ("core_share", "ram_mb", "max_sockets"),
-}
-
-
-def strains(settings: Settings) -> list[str]:
-    """Limits that don't go together, a line each: the service runs with them, but not as it might."""
-    limits = settings.settings.machine_limits
-    found = []
-    if limits.max_sockets < _LEAST_SOCKETS:
-        found.append(f"settings.machine_limits.max_sockets: {limits.max_sockets} leave workers hardly any")
-    wanted = int(limits.max_sockets * _CONNECTION_SHARE)
-    if limits.connections < wanted:
-        part = f"carries about {limits.connections} of {wanted} connections"
-        found.append(f"settings.machine_limits.ram_mb: {part}")
-    workers = settings.settings.workers
-    if workers.cancel_s < 2 * workers.lease_s:
-        found.append("settings.workers.cancel_s: below two leases, so work will not outlast long outages")
-    return found
-
-
-_HIGHEST_PORT = 65535
-
-
-def split_address(text: str, field: str = "address") -> tuple[str, int]:
-    """Split ``host:port``."""
-    host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= _HIGHEST_PORT:
-        raise ConfigError(f"{field}: {text!r} is not host:port")
-    return host, int(port)
-
-
-def load_settings(path: str | Path) -> Settings:
-    """Read and check a settings file."""
-    try:
-        raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
-    except OSError as error:
-        raise ConfigError(f"{path}: {error.strerror}") from error
-    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise ConfigError(f"{path}: {error}") from error
-    try:
-        settings = msgspec.convert(raw, Settings)
-    except msgspec.ValidationError as error:
-        raise ConfigError(f"{path}: {error}") from error
-    try:
-        _check(settings)
-    except ConfigError as error:
-        raise ConfigError(f"{path}: {error}") from error
-    return settings
-
-
-def _check(settings: Settings) -> None:
-    split_address(settings.client_listen, "client_listen")
-    split_address(settings.back, "back")
-    split_address(settings.outside.cloud, "outside.cloud")
-    split_address(settings.outside.state, "outside.state")
-    for peer in settings.known:
-        split_address(peer.address, f"known.{peer.member}.address")
-    deployment = settings.settings
-    if deployment.count < 1:
-        raise ConfigError("settings.count: must be above 0")
-    if not 0 <= deployment.skew_ms < float("inf"):
-        raise ConfigError("settings.skew_ms: must not be below 0")
-    for section, names in _POSITIVE.items():
-        values = msgspec.to_builtins(getattr(deployment, section))
-        for name in names:
-            value = values[name]
-            if not 0 < value < float("inf"):
-                raise ConfigError(f"settings.{section}.{name}: must be above 0")
-    _check_next(deployment.state.next)
-    _check_zones(settings)
-    _check_teams(deployment.teams)
-    if deployment.workers.cancel_s <= deployment.workers.lease_s:
-        raise ConfigError("settings.workers.cancel_s: must be above lease_s")
-
-
-def _check_zones(settings: Settings) -> None:
-    """Each zone is named once, each controller stands in one of them, and none of them is there twice."""
-    zones = settings.settings.zones
-    if not zones:
-        raise ConfigError("settings.zones: must name a zone")
-    _check_unique("settings.zones", zones)
-    _check_unique("known.member", [settings.member, *(peer.member for peer in settings.known)])
-    if settings.domain not in zones:
-        raise ConfigError(f"domain: {settings.domain!r} is not in settings.zones")
-    for peer in settings.known:
-        if peer.domain not in zones:
-            raise ConfigError(f"known.{peer.member}.domain: {peer.domain!r} is not in settings.zones")
-
-
-def _check_teams(teams: list[Team]) -> None:
-    """Each team is named once, with amounts that can be."""
-    _check_unique("settings.teams.name", [team.name for team in teams])
-    for team in teams:
-        if not team.name:
-            raise ConfigError("settings.teams.name: must not be empty")
-        for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
-            if not 0 <= getattr(team, name) < float("inf"):
-                raise ConfigError(f"settings.teams.{team.name}.{name}: must not be below 0")
-
-
-def _check_unique(field: str, names: list[str]) -> None:
-    twice = next((name for name, times in Counter(names).items() if times > 1), None)
-    if twice is not None:
-        raise ConfigError(f"{field}: {twice!r} is there twice")
-
-
-def _check_next(limits: NextState | None) -> None:
-    for name in ("rps", "write_rps", "value_kb", "txn_ops"):
-        value = getattr(limits, name, None)
-        if value is not None and not 0 < value < float("inf"):
-            raise ConfigError(f"settings.state.next.{name}: must be above 0")
-    if limits is not None and limits.txn_ops is not None and limits.txn_ops < _LEAST_CHANGES:
-        raise ConfigError(f"settings.state.next.txn_ops: must be at least {_LEAST_CHANGES}")
--- /dev/null
+++ b/src/poppyhold/settings_file.py
@@ -0,0 +1,117 @@
+"""The platform's settings file (TOML), read and checked; fields we don't know are ignored."""
+
+from __future__ import annotations
+
+import tomllib
+from pathlib import Path
+
+import msgspec
+
+from poppyhold.configuration_checks import (
+    ConfigError,
+    check_not_negative,
+    check_positive,
+    check_unique,
+    split_address,
+)
+from poppyhold.settings import CONNECTION_SHARE, LEAST_SOCKETS, NextState, Settings, Team
+
+# A job's move to its final record takes three changes in one transaction.
+_LEAST_CHANGES = 3
+
+# By section, what must be above 0 for the ratios built on it to mean anything.
+_POSITIVE = {
+    "workers": ("report_s", "lease_s", "cancel_s", "gang_wait_s", "gang_peer_s"),
+    "state": ("rps", "write_rps", "value_kb", "txn_ops"),
+    "cloud": ("rps", "list_lag_s"),
+    "machine_limits": ("core_share", "ram_mb", "max_sockets"),
+}
+
+
+def limit_warnings(settings: Settings) -> list[str]:
+    """Describe limits that don't go together, a line each: the service runs with them, but worse."""
+    limits = settings.settings.machine_limits
+    found = []
+    if limits.max_sockets < LEAST_SOCKETS:
+        found.append(f"settings.machine_limits.max_sockets: {limits.max_sockets} leave workers hardly any")
+    wanted = int(limits.max_sockets * CONNECTION_SHARE)
+    if limits.connections < wanted:
+        part = f"carries about {limits.connections} of {wanted} connections"
+        found.append(f"settings.machine_limits.ram_mb: {part}")
+    workers = settings.settings.workers
+    if workers.cancel_s < 2 * workers.lease_s:
+        found.append("settings.workers.cancel_s: below two leases, so work will not outlast long outages")
+    return found
+
+
+def load_settings(path: str | Path) -> Settings:
+    """Read and check a settings file.
+
+    Raises:
+        ConfigError: names the file and the field.
+    """
+    try:
+        settings = msgspec.convert(tomllib.loads(Path(path).read_text(encoding="utf-8")), Settings)
+        _check(settings)
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror}") from error
+    except (UnicodeDecodeError, tomllib.TOMLDecodeError, msgspec.ValidationError, ConfigError) as error:
+        raise ConfigError(f"{path}: {error}") from error
+    return settings
+
+
+def _check(settings: Settings) -> None:
+    split_address(settings.client_listen, "client_listen")
+    split_address(settings.back, "back")
+    split_address(settings.outside.cloud, "outside.cloud")
+    split_address(settings.outside.state, "outside.state")
+    for peer in settings.known:
+        split_address(peer.address, f"known.{peer.member}.address")
+    deployment = settings.settings
+    if deployment.count < 1:
+        raise ConfigError("settings.count: must be above 0")
+    check_not_negative("settings.skew_ms", deployment.skew_ms)
+    for section, names in _POSITIVE.items():
+        values = msgspec.to_builtins(getattr(deployment, section))
+        for name in names:
+            check_positive(f"settings.{section}.{name}", values[name])
+    _check_next(deployment.state.next)
+    _check_zones(settings)
+    _check_teams(deployment.teams)
+    if deployment.workers.cancel_s <= deployment.workers.lease_s:
+        raise ConfigError("settings.workers.cancel_s: must be above lease_s")
+
+
+def _check_zones(settings: Settings) -> None:
+    """Each zone is named once, each controller stands in one of them, and none of them is there twice."""
+    zones = settings.settings.zones
+    if not zones:
+        raise ConfigError("settings.zones: must name a zone")
+    check_unique("settings.zones", zones)
+    check_unique("known.member", [settings.member, *(peer.member for peer in settings.known)])
+    if settings.domain not in zones:
+        raise ConfigError(f"domain: {settings.domain!r} is not in settings.zones")
+    for peer in settings.known:
+        if peer.domain not in zones:
+            raise ConfigError(f"known.{peer.member}.domain: {peer.domain!r} is not in settings.zones")
+
+
+def _check_teams(teams: list[Team]) -> None:
+    """Each team is named once, with amounts that can be."""
+    check_unique("settings.teams.name", [team.name for team in teams])
+    for team in teams:
+        if not team.name:
+            raise ConfigError("settings.teams.name: must not be empty")
+        for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
+            check_not_negative(f"settings.teams.{team.name}.{name}", getattr(team, name))
+
+
+def _check_next(limits: NextState | None) -> None:
+    if limits is None:
+        return
+    for name in _POSITIVE["state"]:
+        value = getattr(limits, name)
+        if value is not None:
+            check_positive(f"settings.state.next.{name}", value)
+    if limits.txn_ops is not None and limits.txn_ops < _LEAST_CHANGES:
+        raise ConfigError(f"settings.state.next.txn_ops: must be at least {_LEAST_CHANGES}")
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -12,9 +12,9 @@
 from poppyhold.cluster.peers import Opening
 from poppyhold.durable.changes import Entry
 from poppyhold.durable.keys import QUOTA_PREFIX
-from poppyhold.options import Options
+from poppyhold.options import Cell, CellController, Cells, Options
+from poppyhold.options_file import check_cells
 from poppyhold.quota.amounts import UNIT, to_units, whole_share
-from poppyhold.quota.cells import Cell, CellController, Cells, check_cells
 from poppyhold.quota.messages import Answer, ShareReply, ShareRequest
 from poppyhold.quota.share_book import ShareBook
 from quota_model import sum_problems
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -30,13 +30,12 @@
 from poppyhold.node.controller import Controller
 from poppyhold.node.leader_term import DIRECT_SHARE
 from poppyhold.node.users import Users
-from poppyhold.options import Options
+from poppyhold.options import Options, RelayMode
 from poppyhold.quota.records import PEER
 from poppyhold.reads.job_reads import JobReads
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.intake import RelayIntake, RelayState
 from poppyhold.relay.leader import heartbeat_response_timeout_s
-from poppyhold.relay.mode import RelayMode
 from poppyhold.scale.jobs import Data
 from poppyhold.scale.standins import StateStandIn
 from poppyhold.wire.cloud_messages import ListedMachine, MachineListing, MachineType
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -9,6 +9,7 @@
 import msgspec
 import pytest
 
+from poppyhold.configuration_checks import ConfigError
 from poppyhold.durable.keys import (
     COMPLETION_RANGES_PREFIX,
     COMPLETIONS_PREFIX,
@@ -18,11 +19,12 @@
 from poppyhold.durable.machine_types import machine_type_writes
 from poppyhold.execution.completions import Layout, decode_bits
 from poppyhold.model.entities import make_job
-from poppyhold.options import load_options, parse_options
+from poppyhold.options_file import load_options, parse_options
 from poppyhold.scale.jobs import build_data as world_build
 from poppyhold.scale.jobs import submission
 from poppyhold.scale.jobs import wire as as_sent
-from poppyhold.settings import ConfigError, NextState, State, Team, load_settings
+from poppyhold.settings import NextState, State, Team
+from poppyhold.settings_file import load_settings
 from poppyhold.wire.cloud_messages import MachineType, MachineTypes
 from poppyhold.wire.codec import MalformedError, convert, encode
 from poppyhold.wire.user_messages import parse_submission
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,6 +21,7 @@
 from poppyhold.cli import main
 from poppyhold.cluster.change_feed import ChangeFeed
 from poppyhold.cluster.peers import _MOST_COUNTS, _MOST_IMAGES, Ping, receive_opening
+from poppyhold.configuration_checks import ConfigError
 from poppyhold.durable.changes import Entry
 from poppyhold.durable.errors import StoreRejectedError
 from poppyhold.durable.keys import MACHINE_PREFIX
@@ -33,12 +34,12 @@
 from poppyhold.model.entities import Job, Machine, make_job
 from poppyhold.model.resources import add_scaled, fits, max_copies
 from poppyhold.node.cloud_thread import CloudThread, ListReader
-from poppyhold.options import parse_options
+from poppyhold.options_file import parse_options
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.scheduling.free_capacity import FreeCapacityView, Ranking
 from poppyhold.scheduling.ledger import Ledger
 from poppyhold.scheduling.quotas import Quotas
-from poppyhold.settings import ConfigError, MachineLimits, Team
+from poppyhold.settings import MachineLimits, Team
 from poppyhold.settings import Settings as Deployed
 from poppyhold.wire.cloud_messages import ListedMachine, MachineType
 from poppyhold.wire.cloud_messages import MachineListPage as ListPage
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,13 +13,14 @@
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.cancellations import Cancellation, Cancellations
 from poppyhold.cluster.peers import Opening, Peers, Ping, Pong, receive_opening
+from poppyhold.configuration_checks import split_address
 from poppyhold.node.service import Node
 from poppyhold.options import Options
 from poppyhold.quota.messages import Answer as QuotaAnswer
 from poppyhold.quota.messages import Opening as QuotaOpening
 from poppyhold.scale.controllers import free_port
 from poppyhold.scale.jobs import submission, wire
-from poppyhold.settings import Known, Outside, Team, split_address
+from poppyhold.settings import Known, Outside, Team
 from poppyhold.wire.codec import encode
 from poppyhold.wire.frames import send
 from poppyhold.wire.http import Answer
--- a/tests/test_quota_links.py
+++ b/tests/test_quota_links.py
@@ -13,11 +13,12 @@
 
 from poppyhold.cli import main
 from poppyhold.cluster.election import Leader
+from poppyhold.configuration_checks import ConfigError
 from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.durable.snapshot import SnapshotReader
-from poppyhold.options import Options, parse_options
+from poppyhold.options import Cell, CellController, Cells, Options
+from poppyhold.options_file import parse_options
 from poppyhold.quota.amounts import UNIT, ResourceAmount, ResourceShare, TeamAmount, TeamShare
-from poppyhold.quota.cells import Cell, CellController, Cells
 from poppyhold.quota.link import CellLinks
 from poppyhold.quota.messages import (
     PROTOCOL_VERSION,
@@ -35,7 +36,7 @@
 from poppyhold.quota.records import Transfer
 from poppyhold.quota.server import QuotaServer
 from poppyhold.quota.status import render, summarize
-from poppyhold.settings import ConfigError, Settings, Team
+from poppyhold.settings import Settings, Team
 from poppyhold.wire.frames import receive, send
 from scenario import FOLDER, Scenario
 from test_smoke import eventually
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -15,19 +15,20 @@
 
 from poppyhold.cluster.peers import Ping, Pong
 from poppyhold.concurrency.priority_queue import Work
+from poppyhold.configuration_checks import ConfigError
 from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.model.durations import Durations
-from poppyhold.options import Options, load_options, parse_options
+from poppyhold.options import Options, RelayMode
+from poppyhold.options_file import load_options, parse_options
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.intake import RelayIntake, RelayState
 from poppyhold.relay.leader import RelayServer
 from poppyhold.relay.link import RelayLink, RelayTimes
 from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayedAnswer, RelayHello
-from poppyhold.relay.mode import RelayMode
 from poppyhold.relay.overflow import Overflow
 from poppyhold.relay.queue import HeartbeatQueue
 from poppyhold.relay.regaining import Regaining
-from poppyhold.settings import ConfigError, Workers
+from poppyhold.settings import Workers
 from poppyhold.wire.worker_messages import Command, CommandKind, Heartbeat, HeartbeatResponse, TaskStatus
 from scenario import Scenario
 from test_smoke import eventually
--- a/tests/test_share_book.py
+++ b/tests/test_share_book.py
@@ -10,6 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from guards import take_out
+from poppyhold.configuration_checks import ConfigError
 from poppyhold.durable.changes import Entry, Write
 from poppyhold.durable.committer import FencedWriter
 from poppyhold.durable.keys import LEADER_KEY, QUOTA_PREFIX
@@ -34,7 +35,7 @@
     UnknownIncarnationError,
 )
 from poppyhold.scheduling.quotas import Quotas, TeamQuota
-from poppyhold.settings import ConfigError, Team
+from poppyhold.settings import Team
 from quota_model import CELLS, TEAM, Fleet, Outcome, always_next, join_at_once, told_at_once
 
 WEIGHTS = st.dictionaries(st.sampled_from("abcde"), st.integers(1, 10**9), min_size=1)
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -22,7 +22,8 @@
 from poppyhold.scale.jobs import build_data, submission, wire
 from poppyhold.scale.routes import cloud_route, parse_query, state_route
 from poppyhold.scale.standins import CloudStandIn, StateStandIn, WorkerStandIn
-from poppyhold.settings import MachineLimits, Workers, strains
+from poppyhold.settings import MachineLimits, Workers
+from poppyhold.settings_file import limit_warnings
 from poppyhold.wire.codec import decode, encode
 from poppyhold.wire.http import Answer, Deferred, Server
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
@@ -338,7 +339,7 @@
 
 def test_limits_that_do_not_go_together_are_named() -> None:
     settings = World(1, 10.0, 30.0, []).settings
-    assert strains(settings) == []
+    assert limit_warnings(settings) == []
     small = msgspec.structs.replace(
         settings,
         settings=msgspec.structs.replace(
@@ -347,7 +348,7 @@
             workers=Workers(lease_s=10.0, cancel_s=15.0),
         ),
     )
-    assert [line.split(":")[0] for line in strains(small)] == [
+    assert [line.split(":")[0] for line in limit_warnings(small)] == [
         "settings.machine_limits.max_sockets",
         "settings.workers.cancel_s",
     ]
@@ -355,7 +356,7 @@
         settings,
         settings=msgspec.structs.replace(settings.settings, machine_limits=MachineLimits(ram_mb=60.0)),
     )
-    assert "carries about 500 of 680 connections" in strains(large)[0]
+    assert "carries about 500 of 680 connections" in limit_warnings(large)[0]
 
 
 def test_handler_is_the_standard_one() -> None:
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -34,12 +34,13 @@
 
 import poppyhold
 from poppyhold.cli import main
+from poppyhold.configuration_checks import ConfigError
 from poppyhold.durable import keys
-from poppyhold.options import parse_options
+from poppyhold.options_file import parse_options
 from poppyhold.options_pb2 import Options as OptionsMessage
 from poppyhold.quota import records
 from poppyhold.scale.__main__ import main as scale_main
-from poppyhold.settings import ConfigError, load_settings
+from poppyhold.settings_file import load_settings
 from poppyhold.wire.codec import convert, decode, encode
 from wire_kinds import MAPS, MESSAGES, WORDS, sample, words
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -13,8 +13,7 @@
 
 from gang_standin import GangStandIn
 from poppyhold.durable.keys import LEADER_KEY
-from poppyhold.options import Options
-from poppyhold.relay.mode import RelayMode
+from poppyhold.options import Options, RelayMode
 from poppyhold.scale.jobs import ZONES, Data, build_data, submission, wire
 from poppyhold.scale.standins import CloudStandIn, StateStandIn, WorkerStandIn
 from poppyhold.settings import Cloud as CloudLimits
