--- a/src/poppyhold/scale/__init__.py
+++ b/src/poppyhold/scale/__init__.py
@@ -1,4 +1,5 @@
-"""The scale run: real controllers against stand-ins of everything else, with thousands of hollow workers.
+"""The scale run: a load and experiment tool. Real controllers against stand-ins of all
+else, with thousands of simulated workers.
 
 `python -m poppyhold.scale` is the program. Nothing here is loaded by a controller.
 """
--- a/src/poppyhold/scale/__main__.py
+++ b/src/poppyhold/scale/__main__.py
@@ -41,7 +41,7 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="python -m poppyhold.scale",
-        description="Real controllers on loopback, with hollow workers and stand-ins around them.",
+        description="Real controllers on loopback, with simulated workers and stand-ins around them.",
     )
     parser.add_argument("profile", help=f"a TOML file, or one of: {', '.join(built_in())}")
     parser.add_argument("--seed", type=int, default=1, help="what the load is drawn from")
--- a/src/poppyhold/scale/wire.py
+++ b/src/poppyhold/scale/async_http.py
@@ -9,12 +9,10 @@
 import asyncio
 import http.client
 from collections.abc import Awaitable, Callable
-from typing import Any
 
+from poppyhold.scale.responses import Data, Status
 from poppyhold.wire.codec import MalformedError, decode, encode
 
-Data = dict[str, Any]
-Status = tuple[int, Data]
 # Method, path and body; the answer's status and body.
 Handler = Callable[[str, str, bytes], Awaitable[Status]]
 
--- a/src/poppyhold/scale/cell_checks.py
+++ b/src/poppyhold/scale/cell_checks.py
@@ -15,7 +15,7 @@
 from poppyhold.scale.cell_links import CellNetwork
 from poppyhold.scale.checks import RuleChecks
 from poppyhold.scale.run import ScaleRun
-from poppyhold.scale.standins import StateStandIn
+from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.wire.codec import convert
 
 _SLACK = 1e-6
--- a/src/poppyhold/scale/checks.py
+++ b/src/poppyhold/scale/checks.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from poppyhold.scale.standins import WorkerStandIn
+from poppyhold.scale.worker_standin import WorkerStandIn
 
 Data = dict[str, Any]
 _FINAL = ("done", "cancelled")
--- a/src/poppyhold/scale/controllers.py
+++ b/src/poppyhold/scale/controllers.py
@@ -12,10 +12,10 @@
 import sys
 from pathlib import Path
 
+from poppyhold.scale.async_http import Connection, NoAnswerError
+from poppyhold.scale.external_services import CLOUD_LAG_S, CLOUD_RPS
 from poppyhold.scale.measure import ProcessMeter
-from poppyhold.scale.outside import CLOUD_LAG_S, CLOUD_RPS
 from poppyhold.scale.profile import Profile
-from poppyhold.scale.wire import Connection, NoAnswerError
 
 _PIECE = 64 * 1024
 _POLL_S = 0.05
--- a/src/poppyhold/scale/outside.py
+++ b/src/poppyhold/scale/external_services.py
@@ -9,10 +9,12 @@
 from http import HTTPStatus
 
 from poppyhold.durable.keys import QUOTA_PREFIX
+from poppyhold.scale.async_http import HttpServer
+from poppyhold.scale.cloud_standin import CloudStandIn
 from poppyhold.scale.profile import StateLimits
+from poppyhold.scale.responses import Status
 from poppyhold.scale.routes import cloud_route, parse_query, state_route
-from poppyhold.scale.standins import CloudStandIn, StateStandIn
-from poppyhold.scale.wire import HttpServer, Status
+from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.wire.codec import decode
 
 _TICK_S = 0.02
--- a/src/poppyhold/scale/fleet.py
+++ b/src/poppyhold/scale/fleet.py
@@ -1,4 +1,4 @@
-"""The hollow fleet: machines of the cloud stand-in, each with a hollow worker."""
+"""The simulated fleet: machines of the cloud stand-in, each with a simulated worker."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 import time
 from collections.abc import Callable
 
-from poppyhold.scale.hollow import HollowWorker, WorkerFigures
-from poppyhold.scale.outside import CLOUD_LAG_S, CloudService
+from poppyhold.scale.cloud_standin import CloudStandIn
+from poppyhold.scale.external_services import CLOUD_LAG_S, CloudService
 from poppyhold.scale.profile import MachineShape, Profile
-from poppyhold.scale.standins import CloudStandIn, WorkerStandIn
-from poppyhold.scale.wire import Data
+from poppyhold.scale.responses import Data
+from poppyhold.scale.simulated_worker import SimulatedWorker, WorkerFigures
+from poppyhold.scale.worker_standin import WorkerStandIn
 
 _BOOT_S = 5.0
 _FETCH_GB_PER_S = 2.0
@@ -47,7 +48,7 @@
         self._profile, self._nodes, self._rng = profile, nodes, rng
         self._describe, self._on_start, self._on_done = describe, on_start, on_done
         self.figures = WorkerFigures()
-        self.workers: dict[str, HollowWorker] = {}
+        self.workers: dict[str, SimulatedWorker] = {}
         self._types = {shape.name: _machine_type(shape, profile.zones) for shape in profile.machine_types}
         self.cloud = CloudService(CloudStandIn(time.monotonic, list(self._types.values()), CLOUD_LAG_S))
         self._tasks: set[asyncio.Task[None]] = set()
@@ -109,7 +110,7 @@
             self._on_start,
             self._on_done,
         )
-        worker = HollowWorker(
+        worker = SimulatedWorker(
             standin, self._nodes, self._profile.heartbeat_interval_s, self.figures, self._rng
         )
         await worker.listen()
--- /dev/null
+++ b/src/poppyhold/scale/responses.py
@@ -0,0 +1,8 @@
+"""The answers of the external services as HTTP gives them: a status and a decoded body."""
+
+from __future__ import annotations
+
+from typing import Any
+
+Data = dict[str, Any]
+Status = tuple[int, Data]
--- a/src/poppyhold/scale/result.py
+++ b/src/poppyhold/scale/result.py
@@ -42,7 +42,7 @@
     workers_up: int
     tasks_running: int
     controllers: list[ControllerResult]
-    # The process with hollow workers, users, state service and cloud.
+    # The process with simulated workers, users, state service and cloud.
     load: ProcessUse
     # How late the load's own event loop was: latencies below this say nothing.
     loop_late: dict[str, float]
--- a/src/poppyhold/scale/routes.py
+++ b/src/poppyhold/scale/routes.py
@@ -4,7 +4,9 @@
 
 from typing import Any
 
-from poppyhold.scale.standins import CloudStandIn, StateStandIn, Status
+from poppyhold.scale.cloud_standin import CloudStandIn
+from poppyhold.scale.responses import Status
+from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.wire.codec import decode
 
 _LARGEST_LIST = 500
--- a/src/poppyhold/scale/run.py
+++ b/src/poppyhold/scale/run.py
@@ -17,13 +17,13 @@
 from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.scale.checks import RuleChecks
 from poppyhold.scale.controllers import ControllerProcess, Controllers, team_limits
+from poppyhold.scale.external_services import StateService
 from poppyhold.scale.fleet import Fleet
 from poppyhold.scale.measure import Latency, ProcessMeter
-from poppyhold.scale.outside import StateService
 from poppyhold.scale.profile import Profile, Trouble
 from poppyhold.scale.result import ControllerResult, Result, TroubleResult
-from poppyhold.scale.standins import WorkerStandIn
 from poppyhold.scale.users import Users
+from poppyhold.scale.worker_standin import WorkerStandIn
 
 _SAMPLE_S, _PROGRESS_S, _COUNT_S, _LOOP_S, _WATCH_S = 1.0, 5.0, 0.5, 0.05, 0.02
 # Listing a process's connections takes long where there are thousands.
--- a/src/poppyhold/scale/hollow.py
+++ b/src/poppyhold/scale/simulated_worker.py
@@ -1,8 +1,8 @@
-"""Hollow workers: true workers of the protocol, many in one process, whose tasks are timers.
+"""Simulated workers: many in one process, which follow the workers' protocol and whose tasks are timers.
 
-A hollow worker has sessions, sequence numbers, leases, tokens and tasks, reports at the interval and on
-changes, follows redirections, and carries out direct commands on a port of its own. What it leaves out: it
-has no network of its own, loads no image and computes nothing, and it shares its event loop with all others.
+A simulated worker has incarnations, sequence numbers, leases, fencing tokens and tasks. It sends heartbeats
+at the interval and on changes, follows redirects, and executes direct commands on a port of its own. It has no
+network of its own, fetches no image, computes nothing, and shares its event loop with all others.
 """
 
 from __future__ import annotations
@@ -12,18 +12,19 @@
 import time
 from http import HTTPStatus
 
+from poppyhold.scale.async_http import Connection, HttpServer, NoAnswerError
 from poppyhold.scale.measure import Latency, Rate
-from poppyhold.scale.standins import WorkerStandIn
-from poppyhold.scale.wire import Connection, Data, HttpServer, NoAnswerError, Status
+from poppyhold.scale.responses import Data, Status
+from poppyhold.scale.worker_standin import WorkerStandIn
 from poppyhold.wire.codec import decode
 
 # What PROTOCOL says of every worker: its patience, its pause before the next node, the least time between two
-# reports, and the longest way to the node that it was sent to.
+# heartbeats, and the longest way to the node that it was sent to.
 _PATIENCE_S, _NEXT_NODE_S, _LEAST_BETWEEN_S, _REDIRECTION_S = 4.0, 1.0, 0.5, 0.5
 
 
 class WorkerFigures:
-    """What all hollow workers saw together."""
+    """What all simulated workers saw together."""
 
     def __init__(self) -> None:
         self.heartbeats = Latency()
@@ -41,7 +42,7 @@
         self.bytes = self.leases_lost = self.tasks_lost = 0
 
 
-class HollowWorker:
+class SimulatedWorker:
     """Drives one worker stand-in over HTTP."""
 
     def __init__(
@@ -70,7 +71,7 @@
         self._fencing_token_told_at = float("-inf")
 
     async def listen(self) -> None:
-        """Take direct commands; the address goes with the reports."""
+        """Take direct commands; the address goes with the heartbeats."""
         port = await self._server.start()
         self.standin.endpoint = f"127.0.0.1:{port}"
 
@@ -99,10 +100,10 @@
         self._news.set()
         return status, heartbeat
 
-    # -- reports -----------------------------------------------------------------------------------
+    # -- heartbeats -----------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Report until it is closed."""
+        """Send heartbeats until it is closed."""
         while not self.standin.gone:
             await self._wait()
             now = time.monotonic()
@@ -119,7 +120,7 @@
                 await self._heartbeat()
 
     async def _wait(self) -> None:
-        """Sleep until something is due: a report, a task's next step, or the end of the lease."""
+        """Sleep until something is due: a heartbeat, a task's next step, or the end of the lease."""
         due = max(self._next_heartbeat, self._earliest)
         due = max(min(due, self.standin.next_change_at()), self._away_until)
         self._news.clear()
--- a/src/poppyhold/scale/users.py
+++ b/src/poppyhold/scale/users.py
@@ -8,11 +8,12 @@
 from collections import Counter
 from http import HTTPStatus
 
+from poppyhold.scale.async_http import Connection, NoAnswerError
 from poppyhold.scale.checks import RuleChecks
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.scale.measure import Latency, Rate
 from poppyhold.scale.profile import JobClass, Profile
-from poppyhold.scale.wire import Connection, Data, NoAnswerError, Status
+from poppyhold.scale.responses import Data, Status
 
 _SUBMISSION_PATIENCE_S, _QUESTION_PATIENCE_S, _POLL_S = 5.0, 2.0, 5.0
 _RETRY_S, _LONGEST_RETRY_S, _GIVE_UP_S = 1.0, 30.0, 60.0
--- /dev/null
+++ b/src/poppyhold/scale/worker_standin.py
@@ -0,0 +1,193 @@
+"""A worker as a state machine: its lease, incarnation, fencing token and tasks."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from poppyhold.scale.responses import Data, Status
+
+# Run time of a task that ends with an error.
+_FAILURE_AFTER_S = 1.0
+
+
+class WorkerStandIn:
+    """A machine's worker: sessions, leases, tokens, and tasks that fetch, run, save and end."""
+
+    def __init__(
+        self,
+        name: str,
+        build: Data,
+        zone: str,
+        spot: bool,
+        lease_s: float,
+        clock: Callable[[], float],
+        describe: Callable[[str], Data | None],
+        on_start: Callable[[WorkerStandIn, str], None],
+        on_done: Callable[[str], None],
+        gang_wait_s: float = 30.0,
+    ) -> None:
+        self._gang_wait_s = gang_wait_s
+        self.name, self.machine_type, self.zone, self.spot = name, build, zone, spot
+        self.endpoint = name
+        self._lease_s, self._clock = lease_s, clock
+        self._describe, self._on_start, self._on_done = describe, on_start, on_done
+        self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
+        self.notice_s: float | None = None
+        self.answered_sent_at = clock()
+        # task -> try, status, cause, end of the current status
+        self.tasks: dict[str, Data] = {}
+        self.images: set[str] = set()
+        self.gone = False
+        self.faulty = False
+
+    def heartbeat(self) -> Data:
+        """A report of now."""
+        self.sequence += 1
+        return {
+            "box": self.name,
+            "endpoint": self.endpoint,
+            "build": self.machine_type["name"],
+            "paddock": self.zone,
+            "loaners": self.spot,
+            "shift": self.incarnation,
+            "tally": self.sequence,
+            "baton": self.fencing_token,
+            "recallS": self.notice_s,
+            "chores": [
+                {
+                    "chore": n,
+                    "try": c["try"],
+                    "status": c["status"],
+                    "cause": c.get("cause"),
+                    "kept": c.get("kept"),
+                }
+                for n, c in self.tasks.items()
+            ],
+        }
+
+    def on_machine(self) -> list[str]:
+        """Tasks that have their image and have not ended."""
+        return [n for n, c in self.tasks.items() if c["status"] in ("waiting", "running", "flushing")]
+
+    def expire(self) -> bool:
+        """Kill everything if the lease is over, as hanging machines too are bound to."""
+        now = self._clock()
+        if now - self.answered_sent_at > self._lease_s:
+            self.restart()
+            return True
+        return False
+
+    def next_change_at(self) -> float:
+        """When `step` has something to do next, on the worker's clock."""
+        untils: list[float] = [task["until"] for task in self.tasks.values() if task["until"] is not None]
+        return min([self.answered_sent_at + self._lease_s, *untils])
+
+    def restart(self) -> None:
+        """The machine restarts: its tasks are gone, and a later session begins."""
+        self.tasks.clear()
+        self.incarnation += 1
+        self.sequence = 0
+        self.answered_sent_at = self._clock()
+
+    def step(self) -> bool:
+        """Let time pass; True if something is worth a report."""
+        if self.expire():
+            return True
+        now = self._clock()
+        changed = False
+        for name, chore in self.tasks.items():
+            if chore["until"] is None or now < chore["until"]:
+                continue
+            changed = True
+            if chore["status"] == "pulling":
+                self._fetched(name, chore, now)
+            elif chore["status"] == "waiting":
+                chore.update(status="ended", cause="alone", until=None)
+            elif chore["status"] == "running" and chore.get("fails"):
+                chore.update(status="ended", cause="error", until=None)
+            elif chore["status"] == "running":
+                chore.update(status="ended", cause="done", until=None)
+                self._on_done(name)
+            elif chore["status"] == "flushing":
+                chore.update(status="ended", cause="stopped", until=None)
+        return changed
+
+    def _fetched(self, name: str, chore: Data, now: float) -> None:
+        """A task has its image."""
+        job = chore["job"]
+        self.images.add(job["bundle"])
+        fails = self.faulty or job.get("mistake")
+        if fails and job["shape"] == "group":
+            chore.update(status="ended", cause="error", until=None)
+            return
+        if job["shape"] == "group":
+            # The rest is played by `gang_standin`, but for the end of its patience.
+            chore.update(status="waiting", until=now + self._gang_wait_s)
+        else:
+            chore["status"] = "running"
+            chore["until"] = None if job["shape"] == "service" else now + job["runs"]
+        if fails:
+            chore.update(until=now + _FAILURE_AFTER_S, fails=True)
+        self._on_start(self, name)
+
+    def answered(self, body: Data, sent_at: float, shift: int) -> None:
+        """The answer to a report came."""
+        if shift != self.incarnation or body.get("baton", 0) < self.fencing_token:
+            return
+        self.fencing_token = body["baton"]
+        self.answered_sent_at = max(self.answered_sent_at, sent_at)
+        self.execute(body["orders"])
+
+    def do(self, body: Data) -> Status:
+        """A direct command."""
+        if body["baton"] < self.fencing_token or body["shift"] != self.incarnation:
+            return 409, self.heartbeat()
+        self.fencing_token = body["baton"]
+        self.execute(body["orders"])
+        return 200, self.heartbeat()
+
+    def execute(self, orders: list[Data]) -> None:
+        """Carry out commands in order."""
+        now = self._clock()
+        for order in orders:
+            name, number = order["chore"], order["try"]
+            held = self.tasks.get(name)
+            if order["verb"] == "run":
+                self._run(name, number, held, now)
+            elif held is None or held["try"] != number:
+                continue
+            elif order["verb"] == "reap":
+                if held["status"] == "ended":
+                    del self.tasks[name]
+            elif held["status"] == "running" and 0 < held["job"]["stashS"] <= order["leewayS"]:
+                held.update(status="flushing", until=now + held["job"]["stashS"], stop_at=now)
+                if held["job"]["shape"] == "group":
+                    held["until"] = None
+            elif held["status"] != "ended" and (held["status"] != "flushing" or order["leewayS"] == 0):
+                held.update(status="ended", cause="stopped", until=None)
+
+    def _run(self, name: str, number: int, held: Data | None, now: float) -> None:
+        if held is not None and held["try"] == number:
+            return
+        chore: Data = {"try": number, "status": "ended", "until": None}
+        job = self._describe(name)
+        if held is not None:
+            return
+        self.tasks[name] = chore
+        if job is None:
+            chore["cause"] = "no_such"
+            return
+        chore["job"] = job
+        if self.room(job, 1) < 1:
+            chore["cause"] = "no_room"
+            return
+        fetch = 0.0 if job["bundle"] in self.images else job["sizeGb"] / self.machine_type["pullGbPerS"]
+        chore.update(status="pulling", until=now + fetch)
+
+    def room(self, job: Data, most: int) -> int:
+        """How many more tasks of a job there is room for, up to ``most``."""
+        for amount in ("cpus", "accelerators", "memGb"):
+            used = sum(c["job"][amount] for c in self.tasks.values() if c["status"] != "ended" and "job" in c)
+            if job[amount] > 0:
+                most = min(most, int((self.machine_type[amount] + 1e-6 - used) / job[amount]))
+        return most
--- a/tests/gang_standin.py
+++ b/tests/gang_standin.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from poppyhold.scale.standins import WorkerStandIn
+from poppyhold.scale.worker_standin import WorkerStandIn
 
 TaskStatus = dict[str, Any]
 Member = tuple[WorkerStandIn, str, TaskStatus]
--- a/tests/quota_model.py
+++ b/tests/quota_model.py
@@ -14,7 +14,7 @@
 from poppyhold.quota.messages import PROTOCOL_VERSION, ShareReply, ShareRequest
 from poppyhold.quota.records import Transfer
 from poppyhold.quota.share_book import ShareBook
-from poppyhold.scale.standins import StateStandIn
+from poppyhold.scale.state_standin import StateStandIn
 
 TEAM = "alpha"
 CELLS = ("east", "north", "west")
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -38,7 +38,7 @@
 from poppyhold.relay.leader import heartbeat_response_timeout_s
 from poppyhold.relay.mode import RelayMode
 from poppyhold.scale.jobs import Data
-from poppyhold.scale.standins import StateStandIn
+from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.wire.cloud_messages import ListedMachine, MachineListing, MachineType
 from poppyhold.wire.codec import convert, encode
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, parse_heartbeat
--- a/tests/sim_relay.py
+++ b/tests/sim_relay.py
@@ -11,7 +11,7 @@
 from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayedAnswer
 from poppyhold.relay.queue import HeartbeatQueue, Response
 from poppyhold.relay.regaining import Regaining
-from poppyhold.scale.standins import Data
+from poppyhold.scale.responses import Data
 from poppyhold.wire.worker_messages import HeartbeatResponse, parse_heartbeat
 
 if TYPE_CHECKING:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -22,10 +22,10 @@
 from poppyhold.scale.cells import CellsResult
 from poppyhold.scale.checks import RuleChecks
 from poppyhold.scale.controllers import ControllerProcess, free_port
+from poppyhold.scale.external_services import RateLimit
 from poppyhold.scale.jobs import build_data, submission
-from poppyhold.scale.outside import RateLimit
 from poppyhold.scale.profile import PROFILES, ProfileError, built_in, load_profile
-from poppyhold.scale.standins import WorkerStandIn
+from poppyhold.scale.worker_standin import WorkerStandIn
 
 Data = dict[str, Any]
 CANCEL_S = 20.0
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -18,10 +18,12 @@
 import pytest
 
 from poppyhold.node.workers import Done, Lane
+from poppyhold.scale.cloud_standin import CloudStandIn
 from poppyhold.scale.controllers import free_port
 from poppyhold.scale.jobs import build_data, submission, wire
 from poppyhold.scale.routes import cloud_route, parse_query, state_route
-from poppyhold.scale.standins import CloudStandIn, StateStandIn, WorkerStandIn
+from poppyhold.scale.state_standin import StateStandIn
+from poppyhold.scale.worker_standin import WorkerStandIn
 from poppyhold.settings import MachineLimits, Workers, strains
 from poppyhold.wire.codec import decode, encode
 from poppyhold.wire.http import Answer, Deferred, Server
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -23,7 +23,7 @@
 from poppyhold.durable.store import Store, transaction_body
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.scale.jobs import submission
-from poppyhold.scale.standins import StateStandIn
+from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.settings import Team
 from sim_node import SimLeaderTerm
 from world import World
--- a/tests/world.py
+++ b/tests/world.py
@@ -15,8 +15,10 @@
 from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.options import Options
 from poppyhold.relay.mode import RelayMode
+from poppyhold.scale.cloud_standin import CloudStandIn
 from poppyhold.scale.jobs import ZONES, Data, build_data, submission, wire
-from poppyhold.scale.standins import CloudStandIn, StateStandIn, WorkerStandIn
+from poppyhold.scale.state_standin import StateStandIn
+from poppyhold.scale.worker_standin import WorkerStandIn
 from poppyhold.settings import Cloud as CloudLimits
 from poppyhold.settings import Deployment as DeploymentSettings
 from poppyhold.settings import Known, NextState, Objective, Outside, Settings, State, Team, Workers
