--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -10,19 +10,16 @@
 from typing import NamedTuple
 
 from poppyhold.concurrency.pace import Pace
-from poppyhold.durable.store import (
-    FENCE,
-    LEAD,
-    ConflictError,
-    Data,
+from poppyhold.durable.errors import (
+    ConditionFailedError,
     InvalidRequestError,
-    LeaseGoneError,
-    RefusedError,
-    Store,
-    UncertainError,
-    put,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StoreRejectedError,
 )
-from poppyhold.model.context import CommitRank
+from poppyhold.durable.keys import LEADER_KEY, WRITE_FENCE_KEY
+from poppyhold.durable.store import Data, Store, put
+from poppyhold.model.outbound import CommitPriority
 from poppyhold.settings import Settings
 
 log = logging.getLogger(__name__)
@@ -45,37 +42,37 @@
         self._unsure = False
 
     def commit(self, conditions: dict[str, int], writes: list[Data]) -> None:
-        """Try a transaction once. Behind `UncertainError` it may be repeated.
+        """Try a transaction once. Behind `OutcomeUnknownError` it may be repeated.
 
         If it went through after all, the repeat is the same again, or fails conditions of its own.
         """
         if self._fence is None or self._unsure:
             self._raise_fence()
-        own = {LEAD: self._lead_version, FENCE: self._fence or 0}
+        own = {LEADER_KEY: self._lead_version, WRITE_FENCE_KEY: self._fence or 0}
         try:
             self._store.commit({**own, **conditions}, writes)
-        except UncertainError:
+        except OutcomeUnknownError:
             self._unsure = True
             raise
-        except ConflictError as conflict:
-            if FENCE in conflict.failed and LEAD not in conflict.failed:
+        except ConditionFailedError as conflict:
+            if WRITE_FENCE_KEY in conflict.failed_keys and LEADER_KEY not in conflict.failed_keys:
                 # It is ours alone to change: whoever did, look at it again.
                 self._fence = None
-                raise RefusedError("the fence has moved") from conflict
+                raise StoreRejectedError("the fence has moved") from conflict
             raise
 
     def _raise_fence(self) -> None:
         if self._unsure and self._fence is not None:
-            own = {LEAD: self._lead_version, FENCE: self._fence}
+            own = {LEADER_KEY: self._lead_version, WRITE_FENCE_KEY: self._fence}
             try:
-                self._fence = self._store.commit(own, [put(FENCE, {"behind": self._fence})])
+                self._fence = self._store.commit(own, [put(WRITE_FENCE_KEY, {"behind": self._fence})])
                 self._unsure = False
                 return
-            except ConflictError as conflict:
-                if LEAD in conflict.failed:
+            except ConditionFailedError as conflict:
+                if LEADER_KEY in conflict.failed_keys:
                     raise
                 # A try of this very step that had no answer was carried out: that has the same effect.
-        entry = self._store.get(FENCE)
+        entry = self._store.get(WRITE_FENCE_KEY)
         self._fence = entry.version if entry is not None else 0
         self._unsure = False
 
@@ -101,18 +98,18 @@
         # second's worth goes out at once.
         self._pace = Pace(limits.write_rps / 1.5, burst=self._ops / 2)
         self._pause_s = 2 / limits.rps
-        self._longest_pause_s = max(self._pause_s, settings.settings.workers.report_s / 8)
+        self._longest_pause_s = max(self._pause_s, settings.settings.workers.heartbeat_interval_s / 8)
         # By rank; each in order, lest the oldest starve in a burst.
-        self._queues: dict[CommitRank, deque[Unit]] = {rank: deque() for rank in CommitRank}
+        self._queues: dict[CommitPriority, deque[Unit]] = {priority: deque() for priority in CommitPriority}
         self._wake = threading.Condition()
         self._stopped = False
         self._thread = threading.Thread(target=self._run, name="committer", daemon=True)
         self._thread.start()
 
-    def submit(self, unit: Unit, rank: CommitRank = CommitRank.BACKGROUND) -> None:
+    def submit(self, unit: Unit, priority: CommitPriority = CommitPriority.BACKGROUND) -> None:
         """Queue a unit; its ``done`` is called with True once durable, False if a condition failed."""
         with self._wake:
-            self._queues[rank].append(unit)
+            self._queues[priority].append(unit)
             self._wake.notify()
 
     def stop(self) -> None:
@@ -123,7 +120,7 @@
 
     def _next_queue(self) -> deque[Unit] | None:
         """The first queue that holds anything."""
-        return next((self._queues[rank] for rank in CommitRank if self._queues[rank]), None)
+        return next((self._queues[priority] for priority in CommitPriority if self._queues[priority]), None)
 
     def _take(self) -> list[Unit]:
         with self._wake:
@@ -168,12 +165,12 @@
         while units and not self._stopped:
             try:
                 self._writer.commit(conditions, writes)
-            except ConflictError as conflict:
+            except ConditionFailedError as conflict:
                 self._conflicted(units, conflict)
             except InvalidRequestError as error:
                 log.warning("commit of %d changes: %s", len(writes), error)
                 self._rejected(units)
-            except (RefusedError, UncertainError, LeaseGoneError) as error:
+            except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError) as error:
                 # Every unit may be repeated: its writes are the same each time, and its conditions
                 # fail if the first try went through after all, which the unit's owner looks into.
                 log.debug("commit: %s", error)
@@ -187,9 +184,9 @@
                     unit.done(True)
             return
 
-    def _conflicted(self, units: list[Unit], conflict: ConflictError) -> None:
+    def _conflicted(self, units: list[Unit], conflict: ConditionFailedError) -> None:
         """A condition failed: ours to lead, or one of a unit's own."""
-        if LEAD in conflict.failed:
+        if LEADER_KEY in conflict.failed_keys:
             self._stopped = True
             self._on_deposed()
         elif len(units) == 1:
--- a/src/poppyhold/durable/records.py
+++ b/src/poppyhold/durable/records.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from poppyhold.wire.messages import MachineType
+from poppyhold.wire.cloud_messages import MachineType
 
 
 class MachineRecord(msgspec.Struct, frozen=True):
@@ -19,7 +19,7 @@
     spot: bool = msgspec.field(name="loaners")
 
 
-class HireRecord(msgspec.Struct, frozen=True):
+class LaunchRecord(msgspec.Struct, frozen=True):
     """A rental request, and its machines' names once they are known."""
 
     machine_type: str = msgspec.field(name="build")
--- a/src/poppyhold/execution/failures.py
+++ b/src/poppyhold/execution/failures.py
@@ -10,8 +10,8 @@
 import logging
 from collections.abc import Callable
 
-from poppyhold.model.context import Times
-from poppyhold.model.fleet import Attempt, Job, Machine, TaskError
+from poppyhold.model.durations import Durations
+from poppyhold.model.entities import Attempt, Job, JobPhase, Machine, TaskError
 
 log = logging.getLogger(__name__)
 
@@ -30,17 +30,19 @@
 class Failures:
     """Judges failed tasks. What it knows of a job is kept with the job, so that it goes with it."""
 
-    def __init__(self, times: Times, clock: Callable[[], float], on_changed: Callable[[Job], None]) -> None:
+    def __init__(
+        self, times: Durations, clock: Callable[[], float], on_changed: Callable[[Job], None]
+    ) -> None:
         """``on_changed`` is called when a job is found to be at fault, or sound after all."""
-        self._times, self._clock, self._on_changed = times, clock, on_changed
+        self._times, self._clock, self._on_verdict_changed = times, clock, on_changed
         # Jobs whose tasks have failed and have not been shown to be sound since.
         self._suspected: dict[str, Job] = {}
 
-    def failed(self, attempt: Attempt, now: float) -> None:
+    def task_failed(self, attempt: Attempt, now: float) -> None:
         """A task ended with an error."""
         job, machine = attempt.job, attempt.machine
         machine.errors[job.id] = TaskError(job, now)
-        job.failed_on.add(machine.name)
+        job.failed_machines.add(machine.name)
         record = job.failures
         if attempt.running_at is not None:
             record.lasted_s = max(record.lasted_s, now - attempt.running_at)
@@ -51,12 +53,12 @@
         record.last_at = now
         # A sound job goes on at once: its task only has to avoid the machine.
         doublings = 0 if job.done else min(record.rounds, _MOST_DOUBLINGS)
-        job.retry_at = now + min(self._times.report_s * 2**doublings, self._times.cancel_s)
+        job.retry_at = now + min(self._times.heartbeat_interval_s * 2**doublings, self._times.cancel_s)
         self._suspected[job.id] = job
         if not record.at_fault and self._fails_everywhere(job):
             log.info("%s fails on every machine: %d so far", job.id, len(record.machines))
             record.at_fault = True
-            self._on_changed(job)
+            self._on_verdict_changed(job)
 
     @staticmethod
     def _fails_everywhere(job: Job) -> bool:
@@ -68,30 +70,30 @@
             job.failures.rounds = _MOST_DOUBLINGS
             self._suspected[job.id] = job
 
-    def completed(self, attempt: Attempt) -> None:
+    def task_completed(self, attempt: Attempt) -> None:
         """A task completed: its job is sound, and its machine if the task began behind the last error."""
         errors = attempt.machine.errors
-        if errors and attempt.sent_at > max(error.at for error in errors.values()):
+        if errors and attempt.sent_at > max(error.occurred_at for error in errors.values()):
             errors.clear()
         if attempt.job.id in self._suspected:
-            self._is_sound(attempt.job)
+            self._mark_sound(attempt.job)
 
     def tick(self) -> None:
         """Look for jobs whose tasks run on where others failed."""
         now = self._clock()
         for job in list(self._suspected.values()):
-            if job.over:
+            if job.phase is JobPhase.FINALIZED:
                 del self._suspected[job.id]
             elif any(self._outlasts(attempt, now) for attempt in job.active.values()):
-                self._is_sound(job)
+                self._mark_sound(job)
 
     def _outlasts(self, attempt: Attempt, now: float) -> bool:
         record = attempt.job.failures
         if attempt.running_at is None or attempt.machine.name in record.machines:
             return False
-        return now - attempt.running_at > _OUTLASTS * (record.lasted_s + self._times.report_s)
+        return now - attempt.running_at > _OUTLASTS * (record.lasted_s + self._times.heartbeat_interval_s)
 
-    def _is_sound(self, job: Job) -> None:
+    def _mark_sound(self, job: Job) -> None:
         """Take back what is held against a job. The time its tasks lasted stays: it may have been chance."""
         del self._suspected[job.id]
         record = job.failures
@@ -101,7 +103,7 @@
         job.retry_at = 0.0
         if record.at_fault:
             record.at_fault = False
-            self._on_changed(job)
+            self._on_verdict_changed(job)
 
     def machine_at_fault(self, machine: Machine) -> bool:
         """Whether different jobs fail on it that are sound elsewhere.
@@ -112,10 +114,12 @@
         settled_at = self._clock() - self._times.cancel_s
         for error in machine.errors.values():
             sound += error.job_is_sound
-            unproven += error.may_be_the_machine and error.at < settled_at
+            unproven += error.may_be_the_machine and error.occurred_at < settled_at
         return sound >= _FEWEST_JOBS or sound + unproven >= _FEWEST_UNPROVEN_JOBS
 
-    def suspects(self, machine: Machine) -> bool:
+    def is_suspect(self, machine: Machine) -> bool:
         """Whether a machine had better be used last, until it is clear who is at fault."""
         recent = self._clock() - self._times.cancel_s
-        return any(error.may_be_the_machine and error.at > recent for error in machine.errors.values())
+        return any(
+            error.may_be_the_machine and error.occurred_at > recent for error in machine.errors.values()
+        )
--- a/src/poppyhold/machines/machine_list.py
+++ b/src/poppyhold/machines/machine_list.py
@@ -4,8 +4,8 @@
 
 from poppyhold.machines.deletions import Deletions
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import Machine
-from poppyhold.wire.messages import Listed, Listing
+from poppyhold.model.entities import Machine
+from poppyhold.wire.cloud_messages import ListedMachine, MachineListing
 
 # Lists may name a machine that was deleted for so many times their usual lag.
 _LAGS_REMEMBERED = 40
@@ -19,7 +19,7 @@
     def __init__(self, ctx: Context, deletions: Deletions) -> None:
         self._ctx, self._deletions = ctx, deletions
 
-    def take(self, listing: Listing) -> None:
+    def take(self, listing: MachineListing) -> None:
         """Take what a list shows. That a machine is missing from it proves nothing.
 
         It tells of the time when its first page was asked for: of what came since it knows nothing.
@@ -27,20 +27,20 @@
         ctx = self._ctx
         now = ctx.clock()
         lag = ctx.settings.settings.cloud.list_lag_s
-        for name, at in list(ctx.dead.items()):
+        for name, at in list(ctx.deleted_at.items()):
             if now - at > _LAGS_REMEMBERED * lag:
-                del ctx.dead[name]
+                del ctx.deleted_at[name]
         present = set()
         for entry in listing.machines:
             present.add(entry.name)
             self._take_entry(entry, listing.began_at, now)
         for machine in list(ctx.fleet.machines.values()):
-            seen_at = max(machine.since, machine.listed_at, machine.last_report)
+            seen_at = max(machine.known_since, machine.listed_at, machine.last_heartbeat_at)
             unseen_s = listing.began_at - seen_at
             if machine.name not in present and not machine.deleting and unseen_s > LAGS_MISSING * lag:
                 self._not_listed(machine)
 
-    def _take_entry(self, entry: Listed, listed_at: float, now: float) -> None:
+    def _take_entry(self, entry: ListedMachine, listed_at: float, now: float) -> None:
         """A machine is on the list."""
         machine = self._ctx.fleet.machines.get(entry.name)
         if machine is None:
@@ -53,18 +53,18 @@
             machine.endpoint = entry.endpoint
         if entry.status == "failed":
             self._deletions.mark(machine, "failed")
-        elif not machine.up:
-            machine.since = min(machine.since, now - entry.age_s)
+        elif not machine.is_up:
+            machine.known_since = min(machine.known_since, now - entry.age_s)
 
-    def _found(self, entry: Listed, now: float) -> Machine | None:
+    def _found(self, entry: ListedMachine, now: float) -> Machine | None:
         """A machine that we did not know: a late hire, or one of an earlier leader."""
         ctx = self._ctx
         machine_type = ctx.machine_types.get(entry.machine_type)
-        if machine_type is None or entry.name in ctx.dead:
+        if machine_type is None or entry.name in ctx.deleted_at:
             return None
-        machine = Machine(entry.name, machine_type, entry.zone, entry.spot, since=now - entry.age_s)
+        machine = Machine(entry.name, machine_type, entry.zone, entry.spot, known_since=now - entry.age_s)
         ctx.fleet.machines[entry.name] = machine
-        ctx.dirty = True
+        ctx.scheduling_needed = True
         return machine
 
     def _not_listed(self, machine: Machine) -> None:
@@ -75,7 +75,7 @@
         charged to every team, and tasks of older jobs wait, up to the certain end of its last lease, with
         each leader anew.
         """
-        if machine.up:
+        if machine.is_up:
             self._deletions.mark(machine, "not listed")
         else:
             self._ctx.fleet.machines.pop(machine.name)
--- a/src/poppyhold/model/context.py
+++ b/src/poppyhold/model/context.py
@@ -1,122 +1,22 @@
-"""What the parts of the decision core share: clocks, figures, the fleet, and the way out to the edges."""
+"""What the parts of the decision core share during one term."""
 
 from __future__ import annotations
 
 import math
 import random
 from collections.abc import Callable
-from enum import IntEnum
-from typing import Any, NamedTuple, Protocol
 
 import msgspec
 
+from poppyhold.model.durations import Durations
 from poppyhold.model.fleet import Fleet
+from poppyhold.model.outbound import OutboundPort
 from poppyhold.options import Options
 from poppyhold.settings import Settings
-from poppyhold.wire.messages import MachineType, Report
+from poppyhold.wire.cloud_messages import MachineType
 
-Data = dict[str, Any]
 # Machine -> its images and their sizes, least recently used first.
-Hints = dict[str, tuple[tuple[str, float], ...]]
-
-# Outcomes of a request to another system.
-OK, REFUSED, UNSENT, UNSURE = "ok", "refused", "unsent", "unsure"
-
-
-class CommitRank(IntEnum):
-    """Order of the leader's durable steps; those of one rank go in the order of their requests."""
-
-    # What takes the longest behind it, or holds up everything else: hires, tokens, machines' records.
-    SOONEST = 0
-    # Plans of urgent jobs. A swarm of short jobs takes more changes than there are, and behind its plans
-    # those of critical replicas waited for a minute.
-    URGENT = 1
-    # What else somebody waits for: plans and ends of jobs; those of teams without a guarantee come behind.
-    AWAITED = 2
-    UNGUARANTEED = 3
-    BACKGROUND = 4
-
-
-class StrayWorker(NamedTuple):
-    """A worker whose report reached a controller that does not lead, and what that report was."""
-
-    machine: str
-    session: int
-    sequence: int
-
-
-class Edges(Protocol):
-    """Everything that the core asks of the outside. Each callback comes back on the core's thread."""
-
-    def commit(
-        self,
-        conditions: dict[str, int],
-        writes: list[Data],
-        done: Callable[[bool], None],
-        rank: CommitRank = CommitRank.BACKGROUND,
-    ) -> None:
-        """Carry out a transaction under our leadership, and repeat it until its outcome is certain."""
-
-    def do(
-        self, box: str, endpoint: str, body: Data, done: Callable[[str, Report | None], None], patient: bool
-    ) -> None:
-        """POST /do to a worker, once. ``patient`` requests don't hold up the others."""
-
-    def hire(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
-        """POST /machines, once."""
-
-    def delete(self, names: list[str], done: Callable[[bool], None]) -> None:
-        """POST /machines/delete, once."""
-
-    def deposed(self, token: int) -> None:
-        """A higher token than ours was seen."""
-
-    def raised(self, token: int) -> None:
-        """Our token was raised."""
-
-    def resign(self, why: str) -> None:
-        """Let another node lead."""
-
-    def over(self, job_id: str, status: str, tasks: int) -> None:
-        """The final state of a job is durable."""
-
-    def stray_workers(self) -> list[list[StrayWorker]]:
-        """Workers that have turned to another controller lately, for each of those."""
-
-    def may_start(self) -> bool:
-        """Whether our leadership was confirmed lately enough to start tasks."""
-
-    def confirmed_at(self) -> float:
-        """Moment at which nobody else can have led yet."""
-
-    def proxies_until(self) -> float:
-        """Moment behind which no other controller answered a worker in our name."""
-
-
-class Times:
-    """Spans of time, each a ratio to the settings."""
-
-    def __init__(self, settings: Settings, options: Options) -> None:
-        workers = settings.settings.workers
-        self.report_s = workers.report_s
-        self.lease_s = workers.lease_s
-        self.cancel_s = workers.cancel_s
-        # Clocks drift apart by 0.05%: a lease is over for certain only a little later.
-        self.lease_over_s = workers.lease_s * 1.001 + workers.report_s * 0.25
-        # A worker that has been silent so long gets no new tasks.
-        self.silent_s = workers.report_s * options.leadership.silent_reports
-        # After so long its machine is given up, if that is not the way of most others too.
-        self.lost_s = workers.lease_s * 0.5
-        # A leader that lost its way may answer workers this long; then their leases have to end. They run
-        # from when a report was sent, so that its way here is on the safe side; every second counts when a
-        # cut ends just before the leases that were given last.
-        self.blind_answers_s = workers.cancel_s - workers.lease_s * 1.002 - workers.report_s * 0.15
-        # Who hears neither the leader nor the state service for so long stands in for it. Workers come to
-        # it a good four seconds behind a cut, and only some of them have the time to come twice.
-        self.proxy_after_s = max(workers.report_s * 1.5, workers.lease_s / 4)
-        # Since our term began, nobody else's answers can keep a task alive longer.
-        self.others_over_s = workers.cancel_s * 1.001 + workers.report_s
-        self.slot_s = workers.lease_s * options.design.slot_leases
+ImageHints = dict[str, tuple[tuple[str, float], ...]]
 
 
 class Context(msgspec.Struct, eq=False):
@@ -124,26 +24,26 @@
 
     settings: Settings
     options: Options
-    edges: Edges
+    outbound: OutboundPort
     clock: Callable[[], float]
-    wall: Callable[[], float]
+    wall_clock: Callable[[], float]
     rng: random.Random
-    term_token: int
-    token: int
-    times: Times
+    term_fencing_token: int
+    fencing_token: int
+    durations: Durations
     fleet: Fleet = msgspec.field(default_factory=Fleet)
     machine_types: dict[str, MachineType] = msgspec.field(default_factory=dict)
     # Machines that we deleted, and when: old lists and reports still name them.
-    dead: dict[str, float] = msgspec.field(default_factory=dict)
-    hints: Hints = msgspec.field(default_factory=dict)
+    deleted_at: dict[str, float] = msgspec.field(default_factory=dict)
+    image_hints: ImageHints = msgspec.field(default_factory=dict)
     # Up to so many machines are asked for reports at one moment as a term begins.
-    most_hastened: float = math.inf
+    max_initial_probes: float = math.inf
     # So many silent workers are asked for reports within one interval.
-    quiet_pace: float = 1e9
-    dirty: bool = True
+    silent_probe_rate: float = 1e9
+    scheduling_needed: bool = True
     counter: int = 0
 
-    def number(self) -> int:
+    def next_unique_number(self) -> int:
         """A number that no attempt and no hire has had, in this term or any other."""
         self.counter += 1
-        return (self.term_token << 24) + self.counter
+        return (self.term_fencing_token << 24) + self.counter
--- a/src/poppyhold/model/fleet.py
+++ b/src/poppyhold/model/fleet.py
@@ -1,324 +1,11 @@
-"""Jobs, machines and attempts, and what each of them takes: the controller's picture of the fleet."""
+"""All jobs and machines of the fleet, and the counts that every placement must respect."""
 
 from __future__ import annotations
 
-import heapq
-import itertools
-import math
-from collections import OrderedDict
-from collections.abc import Container, Iterable
+from collections.abc import Container
 
-import msgspec
-
-from poppyhold.wire.messages import IN_PROGRESS, RANKS, Command, MachineType, Submission, TaskState, task_name
-
-# Amounts of cpus, accelerators and memory, in this order.
-Room = tuple[float, float, float]
-NOTHING: Room = (0.0, 0.0, 0.0)
-EPSILON = 1e-6
-
-PENDING, ACTIVE, DONE = 0, 1, 2
-
-
-def fits(need: Room, free: Room) -> bool:
-    """Whether ``need`` fits into ``free``."""
-    return need[0] <= free[0] + EPSILON and need[1] <= free[1] + EPSILON and need[2] <= free[2] + EPSILON
-
-
-def how_many(need: Room, free: Room, most: int) -> int:
-    """How many times ``need`` fits into ``free``, at most ``most``."""
-    for want, have in zip(need, free, strict=True):
-        if want > 0 and have != math.inf:
-            most = min(most, int((have + EPSILON) / want))
-    return max(0, most)
-
-
-def plus(a: Room, b: Room, times: float = 1.0) -> Room:
-    """``a + times * b``."""
-    return (a[0] + times * b[0], a[1] + times * b[1], a[2] + times * b[2])
-
-
-def room_of(machine_type: MachineType) -> Room:
-    """All the room of a machine type."""
-    return (machine_type.cpus, machine_type.accelerators, machine_type.memory_gb)
-
-
-class Attempt(msgspec.Struct, eq=False):
-    """One try of a task on a machine, from the moment its start may reach the worker."""
-
-    job: Job
-    index: int
-    number: int
-    machine: Machine
-    session: int
-    sent_at: float
-    status: str = TaskState.SENT
-    # How the start was sent: "do", "reply", or "seen" where a report showed it first.
-    via: str = "seen"
-    reply_sequence: int = -1
-    # While a direct start has no answer it may still land: until the worker saw this token.
-    in_flight: bool = False
-    fence: int | None = None
-    running_at: float | None = None
-    stopping_at: float | None = None
-    grace_s: float = 0.0
-    booked_until: int = 0
-    booked: bool = False
-
-    @property
-    def name(self) -> str:
-        """The task's name."""
-        return task_name(self.job.id, self.index)
-
-
-class JobFailures(msgspec.Struct, eq=False):
-    """What is held against a job whose tasks end with errors; see `execution.failures`."""
-
-    # Times that tasks failed, those that were started together counted once, and machines that they failed
-    # on, since the job was shown to be sound.
-    rounds: int = 0
-    machines: set[str] = msgspec.field(default_factory=set)
-    last_at: float = float("-inf")
-    # The longest that a failed task ran.
-    lasted_s: float = 0.0
-    # It fails on every machine, as far as one can tell; and when it was last shown to be sound.
-    at_fault: bool = False
-    sound_at: float = float("-inf")
-
-
-class Job(msgspec.Struct, eq=False):
-    """An accepted job that is not over."""
-
-    id: str
-    spec: Submission
-    version: int
-    at: float
-    need: Room
-    rank: int
-    due_at: float | None
-    states: bytearray
-    active: dict[int, Attempt] = msgspec.field(default_factory=dict)
-    done: int = 0
-    # Tasks whose completion is seen but not durable yet, and those whose record has been asked for.
-    unsaved: set[int] = msgspec.field(default_factory=set)
-    next_index: int = 0
-    returned: list[int] = msgspec.field(default_factory=list)
-    # Seconds of work that tasks have saved, as far as we saw them run.
-    progress: dict[int, float] = msgspec.field(default_factory=dict)
-    admitted: bool = False
-    # No controller has ever started a task of it before our term.
-    fresh: bool = True
-    plan_durable: bool = False
-    plan_asked: bool = False
-    # Planned starts: slot -> zone -> tasks, and their rooms in the ledger: slot -> machine -> tasks.
-    plan: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
-    booked: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
-    planned_s: float = 0.0
-    guaranteed: bool = False
-    finishing: bool = False
-    # Cancelled, or done and durable: kept only while something of it may still run.
-    over: bool = False
-    saving: bool = False
-    # Keys of the records that hold its completed tasks.
-    done_records: set[str] = msgspec.field(default_factory=set)
-    failures: JobFailures = msgspec.field(default_factory=JobFailures)
-    # Machines that its tasks had better avoid.
-    failed_on: set[str] = msgspec.field(default_factory=set)
-    retry_at: float = 0.0
-    # Before this moment it preempts nothing more: gangs that make room for it are saving.
-    preempts_again_at: float = 0.0
-    zones: dict[str, int] = msgspec.field(default_factory=dict)
-
-    @property
-    def service(self) -> bool:
-        """Whether its tasks run until it is cancelled."""
-        return self.spec.shape == "service"
-
-    @property
-    def gang(self) -> bool:
-        """Whether its tasks only run all together."""
-        return self.spec.shape == "group"
-
-    @property
-    def remaining(self) -> int:
-        """Tasks that are not done."""
-        return self.spec.tasks - self.done
-
-    @property
-    def pending(self) -> int:
-        """Tasks that are neither done nor may run."""
-        return self.spec.tasks - self.done - len(self.active)
-
-    @property
-    def running(self) -> int:
-        """Tasks that run, for display."""
-        return sum(1 for attempt in self.active.values() if attempt.status in IN_PROGRESS)
-
-    def saved_s(self) -> float:
-        """Seconds of work that every pending task has saved; its job is late only by the rest."""
-        if not self.progress:
-            return 0.0
-        waiting = {index for index in self.returned if self.states[index] == PENDING}
-        if not waiting or len(waiting) < self.pending:
-            return 0.0
-        return min(self.progress.get(index, 0.0) for index in waiting)
-
-    def next_pending(self) -> int | None:
-        """The pending task to start next: one that came back, else the lowest not started yet."""
-        while self.returned and self.states[self.returned[0]] != PENDING:
-            heapq.heappop(self.returned)
-        if self.returned:
-            return self.returned[0]
-        while self.next_index < self.spec.tasks and self.states[self.next_index] != PENDING:
-            self.next_index += 1
-        return self.next_index if self.next_index < self.spec.tasks else None
-
-    def startable(self, most: int) -> int:
-        """How many of up to ``most`` tasks may be started now: one at a time behind a failure.
-
-        Tasks that were started before it, and go on, may still show that the job is sound.
-        """
-        record = self.failures
-        if not record.rounds or self.done or self.gang:
-            return most
-        probes = sum(attempt.sent_at >= record.last_at for attempt in self.active.values())
-        return min(most, max(0, 1 - probes))
-
-    def complete(self, index: int) -> bool:
-        """Note that a task is completed; True if that is news. The tasks of a gang complete together."""
-        if not 0 <= index < self.spec.tasks or self.states[index] == DONE:
-            return False
-        if self.gang:
-            self.states[:] = bytes([DONE]) * self.spec.tasks
-            self.done = self.spec.tasks
-        else:
-            self.states[index] = DONE
-            self.done += 1
-        return True
-
-    def release(self, index: int) -> None:
-        """A task that was active is pending again."""
-        self.states[index] = PENDING
-        heapq.heappush(self.returned, index)
-
-
-class TaskError(msgspec.Struct, frozen=True, eq=False):
-    """A task of a job ended with an error on a machine."""
-
-    job: Job
-    at: float
-
-    @property
-    def job_is_sound(self) -> bool:
-        """Whether the job has run elsewhere, so that the error was the machine's."""
-        return self.job.done > 0 or self.job.failures.sound_at > self.at
-
-    @property
-    def may_be_the_machine(self) -> bool:
-        """Whether the machine may be at fault. Of a job that ended without success nobody can tell."""
-        return self.job_is_sound or not (self.job.over or self.job.failures.at_fault)
-
-
-# Machines in the order in which they became known.
-_numbers = itertools.count()
-
-
-class Machine(msgspec.Struct, eq=False):
-    """A machine that we hold, or may hold."""
-
-    name: str
-    machine_type: MachineType
-    zone: str
-    spot: bool
-    since: float
-    endpoint: str = ""
-    # booting: has not reported; up; gone: proven, and out of every count.
-    up: bool = False
-    up_at: float = float("-inf")
-    # Its name is durable, so that a next leader asks it before it starts anything.
-    recorded: bool = False
-    record_asked: bool = False
-    # A report of this term was seen, so that all it holds is known.
-    heard: bool = False
-    session: int = 0
-    sequence: int = -1
-    last_report: float = float("-inf")
-    # When the cloud last listed it.
-    listed_at: float = float("-inf")
-    last_answer: float = float("-inf")
-    # When it first reported in this term, still with the token of an earlier one.
-    first_report_at: float | None = None
-    taken_back_at: float | None = None
-    notice_at: float | None = None
-    leaving: bool = False
-    # Being emptied, to be returned: its replicas move one by one.
-    draining: bool = False
-    deleting: bool = False
-    unreliable_until: float = 0.0
-    do_busy: bool = False
-    probe_at: float = 0.0
-    attempts: dict[str, Attempt] = msgspec.field(default_factory=dict)
-    # All its room, what may be in use of it, and the rest: every placement looks at these on every machine.
-    capacity: Room = NOTHING
-    used: Room = NOTHING
-    free: Room = NOTHING
-    # Tells machines that are alike apart: the one that was known first goes first.
-    number: int = msgspec.field(default_factory=lambda: next(_numbers))
-    # Rises whenever what it holds, or what of it waits for an image, changes.
-    version: int = 0
-    images: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
-    # Commands to be sent to the worker directly.
-    direct: list[Command] = msgspec.field(default_factory=list)
-    # Errors on it by job, since a task that was started behind them completed.
-    errors: dict[str, TaskError] = msgspec.field(default_factory=dict)
-    # Tasks on it that are none of ours: they are stopped, and nothing starts beside them.
-    unknown_tasks: set[str] = msgspec.field(default_factory=set)
-    refused_until: float = 0.0
-
-    def __post_init__(self) -> None:
-        self.capacity = room_of(self.machine_type)
-        self.use(NOTHING)
-
-    def use(self, used: Room) -> None:
-        """Note how much of the room may be in use."""
-        self.used = used
-        self.free = plus(self.capacity, used, -1.0)
-        self.version += 1
-
-    def free_beside(self, reserved: dict[str, Room]) -> Room:
-        """Free room beside what is reserved on machines, by name."""
-        own = reserved.get(self.name)
-        return self.free if own is None else plus(self.free, own, -1.0)
-
-    def usable(self, now: float, silent_s: float) -> bool:
-        """Whether tasks may be started on it now."""
-        return (
-            self.up
-            and self.recorded
-            and self.heard
-            and not self.leaving
-            and not self.draining
-            and not self.deleting
-            and self.taken_back_at is None
-            and not self.unknown_tasks
-            and now >= self.refused_until
-            and now - self.last_report <= silent_s
-        )
-
-    def touch_image(self, image: str, size: float) -> None:
-        """Follow the worker's cache: most recently used last, oldest dropped first."""
-        if image not in self.images:
-            self.version += 1
-        self.images[image] = size
-        self.images.move_to_end(image)
-        total = sum(self.images.values())
-        held = {attempt.job.spec.image for attempt in self.attempts.values()}
-        for name in list(self.images):
-            if total <= self.machine_type.cache_gb:
-                return
-            if name != image and name not in held:
-                total -= self.images.pop(name)
-                self.version += 1
+from poppyhold.model.entities import TASK_ACTIVE, Attempt, Job, Machine
+from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled
 
 
 class Fleet:
@@ -327,68 +14,39 @@
     def __init__(self) -> None:
         self.machines: dict[str, Machine] = {}
         self.jobs: dict[str, Job] = {}
-        self.used: dict[str, list[float]] = {}
+        self.used_by_team: dict[str, list[float]] = {}
 
-    def add(self, attempt: Attempt) -> None:
+    def add_attempt(self, attempt: Attempt) -> None:
         """Count an attempt everywhere."""
         job, machine = attempt.job, attempt.machine
-        job.states[attempt.index] = ACTIVE
+        job.states[attempt.index] = TASK_ACTIVE
         job.active[attempt.index] = attempt
-        job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
+        job.active_by_zone[machine.zone] = job.active_by_zone.get(machine.zone, 0) + 1
         machine.attempts[attempt.name] = attempt
-        machine.use(plus(machine.used, job.need))
-        used = self.used.setdefault(job.spec.team, [0.0, 0.0])
-        used[0] += job.need[0]
-        used[1] += job.need[1]
+        machine.set_used(add_scaled(machine.used, job.task_resources))
+        used = self.used_by_team.setdefault(job.spec.team, [0.0, 0.0])
+        used[0] += job.task_resources[0]
+        used[1] += job.task_resources[1]
 
-    def unknown_use(self, unheard: Container[str]) -> Room:
+    def unaccounted_resources(self, unreconciled: Container[str]) -> Resources:
         """Room that may be in use on machines whose tasks we can't know: it counts for every team."""
-        total = NOTHING
+        total = NO_RESOURCES
         for machine in self.machines.values():
-            if machine.name in unheard or machine.unknown_tasks:
-                total = plus(total, machine.capacity)
+            if machine.name in unreconciled or machine.unknown_tasks:
+                total = add_scaled(total, machine.capacity)
         return total
 
-    def remove(self, attempt: Attempt) -> None:
+    def remove_attempt(self, attempt: Attempt) -> None:
         """An attempt is proven to be over: its task is pending, unless it is done."""
         job, machine = attempt.job, attempt.machine
         del job.active[attempt.index]
-        job.zones[machine.zone] -= 1
+        job.active_by_zone[machine.zone] -= 1
         del machine.attempts[attempt.name]
-        machine.use(plus(machine.used, job.need, -1.0) if machine.attempts else NOTHING)
-        used = self.used[job.spec.team]
-        used[0] -= job.need[0]
-        used[1] -= job.need[1]
-        if job.states[attempt.index] == ACTIVE:
+        machine.set_used(
+            add_scaled(machine.used, job.task_resources, -1.0) if machine.attempts else NO_RESOURCES
+        )
+        used = self.used_by_team[job.spec.team]
+        used[0] -= job.task_resources[0]
+        used[1] -= job.task_resources[1]
+        if job.states[attempt.index] == TASK_ACTIVE:
             job.release(attempt.index)
-
-
-def make_job(spec: Submission, version: int, at: float) -> Job:
-    """Build a job from its accepted submission."""
-    return Job(
-        id=spec.name,
-        spec=spec,
-        version=version,
-        at=at,
-        need=(spec.cpus, spec.accelerators, spec.memory_gb),
-        rank=RANKS.index(spec.priority),
-        due_at=None if spec.deadline_s is None else at + spec.deadline_s,
-        states=bytearray(spec.tasks),
-    )
-
-
-def allowed_machine_types(spec: Submission, machine_types: Iterable[MachineType]) -> list[MachineType]:
-    """Machine types that a task of a job may use and fits on."""
-    need = (spec.cpus, spec.accelerators, spec.memory_gb)
-    return [
-        machine_type
-        for machine_type in machine_types
-        if (spec.machine_types is None or machine_type.name in spec.machine_types)
-        and fits(need, room_of(machine_type))
-        and (spec.zone is None or spec.zone in machine_type.zones)
-    ]
-
-
-def zone_limit(spec: Submission) -> int:
-    """How many tasks of a job one zone may hold."""
-    return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -9,30 +9,32 @@
 import time
 
 from poppyhold.cluster.cancellations import Cancellation
-from poppyhold.cluster.departures import Departures
 from poppyhold.cluster.election import Election, Leader, Term
-from poppyhold.cluster.lease_proxy import LeaseProxies, LeaseProxy
+from poppyhold.cluster.lease_delegation import DelegatedRenewal, LeaseDelegations
+from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
 from poppyhold.cluster.peers import Peers, Ping, Pong
-from poppyhold.cluster.stray_workers import StrayWorkers
+from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.durable.store import Store
-from poppyhold.model.context import Hints, Times
+from poppyhold.model.context import ImageHints
+from poppyhold.model.durations import Durations
 from poppyhold.node.cloud import CloudClient
 from poppyhold.node.leader_term import LeaderTerm
 from poppyhold.node.machine_catalog import MachineCatalog
 from poppyhold.node.users import Users
 from poppyhold.options import Options
 from poppyhold.quota.server import QuotaServer
-from poppyhold.relay.forwarding import ReportForwarding
-from poppyhold.relay.leader import report_patience_s
+from poppyhold.relay.forwarding import HeartbeatForwarder
+from poppyhold.relay.leader import heartbeat_response_timeout_s
 from poppyhold.relay.messages import RelayHello
 from poppyhold.settings import Settings, split_address
+from poppyhold.wire.codec import MalformedError, decode
 from poppyhold.wire.http import Answer, Deferred, Server, answer
-from poppyhold.wire.messages import MalformedError, Report, ReportAnswer, decode, parse_report
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, parse_heartbeat
 
 log = logging.getLogger(__name__)
 
 # More workers that turned to us would not fit into a message between controllers.
-_MOST_STRAY_WORKERS = 20_000
+_MAX_MISDIRECTED_WORKERS = 20_000
 
 
 class Node:
@@ -41,17 +43,17 @@
     def __init__(self, settings: Settings, options: Options) -> None:
         self.settings, self.options = settings, options
         self.skew_s = settings.settings.skew_ms / 1000
-        self._times = Times(settings, options)
+        self._times = Durations(settings, options)
         self.rng = random.Random()
         self.store = Store(settings)
         self.cloud = CloudClient(settings)
         largest_value = settings.settings.state.lowest.value_bytes
         self.catalog = MachineCatalog(self.store, self.cloud, largest_value, self.rng)
         self._peer_counts: dict[str, tuple[int, int]] = {}
-        self.peer_hints: Hints = {}
+        self.peer_image_hints: ImageHints = {}
         self.users = Users(settings, self.store, lambda: self.catalog.types, self._count)
-        self._stray_workers = StrayWorkers(
-            min(settings.settings.machine_limits.machines, _MOST_STRAY_WORKERS),
+        self._misdirected_workers = MisdirectedWorkers(
+            min(settings.settings.machine_limits.machines, _MAX_MISDIRECTED_WORKERS),
             settings.settings.workers.lease_s / 2,
         )
         self._deposed_at = float("-inf")
@@ -70,20 +72,20 @@
             settings,
             self._describe,
             self._counts,
-            self._hints,
+            self._image_hints,
             self._reply,
             self._on_pong,
             self._refused,
-            self._proxies,
+            self._delegations,
             self._serve_relay,
             self._quota_server.answer,
             self._quota_server.most_links,
         )
         workers = settings.settings.workers
-        self.lease_proxy = LeaseProxy(self._times, self.skew_s, time.monotonic, time.time)
+        self.delegated_renewal = DelegatedRenewal(self._times, self.skew_s, time.monotonic, time.time)
         # Behind this a worker has given up the answer, as PROTOCOL says: it comes at once or not at all.
-        self._report_timeout = report_patience_s(workers)
-        self._forwarding = ReportForwarding(
+        self._heartbeat_timeout_s = heartbeat_response_timeout_s(workers)
+        self._forwarding = HeartbeatForwarder(
             settings,
             lambda: self.election.leader,
             lambda: self._leader_term is not None,
@@ -93,8 +95,8 @@
         )
         # A worker that is not told where to go tries another node a second later. Where all nodes have just
         # come back, that second decides whether leases end; an election takes far less.
-        self._naming_s = workers.report_s / 2
-        self._departures = Departures(workers.lease_s, settings.settings.machine_limits.machines)
+        self._naming_s = workers.heartbeat_interval_s / 2
+        self._redirect_backoff = RedirectBackoff(workers.lease_s, settings.settings.machine_limits.machines)
         self._ready_s = workers.lease_s * 0.35
         self.server = Server(
             split_address(settings.client_listen),
@@ -146,13 +148,13 @@
         leader_term = self._leader_term
         return leader_term.counts() if leader_term is not None else {}
 
-    def _hints(self) -> Hints:
+    def _image_hints(self) -> ImageHints:
         leader_term = self._leader_term
-        return leader_term.hints() if leader_term is not None else {}
+        return leader_term.image_hints() if leader_term is not None else {}
 
-    def _proxies(self) -> LeaseProxies | None:
+    def _delegations(self) -> LeaseDelegations | None:
         leader_term = self._leader_term
-        return leader_term.proxies if leader_term is not None else None
+        return leader_term.delegations if leader_term is not None else None
 
     def _count(self, job_id: str) -> tuple[int, int] | None:
         leader_term = self._leader_term
@@ -164,22 +166,22 @@
     def _describe(self) -> Ping:
         term = self.election.term
         age = time.monotonic() - max(self.store.contact_at, self._started_at)
-        workers = len(self._stray_workers.recent())
+        workers = len(self._misdirected_workers.recent())
         leader_term = self._leader_term
-        trust = leader_term.trust if leader_term is not None and leader_term.alive else None
+        delegation = leader_term.delegation if leader_term is not None and leader_term.alive else None
         known = leader_term.authority.revision if leader_term is not None else -1
         named, unnamed = self.confirmed_cancellations()
         confirmed = unnamed if unnamed < 0 else max([unnamed, *(revision for _, revision in named)])
-        token = term.token if term else 0
+        fencing_token = term.fencing_token if term else 0
         relays = leader_term is not None and self._takes_relays(leader_term)
         return Ping(
             self.settings.member,
-            token,
+            fencing_token,
             term is not None,
             age,
             confirmed,
             workers,
-            trust=trust,
+            delegation=delegation,
             known=known,
             relays=relays,
         )
@@ -193,43 +195,43 @@
         us = self._describe()
         named: list[Cancellation] = []
         unnamed: int | None = None
-        strays = self._stray_workers.recent() if ping.leading else []
+        misdirected = self._misdirected_workers.recent() if ping.leading else []
         if ping.leading and ping.known >= 0:
             self.users.cancellations.known(ping.known)
             # Read behind `us`: what is confirmed in between is named as well.
             named, unnamed = self.confirmed_cancellations()
         return Pong(
             us.member,
-            us.token,
+            us.fencing_token,
             us.leading,
             us.state_age_s,
             us.confirmed,
             us.workers,
             named,
             unnamed,
-            strays,
+            misdirected,
             self.peers.connectivity.hears(),
         )
 
     def _on_ping(self, ping: Ping) -> None:
         if ping.leading:
-            self.election.saw_token(ping.token)
-            self._forwarding.leader_spoke(ping.token, ping.relays)
-            self.lease_proxy.heard(ping.token, ping.trust)
+            self.election.observe_fencing_token(ping.fencing_token)
+            self._forwarding.leader_spoke(ping.fencing_token, ping.relays)
+            self.delegated_renewal.heard(ping.fencing_token, ping.delegation)
             counts = dict(self._peer_counts)
             counts.update({job: (done, running) for job, done, running in ping.counts})
             while len(counts) > self.settings.settings.machine_limits.ram_mb * 100:
                 counts.pop(next(iter(counts)))
             self._peer_counts = counts
             for box, held in ping.images:
-                self.peer_hints.pop(box, None)
-                self.peer_hints[box] = held
-            while len(self.peer_hints) > self.settings.settings.machine_limits.machines:
-                self.peer_hints.pop(next(iter(self.peer_hints)))
+                self.peer_image_hints.pop(box, None)
+                self.peer_image_hints[box] = held
+            while len(self.peer_image_hints) > self.settings.settings.machine_limits.machines:
+                self.peer_image_hints.pop(next(iter(self.peer_image_hints)))
 
     def _on_pong(self, pong: Pong, asked: float) -> None:
         if pong.leading:
-            self.election.saw_token(pong.token)
+            self.election.observe_fencing_token(pong.fencing_token)
             return
         # Only who does not lead: what a leader confirmed says nothing of what others confirm under its lead.
         leader_term = self._leader_term
@@ -238,7 +240,7 @@
             self._hand_over()
         leader = self.election.leader
         # It runs, and leads nothing: the key is that of a process before it.
-        if leader is None or leader.member != pong.member or pong.token:
+        if leader is None or leader.member != pong.member or pong.fencing_token:
             return
         if self._idle_leader == leader:
             # Told twice, so it is not that the answer and the election crossed.
@@ -253,7 +255,7 @@
         Two zones that cannot reach each other while both reach a third: a leader in one of the two lost all
         tasks of the other one to their leases, and could not tell for half a minute what still ran there.
         """
-        better = self.peers.connectivity.better_placed(self._times.proxy_after_s)
+        better = self.peers.connectivity.better_placed(self._times.delegated_renewal_after_s)
         view = self.peers.views.get(better) if better is not None else None
         # Who is to lead must be able to: it heard from the state service lately.
         if view is not None and time.monotonic() - view.contact_at < self.election.life_s:
@@ -269,7 +271,7 @@
         now = time.monotonic()
         lease_s = self.settings.settings.workers.lease_s
         quiet = now - self._deposed_at
-        if quiet > 6 * lease_s or (quiet > lease_s and len(self._stray_workers.recent()) > 1):
+        if quiet > 6 * lease_s or (quiet > lease_s and len(self._misdirected_workers.recent()) > 1):
             self._deposed_at = now
             self.election.depose(leader)
 
@@ -291,7 +293,7 @@
         """Answer a request of a user, a worker or the load balancer."""
         path = path.partition("?")[0]
         if path == "/hello":
-            return self._handle_report(body) if method == "POST" else self._wrong("POST")
+            return self._handle_heartbeat(body) if method == "POST" else self._wrong("POST")
         if path == "/ready":
             return self._is_ready() if method == "GET" else self._wrong("GET")
         if path == "/api/jobs":
@@ -323,49 +325,51 @@
             body["shares"] = edge.health._asdict()
         return answer(200, body)
 
-    def _handle_report(self, body: bytes) -> Answer | Deferred:
+    def _handle_heartbeat(self, body: bytes) -> Answer | Deferred:
         try:
-            report = parse_report(decode(body))
+            heartbeat = parse_heartbeat(decode(body))
         except MalformedError as error:
             return answer(400, {"error": str(error)})
-        reply = self._answer_report(report) or self._forwarding.handle(report)
+        reply = self._answer_heartbeat(heartbeat) or self._forwarding.handle(heartbeat)
         if reply is not None:
             return reply
-        return self._answer_without_leader(report) or self._redirect(report)
+        return self._answer_without_leader(heartbeat) or self._redirect(heartbeat)
 
-    def _answer_without_leader(self, report: Report) -> Answer | None:
+    def _answer_without_leader(self, heartbeat: Heartbeat) -> Answer | None:
         """The lease proxy's answer; None if we may not stand in."""
-        if report.token:
+        if heartbeat.fencing_token:
             known = self.election.leader
-            proxied = self.lease_proxy.may_answer(
-                report,
+            proxied = self.delegated_renewal.may_answer(
+                heartbeat,
                 self.store.contact_at,
-                known.token if known else 0,
+                known.fencing_token if known else 0,
                 known is not None and self.peers.connectivity.unreachable(known.member),
             )
             if proxied is not None:
-                return answer(200, ReportAnswer(proxied).body())
+                return answer(200, HeartbeatResponse(proxied).body())
             # A new machine's worker begins with any node; one that has a token has left its leader.
-            self._stray_workers.note(report)
+            self._misdirected_workers.note(heartbeat)
         return None
 
-    def _redirect(self, report: Report) -> Answer | Deferred:
+    def _redirect(self, heartbeat: Heartbeat) -> Answer | Deferred:
         """Wait a moment for a leader, and send the worker there."""
         leader = self.election.await_leader(self._naming_s)
         if leader is not None and leader.member != self.settings.member and not self._forwarding.is_wanted():
             now = time.monotonic()
-            wait_s = self._departures.wait_s(report, leader.token, now - self.election.leader_since, now)
+            wait_s = self._redirect_backoff.wait_s(
+                heartbeat, leader.fencing_token, now - self.election.leader_since, now
+            )
             if wait_s:
                 leader = self.election.await_next(leader, wait_s)
         # The election may have named us meanwhile.
-        return self._answer_report(report) or self._elsewhere(leader)
+        return self._answer_heartbeat(heartbeat) or self._elsewhere(leader)
 
-    def _answer_report(self, report: Report) -> Answer | Deferred | None:
+    def _answer_heartbeat(self, heartbeat: Heartbeat) -> Answer | Deferred | None:
         """The leader's answer; None if we don't lead."""
         leader_term = self._leader_term
         if leader_term is None:
             return None
-        return leader_term.handle_report(report, self._report_timeout) or self.turned_away()
+        return leader_term.handle_heartbeat(heartbeat, self._heartbeat_timeout_s) or self.turned_away()
 
     def turned_away(self) -> Answer:
         """The answer to a report that we can't take as the leader."""
--- a/src/poppyhold/quota/cell_quota.py
+++ b/src/poppyhold/quota/cell_quota.py
@@ -13,8 +13,9 @@
 
 from poppyhold.concurrency.pace import Pace
 from poppyhold.durable.store import Data, Entry
-from poppyhold.model.context import CommitRank, Context
-from poppyhold.model.fleet import Room
+from poppyhold.model.context import Context
+from poppyhold.model.outbound import CommitPriority
+from poppyhold.model.resources import Resources
 from poppyhold.quota.alarms import AlarmKind, Alarms
 from poppyhold.quota.amounts import (
     ResourceAmount,
@@ -48,7 +49,7 @@
 )
 from poppyhold.quota.totals import RESOURCES, parts_of
 from poppyhold.scheduling.quotas import Quotas
-from poppyhold.wire.messages import Submission
+from poppyhold.wire.user_messages import Submission
 
 log = logging.getLogger(__name__)
 
@@ -71,7 +72,7 @@
         ctx: Context,
         cells: Cells,
         quotas: Quotas,
-        unknown_use: Callable[[], Room],
+        unknown_use: Callable[[], Resources],
         can_rent: Callable[[Submission], bool],
         on_changed: Callable[[], None],
     ) -> None:
@@ -86,10 +87,10 @@
         }
         self._reserves = {team: reserve(first, cells.reserve) for team, (first, _) in self._seeds.items()}
         self.book = ShareBook(
-            cells.name, self._new_incarnation, self._commit, self._in_force, ctx.edges.resign
+            cells.name, self._new_incarnation, self._commit, self._in_force, ctx.outbound.resign
         )
         self._asking = Asking(cells, self.book, ctx.clock)
-        keep_s = ctx.times.lease_s * cells.keep_leases
+        keep_s = ctx.durations.lease_s * cells.keep_leases
         self._holds = HoldTimes(keep_s)
         self._monitor = DemandMonitor(ctx, keep_s, self._holds, unknown_use, can_rent)
         limits = ctx.settings.settings.state.lowest
@@ -120,7 +121,7 @@
             # Other cells wait to hear of it.
             self._prepare_requests()
 
-        self._ctx.edges.commit(conditions, writes, durable, CommitRank.AWAITED)
+        self._ctx.outbound.commit(conditions, writes, durable, CommitPriority.AWAITED)
 
     def _in_force(self, team: str) -> None:
         """Plan starts against a team's share from now on."""
@@ -276,7 +277,7 @@
     def _check_use(self) -> None:
         """More in use than the share can only come from a version, or a file, that knows of no shares."""
         for team, record in self.book.records.items():
-            used = self._ctx.fleet.used.get(team, [0.0, 0.0])
+            used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
             above = [
                 f"{name} {amount:g} of {from_units(part.limit):g}"
                 for name, amount, part in zip(RESOURCES, used, parts_of(record.share), strict=True)
@@ -291,7 +292,7 @@
 
     def short(self) -> list[str]:
         """Teams whose work has waited for a larger share for more than a lease."""
-        return self._asking.short(self._ctx.times.lease_s)
+        return self._asking.short(self._ctx.durations.lease_s)
 
     def health(self) -> QuotaHealth:
         """What a readiness check shows."""
@@ -299,8 +300,8 @@
 
     def status(self) -> StatusReply:
         """All that this cell's leader knows."""
-        heard, unheard = self._asking.others()
-        return StatusReply(self._view(), heard, unheard, self.short(), self.differing())
+        heard, unreconciled = self._asking.others()
+        return StatusReply(self._view(), heard, unreconciled, self.short(), self.differing())
 
     def _view(self) -> CellView:
         """This cell as others are told of it, made anew once something has changed."""
@@ -312,7 +313,7 @@
         teams = []
         for team, record in self.book.records.items():
             demand = self._demands.get(team)
-            used = self._ctx.fleet.used.get(team, [0.0, 0.0])
+            used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
             spare = TeamAmount()
             if demand is not None:
                 spare = self._spare(team, record.share, demand, demand.is_stuck)
--- a/src/poppyhold/relay/assignment.py
+++ b/src/poppyhold/relay/assignment.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from poppyhold.model.context import Times
+from poppyhold.model.durations import Durations
 from poppyhold.relay.mode import RelayMode
-from poppyhold.relay.ranks import rank
+from poppyhold.relay.rendezvous import rendezvous_weight
 
 # No relay takes more than this times its even share of the workers.
 MOST_OF_SHARE = 1.25
@@ -52,7 +52,7 @@
         most_direct: float,
         member: str,
         zone: str,
-        times: Times,
+        times: Durations,
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
@@ -99,7 +99,7 @@
         """A relay tells how long its batches take at the least; 0: it does not know yet."""
         if round_trip_s > 0 and member in self._zones:
             self._measured.add(member)
-        if round_trip_s > self._times.report_s * _SLOW_RATIO:
+        if round_trip_s > self._times.heartbeat_interval_s * _SLOW_RATIO:
             self._slow_at[member] = self._clock()
 
     def review(self, machines: Set[str]) -> None:
@@ -223,7 +223,7 @@
         most = self._most_each()
         ranked = sorted(
             (member for member in self._zones if member != but and self._is_sound(member, now)),
-            key=lambda member: (self._zones[member] == zone, rank(member, machine)),
+            key=lambda member: (self._zones[member] == zone, rendezvous_weight(member, machine)),
             reverse=True,
         )
         under_way = Counter(sent.relay for sent in self._sent.values())
@@ -249,4 +249,4 @@
         rate = max(1.0, self._workers / self._times.lease_s)
         self._allowance = min(most, self._allowance + (now - self._allowed_at) * rate)
         self._allowed_at = now
-        return self._allowance >= 1 and now - answered_at <= 2 * self._times.report_s
+        return self._allowance >= 1 and now - answered_at <= 2 * self._times.heartbeat_interval_s
--- a/src/poppyhold/scale/routes.py
+++ b/src/poppyhold/scale/routes.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from poppyhold.scale.standins import CloudStandIn, StateStandIn, Status
-from poppyhold.wire.messages import decode
+from poppyhold.wire.codec import decode
 
 _LARGEST_LIST = 500
 
@@ -39,7 +39,7 @@
     if path == "/machines/delete":
         return cloud.delete(decode(body)["boxes"])
     if method == "POST":
-        return cloud.hire(decode(body))
+        return cloud.launch(decode(body))
     return _page(cloud.listing(), asked)
 
 
--- a/src/poppyhold/scheduling/estimates.py
+++ b/src/poppyhold/scheduling/estimates.py
@@ -4,7 +4,7 @@
 
 import math
 
-from poppyhold.model.fleet import Job
+from poppyhold.model.entities import Job
 
 
 class Estimates:
@@ -25,5 +25,5 @@
     def seconds(self, job: Job) -> float:
         """The estimate to plan with."""
         mean, count = self._bias.get(job.spec.job_class, (0.0, 0))
-        trust = count / (count + 4.0)
-        return max(0.1, job.spec.estimate_s * math.exp(mean * trust))
+        confidence = count / (count + 4.0)
+        return max(0.1, job.spec.estimate_s * math.exp(mean * confidence))
--- a/src/poppyhold/scheduling/planner.py
+++ b/src/poppyhold/scheduling/planner.py
@@ -6,7 +6,9 @@
 
 import msgspec
 
-from poppyhold.model.fleet import Job, Room, how_many, zone_limit
+from poppyhold.model.constraints import zone_limit
+from poppyhold.model.entities import Job
+from poppyhold.model.resources import Resources, max_copies
 from poppyhold.scheduling.ledger import STANDING, Group, Ledger, Row
 from poppyhold.scheduling.pricing import Pricing, priced, shares_of
 
@@ -54,13 +56,13 @@
         groups = self._groups(job)
         if not groups or tasks <= 0:
             return None
-        shares = max(shares_of(job.need, row.capacity) for row, _ in groups)
+        shares = max(shares_of(job.task_resources, row.capacity) for row, _ in groups)
         best: Plan | None = None
         for zone in self._zones(job, groups):
             chosen = [group for group in groups if zone is None or group[0].zone == zone]
             found = (
                 self._plan_service(job, tasks, chosen, shares)
-                if job.service
+                if job.is_service
                 else self._plan_array(job, tasks, estimate_s, now, chosen, shares)
             )
             if found is not None and (best is None or found.payoff > best.payoff):
@@ -86,7 +88,7 @@
     def _zones(self, job: Job, groups: list[Group]) -> list[str | None]:
         if not job.spec.one_zone:
             return [None]
-        held = [zone for zone, count in job.zones.items() if count > 0]
+        held = [zone for zone, count in job.active_by_zone.items() if count > 0]
         found: list[str | None] = []
         found += held or sorted({row.zone for row, _ in groups})
         return found
@@ -99,7 +101,11 @@
         ``part`` is the part of a slot that a task takes, where several fit one after another. What a zone
         offers beyond all the tasks is left out.
         """
-        need = job.need if part == 1.0 else (job.need[0] * part, job.need[1] * part, job.need[2] * part)
+        need = (
+            job.task_resources
+            if part == 1.0
+            else (job.task_resources[0] * part, job.task_resources[1] * part, job.task_resources[2] * part)
+        )
         alike: list[tuple[float, str, int, Group]] = []
         for group in groups:
             most, cost = self._room_on(group[0], need, first, last, tasks)
@@ -116,13 +122,13 @@
                 found.append(Offer(cost, name, row.zone, most))
         return found
 
-    def _room_on(self, row: Row, need: Room, first: int, last: int, tasks: int) -> tuple[int, float]:
+    def _room_on(self, row: Row, need: Resources, first: int, last: int, tasks: int) -> tuple[int, float]:
         """How many tasks fit on a machine in all of the slots, and the price of one."""
         most, cost = tasks, 0.0
         own_slots = [slot for slot in range(first, last + 1) if slot in row.slots] if row.slots else []
         for slot in own_slots:
             free, prices = row.view(slot, self._pricing.rates)
-            most = how_many(need, free, most)
+            most = max_copies(need, free, most)
             if not most:
                 return 0, 0.0
             cost += priced(need, prices)
@@ -130,7 +136,7 @@
         standing = last - first + 1 - len(own_slots)
         if standing:
             free, prices = row.view(STANDING, self._pricing.rates)
-            most = how_many(need, free, most)
+            most = max_copies(need, free, most)
             cost += standing * priced(need, prices)
         return most, cost
 
@@ -152,12 +158,12 @@
     def _plan_service(self, job: Job, tasks: int, groups: list[Group], shares: float) -> Plan | None:
         first, horizon = self._ledger.first, self._ledger.horizon
         offers = self.offers(job, groups, first, first + horizon - 1, tasks)
-        chosen = self.fill(job, offers, tasks, job.zones)
+        chosen = self.fill(job, offers, tasks, job.active_by_zone)
         if sum(chosen.values()) < tasks:
             return None
         price = {offer.machine: offer.cost for offer in offers}
         cost = sum(price[name] * number for name, number in chosen.items())
-        value = self._pricing.weights[job.rank] * shares * tasks * horizon
+        value = self._pricing.weights[job.priority] * shares * tasks * horizon
         return Plan(value - cost, {first: chosen})
 
     def _plan_array(
@@ -173,7 +179,7 @@
         span = self.span(estimate_s)
         part = min(1.0, max(estimate_s / self._slot_s, 0.01)) if span == 1 else 1.0
         # A gang is one unit of work: it starts whole in a slot.
-        unit = tasks if job.gang else max(1, math.ceil(tasks / self._units))
+        unit = tasks if job.is_gang else max(1, math.ceil(tasks / self._units))
         steps = math.ceil(tasks / unit)
         # What lies beyond the horizon is carried forward: the last slots take a cut-off span.
         tables: list[list[float]] = []
@@ -206,7 +212,7 @@
             here = choices[offset][left]
             if here:
                 number = min(here * unit, tasks)
-                chosen = self.fill(job, offers[offset], number, job.zones)
+                chosen = self.fill(job, offers[offset], number, job.active_by_zone)
                 starts[first + offset] = chosen
                 left -= here
         self._trim(starts, tasks)
@@ -230,7 +236,7 @@
     def _costs(self, job: Job, offers: list[Offer], tasks: int, unit: int, steps: int) -> list[float]:
         """Cost of starting 0, 1, ... units in a slot; infinite where they don't fit."""
         costs = [0.0] + [INFINITE] * steps
-        chosen = self.fill(job, offers, tasks, job.zones)
+        chosen = self.fill(job, offers, tasks, job.active_by_zone)
         price = {offer.machine: offer.cost for offer in offers}
         total, placed, step = 0.0, 0, 1
         for name, chosen_here in chosen.items():
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -6,8 +6,10 @@
 
 from guards import Guard, found_without
 from poppyhold.durable.committer import Writer
-from poppyhold.durable.store import LEAD, Data
-from poppyhold.model.fleet import NOTHING, Fleet, Room
+from poppyhold.durable.keys import LEADER_KEY
+from poppyhold.durable.store import Data
+from poppyhold.model.fleet import Fleet
+from poppyhold.model.resources import NO_RESOURCES, Resources
 from poppyhold.quota.amounts import ResourceAmount, ResourceShare
 from poppyhold.quota.cell_quota import CellQuota
 from poppyhold.quota.demand import DemandMonitor, RecentPeak, ResourceDemand
@@ -43,8 +45,8 @@
     return 0
 
 
-def _no_unknown_use(self: Fleet, unheard: object) -> Room:
-    return NOTHING
+def _no_unknown_use(self: Fleet, unreconciled: object) -> Resources:
+    return NO_RESOURCES
 
 
 def _never(*_: object) -> bool:
@@ -55,7 +57,7 @@
     return True
 
 
-def _unheard(self: ShareBook, peer: str, incarnation: str, applied: int) -> None:
+def _unreconciled(self: ShareBook, peer: str, incarnation: str, applied: int) -> None:
     """What another cell has applied is not taken note of."""
 
 
@@ -72,7 +74,7 @@
 
 
 def _without_lead(writer: Writer, conditions: dict[str, int], writes: list[Data]) -> None:
-    own = {key: stamp for key, stamp in conditions.items() if key != LEAD}
+    own = {key: stamp for key, stamp in conditions.items() if key != LEADER_KEY}
     writer._store.commit(own, writes)
 
 
@@ -92,7 +94,7 @@
 GUARDS = [
     Guard("last_accelerator", Quotas, "set", _settings_alone),
     Guard("cancelled_still_counts", ResourceDemand, "kept", _nothing_kept),
-    Guard("unheard_machine_counts", Fleet, "unknown_use", _no_unknown_use),
+    Guard("unheard_machine_counts", Fleet, "unaccounted_resources", _no_unknown_use),
     Guard("two_gangs_with_half_each", DemandMonitor, "_is_stuck", _never),
     Guard("without_the_file", CellQuota, "_check_use", _unchecked),
     Guard("late_writes_and_messages", ShareBook, "_is_next", always_next),
@@ -100,8 +102,8 @@
     Guard("leader_frozen_in_transfer", Writer, "commit", _without_lead),
     Guard("two_leaders", ShareBook, "transfer_to", told_at_once),
     Guard("state_outage_in_transfer", ShareBook, "_join", join_at_once),
-    Guard("cut_in_one_direction", ShareBook, "acknowledged", _unheard),
-    Guard("share_moves", ShareBook, "acknowledged", _unheard),
+    Guard("cut_in_one_direction", ShareBook, "acknowledged", _unreconciled),
+    Guard("share_moves", ShareBook, "acknowledged", _unreconciled),
     Guard("gang_at_the_edge", Dispatcher, "_gang_within_limit", _always),
     Guard("steady_and_alternating", RecentPeak, "note", _nothing_of_late),
     Guard("steady_and_alternating", HoldTimes, "seconds", _shortest_hold),
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -9,24 +9,24 @@
 import msgspec
 import pytest
 
+from poppyhold.durable.keys import (
+    COMPLETION_RANGES_PREFIX,
+    COMPLETIONS_PREFIX,
+    MACHINE_TYPES_KEY,
+    MORE_MACHINE_TYPES_PREFIX,
+)
 from poppyhold.durable.machine_types import machine_type_records
-from poppyhold.durable.store import DONE_STRETCHES, DONE_TASKS, MACHINE_TYPES, MORE_MACHINE_TYPES
 from poppyhold.execution.completions import Layout, decode_bits
-from poppyhold.model.fleet import make_job
+from poppyhold.model.entities import make_job
 from poppyhold.options import load_options, parse_options
 from poppyhold.scale.jobs import build_data as world_build
 from poppyhold.scale.jobs import submission
 from poppyhold.scale.jobs import wire as as_sent
 from poppyhold.settings import ConfigError, NextState, State, Team, load_settings
-from poppyhold.wire.messages import (
-    MachineType,
-    MachineTypes,
-    MalformedError,
-    convert,
-    encode,
-    parse_report,
-    parse_submission,
-)
+from poppyhold.wire.cloud_messages import MachineType, MachineTypes
+from poppyhold.wire.codec import MalformedError, convert, encode
+from poppyhold.wire.user_messages import parse_submission
+from poppyhold.wire.worker_messages import parse_heartbeat
 from world import World
 
 
@@ -100,7 +100,7 @@
     assert users.poll("job-000001")[0] == 503
 
 
-REPORT = {
+HEARTBEAT = {
     "box": "vm-1",
     "endpoint": "127.0.0.1:1",
     "build": "small",
@@ -114,20 +114,20 @@
 
 @pytest.mark.parametrize(
     "body",
-    [{}, {"box": "vm"}, {"box": 1, "tally": "x"}, {**REPORT, "box": "no key"}, {**REPORT, "shift": 0}],
+    [{}, {"box": "vm"}, {"box": 1, "tally": "x"}, {**HEARTBEAT, "box": "no key"}, {**HEARTBEAT, "shift": 0}],
     ids=str,
 )
-def test_malformed_reports_are_refused(body: dict[str, object]) -> None:
+def test_malformed_heartbeats_are_refused(body: dict[str, object]) -> None:
     with pytest.raises(MalformedError):
-        parse_report(body)
-    assert parse_report(REPORT).machine == "vm-1"
+        parse_heartbeat(body)
+    assert parse_heartbeat(HEARTBEAT).machine == "vm-1"
 
 
 @pytest.mark.parametrize(("value_kb", "next_kb"), [(8.0, None), (8.0, 2.0), (16.0, 2.0)])
 def test_completions_of_the_largest_job_fit_their_records(value_kb: float, next_kb: float | None) -> None:
     job = make_job(parse_submission(wire(chores=100_000)), 1, 0.0)
     layout = Layout(State(value_kb=value_kb, next=NextState(value_kb=next_kb)))
-    sizes = {DONE_TASKS: layout.coarse, DONE_STRETCHES: layout.fine}
+    sizes = {COMPLETIONS_PREFIX: layout.coarse, COMPLETION_RANGES_PREFIX: layout.fine}
     size = layout.coarse
     done = [0, 1, size - 1, size, 54_321, 99_999]
     for index in done:
@@ -135,7 +135,7 @@
     found: list[int] = []
     for key, data in layout.records(job, range(100_000)).items():
         assert len(msgspec.json.encode(data)) <= min(value_kb, next_kb or value_kb) * 1024
-        prefix, number = key[: len(DONE_TASKS)], int(key.rpartition("/")[2])
+        prefix, number = key[: len(COMPLETIONS_PREFIX)], int(key.rpartition("/")[2])
         found += [number * sizes[prefix] + offset for offset in decode_bits(data["d"])]
     assert sorted(found) == done
 
@@ -173,8 +173,8 @@
     builds = [convert({**data, "name": f"type-{number}"}, MachineType) for number in range(20)]
     records = machine_type_records(builds, 2048)
     assert len(records) > 1
-    assert records[0]["set"] == MACHINE_TYPES
-    assert all(record["set"].startswith(MORE_MACHINE_TYPES) for record in records[1:])
+    assert records[0]["set"] == MACHINE_TYPES_KEY
+    assert all(record["set"].startswith(MORE_MACHINE_TYPES_PREFIX) for record in records[1:])
     assert all(len(msgspec.json.encode(record["data"])) <= 2048 for record in records)
     read = [build for record in records for build in convert(record["data"], MachineTypes).machine_types]
     assert read == builds
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,25 +21,29 @@
 from poppyhold.cli import main
 from poppyhold.cluster.change_feed import ChangeFeed
 from poppyhold.cluster.peers import _MOST_COUNTS, _MOST_IMAGES, Ping, receive_opening
+from poppyhold.durable.errors import StoreRejectedError
+from poppyhold.durable.keys import MACHINE_PREFIX
 from poppyhold.durable.prefix_reader import PrefixReader
 from poppyhold.durable.snapshot import SnapshotReader
-from poppyhold.durable.store import MACHINE, Entry, Page, RefusedError, Store
+from poppyhold.durable.store import Entry, Page, Store
 from poppyhold.execution.direct_commands import DirectCommands
 from poppyhold.machines.space import Demand, Space
 from poppyhold.machines.space_index import SpaceIndex
-from poppyhold.model.fleet import Machine, fits, how_many, make_job, plus
+from poppyhold.model.entities import Job, Machine, make_job
+from poppyhold.model.resources import add_scaled, fits, max_copies
 from poppyhold.node.cloud_thread import CloudThread, ListReader
 from poppyhold.options import parse_options
 from poppyhold.scale.jobs import submission, wire
-from poppyhold.scheduling.free_room import Ranking, RoomView
+from poppyhold.scheduling.free_capacity import FreeCapacityView, Ranking
 from poppyhold.scheduling.ledger import Ledger
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import ConfigError, MachineLimits, Team
 from poppyhold.settings import Settings as Deployed
+from poppyhold.wire.cloud_messages import ListedMachine, MachineType
+from poppyhold.wire.cloud_messages import MachineListPage as ListPage
 from poppyhold.wire.frames import send
 from poppyhold.wire.http import Server, answer
-from poppyhold.wire.messages import Listed, MachineType, parse_submission
-from poppyhold.wire.messages import MachineList as ListPage
+from poppyhold.wire.user_messages import parse_submission
 from world import World
 
 MACHINES = 4000
@@ -147,8 +151,12 @@
     def page(self, prefix: str, after: str, most: int = 1000) -> Page:
         self.pages += 1
         if self.pages in self._failing:
-            raise RefusedError("429")
-        names = [f"{MACHINE}vm-{number:06d}" for number in range(MACHINES)] if prefix == MACHINE else []
+            raise StoreRejectedError("429")
+        names = (
+            [f"{MACHINE_PREFIX}vm-{number:06d}" for number in range(MACHINES)]
+            if prefix == MACHINE_PREFIX
+            else []
+        )
         later = [name for name in names if name > after]
         entries = [Entry(name, {"e": "", "b": {}, "z": "a", "s": False}, 7) for name in later[:most]]
         return Page(entries, len(later) > most, 100 + self.pages)
@@ -156,11 +164,13 @@
 
 def test_a_page_that_fails_is_asked_for_again_and_no_other() -> None:
     store = PagedStore({3})
-    reader = PrefixReader(store, MACHINE)
-    with pytest.raises(RefusedError):
+    reader = PrefixReader(store, MACHINE_PREFIX)
+    with pytest.raises(StoreRejectedError):
         reader.read()
     entries = reader.read()
-    assert [entry.key for entry in entries] == [f"{MACHINE}vm-{number:06d}" for number in range(MACHINES)]
+    assert [entry.key for entry in entries] == [
+        f"{MACHINE_PREFIX}vm-{number:06d}" for number in range(MACHINES)
+    ]
     assert store.pages == 5
     assert (reader.revision, reader.last_revision) == (101, 105)
 
@@ -173,7 +183,7 @@
         try:
             snapshot = reader.read()
             break
-        except RefusedError:
+        except StoreRejectedError:
             failures += 1
     assert len(snapshot.machines) == MACHINES
     # Nine pages in all, five of them empty ones, and the four that were refused.
@@ -183,9 +193,9 @@
 # -- the cloud's lists -----------------------------------------------------------------------------------
 
 
-def _listed(name: str) -> Listed:
+def _listed(name: str) -> ListedMachine:
     """A machine of the list."""
-    return Listed(name, machine_type="large", zone="a", spot=False, status="running")
+    return ListedMachine(name, machine_type="large", zone="a", spot=False, status="running")
 
 
 class ListingCloud:
@@ -205,7 +215,7 @@
         self.asked.append("types")
         return []
 
-    def hire(self, body: dict[str, Any]) -> tuple[str, list[str]]:
+    def launch(self, body: dict[str, Any]) -> tuple[str, list[str]]:
         self.asked.append("hire")
         return "ok", []
 
@@ -227,7 +237,7 @@
     assert reader.due_at >= listing.began_at + 8 * 0.02 / 0.5
 
 
-def test_deletions_and_hires_go_between_the_pages_of_a_list() -> None:
+def test_deletions_and_launches_go_between_the_pages_of_a_list() -> None:
     cloud: Any = ListingCloud()
     deployed = World(1, 10.0, 30.0, []).settings
     limits = msgspec.structs.replace(deployed.settings.cloud, rps=20.0, list_lag_s=0.2)
@@ -239,7 +249,7 @@
     try:
         _until(lambda: "page" in cloud.asked)
         done: list[str] = []
-        thread.hire({}, lambda outcome, names: done.append("hire"))
+        thread.launch({}, lambda outcome, names: done.append("hire"))
         thread.delete(["vm-000001"], lambda gone: done.append("delete"))
         _until(lambda: len(done) == 2)
         assert not listings, "the list went before the changes"
@@ -306,7 +316,7 @@
 # -- what is computed ------------------------------------------------------------------------------------
 
 
-def _job(number: int, cpus: float, accelerators: float, **fields: object) -> Any:
+def _job(number: int, cpus: float, accelerators: float, **fields: object) -> Job:
     spec = submission(
         f"job-{number:06d}", {"cpus": cpus, "accelerators": accelerators, "memGb": 1.0, **fields}
     )
@@ -315,7 +325,7 @@
 
 def _machine(name: str, zone: str, used: float) -> Machine:
     machine = Machine(name, LARGE, zone, False, 0.0)
-    machine.use((used, 0.0, 0.0))
+    machine.set_used((used, 0.0, 0.0))
     return machine
 
 
@@ -334,11 +344,11 @@
     def score(machine: Machine) -> float | None:
         return machine.free[0] if machine.free[0] >= need else None
 
-    view = RoomView()
+    view = FreeCapacityView()
     view.begin([machines[index] for index in sorted(present)], {})
     ranking = Ranking(view, score)
     for index, used, comes in changes:
-        machines[index].use((float(used), 0.0, 0.0))
+        machines[index].set_used((float(used), 0.0, 0.0))
         if comes:
             present.add(index)
             view.changed(machines[index])
@@ -354,11 +364,11 @@
 
 def test_a_ranking_without_looking_at_changes_goes_wrong() -> None:
     machine = _machine("vm-000001", "a", 0.0)
-    view = RoomView()
+    view = FreeCapacityView()
     view.begin([machine], {})
     ranking = Ranking(view, lambda m: m.free[0] if m.free[0] >= 4 else None)
     ranking.update()
-    machine.use((16.0, 0.0, 0.0))
+    machine.set_used((16.0, 0.0, 0.0))
     # Its guard: a machine that something starts on is reported to the view.
     assert ranking.best({"a"}, set()) is not None
     view.changed(machine)
@@ -402,7 +412,7 @@
     index = SpaceIndex(indexed)
     for cpus, tasks, zone in demands:
         job = _job(1, float(cpus), 0.0, paddock=zone, loaners=True)
-        demand = Demand(job.spec, job.need, tasks, {})
+        demand = Demand(job.spec, job.task_resources, tasks, {})
         left = _serve(index, demand)
         assert left == _serve_plainly(plain, demand)
     assert sorted(space.free for space in indexed) == sorted(space.free for space in plain)
@@ -413,8 +423,8 @@
 
     def use(space: Space) -> bool:
         nonlocal left
-        take = how_many(demand.need, space.free, left)
-        space.free = plus(space.free, demand.need, -take)
+        take = max_copies(demand.need, space.free, left)
+        space.free = add_scaled(space.free, demand.need, -take)
         space.used = space.used or take > 0
         left -= take
         return left > 0
@@ -430,8 +440,8 @@
             break
         if demand.spec.zone not in (None, space.zone) or not fits(demand.need, space.free):
             continue
-        take = how_many(demand.need, space.free, left)
-        space.free = plus(space.free, demand.need, -take)
+        take = max_copies(demand.need, space.free, left)
+        space.free = add_scaled(space.free, demand.need, -take)
         space.used = space.used or take > 0
         left -= take
     return left
@@ -452,28 +462,28 @@
     for machine in machines.values():
         machine.endpoint = "127.0.0.1:9"
 
-    def do(box: str, endpoint: str, body: Any, done: Any, patient: bool) -> None:
+    def send_commands(box: str, endpoint: str, body: Any, done: Any, patient: bool) -> None:
         asked.append(box)
 
     ctx: Any = SimpleNamespace(
         clock=lambda: now[0],
-        times=SimpleNamespace(report_s=2.0, silent_s=7.0),
+        durations=SimpleNamespace(heartbeat_interval_s=2.0, silent_s=7.0),
         fleet=SimpleNamespace(machines=machines),
-        edges=SimpleNamespace(do=do),
-        token=1,
-        most_hastened=2000.0,
-        quiet_pace=100.0,
+        outbound=SimpleNamespace(send_commands=send_commands),
+        fencing_token=1,
+        max_initial_probes=2000.0,
+        silent_probe_rate=100.0,
     )
     commands = DirectCommands(ctx, lambda attempt: None, lambda *answered: None)
     for machine in machines.values():
-        commands.ask_quiet(machine, now[0])
+        commands.probe_silent_worker(machine, now[0])
     assert len(asked) == 100
     now[0] = 1.0
     for machine in machines.values():
-        commands.ask_quiet(machine, now[0])
+        commands.probe_silent_worker(machine, now[0])
     # Half an interval on, half as many more, and nobody whose answer is still out.
     assert len(asked) == len(set(asked)) == 150
     # As a term of few machines begins, all are asked at once.
     for machine in machines.values():
-        commands.hasten(machine, now[0])
+        commands.request_heartbeat(machine, now[0])
     assert len(asked) == 1000
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -7,14 +7,18 @@
 import pytest
 
 from poppyhold.cluster.election import Election, Term
-from poppyhold.cluster.lease_proxy import Trust
-from poppyhold.durable.store import ACTIVE, FINAL, LEAD, PLAN, Entry, UncertainError
+from poppyhold.cluster.lease_delegation import LeaseDelegation
+from poppyhold.durable.errors import OutcomeUnknownError
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FINAL_JOB_PREFIX, LEADER_KEY, PLAN_PREFIX
+from poppyhold.durable.store import Entry
+from poppyhold.model.entities import RecordState, StartChannel
 from poppyhold.options import Options
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.settings import Team
-from poppyhold.wire.messages import encode, parse_report
+from poppyhold.wire.codec import encode
+from poppyhold.wire.worker_messages import parse_heartbeat
 from sim_node import SimLeaderTerm
-from test_attempts import leading_world
+from test_reconciliation import leading_world
 from test_store import Fickle
 from world import World
 
@@ -36,35 +40,37 @@
     # cancelled long ago left out of it, and the machine to hang right then, the task would outlive cancel_s.
     world, _ = leading_world()
     world.cancel("job-000001")
-    old = world.workers["vm-000001"].report()
+    old = world.workers["vm-000001"].heartbeat()
     assert [chore["status"] for chore in old["chores"]] == ["running"]
     leader_term = next_leader(world)
-    answer = leader_term.controller.handle_report(parse_report(old))
+    answer = leader_term.controller.handle_heartbeat(parse_heartbeat(old))
     assert answer is not None
     assert [(order["verb"], order["chore"]) for order in answer.body()["orders"]] == [
         ("stop", "job-000001/0")
     ]
 
 
-def test_old_report_at_a_new_leader_proves_nothing() -> None:
+def test_old_heartbeat_at_a_new_leader_proves_nothing() -> None:
     world, _ = leading_world()
-    old = world.workers["vm-000001"].report()
+    old = world.workers["vm-000001"].heartbeat()
     leader_term = next_leader(world)
-    attempts = leader_term.controller.attempts
-    assert attempts.unheard == {"vm-000001"}
-    answer = leader_term.controller.handle_report(parse_report(old))
+    attempts = leader_term.controller.reconciler
+    assert attempts.unreconciled == {"vm-000001"}
+    answer = leader_term.controller.handle_heartbeat(parse_heartbeat(old))
     machine = leader_term.controller.ctx.fleet.machines["vm-000001"]
     # No order but stops, nothing adopted, not heard, and what it holds still counts as unknown.
     assert answer is not None
-    assert answer.body() == {"baton": leader_term.token, "orders": []}
-    assert not machine.heard and not machine.attempts and attempts.unheard == {"vm-000001"}
-    assert not attempts.all_heard()
+    assert answer.body() == {"baton": leader_term.fencing_token, "orders": []}
+    assert not machine.reconciled and not machine.attempts and attempts.unreconciled == {"vm-000001"}
+    assert not attempts.all_reconciled()
     # Nor does a node that may stand in for this leader take it.
     other = next(node for node in world.nodes if node.alive and node.leader_term is None)
-    other.lease_proxy.heard(leader_term.token, Trust(leader_term.token, world.now, []))
-    world.now += 2 * other.times.proxy_after_s
-    assert other.handle_report(old)[0] == 421
-    assert other.handle_report({**old, "baton": leader_term.token})[0] == 200
+    other.delegated_renewal.heard(
+        leader_term.fencing_token, LeaseDelegation(leader_term.fencing_token, world.now, [])
+    )
+    world.now += 2 * other.times.delegated_renewal_after_s
+    assert other.handle_heartbeat(old)[0] == 421
+    assert other.handle_heartbeat({**old, "baton": leader_term.fencing_token})[0] == 200
 
 
 def test_cancellation_that_overtakes_its_submission() -> None:
@@ -72,8 +78,8 @@
     _, leader_term = leading_world()
     controller = leader_term.controller
     job = wire(submission("job-000007", {"chores": 1}))
-    controller.job_removed(ACTIVE + "job-000007")
-    controller.job_set(Entry(ACTIVE + "job-000007", {"spec": job, "at": 0.0}, 99))
+    controller.job_removed(ACTIVE_JOB_PREFIX + "job-000007")
+    controller.job_set(Entry(ACTIVE_JOB_PREFIX + "job-000007", {"spec": job, "at": 0.0}, 99))
     assert "job-000007" not in controller.ctx.fleet.jobs
 
 
@@ -83,14 +89,14 @@
     world, leader_term = leading_world()
     controller = leader_term.controller
     job = wire(submission("job-000007", {"chores": 1}))
-    controller.job_set(Entry(ACTIVE + "job-000007", {"spec": job, "at": 0.0}, 99))
+    controller.job_set(Entry(ACTIVE_JOB_PREFIX + "job-000007", {"spec": job, "at": 0.0}, 99))
     assert "job-000007" in controller.ctx.fleet.jobs
     world.run(world.now + 2.0)
     assert "job-000007" not in controller.ctx.fleet.jobs
 
 
-@pytest.mark.parametrize("via", ["do", "reply"])
-def test_nothing_starts_on_a_machine_before_its_record_is_durable(via: str) -> None:
+@pytest.mark.parametrize("via", [StartChannel.DIRECT, StartChannel.HEARTBEAT_RESPONSE])
+def test_nothing_starts_on_a_machine_before_its_record_is_durable(via: StartChannel) -> None:
     # It is up at once and has room, while writes lag; the leader may end at any moment, and the next one
     # would not know that the machine holds anything.
     world, leader_term = leading_world()
@@ -102,14 +108,15 @@
     new = world.add_worker(world.cloud.add("small", "a", False, "running"))
     world.run(world.now + 2.5)
     machine = leader_term.controller.ctx.fleet.machines[new.name]
-    if via == "reply":
+    if via is StartChannel.HEARTBEAT_RESPONSE:
         machine.unreliable_until = world.now + 1000.0
     world.run(world.now + 6.0)
-    assert (machine.heard, machine.recorded, new.tasks) == (True, False, {})
+    assert (machine.reconciled, new.tasks) == (True, {})
+    assert machine.record_state is RecordState.REQUESTED
     world.late_writes = 0.0
     world.run(world.now + 30.0)
     assert len(new.on_machine()) == 4
-    assert {attempt.via for attempt in machine.attempts.values()} == {via}
+    assert {attempt.start_channel for attempt in machine.attempts.values()} == {via}
     assert world.broken == []
 
 
@@ -127,14 +134,14 @@
     assert (status, body["status"]) == (200, "cancelled")
     # Named to the leader by the revision that it has, though its own commit never told it.
     named, _ = node.users.cancellations.named(0)
-    assert named == [("job-000002", world.state.keys[FINAL + "job-000002"][1])]
+    assert named == [("job-000002", world.state.keys[FINAL_JOB_PREFIX + "job-000002"][1])]
     # The leader's writes: the last completion is told as done, a plan and the token are simply there.
     third = submission("job-000003", {"chores": 1, "guessS": 2.0, "sizeGb": 0.1})
     leader_term.node.lose_answers = 3
     world.submit(third)
     world.run(world.now + 12.0)
     assert world.told["job-000003"] == "done"
-    assert PLAN + "job-000003" not in world.state.keys
+    assert PLAN_PREFIX + "job-000003" not in world.state.keys
     assert world.broken == []
 
 
@@ -150,19 +157,19 @@
     permit = store.state.lease(2500)[1]["permit"]
     candidate(store, won)._stand(permit, 0.0)
     assert [term.lease_id for term in won] == [permit]
-    assert store.state.keys[LEAD][1] == won[0].version
+    assert store.state.keys[LEADER_KEY][1] == won[0].version
 
 
 def test_claim_that_is_carried_out_late_takes_the_lead_from_nobody() -> None:
     store = Fickle("late")
     won: list[Term] = []
     first, second = (store.state.lease(2500)[1]["permit"] for _ in range(2))
-    with pytest.raises(UncertainError):
+    with pytest.raises(OutcomeUnknownError):
         candidate(store, won)._stand(first, 0.0)
     candidate(store, won)._stand(second, 0.0)
     assert store.carry_out_late() == [409]
     assert [term.lease_id for term in won] == [second]
-    assert store.state.keys[LEAD][0]["permit"] == second
+    assert store.state.keys[LEADER_KEY][0]["permit"] == second
 
 
 def test_repeats_cost_no_changes() -> None:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -8,15 +8,17 @@
 import pytest
 
 import world
-from poppyhold.durable.store import ACTIVE, Entry
-from poppyhold.model.fleet import Job, fits, make_job, plus
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
+from poppyhold.durable.store import Entry
+from poppyhold.model.entities import Job, make_job
+from poppyhold.model.resources import add_scaled, fits
 from poppyhold.options import Design
 from poppyhold.scale import jobs
 from poppyhold.scheduling.ledger import Ledger
 from poppyhold.scheduling.planner import Planner
 from poppyhold.scheduling.pricing import Pricing, priced, shares_of
 from poppyhold.settings import Team
-from poppyhold.wire.messages import Submission, parse_submission
+from poppyhold.wire.user_messages import Submission, parse_submission
 
 SLOT_S = 60.0
 
@@ -38,7 +40,7 @@
 def brute_force(job: Job, ledger: Ledger, pricing: Pricing, estimate_s: float) -> float | None:
     """The best payoff over every way to start the tasks, one slot and machine each."""
     part = estimate_s / SLOT_S
-    need = (job.need[0] * part, job.need[1] * part, job.need[2] * part)
+    need = (job.task_resources[0] * part, job.task_resources[1] * part, job.task_resources[2] * part)
     places = [(slot, name) for slot in range(ledger.horizon) for name in ledger.rows]
     best: float | None = None
     for chosen in itertools.combinations_with_replacement(places, job.spec.tasks):
@@ -46,13 +48,13 @@
         for slot, name in set(chosen):
             row = ledger.rows[name]
             booked = row.booked(slot)
-            if not fits(plus(booked, need, chosen.count((slot, name))), row.capacity):
+            if not fits(add_scaled(booked, need, chosen.count((slot, name))), row.capacity):
                 break
             cost += chosen.count((slot, name)) * priced(need, pricing.rates(booked, row.capacity))
         else:
             last = max(slot for slot, _ in chosen)
             end_at = estimate_s if last == 0 else (last + 1) * SLOT_S
-            shares = shares_of(job.need, (16.0, 4.0, 64.0)) * job.spec.tasks * part
+            shares = shares_of(job.task_resources, (16.0, 4.0, 64.0)) * job.spec.tasks * part
             payoff = pricing.value(job, shares, end_at, SLOT_S) - cost
             best = payoff if best is None else max(best, payoff)
     return best
@@ -128,7 +130,7 @@
     dispatcher._start_unplanned = lambda job, reserved: started.append(job.id)  # type: ignore[method-assign]
     for number in range(1, 7):
         fleet.submit(jobs.submission(f"job-{number:06d}", {}))
-        key = f"{ACTIVE}job-{number:06d}"
+        key = f"{ACTIVE_JOB_PREFIX}job-{number:06d}"
         leader.leader_term.controller.job_set(Entry(key, *fleet.state.keys[key][:2]))
     for job in dispatcher._ctx.fleet.jobs.values():
         job.plan_durable = True
