--- a/src/poppyhold/capacity.py
+++ b/src/poppyhold/capacity.py
@@ -1,4 +1,4 @@
-"""Whether a deployment's limits carry the fleet that its operators expect; the costs: docs/CAPACITY.md."""
+"""Whether a deployment's limits suffice for the expected fleet; docs/CAPACITY.md has the costs."""
 
 from __future__ import annotations
 
@@ -12,15 +12,19 @@
 from poppyhold.relay.assignment import MOST_OF_SHARE
 from poppyhold.settings import BASE_MB, CONNECTION_MB, MACHINE_MB, Settings
 
-# The leader's processor time: cores a machine with its starts, and what a line through two runs leaves.
-_CORE_A_MACHINE, _CORE_BASE = 0.000194, -0.06
-# Part of the state service's changes that the leader keeps to, and the leases within which it must have
-# recorded every machine of a fleet that begins at once.
-_LEADER_SHARE, _LONGEST_RECORDING_LEASES = 2 / 3, 8
+# The leader's processor time, a line through two runs: cores per machine with its starts, and a constant.
+_CORES_PER_MACHINE, _CORES_BASE = 0.000194, -0.06
+# Part of the state service's changes that the leader keeps to.
+_LEADER_SHARE = 2 / 3
+# Leases within which it must have recorded every machine of a fleet that begins at once.
+_LONGEST_RECORDING_LEASES = 8
 
 
 def shortfalls(settings: Settings, options: Options) -> list[str]:
-    """What can't carry ``fleet.machines``, a line each that names the setting; none if that is not said."""
+    """Describe the limits that don't suffice for ``fleet.machines``, a line each that names the setting.
+
+    There are none if ``fleet.machines`` is not configured.
+    """
     machines = options.fleet.machines
     if not machines:
         return []
@@ -29,15 +33,15 @@
 
 
 def _shortfalls(settings: Settings, options: Options, machines: int) -> Iterator[str]:
-    deployment = settings.settings
+    deployment = settings.deployment
     limits, workers = deployment.machine_limits, deployment.workers
-    most = _most_connections(deployment.count, options, machines)
+    most = _most_connections(deployment.controllers, options, machines)
     if most > limits.connections:
         yield f"settings.machine_limits.max_sockets: {limits.connections} connections of {most} needed"
     memory_mb = BASE_MB + MACHINE_MB * machines + CONNECTION_MB * min(most, limits.connections)
     if memory_mb > limits.ram_mb:
         yield f"settings.machine_limits.ram_mb: {limits.ram_mb:g} of {memory_mb:.0f} MB needed on the leader"
-    cores = _CORE_A_MACHINE * machines + _CORE_BASE
+    cores = _CORES_PER_MACHINE * machines + _CORES_BASE
     if cores > limits.core_share:
         yield f"settings.machine_limits.core_share: {limits.core_share:g} of {cores:.2f} needed on the leader"
     list_s = math.ceil(machines / LIST_PAGE) / (deployment.cloud.rps * LIST_SHARE)
@@ -50,7 +54,7 @@
 
 
 def _most_connections(controllers: int, options: Options, machines: int) -> int:
-    """Workers' connections of one controller at the most, with one of the others gone."""
+    """Return the most workers' connections of one controller, with one of the others lost."""
     relays = controllers - 2
     if options.relays.mode is RelayMode.OFF or relays < 1:
         return machines
--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -64,7 +64,7 @@
         self._on_elected, self._on_leadership_lost = on_elected, on_deposed
         # Whether a controller that is placed better should campaign before us.
         self._should_yield = yields
-        lease_s = settings.settings.workers.lease_s
+        lease_s = settings.deployment.workers.lease_s
         self.lease_ttl_s = lease_s * options.leadership.term_leases
         self._renew_s = self.lease_ttl_s / options.leadership.renewals
         self._stand_back_s = lease_s
--- a/src/poppyhold/cluster/peers.py
+++ b/src/poppyhold/cluster/peers.py
@@ -21,7 +21,7 @@
 from poppyhold.quota.messages import Answer as QuotaAnswer
 from poppyhold.quota.messages import Opening as QuotaOpening
 from poppyhold.relay.messages import RelayHello
-from poppyhold.settings import Known, Settings
+from poppyhold.settings import PeerController, Settings
 from poppyhold.wire.frames import receive, send
 
 log = logging.getLogger(__name__)
@@ -123,7 +123,7 @@
         self._quota_links = quota_links
         self._describe, self._counts, self._image_hints = describe, counts, image_hints
         self._reply, self._on_pong, self._on_refused = reply, on_pong, on_refused
-        workers = settings.settings.workers
+        workers = settings.deployment.workers
         self._every_s = workers.heartbeat_interval_s / 2
         self._timeout_s = workers.lease_s / 10
         self.views: dict[str, PeerView] = {}
@@ -131,9 +131,9 @@
         fresh_s = 2 * (self._every_s + self._timeout_s)
         self.connectivity = Connectivity(settings.member, fresh_s, time.monotonic)
         self._stop = threading.Event()
-        self._listener = socket.create_server(split_address(settings.back), backlog=16)
+        self._listener = socket.create_server(split_address(settings.peer_listen), backlog=16)
         self._threads = [threading.Thread(target=self._accept, name="peers", daemon=True)]
-        for known in settings.known:
+        for known in settings.peers:
             self._threads.append(
                 threading.Thread(target=self._dial, args=(known,), name=f"peer {known.member}", daemon=True)
             )
@@ -149,7 +149,7 @@
         self._listener.close()
 
     def _accept(self) -> None:
-        slots = threading.BoundedSemaphore(4 * len(self._settings.known) + 4 + self._quota_links)
+        slots = threading.BoundedSemaphore(4 * len(self._settings.peers) + 4 + self._quota_links)
         while not self._stop.is_set():
             try:
                 connection, _ = self._listener.accept()
@@ -186,7 +186,7 @@
         finally:
             slots.release()
 
-    def _dial(self, known: Known) -> None:
+    def _dial(self, known: PeerController) -> None:
         address = split_address(known.address)
         while not self._stop.is_set():
             try:
@@ -202,7 +202,7 @@
                 log.exception("peer %s", known.member)
             self._stop.wait(self._every_s / 2)
 
-    def _talk(self, connection: socket.socket, known: Known) -> None:
+    def _talk(self, connection: socket.socket, known: PeerController) -> None:
         counts: ChangeFeed[tuple[int, int]] = ChangeFeed(_MOST_COUNTS)
         images: ChangeFeed[tuple[tuple[str, float], ...]] = ChangeFeed(_MOST_IMAGES)
         while not self._stop.is_set():
--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -117,13 +117,13 @@
     ) -> None:
         self._writer = FencedWriter(store, leader_key_revision)
         self._on_leadership_lost = on_leadership_lost
-        limits = settings.settings.state.lowest
+        limits = settings.deployment.state.lowest
         self._most_writes = limits.txn_ops
         # Two thirds of the writes: the rest is for the users' nodes and the election. A burst of a third of a
         # second's worth goes out at once.
         self._pace = Pace(limits.write_rps / 1.5, burst=self._most_writes / 2)
         self._retry_pause_s = 2 / limits.rps
-        self._longest_pause_s = max(self._retry_pause_s, settings.settings.workers.heartbeat_interval_s / 8)
+        self._longest_pause_s = max(self._retry_pause_s, settings.deployment.workers.heartbeat_interval_s / 8)
         # By priority, and each in the order of submission, lest the oldest starve in a burst.
         self._queues: dict[CommitPriority, deque[CommitUnit]] = {
             priority: deque() for priority in CommitPriority
--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -62,11 +62,11 @@
     """
 
     def __init__(self, settings: Settings, clock: Callable[[], float] = time.monotonic) -> None:
-        host, port = split_address(settings.outside.state)
+        host, port = split_address(settings.external_services.state)
         self._client = Client(host, port, keep=_IDLE_CONNECTIONS)
         self._clock = clock
         # A response usually takes milliseconds, now and then some hundreds.
-        self.timeout = settings.settings.workers.lease_s / 8
+        self.timeout = settings.deployment.workers.lease_s / 8
         # When the state service last responded.
         self.contact_at = float("-inf")
 
--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -11,7 +11,7 @@
 from poppyhold.durable.records import CompletionsRecord
 from poppyhold.model.context import Context
 from poppyhold.model.entities import TASK_DONE, Job, JobPhase
-from poppyhold.settings import State
+from poppyhold.settings import StateLimits
 
 # Tasks that a hexadecimal digit stands for.
 _TASKS_PER_DIGIT = 4
@@ -56,7 +56,7 @@
     versions don't read: they start such a task anew, and its worker answers that it is done.
     """
 
-    def __init__(self, limits: State) -> None:
+    def __init__(self, limits: StateLimits) -> None:
         self._largest_bytes = limits.lowest.value_bytes
         self.coarse = _range_size(limits.value_bytes)
         self.fine = _range_size(self._largest_bytes)
@@ -86,7 +86,7 @@
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
-        limits = ctx.settings.settings.state
+        limits = ctx.settings.deployment.state
         self._layout = Layout(limits)
         self._most_changes = limits.lowest.txn_ops
 
--- a/src/poppyhold/execution/gangs.py
+++ b/src/poppyhold/execution/gangs.py
@@ -152,7 +152,7 @@
 
     def tick(self, now: float) -> None:
         """Fail the attempts that waited too long for one of their tasks."""
-        wait_s = self._ctx.settings.settings.workers.gang_wait_s
+        wait_s = self._ctx.settings.deployment.workers.gang_wait_s
         for gang in list(self._gangs.values()):
             since = gang.waiting_since
             if gang.state is GangState.ASSEMBLING and since is not None and now - since > wait_s:
@@ -167,7 +167,7 @@
 
     def _grace_s(self, job: Job) -> float:
         """Time for a task to save and to wait for the others, which may be told a moment later."""
-        workers = self._ctx.settings.settings.workers
+        workers = self._ctx.settings.deployment.workers
         return job.spec.save_s + workers.gang_peer_s + workers.heartbeat_interval_s
 
     def _fail(self, gang: Gang, reason: str, now: float) -> None:
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -91,7 +91,7 @@
     def _data(self, launch: Launch) -> Data:
         record = LaunchRecord(launch.machine_type, launch.zone, launch.spot, launch.number, launch.machines)
         data: Data = msgspec.to_builtins(record)
-        if stored_bytes(data) <= self._ctx.settings.settings.state.lowest.value_bytes:
+        if stored_bytes(data) <= self._ctx.settings.deployment.state.lowest.value_bytes:
             return data
         # Without the names a next leader repeats the request, which rents nothing and names them again.
         nameless: Data = msgspec.to_builtins(msgspec.structs.replace(record, machines=None))
--- a/src/poppyhold/machines/machine_list.py
+++ b/src/poppyhold/machines/machine_list.py
@@ -26,7 +26,7 @@
         """
         ctx = self._ctx
         now = ctx.clock()
-        lag = ctx.settings.settings.cloud.list_lag_s
+        lag = ctx.settings.deployment.cloud.list_lag_s
         for name, at in list(ctx.deleted_at.items()):
             if now - at > _LAGS_REMEMBERED * lag:
                 del ctx.deleted_at[name]
--- a/src/poppyhold/model/durations.py
+++ b/src/poppyhold/model/durations.py
@@ -30,7 +30,7 @@
     """Spans of time in seconds, computed once from the settings and options of a controller."""
 
     def __init__(self, settings: Settings, options: Options) -> None:
-        workers = settings.settings.workers
+        workers = settings.deployment.workers
         self.heartbeat_interval_s = workers.heartbeat_interval_s
         self.lease_s = workers.lease_s
         self.cancel_s = workers.cancel_s
--- a/src/poppyhold/node/cloud.py
+++ b/src/poppyhold/node/cloud.py
@@ -26,9 +26,9 @@
     """Typed calls, each made once."""
 
     def __init__(self, settings: Settings) -> None:
-        host, port = split_address(settings.outside.cloud)
+        host, port = split_address(settings.external_services.cloud)
         self._client = Client(host, port, keep=2)
-        self._timeout = settings.settings.workers.lease_s / 3
+        self._timeout = settings.deployment.workers.lease_s / 3
 
     def machine_types(self) -> list[MachineType] | None:
         """The machine types, or None if the cloud does not say."""
--- a/src/poppyhold/node/cloud_thread.py
+++ b/src/poppyhold/node/cloud_thread.py
@@ -74,7 +74,7 @@
         on_listed: Callable[[MachineListing], None],
     ) -> None:
         self._client, self._on_machine_types, self._on_listed = client, on_machine_types, on_listed
-        cloud = settings.settings.cloud
+        cloud = settings.deployment.cloud
         self._gap_s = 1.0 / cloud.rps
         self._lists = ListReader(client, cloud.list_lag_s, self._gap_s)
         self._types_s = cloud.list_lag_s * 4
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -49,7 +49,7 @@
         rng: random.Random,
     ) -> None:
         times = Durations(settings, options)
-        connections = settings.settings.machine_limits.connections
+        connections = settings.deployment.machine_limits.connections
         self.ctx = Context(
             settings=settings,
             options=options,
@@ -63,7 +63,7 @@
             silent_probe_rate=connections * _QUIET_SHARE,
             fencing_token=fencing_token,
         )
-        self._quotas = Quotas(settings.settings.teams)
+        self._quotas = Quotas(settings.deployment.teams)
         self._guarantees_stale = True
         self.failures = Failures(times, clock, self._judged)
         self.reconciler = AttemptReconciler(
@@ -79,7 +79,7 @@
         self._flush_at = 0.0
         # Jobs that were over before we heard of them. A cancellation may overtake the submission, in our own
         # queue or because another controller told of it: the job must not come into being behind it.
-        self._ended: Recent[bool] = Recent(int(settings.settings.machine_limits.ram_mb * 10))
+        self._ended: Recent[bool] = Recent(int(settings.deployment.machine_limits.ram_mb * 10))
         # Before this moment no pass is made over what waits.
         self.settle_at = float("-inf")
 
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -78,7 +78,7 @@
     def __init__(self, node: Host, term: Term) -> None:
         self._node, self._term = node, term
         self.alive = True
-        limits, workers = node.settings.settings.machine_limits, node.settings.settings.workers
+        limits, workers = node.settings.deployment.machine_limits, node.settings.deployment.workers
         self._queue = PriorityQueue(limits.max_sockets, workers.heartbeat_interval_s / 100)
         self._committer = Committer(node.store, node.settings, term.key_revision, self._lost)
         self._senders = Senders(node.settings)
@@ -87,7 +87,7 @@
         self._counts: dict[str, tuple[int, int]] = {}
         self._image_hints: ImageHints = {}
         times = Durations(node.settings, node.options)
-        members = [node.settings.member, *(known.member for known in node.settings.known)]
+        members = [node.settings.member, *(known.member for known in node.settings.peers)]
         self.authority = Authority(times.unconfirmed_renewal_s, members, term.began_at)
         self.delegations = DelegationTracker(times, node.skew_s)
         self.delegation: LeaseDelegation | None = None
@@ -99,7 +99,7 @@
             limits.connections * node.options.relays.from_share,
             limits.connections * DIRECT_SHARE,
             node.settings.member,
-            node.settings.domain,
+            node.settings.zone,
             times,
             time.monotonic,
             node.rng,
@@ -111,7 +111,7 @@
         quota, cells = self.controller.quota, node.options.cells
         if quota is not None and cells is not None:
             self.quota_edge = QuotaEdge(quota, cells, node.settings, self._post, node.rng)
-        self._tick_s = node.settings.settings.workers.heartbeat_interval_s / 4
+        self._tick_s = node.settings.deployment.workers.heartbeat_interval_s / 4
         self._ready = threading.Event()
         self._thread = threading.Thread(target=self._run, name="decisions", daemon=True)
         self._thread.start()
@@ -138,7 +138,7 @@
         self._watch = Watch(
             self._node.store,
             ACTIVE_JOB_PREFIX,
-            self._node.settings.settings.workers.lease_s / 5,
+            self._node.settings.deployment.workers.lease_s / 5,
             self._on_resync,
             self._on_job,
             on_caught_up=self._on_caught_up,
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -44,19 +44,19 @@
 
     def __init__(self, settings: Settings, options: Options) -> None:
         self.settings, self.options = settings, options
-        self.skew_s = settings.settings.skew_ms / 1000
+        self.skew_s = settings.deployment.skew_ms / 1000
         self._times = Durations(settings, options)
         self.rng = random.Random()
         self.store = Store(settings)
         self.cloud = CloudClient(settings)
-        largest_value = settings.settings.state.lowest.value_bytes
+        largest_value = settings.deployment.state.lowest.value_bytes
         self.catalog = MachineCatalog(self.store, self.cloud, largest_value, self.rng)
         self._peer_counts: dict[str, tuple[int, int]] = {}
         self.peer_image_hints: ImageHints = {}
         self.users = Users(settings, self.store, lambda: self.catalog.types, self._count)
         self._misdirected_workers = MisdirectedWorkers(
-            min(settings.settings.machine_limits.machines, _MAX_MISDIRECTED_WORKERS),
-            settings.settings.workers.lease_s / 2,
+            min(settings.deployment.machine_limits.machines, _MAX_MISDIRECTED_WORKERS),
+            settings.deployment.workers.lease_s / 2,
         )
         self._deposed_at = float("-inf")
         self._idle_leader: Leader | None = None
@@ -83,7 +83,7 @@
             self._quota_server.answer,
             self._quota_server.most_links,
         )
-        workers = settings.settings.workers
+        workers = settings.deployment.workers
         self.delegated_renewal = DelegatedRenewals(self._times, self.skew_s, time.monotonic, time.time)
         # Behind this a worker has given up the answer, as PROTOCOL says: it comes at once or not at all.
         self._heartbeat_timeout_s = heartbeat_response_timeout_s(workers)
@@ -98,12 +98,12 @@
         # A worker that is not told where to go tries another node a second later. Where all nodes have just
         # come back, that second decides whether leases end; an election takes far less.
         self._naming_s = workers.heartbeat_interval_s / 2
-        self._redirect_backoff = RedirectBackoff(workers.lease_s, settings.settings.machine_limits.machines)
+        self._redirect_backoff = RedirectBackoff(workers.lease_s, settings.deployment.machine_limits.machines)
         self._ready_s = workers.lease_s * 0.35
         self.server = Server(
             split_address(settings.client_listen),
             self.route,
-            settings.settings.machine_limits.connections,
+            settings.deployment.machine_limits.connections,
             # A worker that has been silent for a lease reports somewhere else, or over a new connection.
             workers.lease_s,
         )
@@ -222,13 +222,13 @@
             self.delegated_renewal.observe_leader(ping.fencing_token, ping.delegation)
             counts = dict(self._peer_counts)
             counts.update({job: (done, running) for job, done, running in ping.task_counts})
-            while len(counts) > self.settings.settings.machine_limits.ram_mb * 100:
+            while len(counts) > self.settings.deployment.machine_limits.ram_mb * 100:
                 counts.pop(next(iter(counts)))
             self._peer_counts = counts
             for box, held in ping.image_hints:
                 self.peer_image_hints.pop(box, None)
                 self.peer_image_hints[box] = held
-            while len(self.peer_image_hints) > self.settings.settings.machine_limits.machines:
+            while len(self.peer_image_hints) > self.settings.deployment.machine_limits.machines:
                 self.peer_image_hints.pop(next(iter(self.peer_image_hints)))
 
     def _on_pong(self, pong: Pong, asked: float) -> None:
@@ -271,7 +271,7 @@
         # nodes that each depose whoever they can't reach would never let one lead. So a refusal counts
         # by itself once in a good while, and else only if workers have turned away from the leader too.
         now = time.monotonic()
-        lease_s = self.settings.settings.workers.lease_s
+        lease_s = self.settings.deployment.workers.lease_s
         quiet = now - self._deposed_at
         if quiet > 6 * lease_s or (quiet > lease_s and len(self._misdirected_workers.recent()) > 1):
             self._deposed_at = now
--- a/src/poppyhold/node/users.py
+++ b/src/poppyhold/node/users.py
@@ -51,7 +51,7 @@
 
 def _questions_pace(deployment: Deployment) -> Pace:
     """How fast one controller may ask the state service for its users' questions."""
-    per_second = deployment.state.lowest.rps * _QUESTIONS_SHARE / deployment.count
+    per_second = deployment.state.lowest.rps * _QUESTIONS_SHARE / deployment.controllers
     return Pace(per_second, burst=per_second * _GATHER_RATIO * 2)
 
 
@@ -69,20 +69,20 @@
     ) -> None:
         """``counts`` tells a job's done and running tasks, for display; ``reads`` whether it is active."""
         self._settings, self._clock = settings, clock
-        gather_s = settings.settings.workers.heartbeat_interval_s * _GATHER_RATIO
+        gather_s = settings.deployment.workers.heartbeat_interval_s * _GATHER_RATIO
         self._reads = reads or JobReads(
-            store, gather_s, _QUESTION_PATIENCE_S, pace=_questions_pace(settings.settings)
+            store, gather_s, _QUESTION_PATIENCE_S, pace=_questions_pace(settings.deployment)
         )
         self._store, self._machine_types, self._counts = store, machine_types, counts
-        self._quotas = Quotas(settings.settings.teams)
-        most = int(settings.settings.machine_limits.ram_mb * 100)
+        self._quotas = Quotas(settings.deployment.teams)
+        most = int(settings.deployment.machine_limits.ram_mb * 100)
         # Final states that the state service told: they never change. Nothing else that a user is told comes
         # from what is kept here, so no node can give an older answer than another gave before.
         self.finals: Recent[tuple[str, int]] = Recent(most)
         # Jobs that were accepted: only a hint for what to do first with a repeat.
         self._accepted: Recent[bool] = Recent(most // 10)
         # As many are named as the state service can take within the time that each of them has.
-        limits = settings.settings
+        limits = settings.deployment
         self.cancellations = Cancellations(
             min(int(limits.state.write_rps * limits.workers.cancel_s), _MOST_NAMED)
         )
@@ -91,7 +91,7 @@
         self._slots = threading.BoundedSemaphore(max(8, int(limits.state.rps / 2)))
 
     def _later(self, status: int = 503) -> Answer:
-        seconds = max(1, round(self._settings.settings.workers.heartbeat_interval_s))
+        seconds = max(1, round(self._settings.deployment.workers.heartbeat_interval_s))
         return answer(status, {"error": "try again later"}, Retry_After=str(seconds))
 
     def _tries(self) -> Iterator[int]:
--- a/src/poppyhold/node/workers.py
+++ b/src/poppyhold/node/workers.py
@@ -74,10 +74,10 @@
     """POST /do; requests that may take their time have a lane of their own."""
 
     def __init__(self, settings: Settings) -> None:
-        workers = settings.settings.workers
+        workers = settings.deployment.workers
         # A worker that does not answer in this time is treated as one that may still get the command.
         self._timeout = workers.heartbeat_interval_s * 1.5
-        threads = settings.settings.machine_limits.threads
+        threads = settings.deployment.machine_limits.threads
         idle_s = workers.lease_s
         self._quick = Lane(max(4, threads // 20), idle_s, self._carry_out)
         self._patient = Lane(max(4, threads // 10), idle_s, self._carry_out)
--- a/src/poppyhold/options.py
+++ b/src/poppyhold/options.py
@@ -11,7 +11,7 @@
 
 
 class Design(msgspec.Struct, frozen=True):
-    """How room is priced and planned."""
+    """How resources are priced and planned."""
 
     slot_leases: float = 6.0
     horizon_slots: int = 16
@@ -33,7 +33,7 @@
 
 
 class Provisioning(msgspec.Struct, frozen=True):
-    """How machines are rented and returned."""
+    """How machines are launched and deleted."""
 
     headroom: float = 1.0
     keep_boots: float = 1.0
@@ -50,20 +50,20 @@
 
 
 class Relays(msgspec.Struct, frozen=True):
-    """Whether other controllers take workers' reports for the leader."""
+    """Whether other controllers relay workers' heartbeats to the leader."""
 
     mode: RelayMode = RelayMode.AUTO
     from_share: float = 0.6
 
 
 class Fleet(msgspec.Struct, frozen=True):
-    """The size that the fleet may grow to; 0: not said."""
+    """The size that the fleet may grow to; 0 if that is not configured."""
 
     machines: int = 0
 
 
 class CellController(msgspec.Struct, frozen=True):
-    """A controller of another cell, and where its `back` listener is reached from here."""
+    """A controller of another cell, and the address at which its `back` listener is reached from here."""
 
     member: str
     address: str
@@ -78,36 +78,36 @@
 
 
 class Cells(msgspec.Struct, frozen=True):
-    """This cell and the others."""
+    """This cell and the others, which share the teams' limits."""
 
     name: str
     part: float
     others: tuple[Cell, ...]
-    # The longest that a cell holds back what it used lately, as a multiple of workers.lease_s.
+    # The longest that a cell holds back what it used recently, as a multiple of workers.lease_s.
     keep_leases: float = 1.0
-    # The part of the state service's changes that moves of shares may take.
+    # The part of the state service's changes that transfers of quota allocations may take.
     moves_share: float = 0.2
-    # The part of its first shares that a cell never gives away.
+    # The part of its initial allocations that a cell never gives away.
     reserve: float = 0.0
 
     @property
     def weights(self) -> dict[str, int]:
-        """Each cell's part as a whole number, in an order that is the same in all cells."""
+        """Each cell's part as a whole number, in the order of the cells' names."""
         parts = {self.name: self.part, **{cell.name: cell.part for cell in self.others}}
         return {name: round(parts[name] * _WEIGHT) for name in sorted(parts)}
 
     @property
     def layout(self) -> str:
-        """A text that is the same in all cells that agree on the cells and their parts."""
+        """A text that is equal in cells that agree on the cells and their parts."""
         return " ".join(f"{name}={weight}" for name, weight in self.weights.items())
 
     def other(self, name: str) -> Cell | None:
-        """The other cell of that name."""
+        """Return the other cell of that name."""
         return next((cell for cell in self.others if cell.name == name), None)
 
 
 class Options(msgspec.Struct, frozen=True):
-    """All of them."""
+    """All options of the operators."""
 
     design: Design = Design()
     leadership: Leadership = Leadership()
--- a/src/poppyhold/quota/amounts.py
+++ b/src/poppyhold/quota/amounts.py
@@ -137,7 +137,7 @@
     """
     return TeamShare(
         _whole(f"settings.teams.{team.name}.cpus", team.cpus, team.cpus_max),
-        _whole(f"settings.teams.{team.name}.gpus", team.gpus, team.gpus_max),
+        _whole(f"settings.teams.{team.name}.gpus", team.accelerators, team.accelerators_max),
     )
 
 
@@ -151,7 +151,7 @@
 
 def check_limits(settings: Settings) -> None:
     """Raise `ConfigError` if a team's limit and guarantee can't be dealt out to cells."""
-    for team in settings.settings.teams:
+    for team in settings.deployment.teams:
         whole_share(team)
 
 
--- a/src/poppyhold/quota/cell_quota.py
+++ b/src/poppyhold/quota/cell_quota.py
@@ -79,7 +79,9 @@
         """``on_changed`` hears that what starts are planned against has changed."""
         self._ctx, self._cells, self._quotas, self._on_changed = ctx, cells, quotas, on_changed
         self._wholes = {
-            team.name: whole for team in ctx.settings.settings.teams if is_shared(whole := whole_share(team))
+            team.name: whole
+            for team in ctx.settings.deployment.teams
+            if is_shared(whole := whole_share(team))
         }
         weights = cells.weights
         self._seeds = {
@@ -93,7 +95,7 @@
         keep_s = ctx.durations.lease_s * cells.keep_leases
         self._holds = HoldTimes(keep_s)
         self._monitor = DemandMonitor(ctx, keep_s, self._holds, unknown_use, can_rent)
-        limits = ctx.settings.settings.state.lowest
+        limits = ctx.settings.deployment.state.lowest
         self._teams_at_once = max(1, limits.txn_ops // 2)
         self._pace = Pace(limits.write_rps * cells.moves_share, burst=1.0)
         self._demands: dict[str, TeamDemand] = {}
--- a/src/poppyhold/quota/demand.py
+++ b/src/poppyhold/quota/demand.py
@@ -224,7 +224,7 @@
 
     def _count(self, job: Job) -> int:
         """Tasks that held machines have room for, a bounded number."""
-        count, most = 0, self._ctx.settings.settings.machine_limits.machines
+        count, most = 0, self._ctx.settings.deployment.machine_limits.machines
         for machine in self._ctx.fleet.machines.values():
             gone = machine.quarantined or machine.draining or machine.deleting
             if gone or machine.preempted_at is not None or not may_use(job, machine):
--- a/src/poppyhold/quota/edge.py
+++ b/src/poppyhold/quota/edge.py
@@ -33,7 +33,7 @@
     ) -> None:
         """``post`` hands the decision thread work of a rank; False: it takes none."""
         self._quota, self._post = quota, post
-        workers = settings.settings.workers
+        workers = settings.deployment.workers
         self._links = CellLinks(
             cells.others, self._on_reply, workers.heartbeat_interval_s, workers.lease_s * _LINK_TIMEOUT, rng
         )
--- a/src/poppyhold/quota/server.py
+++ b/src/poppyhold/quota/server.py
@@ -42,7 +42,7 @@
     ) -> None:
         self._settings, self._cells = settings, cells
         self._leading_term, self._leader = leading_term, leader
-        self._timeout_s = settings.settings.workers.lease_s / 12
+        self._timeout_s = settings.deployment.workers.lease_s / 12
         # Why each cell's last message was refused: logged once, not with each try.
         self._last_refusals: dict[str, str] = {}
 
--- a/src/poppyhold/quota/status.py
+++ b/src/poppyhold/quota/status.py
@@ -73,11 +73,11 @@
     Raises:
         NoLeaderError: it was not found.
     """
-    addresses = {known.member: known.address for known in settings.known}
-    addresses[settings.member] = settings.back
-    timeout_s = settings.settings.workers.lease_s / 4
+    addresses = {known.member: known.address for known in settings.peers}
+    addresses[settings.member] = settings.peer_listen
+    timeout_s = settings.deployment.workers.lease_s / 4
     asked: set[str] = set()
-    waiting = [settings.member, *(known.member for known in settings.known)]
+    waiting = [settings.member, *(known.member for known in settings.peers)]
     while waiting:
         member = waiting.pop(0)
         if member in asked or member not in addresses:
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -39,16 +39,16 @@
         """
         self._leader, self._leads = leader, leads
         self._without_leader, self._elsewhere = without_leader, elsewhere
-        workers = settings.settings.workers
+        workers = settings.deployment.workers
         self._lease_s = workers.lease_s
         # When a leader last asked for reports to be relayed.
         self._asked_at = float("-inf")
         self._highest_fencing_token = 0
-        connections = settings.settings.machine_limits.connections
+        connections = settings.deployment.machine_limits.connections
         self._overflow = Overflow(int(connections * _WORKERS_SHARE), workers.lease_s, time.monotonic)
         self._link = RelayLink(
-            RelayHello(settings.member, settings.domain),
-            {known.member: split_address(known.address) for known in settings.known},
+            RelayHello(settings.member, settings.zone),
+            {known.member: split_address(known.address) for known in settings.peers},
             self._target,
             self._seen_fencing_token,
             RelayTimes(workers.heartbeat_interval_s, heartbeat_response_timeout_s(workers), workers.lease_s),
--- a/src/poppyhold/relay/leader.py
+++ b/src/poppyhold/relay/leader.py
@@ -13,7 +13,7 @@
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.intake import RelayIntake, RelayState
 from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayedAnswer, RelayHello
-from poppyhold.settings import Workers
+from poppyhold.settings import WorkerTimings
 from poppyhold.wire.frames import receive, send_at_once, shut
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
@@ -22,7 +22,7 @@
 _WORKER_PATIENCE_S = 4.0
 
 
-def heartbeat_response_timeout_s(workers: Workers) -> float:
+def heartbeat_response_timeout_s(workers: WorkerTimings) -> float:
     """Behind so long a report is not answered any more: its worker gives up soon, or has done so."""
     return min(workers.heartbeat_interval_s * 2.5, _WORKER_PATIENCE_S * 0.75)
 
@@ -36,7 +36,7 @@
         answer: Callable[[Heartbeat, float], HeartbeatResponse | None],
         answered_at: Callable[[str], float],
         assignment: Assignment,
-        workers: Workers,
+        workers: WorkerTimings,
     ) -> None:
         """``post`` queues work for the decision thread; False if it takes no more."""
         self._post, self._assignment = post, assignment
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -42,7 +42,7 @@
         self.ledger.first = self._slot()
         self._released = True
         self._reconsider_at = 0.0
-        self._largest_record = ctx.settings.settings.state.lowest.value_bytes
+        self._largest_record = ctx.settings.deployment.state.lowest.value_bytes
 
     def _slot(self) -> int:
         return int(self._ctx.wall_clock() / self._ctx.durations.slot_s)
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -88,7 +88,7 @@
         # What users expect of a class: seconds within which its tasks should have started.
         aims = {
             objective.job_class: objective.within_s
-            for objective in ctx.settings.settings.objectives
+            for objective in ctx.settings.deployment.objectives
             if objective.kind == "wait" and objective.job_class is not None and objective.within_s is not None
         }
         self.placement = Placement(aims, self._loss)
@@ -400,7 +400,7 @@
         without end, a gang that nothing can serve would block all others.
         """
         waited_s = self._ctx.clock() - job.submitted_at - self._ctx.durations.lease_s * _PATIENCE_LEASES
-        hold_s = self._ctx.settings.settings.workers.gang_wait_s
+        hold_s = self._ctx.settings.deployment.workers.gang_wait_s
         if int(waited_s / hold_s) % 2:
             return
         held = self._pass.held
--- a/src/poppyhold/scheduling/quotas.py
+++ b/src/poppyhold/scheduling/quotas.py
@@ -27,7 +27,12 @@
     @classmethod
     def of(cls, team: Team) -> TeamQuota:
         """The quota that the platform's settings give a team; there 0 means none."""
-        return cls(team.cpus or None, team.cpus_max or math.inf, team.gpus or None, team.gpus_max or math.inf)
+        return cls(
+            team.cpus or None,
+            team.cpus_max or math.inf,
+            team.accelerators or None,
+            team.accelerators_max or math.inf,
+        )
 
     @property
     def has_guarantee(self) -> bool:
--- a/src/poppyhold/settings_file.py
+++ b/src/poppyhold/settings_file.py
@@ -14,7 +14,7 @@
     check_unique,
     split_address,
 )
-from poppyhold.settings import CONNECTION_SHARE, LEAST_SOCKETS, NextState, Settings, Team
+from poppyhold.settings import CONNECTION_SHARE, LEAST_SOCKETS, AnnouncedStateLimits, Settings, Team
 
 # A job's move to its final record takes three changes in one transaction.
 _LEAST_CHANGES = 3
@@ -30,7 +30,7 @@
 
 def limit_warnings(settings: Settings) -> list[str]:
     """Describe limits that don't go together, a line each: the service runs with them, but worse."""
-    limits = settings.settings.machine_limits
+    limits = settings.deployment.machine_limits
     found = []
     if limits.max_sockets < LEAST_SOCKETS:
         found.append(f"settings.machine_limits.max_sockets: {limits.max_sockets} leave workers hardly any")
@@ -38,7 +38,7 @@
     if limits.connections < wanted:
         part = f"carries about {limits.connections} of {wanted} connections"
         found.append(f"settings.machine_limits.ram_mb: {part}")
-    workers = settings.settings.workers
+    workers = settings.deployment.workers
     if workers.cancel_s < 2 * workers.lease_s:
         found.append("settings.workers.cancel_s: below two leases, so work will not outlast long outages")
     return found
@@ -62,20 +62,20 @@
 
 def _check(settings: Settings) -> None:
     split_address(settings.client_listen, "client_listen")
-    split_address(settings.back, "back")
-    split_address(settings.outside.cloud, "outside.cloud")
-    split_address(settings.outside.state, "outside.state")
-    for peer in settings.known:
+    split_address(settings.peer_listen, "back")
+    split_address(settings.external_services.cloud, "outside.cloud")
+    split_address(settings.external_services.state, "outside.state")
+    for peer in settings.peers:
         split_address(peer.address, f"known.{peer.member}.address")
-    deployment = settings.settings
-    if deployment.count < 1:
+    deployment = settings.deployment
+    if deployment.controllers < 1:
         raise ConfigError("settings.count: must be above 0")
     check_not_negative("settings.skew_ms", deployment.skew_ms)
     for section, names in _POSITIVE.items():
         values = msgspec.to_builtins(getattr(deployment, section))
         for name in names:
             check_positive(f"settings.{section}.{name}", values[name])
-    _check_next(deployment.state.next)
+    _check_next(deployment.state.announced)
     _check_zones(settings)
     _check_teams(deployment.teams)
     if deployment.workers.cancel_s <= deployment.workers.lease_s:
@@ -84,16 +84,16 @@
 
 def _check_zones(settings: Settings) -> None:
     """Each zone is named once, each controller stands in one of them, and none of them is there twice."""
-    zones = settings.settings.zones
+    zones = settings.deployment.zones
     if not zones:
         raise ConfigError("settings.zones: must name a zone")
     check_unique("settings.zones", zones)
-    check_unique("known.member", [settings.member, *(peer.member for peer in settings.known)])
-    if settings.domain not in zones:
-        raise ConfigError(f"domain: {settings.domain!r} is not in settings.zones")
-    for peer in settings.known:
-        if peer.domain not in zones:
-            raise ConfigError(f"known.{peer.member}.domain: {peer.domain!r} is not in settings.zones")
+    check_unique("known.member", [settings.member, *(peer.member for peer in settings.peers)])
+    if settings.zone not in zones:
+        raise ConfigError(f"domain: {settings.zone!r} is not in settings.zones")
+    for peer in settings.peers:
+        if peer.zone not in zones:
+            raise ConfigError(f"known.{peer.member}.domain: {peer.zone!r} is not in settings.zones")
 
 
 def _check_teams(teams: list[Team]) -> None:
@@ -102,11 +102,13 @@
     for team in teams:
         if not team.name:
             raise ConfigError("settings.teams.name: must not be empty")
+        # By the names in the file.
+        values = msgspec.to_builtins(team)
         for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
-            check_not_negative(f"settings.teams.{team.name}.{name}", getattr(team, name))
+            check_not_negative(f"settings.teams.{team.name}.{name}", values[name])
 
 
-def _check_next(limits: NextState | None) -> None:
+def _check_next(limits: AnnouncedStateLimits | None) -> None:
     if limits is None:
         return
     for name in _POSITIVE["state"]:
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -62,7 +62,7 @@
         self.cell_is_lost = False
         self._unsaid: Counter[int] = Counter()
         self._check_at = 0.0
-        team = next(team for team in self.worlds[0].settings.settings.teams if team.name == TEAM)
+        team = next(team for team in self.worlds[0].settings.deployment.teams if team.name == TEAM)
         self._whole = whole_share(team)
 
     @property
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -13,7 +13,7 @@
 from poppyhold.durable.store import transaction_body
 from poppyhold.options import Options, RelayMode
 from poppyhold.scale.jobs import submission
-from poppyhold.settings import NextState, Objective, Team
+from poppyhold.settings import AnnouncedStateLimits, Objective, Team
 from sim_node import SimNode
 from world import World
 
@@ -31,7 +31,10 @@
                 head = dict(word.split("=") for word in words[1:])
         limit = float(head.get("limit", 0))
         guaranteed = float(head.get("guaranteed", 8))
-        teams = [Team("alpha", gpus=guaranteed, gpus_max=limit), Team("beta", gpus=8, gpus_max=0)]
+        teams = [
+            Team("alpha", accelerators=guaranteed, accelerators_max=limit),
+            Team("beta", accelerators=8, accelerators_max=0),
+        ]
         # Teams without a guarantee or a limit.
         teams += [Team(name) for name in head.get("guests", "").split(",") if name]
 
@@ -203,7 +206,7 @@
 
     def do_lower_limits(self) -> None:
         """The state service takes on the limits that were announced."""
-        limits = self.world.settings.settings.state.lowest
+        limits = self.world.settings.deployment.state.lowest
         self.world.state.lower_limits(limits.txn_ops, limits.value_kb)
 
     # -- what there is -------------------------------------------------------------------------------
@@ -502,10 +505,10 @@
         self._expect((self.world.leader() is not None) == (word == "yes"), "leader")
 
 
-def _next_limits(head: dict[str, str]) -> NextState | None:
+def _next_limits(head: dict[str, str]) -> AnnouncedStateLimits | None:
     if "next_txn_ops" not in head:
         return None
-    return NextState(txn_ops=int(head["next_txn_ops"]), value_kb=float(head["next_value_kb"]))
+    return AnnouncedStateLimits(txn_ops=int(head["next_txn_ops"]), value_kb=float(head["next_value_kb"]))
 
 
 def _wait_objectives(text: str) -> list[Objective]:
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -131,7 +131,7 @@
         self.assignment = Assignment(
             world.relays if node.relays else RelayMode.OFF,
             world.relays_from,
-            node.settings.settings.machine_limits.connections * DIRECT_SHARE,
+            node.settings.deployment.machine_limits.connections * DIRECT_SHARE,
             node.member,
             node.zone,
             node.times,
@@ -140,7 +140,7 @@
         )
         # The relays that are connected, and what is kept of each.
         self.relays: dict[str, RelayState] = {}
-        patience_s = heartbeat_response_timeout_s(node.settings.settings.workers)
+        patience_s = heartbeat_response_timeout_s(node.settings.deployment.workers)
         self.intake = RelayIntake(
             self.answer_heartbeat, self.controller.answered_at, self.assignment, patience_s
         )
@@ -316,7 +316,7 @@
         self.fencing_token = baton
 
     def resign(self, why: str) -> None:
-        self.node.resting_until = self.world.now + self.world.settings.settings.workers.lease_s
+        self.node.resting_until = self.world.now + self.world.settings.deployment.workers.lease_s
         if not self.world.state.down and not self.node.refused:
             self.world.state.end(self.lease_id)
         self.node.step_down()
@@ -325,7 +325,7 @@
         self.node.users.finals.put(job_id, (status, chores))
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
-        since = self.world.now - self.world.settings.settings.workers.lease_s / 2
+        since = self.world.now - self.world.settings.deployment.workers.lease_s / 2
         return [
             [worker for at, worker in node.misdirected_workers.values() if at > since]
             for node in self.world.nodes
@@ -400,7 +400,7 @@
         self.delegated_renewal = DelegatedRenewals(
             self.times, 0.0, lambda: self.world.now, lambda: self.world.now
         )
-        self._redirect_backoff = RedirectBackoff(self.settings.settings.workers.lease_s, 1000)
+        self._redirect_backoff = RedirectBackoff(self.settings.deployment.workers.lease_s, 1000)
         self._leader_since = self.world.now
         self._leader_fencing_token = 0
         self.connectivity = Connectivity(self.member, self.times.heartbeat_interval_s, lambda: self.world.now)
@@ -415,10 +415,10 @@
         """From its next process on it is the version before: no limits to come, and no relays."""
         self.relays = False
         deployment = msgspec.structs.replace(
-            self.world.settings.settings,
-            state=msgspec.structs.replace(self.settings.settings.state, next=None),
+            self.world.settings.deployment,
+            state=msgspec.structs.replace(self.settings.deployment.state, announced=None),
         )
-        self.settings = msgspec.structs.replace(self.world.settings, settings=deployment)
+        self.settings = msgspec.structs.replace(self.world.settings, deployment=deployment)
 
     def _count(self, job_id: str) -> tuple[int, int] | None:
         return self.leader_term.controller.counts().get(job_id) if self.leader_term else None
--- a/tests/sim_relay.py
+++ b/tests/sim_relay.py
@@ -28,7 +28,7 @@
 
     def __init__(self, node: SimNode) -> None:
         self._node, self._world = node, node.world
-        workers = node.settings.settings.workers
+        workers = node.settings.deployment.workers
         self._times = RelayTimes(
             workers.heartbeat_interval_s, heartbeat_response_timeout_s(workers), workers.lease_s
         )
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -23,7 +23,7 @@
 from poppyhold.scale.jobs import build_data as world_build
 from poppyhold.scale.jobs import submission
 from poppyhold.scale.jobs import wire as as_sent
-from poppyhold.settings import NextState, State, Team
+from poppyhold.settings import AnnouncedStateLimits, StateLimits, Team
 from poppyhold.settings_file import load_settings
 from poppyhold.wire.cloud_messages import MachineType, MachineTypes
 from poppyhold.wire.codec import MalformedError, convert, encode
@@ -77,7 +77,7 @@
 
 
 def test_users_get_the_status_that_protocol_says() -> None:
-    world = World(1, 10.0, 30.0, [Team("alpha", gpus_max=6)])
+    world = World(1, 10.0, 30.0, [Team("alpha", accelerators_max=6)])
     users = world.nodes[0].users
     assert users.submit(b"\xff\xff")[0] == 400
     assert users.submit(encode([1, 2]))[0] == 400
@@ -128,7 +128,7 @@
 @pytest.mark.parametrize(("value_kb", "next_kb"), [(8.0, None), (8.0, 2.0), (16.0, 2.0)])
 def test_completions_of_the_largest_job_fit_their_records(value_kb: float, next_kb: float | None) -> None:
     job = make_job(parse_submission(wire(chores=100_000)), 1, 0.0)
-    layout = Layout(State(value_kb=value_kb, next=NextState(value_kb=next_kb)))
+    layout = Layout(StateLimits(value_kb=value_kb, announced=AnnouncedStateLimits(value_kb=next_kb)))
     sizes = {COMPLETIONS_PREFIX: layout.coarse, COMPLETION_RANGES_PREFIX: layout.fine}
     size = layout.coarse
     done = [0, 1, size - 1, size, 54_321, 99_999]
@@ -155,7 +155,7 @@
 
 
 def test_submissions_fit_the_limits_to_come() -> None:
-    world = World(1, 10.0, 30.0, [Team("alpha")], NextState(value_kb=2.0, txn_ops=4))
+    world = World(1, 10.0, 30.0, [Team("alpha")], AnnouncedStateLimits(value_kb=2.0, txn_ops=4))
     world.state.lower_limits(4, 2.0)
     users = world.nodes[0].users
     # Machine types that don't exist allow nothing: they are left out of a record that is too long with them.
@@ -184,10 +184,12 @@
 
 
 def test_limits_are_the_smaller_of_now_and_next() -> None:
-    limits = State(value_kb=8.0, txn_ops=20, write_rps=25.0, next=NextState(value_kb=2.0, txn_ops=30))
+    limits = StateLimits(
+        value_kb=8.0, txn_ops=20, write_rps=25.0, announced=AnnouncedStateLimits(value_kb=2.0, txn_ops=30)
+    )
     lowest = limits.lowest
     assert (lowest.value_kb, lowest.txn_ops, lowest.write_rps, lowest.rps) == (2.0, 20, 25.0, limits.rps)
-    assert State(value_kb=8.0).lowest.value_kb == 8.0
+    assert StateLimits(value_kb=8.0).lowest.value_kb == 8.0
 
 
 def test_options_have_defaults_and_bounds(tmp_path: Path) -> None:
@@ -228,7 +230,7 @@
 """
     path = tmp_path / "settings.toml"
     path.write_text(good)
-    assert load_settings(path).settings.workers.cancel_s == 30.0
+    assert load_settings(path).deployment.workers.cancel_s == 30.0
     # Three zones with a controller each, a team without limits, an objective of a class that none belongs to.
     path.write_text(
         good.replace("[outside]", KNOWN.format("b", "y") + KNOWN.format("c", "x") + "[outside]")
@@ -236,7 +238,7 @@
         .replace("[settings.workers]", "[[settings.teams]]\nname = 't'\n[settings.workers]")
         + "[[settings.objectives]]\nkind = 'wait'\nclass = 'nobody'\n"
     )
-    assert len(load_settings(path).known) == 2
+    assert len(load_settings(path).peers) == 2
     for old, new, name in (
         ("count = 1", 'count = "x"', "count"),
         ("count = 1", "count = 0", "settings.count"),
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -70,7 +70,7 @@
     job = job_of(world, job_id)
     world.run(world.now + 12.0)
     gangs.stop(job, world.now)
-    grace = job.spec.save_s + world.settings.settings.workers.gang_peer_s
+    grace = job.spec.save_s + world.settings.deployment.workers.gang_peer_s
     assert {attempt.stopping_at for attempt in job.active.values()} == {world.now}
     assert all(attempt.grace_s >= grace for attempt in job.active.values())
     # A task that is seen to save shows a new leader that the stop has begun, and changes nothing here.
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -242,9 +242,9 @@
 def test_deletions_and_launches_go_between_the_pages_of_a_list() -> None:
     cloud: Any = ListingCloud()
     deployed = World(1, 10.0, 30.0, []).settings
-    limits = msgspec.structs.replace(deployed.settings.cloud, rps=20.0, list_lag_s=0.2)
+    limits = msgspec.structs.replace(deployed.deployment.cloud, rps=20.0, list_lag_s=0.2)
     deployed = msgspec.structs.replace(
-        deployed, settings=msgspec.structs.replace(deployed.settings, cloud=limits)
+        deployed, deployment=msgspec.structs.replace(deployed.deployment, cloud=limits)
     )
     listings: list[Any] = []
     thread = CloudThread(deployed, cloud, lambda types: None, listings.append)
@@ -273,8 +273,10 @@
 
 def _deployed(**limits: Any) -> Deployed:
     settings_ = World(1, 15.0, 45.0, []).settings
-    deployment = msgspec.structs.replace(settings_.settings, count=6, machine_limits=MachineLimits(**limits))
-    return msgspec.structs.replace(settings_, settings=deployment)
+    deployment = msgspec.structs.replace(
+        settings_.deployment, controllers=6, machine_limits=MachineLimits(**limits)
+    )
+    return msgspec.structs.replace(settings_, deployment=deployment)
 
 
 def test_what_cannot_carry_the_configured_size_is_named() -> None:
@@ -289,8 +291,10 @@
     ]
     assert all("(fleet.machines: 4000)" in line for line in lines)
     enough = _deployed(core_share=0.8, ram_mb=326.0, max_sockets=1850)
-    faster = msgspec.structs.replace(enough.settings.state, write_rps=200.0)
-    enough = msgspec.structs.replace(enough, settings=msgspec.structs.replace(enough.settings, state=faster))
+    faster = msgspec.structs.replace(enough.deployment.state, write_rps=200.0)
+    enough = msgspec.structs.replace(
+        enough, deployment=msgspec.structs.replace(enough.deployment, state=faster)
+    )
     assert shortfalls(enough, options) == []
     without_relays = parse_options("fleet { machines: 4000 } relays { mode: OFF }")
     assert "connections of 4000 needed" in shortfalls(enough, without_relays)[0]
@@ -450,7 +454,7 @@
 
 
 def test_a_limit_on_what_a_task_does_not_need_keeps_nothing_from_starting() -> None:
-    quotas = Quotas([Team("alpha", cpus_max=64.0, gpus_max=8.0)])
+    quotas = Quotas([Team("alpha", cpus_max=64.0, accelerators_max=8.0)])
     # Machines that were not heard yet may hold more than the limit.
     assert quotas.allows("alpha", (0.0, 4000.0), (1.0, 0.0, 1.0))
     assert not quotas.allows("alpha", (0.0, 4000.0), (1.0, 1.0, 1.0))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -20,7 +20,7 @@
 from poppyhold.quota.messages import Opening as QuotaOpening
 from poppyhold.scale.controllers import free_port
 from poppyhold.scale.jobs import submission, wire
-from poppyhold.settings import Known, Outside, Team
+from poppyhold.settings import ExternalServices, PeerController, Team
 from poppyhold.wire.codec import encode
 from poppyhold.wire.frames import send
 from poppyhold.wire.http import Answer
@@ -151,8 +151,8 @@
     impostor = Impostor(["pong", "hive-9", *PONG[2:]], {"a": 1}, ["pong", "hive-1"], PING, PONG)
     settings = msgspec.structs.replace(
         World(1, 10.0, 30.0, [Team("alpha")]).settings,
-        back=f"127.0.0.1:{free_port()}",
-        known=[Known("hive-1", "a", f"127.0.0.1:{impostor.listener.getsockname()[1]}")],
+        peer_listen=f"127.0.0.1:{free_port()}",
+        peers=[PeerController("hive-1", "a", f"127.0.0.1:{impostor.listener.getsockname()[1]}")],
     )
     taken: list[Pong] = []
     describe = Ping("hive-0", 0, False, 0.0, -1, 0)
@@ -198,9 +198,11 @@
     settings = msgspec.structs.replace(
         World(1, 10.0, 30.0, [Team("alpha")]).settings,
         client_listen=f"127.0.0.1:{free_port()}",
-        back=f"127.0.0.1:{free_port()}",
-        outside=Outside(cloud=f"127.0.0.1:{world.ports[1]}", state=f"127.0.0.1:{world.ports[0]}"),
-        known=[],
+        peer_listen=f"127.0.0.1:{free_port()}",
+        external_services=ExternalServices(
+            cloud=f"127.0.0.1:{world.ports[1]}", state=f"127.0.0.1:{world.ports[0]}"
+        ),
+        peers=[],
     )
     node = Node(settings, Options())
     stop = threading.Event()
@@ -242,7 +244,7 @@
 )
 def test_a_bad_message_ends_its_connection_and_no_other(data: bytes, waits_for_more: bool) -> None:
     settings = msgspec.structs.replace(
-        World(1, 10.0, 30.0, []).settings, back=f"127.0.0.1:{free_port()}", known=[]
+        World(1, 10.0, 30.0, []).settings, peer_listen=f"127.0.0.1:{free_port()}", peers=[]
     )
     pong = Pong("hive-0", 0, False, 0.0, -1, 0)
     peers = Peers(
@@ -258,7 +260,7 @@
         no_cells,
     )
     peers.start()
-    address = split_address(settings.back)
+    address = split_address(settings.peer_listen)
     try:
         with socket.create_connection(address, 5.0) as good, socket.create_connection(address, 5.0) as bad:
             bad.sendall(data)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -28,7 +28,7 @@
 from poppyhold.relay.overflow import Overflow
 from poppyhold.relay.queue import HeartbeatQueue
 from poppyhold.relay.regaining import Regaining
-from poppyhold.settings import Workers
+from poppyhold.settings import WorkerTimings
 from poppyhold.wire.worker_messages import Command, CommandKind, Heartbeat, HeartbeatResponse, TaskStatus
 from scenario import Scenario
 from test_smoke import eventually
@@ -521,7 +521,7 @@
         self.link.start()
 
     def _server(self) -> RelayServer:
-        workers = Workers(heartbeat_interval_s=0.4, lease_s=4.0, cancel_s=12.0)
+        workers = WorkerTimings(heartbeat_interval_s=0.4, lease_s=4.0, cancel_s=12.0)
         return RelayServer(self._post, self._answer, lambda _: 0.0, self.plan, workers)
 
     def _post(self, priority: int, work: Work) -> bool:
--- a/tests/test_share_book.py
+++ b/tests/test_share_book.py
@@ -70,10 +70,10 @@
 
 
 def test_no_limit_and_a_share_of_nothing_differ() -> None:
-    quotas = Quotas([Team("free"), Team("bound", gpus=2, gpus_max=4)])
+    quotas = Quotas([Team("free"), Team("bound", accelerators=2, accelerators_max=4)])
     task = (1.0, 1.0, 1.0)
     assert quotas.allows("free", (100.0, 100.0), task)
-    whole = whole_share(Team("bound", gpus=2, gpus_max=4))
+    whole = whole_share(Team("bound", accelerators=2, accelerators_max=4))
     quotas.set("bound", whole.nothing().quota(whole))
     assert not quotas.allows("bound", (0.0, 0.0), task)
     assert not quotas.has_guarantee("bound")
@@ -90,7 +90,7 @@
 
 def test_a_guarantee_above_the_limit_is_refused() -> None:
     with pytest.raises(ConfigError, match=r"settings\.teams\.alpha\.gpus"):
-        whole_share(Team("alpha", gpus=5, gpus_max=4))
+        whole_share(Team("alpha", accelerators=5, accelerators_max=4))
 
 
 # -- the search --------------------------------------------------------------------------------------
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -24,7 +24,7 @@
 from poppyhold.scale.routes import cloud_route, parse_query, state_route
 from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.scale.worker_standin import WorkerStandIn
-from poppyhold.settings import MachineLimits, Workers
+from poppyhold.settings import MachineLimits, WorkerTimings
 from poppyhold.settings_file import limit_warnings
 from poppyhold.wire.codec import decode, encode
 from poppyhold.wire.http import Answer, Deferred, Server
@@ -344,10 +344,10 @@
     assert limit_warnings(settings) == []
     small = msgspec.structs.replace(
         settings,
-        settings=msgspec.structs.replace(
-            settings.settings,
+        deployment=msgspec.structs.replace(
+            settings.deployment,
             machine_limits=MachineLimits(ram_mb=40.0, max_sockets=40),
-            workers=Workers(lease_s=10.0, cancel_s=15.0),
+            workers=WorkerTimings(lease_s=10.0, cancel_s=15.0),
         ),
     )
     assert [line.split(":")[0] for line in limit_warnings(small)] == [
@@ -356,7 +356,7 @@
     ]
     large = msgspec.structs.replace(
         settings,
-        settings=msgspec.structs.replace(settings.settings, machine_limits=MachineLimits(ram_mb=60.0)),
+        deployment=msgspec.structs.replace(settings.deployment, machine_limits=MachineLimits(ram_mb=60.0)),
     )
     assert "carries about 500 of 680 connections" in limit_warnings(large)[0]
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -122,7 +122,7 @@
     committer.stop()
     assert len(pauses) == 12
     assert pauses[1] == 2 * pauses[0]
-    assert pauses[-1] == settings.settings.workers.heartbeat_interval_s / 8
+    assert pauses[-1] == settings.deployment.workers.heartbeat_interval_s / 8
 
 
 class Limited(Fickle):
@@ -222,7 +222,7 @@
 
 def test_plans_of_urgent_jobs_go_first_and_those_of_guests_last(monkeypatch: pytest.MonkeyPatch) -> None:
     # Six one-task jobs a second of a guest team kept plans of critical replicas back for a minute.
-    world = World(1, 10.0, 30.0, [Team("alpha", gpus=8), Team("gamma")])
+    world = World(1, 10.0, 30.0, [Team("alpha", accelerators=8), Team("gamma")])
     ranks: dict[str, CommitPriority] = {}
     inner = SimLeaderTerm.commit
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -21,7 +21,7 @@
 from poppyhold.cluster.lease_delegation import LeaseDelegation
 from poppyhold.cluster.peers import Message, Ping, Pong
 from poppyhold.model.outbound import MisdirectedWorker
-from poppyhold.settings import NextState, Team
+from poppyhold.settings import AnnouncedStateLimits, Team
 from poppyhold.wire.cloud_messages import MachineType
 from poppyhold.wire.user_messages import Submission
 from scenario import Scenario
@@ -31,7 +31,7 @@
 FIXTURE: Data = json.loads((Path(__file__).parent / "fixtures" / "production_1e58d14.json").read_text())
 # Types whose names were others in the production version; names of types are not sent.
 RECORDED_TYPE_NAMES = {LeaseDelegation.__name__: "Trust"}
-TEAMS = [Team("alpha", gpus=8, gpus_max=0), Team("beta", gpus=8, gpus_max=0)]
+TEAMS = [Team("alpha", accelerators=8, accelerators_max=0), Team("beta", accelerators=8, accelerators_max=0)]
 
 PING = Ping(
     "hive-0",
@@ -103,7 +103,7 @@
     assert not any(required for *_, required in fields[len(recorded) :])
 
 
-def _as_it_was_left(next_limits: NextState | None) -> World:
+def _as_it_was_left(next_limits: AnnouncedStateLimits | None) -> World:
     """A world that goes on where the production version's was: its leader has just ended."""
     world = World(5, 10.0, 30.0, TEAMS, next_limits)
     world.now = FIXTURE["at"]
@@ -140,9 +140,9 @@
 
 
 @pytest.mark.parametrize(
-    "next_limits", [None, NextState(value_kb=2.0, txn_ops=4)], ids=["same limits", "lower limits"]
+    "next_limits", [None, AnnouncedStateLimits(value_kb=2.0, txn_ops=4)], ids=["same limits", "lower limits"]
 )
-def test_what_production_stored_goes_on(next_limits: NextState | None) -> None:
+def test_what_production_stored_goes_on(next_limits: AnnouncedStateLimits | None) -> None:
     world = _as_it_was_left(next_limits)
     world.run(world.now + 6.0)
     if next_limits is not None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -18,9 +18,18 @@
 from poppyhold.scale.jobs import ZONES, Data, build_data, submission, wire
 from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.scale.worker_standin import WorkerStandIn
-from poppyhold.settings import Cloud as CloudLimits
+from poppyhold.settings import (
+    AnnouncedStateLimits,
+    CloudLimits,
+    ExternalServices,
+    Objective,
+    PeerController,
+    Settings,
+    StateLimits,
+    Team,
+    WorkerTimings,
+)
 from poppyhold.settings import Deployment as DeploymentSettings
-from poppyhold.settings import Known, NextState, Objective, Outside, Settings, State, Team, Workers
 from poppyhold.wire.codec import encode
 from poppyhold.wire.http import Answer
 from sim_node import STEP_S, SimNode
@@ -62,7 +71,7 @@
         lease_s: float,
         cancel_s: float,
         teams: list[Team],
-        next_limits: NextState | None = None,
+        next_limits: AnnouncedStateLimits | None = None,
         zones: list[str] | None = None,
         objectives: list[Objective] | None = None,
         relays: RelayMode = RelayMode.OFF,
@@ -81,20 +90,20 @@
         self._count = 0
         self.settings = Settings(
             member="hive-0",
-            domain="a",
+            zone="a",
             client_listen="127.0.0.1:1",
-            back="127.0.0.1:2",
-            outside=Outside(cloud="127.0.0.1:3", state="127.0.0.1:4"),
-            known=[Known(m, "a", "127.0.0.1:5") for m in self.members[1:]],
-            settings=DeploymentSettings(
-                count=3,
+            peer_listen="127.0.0.1:2",
+            external_services=ExternalServices(cloud="127.0.0.1:3", state="127.0.0.1:4"),
+            peers=[PeerController(m, "a", "127.0.0.1:5") for m in self.members[1:]],
+            deployment=DeploymentSettings(
+                controllers=3,
                 zones=self.zones,
                 teams=teams,
                 objectives=objectives or [],
-                workers=Workers(
+                workers=WorkerTimings(
                     heartbeat_interval_s=heartbeat_interval_s, lease_s=lease_s, cancel_s=cancel_s
                 ),
-                state=State(txn_ops=20, next=next_limits),
+                state=StateLimits(txn_ops=20, announced=next_limits),
                 cloud=CloudLimits(rps=2.0, list_lag_s=8.0),
             ),
         )
@@ -108,7 +117,7 @@
         self.troubles: dict[str, set[str]] = {}
         self.gangs = GangStandIn(
             lambda: self.now,
-            self.settings.settings.workers.gang_peer_s,
+            self.settings.deployment.workers.gang_peer_s,
             self.workers.values,
             lambda worker: "hang" in self.troubles.get(worker.name, ()),
             self._completed,
@@ -211,12 +220,12 @@
             build,
             machine["paddock"],
             machine["loaners"],
-            self.settings.settings.workers.lease_s,
+            self.settings.deployment.workers.lease_s,
             lambda: self.now,
             self._describe,
             self._started,
             self._completed,
-            self.settings.settings.workers.gang_wait_s,
+            self.settings.deployment.workers.gang_wait_s,
         )
         worker.held_commands = []
         worker.node = self.rng.randrange(3)
@@ -272,7 +281,7 @@
         return True
 
     def _heartbeat(self, worker: SimWorker, how: set[str]) -> None:
-        heartbeat_interval_s = self.settings.settings.workers.heartbeat_interval_s
+        heartbeat_interval_s = self.settings.deployment.workers.heartbeat_interval_s
         worker.next_heartbeat = self.now + heartbeat_interval_s * self.rng.uniform(0.75, 1.25)
         worker.busy_until = self.now + max(0.5, 2 * self.link_s)
         node = self.nodes[worker.node]
@@ -529,7 +538,7 @@
             job_id = task.rpartition("/")[0]
             used[self.jobs[job_id]["crew"]] += self.jobs[job_id]["accelerators"]
             begun.add(job_id)
-        limits = {team.name: team.gpus_max or float("inf") for team in self.settings.settings.teams}
+        limits = {team.name: team.accelerators_max or float("inf") for team in self.settings.deployment.teams}
         for job_id, told in self.told.items():
             job = self.jobs[job_id]
             if self.now - max(self.answered_at.get(job_id, 0.0), self.calm_at) > 75.0:
@@ -553,7 +562,7 @@
     def _check(self) -> None:
         if self.now > self.calm_at:
             self._check_left_alone()
-        cancel_s = self.settings.settings.workers.cancel_s
+        cancel_s = self.settings.deployment.workers.cancel_s
         used: dict[str, float] = {}
         for _, task in self._running():
             job_id = task.rpartition("/")[0]
@@ -561,6 +570,6 @@
             used[job["crew"]] = used.get(job["crew"], 0.0) + job["accelerators"]
             if self.now > self.cancelled_at.get(job_id, float("inf")) + cancel_s:
                 self.broken.append(f"ran_cancelled: {task} at {self.now:.1f}")
-        for team in self.settings.settings.teams:
-            if team.gpus_max and used.get(team.name, 0.0) > team.gpus_max + 1e-6:
+        for team in self.settings.deployment.teams:
+            if team.accelerators_max and used.get(team.name, 0.0) > team.accelerators_max + 1e-6:
                 self.broken.append(f"quota: {team.name} at {self.now:.1f}")
