--- a/src/poppyhold/cli.py
+++ b/src/poppyhold/cli.py
@@ -75,7 +75,7 @@
     logging.basicConfig(stream=sys.stderr, level=_log_level(), format="%(levelname).1s %(name)s: %(message)s")
     from poppyhold.capacity import shortfalls
     from poppyhold.options import load_options
-    from poppyhold.quota.amounts import check_limits
+    from poppyhold.quota.apportionment import check_limits
 
     try:
         settings = load_settings(args.config)
--- a/src/poppyhold/cluster/peers.py
+++ b/src/poppyhold/cluster/peers.py
@@ -17,8 +17,7 @@
 from poppyhold.cluster.lease_delegation import DelegationTracker, LeaseDelegation
 from poppyhold.model.context import ImageHints
 from poppyhold.model.outbound import MisdirectedWorker
-from poppyhold.quota.messages import Answer as QuotaAnswer
-from poppyhold.quota.messages import Opening as QuotaOpening
+from poppyhold.quota.messages import QuotaRequest, QuotaResponse
 from poppyhold.relay.messages import RelayHello
 from poppyhold.settings import Known, Settings, split_address
 from poppyhold.wire.frames import receive, send
@@ -82,7 +81,7 @@
 
 Message = Ping | Pong
 # What may come first on a connection from another controller.
-Opening = Message | RelayHello | QuotaOpening
+Opening = Message | RelayHello | QuotaRequest
 _opening_decoder: msgspec.msgpack.Decoder[Opening] = msgspec.msgpack.Decoder(Opening)
 
 
@@ -113,7 +112,7 @@
         on_refused: Callable[[str], None],
         delegations: Callable[[], DelegationTracker | None],
         on_relay: Callable[[socket.socket, RelayHello], None],
-        on_quota: Callable[[QuotaOpening], QuotaAnswer],
+        on_quota: Callable[[QuotaRequest], QuotaResponse],
         quota_links: int = 0,
     ) -> None:
         """``on_quota`` answers other cells' leaders and operators, of whom ``quota_links`` may connect."""
@@ -172,7 +171,7 @@
                         # It is a relay's from now on, to its end.
                         self._on_relay(connection, message)
                         return
-                    if isinstance(message, QuotaOpening):
+                    if isinstance(message, QuotaRequest):
                         send(connection, self._on_quota(message))
                         continue
                     if not isinstance(message, Ping):
--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -46,7 +46,7 @@
         # When each machine was needed last, as far as it was looked at in every round since.
         self._needed: dict[str, float] = {}
 
-    def can_rent(self, spec: Submission) -> bool:
+    def can_launch(self, spec: Submission) -> bool:
         """Whether a machine for a task of a job may be had from the cloud."""
         ctx = self._ctx
         return self._provisioning.is_rentable(spec, ctx.machine_types.values(), ctx.clock())
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -21,7 +21,7 @@
 from poppyhold.model.entities import Attempt, Job, JobPhase, Machine, RecordState, StartChannel, make_job
 from poppyhold.model.outbound import OutboundPort
 from poppyhold.options import Options
-from poppyhold.quota.cell_quota import CellQuota
+from poppyhold.quota.cell_service import CellQuotaService
 from poppyhold.scheduling.admission import Admission
 from poppyhold.scheduling.dispatch import Dispatcher
 from poppyhold.scheduling.quotas import Quotas
@@ -73,16 +73,16 @@
         # Before this moment no pass is made over what waits.
         self.settle_at = float("-inf")
 
-    def _make_quota(self, options: Options) -> CellQuota | None:
+    def _make_quota(self, options: Options) -> CellQuotaService | None:
         """This cell's shares of the teams' limits; None where the fleet is one cell."""
         if options.cells is None:
             return None
-        return CellQuota(
+        return CellQuotaService(
             self.ctx,
             options.cells,
             self._quotas,
             lambda: self.ctx.fleet.unaccounted_resources(self.reconciler.unreconciled),
-            self.autoscaler.can_rent,
+            self.autoscaler.can_launch,
             self._quotas_changed,
         )
 
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -34,9 +34,8 @@
 from poppyhold.node.users import Users
 from poppyhold.node.workers import Done, Senders
 from poppyhold.options import Options
-from poppyhold.quota.edge import QuotaEdge
-from poppyhold.quota.messages import Answer as QuotaAnswer
-from poppyhold.quota.messages import Opening as QuotaOpening
+from poppyhold.quota.endpoint import QuotaEndpoint
+from poppyhold.quota.messages import QuotaRequest, QuotaResponse
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.leader import RelayServer
 from poppyhold.settings import Settings
@@ -107,10 +106,10 @@
         self.relays = RelayServer(
             self._post, self.answer_heartbeat, self.controller.answered_at, self._assignment, workers
         )
-        self.quota_edge: QuotaEdge | None = None
+        self.quota_endpoint: QuotaEndpoint | None = None
         quota, cells = self.controller.quota, node.options.cells
         if quota is not None and cells is not None:
-            self.quota_edge = QuotaEdge(quota, cells, node.settings, self._post, node.rng)
+            self.quota_endpoint = QuotaEndpoint(quota, cells, node.settings, self._post, node.rng)
         self._tick_s = node.settings.settings.workers.heartbeat_interval_s / 4
         self._ready = threading.Event()
         self._thread = threading.Thread(target=self._run, name="decisions", daemon=True)
@@ -152,8 +151,8 @@
             time.monotonic() - read_at,
         )
         self._ready.set()
-        if self.quota_edge is not None:
-            self.quota_edge.start()
+        if self.quota_endpoint is not None:
+            self.quota_endpoint.start()
         self._decide()
 
     def _decide(self) -> None:
@@ -173,8 +172,8 @@
                     tick_at = time.monotonic() + self._tick_s
                 if not len(self._queue):
                     self.controller.settle()
-                if self.quota_edge is not None:
-                    self.quota_edge.publish()
+                if self.quota_endpoint is not None:
+                    self.quota_endpoint.publish()
             except Exception:
                 log.exception("decision")
 
@@ -186,8 +185,8 @@
         self._image_hints = self.controller.image_hints()
         self.relays.review(self.controller.ctx.fleet.machines.keys())
         self._vouch()
-        if self.quota_edge is not None:
-            self.quota_edge.tick()
+        if self.quota_endpoint is not None:
+            self.quota_endpoint.tick()
 
     def _read(self) -> Snapshot:
         reader = SnapshotReader(self._node.store, with_quota=self._node.options.cells is not None)
@@ -262,8 +261,8 @@
         self._committer.stop()
         self._senders.stop()
         self.relays.close()
-        if self.quota_edge is not None:
-            self.quota_edge.stop()
+        if self.quota_endpoint is not None:
+            self.quota_endpoint.stop()
         if self._cloud is not None:
             self._cloud.stop()
         if self._watch is not None:
@@ -272,9 +271,9 @@
         for work in self._queue.close():
             work()
 
-    def answer_cell(self, message: QuotaOpening, timeout_s: float) -> QuotaAnswer | None:
+    def answer_cell(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
         """Answer another cell's leader or an operator; None: not in time."""
-        return self.quota_edge.answer(message, timeout_s) if self.quota_edge is not None else None
+        return self.quota_endpoint.answer(message, timeout_s) if self.quota_endpoint is not None else None
 
     # -- reports -------------------------------------------------------------------------------------
 
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -80,7 +80,7 @@
             self._delegations,
             self._serve_relay,
             self._quota_server.answer,
-            self._quota_server.most_links,
+            self._quota_server.max_connections,
         )
         workers = settings.settings.workers
         self.delegated_renewal = DelegatedRenewals(self._times, self.skew_s, time.monotonic, time.time)
@@ -321,7 +321,7 @@
             return answer(503, {"error": "not ready"}, Retry_After="1")
         body: dict[str, object] = {"member": self.settings.member}
         leader_term = self._leader_term
-        edge = leader_term.quota_edge if leader_term is not None else None
+        edge = leader_term.quota_endpoint if leader_term is not None else None
         if edge is not None and edge.health is not None:
             body["shares"] = edge.health._asdict()
         return answer(200, body)
--- a/src/poppyhold/quota/alarms.py
+++ b/src/poppyhold/quota/alarms.py
@@ -1,4 +1,4 @@
-"""What operators have to look at: each alarm is logged as it is raised and as it is over."""
+"""Conditions that need an operator: each alarm is logged when it is raised and when it is cleared."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class AlarmKind(StrEnum):
-    """What is wrong."""
+    """The condition; operators and other cells see the values."""
 
     USE_ABOVE_SHARE = "use above share"
     UNKNOWN_RECORDS = "unknown records"
@@ -19,22 +19,22 @@
 
 
 class Alarms:
-    """The alarms that stand, by kind and by what they are about."""
+    """The active alarms, by kind and subject."""
 
     def __init__(self) -> None:
-        self._standing: dict[tuple[AlarmKind, str], str] = {}
+        self._active: dict[tuple[AlarmKind, str], str] = {}
 
     def set(self, kind: AlarmKind, subject: str, text: str | None) -> None:
-        """Raise an alarm about a cell or a team, or with None note that it is over."""
+        """Raise an alarm about a cell or a team, or clear it with None."""
         key = (kind, subject)
         if text is None:
-            if self._standing.pop(key, None) is not None:
-                log.warning("over: %s, %s", kind, subject)
+            if self._active.pop(key, None) is not None:
+                log.warning("quota alarm cleared: kind=%r subject=%s", kind.value, subject)
             return
-        if key not in self._standing:
-            log.error("%s, %s: %s", kind, subject, text)
-        self._standing[key] = text
+        if key not in self._active:
+            log.error("quota alarm raised: kind=%r subject=%s detail=%r", kind.value, subject, text)
+        self._active[key] = text
 
     def texts(self) -> list[str]:
-        """All that stand, a line each."""
-        return [f"{kind}, {subject}: {text}" for (kind, subject), text in sorted(self._standing.items())]
+        """All active alarms, a line each."""
+        return [f"{kind}, {subject}: {text}" for (kind, subject), text in sorted(self._active.items())]
--- a/src/poppyhold/quota/totals.py
+++ b/src/poppyhold/quota/consistency.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from poppyhold.quota.amounts import ResourceAmount, ResourceShare, TeamAmount, TeamShare, from_units
+from poppyhold.quota.amounts import ResourceAllocation, ResourceAmount, TeamAllocation, TeamAmount, from_units
 from poppyhold.quota.messages import CellView, PeerView
 from poppyhold.quota.records import Transfer
 
@@ -12,7 +12,7 @@
 RESOURCES = ("cpus", "gpus")
 
 
-def parts_of(share: TeamShare) -> tuple[ResourceShare, ResourceShare]:
+def parts_of(share: TeamAllocation) -> tuple[ResourceAllocation, ResourceAllocation]:
     """Both resources of a share, in the order of `RESOURCES`."""
     return share.cpus, share.accelerators
 
@@ -70,13 +70,13 @@
     held = [view for cell in views.values() for view in cell.teams if view.team == team]
     if len(held) < len(views):
         yield f"team {team}: has no share in {len(views) - len(held)} cells"
-    if any(view.whole != held[0].whole for view in held):
+    if any(view.total != held[0].total for view in held):
         yield f"team {team}: cells began with different figures"
         return
     for index, name in enumerate(RESOURCES):
-        whole = parts_of(held[0].whole)[index]
+        whole = parts_of(held[0].total)[index]
         amounts = [amounts_of(each, team)[index] for each in moving]
-        shares = [parts_of(view.share)[index] for view in held]
+        shares = [parts_of(view.allocation)[index] for view in held]
         guaranteed = sum(share.guaranteed for share in shares) + sum(each.guaranteed for each in amounts)
         borrowable = sum(share.borrowable or 0 for share in shares) + sum(each.borrowable for each in amounts)
         if guaranteed != whole.guaranteed:
--- a/src/poppyhold/quota/edge.py
+++ b/src/poppyhold/quota/endpoint.py
@@ -1,6 +1,6 @@
 """A term of leading towards other cells: its links to them, its answers, and what readiness shows.
 
-`CellQuota` runs on the decision thread; everything here hands it work over the term's queue.
+`CellQuotaService` runs on the decision thread; everything here hands it work over the term's queue.
 """
 
 from __future__ import annotations
@@ -10,22 +10,28 @@
 from collections.abc import Callable
 
 from poppyhold.concurrency.priority_queue import SUBMISSIONS, Work
-from poppyhold.quota.cell_quota import CellQuota, QuotaHealth
+from poppyhold.quota.cell_service import CellQuotaService, QuotaHealth
 from poppyhold.quota.cells import Cells
 from poppyhold.quota.link import CellLinks
-from poppyhold.quota.messages import Answer, Opening, ShareReply, ShareRequest, StatusRequest
+from poppyhold.quota.messages import (
+    QuotaRequest,
+    QuotaResponse,
+    StatusRequest,
+    TransferRequest,
+    TransferResponse,
+)
 from poppyhold.settings import Settings
 
 # How long a link waits for an answer, as a ratio to the lease.
 _LINK_TIMEOUT = 0.1
 
 
-class QuotaEdge:
+class QuotaEndpoint:
     """The links and answers of one term. Reports and decisions go before all that they bring."""
 
     def __init__(
         self,
-        quota: CellQuota,
+        quota: CellQuotaService,
         cells: Cells,
         settings: Settings,
         post: Callable[[int, Work], bool],
@@ -35,7 +41,11 @@
         self._quota, self._post = quota, post
         workers = settings.settings.workers
         self._links = CellLinks(
-            cells.others, self._on_reply, workers.heartbeat_interval_s, workers.lease_s * _LINK_TIMEOUT, rng
+            cells.others,
+            self._on_response,
+            workers.heartbeat_interval_s,
+            workers.lease_s * _LINK_TIMEOUT,
+            rng,
         )
         self._is_ready, self._is_stopped = threading.Event(), threading.Event()
         # As of the last tick.
@@ -59,29 +69,29 @@
         """On the decision thread: what the links ask from now on."""
         self._links.publish(self._quota.requests())
 
-    def answer(self, message: Opening, timeout_s: float) -> Answer | None:
+    def answer(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
         """Have the decision thread answer another cell's leader or an operator; None: not in time."""
         if not self._is_ready.is_set():
             return None
-        answers: list[Answer] = []
+        answers: list[QuotaResponse] = []
         answered = threading.Event()
 
         def work() -> None:
             if not self._is_stopped.is_set():
-                answers.append(self._answer_now(message))
+                answers.append(self._handle(message))
             answered.set()
 
         if self._post(SUBMISSIONS, work):
             answered.wait(timeout_s)
         return answers[0] if answers else None
 
-    def _answer_now(self, message: Opening) -> Answer:
+    def _handle(self, message: QuotaRequest) -> QuotaResponse:
         match message:
-            case ShareRequest():
+            case TransferRequest():
                 return self._quota.answer(message)
             case StatusRequest():
                 return self._quota.status()
 
-    def _on_reply(self, reply: ShareReply) -> None:
+    def _on_response(self, reply: TransferResponse) -> None:
         """A link got an answer from another cell."""
-        self._post(SUBMISSIONS, lambda: self._quota.replied(reply))
+        self._post(SUBMISSIONS, lambda: self._quota.handle_response(reply))
--- /dev/null
+++ b/src/poppyhold/quota/free_capacity.py
@@ -0,0 +1,58 @@
+"""Whether pending tasks could start here: on machines that exist, or on machines that can be launched."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from poppyhold.model.constraints import allowed_machine_types
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Job
+from poppyhold.model.resources import max_copies
+from poppyhold.scheduling.placement import may_use
+from poppyhold.wire.user_messages import Submission
+
+
+class FreeCapacityEstimate:
+    """Free capacity for pending tasks, reserved job by job; made anew for each measurement."""
+
+    def __init__(self, ctx: Context, can_launch: Callable[[Submission], bool]) -> None:
+        self._ctx, self._can_launch = ctx, can_launch
+        self._fits: dict[tuple[object, ...], bool] = {}
+        self._remaining: dict[tuple[object, ...], int] = {}
+
+    @staticmethod
+    def _kind(job: Job) -> tuple[object, ...]:
+        types = job.spec.machine_types
+        return job.task_resources, None if types is None else tuple(types), job.spec.zone, job.spec.spot
+
+    def fits_any_machine_type(self, job: Job) -> bool:
+        """Whether the job's tasks fit some machine type."""
+        kind = self._kind(job)
+        if kind not in self._fits:
+            self._fits[kind] = bool(allowed_machine_types(job.spec, self._ctx.machine_types.values()))
+        return self._fits[kind]
+
+    def reserve(self, job: Job, tasks: int) -> int:
+        """Reserve capacity for up to so many tasks, and return their number; a gang's all or none."""
+        kind = self._kind(job)
+        if kind not in self._remaining:
+            self._remaining[kind] = self._count(job)
+        found = min(tasks, self._remaining[kind])
+        if found < tasks and self._can_launch(job.spec):
+            found = tasks
+        elif job.is_gang and found < tasks:
+            return 0
+        self._remaining[kind] -= min(found, self._remaining[kind])
+        return found
+
+    def _count(self, job: Job) -> int:
+        """Tasks for which existing machines have free capacity, a bounded number."""
+        count, max_count = 0, self._ctx.settings.settings.machine_limits.machines
+        for machine in self._ctx.fleet.machines.values():
+            unavailable = machine.quarantined or machine.draining or machine.deleting
+            if unavailable or machine.preempted_at is not None or not may_use(job, machine):
+                continue
+            count += max_copies(job.task_resources, machine.free, max_count - count)
+            if count >= max_count:
+                break
+        return count
--- /dev/null
+++ b/src/poppyhold/quota/ledger.py
@@ -0,0 +1,278 @@
+"""The allocation ledger of one cell for one term of its leader: initial records, debits and credits.
+
+No I/O and no clock: commits go out through ``commit`` and return through its callback, on the same thread.
+One commit is in progress at a time, and one with an unknown outcome is repeated by the committer under a new
+fence until it certainly was carried out (`durable.committer.FencedWriter`). Starts are never planned against
+more than what is durable:
+
+- a debit lowers the allocation in force before its write is sent;
+- a credit raises it only when its write is known to be durable.
+
+An amount that was debited from one cell's record and not yet credited to the other's belongs to no cell.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping
+
+import msgspec
+
+from poppyhold.durable.changes import Entry, Put, Write, put_record
+from poppyhold.quota.amounts import TeamAllocation, TeamAmount
+from poppyhold.quota.apportionment import InitialAllocation
+from poppyhold.quota.errors import SequenceError, UnknownIncarnationError, WrongCellError
+from poppyhold.quota.ledger_commits import Commit, LedgerCommits
+from poppyhold.quota.records import (
+    ALLOCATION,
+    IDENTITY,
+    PEER,
+    AllocationRecord,
+    IdentityRecord,
+    PeerRecord,
+    Transfer,
+    allocation_key,
+)
+from poppyhold.wire.codec import convert
+
+
+class AllocationLedger:
+    """All allocations of this cell, and the transfers between it and the other cells."""
+
+    def __init__(
+        self,
+        cell: str,
+        new_incarnation: Callable[[], str],
+        commit: Commit,
+        on_changed: Callable[[str], None],
+        on_inconsistent: Callable[[str], None],
+    ) -> None:
+        """``on_changed`` is called with each team whose allocation in force has changed.
+
+        ``on_inconsistent`` is called when the records are not the expected ones: the next leader reads them
+        again.
+        """
+        self.cell = cell
+        self._new_incarnation, self._on_changed = new_incarnation, on_changed
+        self._commits = LedgerCommits(commit, on_inconsistent)
+        self.identity: IdentityRecord | None = None
+        # In force, by team.
+        self._records: dict[str, AllocationRecord] = {}
+        self._peers: dict[str, PeerRecord] = {}
+        # Cells whose transfer is not known to be durable: it is not sent yet.
+        self._uncommitted_transfers: set[str] = set()
+
+    # -- what is in force ------------------------------------------------------------------------------
+
+    @property
+    def commit_in_progress(self) -> bool:
+        """Whether a commit is in progress: no other one can start."""
+        return self._commits.in_progress
+
+    @property
+    def committed_changes(self) -> int:
+        """Records written in this term, for display."""
+        return self._commits.committed_changes
+
+    @property
+    def incarnation(self) -> str:
+        """The incarnation of this cell's records; empty until they are durable."""
+        return self.identity.incarnation if self.identity is not None else ""
+
+    @property
+    def records(self) -> Mapping[str, AllocationRecord]:
+        """The allocations in force, by team."""
+        return self._records
+
+    @property
+    def peers(self) -> Mapping[str, PeerRecord]:
+        """The transfers between this cell and each other one."""
+        return self._peers
+
+    def allocation(self, team: str) -> TeamAllocation | None:
+        """A team's allocation in force; None before its record is created."""
+        record = self._records.get(team)
+        return record.allocation if record is not None else None
+
+    def last_applied_from(self, peer: str) -> int:
+        """The number of the last transfer from a cell that is durable here."""
+        record = self._peers.get(peer)
+        return record.applied if record is not None else 0
+
+    def transfer_in_transit_to(self, peer: str) -> Transfer | None:
+        """The durable transfer in transit to a cell."""
+        record = self._peers.get(peer)
+        return record.in_transit if record is not None and peer not in self._uncommitted_transfers else None
+
+    # -- the beginning of a term -----------------------------------------------------------------------
+
+    def load(self, entries: Iterable[Entry]) -> None:
+        """Load the durable records, as a new leader read them."""
+        for entry in entries:
+            if entry.key == IDENTITY:
+                self.identity = convert(entry.data, IdentityRecord)
+            elif entry.key.startswith(ALLOCATION):
+                record = convert(entry.data, AllocationRecord)
+                self._records[record.team] = record
+            elif entry.key.startswith(PEER):
+                self._peers[entry.key.removeprefix(PEER)] = convert(entry.data, PeerRecord)
+        for team in self._records:
+            self._on_changed(team)
+
+    def check_identity(self) -> None:
+        """Raise `WrongCellError` if the records belong to a cell with another name."""
+        if self.identity is not None and self.identity.cell != self.cell:
+            raise WrongCellError(f"the records here are those of cell {self.identity.cell!r}")
+
+    def create_missing(self, initial: Mapping[str, InitialAllocation], max_records: int) -> bool:
+        """Create up to ``max_records`` missing records, each on the condition that it is absent.
+
+        Returns False if none is missing. An existing record holds, whatever the settings say today.
+        """
+        missing = [team for team in initial if team not in self._records]
+        if self.identity is not None and not missing:
+            return False
+        if self.commit_in_progress:
+            return True
+        conditions: dict[str, int] = {}
+        writes: list[Write] = []
+        identity = self.identity
+        if identity is None:
+            identity = IdentityRecord(self.cell, self._new_incarnation())
+            conditions[IDENTITY] = 0
+            writes.append(put_record(IDENTITY, identity))
+        created = missing[: max(0, max_records - len(writes))]
+        records = [AllocationRecord(team, *initial[team]) for team in created]
+        for record in records:
+            conditions[allocation_key(record.team)] = 0
+            writes.append(_put_allocation(record))
+
+        def on_committed() -> None:
+            self.identity = identity
+            self._set_in_force(records)
+
+        self._commits.start(conditions, writes, on_committed)
+        return True
+
+    # -- transfers -------------------------------------------------------------------------------------
+
+    def check_peer(self, peer: str, incarnation: str) -> None:
+        """Raise `UnknownIncarnationError` if a cell's records are not those of the earlier transfers."""
+        known = self._peers.get(peer)
+        if not incarnation or (known is not None and known.incarnation != incarnation):
+            raise UnknownIncarnationError(f"cell {peer} has other records than before")
+
+    def can_debit(self, peer: str) -> bool:
+        """Whether a transfer to a cell may start now: there is one at a time to each."""
+        known = self._peers.get(peer)
+        return not self.commit_in_progress and (known is None or known.in_transit is None)
+
+    def debit(self, peer: str, incarnation: str, amounts: Mapping[str, TeamAmount]) -> bool:
+        """Start a transfer of parts of teams' allocations to a cell; False if that is not possible now.
+
+        The allocations in force are lowered at once. The caller has checked that everything of each team
+        that may still run stays within the rest.
+        """
+        records = {team: self._records[team] for team in amounts if team in self._records}
+        covered = all(record.allocation.has(amounts[team]) for team, record in records.items())
+        if not self.can_debit(peer) or not amounts or len(records) < len(amounts) or not covered:
+            return False
+        self.check_peer(peer, incarnation)
+        before = self._peers.get(peer) or PeerRecord(incarnation)
+        transfer = Transfer(before.sent + 1, dict(amounts))
+        debited = [
+            _changed(record, record.allocation.minus(amounts[team])) for team, record in records.items()
+        ]
+        peer_record = msgspec.structs.replace(before, sent=transfer.number, in_transit=transfer)
+        self._apply_debits(debited)
+        self._peers[peer] = peer_record
+        self._uncommitted_transfers.add(peer)
+        writes = [*map(_put_allocation, debited), _put_peer(peer, peer_record)]
+        self._commits.start({}, writes, lambda: self._uncommitted_transfers.discard(peer))
+        return True
+
+    def _apply_debits(self, debited: Iterable[AllocationRecord]) -> None:
+        """Stop planning against debited amounts, before anything is written."""
+        self._set_in_force(debited)
+
+    def acknowledge(self, peer: str, incarnation: str, applied: int) -> None:
+        """Note up to which number a cell has applied our transfers: those are no longer kept here.
+
+        Raises:
+            QuotaProtocolError: it cannot have applied so many, or has other records than before.
+        """
+        known = self._peers.get(peer)
+        if known is None:
+            if applied:
+                raise SequenceError(f"cell {peer} has applied transfer {applied}, and none is known here")
+            return
+        self.check_peer(peer, incarnation)
+        if applied > known.sent or (peer in self._uncommitted_transfers and applied == known.sent):
+            raise SequenceError(f"cell {peer} has applied transfer {applied} of {known.sent}")
+        if known.in_transit is None or applied < known.sent or self.commit_in_progress:
+            return
+        peer_record = msgspec.structs.replace(known, in_transit=None)
+
+        def on_committed() -> None:
+            self._peers[peer] = peer_record
+
+        self._commits.start({}, [_put_peer(peer, peer_record)], on_committed)
+
+    def credit(self, peer: str, incarnation: str, transfer: Transfer) -> bool:
+        """Apply a cell's transfer once; False if it was applied before, or has to be sent again.
+
+        The allocations in force are raised when this is durable.
+
+        Raises:
+            QuotaProtocolError: an earlier transfer is missing, or the cell has other records than before.
+        """
+        known = self._peers.get(peer)
+        self.check_peer(peer, incarnation)
+        before = known or PeerRecord(incarnation)
+        if not self._is_next_in_sequence(before, transfer):
+            return False
+        if self.commit_in_progress or not transfer.amounts.keys() <= self._records.keys():
+            return False
+        records = [self._records[team] for team in transfer.amounts]
+        credited = [_changed(each, each.allocation.plus(transfer.amounts[each.team])) for each in records]
+        peer_record = msgspec.structs.replace(before, applied=transfer.number)
+
+        def on_committed() -> None:
+            self._peers[peer] = peer_record
+            self._set_in_force(credited)
+
+        self._commit_credits(credited, peer_record, peer, on_committed)
+        return True
+
+    @staticmethod
+    def _is_next_in_sequence(before: PeerRecord, transfer: Transfer) -> bool:
+        """Whether a transfer is the next one; one at or below the last applied number is a repeat."""
+        if transfer.number > before.applied + 1:
+            raise SequenceError(f"transfer {transfer.number} came after {before.applied}")
+        return transfer.number == before.applied + 1
+
+    def _commit_credits(
+        self,
+        credited: Iterable[AllocationRecord],
+        peer_record: PeerRecord,
+        peer: str,
+        on_committed: Callable[[], None],
+    ) -> None:
+        """Write credits together with the transfer's number; they count only once they are durable."""
+        self._commits.start({}, [*map(_put_allocation, credited), _put_peer(peer, peer_record)], on_committed)
+
+    def _set_in_force(self, records: Iterable[AllocationRecord]) -> None:
+        for record in records:
+            self._records[record.team] = record
+            self._on_changed(record.team)
+
+
+def _changed(record: AllocationRecord, allocation: TeamAllocation) -> AllocationRecord:
+    return msgspec.structs.replace(record, allocation=allocation, version=record.version + 1)
+
+
+def _put_allocation(record: AllocationRecord) -> Put:
+    return put_record(allocation_key(record.team), record)
+
+
+def _put_peer(peer: str, record: PeerRecord) -> Put:
+    return put_record(PEER + peer, record)
--- a/src/poppyhold/quota/link.py
+++ b/src/poppyhold/quota/link.py
@@ -16,13 +16,13 @@
 import msgspec
 
 from poppyhold.quota.cells import Cell
-from poppyhold.quota.messages import Answer, NotLeading, ShareReply, ShareRequest
+from poppyhold.quota.messages import NotLeading, QuotaResponse, TransferRequest, TransferResponse
 from poppyhold.settings import split_address
 from poppyhold.wire.frames import receive, send
 
 log = logging.getLogger(__name__)
 
-_answer_decoder: msgspec.msgpack.Decoder[Answer] = msgspec.msgpack.Decoder(Answer)
+_answer_decoder: msgspec.msgpack.Decoder[QuotaResponse] = msgspec.msgpack.Decoder(QuotaResponse)
 # Ratios to the interval of workers' reports: between requests with nothing to ask for, with something, and
 # while a step is under way; and the shortest and longest wait behind a failure.
 _IDLE, _WANTING, _IN_PROGRESS = 1.0, 0.25, 0.02
@@ -35,7 +35,7 @@
     """The other side can't be talked to."""
 
 
-def exchange(address: str, request: msgspec.Struct, timeout_s: float) -> Answer:
+def exchange(address: str, request: msgspec.Struct, timeout_s: float) -> QuotaResponse:
     """Send one message over a new connection, and return the answer.
 
     Raises:
@@ -50,10 +50,10 @@
     """The newest request to each cell: the decision thread writes it, the links' threads wait for news."""
 
     def __init__(self) -> None:
-        self._requests: dict[str, ShareRequest] = {}
+        self._requests: dict[str, TransferRequest] = {}
         self._changed = threading.Condition()
 
-    def publish(self, requests: dict[str, ShareRequest]) -> None:
+    def publish(self, requests: dict[str, TransferRequest]) -> None:
         """Replace the requests; whoever waits wakes up if there is something new to ask for."""
         if requests is self._requests:
             return
@@ -62,11 +62,11 @@
             if any(_is_news(before.get(cell), request) for cell, request in requests.items()):
                 self._changed.notify_all()
 
-    def latest(self, cell: str) -> ShareRequest | None:
+    def latest(self, cell: str) -> TransferRequest | None:
         """The request that is to be sent to a cell now."""
         return self._requests.get(cell)
 
-    def wait(self, cell: str, sent: ShareRequest | None, timeout_s: float) -> None:
+    def wait(self, cell: str, sent: TransferRequest | None, timeout_s: float) -> None:
         """Wait until there is something else to ask a cell for, or the time is over."""
         with self._changed:
             self._changed.wait_for(lambda: _is_news(sent, self._requests.get(cell)), timeout_s)
@@ -77,10 +77,10 @@
             self._changed.notify_all()
 
 
-def _is_news(before: ShareRequest | None, after: ShareRequest | None) -> bool:
+def _is_news(before: TransferRequest | None, after: TransferRequest | None) -> bool:
     if before is None or after is None:
         return after is not before
-    return before.applied != after.applied or before.wants != after.wants
+    return before.applied != after.applied or before.unmet_demands != after.unmet_demands
 
 
 class CellLink:
@@ -90,12 +90,12 @@
         self,
         cell: Cell,
         board: RequestBoard,
-        on_reply: Callable[[ShareReply], None],
+        on_reply: Callable[[TransferResponse], None],
         heartbeat_interval_s: float,
         timeout_s: float,
         rng: random.Random,
     ) -> None:
-        self._cell, self._board, self._on_reply = cell, board, on_reply
+        self._cell, self._board, self._on_response = cell, board, on_reply
         self._heartbeat_interval_s, self._timeout_s, self._rng = heartbeat_interval_s, timeout_s, rng
         self._next = rng.randrange(len(cell.controllers))
         self._connection: socket.socket | None = None
@@ -120,37 +120,37 @@
                 self._board.wait(self._cell.name, None, self._heartbeat_interval_s)
                 continue
             try:
-                reply = self._ask(request)
+                reply = self._request(request)
             except (OSError, ValueError, msgspec.MsgspecError, LinkError) as error:
-                self._failed(error)
+                self._note_failure(error)
                 continue
             except Exception:
                 log.exception("cell %s", self._cell.name)
-                self._failed(LinkError("see above"))
+                self._note_failure(LinkError("see above"))
                 continue
-            self._answered()
-            self._on_reply(reply)
-            pause = _IN_PROGRESS if reply.in_progress else _WANTING if request.wants else _IDLE
+            self._note_success()
+            self._on_response(reply)
+            pause = _IN_PROGRESS if reply.in_progress else _WANTING if request.unmet_demands else _IDLE
             # The reply's effects are news by themselves; what is asked again and again keeps to a pace.
             self._stop.wait(self._heartbeat_interval_s * _IN_PROGRESS)
             self._board.wait(self._cell.name, request, self._heartbeat_interval_s * pause)
         self._close()
 
-    def _ask(self, request: ShareRequest) -> ShareReply:
+    def _request(self, request: TransferRequest) -> TransferResponse:
         for _ in range(_MOST_HOPS):
             answer = self._exchange(request)
-            if isinstance(answer, ShareReply):
+            if isinstance(answer, TransferResponse):
                 if answer.cell != self._cell.name:
                     raise LinkError(f"cell {answer.cell!r} answered")
                 return answer
             if not isinstance(answer, NotLeading):
                 raise LinkError(f"answered with {type(answer).__name__}")
             self._close()
-            if not self._turn_to(answer.member):
+            if not self._select_controller(answer.member):
                 break
         raise LinkError("nobody leads there")
 
-    def _exchange(self, request: ShareRequest) -> Answer:
+    def _exchange(self, request: TransferRequest) -> QuotaResponse:
         if self._connection is None:
             address = split_address(self._cell.controllers[self._next].address)
             self._connection = socket.create_connection(address, timeout=self._timeout_s)
@@ -158,7 +158,7 @@
         send(self._connection, request)
         return receive(self._connection, _answer_decoder)
 
-    def _turn_to(self, member: str) -> bool:
+    def _select_controller(self, member: str) -> bool:
         """Ask that controller from now on; False if it is not known here, and the next one's turn it is."""
         for index, controller in enumerate(self._cell.controllers):
             if controller.member == member and index != self._next:
@@ -166,12 +166,12 @@
                 return True
         return False
 
-    def _answered(self) -> None:
+    def _note_success(self) -> None:
         if self._failures:
             log.info("cell %s is back", self._cell.name)
         self._failures = 0
 
-    def _failed(self, error: Exception) -> None:
+    def _note_failure(self, error: Exception) -> None:
         self._close()
         if not self._failures:
             log.warning("cell %s can't be reached: %s", self._cell.name, error)
@@ -192,7 +192,7 @@
     def __init__(
         self,
         cells: tuple[Cell, ...],
-        on_reply: Callable[[ShareReply], None],
+        on_reply: Callable[[TransferResponse], None],
         heartbeat_interval_s: float,
         timeout_s: float,
         rng: random.Random,
@@ -216,6 +216,6 @@
         for link in self._links:
             link.stop()
 
-    def publish(self, requests: dict[str, ShareRequest]) -> None:
+    def publish(self, requests: dict[str, TransferRequest]) -> None:
         """What to ask the cells from now on."""
         self._board.publish(requests)
--- a/src/poppyhold/quota/messages.py
+++ b/src/poppyhold/quota/messages.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from poppyhold.quota.amounts import ResourceAmount, TeamShare
+from poppyhold.quota.amounts import ResourceAmount, TeamAllocation
 from poppyhold.quota.records import Transfer
 
 PROTOCOL_VERSION = 1
 
 
-class Want(msgspec.Struct, frozen=True, array_like=True):
+class UnmetDemand(msgspec.Struct, frozen=True, array_like=True):
     """What a cell could use of a team's share beyond its own: guaranteed, and of the limit in all."""
 
     team: str
@@ -29,7 +29,7 @@
         return bool(self.cpus_guaranteed or self.accelerators_guaranteed)
 
     @property
-    def is_nothing(self) -> bool:
+    def is_zero(self) -> bool:
         """Whether nothing is wanted."""
         return not (self.is_guaranteed or self.cpus_limit or self.accelerators_limit)
 
@@ -38,8 +38,8 @@
     """A team in one cell: its share, what may be in use of it, and what the cell could give away."""
 
     team: str
-    share: TeamShare
-    whole: TeamShare
+    allocation: TeamAllocation
+    total: TeamAllocation
     cpus_used: int = 0
     accelerators_used: int = 0
     cpus_spare: ResourceAmount = ResourceAmount()
@@ -65,7 +65,7 @@
     alarms: list[str] = []
 
 
-class ShareRequest(msgspec.Struct, frozen=True, array_like=True, tag="share"):
+class TransferRequest(msgspec.Struct, frozen=True, array_like=True, tag="share"):
     """A leader asks another cell's: also how that one hears what was applied."""
 
     version: int
@@ -78,11 +78,11 @@
     to_incarnation: str
     # The number of the last of the other cell's transfers that is durable here.
     applied: int
-    wants: list[Want] = []
+    unmet_demands: list[UnmetDemand] = []
     view: CellView | None = None
 
 
-class ShareReply(msgspec.Struct, frozen=True, array_like=True, tag="shared"):
+class TransferResponse(msgspec.Struct, frozen=True, array_like=True, tag="shared"):
     """The other leader's answer."""
 
     cell: str
@@ -93,7 +93,7 @@
     in_progress: bool = False
     view: CellView | None = None
     # Why nothing is given; empty: it is not refused.
-    refused: str = ""
+    rejection: str = ""
 
 
 class NotLeading(msgspec.Struct, frozen=True, array_like=True, tag="elsewhere"):
@@ -106,7 +106,7 @@
     """An operator asks a cell's leader for what it knows of all cells."""
 
 
-class HeardView(msgspec.Struct, frozen=True, array_like=True):
+class RemoteCellView(msgspec.Struct, frozen=True, array_like=True):
     """Another cell as it was last heard, and seconds since then."""
 
     view: CellView
@@ -117,12 +117,12 @@
     """The leader's answer: its own cell, the others as last heard, and cells that were never heard."""
 
     own: CellView
-    others: list[HeardView] = []
+    others: list[RemoteCellView] = []
     uncontacted: list[str] = []
     # Teams whose share is too small for what waits, and settings that differ from the records.
     short: list[str] = []
     differing: list[str] = []
 
 
-Opening = ShareRequest | StatusRequest
-Answer = ShareReply | StatusReply | NotLeading
+QuotaRequest = TransferRequest | StatusRequest
+QuotaResponse = TransferResponse | StatusReply | NotLeading
--- a/src/poppyhold/quota/records.py
+++ b/src/poppyhold/quota/records.py
@@ -7,12 +7,12 @@
 import msgspec
 
 from poppyhold.durable.keys import QUOTA_PREFIX
-from poppyhold.quota.amounts import TeamAmount, TeamShare
+from poppyhold.quota.amounts import TeamAllocation, TeamAmount
 
 # One record: which cell this is, and the incarnation of its records.
 IDENTITY = QUOTA_PREFIX + "i"
 # A record for each team.
-SHARE = QUOTA_PREFIX + "s/"
+ALLOCATION = QUOTA_PREFIX + "s/"
 # A record for each other cell.
 PEER = QUOTA_PREFIX + "c/"
 
@@ -24,13 +24,13 @@
     incarnation: str = msgspec.field(name="i")
 
 
-class ShareRecord(msgspec.Struct, frozen=True):
+class AllocationRecord(msgspec.Struct, frozen=True):
     """A team's share in this cell."""
 
     team: str = msgspec.field(name="t")
-    share: TeamShare = msgspec.field(name="s")
+    allocation: TeamAllocation = msgspec.field(name="s")
     # What the team had over all cells as this was seeded.
-    whole: TeamShare = msgspec.field(name="w")
+    total: TeamAllocation = msgspec.field(name="w")
     # Rises with each change.
     version: int = msgspec.field(name="v", default=0)
 
@@ -55,6 +55,6 @@
     applied: int = msgspec.field(name="a", default=0)
 
 
-def share_key(team: str) -> str:
+def allocation_key(team: str) -> str:
     """The key of a team's share; keys hold no spaces."""
-    return SHARE + quote(team, safe="")
+    return ALLOCATION + quote(team, safe="")
--- a/src/poppyhold/quota/server.py
+++ b/src/poppyhold/quota/server.py
@@ -10,10 +10,10 @@
 from poppyhold.quota.cells import Cells
 from poppyhold.quota.messages import (
     PROTOCOL_VERSION,
-    Answer,
     NotLeading,
-    Opening,
-    ShareRequest,
+    QuotaRequest,
+    QuotaResponse,
+    TransferRequest,
 )
 from poppyhold.settings import Settings
 
@@ -26,7 +26,7 @@
 class LeadingTerm(Protocol):
     """What a term of leading does for other cells."""
 
-    def answer_cell(self, message: Opening, timeout_s: float) -> Answer | None:
+    def answer_cell(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
         """Answer a message; None if that can't be done in time."""
 
 
@@ -44,14 +44,14 @@
         self._leading_term, self._leader = leading_term, leader
         self._timeout_s = settings.settings.workers.lease_s / 12
         # Why each cell's last message was refused: logged once, not with each try.
-        self._last_refusals: dict[str, str] = {}
+        self._last_rejections: dict[str, str] = {}
 
     @property
-    def most_links(self) -> int:
+    def max_connections(self) -> int:
         """Connections that come beside those of our own cell's controllers."""
         return _LINKS_A_CELL * len(self._cells.others) if self._cells is not None else 0
 
-    def answer(self, message: Opening) -> Answer:
+    def answer(self, message: QuotaRequest) -> QuotaResponse:
         """The answer to a message.
 
         Raises:
@@ -59,7 +59,7 @@
         """
         if self._cells is None:
             raise ValueError("this fleet has one cell")
-        if isinstance(message, ShareRequest):
+        if isinstance(message, TransferRequest):
             self._check(self._cells, message)
         term = self._leading_term()
         if term is None:
@@ -70,19 +70,19 @@
             raise ValueError("the leader is not ready")
         return answered
 
-    def _check(self, cells: Cells, request: ShareRequest) -> None:
-        wrong = self._wrong(cells, request)
+    def _check(self, cells: Cells, request: TransferRequest) -> None:
+        wrong = self._rejection(cells, request)
         if not wrong:
-            self._last_refusals.pop(request.cell, None)
+            self._last_rejections.pop(request.cell, None)
             return
-        if self._last_refusals.get(request.cell) != wrong:
-            if len(self._last_refusals) <= len(cells.others):
-                self._last_refusals[request.cell] = wrong
+        if self._last_rejections.get(request.cell) != wrong:
+            if len(self._last_rejections) <= len(cells.others):
+                self._last_rejections[request.cell] = wrong
             log.warning("a message from cell %.80r is refused: %s", request.cell, wrong)
         raise ValueError(wrong)
 
     @staticmethod
-    def _wrong(cells: Cells, request: ShareRequest) -> str:
+    def _rejection(cells: Cells, request: TransferRequest) -> str:
         """Why a message can't be for us; empty if it can."""
         if request.version != PROTOCOL_VERSION:
             return f"version {request.version} of the protocol, {PROTOCOL_VERSION} is spoken here"
--- a/src/poppyhold/quota/status.py
+++ b/src/poppyhold/quota/status.py
@@ -7,10 +7,7 @@
 import msgspec
 
 from poppyhold.quota.amounts import from_units
-from poppyhold.quota.link import exchange
-from poppyhold.quota.messages import CellView, NotLeading, StatusReply, StatusRequest, TeamView
-from poppyhold.quota.records import Transfer
-from poppyhold.quota.totals import (
+from poppyhold.quota.consistency import (
     RESOURCES,
     amounts_of,
     are_of_one_moment,
@@ -18,6 +15,9 @@
     problems,
     transfers_in_transit,
 )
+from poppyhold.quota.link import exchange
+from poppyhold.quota.messages import CellView, NotLeading, StatusReply, StatusRequest, TeamView
+from poppyhold.quota.records import Transfer
 from poppyhold.settings import Settings
 
 # Exit statuses: all is well; an alarm stands, shares don't add up, or nobody could be asked.
@@ -129,7 +129,7 @@
 def _team_status(team: TeamView, moving: list[Transfer]) -> Iterator[ResourceStatus]:
     used = team.cpus_used, team.accelerators_used
     for index, name in enumerate(RESOURCES):
-        share, whole = parts_of(team.share)[index], parts_of(team.whole)[index]
+        share, whole = parts_of(team.allocation)[index], parts_of(team.total)[index]
         if not whole.guaranteed and whole.limit is None:
             continue
         coming = sum(amounts_of(each, team.team)[index].limit for each in moving)
--- a/src/poppyhold/scale/cell_checks.py
+++ b/src/poppyhold/scale/cell_checks.py
@@ -8,9 +8,9 @@
 
 from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.quota.amounts import from_units
+from poppyhold.quota.consistency import problems, transfers_in_transit
 from poppyhold.quota.messages import CellView, PeerView, TeamView
-from poppyhold.quota.records import IDENTITY, PEER, SHARE, IdentityRecord, PeerRecord, ShareRecord
-from poppyhold.quota.totals import problems, transfers_in_transit
+from poppyhold.quota.records import ALLOCATION, IDENTITY, PEER, AllocationRecord, IdentityRecord, PeerRecord
 from poppyhold.scale.cell_history import CellHistory, CellSample, LimitUse
 from poppyhold.scale.cell_links import CellNetwork
 from poppyhold.scale.checks import RuleChecks
@@ -41,9 +41,9 @@
         if key == IDENTITY:
             identity = convert(data, IdentityRecord)
             cell, incarnation = identity.cell, identity.incarnation
-        elif key.startswith(SHARE):
-            record = convert(data, ShareRecord)
-            teams.append(TeamView(record.team, record.share, record.whole))
+        elif key.startswith(ALLOCATION):
+            record = convert(data, AllocationRecord)
+            teams.append(TeamView(record.team, record.allocation, record.total))
         elif key.startswith(PEER):
             peer = convert(data, PeerRecord)
             peers.append(PeerView(key.removeprefix(PEER), peer.sent, peer.applied, peer.in_transit))
@@ -142,9 +142,9 @@
         """No cell may use more than its own durable share, cut off or not."""
         for run, view in zip(self._runs, views, strict=True):
             for team in view.teams:
-                if team.share.accelerators.limit is None:
+                if team.allocation.accelerators.limit is None:
                     continue
-                limit, used = from_units(team.share.accelerators.limit), run.checks.used[team.team]
+                limit, used = from_units(team.allocation.accelerators.limit), run.checks.used[team.team]
                 if used > limit + _SLACK:
                     self._break(f"share: {team.team} uses {used:g} of {limit:g} in {view.cell}")
 
@@ -189,7 +189,7 @@
 
 def _total_share(view: CellView) -> float:
     """Accelerators that all teams together may use in a cell."""
-    return from_units(sum(team.share.accelerators.limit or 0 for team in view.teams))
+    return from_units(sum(team.allocation.accelerators.limit or 0 for team in view.teams))
 
 
 # A task of one accelerator, the smallest that asks for a share of them.
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -13,10 +13,11 @@
 from poppyhold.durable.changes import Entry
 from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.options import Options
-from poppyhold.quota.amounts import UNIT, to_units, whole_share
+from poppyhold.quota.amounts import UNIT, to_units
+from poppyhold.quota.apportionment import total_allocation
 from poppyhold.quota.cells import Cell, CellController, Cells, check_cells
-from poppyhold.quota.messages import Answer, ShareReply, ShareRequest
-from poppyhold.quota.share_book import ShareBook
+from poppyhold.quota.ledger import AllocationLedger
+from poppyhold.quota.messages import QuotaResponse, TransferRequest, TransferResponse
 from quota_model import sum_problems
 from sim_node import STEP_S, SimLeaderTerm
 
@@ -30,7 +31,7 @@
 _CHECK_S = 0.5
 
 _opening_decoder: msgspec.msgpack.Decoder[Opening] = msgspec.msgpack.Decoder(Opening)
-_answer_decoder: msgspec.msgpack.Decoder[Answer] = msgspec.msgpack.Decoder(Answer)
+_answer_decoder: msgspec.msgpack.Decoder[QuotaResponse] = msgspec.msgpack.Decoder(QuotaResponse)
 
 
 class CellsWorld:
@@ -63,7 +64,7 @@
         self._unsaid: Counter[int] = Counter()
         self._check_at = 0.0
         team = next(team for team in self.worlds[0].settings.settings.teams if team.name == TEAM)
-        self._whole = whole_share(team)
+        self._whole = total_allocation(team)
 
     @property
     def now(self) -> float:
@@ -93,7 +94,7 @@
             request = quota.requests().get(name)
             if other == index or request is None or self.now < term.asks_at.get(other, 0.0):
                 continue
-            term.asks_at[other] = self.now + (_WANTING_S if request.wants else _IDLE_S)
+            term.asks_at[other] = self.now + (_WANTING_S if request.unmet_demands else _IDLE_S)
             data = msgspec.msgpack.encode(request)
             self._send(index, other, lambda data=data, other=other: self._arrive(index, term, other, data))  # type: ignore[misc]
 
@@ -115,7 +116,7 @@
             if node.leader_term is not None and node.alive and not node.frozen
         ]
         request = _opening_decoder.decode(data)
-        assert isinstance(request, ShareRequest)
+        assert isinstance(request, TransferRequest)
         if not terms:
             return
         term = self._rng.choice(terms)
@@ -131,24 +132,26 @@
         quota = term.controller.quota
         if not term.alive or not term.node.alive or term.node.frozen or quota is None:
             return
-        assert isinstance(reply, ShareReply)
-        quota.replied(reply)
+        assert isinstance(reply, TransferResponse)
+        quota.handle_response(reply)
         if reply.in_progress:
             term.asks_at[other] = self.now + _IN_PROGRESS_S
         term.settle()
 
     # -- what there is ---------------------------------------------------------------------------------
 
-    def _book(self, world: World) -> ShareBook:
+    def _book(self, world: World) -> AllocationLedger:
         """What is durable of a cell's shares."""
-        book = ShareBook("", str, lambda conditions, writes, done: None, lambda team: None, lambda why: None)
+        book = AllocationLedger(
+            "", str, lambda conditions, writes, done: None, lambda team: None, lambda why: None
+        )
         entries = world.state.scan(QUOTA_PREFIX, "", 1000)[1]["entries"]
         book.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
         return book
 
     def share(self, cell: int) -> float:
         """The limit of the team's accelerators in a cell."""
-        share = self._book(self.worlds[cell]).share(TEAM)
+        share = self._book(self.worlds[cell]).allocation(TEAM)
         return 0.0 if share is None else (share.accelerators.limit or 0) / UNIT
 
     def used(self) -> float:
@@ -191,7 +194,7 @@
             return
         self._check_at = self.now + _CHECK_S
         books = {name: self._book(world) for name, world in zip(self._names, self.worlds, strict=True)}
-        if self.cell_is_lost or any(book.share(TEAM) is None for book in books.values()):
+        if self.cell_is_lost or any(book.allocation(TEAM) is None for book in books.values()):
             return
         running = {
             name: 0 if index in self.without_file and self._says_so(index) else to_units(self._used(world))
--- a/tests/quota_model.py
+++ b/tests/quota_model.py
@@ -10,15 +10,16 @@
 from poppyhold.durable.errors import ConditionFailedError, OutcomeUnknownError, StoreRejectedError
 from poppyhold.durable.keys import LEADER_KEY, QUOTA_PREFIX
 from poppyhold.durable.store import Store, transaction_body
-from poppyhold.quota.amounts import UNIT, ResourceAmount, ResourceShare, TeamAmount, TeamShare, seed
-from poppyhold.quota.messages import PROTOCOL_VERSION, ShareReply, ShareRequest
+from poppyhold.quota.amounts import UNIT, ResourceAllocation, ResourceAmount, TeamAllocation, TeamAmount
+from poppyhold.quota.apportionment import InitialAllocation, initial_allocation
+from poppyhold.quota.ledger import AllocationLedger
+from poppyhold.quota.messages import PROTOCOL_VERSION, TransferRequest, TransferResponse
 from poppyhold.quota.records import Transfer
-from poppyhold.quota.share_book import ShareBook
 from poppyhold.scale.standins import StateStandIn
 
 TEAM = "alpha"
 CELLS = ("east", "north", "west")
-WHOLE = TeamShare(ResourceShare(), ResourceShare(4 * UNIT, 8 * UNIT))
+WHOLE = TeamAllocation(ResourceAllocation(), ResourceAllocation(4 * UNIT, 8 * UNIT))
 WEIGHTS = {"east": 5, "north": 3, "west": 2}
 
 
@@ -70,22 +71,24 @@
         self.store = ScriptedStore(cell.state, cell.late)
         self.writer = FencedWriter(self.store, lead_version)
         self.steps: list[tuple[dict[str, int], Sequence[Write], Callable[[bool], None]]] = []
-        self.deposed = self.unclear = False
-        self.book = ShareBook(cell.name, cell.draw, self._commit, lambda team: None, self._on_unclear)
+        self.lost_leadership = self.inconsistent = False
+        self.ledger = AllocationLedger(
+            cell.name, cell.draw, self._commit, lambda team: None, self._on_inconsistent
+        )
         entries = cell.state.scan(QUOTA_PREFIX, "", 1000)[1]["entries"]
-        self.book.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
+        self.ledger.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
 
     def _commit(
         self, conditions: dict[str, int], writes: Sequence[Write], done: Callable[[bool], None]
     ) -> None:
         self.steps.append((conditions, writes, done))
 
-    def _on_unclear(self, why: str) -> None:
-        self.unclear = True
+    def _on_inconsistent(self, why: str) -> None:
+        self.inconsistent = True
 
     def carry_out(self, outcome: Outcome = Outcome.ANSWERED) -> None:
         """One try of the first step that waits."""
-        if not self.steps or self.deposed:
+        if not self.steps or self.lost_leadership:
             return
         conditions, writes, done = self.steps[0]
         self.store.outcome = outcome
@@ -93,7 +96,7 @@
             self.writer.commit(conditions, writes)
         except ConditionFailedError as conflict:
             if LEADER_KEY in conflict.failed_keys:
-                self.deposed = True
+                self.lost_leadership = True
                 return
             result = False
         except (StoreRejectedError, OutcomeUnknownError):
@@ -105,50 +108,52 @@
 
     def limit(self) -> int:
         """The limit that starts are planned against."""
-        share = self.book.share(TEAM)
+        share = self.ledger.allocation(TEAM)
         return 0 if share is None else share.accelerators.limit or 0
 
     def idle(self) -> int:
         """What lies above all that may run."""
         return max(0, self.limit() - self.cell.running)
 
-    def give(self, peer: ModelCell, units: int) -> bool:
+    def debit(self, peer: ModelCell, units: int) -> bool:
         """Give up to so many units of what is idle, guaranteed ones first."""
-        share = self.book.share(TEAM)
-        if share is None or self.deposed or peer.leader is None:
+        share = self.ledger.allocation(TEAM)
+        if share is None or self.lost_leadership or peer.leader is None:
             return False
         idle = min(units, self.idle())
         guaranteed = min(idle, share.accelerators.guaranteed)
         part = ResourceAmount(guaranteed, min(idle - guaranteed, share.accelerators.borrowable or 0))
         amount = TeamAmount(accelerators=part)
-        if amount.is_nothing:
+        if amount.is_zero:
             return False
-        return self.book.give(peer.name, peer.incarnation, {TEAM: amount})
+        return self.ledger.debit(peer.name, peer.incarnation, {TEAM: amount})
 
-    def request(self, peer: str) -> ShareRequest:
+    def request(self, peer: str) -> TransferRequest:
         """What this leader tells another cell's."""
-        known = self.book.peers.get(peer)
-        return ShareRequest(
+        known = self.ledger.peers.get(peer)
+        return TransferRequest(
             PROTOCOL_VERSION,
             self.cell.name,
             peer,
             "",
-            self.book.incarnation,
+            self.ledger.incarnation,
             known.incarnation if known is not None else "",
-            self.book.applied(peer),
+            self.ledger.last_applied_from(peer),
         )
 
-    def answer(self, request: ShareRequest) -> ShareReply:
+    def answer(self, request: TransferRequest) -> TransferResponse:
         """The answer to another cell's leader, without what it wants."""
-        self.book.check_peer(request.cell, request.incarnation)
-        self.book.acknowledged(request.cell, request.incarnation, request.applied)
-        return ShareReply(self.cell.name, self.book.incarnation, self.book.transfer_to(request.cell))
+        self.ledger.check_peer(request.cell, request.incarnation)
+        self.ledger.acknowledge(request.cell, request.incarnation, request.applied)
+        return TransferResponse(
+            self.cell.name, self.ledger.incarnation, self.ledger.transfer_in_transit_to(request.cell)
+        )
 
-    def take(self, reply: ShareReply) -> None:
+    def handle_response(self, reply: TransferResponse) -> None:
         """Another cell's answer arrives."""
-        self.book.check_peer(reply.cell, reply.incarnation)
+        self.ledger.check_peer(reply.cell, reply.incarnation)
         if reply.transfer is not None:
-            self.book.receive(reply.cell, reply.incarnation, reply.transfer)
+            self.ledger.credit(reply.cell, reply.incarnation, reply.transfer)
 
 
 class ModelCell:
@@ -165,7 +170,8 @@
         self._drawn = 0
         self.elect()
         assert self.leader is not None
-        self.leader.book.seed({TEAM: (seed(WHOLE, WEIGHTS, name), WHOLE)}, 10)
+        first = InitialAllocation(initial_allocation(WHOLE, WEIGHTS, name), WHOLE)
+        self.leader.ledger.create_missing({TEAM: first}, 10)
         self.leader.carry_out()
 
     @property
@@ -196,14 +202,14 @@
 
 
 def sum_problems(
-    books: dict[str, ShareBook], team: str, whole: TeamShare, running: dict[str, int]
+    books: dict[str, AllocationLedger], team: str, whole: TeamAllocation, running: dict[str, int]
 ) -> list[str]:
     """Why durable shares and what is on its way are not what they must be, for a team's accelerators."""
     found = []
     guaranteed = borrowable = 0
     for cell, book in books.items():
-        share = book.share(team)
-        part = share.accelerators if share is not None else ResourceShare(0, 0)
+        share = book.allocation(team)
+        part = share.accelerators if share is not None else ResourceAllocation(0, 0)
         guaranteed += part.guaranteed
         borrowable += part.borrowable or 0
         if part.guaranteed < 0 or (part.borrowable or 0) < 0:
@@ -212,7 +218,7 @@
             found.append(f"{cell} runs {running[cell]} of {part.limit}")
         for peer, record in book.peers.items():
             transfer = record.in_transit
-            if transfer is not None and transfer.number > books[peer].applied(cell):
+            if transfer is not None and transfer.number > books[peer].last_applied_from(cell):
                 guaranteed += transfer.amounts[team].accelerators.guaranteed
                 borrowable += transfer.amounts[team].accelerators.borrowable
     if (guaranteed, borrowable) != (whole.accelerators.guaranteed, whole.accelerators.borrowable):
@@ -225,7 +231,7 @@
 
     def __init__(self) -> None:
         self.cells = [ModelCell(name) for name in CELLS]
-        self.network: list[tuple[ModelCell, ShareRequest | ShareReply]] = []
+        self.network: list[tuple[ModelCell, TransferRequest | TransferResponse]] = []
 
     def ask(self, index: int, other: int, by_former: bool = False) -> None:
         """A leader asks another cell's; also one that was deposed may."""
@@ -243,8 +249,8 @@
         leader = cell.former[-1] if to_former and cell.former else cell.leader
         if leader is None:
             return
-        if isinstance(message, ShareReply):
-            leader.take(message)
+        if isinstance(message, TransferResponse):
+            leader.handle_response(message)
             return
         back = next(each for each in self.cells if each.name == message.cell)
         self.network.append((back, leader.answer(message)))
@@ -267,10 +273,10 @@
 
     def problems(self) -> list[str]:
         """What must never be, by what is durable now."""
-        books = {cell.name: cell.durable().book for cell in self.cells}
+        books = {cell.name: cell.durable().ledger for cell in self.cells}
         found = sum_problems(books, TEAM, WHOLE, {cell.name: cell.running for cell in self.cells})
         for cell in self.cells:
-            share = books[cell.name].share(TEAM)
+            share = books[cell.name].allocation(TEAM)
             durable = 0 if share is None else share.accelerators.limit or 0
             if cell.leader is not None and cell.leader.limit() > durable:
                 found.append(f"{cell.name} plans with {cell.leader.limit()} of {durable}")
@@ -281,7 +287,7 @@
         return [
             f"{cell.name} to {peer}"
             for cell in self.cells
-            for peer, record in cell.durable().book.peers.items()
+            for peer, record in cell.durable().ledger.peers.items()
             if record.in_transit is not None
         ]
 
@@ -295,13 +301,13 @@
 
 
 def join_at_once(
-    self: ShareBook, raised: object, link: object, peer: object, durable: Callable[[], None]
+    self: AllocationLedger, raised: object, link: object, peer: object, durable: Callable[[], None]
 ) -> None:
     """What is taken counts before it is durable."""
     durable()
 
 
-def told_at_once(self: ShareBook, peer: str) -> Transfer | None:
+def told_at_once(self: AllocationLedger, peer: str) -> Transfer | None:
     """A transfer is told before it is durable."""
     record = self.peers.get(peer)
     return record.in_transit if record is not None else None
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -12,11 +12,14 @@
 from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.model.fleet import Fleet
 from poppyhold.model.resources import NO_RESOURCES, Resources
-from poppyhold.quota.amounts import ResourceAmount, ResourceShare
-from poppyhold.quota.cell_quota import CellQuota
-from poppyhold.quota.demand import DemandMonitor, RecentPeak, ResourceDemand
-from poppyhold.quota.hold_times import HoldTimes
-from poppyhold.quota.share_book import ShareBook
+from poppyhold.quota.amounts import ResourceAllocation, ResourceAmount
+from poppyhold.quota.cell_service import CellQuotaService
+from poppyhold.quota.demand import ResourceDemand
+from poppyhold.quota.demand_monitor import DemandMonitor
+from poppyhold.quota.ledger import AllocationLedger
+from poppyhold.quota.message_checks import MessageChecks
+from poppyhold.quota.recent_peak import RecentPeak
+from poppyhold.quota.retention import RetentionTimes
 from poppyhold.scheduling.dispatch import Dispatcher
 from poppyhold.scheduling.quotas import Quotas, TeamQuota
 from quota_model import always_next, join_at_once, told_at_once
@@ -43,7 +46,7 @@
     """Starts go by the whole limit, whatever the share is."""
 
 
-def _nothing_kept(self: ResourceDemand, waiting: int, is_stuck: bool) -> int:
+def _nothing_kept(self: ResourceDemand, pending: int, is_stalled: bool) -> int:
     return 0
 
 
@@ -59,11 +62,11 @@
     return True
 
 
-def _unreconciled(self: ShareBook, peer: str, incarnation: str, applied: int) -> None:
+def _unreconciled(self: AllocationLedger, peer: str, incarnation: str, applied: int) -> None:
     """What another cell has applied is not taken note of."""
 
 
-def _any_peer(self: ShareBook, peer: str, incarnation: str) -> None:
+def _any_peer(self: AllocationLedger, peer: str, incarnation: str) -> None:
     """Another cell's records are taken for those of before, whatever they are."""
 
 
@@ -71,7 +74,7 @@
     return 0
 
 
-def _unchecked(self: CellQuota) -> None:
+def _unchecked(self: CellQuotaService) -> None:
     return None
 
 
@@ -80,39 +83,39 @@
     writer._store.commit(own, writes)
 
 
-def _all_that_waits_kept(self: ResourceDemand, waiting: int, is_stuck: bool) -> int:
-    return max(self.may_run + self.waiting, self.peak)
+def _all_that_waits_kept(self: ResourceDemand, pending: int, is_stalled: bool) -> int:
+    return max(self.may_run + self.pending, self.peak)
 
 
-def _all_of_it(self: ResourceShare, reserved: ResourceShare) -> ResourceAmount:
+def _all_of_it(self: ResourceAllocation, reserved: ResourceAllocation) -> ResourceAmount:
     return ResourceAmount(self.guaranteed, self.borrowable or 0)
 
 
-def _shortest_hold(self: HoldTimes, team: str, now: float) -> float:
+def _shortest_retention(self: RetentionTimes, team: str, now: float) -> float:
     return self._shortest_s
 
 
 # Guard that is taken out -> scenario that must then break a rule or miss what it expects.
 GUARDS = [
     Guard("last_accelerator", Quotas, "set", _settings_alone),
-    Guard("cancelled_still_counts", ResourceDemand, "kept", _nothing_kept),
+    Guard("cancelled_still_counts", ResourceDemand, "retained", _nothing_kept),
     Guard("unheard_machine_counts", Fleet, "unaccounted_resources", _no_unknown_use),
-    Guard("two_gangs_with_half_each", DemandMonitor, "_is_stuck", _never),
-    Guard("without_the_file", CellQuota, "_check_use", _unchecked),
-    Guard("late_writes_and_messages", ShareBook, "_is_next", always_next),
-    Guard("leader_killed_in_transfer", ShareBook, "_join", join_at_once),
+    Guard("two_gangs_with_half_each", DemandMonitor, "_is_stalled", _never),
+    Guard("without_the_file", CellQuotaService, "_check_use", _unchecked),
+    Guard("late_writes_and_messages", AllocationLedger, "_is_next_in_sequence", always_next),
+    Guard("leader_killed_in_transfer", AllocationLedger, "_commit_credits", join_at_once),
     Guard("leader_frozen_in_transfer", FencedWriter, "commit", _without_lead),
-    Guard("two_leaders", ShareBook, "transfer_to", told_at_once),
-    Guard("state_outage_in_transfer", ShareBook, "_join", join_at_once),
-    Guard("cut_in_one_direction", ShareBook, "acknowledged", _unreconciled),
-    Guard("share_moves", ShareBook, "acknowledged", _unreconciled),
+    Guard("two_leaders", AllocationLedger, "transfer_in_transit_to", told_at_once),
+    Guard("state_outage_in_transfer", AllocationLedger, "_commit_credits", join_at_once),
+    Guard("cut_in_one_direction", AllocationLedger, "acknowledge", _unreconciled),
+    Guard("share_moves", AllocationLedger, "acknowledge", _unreconciled),
     Guard("gang_at_the_edge", Dispatcher, "_gang_within_limit", _always),
     Guard("steady_and_alternating", RecentPeak, "note", _nothing_of_late),
-    Guard("steady_and_alternating", HoldTimes, "seconds", _shortest_hold),
-    Guard("waiting_without_room", ResourceDemand, "kept", _all_that_waits_kept),
-    Guard("reserve_while_cut_off", ResourceShare, "beyond", _all_of_it),
-    Guard("wrong_cell", CellQuota, "_is_other_cell", _never),
-    Guard("lost_cell", ShareBook, "check_peer", _any_peer),
+    Guard("steady_and_alternating", RetentionTimes, "seconds", _shortest_retention),
+    Guard("waiting_without_room", ResourceDemand, "retained", _all_that_waits_kept),
+    Guard("reserve_while_cut_off", ResourceAllocation, "excess_over", _all_of_it),
+    Guard("wrong_cell", MessageChecks, "is_wrong_cell", _never),
+    Guard("lost_cell", AllocationLedger, "check_peer", _any_peer),
 ]
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -15,8 +15,7 @@
 from poppyhold.cluster.peers import Opening, Peers, Ping, Pong, receive_opening
 from poppyhold.node.service import Node
 from poppyhold.options import Options
-from poppyhold.quota.messages import Answer as QuotaAnswer
-from poppyhold.quota.messages import Opening as QuotaOpening
+from poppyhold.quota.messages import QuotaRequest, QuotaResponse
 from poppyhold.scale.controllers import free_port
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.settings import Known, Outside, Team, split_address
@@ -31,7 +30,7 @@
 PONG = ["pong", "hive-1", 0, False, 0.5, 40, 3]
 
 
-def no_cells(message: QuotaOpening) -> QuotaAnswer:
+def no_cells(message: QuotaRequest) -> QuotaResponse:
     raise ValueError("this fleet has one cell")
 
 
--- a/tests/test_quota_links.py
+++ b/tests/test_quota_links.py
@@ -16,21 +16,21 @@
 from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.durable.snapshot import SnapshotReader
 from poppyhold.options import Options, parse_options
-from poppyhold.quota.amounts import UNIT, ResourceAmount, ResourceShare, TeamAmount, TeamShare
+from poppyhold.quota.amounts import UNIT, ResourceAllocation, ResourceAmount, TeamAllocation, TeamAmount
 from poppyhold.quota.cells import Cell, CellController, Cells
 from poppyhold.quota.link import CellLinks
 from poppyhold.quota.messages import (
     PROTOCOL_VERSION,
-    Answer,
     CellView,
-    HeardView,
     NotLeading,
-    Opening,
     PeerView,
-    ShareReply,
-    ShareRequest,
+    QuotaRequest,
+    QuotaResponse,
+    RemoteCellView,
     StatusReply,
     TeamView,
+    TransferRequest,
+    TransferResponse,
 )
 from poppyhold.quota.records import Transfer
 from poppyhold.quota.server import QuotaServer
@@ -41,7 +41,7 @@
 from test_smoke import eventually
 from world import World
 
-REQUEST = ShareRequest(PROTOCOL_VERSION, "east", "west", "layout", "e1", "w1", 0)
+REQUEST = TransferRequest(PROTOCOL_VERSION, "east", "west", "layout", "e1", "w1", 0)
 
 
 class Peer:
@@ -58,7 +58,7 @@
         return f"127.0.0.1:{self.listener.getsockname()[1]}"
 
     def _serve(self) -> None:
-        decoder = msgspec.msgpack.Decoder(ShareRequest)
+        decoder = msgspec.msgpack.Decoder(TransferRequest)
         while True:
             connection, _ = self.listener.accept()
             with connection:
@@ -75,7 +75,7 @@
                     continue
 
 
-def links(replies: list[ShareReply], **peers: Peer) -> CellLinks:
+def links(replies: list[TransferResponse], **peers: Peer) -> CellLinks:
     controllers = tuple(CellController(member, peer.address) for member, peer in peers.items())
     made = CellLinks((Cell("west", 0.5, controllers),), replies.append, 0.05, 0.5, random.Random(1)).start()
     made.publish({"west": REQUEST})
@@ -86,8 +86,8 @@
 
 
 def test_a_link_finds_the_leader_by_any_controller() -> None:
-    reply = ShareReply("west", "w1")
-    replies: list[ShareReply] = []
+    reply = TransferResponse("west", "w1")
+    replies: list[TransferResponse] = []
     leading, other = Peer(reply), Peer(NotLeading("two"))
     made = links(replies, one=other, two=leading)
     eventually(lambda: len(replies) > 2)
@@ -100,7 +100,7 @@
     [
         pytest.param((2**31).to_bytes(4, "big") + b"x" * 64, id="oversized"),
         pytest.param((3).to_bytes(4, "big") + b"\xff\xff\xff", id="malformed"),
-        pytest.param(ShareReply("north", "n1"), id="another-cell"),
+        pytest.param(TransferResponse("north", "n1"), id="another-cell"),
         pytest.param(StatusReply(CellView("west")), id="another-message"),
         pytest.param(NotLeading("nobody"), id="unknown-leader"),
     ],
@@ -108,8 +108,8 @@
 def test_a_bad_answer_ends_a_link_with_one_line_until_it_is_back(
     bad: msgspec.Struct | bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    replies: list[ShareReply] = []
-    peer = Peer(bad, bad, bad, ShareReply("west", "w1"))
+    replies: list[TransferResponse] = []
+    peer = Peer(bad, bad, bad, TransferResponse("west", "w1"))
     with caplog.at_level(logging.INFO, "poppyhold.quota.link"):
         made = links(replies, one=peer)
         eventually(lambda: bool(replies))
@@ -125,10 +125,10 @@
 class StandInTerm:
     """A term that answers everything alike, or is not ready."""
 
-    def __init__(self, answer: Answer | None) -> None:
+    def __init__(self, answer: QuotaResponse | None) -> None:
         self._answer = answer
 
-    def answer_cell(self, message: Opening, timeout_s: float) -> Answer | None:
+    def answer_cell(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
         return self._answer
 
 
@@ -144,7 +144,7 @@
 def test_who_does_not_lead_says_who_does() -> None:
     assert server(None).answer(REQUEST) == NotLeading("")
     assert server(None, Leader("hive-2", 7, 1, 1)).answer(REQUEST) == NotLeading("hive-2")
-    reply = ShareReply("west")
+    reply = TransferResponse("west")
     assert server(StandInTerm(reply)).answer(REQUEST) == reply
 
 
@@ -156,12 +156,12 @@
 def test_what_is_not_for_us_ends_its_link_with_one_line(
     changes: dict[str, object], caplog: pytest.LogCaptureFixture
 ) -> None:
-    one = server(StandInTerm(ShareReply("west")))
+    one = server(StandInTerm(TransferResponse("west")))
     for _ in range(3):
         with pytest.raises(ValueError, match=r"."):
             one.answer(msgspec.structs.replace(REQUEST, **changes))
     assert len(caplog.records) == 1
-    assert one.answer(REQUEST) == ShareReply("west")
+    assert one.answer(REQUEST) == TransferResponse("west")
 
 
 def test_a_leader_that_is_not_ready_and_a_fleet_of_one_cell_end_the_link() -> None:
@@ -274,17 +274,17 @@
 
 # -- what adds up --------------------------------------------------------------------------------------
 
-WHOLE = TeamShare(ResourceShare(), ResourceShare(2 * UNIT, 6 * UNIT))
+WHOLE = TeamAllocation(ResourceAllocation(), ResourceAllocation(2 * UNIT, 6 * UNIT))
 TRANSFER = Transfer(1, {"alpha": TeamAmount(accelerators=ResourceAmount(0, UNIT))})
 
 
 def view(cell: str, borrowable: int, *peers: PeerView, alarms: list[str] | None = None) -> CellView:
-    share = TeamShare(ResourceShare(), ResourceShare(UNIT, borrowable * UNIT))
+    share = TeamAllocation(ResourceAllocation(), ResourceAllocation(UNIT, borrowable * UNIT))
     return CellView(cell, cell, [TeamView("alpha", share, WHOLE)], list(peers), alarms or [])
 
 
 def status(own: CellView, *others: CellView) -> tuple[int, list[str], bool]:
-    found = summarize(StatusReply(own, [HeardView(other, 2.0) for other in others]))
+    found = summarize(StatusReply(own, [RemoteCellView(other, 2.0) for other in others]))
     assert "alpha" in render(found)
     return found.exit_status, found.problems, found.added_up
 
--- a/tests/test_share_book.py
+++ b/tests/test_share_book.py
@@ -13,26 +13,18 @@
 from poppyhold.durable.changes import Entry, Write
 from poppyhold.durable.committer import FencedWriter
 from poppyhold.durable.keys import LEADER_KEY, QUOTA_PREFIX
-from poppyhold.quota.amounts import (
-    UNIT,
-    ResourceAmount,
-    ResourceShare,
-    TeamAmount,
-    TeamShare,
-    reserve,
-    seed,
-    split,
-    whole_share,
+from poppyhold.quota.amounts import UNIT, ResourceAllocation, ResourceAmount, TeamAllocation, TeamAmount
+from poppyhold.quota.apportionment import (
+    InitialAllocation,
+    apportion,
+    initial_allocation,
+    initial_reserve,
+    total_allocation,
 )
 from poppyhold.quota.demand import ResourceDemand
+from poppyhold.quota.errors import QuotaProtocolError, SequenceError, UnknownIncarnationError, WrongCellError
+from poppyhold.quota.ledger import AllocationLedger
 from poppyhold.quota.records import Transfer
-from poppyhold.quota.share_book import (
-    OtherCellError,
-    ProtocolError,
-    SequenceError,
-    ShareBook,
-    UnknownIncarnationError,
-)
 from poppyhold.scheduling.quotas import Quotas, TeamQuota
 from poppyhold.settings import ConfigError, Team
 from quota_model import CELLS, TEAM, Fleet, Outcome, always_next, join_at_once, told_at_once
@@ -45,7 +37,7 @@
 
 @given(st.integers(0, 10**7), WEIGHTS)
 def test_parts_of_an_amount_add_up_and_are_whole(amount: int, weights: dict[str, int]) -> None:
-    dealt = split(amount, weights)
+    dealt = apportion(amount, weights)
     assert sum(dealt.values()) == amount
     assert sum(part % UNIT != 0 for part in dealt.values()) <= 1
     total = sum(weights.values())
@@ -61,8 +53,8 @@
 def test_first_shares_add_up_with_guarantees_within_limits(
     guaranteed: int, borrowable: int, weights: dict[str, int]
 ) -> None:
-    whole = TeamShare(ResourceShare(), ResourceShare(guaranteed, borrowable))
-    shares = [seed(whole, weights, cell).accelerators for cell in weights]
+    whole = TeamAllocation(ResourceAllocation(), ResourceAllocation(guaranteed, borrowable))
+    shares = [initial_allocation(whole, weights, cell).accelerators for cell in weights]
     assert sum(share.guaranteed for share in shares) == guaranteed
     assert sum(share.limit or 0 for share in shares) == guaranteed + borrowable
     assert all(0 <= share.guaranteed <= (share.limit or 0) for share in shares)
@@ -72,8 +64,8 @@
     quotas = Quotas([Team("free"), Team("bound", gpus=2, gpus_max=4)])
     task = (1.0, 1.0, 1.0)
     assert quotas.allows("free", (100.0, 100.0), task)
-    whole = whole_share(Team("bound", gpus=2, gpus_max=4))
-    quotas.set("bound", whole.nothing().quota(whole))
+    whole = total_allocation(Team("bound", gpus=2, gpus_max=4))
+    quotas.set("bound", whole.zeroed().quota(whole))
     assert not quotas.allows("bound", (0.0, 0.0), task)
     assert not quotas.has_guarantee("bound")
     assert not quotas.within_guarantee("bound", 1.0, 1.0)
@@ -89,7 +81,7 @@
 
 def test_a_guarantee_above_the_limit_is_refused() -> None:
     with pytest.raises(ConfigError, match=r"settings\.teams\.alpha\.gpus"):
-        whole_share(Team("alpha", gpus=5, gpus_max=4))
+        total_allocation(Team("alpha", gpus=5, gpus_max=4))
 
 
 # -- the search --------------------------------------------------------------------------------------
@@ -120,7 +112,7 @@
     def give(self, cell: int, peer: int, units: int) -> None:
         leader = self.fleet.cells[cell].leader
         if cell != peer and leader is not None:
-            leader.give(self.fleet.cells[peer], units * UNIT)
+            leader.debit(self.fleet.cells[peer], units * UNIT)
 
     @rule(cell=CELL, outcome=st.sampled_from(Outcome))
     def carry_out(self, cell: int, outcome: Outcome) -> None:
@@ -155,7 +147,7 @@
     def deliver(self, which: int, again: bool, to_former: bool) -> None:
         try:
             self.fleet.deliver(which, again, to_former)
-        except ProtocolError:
+        except QuotaProtocolError:
             # A leader that was deposed may be behind. One that leads is never.
             assert to_former or any(cell.former for cell in self.fleet.cells)
 
@@ -181,7 +173,7 @@
             cell.running = 0
         for cell in self.fleet.cells[1:]:
             assert cell.leader is not None
-            cell.leader.give(first, cell.leader.limit())
+            cell.leader.debit(first, cell.leader.limit())
             cell.leader.carry_out()
         self.fleet.settle()
         assert first.leader is not None
@@ -200,7 +192,7 @@
     giver, taker = fleet.cells[0].leader, fleet.cells[1].leader
     assert giver is not None
     assert taker is not None
-    giver.give(fleet.cells[1], UNIT)
+    giver.debit(fleet.cells[1], UNIT)
     giver.carry_out()
     fleet.ask(1, 0)
     fleet.deliver(0)
@@ -219,7 +211,7 @@
     """All that the share in force allows is started while the write of a gift is under way."""
     cell = fleet.cells[0]
     assert cell.leader is not None
-    cell.leader.give(fleet.cells[1], 2 * UNIT)
+    cell.leader.debit(fleet.cells[1], 2 * UNIT)
     cell.running += cell.leader.idle()
     cell.leader.carry_out()
 
@@ -228,7 +220,7 @@
     """A taker plans with what it is given, and ends before that is durable."""
     giver, taker = fleet.cells[0].leader, fleet.cells[1]
     assert giver is not None
-    giver.give(taker, UNIT)
+    giver.debit(taker, UNIT)
     giver.carry_out()
     fleet.ask(1, 0)
     fleet.deliver(0)
@@ -242,7 +234,7 @@
     giver, taker = fleet.cells[0], fleet.cells[1]
     assert giver.leader is not None
     assert taker.leader is not None
-    giver.leader.give(taker, UNIT)
+    giver.leader.debit(taker, UNIT)
     fleet.ask(1, 0)
     fleet.deliver(0)
     fleet.deliver(0)
@@ -255,10 +247,10 @@
     giver = fleet.cells[0]
     frozen = giver.leader
     assert frozen is not None
-    frozen.give(fleet.cells[1], 3 * UNIT)
+    frozen.debit(fleet.cells[1], 3 * UNIT)
     giver.elect()
     assert giver.leader is not None
-    giver.leader.give(fleet.cells[2], 3 * UNIT)
+    giver.leader.debit(fleet.cells[2], 3 * UNIT)
     giver.leader.carry_out()
     frozen.carry_out()
 
@@ -269,7 +261,7 @@
     assert giver.leader is not None
     assert taker.leader is not None
     for first in (Outcome.LATE, Outcome.ANSWERED):
-        giver.leader.give(taker, UNIT)
+        giver.leader.debit(taker, UNIT)
         giver.leader.carry_out(first)
         giver.leader.carry_out()
         for _ in range(2):
@@ -281,7 +273,7 @@
     giver.late.pop()()
 
 
-def _leave_later(self: ShareBook, lowered: object) -> None:
+def _leave_later(self: AllocationLedger, lowered: object) -> None:
     return None
 
 
@@ -294,10 +286,20 @@
 
 
 GUARDS = [
-    pytest.param(repeated, ShareBook, "_is_next", always_next, id="sequence"),
-    pytest.param(started_before_the_write, ShareBook, "_leave", _leave_later, id="leaves-first"),
-    pytest.param(started_before_it_was_taken, ShareBook, "_join", join_at_once, id="joins-last"),
-    pytest.param(told_before_it_was_written, ShareBook, "transfer_to", told_at_once, id="durable-first"),
+    pytest.param(repeated, AllocationLedger, "_is_next_in_sequence", always_next, id="sequence"),
+    pytest.param(
+        started_before_the_write, AllocationLedger, "_apply_debits", _leave_later, id="leaves-first"
+    ),
+    pytest.param(
+        started_before_it_was_taken, AllocationLedger, "_commit_credits", join_at_once, id="joins-last"
+    ),
+    pytest.param(
+        told_before_it_was_written,
+        AllocationLedger,
+        "transfer_in_transit_to",
+        told_at_once,
+        id="durable-first",
+    ),
     pytest.param(frozen_in_a_gift, FencedWriter, "commit", _without_lead, id="lead"),
     pytest.param(carried_out_late, FencedWriter, "commit", _without_fence, id="fence"),
 ]
@@ -328,7 +330,7 @@
     assert book is not None
     amount = TeamAmount(accelerators=ResourceAmount(0, UNIT))
     with pytest.raises(SequenceError):
-        book.book.receive("east", "east-1", Transfer(2, {TEAM: amount}))
+        book.ledger.credit("east", "east-1", Transfer(2, {TEAM: amount}))
 
 
 def test_more_than_was_ever_given_cannot_be_acknowledged() -> None:
@@ -336,10 +338,10 @@
     leader = fleet.cells[0].leader
     assert leader is not None
     with pytest.raises(SequenceError):
-        leader.book.acknowledged("north", "north-1", 1)
+        leader.ledger.acknowledge("north", "north-1", 1)
     transfer(fleet)
     with pytest.raises(SequenceError):
-        leader.book.acknowledged("north", "north-1", 2)
+        leader.ledger.acknowledge("north", "north-1", 2)
 
 
 def test_a_cell_that_was_made_anew_is_refused() -> None:
@@ -349,10 +351,10 @@
     assert giver is not None
     assert taker is not None
     with pytest.raises(UnknownIncarnationError):
-        giver.book.acknowledged("north", "north-2", 1)
+        giver.ledger.acknowledge("north", "north-2", 1)
     with pytest.raises(UnknownIncarnationError):
         amount = TeamAmount(accelerators=ResourceAmount(1, 0))
-        taker.book.receive("east", "east-2", Transfer(2, {TEAM: amount}))
+        taker.ledger.credit("east", "east-2", Transfer(2, {TEAM: amount}))
 
 
 def test_a_record_that_appears_while_it_is_made_ends_the_term() -> None:
@@ -362,11 +364,11 @@
     cell.crash()
     leader = cell.leader
     assert leader is not None
-    whole = TeamShare(ResourceShare(), ResourceShare(0, UNIT))
-    leader.book.seed({TEAM: (whole, whole)}, 10)
+    whole = TeamAllocation(ResourceAllocation(), ResourceAllocation(0, UNIT))
+    leader.ledger.create_missing({TEAM: InitialAllocation(whole, whole)}, 10)
     leader.carry_out(Outcome.LOST)
     leader.carry_out()
-    assert leader.unclear
+    assert leader.inconsistent
     assert leader.limit() == 0
     cell.crash()
     assert cell.leader is not None
@@ -378,19 +380,21 @@
     fleet = Fleet()
     cell = fleet.cells[0]
     assert cell.leader is not None
-    cell.leader.give(fleet.cells[1], UNIT)
-    assert cell.leader.book.busy
-    whole = TeamShare(ResourceShare(), ResourceShare(0, UNIT))
-    assert not cell.leader.book.seed({TEAM: (whole, whole)}, 10)
-    assert cell.leader.book.seed({"beta": (whole, whole)}, 10)
+    cell.leader.debit(fleet.cells[1], UNIT)
+    assert cell.leader.ledger.commit_in_progress
+    whole = TeamAllocation(ResourceAllocation(), ResourceAllocation(0, UNIT))
+    assert not cell.leader.ledger.create_missing({TEAM: InitialAllocation(whole, whole)}, 10)
+    assert cell.leader.ledger.create_missing({"beta": InitialAllocation(whole, whole)}, 10)
 
 
 def test_records_of_another_cell_let_nothing_start() -> None:
     cell = Fleet().cells[0]
-    book = ShareBook("west", str, lambda conditions, writes, done: None, lambda team: None, lambda why: None)
+    book = AllocationLedger(
+        "west", str, lambda conditions, writes, done: None, lambda team: None, lambda why: None
+    )
     entries = cell.state.scan(QUOTA_PREFIX, "", 1000)[1]["entries"]
     book.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
-    with pytest.raises(OtherCellError):
+    with pytest.raises(WrongCellError):
         book.check_identity()
 
 
@@ -400,43 +404,45 @@
 @pytest.mark.parametrize(
     ("demand", "expected"),
     [
-        pytest.param(ResourceDemand(used=4, waiting=3, startable=3), (5, 1), id="both"),
-        pytest.param(ResourceDemand(used=4, waiting=3), (5, 0), id="no-room-anywhere"),
+        pytest.param(ResourceDemand(used=4, pending=3, startable=3), (5, 1), id="both"),
+        pytest.param(ResourceDemand(used=4, pending=3), (5, 0), id="no-room-anywhere"),
         pytest.param(ResourceDemand(used=7), (0, 0), id="nothing-waits"),
-        pytest.param(ResourceDemand(used=1, waiting=9, startable=9), (6, 4), id="no-more-than-is-guaranteed"),
+        pytest.param(ResourceDemand(used=1, pending=9, startable=9), (6, 4), id="no-more-than-is-guaranteed"),
     ],
 )
 def test_what_waiting_work_lacks(demand: ResourceDemand, expected: tuple[int, int]) -> None:
-    share, whole = ResourceShare(2, 4), ResourceShare(8, 40)
-    assert demand.missing(share, whole) == expected
+    share, whole = ResourceAllocation(2, 4), ResourceAllocation(8, 40)
+    assert demand.unmet(share, whole) == expected
 
 
 def test_a_reserve_is_whole_units_of_the_first_share_and_stays() -> None:
-    first = TeamShare(ResourceShare(3 * UNIT, None), ResourceShare(2 * UNIT, 5 * UNIT))
-    reserved = reserve(first, 0.5)
-    assert reserved == TeamShare(ResourceShare(UNIT, None), ResourceShare(UNIT, 2 * UNIT))
-    assert reserve(first, 0.0) == first.nothing()
-    assert first.cpus.beyond(reserved.cpus) == ResourceAmount(2 * UNIT, 0)
-    assert first.accelerators.beyond(reserved.accelerators) == ResourceAmount(UNIT, 3 * UNIT)
+    first = TeamAllocation(ResourceAllocation(3 * UNIT, None), ResourceAllocation(2 * UNIT, 5 * UNIT))
+    reserved = initial_reserve(first, 0.5)
+    assert reserved == TeamAllocation(ResourceAllocation(UNIT, None), ResourceAllocation(UNIT, 2 * UNIT))
+    assert initial_reserve(first, 0.0) == first.zeroed()
+    assert first.cpus.excess_over(reserved.cpus) == ResourceAmount(2 * UNIT, 0)
+    assert first.accelerators.excess_over(reserved.accelerators) == ResourceAmount(UNIT, 3 * UNIT)
     # A share that fell below its reserve, or began before there was one, gives nothing.
-    assert ResourceShare(0, UNIT).beyond(reserved.accelerators) == ResourceAmount(0, 0)
+    assert ResourceAllocation(0, UNIT).excess_over(reserved.accelerators) == ResourceAmount(0, 0)
 
 
 def test_what_a_cell_can_spare() -> None:
-    share = ResourceShare(4, 6)
-    assert ResourceDemand(may_run=3).spare(share, is_stuck=False) == ResourceAmount(1, 6)
-    fitting = ResourceDemand(may_run=3, waiting=4, startable=4)
-    assert fitting.spare(share, is_stuck=False) == ResourceAmount(0, 3)
+    share = ResourceAllocation(4, 6)
+    assert ResourceDemand(may_run=3).spare(share, is_stalled=False) == ResourceAmount(1, 6)
+    fitting = ResourceDemand(may_run=3, pending=4, startable=4)
+    assert fitting.spare(share, is_stalled=False) == ResourceAmount(0, 3)
     # What waits and has no room here keeps the guarantee, which makes room, and nothing that is borrowed.
-    assert ResourceDemand(may_run=3, waiting=4).spare(share, is_stuck=False) == ResourceAmount(0, 6)
-    assert fitting.spare(share, is_stuck=True) == ResourceAmount(1, 6)
-    assert ResourceDemand(may_run=3, peak=9).spare(share, is_stuck=True) == ResourceAmount(0, 1)
-    assert ResourceDemand(may_run=30).spare(share, is_stuck=False) == ResourceAmount(0, 0)
+    assert ResourceDemand(may_run=3, pending=4).spare(share, is_stalled=False) == ResourceAmount(0, 6)
+    assert fitting.spare(share, is_stalled=True) == ResourceAmount(1, 6)
+    assert ResourceDemand(may_run=3, peak=9).spare(share, is_stalled=True) == ResourceAmount(0, 1)
+    assert ResourceDemand(may_run=30).spare(share, is_stalled=False) == ResourceAmount(0, 0)
     # Without a limit only the guarantee can move.
-    assert ResourceDemand(may_run=1).spare(ResourceShare(4, None), is_stuck=False) == ResourceAmount(3, 0)
+    assert ResourceDemand(may_run=1).spare(ResourceAllocation(4, None), is_stalled=False) == ResourceAmount(
+        3, 0
+    )
 
 
 def test_work_waits_beside_an_idle_share_of_either_resource() -> None:
-    assert ResourceDemand(may_run=2, waiting=4).waits_beside(ResourceShare(0, 4))
-    assert not ResourceDemand(may_run=4, waiting=4).waits_beside(ResourceShare(0, 4))
-    assert not ResourceDemand(may_run=2, waiting=4).waits_beside(ResourceShare(0, None))
+    assert ResourceDemand(may_run=2, pending=4).is_pending_despite_idle(ResourceAllocation(0, 4))
+    assert not ResourceDemand(may_run=4, pending=4).is_pending_despite_idle(ResourceAllocation(0, 4))
+    assert not ResourceDemand(may_run=2, pending=4).is_pending_despite_idle(ResourceAllocation(0, None))
--- a/tests/wire_kinds.py
+++ b/tests/wire_kinds.py
@@ -14,8 +14,8 @@
 
 from poppyhold.cluster.peers import Ping, Pong
 from poppyhold.durable.records import CompletionsRecord, LaunchRecord, MachineRecord, PlanRecord
-from poppyhold.quota.messages import NotLeading, ShareReply, ShareRequest, StatusReply, StatusRequest
-from poppyhold.quota.records import IdentityRecord, PeerRecord, ShareRecord
+from poppyhold.quota.messages import NotLeading, StatusReply, StatusRequest, TransferRequest, TransferResponse
+from poppyhold.quota.records import AllocationRecord, IdentityRecord, PeerRecord
 from poppyhold.quota.status import QuotaStatus
 from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayHello
 from poppyhold.scale.cells import CellsResult
@@ -43,7 +43,7 @@
     "ph/p/JOB": PlanRecord,
     "ph/q/c/CELL": PeerRecord,
     "ph/q/i": IdentityRecord,
-    "ph/q/s/TEAM": ShareRecord,
+    "ph/q/s/TEAM": AllocationRecord,
     "ph/t": MachineTypes,
     "ph/t/N": MachineTypes,
     "POST /api/jobs": Submission,
@@ -69,8 +69,8 @@
     "relay": RelayHello,
     "reports": HeartbeatBatch,
     "answers": AnswerBatch,
-    "share": ShareRequest,
-    "shared": ShareReply,
+    "share": TransferRequest,
+    "shared": TransferResponse,
     "elsewhere": NotLeading,
     "share?": StatusRequest,
     "share!": StatusReply,
