--- a/tests/quota_model.py
+++ b/tests/quota_model.py
@@ -15,7 +15,7 @@
 from poppyhold.quota.ledger import AllocationLedger
 from poppyhold.quota.messages import PROTOCOL_VERSION, TransferRequest, TransferResponse
 from poppyhold.quota.records import Transfer
-from poppyhold.scale.standins import StateStandIn
+from poppyhold.scale.state_standin import StateStandIn
 
 TEAM = "alpha"
 CELLS = ("east", "north", "west")
