--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -321,9 +321,9 @@
             return answer(503, {"error": "not ready"}, Retry_After="1")
         body: dict[str, object] = {"member": self.settings.member}
         leader_term = self._leader_term
-        edge = leader_term.quota_endpoint if leader_term is not None else None
-        if edge is not None and edge.health is not None:
-            body["shares"] = edge.health._asdict()
+        endpoint = leader_term.quota_endpoint if leader_term is not None else None
+        if endpoint is not None and endpoint.health is not None:
+            body["shares"] = endpoint.health._asdict()
         return answer(200, body)
 
     def _handle_heartbeat(self, body: bytes) -> Answer | Deferred:
--- a/src/poppyhold/quota/cell_service.py
+++ b/src/poppyhold/quota/cell_service.py
@@ -34,7 +34,7 @@
 from poppyhold.quota.message_checks import MessageChecks
 from poppyhold.quota.messages import (
     CellView,
-    StatusReply,
+    StatusResponse,
     TransferRequest,
     TransferResponse,
     UnmetDemand,
@@ -266,10 +266,10 @@
         """What a readiness check shows."""
         return QuotaHealth(self.alarms.texts(), self.teams_short_of_allocation())
 
-    def status(self) -> StatusReply:
+    def status(self) -> StatusResponse:
         """Everything that this cell's leader knows of all cells."""
         views, uncontacted = self._requester.remote_views()
-        return StatusReply(
+        return StatusResponse(
             self._view(),
             views,
             uncontacted,
--- a/src/poppyhold/quota/cells.py
+++ b/src/poppyhold/quota/cells.py
@@ -1,4 +1,4 @@
-"""Which cells share the teams' limits: the operators' settings, checked."""
+"""The cells among which the teams' limits are divided: the operators' options, checked."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from poppyhold.settings import ConfigError, split_address
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-# Parts are written in decimals: thirds can't be exact.
+# Parts are written as decimals, and thirds cannot be exact.
 _PARTS_TOLERANCE = 1e-6
-# What weights of parts are counted in.
+# The weight of a part of 1.
 _WEIGHT = 1_000_000_000
 
 
@@ -38,11 +38,11 @@
     name: str
     part: float
     others: tuple[Cell, ...]
-    # The longest that a cell holds back what it used lately, as a multiple of workers.lease_s.
+    # The longest time for which a cell retains what it used recently, as a multiple of workers.lease_s.
     keep_leases: float = 1.0
-    # The part of the state service's changes that moves of shares may take.
+    # The part of the state service's changes that transfers may take.
     moves_share: float = 0.2
-    # The part of its first shares that a cell never gives away.
+    # The part of its first allocations that a cell never transfers.
     reserve: float = 0.0
 
     @property
@@ -53,7 +53,7 @@
 
     @property
     def layout(self) -> str:
-        """A text that is the same in all cells that agree on the cells and their parts."""
+        """A text that is equal in all cells that agree on the cells and their parts."""
         return " ".join(f"{name}={weight}" for name, weight in self.weights.items())
 
     def other(self, name: str) -> Cell | None:
--- a/src/poppyhold/quota/consistency.py
+++ b/src/poppyhold/quota/consistency.py
@@ -1,10 +1,16 @@
-"""Whether the shares of all cells, and what is on its way between them, add up to what the teams have."""
+"""Whether the allocations of all cells and the transfers between them add up to the teams' totals."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-from poppyhold.quota.amounts import ResourceAllocation, ResourceAmount, TeamAllocation, TeamAmount, from_units
+from poppyhold.quota.amounts import (
+    ResourceAllocation,
+    ResourceAmount,
+    TeamAllocation,
+    TeamAmount,
+    from_units,
+)
 from poppyhold.quota.messages import CellView, PeerView
 from poppyhold.quota.records import Transfer
 
@@ -12,19 +18,19 @@
 RESOURCES = ("cpus", "gpus")
 
 
-def parts_of(share: TeamAllocation) -> tuple[ResourceAllocation, ResourceAllocation]:
-    """Both resources of a share, in the order of `RESOURCES`."""
-    return share.cpus, share.accelerators
+def parts_of(allocation: TeamAllocation) -> tuple[ResourceAllocation, ResourceAllocation]:
+    """Both resources of an allocation, in the order of `RESOURCES`."""
+    return allocation.cpus, allocation.accelerators
 
 
 def amounts_of(transfer: Transfer, team: str) -> tuple[ResourceAmount, ResourceAmount]:
-    """Both resources of what moves of a team's share, in the order of `RESOURCES`."""
+    """Both resources of a team in a transfer, in the order of `RESOURCES`."""
     amount = transfer.amounts.get(team, TeamAmount())
     return amount.cpus, amount.accelerators
 
 
 def transfers_in_transit(views: dict[str, CellView]) -> list[Transfer]:
-    """Transfers that have left one cell and have not reached the other, as far as the views tell."""
+    """Transfers debited at the source and not yet credited at the destination, as far as the views tell."""
     return [
         peer.in_transit
         for view in views.values()
@@ -35,53 +41,54 @@
 
 
 def are_of_one_moment(views: dict[str, CellView]) -> bool:
-    """Whether the views can be added up: cells are heard at different moments, and shares move meanwhile."""
+    """Whether the views can be added up: they are of different moments, with transfers in between."""
     return all(
-        _agree(_given(giver, taker.cell), _applied(taker, giver.cell))
-        for giver in views.values()
-        for taker in views.values()
-        if giver is not taker
+        _agree(_sent(source, destination.cell), _applied(destination, source.cell))
+        for source in views.values()
+        for destination in views.values()
+        if source is not destination
     )
 
 
-def _given(view: CellView, taker: str) -> PeerView:
-    return next((peer for peer in view.peers if peer.cell == taker), PeerView(taker, 0, 0))
+def _sent(view: CellView, destination: str) -> PeerView:
+    return next((peer for peer in view.peers if peer.cell == destination), PeerView(destination, 0, 0))
 
 
 def _agree(peer: PeerView, applied: int) -> bool:
-    """Whether what a cell gave another, and what that one took, are of one moment."""
+    """Whether what the source sent and what the destination applied are of one moment."""
     if peer.in_transit is not None and applied == peer.sent - 1:
         return True
     return applied == peer.sent
 
 
-def _applied(view: CellView, giver: str) -> int:
-    return next((peer.applied for peer in view.peers if peer.cell == giver), 0)
+def _applied(view: CellView, source: str) -> int:
+    return next((peer.applied for peer in view.peers if peer.cell == source), 0)
 
 
 def problems(views: dict[str, CellView]) -> list[str]:
-    """Why the cells' shares don't add up, a line each. ``views`` are those of all cells, of one moment."""
-    moving = transfers_in_transit(views)
+    """Why the allocations do not add up, a line each. ``views`` are those of all cells, of one moment."""
+    in_transit = transfers_in_transit(views)
     teams = sorted({team.team for view in views.values() for team in view.teams})
-    return [line for team in teams for line in _team_problems(team, views, moving)]
+    return [line for team in teams for line in _team_problems(team, views, in_transit)]
 
 
-def _team_problems(team: str, views: dict[str, CellView], moving: list[Transfer]) -> Iterator[str]:
-    held = [view for cell in views.values() for view in cell.teams if view.team == team]
-    if len(held) < len(views):
-        yield f"team {team}: has no share in {len(views) - len(held)} cells"
-    if any(view.total != held[0].total for view in held):
+def _team_problems(team: str, views: dict[str, CellView], in_transit: list[Transfer]) -> Iterator[str]:
+    team_views = [view for cell in views.values() for view in cell.teams if view.team == team]
+    if len(team_views) < len(views):
+        yield f"team {team}: has no share in {len(views) - len(team_views)} cells"
+    if any(view.total != team_views[0].total for view in team_views):
         yield f"team {team}: cells began with different figures"
         return
     for index, name in enumerate(RESOURCES):
-        whole = parts_of(held[0].total)[index]
-        amounts = [amounts_of(each, team)[index] for each in moving]
-        shares = [parts_of(view.allocation)[index] for view in held]
-        guaranteed = sum(share.guaranteed for share in shares) + sum(each.guaranteed for each in amounts)
-        borrowable = sum(share.borrowable or 0 for share in shares) + sum(each.borrowable for each in amounts)
-        if guaranteed != whole.guaranteed:
-            found, right = from_units(guaranteed), from_units(whole.guaranteed)
-            yield f"team {team}, {name}: guarantees add up to {found:g} of {right:g}"
-        if whole.limit is not None and guaranteed + borrowable != whole.limit:
-            found, right = from_units(guaranteed + borrowable), from_units(whole.limit)
-            yield f"team {team}, {name}: limits add up to {found:g} of {right:g}"
+        total = parts_of(team_views[0].total)[index]
+        amounts = [amounts_of(transfer, team)[index] for transfer in in_transit]
+        allocations = [parts_of(view.allocation)[index] for view in team_views]
+        guaranteed = sum(each.guaranteed for each in allocations) + sum(each.guaranteed for each in amounts)
+        borrowable = sum(each.borrowable or 0 for each in allocations)
+        borrowable += sum(each.borrowable for each in amounts)
+        if guaranteed != total.guaranteed:
+            found, expected = from_units(guaranteed), from_units(total.guaranteed)
+            yield f"team {team}, {name}: guarantees add up to {found:g} of {expected:g}"
+        if total.limit is not None and guaranteed + borrowable != total.limit:
+            found, expected = from_units(guaranteed + borrowable), from_units(total.limit)
+            yield f"team {team}, {name}: limits add up to {found:g} of {expected:g}"
--- a/src/poppyhold/quota/endpoint.py
+++ b/src/poppyhold/quota/endpoint.py
@@ -1,6 +1,6 @@
-"""A term of leading towards other cells: its links to them, its answers, and what readiness shows.
+"""One term's endpoint towards other cells: its links, its answers, and what readiness shows.
 
-`CellQuotaService` runs on the decision thread; everything here hands it work over the term's queue.
+`CellQuotaService` runs on the decision thread; the other threads hand it work over the term's queue.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 )
 from poppyhold.settings import Settings
 
-# How long a link waits for an answer, as a ratio to the lease.
-_LINK_TIMEOUT = 0.1
+# How long a link waits for a response, as a ratio to the lease.
+_LINK_TIMEOUT_RATIO = 0.1
 
 
 class QuotaEndpoint:
-    """The links and answers of one term. Reports and decisions go before all that they bring."""
+    """The links and answers of one term. Heartbeats and decisions have priority over all their work."""
 
     def __init__(
         self,
@@ -37,14 +37,14 @@
         post: Callable[[int, Work], bool],
         rng: random.Random,
     ) -> None:
-        """``post`` hands the decision thread work of a rank; False: it takes none."""
+        """``post`` queues work of a priority for the decision thread; False: it takes none."""
         self._quota, self._post = quota, post
         workers = settings.settings.workers
         self._links = CellLinks(
             cells.others,
             self._on_response,
             workers.heartbeat_interval_s,
-            workers.lease_s * _LINK_TIMEOUT,
+            workers.lease_s * _LINK_TIMEOUT_RATIO,
             rng,
         )
         self._is_ready, self._is_stopped = threading.Event(), threading.Event()
@@ -52,46 +52,46 @@
         self.health: QuotaHealth | None = None
 
     def start(self) -> None:
-        """Begin to ask and to answer: what is durable has been read."""
+        """Start to send requests and to answer them: the durable records have been read."""
         self._is_ready.set()
         self._links.start()
 
     def stop(self) -> None:
-        """Nothing is asked or answered from now on."""
+        """Stop to send requests and to answer them."""
         self._is_stopped.set()
         self._links.stop()
 
     def tick(self) -> None:
-        """On the decision thread: note what readiness shows."""
+        """On the decision thread: update what readiness shows."""
         self.health = self._quota.health()
 
     def publish(self) -> None:
-        """On the decision thread: what the links ask from now on."""
+        """On the decision thread: hand the links the current requests."""
         self._links.publish(self._quota.requests())
 
-    def answer(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
+    def answer(self, request: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
         """Have the decision thread answer another cell's leader or an operator; None: not in time."""
         if not self._is_ready.is_set():
             return None
-        answers: list[QuotaResponse] = []
-        answered = threading.Event()
+        responses: list[QuotaResponse] = []
+        done = threading.Event()
 
         def work() -> None:
             if not self._is_stopped.is_set():
-                answers.append(self._handle(message))
-            answered.set()
+                responses.append(self._handle(request))
+            done.set()
 
         if self._post(SUBMISSIONS, work):
-            answered.wait(timeout_s)
-        return answers[0] if answers else None
+            done.wait(timeout_s)
+        return responses[0] if responses else None
 
-    def _handle(self, message: QuotaRequest) -> QuotaResponse:
-        match message:
+    def _handle(self, request: QuotaRequest) -> QuotaResponse:
+        match request:
             case TransferRequest():
-                return self._quota.answer(message)
+                return self._quota.answer(request)
             case StatusRequest():
                 return self._quota.status()
 
-    def _on_response(self, reply: TransferResponse) -> None:
-        """A link got an answer from another cell."""
-        self._post(SUBMISSIONS, lambda: self._quota.handle_response(reply))
+    def _on_response(self, response: TransferResponse) -> None:
+        """On a link's thread: another cell has responded."""
+        self._post(SUBMISSIONS, lambda: self._quota.handle_response(response))
--- a/src/poppyhold/quota/link.py
+++ b/src/poppyhold/quota/link.py
@@ -1,8 +1,8 @@
 """The links from this cell's leader to those of other cells: a thread for each other cell.
 
-A link asks any controller of the other cell, and follows its word on who leads there. It asks often while
-work waits for a larger share or a step is under way, else once in a report's interval. Behind a failure it
-tries the next controller, waiting longer each time, with jitter.
+A link sends its request to any controller of the other cell, and follows a redirect to the leader. It sends
+often while demand is unmet or a commit is in progress, and otherwise once in a heartbeat interval. After a
+failure it tries the next controller, with exponential backoff and jitter.
 """
 
 from __future__ import annotations
@@ -17,86 +17,54 @@
 
 from poppyhold.quota.cells import Cell
 from poppyhold.quota.messages import NotLeading, QuotaResponse, TransferRequest, TransferResponse
+from poppyhold.quota.request_board import RequestBoard
 from poppyhold.settings import split_address
 from poppyhold.wire.frames import receive, send
 
 log = logging.getLogger(__name__)
 
-_answer_decoder: msgspec.msgpack.Decoder[QuotaResponse] = msgspec.msgpack.Decoder(QuotaResponse)
-# Ratios to the interval of workers' reports: between requests with nothing to ask for, with something, and
-# while a step is under way; and the shortest and longest wait behind a failure.
-_IDLE, _WANTING, _IN_PROGRESS = 1.0, 0.25, 0.02
+_response_decoder: msgspec.msgpack.Decoder[QuotaResponse] = msgspec.msgpack.Decoder(QuotaResponse)
+# Ratios to the heartbeat interval. Between requests: with nothing to request, with unmet demand, and while a
+# commit is in progress.
+_IDLE_PAUSE, _UNMET_PAUSE, _IN_PROGRESS_PAUSE = 1.0, 0.25, 0.02
+# After a failure: the shortest and the longest wait.
 _SHORTEST_BACKOFF, _LONGEST_BACKOFF = 0.1, 2.0
-# Controllers that say one after the other that another one leads.
-_MOST_HOPS = 3
+# The most doublings of the backoff, so that the factor stays small.
+_MAX_DOUBLINGS = 8
+# The most controllers asked in one request, each named as the leader by the one before it.
+_MAX_HOPS = 3
 
 
 class LinkError(Exception):
-    """The other side can't be talked to."""
+    """The other cell's leader cannot be reached, or its response is not one to the request."""
 
 
 def exchange(address: str, request: msgspec.Struct, timeout_s: float) -> QuotaResponse:
-    """Send one message over a new connection, and return the answer.
+    """Send one request over a new connection, and return the response.
 
     Raises:
-        OSError, ValueError, msgspec.MsgspecError: there was none that can be read.
+        OSError, ValueError, msgspec.MsgspecError: there was no response that can be read.
     """
     with socket.create_connection(split_address(address), timeout=timeout_s) as connection:
         send(connection, request)
-        return receive(connection, _answer_decoder)
-
-
-class RequestBoard:
-    """The newest request to each cell: the decision thread writes it, the links' threads wait for news."""
-
-    def __init__(self) -> None:
-        self._requests: dict[str, TransferRequest] = {}
-        self._changed = threading.Condition()
-
-    def publish(self, requests: dict[str, TransferRequest]) -> None:
-        """Replace the requests; whoever waits wakes up if there is something new to ask for."""
-        if requests is self._requests:
-            return
-        with self._changed:
-            before, self._requests = self._requests, requests
-            if any(_is_news(before.get(cell), request) for cell, request in requests.items()):
-                self._changed.notify_all()
-
-    def latest(self, cell: str) -> TransferRequest | None:
-        """The request that is to be sent to a cell now."""
-        return self._requests.get(cell)
-
-    def wait(self, cell: str, sent: TransferRequest | None, timeout_s: float) -> None:
-        """Wait until there is something else to ask a cell for, or the time is over."""
-        with self._changed:
-            self._changed.wait_for(lambda: _is_news(sent, self._requests.get(cell)), timeout_s)
-
-    def wake(self) -> None:
-        """Let everybody look again."""
-        with self._changed:
-            self._changed.notify_all()
-
-
-def _is_news(before: TransferRequest | None, after: TransferRequest | None) -> bool:
-    if before is None or after is None:
-        return after is not before
-    return before.applied != after.applied or before.unmet_demands != after.unmet_demands
+        return receive(connection, _response_decoder)
 
 
 class CellLink:
-    """The thread that talks to one other cell for one term of our leading."""
+    """The thread that sends requests to one other cell, for one term of our leading."""
 
     def __init__(
         self,
         cell: Cell,
         board: RequestBoard,
-        on_reply: Callable[[TransferResponse], None],
+        on_response: Callable[[TransferResponse], None],
         heartbeat_interval_s: float,
         timeout_s: float,
         rng: random.Random,
     ) -> None:
-        self._cell, self._board, self._on_response = cell, board, on_reply
+        self._cell, self._board, self._on_response = cell, board, on_response
         self._heartbeat_interval_s, self._timeout_s, self._rng = heartbeat_interval_s, timeout_s, rng
+        # The index of the controller to which the next request goes.
         self._next = rng.randrange(len(cell.controllers))
         self._connection: socket.socket | None = None
         self._failures = 0
@@ -109,7 +77,7 @@
         return self
 
     def stop(self) -> None:
-        """End it; a request that is under way is given up."""
+        """Stop the thread; a request in progress is abandoned."""
         self._stop.set()
         self._board.wake()
 
@@ -120,35 +88,43 @@
                 self._board.wait(self._cell.name, None, self._heartbeat_interval_s)
                 continue
             try:
-                reply = self._request(request)
+                response = self._request(request)
             except (OSError, ValueError, msgspec.MsgspecError, LinkError) as error:
                 self._note_failure(error)
                 continue
             except Exception:
-                log.exception("cell %s", self._cell.name)
+                # The thread has to go on for the whole term: without it the cell would get no transfers.
+                log.exception("request to another cell failed unexpectedly: cell=%s", self._cell.name)
                 self._note_failure(LinkError("see above"))
                 continue
             self._note_success()
-            self._on_response(reply)
-            pause = _IN_PROGRESS if reply.in_progress else _WANTING if request.unmet_demands else _IDLE
-            # The reply's effects are news by themselves; what is asked again and again keeps to a pace.
-            self._stop.wait(self._heartbeat_interval_s * _IN_PROGRESS)
-            self._board.wait(self._cell.name, request, self._heartbeat_interval_s * pause)
+            self._on_response(response)
+            self._pause(request, response)
         self._close()
 
+    def _pause(self, request: TransferRequest, response: TransferResponse) -> None:
+        """Wait until the next request is due, or there is something new to request."""
+        if response.in_progress:
+            ratio = _IN_PROGRESS_PAUSE
+        else:
+            ratio = _UNMET_PAUSE if request.unmet_demands else _IDLE_PAUSE
+        # The effects of a response make a new request at once; this keeps repeated ones to a rate.
+        self._stop.wait(self._heartbeat_interval_s * _IN_PROGRESS_PAUSE)
+        self._board.wait(self._cell.name, request, self._heartbeat_interval_s * ratio)
+
     def _request(self, request: TransferRequest) -> TransferResponse:
-        for _ in range(_MOST_HOPS):
-            answer = self._exchange(request)
-            if isinstance(answer, TransferResponse):
-                if answer.cell != self._cell.name:
-                    raise LinkError(f"cell {answer.cell!r} answered")
-                return answer
-            if not isinstance(answer, NotLeading):
-                raise LinkError(f"answered with {type(answer).__name__}")
+        for _ in range(_MAX_HOPS):
+            response = self._exchange(request)
+            if isinstance(response, TransferResponse):
+                if response.cell != self._cell.name:
+                    raise LinkError(f"cell {response.cell!r} answered")
+                return response
+            if not isinstance(response, NotLeading):
+                raise LinkError(f"answered with {type(response).__name__}")
             self._close()
-            if not self._select_controller(answer.member):
+            if not self._select_controller(response.member):
                 break
-        raise LinkError("nobody leads there")
+        raise LinkError("no controller leads there")
 
     def _exchange(self, request: TransferRequest) -> QuotaResponse:
         if self._connection is None:
@@ -156,10 +132,10 @@
             self._connection = socket.create_connection(address, timeout=self._timeout_s)
             self._connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         send(self._connection, request)
-        return receive(self._connection, _answer_decoder)
+        return receive(self._connection, _response_decoder)
 
     def _select_controller(self, member: str) -> bool:
-        """Ask that controller from now on; False if it is not known here, and the next one's turn it is."""
+        """Send the next request to that controller; False if it is unknown here, or was just asked."""
         for index, controller in enumerate(self._cell.controllers):
             if controller.member == member and index != self._next:
                 self._next = index
@@ -168,17 +144,17 @@
 
     def _note_success(self) -> None:
         if self._failures:
-            log.info("cell %s is back", self._cell.name)
+            log.info("link to cell restored: cell=%s failures=%d", self._cell.name, self._failures)
         self._failures = 0
 
     def _note_failure(self, error: Exception) -> None:
         self._close()
         if not self._failures:
-            log.warning("cell %s can't be reached: %s", self._cell.name, error)
+            log.warning("link to cell lost: cell=%s error=%r", self._cell.name, str(error))
         self._failures += 1
         self._next = (self._next + 1) % len(self._cell.controllers)
-        most = min(_LONGEST_BACKOFF, _SHORTEST_BACKOFF * 2 ** min(self._failures, 8))
-        self._stop.wait(self._heartbeat_interval_s * self._rng.uniform(most / 2, most))
+        longest = min(_LONGEST_BACKOFF, _SHORTEST_BACKOFF * 2 ** min(self._failures, _MAX_DOUBLINGS))
+        self._stop.wait(self._heartbeat_interval_s * self._rng.uniform(longest / 2, longest))
 
     def _close(self) -> None:
         if self._connection is not None:
@@ -192,7 +168,7 @@
     def __init__(
         self,
         cells: tuple[Cell, ...],
-        on_reply: Callable[[TransferResponse], None],
+        on_response: Callable[[TransferResponse], None],
         heartbeat_interval_s: float,
         timeout_s: float,
         rng: random.Random,
@@ -200,7 +176,7 @@
         self._board = RequestBoard()
         self._links = [
             CellLink(
-                cell, self._board, on_reply, heartbeat_interval_s, timeout_s, random.Random(rng.random())
+                cell, self._board, on_response, heartbeat_interval_s, timeout_s, random.Random(rng.random())
             )
             for cell in cells
         ]
@@ -212,10 +188,10 @@
         return self
 
     def stop(self) -> None:
-        """End them."""
+        """Stop the threads."""
         for link in self._links:
             link.stop()
 
     def publish(self, requests: dict[str, TransferRequest]) -> None:
-        """What to ask the cells from now on."""
+        """Replace the requests to the cells."""
         self._board.publish(requests)
--- a/src/poppyhold/quota/messages.py
+++ b/src/poppyhold/quota/messages.py
@@ -1,7 +1,8 @@
-"""What the leaders of cells tell one another, over the listener that controllers have for one another.
+"""What the leaders of cells send one another, over the listener that controllers have for one another.
 
-A message is a tagged tuple like all others between controllers. Fields are only added, with defaults; a
-change that an older version would misread raises `PROTOCOL_VERSION`, and such links end.
+A message is a tagged tuple like all others between controllers: the fields go by position, and their order
+and the tags must stay. Fields are only added, with defaults; a change that an older version would misread
+raises `PROTOCOL_VERSION`, and such links end.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class UnmetDemand(msgspec.Struct, frozen=True, array_like=True):
-    """What a cell could use of a team's share beyond its own: guaranteed, and of the limit in all."""
+    """What a cell could use of a team beyond its own allocation: guaranteed, and of the limit in total."""
 
     team: str
     cpus_guaranteed: int = 0
@@ -30,12 +31,12 @@
 
     @property
     def is_zero(self) -> bool:
-        """Whether nothing is wanted."""
+        """Whether there is none."""
         return not (self.is_guaranteed or self.cpus_limit or self.accelerators_limit)
 
 
 class TeamView(msgspec.Struct, frozen=True, array_like=True):
-    """A team in one cell: its share, what may be in use of it, and what the cell could give away."""
+    """A team in one cell: its allocation, its use, and what the cell can spare."""
 
     team: str
     allocation: TeamAllocation
@@ -47,7 +48,7 @@
 
 
 class PeerView(msgspec.Struct, frozen=True, array_like=True):
-    """What passed between one cell and another, as the first one's records say."""
+    """The transfers between one cell and another, by the first one's records."""
 
     cell: str
     sent: int
@@ -66,14 +67,15 @@
 
 
 class TransferRequest(msgspec.Struct, frozen=True, array_like=True, tag="share"):
-    """A leader asks another cell's: also how that one hears what was applied."""
+    """A leader's request to another cell's; it also acknowledges what was applied."""
 
     version: int
     cell: str
     to_cell: str
-    # The cells and their parts, as the sender's operators say.
+    # The cells and their parts, as the sender's operators configured them.
     layout: str
-    # Of the sender's records, and of the other cell's as the sender knows them; empty before a first contact.
+    # The incarnation of the sender's records, and of the other cell's as the sender knows them; the latter is
+    # empty before the first contact.
     incarnation: str
     to_incarnation: str
     # The number of the last of the other cell's transfers that is durable here.
@@ -83,46 +85,47 @@
 
 
 class TransferResponse(msgspec.Struct, frozen=True, array_like=True, tag="shared"):
-    """The other leader's answer."""
+    """The other leader's response."""
 
     cell: str
     incarnation: str = ""
-    # On its way to who asked; repeated until it is said to be applied.
+    # In transit to the requesting cell; repeated until it is acknowledged.
     transfer: Transfer | None = None
-    # A durable step for who asked is under way: ask again soon.
+    # A commit for the requesting cell is in progress: it should ask again soon.
     in_progress: bool = False
     view: CellView | None = None
-    # Why nothing is given; empty: it is not refused.
+    # Why the request was rejected; empty: it was not.
     rejection: str = ""
 
 
 class NotLeading(msgspec.Struct, frozen=True, array_like=True, tag="elsewhere"):
-    """The answer of a controller that does not lead: who does, if it knows."""
+    """The response of a controller that does not lead: the leader's name, if it knows it."""
 
     member: str = ""
 
 
 class StatusRequest(msgspec.Struct, frozen=True, array_like=True, tag="share?"):
-    """An operator asks a cell's leader for what it knows of all cells."""
+    """An operator's request to a cell's leader for what it knows of all cells."""
 
 
 class RemoteCellView(msgspec.Struct, frozen=True, array_like=True):
-    """Another cell as it was last heard, and seconds since then."""
+    """Another cell's last view, and its age in seconds."""
 
     view: CellView
     age_s: float
 
 
-class StatusReply(msgspec.Struct, frozen=True, array_like=True, tag="share!"):
-    """The leader's answer: its own cell, the others as last heard, and cells that were never heard."""
+class StatusResponse(msgspec.Struct, frozen=True, array_like=True, tag="share!"):
+    """The leader's response: its own view, the others' last views, and cells that were never contacted."""
 
     own: CellView
     others: list[RemoteCellView] = []
     uncontacted: list[str] = []
-    # Teams whose share is too small for what waits, and settings that differ from the records.
+    # Teams whose allocation is too small for what is pending, and those whose settings differ from the
+    # records.
     short: list[str] = []
     differing: list[str] = []
 
 
 QuotaRequest = TransferRequest | StatusRequest
-QuotaResponse = TransferResponse | StatusReply | NotLeading
+QuotaResponse = TransferResponse | StatusResponse | NotLeading
--- a/src/poppyhold/quota/records.py
+++ b/src/poppyhold/quota/records.py
@@ -1,4 +1,4 @@
-"""The durable records of a cell's shares. Stored names are only added to, with defaults."""
+"""The durable records of a cell's allocations. Stored names are only added to, with defaults."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 
 class IdentityRecord(msgspec.Struct, frozen=True):
-    """Whose records these are; the incarnation is drawn when they are made."""
+    """To which cell the records belong; the incarnation is drawn when they are created."""
 
     cell: str = msgspec.field(name="c")
     incarnation: str = msgspec.field(name="i")
 
 
 class AllocationRecord(msgspec.Struct, frozen=True):
-    """A team's share in this cell."""
+    """A team's allocation in this cell."""
 
     team: str = msgspec.field(name="t")
     allocation: TeamAllocation = msgspec.field(name="s")
-    # What the team had over all cells as this was seeded.
+    # The team's total over all cells when this record was created.
     total: TeamAllocation = msgspec.field(name="w")
     # Rises with each change.
     version: int = msgspec.field(name="v", default=0)
 
 
 class Transfer(msgspec.Struct, frozen=True, array_like=True):
-    """Parts of teams' shares on their way to another cell. Those to one cell are numbered in sequence."""
+    """Parts of teams' allocations in transit to another cell. Those to one cell are numbered in sequence."""
 
     number: int
     # By team.
@@ -44,9 +44,9 @@
 
 
 class PeerRecord(msgspec.Struct, frozen=True):
-    """What passed between this cell and another one."""
+    """The transfers between this cell and another one."""
 
-    # The incarnation of the other cell's records that it passed between.
+    # The incarnation of the other cell's records at the first transfer.
     incarnation: str = msgspec.field(name="i")
     # The number of the last transfer to it, and that transfer until the other cell has applied it.
     sent: int = msgspec.field(name="s", default=0)
@@ -56,5 +56,5 @@
 
 
 def allocation_key(team: str) -> str:
-    """The key of a team's share; keys hold no spaces."""
+    """The key of a team's allocation; keys hold no spaces."""
     return ALLOCATION + quote(team, safe="")
--- /dev/null
+++ b/src/poppyhold/quota/request_board.py
@@ -0,0 +1,44 @@
+"""The newest request to each cell: written by the decision thread, read by the links' threads."""
+
+from __future__ import annotations
+
+import threading
+
+from poppyhold.quota.messages import TransferRequest
+
+
+class RequestBoard:
+    """Holds the newest requests, and wakes the links that wait for a change."""
+
+    def __init__(self) -> None:
+        self._requests: dict[str, TransferRequest] = {}
+        self._changed = threading.Condition()
+
+    def publish(self, requests: dict[str, TransferRequest]) -> None:
+        """Replace the requests, and wake the waiting links if there is something new to request."""
+        if requests is self._requests:
+            return
+        with self._changed:
+            before, self._requests = self._requests, requests
+            if any(_differs(before.get(cell), request) for cell, request in requests.items()):
+                self._changed.notify_all()
+
+    def latest(self, cell: str) -> TransferRequest | None:
+        """The request to send to a cell now."""
+        return self._requests.get(cell)
+
+    def wait(self, cell: str, sent: TransferRequest | None, timeout_s: float) -> None:
+        """Wait until there is something new to request from a cell, or the time is over."""
+        with self._changed:
+            self._changed.wait_for(lambda: _differs(sent, self._requests.get(cell)), timeout_s)
+
+    def wake(self) -> None:
+        """Wake every waiting link."""
+        with self._changed:
+            self._changed.notify_all()
+
+
+def _differs(before: TransferRequest | None, after: TransferRequest | None) -> bool:
+    if before is None or after is None:
+        return after is not before
+    return before.applied != after.applied or before.unmet_demands != after.unmet_demands
--- a/src/poppyhold/quota/server.py
+++ b/src/poppyhold/quota/server.py
@@ -1,4 +1,4 @@
-"""A controller's side of the links from other cells: the leader answers, any other one says who leads."""
+"""A controller's server for requests from other cells: the leader answers, others redirect to it."""
 
 from __future__ import annotations
 
@@ -19,19 +19,25 @@
 
 log = logging.getLogger(__name__)
 
-# Connections for each other cell: a link, one that is being replaced, and an operator's question.
-_LINKS_A_CELL = 4
+# Connections for each other cell: a link, one that is being replaced, and an operator's request.
+_CONNECTIONS_PER_CELL = 4
+# How long a request waits for the decision thread, as a part of the lease.
+_TIMEOUT_LEASE_DIVISOR = 12
+
+
+class QuotaRequestError(ValueError):
+    """There is no response to a request: its connection has to end."""
 
 
 class LeadingTerm(Protocol):
     """What a term of leading does for other cells."""
 
     def answer_cell(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
-        """Answer a message; None if that can't be done in time."""
+        """Answer a request; None if that is not possible in time."""
 
 
 class QuotaServer:
-    """Answers messages of other cells' leaders and of operators."""
+    """Answers requests of other cells' leaders and of operators."""
 
     def __init__(
         self,
@@ -42,50 +48,50 @@
     ) -> None:
         self._settings, self._cells = settings, cells
         self._leading_term, self._leader = leading_term, leader
-        self._timeout_s = settings.settings.workers.lease_s / 12
-        # Why each cell's last message was refused: logged once, not with each try.
+        self._timeout_s = settings.settings.workers.lease_s / _TIMEOUT_LEASE_DIVISOR
+        # Why each cell's last request was rejected: logged once, not with each retry.
         self._last_rejections: dict[str, str] = {}
 
     @property
     def max_connections(self) -> int:
-        """Connections that come beside those of our own cell's controllers."""
-        return _LINKS_A_CELL * len(self._cells.others) if self._cells is not None else 0
+        """Connections in addition to those of our own cell's controllers."""
+        return _CONNECTIONS_PER_CELL * len(self._cells.others) if self._cells is not None else 0
 
-    def answer(self, message: QuotaRequest) -> QuotaResponse:
-        """The answer to a message.
+    def answer(self, request: QuotaRequest) -> QuotaResponse:
+        """The response to a request.
 
         Raises:
-            ValueError: there is none, and the connection has to end.
+            QuotaRequestError: there is none, and the connection has to end.
         """
         if self._cells is None:
-            raise ValueError("this fleet has one cell")
-        if isinstance(message, TransferRequest):
-            self._check(self._cells, message)
+            raise QuotaRequestError("this fleet has one cell")
+        if isinstance(request, TransferRequest):
+            self._check(self._cells, request)
         term = self._leading_term()
         if term is None:
             leader = self._leader()
             return NotLeading(leader.member if leader is not None else "")
-        answered = term.answer_cell(message, self._timeout_s)
-        if answered is None:
-            raise ValueError("the leader is not ready")
-        return answered
+        response = term.answer_cell(request, self._timeout_s)
+        if response is None:
+            raise QuotaRequestError("the leader is not ready")
+        return response
 
     def _check(self, cells: Cells, request: TransferRequest) -> None:
-        wrong = self._rejection(cells, request)
-        if not wrong:
+        rejection = self._rejection(cells, request)
+        if not rejection:
             self._last_rejections.pop(request.cell, None)
             return
-        if self._last_rejections.get(request.cell) != wrong:
+        if self._last_rejections.get(request.cell) != rejection:
             if len(self._last_rejections) <= len(cells.others):
-                self._last_rejections[request.cell] = wrong
-            log.warning("a message from cell %.80r is refused: %s", request.cell, wrong)
-        raise ValueError(wrong)
+                self._last_rejections[request.cell] = rejection
+            log.warning("request from another cell rejected: cell=%.80r reason=%r", request.cell, rejection)
+        raise QuotaRequestError(rejection)
 
     @staticmethod
     def _rejection(cells: Cells, request: TransferRequest) -> str:
-        """Why a message can't be for us; empty if it can."""
+        """Why a request cannot be for this cell; empty if it can."""
         if request.version != PROTOCOL_VERSION:
-            return f"version {request.version} of the protocol, {PROTOCOL_VERSION} is spoken here"
+            return f"protocol version {request.version}, version {PROTOCOL_VERSION} is supported here"
         if request.to_cell != cells.name:
             return f"it is for cell {request.to_cell:.80}, this is {cells.name}"
         if cells.other(request.cell) is None:
--- a/src/poppyhold/quota/status.py
+++ b/src/poppyhold/quota/status.py
@@ -1,4 +1,4 @@
-"""`poppyhold quota status`: what a cell's leader knows of the teams' shares, for operators."""
+"""`poppyhold quota status`: what a cell's leader knows of the teams' allocations, for operators."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     transfers_in_transit,
 )
 from poppyhold.quota.link import exchange
-from poppyhold.quota.messages import CellView, NotLeading, StatusReply, StatusRequest, TeamView
+from poppyhold.quota.messages import CellView, NotLeading, StatusRequest, StatusResponse, TeamView
 from poppyhold.quota.records import Transfer
 from poppyhold.settings import Settings
 
-# Exit statuses: all is well; an alarm stands, shares don't add up, or nobody could be asked.
+# Exit statuses: no alarm; an alarm is active, allocations don't add up, or no leader could be reached.
 OK, ALARM = 0, 1
 _HEADING = f"  {'team':<24} {'':<5} {'guarantee':>10} {'limit':>10} {'used':>10} {'in transit':>10}"
 
@@ -30,19 +30,19 @@
 
 
 class ResourceStatus(msgspec.Struct, frozen=True):
-    """One resource of one team in one cell, in CPUs or accelerators; a limit of None is none."""
+    """One resource of one team in one cell, in CPUs or accelerators; a limit of None means no limit."""
 
     team: str
     resource: str
     guaranteed: float
     limit: float | None
     used: float
-    # On its way to this cell.
+    # In transit to this cell.
     in_transit: float
 
 
 class CellStatus(msgspec.Struct, frozen=True):
-    """One cell, and how many seconds ago it was heard; 0: it answered itself."""
+    """One cell, and the age of its view in seconds; 0: it responded itself."""
 
     cell: str
     age_s: float
@@ -58,17 +58,17 @@
     short: list[str]
     differing: list[str]
     problems: list[str]
-    # Whether the cells' views are complete and of one moment, so that they can be added up.
+    # Whether the views are complete and of one moment, so that they can be added up.
     added_up: bool
 
     @property
     def exit_status(self) -> int:
-        """What the command ends with."""
+        """The exit status of the command."""
         return ALARM if self.problems or any(cell.alarms for cell in self.cells) else OK
 
 
-def fetch(settings: Settings) -> StatusReply:
-    """Ask the leader of the cell that the settings are of.
+def fetch(settings: Settings) -> StatusResponse:
+    """Fetch the status from the leader of the cell to which the settings belong.
 
     Raises:
         NoLeaderError: it was not found.
@@ -76,86 +76,85 @@
     addresses = {known.member: known.address for known in settings.known}
     addresses[settings.member] = settings.back
     timeout_s = settings.settings.workers.lease_s / 4
-    asked: set[str] = set()
-    waiting = [settings.member, *(known.member for known in settings.known)]
-    while waiting:
-        member = waiting.pop(0)
-        if member in asked or member not in addresses:
+    tried: set[str] = set()
+    candidates = [settings.member, *(known.member for known in settings.known)]
+    while candidates:
+        member = candidates.pop(0)
+        if member in tried or member not in addresses:
             continue
-        asked.add(member)
+        tried.add(member)
         try:
-            answer = exchange(addresses[member], StatusRequest(), timeout_s)
+            response = exchange(addresses[member], StatusRequest(), timeout_s)
         except (OSError, ValueError, msgspec.MsgspecError):
             continue
-        if isinstance(answer, StatusReply):
-            return answer
-        if isinstance(answer, NotLeading):
-            waiting.insert(0, answer.member)
+        if isinstance(response, StatusResponse):
+            return response
+        if isinstance(response, NotLeading):
+            candidates.insert(0, response.member)
     raise NoLeaderError("no controller of this cell leads or answers; has it the file that names the cells?")
 
 
-def summarize(reply: StatusReply) -> QuotaStatus:
-    """What a leader's answer means."""
-    ages = {reply.own.cell: 0.0, **{heard.view.cell: heard.age_s for heard in reply.others}}
-    views = {reply.own.cell: reply.own, **{heard.view.cell: heard.view for heard in reply.others}}
-    moving = _by_taker(views)
-    complete = not reply.uncontacted and are_of_one_moment(views)
+def summarize(response: StatusResponse) -> QuotaStatus:
+    """The status of all cells, from a leader's response."""
+    own, others = response.own, response.others
+    ages = {own.cell: 0.0, **{other.view.cell: other.age_s for other in others}}
+    views = {own.cell: own, **{other.view.cell: other.view for other in others}}
+    incoming = _by_destination(views)
+    complete = not response.uncontacted and are_of_one_moment(views)
     return QuotaStatus(
-        [_cell_status(view, ages[name], moving.get(name, [])) for name, view in views.items()],
-        reply.uncontacted,
-        reply.short,
-        reply.differing,
+        [_cell_status(view, ages[name], incoming.get(name, [])) for name, view in views.items()],
+        response.uncontacted,
+        response.short,
+        response.differing,
         problems(views) if complete else [],
         complete,
     )
 
 
-def _by_taker(views: dict[str, CellView]) -> dict[str, list[Transfer]]:
-    """Transfers that are on their way, by the cell that they go to."""
-    under_way = transfers_in_transit(views)
-    moving: dict[str, list[Transfer]] = {}
+def _by_destination(views: dict[str, CellView]) -> dict[str, list[Transfer]]:
+    """Transfers in transit, by their destination cell."""
+    in_transit = transfers_in_transit(views)
+    by_destination: dict[str, list[Transfer]] = {}
     for view in views.values():
         for peer in view.peers:
-            if peer.in_transit is not None and peer.in_transit in under_way:
-                moving.setdefault(peer.cell, []).append(peer.in_transit)
-    return moving
+            if peer.in_transit is not None and peer.in_transit in in_transit:
+                by_destination.setdefault(peer.cell, []).append(peer.in_transit)
+    return by_destination
 
 
-def _cell_status(view: CellView, age_s: float, moving: list[Transfer]) -> CellStatus:
-    teams = [status for team in view.teams for status in _team_status(team, moving)]
+def _cell_status(view: CellView, age_s: float, incoming: list[Transfer]) -> CellStatus:
+    teams = [status for team in view.teams for status in _team_status(team, incoming)]
     return CellStatus(view.cell, age_s, teams, view.alarms)
 
 
-def _team_status(team: TeamView, moving: list[Transfer]) -> Iterator[ResourceStatus]:
+def _team_status(team: TeamView, incoming: list[Transfer]) -> Iterator[ResourceStatus]:
     used = team.cpus_used, team.accelerators_used
     for index, name in enumerate(RESOURCES):
-        share, whole = parts_of(team.allocation)[index], parts_of(team.total)[index]
-        if not whole.guaranteed and whole.limit is None:
+        allocation, total = parts_of(team.allocation)[index], parts_of(team.total)[index]
+        if not total.guaranteed and total.limit is None:
             continue
-        coming = sum(amounts_of(each, team.team)[index].limit for each in moving)
-        limit = None if share.limit is None else from_units(share.limit)
-        guaranteed, in_use, in_transit = map(from_units, (share.guaranteed, used[index], coming))
+        incoming_units = sum(amounts_of(transfer, team.team)[index].limit for transfer in incoming)
+        limit = None if allocation.limit is None else from_units(allocation.limit)
+        guaranteed, in_use, in_transit = map(from_units, (allocation.guaranteed, used[index], incoming_units))
         yield ResourceStatus(team.team, name, guaranteed, limit, in_use, in_transit)
 
 
 def render(status: QuotaStatus) -> str:
-    """A table for people."""
+    """A table for operators."""
     lines = []
     for cell in status.cells:
-        heard = "now" if not cell.age_s else f"{cell.age_s:.0f} s ago"
-        lines.append(f"cell {cell.cell} ({heard})")
+        age = "now" if not cell.age_s else f"{cell.age_s:.0f} s ago"
+        lines.append(f"cell {cell.cell} ({age})")
         lines.append(_HEADING)
         for row in cell.teams:
             limit = "none" if row.limit is None else f"{row.limit:g}"
             figures = f"{row.guaranteed:>10g} {limit:>10} {row.used:>10g} {row.in_transit:>10g}"
             lines.append(f"  {row.team:<24} {row.resource:<5} {figures}")
         lines += [f"  ALARM {alarm}" for alarm in cell.alarms]
-    lines += [f"cell {cell}: never heard by this leader" for cell in status.uncontacted]
-    lines += [
-        f"team {team}: its work has waited for a larger share for more than a lease" for team in status.short
-    ]
+    lines += [f"cell {cell}: never contacted by this leader" for cell in status.uncontacted]
+    lines += [f"team {team}: its demand has been unmet for more than a lease" for team in status.short]
     lines += [f"team {team}: the settings differ from its record, which holds" for team in status.differing]
     lines += [f"PROBLEM {problem}" for problem in status.problems]
     if not status.added_up:
-        lines.append("not added up: cells are missing, or shares moved while they were heard")
+        lines.append("not added up: cells are missing, or transfers happened between their views")
     return "\n".join(lines)
--- a/tests/test_quota_links.py
+++ b/tests/test_quota_links.py
@@ -27,7 +27,7 @@
     QuotaRequest,
     QuotaResponse,
     RemoteCellView,
-    StatusReply,
+    StatusResponse,
     TeamView,
     TransferRequest,
     TransferResponse,
@@ -101,7 +101,7 @@
         pytest.param((2**31).to_bytes(4, "big") + b"x" * 64, id="oversized"),
         pytest.param((3).to_bytes(4, "big") + b"\xff\xff\xff", id="malformed"),
         pytest.param(TransferResponse("north", "n1"), id="another-cell"),
-        pytest.param(StatusReply(CellView("west")), id="another-message"),
+        pytest.param(StatusResponse(CellView("west")), id="another-message"),
         pytest.param(NotLeading("nobody"), id="unknown-leader"),
     ],
 )
@@ -115,7 +115,7 @@
         eventually(lambda: bool(replies))
         made.stop()
     lines = [record.message for record in caplog.records]
-    assert len([line for line in lines if "can't be reached" in line]) == 1
+    assert len([line for line in lines if "link to cell lost" in line]) == 1
     assert replies[0].cell == "west"
 
 
@@ -284,7 +284,7 @@
 
 
 def status(own: CellView, *others: CellView) -> tuple[int, list[str], bool]:
-    found = summarize(StatusReply(own, [RemoteCellView(other, 2.0) for other in others]))
+    found = summarize(StatusResponse(own, [RemoteCellView(other, 2.0) for other in others]))
     assert "alpha" in render(found)
     return found.exit_status, found.problems, found.added_up
 
--- a/tests/wire_kinds.py
+++ b/tests/wire_kinds.py
@@ -14,7 +14,13 @@
 
 from poppyhold.cluster.peers import Ping, Pong
 from poppyhold.durable.records import CompletionsRecord, LaunchRecord, MachineRecord, PlanRecord
-from poppyhold.quota.messages import NotLeading, StatusReply, StatusRequest, TransferRequest, TransferResponse
+from poppyhold.quota.messages import (
+    NotLeading,
+    StatusRequest,
+    StatusResponse,
+    TransferRequest,
+    TransferResponse,
+)
 from poppyhold.quota.records import AllocationRecord, IdentityRecord, PeerRecord
 from poppyhold.quota.status import QuotaStatus
 from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayHello
@@ -73,7 +79,7 @@
     "shared": TransferResponse,
     "elsewhere": NotLeading,
     "share?": StatusRequest,
-    "share!": StatusReply,
+    "share!": StatusResponse,
 }
 
 # Words and numbers with a fixed meaning.
