--- a/src/poppyhold/scale/cell_checks.py
+++ b/src/poppyhold/scale/cell_checks.py
@@ -16,10 +16,10 @@
 from poppyhold.scale.checks import RuleChecks
 from poppyhold.scale.run import ScaleRun
 from poppyhold.scale.state_standin import StateStandIn
+from poppyhold.scale.violations import RuleViolations
 from poppyhold.wire.codec import convert
 
 _SLACK = 1e-6
-_MOST_KEPT = 50
 _LARGEST_PAGE = 1000
 _SAMPLE_S = 1.0
 
@@ -63,8 +63,7 @@
     ) -> None:
         self._runs, self._limits, self._bound = runs, limits, bound
         self._network, self._clock = network, clock
-        self.broken: list[str] = []
-        self.broken_count = 0
+        self.violations = RuleViolations()
         # Until then a trouble may hold up shares.
         self.troubled_until = float("-inf")
         self._below_since: dict[str, float] = {}
@@ -75,11 +74,6 @@
         self._looked_at: float | None = None
         self.history = CellHistory(_SAMPLE_S)
 
-    def _break(self, text: str) -> None:
-        self.broken_count += 1
-        if len(self.broken) < _MOST_KEPT:
-            self.broken.append(text)
-
     def clear(self) -> None:
         """Begin the measured time."""
         self.use_links_up, self.use_links_cut = LimitUse(), LimitUse()
@@ -104,7 +98,7 @@
     def _check_limits(self, used: Counter[str]) -> None:
         for team, amount in used.items():
             if amount > self._limits[team] + _SLACK:
-                self._break(f"quota over all cells: {team} uses {amount:g} of {self._limits[team]:g}")
+                self.violations.add(f"quota over all cells: {team} uses {amount:g} of {self._limits[team]:g}")
 
     def look(self) -> None:
         """Look at everything once."""
@@ -121,7 +115,7 @@
         self._complete = self._complete or all(len(view.teams) == len(self._limits) for view in views)
         if self._complete:
             for problem in problems({view.cell: view for view in views}):
-                self._break(f"shares: {problem}")
+                self.violations.add(f"shares: {problem}")
 
     def _views(self) -> list[CellView]:
         """The shares of all cells as they are stored, in the order of the runs."""
@@ -146,7 +140,7 @@
                     continue
                 limit, used = from_units(team.share.accelerators.limit), run.checks.used[team.team]
                 if used > limit + _SLACK:
-                    self._break(f"share: {team.team} uses {used:g} of {limit:g} in {view.cell}")
+                    self.violations.add(f"share: {team.team} uses {used:g} of {limit:g} in {view.cell}")
 
     def _note_use(self, used: Counter[str], waiting: Counter[str]) -> None:
         """What is in use of the limits of teams whose work waits, and for how long links are cut."""
@@ -175,7 +169,9 @@
             below_s = now - self._below_since.setdefault(team, now)
             self.longest_below_s = max(self.longest_below_s, below_s)
             if below_s > self._bound.seconds:
-                self._break(f"guarantee: {team} uses {used[team]:g} of {guaranteed:g} for {below_s:.1f} s")
+                self.violations.add(
+                    f"guarantee: {team} uses {used[team]:g} of {guaranteed:g} for {below_s:.1f} s"
+                )
 
     def _waiting(self) -> Counter[str]:
         """Tasks that wait in a cell whose machines have room for one, by team."""
--- a/src/poppyhold/scale/cells.py
+++ b/src/poppyhold/scale/cells.py
@@ -235,7 +235,7 @@
     def _result(self) -> CellsResult:
         waits = self._share_waits().summary()
         in_transit = self._checks.in_transit()
-        broken = list(self._checks.broken)
+        broken = list(self._checks.violations.messages)
         if in_transit:
             broken.append(f"{in_transit} transfers are in transit at the end")
         return CellsResult(
@@ -256,7 +256,7 @@
             troubles=self._troubles,
             samples=self._checks.history.samples,
             broken=broken,
-            broken_count=self._checks.broken_count + bool(in_transit),
+            broken_count=self._checks.violations.count + bool(in_transit),
         )
 
 
--- a/src/poppyhold/scale/checks.py
+++ b/src/poppyhold/scale/checks.py
@@ -6,13 +6,12 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
+from poppyhold.scale.violations import RuleViolations
 from poppyhold.scale.worker_standin import WorkerStandIn
 
 Data = dict[str, Any]
 _FINAL = ("done", "cancelled")
 _SLACK = 1e-6
-# Broken rules that are kept word for word; behind these they are only counted.
-_MOST_KEPT = 50
 
 
 class RuleChecks:
@@ -27,8 +26,7 @@
     ) -> None:
         self._workers, self._limits, self._cancel_s, self._clock = workers, limits, cancel_s, clock
         self.jobs: dict[str, Data] = {}
-        self.broken: list[str] = []
-        self.broken_count = 0
+        self.violations = RuleViolations()
         self._cancelled_at: dict[str, float] = {}
         self._reported_status: dict[str, str] = {}
         self._finished: Counter[str] = Counter()
@@ -38,11 +36,6 @@
         # Upper bounds of what teams use, from the last exact count on.
         self._used: Counter[str] = Counter()
 
-    def _break(self, text: str) -> None:
-        self.broken_count += 1
-        if len(self.broken) < _MOST_KEPT:
-            self.broken.append(text)
-
     # -- tasks -------------------------------------------------------------------------------------
 
     def started(self, worker: WorkerStandIn, task: str) -> None:
@@ -50,7 +43,7 @@
         job_id = task.rpartition("/")[0]
         before = self._placed.get(task)
         if before is not None and before is not worker and not before.gone and task in before.on_machine():
-            self._break(f"ran_twice: {task} on {before.name} and {worker.name}")
+            self.violations.add(f"ran_twice: {task} on {before.name} and {worker.name}")
         self._placed[task] = worker
         self._begun.add(job_id)
         job = self.jobs[job_id]
@@ -84,14 +77,14 @@
                 self._check_cancelled(job_id, task)
         for team, amount in used.items():
             if amount > self._limits[team] + _SLACK:
-                self._break(f"quota: {team} uses {amount:g} of {self._limits[team]:g}")
+                self.violations.add(f"quota: {team} uses {amount:g} of {self._limits[team]:g}")
         self._used = used
         return running
 
     def _check_cancelled(self, job_id: str, task: str) -> None:
         late_at = self._cancelled_at.get(job_id, float("inf")) + self._cancel_s
         if self._clock() > late_at:
-            self._break(f"ran_cancelled: {task}, {self._clock() - late_at:.1f} s too late")
+            self.violations.add(f"ran_cancelled: {task}, {self._clock() - late_at:.1f} s too late")
 
     # -- what users hear ---------------------------------------------------------------------------
 
@@ -102,14 +95,14 @@
     def answered(self, job_id: str, status: int, body: Data) -> None:
         """A user asked about an accepted job, or cancelled it."""
         if status in (400, 404, 422):
-            self._break(f"forgotten: {job_id} gets {status}")
+            self.violations.add(f"forgotten: {job_id} gets {status}")
         if status != 200:  # noqa: PLR2004 (HTTP's own number)
             return
         reported, before = body["status"], self._reported_status.get(job_id)
         if before in _FINAL and reported != before:
-            self._break(f"went_back: {job_id} from {before} to {reported}")
+            self.violations.add(f"went_back: {job_id} from {before} to {reported}")
         if reported == "done" and self._finished[job_id] < self.jobs[job_id]["chores"]:
-            self._break(f"not_done: {job_id} after {self._finished[job_id]} tasks")
+            self.violations.add(f"not_done: {job_id} after {self._finished[job_id]} tasks")
         if reported == "cancelled":
             self._cancelled_at.setdefault(job_id, self._clock())
         self._reported_status[job_id] = reported
--- a/src/poppyhold/scale/run.py
+++ b/src/poppyhold/scale/run.py
@@ -249,7 +249,7 @@
         self._say(
             f"{phase}: {len(self.fleet.workers)} workers, {self._running} tasks, "
             f"{figures.answered.total} reports answered, {figures.failed.total} failed, "
-            f"{figures.leases_lost} leases lost, {self.checks.broken_count} broken, leader {self._leader()}"
+            f"{figures.leases_lost} leases lost, {self.checks.violations.count} broken, leader {self._leader()}"
         )
 
     def _say(self, text: str) -> None:
@@ -332,8 +332,8 @@
             state_requests=dict(self.state.requests),
             statuses={str(status): count for status, count in users.statuses.items()},
             troubles=self._troubles,
-            broken=self.checks.broken,
-            broken_count=self.checks.broken_count,
+            broken=self.checks.violations.messages,
+            broken_count=self.checks.violations.count,
             stopped=self._stopped,
         )
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -163,22 +163,22 @@
         worker.step()
     fleet.checks.answered("job-000001", 200, {"status": "done"})
     assert fleet.checks.count() == 0
-    assert fleet.checks.broken == []
+    assert fleet.checks.violations.messages == []
 
 
 def test_checks_find_a_task_on_two_machines() -> None:
     fleet = CheckedFleet()
     fleet.run(0, 0)
     fleet.run(1, 0, attempt=2)
-    assert "ran_twice" in fleet.checks.broken[0]
+    assert "ran_twice" in fleet.checks.violations.messages[0]
 
 
 def test_checks_find_a_team_above_its_limit() -> None:
     fleet = CheckedFleet(limit=1.0)
     fleet.run(0, 0)
-    assert fleet.checks.broken == []
+    assert fleet.checks.violations.messages == []
     fleet.run(1, 1)
-    assert "quota" in fleet.checks.broken[0]
+    assert "quota" in fleet.checks.violations.messages[0]
 
 
 def test_checks_find_a_cancelled_task_that_lives_on() -> None:
@@ -187,10 +187,10 @@
     fleet.checks.answered("job-000001", 200, {"status": "cancelled"})
     fleet.now = CANCEL_S
     fleet.checks.count()
-    assert fleet.checks.broken == []
+    assert fleet.checks.violations.messages == []
     fleet.now = CANCEL_S + 0.1
     fleet.checks.count()
-    assert "ran_cancelled" in fleet.checks.broken[0]
+    assert "ran_cancelled" in fleet.checks.violations.messages[0]
 
 
 @pytest.mark.parametrize(
@@ -205,7 +205,7 @@
     fleet = CheckedFleet()
     for status, body in answers:
         fleet.checks.answered("job-000001", status, body)
-    assert rule in fleet.checks.broken[0]
+    assert rule in fleet.checks.violations.messages[0]
 
 
 def test_rate_limits_refuse_what_is_above_them() -> None:
