--- a/src/poppyhold/scale/run.py
+++ b/src/poppyhold/scale/run.py
@@ -249,7 +249,8 @@
         self._say(
             f"{phase}: {len(self.fleet.workers)} workers, {self._running} tasks, "
             f"{figures.answered.total} reports answered, {figures.failed.total} failed, "
-            f"{figures.leases_lost} leases lost, {self.checks.violations.count} broken, leader {self._leader()}"
+            f"{figures.leases_lost} leases lost, {self.checks.violations.count} broken, "
+            f"leader {self._leader()}"
         )
 
     def _say(self, text: str) -> None:
--- a/src/poppyhold/scale/simulated_worker.py
+++ b/src/poppyhold/scale/simulated_worker.py
@@ -1,8 +1,8 @@
 """Simulated workers: many in one process, which follow the workers' protocol and whose tasks are timers.
 
 A simulated worker has incarnations, sequence numbers, leases, fencing tokens and tasks. It sends heartbeats
-at the interval and on changes, follows redirects, and executes direct commands on a port of its own. It has no
-network of its own, fetches no image, computes nothing, and shares its event loop with all others.
+at the interval and on changes, follows redirects, and executes direct commands on a port of its own. It has
+no network of its own, fetches no image, computes nothing, and shares its event loop with all others.
 """
 
 from __future__ import annotations
