--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -64,7 +64,9 @@
         self.reconciler = AttemptReconciler(
             self.ctx, self._task_done, self._attempt_over, self._task_ran, self.failures
         )
-        self.admission = Admission(self.ctx, self._quotas, lambda job: self.job_removed(ACTIVE + job.id))
+        self.admission = Admission(
+            self.ctx, self._quotas, lambda job: self.handle_job_removed(ACTIVE + job.id)
+        )
         self.dispatcher = Dispatcher(self.ctx, self.reconciler, self._quotas, self.admission)
         self.autoscaler = Autoscaler(self.ctx, self.reconciler, self._quotas, self._machine_gone)
         self.completions = Completions(self.ctx)
@@ -74,7 +76,7 @@
         # queue or because another controller told of it: the job must not come into being behind it.
         self._ended: Recent[bool] = Recent(int(settings.settings.machine_limits.ram_mb * 10))
         # Before this moment no pass is made over what waits.
-        self.settle_at = float("-inf")
+        self.next_cycle_at = float("-inf")
 
     def _make_quota(self, options: Options) -> CellQuota | None:
         """This cell's shares of the teams' limits; None where the fleet is one cell."""
@@ -106,7 +108,7 @@
         now = ctx.clock()
         if self.quota is not None:
             self.quota.load(snapshot.quota)
-        self.machine_types(machine_types)
+        self.handle_machine_types(machine_types)
         for name, data in snapshot.machines.items():
             self._load_machine(name, data, now)
         for name, data in snapshot.launches.items():
@@ -147,7 +149,7 @@
 
     # -- events --------------------------------------------------------------------------------------
 
-    def machine_types(self, machine_types: Iterable[MachineType]) -> None:
+    def handle_machine_types(self, machine_types: Iterable[MachineType]) -> None:
         """The cloud told its machine types and prices of now."""
         for machine_type in machine_types:
             self.ctx.machine_types[machine_type.name] = machine_type
@@ -160,12 +162,12 @@
             self._follow_machine(machine)
         return answer
 
-    def answered_at(self, machine_name: str) -> float:
+    def last_response_at(self, machine_name: str) -> float:
         """When that machine's worker was answered last in this term."""
         machine = self.ctx.fleet.machines.get(machine_name)
         return machine.last_response_at if machine is not None else float("-inf")
 
-    def job_set(self, entry: Entry) -> None:
+    def handle_job_accepted(self, entry: Entry) -> None:
         """A job was accepted."""
         job_id = entry.key.removeprefix(ACTIVE)
         if job_id in self.ctx.fleet.jobs or job_id in self._ended:
@@ -175,7 +177,7 @@
             self.autoscaler.arrivals.note(self.ctx.clock(), job.spec)
             self.admission.arrive(job)
 
-    def job_removed(self, key: str) -> None:
+    def handle_job_removed(self, key: str) -> None:
         """A job is over: cancelled by its user, or done by us."""
         job_id = key.removeprefix(ACTIVE)
         self._ended.put(job_id, True)
@@ -195,16 +197,16 @@
         self._prune(job)
         self.ctx.scheduling_needed = True
 
-    def resync(self, entries: list[Entry]) -> None:
+    def reconcile_active_jobs(self, entries: list[Entry]) -> None:
         """The watch began anew: what is not among the entries is over."""
         present = {entry.key for entry in entries}
         for job_id in list(self.ctx.fleet.jobs):
             if ACTIVE + job_id not in present:
-                self.job_removed(ACTIVE + job_id)
+                self.handle_job_removed(ACTIVE + job_id)
         for entry in entries:
-            self.job_set(entry)
+            self.handle_job_accepted(entry)
 
-    def listed(self, listing: Listing) -> None:
+    def handle_machine_listing(self, listing: Listing) -> None:
         """The cloud listed its machines."""
         self.autoscaler.listed(listing)
 
@@ -225,14 +227,14 @@
             self.quota.tick()
         self.ctx.scheduling_needed = True
 
-    def settle(self) -> None:
+    def run_scheduling_cycle(self) -> None:
         """After a batch of events: start what may start, and send it.
 
         Events gather between passes over all that waits. Those of a large fleet come so fast that passes
         without a rest would take all that reports leave; so they take a seventh of the time at the most.
         """
         began = self.ctx.clock()
-        if self.ctx.scheduling_needed and began >= self.settle_at and self.ctx.outbound.may_start_tasks():
+        if self.ctx.scheduling_needed and began >= self.next_cycle_at and self.ctx.outbound.may_start_tasks():
             self.ctx.scheduling_needed = False
             if self._guarantees_stale:
                 self._guarantees_stale = False
@@ -240,10 +242,10 @@
             self.dispatcher.dispatch(self.reconciler.all_reconciled())
             ended = self.ctx.clock()
             rest = max(6 * (ended - began), self.ctx.durations.heartbeat_interval_s / 25)
-            self.settle_at = ended + min(rest, self.ctx.durations.heartbeat_interval_s / 2)
+            self.next_cycle_at = ended + min(rest, self.ctx.durations.heartbeat_interval_s / 2)
         self.reconciler.commands.flush()
 
-    def counts(self) -> dict[str, tuple[int, int]]:
+    def task_counts(self) -> dict[str, tuple[int, int]]:
         """Done and running tasks by job, for display."""
         return {job.id: (job.done, job.running) for job in self.ctx.fleet.jobs.values() if not job.finalized}
 
@@ -311,7 +313,7 @@
             if done:
                 self.ctx.outbound.job_finalized(job.id, "done", job.spec.tasks)
             # Otherwise it is over in another way, or was by a repeat of this: the watch tells.
-            self.job_removed(ACTIVE + job.id)
+            self.handle_job_removed(ACTIVE + job.id)
 
         self.ctx.outbound.commit(
             {ACTIVE + job.id: job.version},
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -101,7 +101,7 @@
             node.rng,
         )
         self.relays = RelayServer(
-            self._post, self.answer_heartbeat, self.controller.answered_at, self._assignment, workers
+            self._post, self.answer_heartbeat, self.controller.last_response_at, self._assignment, workers
         )
         self.quota_edge: QuotaEdge | None = None
         quota, cells = self.controller.quota, node.options.cells
@@ -158,8 +158,8 @@
         while self.alive:
             now = time.monotonic()
             wake_at = tick_at
-            if self.controller.ctx.scheduling_needed and self.controller.settle_at > now:
-                wake_at = min(tick_at, self.controller.settle_at)
+            if self.controller.ctx.scheduling_needed and self.controller.next_cycle_at > now:
+                wake_at = min(tick_at, self.controller.next_cycle_at)
             work = self._queue.get(max(0.0, wake_at - now))
             try:
                 if work is not None:
@@ -168,7 +168,7 @@
                     self._tick()
                     tick_at = time.monotonic() + self._tick_s
                 if not len(self._queue):
-                    self.controller.settle()
+                    self.controller.run_scheduling_cycle()
                 if self.quota_edge is not None:
                     self.quota_edge.publish()
             except Exception:
@@ -178,7 +178,7 @@
         """What time alone brings about, and what other threads read of it."""
         self.controller.tick()
         self._ask_ourselves()
-        self._counts = self.controller.counts()
+        self._counts = self.controller.task_counts()
         self._image_hints = self.controller.image_hints()
         self.relays.review(self.controller.ctx.fleet.machines.keys())
         self._vouch()
@@ -199,14 +199,14 @@
         return self.alive and self._queue.put(priority, work)
 
     def _on_resync(self, entries: list[Entry]) -> None:
-        self._post(DECISIONS, lambda: self.controller.resync(entries))
+        self._post(DECISIONS, lambda: self.controller.reconcile_active_jobs(entries))
 
     def _on_job(self, change: Entry | str, version: int) -> None:
         if isinstance(change, Entry):
-            self._post(SUBMISSIONS, lambda: self.controller.job_set(change))
+            self._post(SUBMISSIONS, lambda: self.controller.handle_job_accepted(change))
         else:
             # A cancellation is not a submission: it is acted on with the decisions.
-            self._post(DECISIONS, lambda: self.controller.job_removed(change))
+            self._post(DECISIONS, lambda: self.controller.handle_job_removed(change))
 
     def _on_synced(self, asked: float, revision: int) -> None:
         # In line behind the changes that it stands for.
@@ -219,7 +219,7 @@
     def _act_on(self, member: str, cancelled: Iterable[Cancellation], bound: int, asked: float) -> None:
         """Stop what a controller confirmed as cancelled: it is durable, seen here or not."""
         for job_id, _ in cancelled:
-            self.controller.job_removed(ACTIVE + job_id)
+            self.controller.handle_job_removed(ACTIVE + job_id)
         self.authority.learned(member, asked, bound)
 
     def _ask_ourselves(self) -> None:
@@ -242,10 +242,10 @@
     def _on_machine_types(self, machine_types: list[MachineType]) -> None:
         self._node.catalog.learn(machine_types)
         self._node.catalog.publish()
-        self._post(DECISIONS, lambda: self.controller.machine_types(machine_types))
+        self._post(DECISIONS, lambda: self.controller.handle_machine_types(machine_types))
 
     def _on_listed(self, listing: Listing) -> None:
-        self._post(DECISIONS, lambda: self.controller.listed(listing))
+        self._post(DECISIONS, lambda: self.controller.handle_machine_listing(listing))
 
     def _lost(self) -> None:
         self._node.election.deposed("a write was refused under our key")
@@ -297,7 +297,7 @@
     def _answer_directly(self, heartbeat: Heartbeat, late_at: float) -> Answer | None:
         """The answer to a report that came here directly; None if there can't be one."""
         relay = self._assignment.assign(
-            heartbeat.machine, heartbeat.zone, self.controller.answered_at(heartbeat.machine)
+            heartbeat.machine, heartbeat.zone, self.controller.last_response_at(heartbeat.machine)
         )
         if relay is not None:
             return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": relay})
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -154,7 +154,7 @@
         self.relays: dict[str, RelayState] = {}
         patience_s = heartbeat_response_timeout_s(node.settings.settings.workers)
         self.intake = RelayIntake(
-            self.answer_heartbeat, self.controller.answered_at, self.assignment, patience_s
+            self.answer_heartbeat, self.controller.last_response_at, self.assignment, patience_s
         )
         self.authority.synced(world.now, node.store.revision())
         self.controller.load(
@@ -217,11 +217,11 @@
         """As the decision thread does: when a pass must wait, it wakes up for it."""
         if not self.alive or not self.node.alive or self.node.frozen:
             return
-        self.controller.settle()
-        if self.controller.ctx.scheduling_needed and self.controller.settle_at > max(
+        self.controller.run_scheduling_cycle()
+        if self.controller.ctx.scheduling_needed and self.controller.next_cycle_at > max(
             self.world.now, self.woken_at
         ):
-            self.woken_at = self.controller.settle_at
+            self.woken_at = self.controller.next_cycle_at
             self.world.after(self.woken_at - self.world.now, self.settle)
 
     def commit(
@@ -431,7 +431,7 @@
         self.settings = msgspec.structs.replace(self.world.settings, settings=deployment)
 
     def _count(self, job_id: str) -> tuple[int, int] | None:
-        return self.leader_term.controller.counts().get(job_id) if self.leader_term else None
+        return self.leader_term.controller.task_counts().get(job_id) if self.leader_term else None
 
     def crash(self, back_s: float) -> None:
         """The process ends without a word."""
@@ -469,7 +469,7 @@
             return 503, {}
         heartbeat = parse_heartbeat(body)
         relay = leader_term.assignment.assign(
-            heartbeat.machine, heartbeat.zone, leader_term.controller.answered_at(heartbeat.machine)
+            heartbeat.machine, heartbeat.zone, leader_term.controller.last_response_at(heartbeat.machine)
         )
         if relay is not None:
             return 421, {"foreman": relay}
@@ -567,16 +567,16 @@
         if not world.cloud.down and asked >= leader_term.next_list:
             leader_term.next_list = asked + 4.0
             boxes = [convert(b, Listed) for b in world.cloud.listing()[1]["boxes"]]
-            leader_term.controller.listed(Listing(boxes, asked))
+            leader_term.controller.handle_machine_listing(Listing(boxes, asked))
         if self.store.get(LEAD) is None or world.state.extend(leader_term.lease_id)[0] == 404:
             self.step_down()
             return
         leader_term.confirmed = asked
         for event in world.state.changes(ACTIVE, leader_term.authority.revision):
             if "set" in event:
-                leader_term.controller.job_set(Entry(event["set"], event["data"], event["stamp"]))
+                leader_term.controller.handle_job_accepted(Entry(event["set"], event["data"], event["stamp"]))
             else:
-                leader_term.controller.job_removed(event["remove"])
+                leader_term.controller.handle_job_removed(event["remove"])
         leader_term.authority.synced(asked, world.state.ledger)
 
     def _campaign(self) -> None:
@@ -642,5 +642,5 @@
         self.users.cancellations.known(leader.authority.revision)
         named, bound = self.users.cancellations.named(self.first_revision)
         for job_id, _ in named:
-            leader.controller.job_removed(ACTIVE + job_id)
+            leader.controller.handle_job_removed(ACTIVE + job_id)
         leader.authority.learned(self.member, self.world.now, bound)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -142,7 +142,7 @@
     Guard("gang_half_heard", AttemptReconciler, "all_reconciled", _always),
     Guard("gang_short_notice", Controller, "_drain_gang", _never),
     Guard("gang_leader_crash_in_stop", Gangs, "stop", _kill),
-    Guard("gang_cancelled_at_once", Controller, "job_removed", _never),
+    Guard("gang_cancelled_at_once", Controller, "handle_job_removed", _never),
     Guard("gang_machine_hangs", Gangs, "gone", _never),
     Guard("gang_done_by_one_report", Job, "complete", _complete_one),
     Guard("gang_unsure_start", DirectCommands, "raise_fencing_token", _always),
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -74,8 +74,8 @@
     _, leader_term = leading_world()
     controller = leader_term.controller
     job = wire(submission("job-000007", {"chores": 1}))
-    controller.job_removed(ACTIVE + "job-000007")
-    controller.job_set(Entry(ACTIVE + "job-000007", {"spec": job, "at": 0.0}, 99))
+    controller.handle_job_removed(ACTIVE + "job-000007")
+    controller.handle_job_accepted(Entry(ACTIVE + "job-000007", {"spec": job, "at": 0.0}, 99))
     assert "job-000007" not in controller.ctx.fleet.jobs
 
 
@@ -85,7 +85,7 @@
     world, leader_term = leading_world()
     controller = leader_term.controller
     job = wire(submission("job-000007", {"chores": 1}))
-    controller.job_set(Entry(ACTIVE + "job-000007", {"spec": job, "at": 0.0}, 99))
+    controller.handle_job_accepted(Entry(ACTIVE + "job-000007", {"spec": job, "at": 0.0}, 99))
     assert "job-000007" in controller.ctx.fleet.jobs
     world.run(world.now + 2.0)
     assert "job-000007" not in controller.ctx.fleet.jobs
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -130,7 +130,7 @@
     for number in range(1, 7):
         fleet.submit(jobs.submission(f"job-{number:06d}", {}))
         key = f"{ACTIVE}job-{number:06d}"
-        leader.leader_term.controller.job_set(Entry(key, *fleet.state.keys[key][:2]))
+        leader.leader_term.controller.handle_job_accepted(Entry(key, *fleet.state.keys[key][:2]))
     for job in dispatcher._ctx.fleet.jobs.values():
         job.plan_durable = True
         job.admitted = False
