--- /dev/null
+++ b/src/poppyhold/node/job_lifecycle.py
@@ -0,0 +1,138 @@
+"""The life of a job in the decision core, from its acceptance to its final state."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from poppyhold.concurrency.recent import Recent
+from poppyhold.durable.store import ACTIVE, Entry, final_writes
+from poppyhold.execution.completions import Completions
+from poppyhold.execution.reconciliation import AttemptReconciler
+from poppyhold.machines.autoscaler import Autoscaler
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Attempt, Job, make_job
+from poppyhold.scheduling.admission import Admission
+from poppyhold.wire.messages import MalformedError, parse_submission
+
+# Finalized jobs that are remembered, for each MB of memory that the controller may take.
+_FINALIZED_IDS_PER_RAM_MB = 10
+
+
+class JobLifecycle:
+    """Accepts jobs, follows the end of their tasks, and finalizes them. Used on the decision thread only."""
+
+    def __init__(
+        self,
+        ctx: Context,
+        admission: Admission,
+        reconciler: AttemptReconciler,
+        completions: Completions,
+        autoscaler: Autoscaler,
+        on_active_jobs_changed: Callable[[], None],
+    ) -> None:
+        """``on_active_jobs_changed`` is called when a job begins or ends, as that changes guarantees."""
+        self._ctx, self._admission, self._reconciler = ctx, admission, reconciler
+        self._completions, self._autoscaler = completions, autoscaler
+        self._on_active_jobs_changed = on_active_jobs_changed
+        # Jobs that were finalized before we heard of them. A cancellation may overtake the submission, in our
+        # own queue or because another controller told of it: the submission must not create it afterwards.
+        max_ids = int(ctx.settings.settings.machine_limits.ram_mb * _FINALIZED_IDS_PER_RAM_MB)
+        self._finalized_ids: Recent[bool] = Recent(max_ids)
+
+    # -- jobs begin ----------------------------------------------------------------------------------
+
+    def create(self, entry: Entry) -> Job | None:
+        """Create a job from its durable record; None if the record is malformed."""
+        try:
+            spec = parse_submission(entry.data["spec"])
+        except (KeyError, MalformedError):
+            return None
+        # The job's wait began at the time of day that is stored with it.
+        age_s = max(0.0, self._ctx.wall_clock() - float(entry.data["at"]))
+        job = make_job(spec, entry.version, self._ctx.clock() - age_s)
+        self._ctx.fleet.jobs[job.id] = job
+        self._on_active_jobs_changed()
+        self._ctx.scheduling_needed = True
+        return job
+
+    def resume(self, job: Job) -> None:
+        """Go on with a job that an earlier leader accepted."""
+        self._autoscaler.arrivals.note(job.submitted_at, job.spec)
+        if not job.plan_durable:
+            self._admission.arrive(job)
+        if job.done == job.spec.tasks:
+            self._finalize(job)
+
+    def handle_accepted(self, entry: Entry) -> None:
+        """A user's submission became durable."""
+        job_id = entry.key.removeprefix(ACTIVE)
+        if job_id in self._ctx.fleet.jobs or job_id in self._finalized_ids:
+            return
+        job = self.create(entry)
+        if job is not None:
+            self._autoscaler.arrivals.note(self._ctx.clock(), job.spec)
+            self._admission.arrive(job)
+
+    # -- tasks end -----------------------------------------------------------------------------------
+
+    def handle_task_completed(self, job: Job, index: int) -> None:
+        """A task is done: any other attempt of it is stopped, and the job may be done as well."""
+        other = job.active.get(index)
+        if other is not None:
+            self._reconciler.stop(other, 0.0, self._ctx.clock())
+        if job.done == job.spec.tasks:
+            self._finalize(job)
+
+    def handle_attempt_ended(self, attempt: Attempt) -> None:
+        """An attempt is proven to have ended: what it held is free."""
+        self._admission.over(attempt)
+        job = attempt.job
+        if job.finalized and set(job.active) <= {attempt.index}:
+            self._ctx.fleet.jobs.pop(job.id, None)
+
+    def record_run_time(self, attempt: Attempt, now: float) -> None:
+        """Learn from a task that ran to its end how long such tasks take."""
+        # An attempt that was first seen while it ran does not tell its whole duration.
+        if attempt.start_channel != "seen" and attempt.running_at is not None:
+            self._admission.estimates.note(attempt.job, now - attempt.running_at)
+
+    # -- jobs end ------------------------------------------------------------------------------------
+
+    def _finalize(self, job: Job) -> None:
+        """Write the final state of a job whose tasks are all done."""
+        if job.finalizing or job.finalized:
+            return
+        job.finalizing = True
+
+        def on_committed(committed: bool) -> None:
+            if committed:
+                self._ctx.outbound.job_finalized(job.id, "done", job.spec.tasks)
+            # Otherwise it was finalized in another way, or by a repeat of this write: the watch tells which.
+            self.handle_finalized(job.id)
+
+        self._ctx.outbound.commit(
+            {ACTIVE + job.id: job.version},
+            final_writes(job.id, "done", job.spec.tasks),
+            on_committed,
+            self._admission.commit_priority(job),
+        )
+
+    def handle_finalized(self, job_id: str) -> None:
+        """A job has its final state: its user cancelled it, or all of its tasks are done."""
+        self._finalized_ids.put(job_id, True)
+        job = self._ctx.fleet.jobs.get(job_id)
+        if job is None or job.finalized:
+            return
+        job.finalized = True
+        self._autoscaler.arrivals.note_end(self._ctx.clock(), job.spec)
+        self._on_active_jobs_changed()
+        self._admission.forget(job)
+        now = self._ctx.clock()
+        for attempt in list(job.active.values()):
+            self._reconciler.stop(attempt, 0.0, now)
+        self._completions.remove(job)
+        if job.plan_durable or job.plan_requested:
+            self._admission.remove_plan(job_id)
+        if not job.active:
+            self._ctx.fleet.jobs.pop(job_id, None)
+        self._ctx.scheduling_needed = True
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -158,8 +158,9 @@
         while self.alive:
             now = time.monotonic()
             wake_at = tick_at
-            if self.controller.ctx.scheduling_needed and self.controller.next_cycle_at > now:
-                wake_at = min(tick_at, self.controller.next_cycle_at)
+            due_at = self.controller.scheduling_due_at()
+            if due_at is not None and due_at > now:
+                wake_at = min(tick_at, due_at)
             work = self._queue.get(max(0.0, wake_at - now))
             try:
                 if work is not None:
--- /dev/null
+++ b/src/poppyhold/node/machine_lifecycle.py
@@ -0,0 +1,92 @@
+"""Whether a machine may take new tasks, and how work is moved off a machine that will go."""
+
+from __future__ import annotations
+
+import math
+
+from poppyhold.execution.gangs import GangState
+from poppyhold.execution.reconciliation import AttemptReconciler
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Attempt, Machine
+from poppyhold.scheduling.admission import Admission
+from poppyhold.wire.messages import TaskState
+
+# A preemption notice may last half as long as it says.
+_USABLE_NOTICE_RATIO = 0.5
+
+
+class MachineLifecycle:
+    """Offers machines to the scheduler, and drains them. Used on the decision thread only."""
+
+    def __init__(self, ctx: Context, admission: Admission, reconciler: AttemptReconciler) -> None:
+        self._ctx, self._admission, self._reconciler = ctx, admission, reconciler
+
+    def update_availability(self, machine: Machine) -> None:
+        """Offer a machine to the scheduler if it may take tasks, as its last heartbeat shows."""
+        usable = machine.is_up and machine.reconciled and not (machine.quarantined or machine.deleting)
+        if usable and machine.preempted_at is None:
+            self._admission.machine_up(machine)
+        else:
+            self._admission.machine_out(machine)
+
+    def handle_removed(self, machine: Machine) -> None:
+        """A machine does not exist any more."""
+        self._admission.machine_out(machine)
+
+    def drain_all(self, now: float) -> None:
+        """Move work off every machine that got a preemption notice or is quarantined."""
+        for machine in self._ctx.fleet.machines.values():
+            if (machine.preempted_at is None and not machine.quarantined) or machine.deleting:
+                continue
+            self._admission.machine_out(machine)
+            self._drain(machine, now)
+
+    def _drain(self, machine: Machine, now: float) -> None:
+        remaining_s = self._remaining_s(machine, now)
+        for attempt in list(machine.attempts.values()):
+            if attempt.stopping_at is not None or not self._must_move(attempt, remaining_s, now):
+                continue
+            if attempt.job.is_gang:
+                self._drain_gang(attempt, remaining_s, now)
+            else:
+                self._reconciler.stop(attempt, self._grace_s(attempt), now)
+
+    @staticmethod
+    def _remaining_s(machine: Machine, now: float) -> float:
+        """How long the machine can be counted on; infinite where there is no notice."""
+        if machine.preempted_at is None or machine.notice_at is None:
+            return math.inf
+        notice_s = machine.preempted_at - machine.notice_at
+        return notice_s * _USABLE_NOTICE_RATIO - (now - machine.notice_at)
+
+    def _grace_s(self, attempt: Attempt) -> float:
+        """How long a task that is moved may take to save a checkpoint."""
+        spec = attempt.job.spec
+        if spec.checkpoint_s <= 0:
+            return 0.0
+        return spec.save_s + self._ctx.durations.heartbeat_interval_s
+
+    def _drain_gang(self, attempt: Attempt, remaining_s: float, now: float) -> None:
+        """Move one task of a gang that assembles; a gang that runs is stopped as a whole."""
+        gangs, job = self._reconciler.gangs, attempt.job
+        if gangs.state_of(job) is GangState.ASSEMBLING:
+            self._reconciler.stop(attempt, 0.0, now)
+        else:
+            # Where saving takes longer than is left, progress is lost in any case: better start again sooner.
+            gangs.stop(job, now, grace_s=0.0 if remaining_s < job.spec.save_s else None)
+
+    def _must_move(self, attempt: Attempt, remaining_s: float, now: float) -> bool:
+        """Whether an attempt has to be stopped now, as it can't end on this machine."""
+        job = attempt.job
+        if job.is_service or attempt.status in (TaskState.SENT, TaskState.FETCHING, TaskState.WAITING):
+            return True
+        if remaining_s == math.inf:
+            # The machine is at fault: whatever runs there had better start again elsewhere.
+            return True
+        elapsed_s = now - attempt.running_at if attempt.running_at is not None else 0.0
+        needed_s = max(0.0, self._admission.estimates.seconds(job) - elapsed_s)
+        if needed_s < remaining_s:
+            return False
+        if job.spec.checkpoint_s > 0:
+            return remaining_s < job.spec.save_s + 2 * self._ctx.durations.heartbeat_interval_s
+        return True
--- /dev/null
+++ b/src/poppyhold/node/scheduling_cycle.py
@@ -0,0 +1,54 @@
+"""When the scheduler runs: cycles over all that waits, with rests in between."""
+
+from __future__ import annotations
+
+from poppyhold.execution.reconciliation import AttemptReconciler
+from poppyhold.model.context import Context
+from poppyhold.scheduling.dispatch import Dispatcher
+from poppyhold.scheduling.quotas import Quotas
+
+# A cycle is followed by a rest of so many times its own duration: cycles take a seventh of the time at most.
+_REST_RATIO = 6
+# Bounds of that rest: the heartbeat interval divided by these.
+_SHORTEST_REST_DIVISOR = 25
+_LONGEST_REST_DIVISOR = 2
+
+
+class SchedulingCycle:
+    """Runs the dispatcher when something has changed, at a bounded share of the decision thread's time.
+
+    Events gather between cycles. Those of a large fleet come so fast that cycles without a rest would take
+    all the time that heartbeats leave.
+    """
+
+    def __init__(
+        self, ctx: Context, quotas: Quotas, dispatcher: Dispatcher, reconciler: AttemptReconciler
+    ) -> None:
+        self._ctx, self._quotas = ctx, quotas
+        self._dispatcher, self._reconciler = dispatcher, reconciler
+        self._guarantees_stale = True
+        self._not_before = float("-inf")
+
+    def mark_guarantees_stale(self) -> None:
+        """Which jobs are guaranteed is found out anew in the next cycle."""
+        self._guarantees_stale = True
+
+    def due_at(self) -> float | None:
+        """The moment from which on the next cycle may run; None if nothing is to be scheduled."""
+        return self._not_before if self._ctx.scheduling_needed else None
+
+    def run_if_due(self) -> None:
+        """Start what may start, if something has changed and the rest after the last cycle is over."""
+        ctx = self._ctx
+        began_at = ctx.clock()
+        if not ctx.scheduling_needed or began_at < self._not_before or not ctx.outbound.may_start_tasks():
+            return
+        ctx.scheduling_needed = False
+        if self._guarantees_stale:
+            self._guarantees_stale = False
+            self._quotas.mark_guaranteed(job for job in ctx.fleet.jobs.values() if not job.finalized)
+        self._dispatcher.dispatch(self._reconciler.all_reconciled())
+        ended_at = ctx.clock()
+        interval_s = ctx.durations.heartbeat_interval_s
+        rest_s = max(_REST_RATIO * (ended_at - began_at), interval_s / _SHORTEST_REST_DIVISOR)
+        self._not_before = ended_at + min(rest_s, interval_s / _LONGEST_REST_DIVISOR)
--- /dev/null
+++ b/src/poppyhold/node/state_loader.py
@@ -0,0 +1,70 @@
+"""The start of a term: the core's state is rebuilt from what earlier leaders made durable."""
+
+from __future__ import annotations
+
+from poppyhold.durable.records import MachineRecord
+from poppyhold.durable.snapshot import Snapshot
+from poppyhold.durable.store import Data
+from poppyhold.execution.completions import Completions
+from poppyhold.execution.failures import Failures
+from poppyhold.execution.reconciliation import AttemptReconciler
+from poppyhold.machines.autoscaler import Autoscaler
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Machine
+from poppyhold.node.job_lifecycle import JobLifecycle
+from poppyhold.scheduling.admission import Admission
+from poppyhold.wire.messages import convert
+
+
+class StateLoader:
+    """Rebuilds jobs, machines and launches from a snapshot; workers' heartbeats then tell what runs."""
+
+    def __init__(
+        self,
+        ctx: Context,
+        jobs: JobLifecycle,
+        admission: Admission,
+        reconciler: AttemptReconciler,
+        autoscaler: Autoscaler,
+        completions: Completions,
+        failures: Failures,
+    ) -> None:
+        self._ctx, self._jobs, self._admission = ctx, jobs, admission
+        self._reconciler, self._autoscaler = reconciler, autoscaler
+        self._completions, self._failures = completions, failures
+
+    def load(self, snapshot: Snapshot, now: float) -> None:
+        """Load all records of the snapshot but those of quotas; ``now`` is when the load began."""
+        for name, data in snapshot.machines.items():
+            self._load_machine(name, data, now)
+        for name, data in snapshot.launches.items():
+            self._autoscaler.load_launch(name, data)
+        self._load_jobs(snapshot)
+        for machine in self._ctx.fleet.machines.values():
+            self._reconciler.commands.hasten(machine, now)
+
+    def _load_machine(self, name: str, data: Data, now: float) -> None:
+        """A machine that may hold tasks of earlier terms."""
+        record = convert(data, MachineRecord)
+        self._ctx.machine_types.setdefault(record.machine_type.name, record.machine_type)
+        machine = Machine(name, record.machine_type, record.zone, record.spot, known_since=now)
+        machine.endpoint = record.endpoint
+        machine.images.update(self._ctx.image_hints.get(name, ()))
+        machine.is_recorded = machine.record_requested = machine.is_up = True
+        self._ctx.fleet.machines[name] = machine
+        self._reconciler.unreconciled.add(name)
+
+    def _load_jobs(self, snapshot: Snapshot) -> None:
+        jobs = self._ctx.fleet.jobs
+        for entry in snapshot.active:
+            job = self._jobs.create(entry)
+            if job is not None and job.id in snapshot.plans:
+                self._admission.load(job, snapshot.plans[job.id])
+                self._failures.load(job)
+        for job_id in snapshot.plans.keys() - jobs.keys():
+            # The job was finalized before its plan was removed.
+            self._admission.remove_plan(job_id)
+        for prefix, records in snapshot.done.items():
+            self._completions.load(prefix, records)
+        for job in sorted(jobs.values(), key=lambda job: job.submitted_at):
+            self._jobs.resume(job)
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -218,10 +218,9 @@
         if not self.alive or not self.node.alive or self.node.frozen:
             return
         self.controller.run_scheduling_cycle()
-        if self.controller.ctx.scheduling_needed and self.controller.next_cycle_at > max(
-            self.world.now, self.woken_at
-        ):
-            self.woken_at = self.controller.next_cycle_at
+        due_at = self.controller.scheduling_due_at()
+        if due_at is not None and due_at > max(self.world.now, self.woken_at):
+            self.woken_at = due_at
             self.world.after(self.woken_at - self.world.now, self.settle)
 
     def commit(
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -23,6 +23,8 @@
 from poppyhold.model.fleet import Fleet
 from poppyhold.model.resources import NO_RESOURCES, Resources, max_copies
 from poppyhold.node.controller import Controller
+from poppyhold.node.job_lifecycle import JobLifecycle
+from poppyhold.node.machine_lifecycle import MachineLifecycle
 from poppyhold.scheduling.dispatch import Dispatcher, Pass
 from poppyhold.scheduling.gang_placement import GangPlacement
 from poppyhold.scheduling.quotas import Quotas
@@ -140,9 +142,9 @@
     Guard("gang_team_limit", Dispatcher, "_hold_for_gang", _never),
     Guard("gang_half_sent", Gangs, "adopt", _never),
     Guard("gang_half_heard", AttemptReconciler, "all_reconciled", _always),
-    Guard("gang_short_notice", Controller, "_drain_gang", _never),
+    Guard("gang_short_notice", MachineLifecycle, "_drain_gang", _never),
     Guard("gang_leader_crash_in_stop", Gangs, "stop", _kill),
-    Guard("gang_cancelled_at_once", Controller, "handle_job_removed", _never),
+    Guard("gang_cancelled_at_once", JobLifecycle, "handle_finalized", _never),
     Guard("gang_machine_hangs", Gangs, "gone", _never),
     Guard("gang_done_by_one_report", Job, "complete", _complete_one),
     Guard("gang_unsure_start", DirectCommands, "raise_fencing_token", _always),
