--- /dev/null
+++ b/src/poppyhold/node/cancellation_tracker.py
@@ -0,0 +1,76 @@
+"""What the leader knows of confirmed cancellations, and the leases that it may renew or delegate by that."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable, Iterable
+
+from poppyhold.cluster.authority import Authority
+from poppyhold.cluster.cancellations import Cancellation, Cancellations
+from poppyhold.cluster.lease_delegation import LeaseDelegation
+from poppyhold.cluster.peers import Pong
+from poppyhold.concurrency.priority_queue import DECISIONS
+from poppyhold.durable.store import ACTIVE
+from poppyhold.node.controller import Controller
+from poppyhold.node.decision_loop import DecisionLoop
+
+
+class CancellationTracker:
+    """Acts on cancellations that controllers confirmed to users, even if the state service does not tell.
+
+    A lease may be renewed only as long as no confirmed cancellation can be unknown to the leader; `Authority`
+    says how long that is.
+    """
+
+    def __init__(
+        self,
+        member: str,
+        loop: DecisionLoop,
+        controller: Controller,
+        authority: Authority,
+        own_cancellations: Cancellations,
+        first_revision: Callable[[], int],
+        leadership_confirmed_at: Callable[[], float],
+    ) -> None:
+        """``first_revision`` is the first revision of the state service that this process saw, or -1."""
+        self._member, self._loop, self._controller = member, loop, controller
+        self._authority, self._own_cancellations = authority, own_cancellations
+        self._first_revision, self._leadership_confirmed_at = first_revision, leadership_confirmed_at
+        # What other controllers may renew in our name; None as long as nothing can be said.
+        self.delegation: LeaseDelegation | None = None
+
+    def may_renew_leases(self) -> bool:
+        """Whether workers may be given another lease."""
+        return self._authority.may_answer(time.monotonic(), self._leadership_confirmed_at())
+
+    def on_synced(self, asked_at: float, revision: int) -> None:
+        """The watch has delivered every change up to a revision."""
+        # Queued after the changes that it stands for.
+        self._loop.post(DECISIONS, lambda: self._authority.synced(asked_at, revision))
+
+    def on_peer_response(self, pong: Pong, asked_at: float) -> None:
+        """Another controller told which cancellations it confirmed to users."""
+        self._loop.post(DECISIONS, lambda: self._apply(pong.member, pong.cancelled, pong.bound, asked_at))
+
+    def apply_own_cancellations(self) -> None:
+        """Act on what this node confirmed: the state service may not tell us of it when it refuses us."""
+        asked_at = time.monotonic()
+        self._own_cancellations.known(self._authority.revision)
+        named, bound = self._own_cancellations.named(self._first_revision())
+        self._apply(self._member, named, bound, asked_at)
+
+    def _apply(self, member: str, cancelled: Iterable[Cancellation], bound: int, asked_at: float) -> None:
+        """Stop the jobs whose cancellation a controller confirmed: it is durable, seen here or not."""
+        for job_id, _ in cancelled:
+            self._controller.handle_job_removed(ACTIVE + job_id)
+        self._authority.learned(member, asked_at, bound)
+
+    def update_delegation(self) -> None:
+        """Note what the other controllers may count on, should they lose us."""
+        sure_at = min(self._authority.synced_at, self._leadership_confirmed_at())
+        excluded_machines = self._controller.excluded_machines()
+        if excluded_machines is None or sure_at == float("-inf"):
+            self.delegation = None
+            return
+        known_wall = time.time() - (time.monotonic() - sure_at)
+        self.delegation = LeaseDelegation(self._controller.ctx.fencing_token, known_wall, excluded_machines)
--- /dev/null
+++ b/src/poppyhold/node/command_dispatcher.py
@@ -0,0 +1,136 @@
+"""The leader's commands to workers: POST /do, each sent once."""
+
+from __future__ import annotations
+
+import logging
+import threading
+from collections import deque
+from collections.abc import Callable
+from http import HTTPStatus
+
+from poppyhold.model.outbound import Data
+from poppyhold.model.outcome import RequestOutcome
+from poppyhold.settings import ConfigError, Settings, split_address
+from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
+from poppyhold.wire.messages import Heartbeat, MalformedError, parse_heartbeat
+
+log = logging.getLogger(__name__)
+
+ResponseCallback = Callable[[RequestOutcome, Heartbeat | None], None]
+
+# A worker that does not answer within so many heartbeat intervals may still get the command later.
+_TIMEOUT_INTERVALS = 1.5
+# Threads of the two pools: at least so many, and the controller's threads divided by these.
+_MIN_POOL_THREADS = 4
+_FAST_POOL_DIVISOR, _SLOW_POOL_DIVISOR = 20, 10
+
+
+class SenderPool:
+    """Threads that send commands. The pool grows by need, and threads that stay idle end.
+
+    Commands wait for one another only as long as all threads are busy. Each machine that does not answer
+    holds a thread until its time is up. With a fixed few threads, 300 silent machines of a zone that is cut
+    off kept the commands to all others waiting for minutes.
+    """
+
+    def __init__(
+        self, max_threads: int, idle_s: float, send: Callable[[str, Data, ResponseCallback], None]
+    ) -> None:
+        self._max_threads, self._idle_s, self._send = max_threads, idle_s, send
+        self._queue: deque[tuple[str, Data, ResponseCallback]] = deque()
+        self._wake = threading.Condition(threading.Lock())
+        self._threads = self._idle = 0
+        self._stopped = False
+
+    def submit(self, endpoint: str, body: Data, on_response: ResponseCallback) -> None:
+        """Queue a command; a thread is added if none is free for it."""
+        with self._wake:
+            if self._stopped:
+                return
+            self._queue.append((endpoint, body, on_response))
+            if len(self._queue) <= self._idle or self._threads >= self._max_threads:
+                self._wake.notify()
+                return
+            self._threads += 1
+        threading.Thread(target=self._run, name="sender", daemon=True).start()
+
+    def stop(self) -> None:
+        """Drop what is queued, and end each thread after the command that it is sending."""
+        with self._wake:
+            self._stopped = True
+            self._queue.clear()
+            self._wake.notify_all()
+
+    def _take(self) -> tuple[str, Data, ResponseCallback] | None:
+        """The next command; None if the thread is to end."""
+        with self._wake:
+            if not self._queue and not self._stopped:
+                self._idle += 1
+                self._wake.wait(self._idle_s)
+                self._idle -= 1
+            if self._queue:
+                return self._queue.popleft()
+            self._threads -= 1
+            return None
+
+    def _run(self) -> None:
+        while (command := self._take()) is not None:
+            self._send(*command)
+
+
+class CommandDispatcher:
+    """Sends commands to workers; those to workers that may not answer go through a pool of their own."""
+
+    def __init__(self, settings: Settings) -> None:
+        workers = settings.settings.workers
+        self._timeout_s = workers.heartbeat_interval_s * _TIMEOUT_INTERVALS
+        threads = settings.settings.machine_limits.threads
+        idle_s = workers.lease_s
+        self._fast_pool = SenderPool(
+            max(_MIN_POOL_THREADS, threads // _FAST_POOL_DIVISOR), idle_s, self._send
+        )
+        self._slow_pool = SenderPool(
+            max(_MIN_POOL_THREADS, threads // _SLOW_POOL_DIVISOR), idle_s, self._send
+        )
+
+    def send(self, endpoint: str, body: Data, on_response: ResponseCallback, slow_lane: bool) -> None:
+        """Queue a command. Those of the slow lane do not hold up the others."""
+        (self._slow_pool if slow_lane else self._fast_pool).submit(endpoint, body, on_response)
+
+    def stop(self) -> None:
+        """End the threads."""
+        self._fast_pool.stop()
+        self._slow_pool.stop()
+
+    def _send(self, endpoint: str, body: Data, on_response: ResponseCallback) -> None:
+        try:
+            on_response(*self._post(endpoint, body))
+        except Exception:
+            # The top of a sender thread: the core must hear of the command, and the thread must go on.
+            log.exception("command failed endpoint=%s", endpoint)
+            on_response(RequestOutcome.UNKNOWN, None)
+
+    def _post(self, endpoint: str, body: Data) -> tuple[RequestOutcome, Heartbeat | None]:
+        try:
+            host, port = split_address(endpoint)
+        except ConfigError:
+            return RequestOutcome.NOT_SENT, None
+        # A new connection each time: on one that was kept open, a lost command and a closed
+        # connection look alike, and a lost command has to be waited out.
+        client = Client(host, port, keep=0)
+        try:
+            status, data = client.request("POST", "/do", body, timeout=self._timeout_s)
+        except NotSentError as error:
+            log.debug("command not sent endpoint=%s error=%s", endpoint, error)
+            return RequestOutcome.NOT_SENT, None
+        except NoAnswerError as error:
+            log.debug("command not answered endpoint=%s error=%s", endpoint, error)
+            return RequestOutcome.UNKNOWN, None
+        if status not in (HTTPStatus.OK, HTTPStatus.CONFLICT):
+            return RequestOutcome.REJECTED, None
+        try:
+            heartbeat = parse_heartbeat(data)
+        except MalformedError as error:
+            log.debug("command answered with a malformed heartbeat endpoint=%s error=%s", endpoint, error)
+            heartbeat = None
+        return (RequestOutcome.OK if status == HTTPStatus.OK else RequestOutcome.REJECTED), heartbeat
--- /dev/null
+++ b/src/poppyhold/node/heartbeat_endpoint.py
@@ -0,0 +1,77 @@
+"""The leader's answers to heartbeats, whether they come from workers directly or through relays."""
+
+from __future__ import annotations
+
+import threading
+import time
+from collections.abc import Callable
+from http import HTTPStatus
+
+from poppyhold.concurrency.priority_queue import HEARTBEATS
+from poppyhold.node.controller import Controller
+from poppyhold.node.decision_loop import DecisionLoop
+from poppyhold.relay.assignment import Assignment
+from poppyhold.wire.http import Answer, Deferred, answer
+from poppyhold.wire.messages import Heartbeat, HeartbeatResponse
+
+
+class HeartbeatEndpoint:
+    """Has heartbeats answered on the decision thread, for as long as leases may be renewed."""
+
+    def __init__(
+        self,
+        loop: DecisionLoop,
+        controller: Controller,
+        assignment: Assignment,
+        may_renew_leases: Callable[[], bool],
+        rejection: Callable[[], Answer],
+    ) -> None:
+        """``rejection`` is the answer to a heartbeat that the leader can't answer."""
+        self._loop, self._controller, self._assignment = loop, controller, assignment
+        self._may_renew_leases, self._rejection = may_renew_leases, rejection
+        self._ready = threading.Event()
+
+    def open(self) -> None:
+        """The state is rebuilt: heartbeats can be answered from now on."""
+        self._ready.set()
+
+    def handle(self, heartbeat: Heartbeat, timeout_s: float) -> Deferred | None:
+        """Have a direct heartbeat answered by the decision thread; None if the term is not ready in time."""
+        # A worker that is rejected comes back a second later, when its lease may be over: while the fleet's
+        # state is read it had better wait.
+        if not self._ready.wait(timeout_s):
+            return None
+        # Nobody waits for the answer after this: work on it would only hold up the heartbeats that follow.
+        late_at = time.monotonic() + timeout_s
+
+        def defer(send: Callable[[Answer], None]) -> None:
+            def work() -> None:
+                result = self._rejection()
+                try:
+                    result = self._answer_directly(heartbeat, late_at) or result
+                finally:
+                    send(result)
+
+            if not self._loop.post(HEARTBEATS, work):
+                send(self._rejection())
+
+        return defer
+
+    def _answer_directly(self, heartbeat: Heartbeat, late_at: float) -> Answer | None:
+        """The answer to a direct heartbeat, which may be the name of a relay; None: no lease is renewed."""
+        relay = self._assignment.assign(
+            heartbeat.machine, heartbeat.zone, self._controller.last_response_at(heartbeat.machine)
+        )
+        if relay is not None:
+            return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": relay})
+        response = self.answer(heartbeat, late_at)
+        return answer(HTTPStatus.OK, response.body()) if response is not None else None
+
+    def answer(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
+        """On the decision thread: answer a heartbeat, whichever way it came; None if it can't be answered.
+
+        After ``late_at`` nobody waits for the answer.
+        """
+        if not self._loop.alive or time.monotonic() >= late_at or not self._may_renew_leases():
+            return None
+        return self._controller.handle_heartbeat(heartbeat)
--- /dev/null
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -0,0 +1,121 @@
+"""Where a worker's heartbeat is answered: by us as the leader, by the leader through us, or elsewhere."""
+
+from __future__ import annotations
+
+import random
+import time
+from collections.abc import Callable
+from http import HTTPStatus
+
+from poppyhold.cluster.election import Election, Leader
+from poppyhold.cluster.lease_delegation import DelegatedRenewal
+from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
+from poppyhold.cluster.redirect_backoff import RedirectBackoff
+from poppyhold.durable.store import Store
+from poppyhold.node.leader_term import LeaderTerm
+from poppyhold.relay.forwarding import HeartbeatForwarder
+from poppyhold.relay.leader import heartbeat_response_timeout_s
+from poppyhold.settings import Settings
+from poppyhold.wire.http import Answer, Deferred, answer
+from poppyhold.wire.messages import Heartbeat, HeartbeatResponse, MalformedError, decode, parse_heartbeat
+
+# A worker waits for so many heartbeat intervals at most until the election names a leader.
+_AWAIT_LEADER_INTERVALS = 0.5
+
+
+class HeartbeatRouter:
+    """Answers POST /hello on any controller.
+
+    In this order: the leader answers itself; a relay forwards; a delegate renews the lease in the leader's
+    name where that is cut off; otherwise the worker is redirected to the leader.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        store: Store,
+        election: Election,
+        delegated_renewal: DelegatedRenewal,
+        misdirected_workers: MisdirectedWorkers,
+        leader_term: Callable[[], LeaderTerm | None],
+        is_unreachable: Callable[[str], bool],
+        rng: random.Random,
+    ) -> None:
+        """``is_unreachable`` tells whether nothing gets through to another controller."""
+        workers = settings.settings.workers
+        self._member, self._store, self._election = settings.member, store, election
+        self._delegated_renewal, self._misdirected_workers = delegated_renewal, misdirected_workers
+        self._leader_term, self._is_unreachable = leader_term, is_unreachable
+        # After this a worker has given up the answer, as the protocol says: it comes in time or not at all.
+        self._response_timeout_s = heartbeat_response_timeout_s(workers)
+        # A worker that is not told where to go tries another node a second later. Where all nodes have just
+        # come back, that second decides whether leases end; an election takes far less.
+        self._await_leader_s = workers.heartbeat_interval_s * _AWAIT_LEADER_INTERVALS
+        self._redirect_backoff = RedirectBackoff(workers.lease_s, settings.settings.machine_limits.machines)
+        self.forwarder = HeartbeatForwarder(
+            settings,
+            lambda: election.leader,
+            lambda: leader_term() is not None,
+            self._answer_without_leader,
+            lambda: self._redirect_to(election.leader),
+            rng,
+        )
+
+    def handle(self, body: bytes) -> Answer | Deferred:
+        """Answer a heartbeat."""
+        try:
+            heartbeat = parse_heartbeat(decode(body))
+        except MalformedError as error:
+            return answer(HTTPStatus.BAD_REQUEST, {"error": str(error)})
+        response = self._answer_as_leader(heartbeat) or self.forwarder.handle(heartbeat)
+        if response is not None:
+            return response
+        return self._answer_without_leader(heartbeat) or self._redirect(heartbeat)
+
+    def reject(self) -> Answer:
+        """The answer to a heartbeat that we can't answer as the leader."""
+        if self._leader_term() is not None:
+            return answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
+        return self._redirect_to(self._election.leader)
+
+    def _answer_as_leader(self, heartbeat: Heartbeat) -> Answer | Deferred | None:
+        """The leader's answer; None if we don't lead."""
+        leader_term = self._leader_term()
+        if leader_term is None:
+            return None
+        return leader_term.heartbeats.handle(heartbeat, self._response_timeout_s) or self.reject()
+
+    def _answer_without_leader(self, heartbeat: Heartbeat) -> Answer | None:
+        """Renew the lease as the leader's delegate; None if we may not."""
+        if heartbeat.fencing_token:
+            leader = self._election.leader
+            renewed_token = self._delegated_renewal.may_answer(
+                heartbeat,
+                self._store.contact_at,
+                leader.fencing_token if leader else 0,
+                leader is not None and self._is_unreachable(leader.member),
+            )
+            if renewed_token is not None:
+                return answer(HTTPStatus.OK, HeartbeatResponse(renewed_token).body())
+            # A new machine's worker begins with any node; one that has a token has left its leader.
+            self._misdirected_workers.note(heartbeat)
+        return None
+
+    def _redirect(self, heartbeat: Heartbeat) -> Answer | Deferred:
+        """Wait a moment for a leader, and send the worker there."""
+        leader = self._election.await_leader(self._await_leader_s)
+        if leader is not None and leader.member != self._member and not self.forwarder.is_wanted():
+            now = time.monotonic()
+            wait_s = self._redirect_backoff.wait_s(
+                heartbeat, leader.fencing_token, now - self._election.leader_since, now
+            )
+            if wait_s:
+                leader = self._election.await_next(leader, wait_s)
+        # The election may have named us meanwhile.
+        return self._answer_as_leader(heartbeat) or self._redirect_to(leader)
+
+    def _redirect_to(self, leader: Leader | None) -> Answer:
+        """421, with the leader's name if another controller leads."""
+        if leader is None or leader.member == self._member:
+            return answer(HTTPStatus.MISDIRECTED_REQUEST)
+        return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": leader.member})
--- /dev/null
+++ b/src/poppyhold/node/membership.py
@@ -0,0 +1,230 @@
+"""What a controller tells its peers, what it learns from them, and how that moves leadership."""
+
+from __future__ import annotations
+
+import socket
+import time
+from collections.abc import Callable
+
+from poppyhold.cluster.cancellations import Cancellation
+from poppyhold.cluster.election import Election, Leader
+from poppyhold.cluster.lease_delegation import DelegatedRenewal, LeaseDelegations
+from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
+from poppyhold.cluster.peers import Peers, Ping, Pong
+from poppyhold.model.context import ImageHints
+from poppyhold.model.durations import Durations
+from poppyhold.node.leader_term import LeaderTerm
+from poppyhold.node.users import Users
+from poppyhold.options import Options
+from poppyhold.quota.server import QuotaServer
+from poppyhold.relay.forwarding import HeartbeatForwarder
+from poppyhold.relay.messages import RelayHello
+from poppyhold.settings import Settings
+
+# Jobs whose counts are kept of the leader's, for each MB of memory that the controller may take.
+_COUNTS_PER_RAM_MB = 100
+# A refused connection to the leader deposes it by itself once in so many leases.
+_REFUSAL_SUFFICES_LEASES = 6
+
+
+class Membership:
+    """Pings and their answers, as the node's part in the cluster; `Peers` carries them."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        options: Options,
+        election: Election,
+        users: Users,
+        forwarder: HeartbeatForwarder,
+        delegated_renewal: DelegatedRenewal,
+        misdirected_workers: MisdirectedWorkers,
+        quota_server: QuotaServer,
+        leader_term: Callable[[], LeaderTerm | None],
+        state_contact_at: Callable[[], float],
+    ) -> None:
+        """``state_contact_at`` is when the state service last answered us."""
+        self._settings, self._election, self._users = settings, election, users
+        self._forwarder, self._delegated_renewal = forwarder, delegated_renewal
+        self._misdirected_workers = misdirected_workers
+        self._leader_term, self._state_contact_at = leader_term, state_contact_at
+        self._better_leader_after_s = Durations(settings, options).delegated_renewal_after_s
+        # The leader's counts of tasks, and its machines' images.
+        self._peer_counts: dict[str, tuple[int, int]] = {}
+        self.peer_image_hints: ImageHints = {}
+        # When we last deposed a leader that refused connections.
+        self._deposed_at = float("-inf")
+        # A leader whose process answered, and did not lead.
+        self._idle_leader: Leader | None = None
+        self.peers = Peers(
+            settings,
+            self._describe,
+            self._led_task_counts,
+            self._led_image_hints,
+            self._answer_ping,
+            self._on_pong,
+            self._on_connection_refused,
+            self._led_delegations,
+            self._serve_relay,
+            quota_server.answer,
+            quota_server.most_links,
+        )
+
+    def should_yield(self) -> bool:
+        """Whether another controller should campaign before this one."""
+        return self.peers.connectivity.better_placed() is not None
+
+    def task_counts(self, job_id: str) -> tuple[int, int] | None:
+        """A job's done and running tasks, as the leader knows them."""
+        leader_term = self._leader_term()
+        counts = leader_term.task_counts if leader_term is not None else self._peer_counts
+        return counts.get(job_id)
+
+    # -- what we tell --------------------------------------------------------------------------------
+
+    def _led_task_counts(self) -> dict[str, tuple[int, int]]:
+        leader_term = self._leader_term()
+        return leader_term.task_counts if leader_term is not None else {}
+
+    def _led_image_hints(self) -> ImageHints:
+        leader_term = self._leader_term()
+        return leader_term.image_hints if leader_term is not None else {}
+
+    def _led_delegations(self) -> LeaseDelegations | None:
+        leader_term = self._leader_term()
+        return leader_term.delegations if leader_term is not None else None
+
+    def _describe(self) -> Ping:
+        term = self._election.term
+        state_age_s = time.monotonic() - self._state_contact_at()
+        workers = len(self._misdirected_workers.recent())
+        leader_term = self._leader_term()
+        delegation = (
+            leader_term.cancellations.delegation if leader_term is not None and leader_term.alive else None
+        )
+        known = leader_term.authority.revision if leader_term is not None else -1
+        named, unnamed = self._confirmed_cancellations()
+        confirmed = unnamed if unnamed < 0 else max([unnamed, *(revision for _, revision in named)])
+        return Ping(
+            self._settings.member,
+            term.fencing_token if term else 0,
+            term is not None,
+            state_age_s,
+            confirmed,
+            workers,
+            delegation=delegation,
+            known=known,
+            relays=leader_term is not None and self._takes_relays(leader_term),
+        )
+
+    def _confirmed_cancellations(self) -> tuple[list[Cancellation], int]:
+        """Cancellations that we confirmed to users, as `Cancellations.named` says."""
+        return self._users.cancellations.named(self._election.watch.first_revision)
+
+    def _answer_ping(self, ping: Ping) -> Pong:
+        if ping.leading:
+            self._learn_from_leader(ping)
+        us = self._describe()
+        named: list[Cancellation] = []
+        unnamed: int | None = None
+        misdirected = self._misdirected_workers.recent() if ping.leading else []
+        if ping.leading and ping.known >= 0:
+            self._users.cancellations.known(ping.known)
+            # Read after `us`: what is confirmed in between is named as well.
+            named, unnamed = self._confirmed_cancellations()
+        return Pong(
+            us.member,
+            us.fencing_token,
+            us.leading,
+            us.state_age_s,
+            us.confirmed,
+            us.workers,
+            named,
+            unnamed,
+            misdirected,
+            self.peers.connectivity.hears(),
+        )
+
+    # -- what we learn -------------------------------------------------------------------------------
+
+    def _learn_from_leader(self, ping: Ping) -> None:
+        self._election.observe_fencing_token(ping.fencing_token)
+        self._forwarder.leader_spoke(ping.fencing_token, ping.relays)
+        self._delegated_renewal.heard(ping.fencing_token, ping.delegation)
+        limits = self._settings.settings.machine_limits
+        counts = dict(self._peer_counts)
+        counts.update({job: (done, running) for job, done, running in ping.counts})
+        while len(counts) > limits.ram_mb * _COUNTS_PER_RAM_MB:
+            counts.pop(next(iter(counts)))
+        self._peer_counts = counts
+        for machine, images in ping.images:
+            self.peer_image_hints.pop(machine, None)
+            self.peer_image_hints[machine] = images
+        while len(self.peer_image_hints) > limits.machines:
+            self.peer_image_hints.pop(next(iter(self.peer_image_hints)))
+
+    def _on_pong(self, pong: Pong, asked_at: float) -> None:
+        if pong.leading:
+            self._election.observe_fencing_token(pong.fencing_token)
+            return
+        # Only from one that does not lead: what a leader confirmed does not bound what others confirm during
+        # its term.
+        leader_term = self._leader_term()
+        if leader_term is not None:
+            leader_term.on_peer_response(pong, asked_at)
+            self._hand_over_if_better_placed()
+        self._check_idle_leader(pong)
+
+    # -- who leads -----------------------------------------------------------------------------------
+
+    def _check_idle_leader(self, pong: Pong) -> None:
+        """Depose a leader whose process runs and leads nothing: the key is that of a process before it."""
+        leader = self._election.leader
+        if leader is None or leader.member != pong.member or pong.fencing_token:
+            return
+        if self._idle_leader == leader:
+            # Told twice, so it is not that the answer and the election crossed.
+            self._idle_leader = None
+            self._election.depose(leader)
+        else:
+            self._idle_leader = leader
+
+    def _hand_over_if_better_placed(self) -> None:
+        """Let a controller lead that reaches more of the others than we do.
+
+        Two zones that cannot reach each other while both reach a third: a leader in one of the two lost all
+        tasks of the other one to their leases, and could not tell for half a minute what still ran there.
+        """
+        better = self.peers.connectivity.better_placed(self._better_leader_after_s)
+        view = self.peers.views.get(better) if better is not None else None
+        # The next leader must be able to lead: it heard from the state service lately.
+        if view is not None and time.monotonic() - view.contact_at < self._election.life_s:
+            self._election.hand_over(f"{better} reaches more controllers")
+
+    def _on_connection_refused(self, member: str) -> None:
+        """A controller's host refused our connection: if it leads, its process may be gone."""
+        leader = self._election.leader
+        if leader is None or leader.member != member or self._election.term is not None:
+            return
+        # A refusal alone proves nothing: a packet filter between controllers refuses as well, and three
+        # nodes that each depose whomever they can't reach would never let one lead. So a refusal suffices
+        # once in several leases, and otherwise only if workers have turned away from the leader too.
+        now = time.monotonic()
+        lease_s = self._settings.settings.workers.lease_s
+        quiet_s = now - self._deposed_at
+        workers_left = len(self._misdirected_workers.recent()) > 1
+        if quiet_s > _REFUSAL_SUFFICES_LEASES * lease_s or (quiet_s > lease_s and workers_left):
+            self._deposed_at = now
+            self._election.depose(leader)
+
+    # -- relays --------------------------------------------------------------------------------------
+
+    def _takes_relays(self, leader_term: LeaderTerm) -> bool:
+        """Whether a term takes relays; before it knows how many machines there are, as the last one."""
+        relays = leader_term.relays
+        return relays.wanted or (not relays.reviewed and self._forwarder.is_wanted())
+
+    def _serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
+        leader_term = self._leader_term()
+        if leader_term is not None and self._takes_relays(leader_term):
+            leader_term.relays.serve(connection, hello)
--- /dev/null
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -0,0 +1,129 @@
+"""The decision core's outbound port, connected with the threads that do I/O for it."""
+
+from __future__ import annotations
+
+import threading
+import time
+from collections.abc import Callable
+
+from poppyhold.cluster.authority import Authority
+from poppyhold.cluster.election import Election
+from poppyhold.cluster.lease_delegation import LeaseDelegations
+from poppyhold.cluster.peers import PeerView
+from poppyhold.concurrency.priority_queue import DECISIONS
+from poppyhold.durable.committer import Committer, Unit
+from poppyhold.model.outbound import CommitPriority, Data, MisdirectedWorker
+from poppyhold.model.outcome import RequestOutcome
+from poppyhold.node.cloud_thread import CloudThread
+from poppyhold.node.command_dispatcher import CommandDispatcher, ResponseCallback
+from poppyhold.node.decision_loop import DecisionLoop
+from poppyhold.node.users import Users
+from poppyhold.wire.messages import Heartbeat
+
+
+class OutboundAdapter:
+    """Implements `OutboundPort`: requests go to their threads, outcomes to the decision thread."""
+
+    def __init__(
+        self,
+        loop: DecisionLoop,
+        election: Election,
+        authority: Authority,
+        delegations: LeaseDelegations,
+        committer: Committer,
+        commands: CommandDispatcher,
+        users: Users,
+        peer_views: dict[str, PeerView],
+    ) -> None:
+        self._loop, self._election, self._authority = loop, election, authority
+        self._delegations, self._committer, self._commands = delegations, committer, commands
+        self._users, self._peer_views = users, peer_views
+        # Set once the state is rebuilt. Before that no machine is launched or deleted.
+        self.cloud: CloudThread | None = None
+
+    # -- requests ------------------------------------------------------------------------------------
+
+    def commit(
+        self,
+        conditions: dict[str, int],
+        writes: list[Data],
+        done: Callable[[bool], None],
+        priority: CommitPriority = CommitPriority.BACKGROUND,
+    ) -> None:
+        """See `OutboundPort`."""
+
+        def on_committed(committed: bool) -> None:
+            self._loop.post(DECISIONS, lambda: done(committed))
+
+        self._committer.submit(Unit(conditions, writes, on_committed), priority)
+
+    def send_commands(
+        self, box: str, endpoint: str, body: Data, done: ResponseCallback, patient: bool
+    ) -> None:
+        """See `OutboundPort`."""
+
+        def on_response(outcome: RequestOutcome, heartbeat: Heartbeat | None) -> None:
+            self._loop.post(DECISIONS, lambda: done(outcome, heartbeat))
+
+        self._commands.send(endpoint, body, on_response, patient)
+
+    def launch_machines(self, body: Data, done: Callable[[RequestOutcome, list[str]], None]) -> None:
+        """See `OutboundPort`."""
+
+        def on_response(outcome: RequestOutcome, machines: list[str]) -> None:
+            self._loop.post(DECISIONS, lambda: done(outcome, machines))
+
+        if self.cloud is not None:
+            self.cloud.launch(body, on_response)
+
+    def delete_machines(self, names: list[str], done: Callable[[bool], None]) -> None:
+        """See `OutboundPort`."""
+
+        def on_response(deleted: bool) -> None:
+            self._loop.post(DECISIONS, lambda: done(deleted))
+
+        if self.cloud is not None:
+            self.cloud.delete(names, on_response)
+
+    # -- news ----------------------------------------------------------------------------------------
+
+    def leadership_lost(self, fencing_token: int) -> None:
+        """See `OutboundPort`."""
+        self._election.observe_fencing_token(fencing_token)
+
+    def fencing_token_raised(self, fencing_token: int) -> None:
+        """See `OutboundPort`."""
+        self._election.raised(fencing_token)
+
+    def resign(self, why: str) -> None:
+        """See `OutboundPort`."""
+        # The request that gives the lease up must not hold up the decision thread.
+        threading.Thread(target=self._election.resign, args=(why,), daemon=True).start()
+
+    def job_finalized(self, job_id: str, status: str, tasks: int) -> None:
+        """See `OutboundPort`."""
+        self._users.finals.put(job_id, (status, tasks))
+
+    # -- questions -----------------------------------------------------------------------------------
+
+    def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
+        """See `OutboundPort`."""
+        return [view.misdirected for view in self._peer_views.values()]
+
+    def may_start_tasks(self) -> bool:
+        """See `OutboundPort`."""
+        now = time.monotonic()
+        # Both our leadership and our knowledge of cancellations must be fresh.
+        return (
+            self._loop.alive
+            and now - self._election.confirmed_at < self._election.life_s
+            and now - self._authority.synced_at < self._election.life_s * 2
+        )
+
+    def leadership_confirmed_at(self) -> float:
+        """See `OutboundPort`."""
+        return self._election.confirmed_at if self._loop.alive else float("-inf")
+
+    def delegated_leases_expire_at(self) -> float:
+        """See `OutboundPort`."""
+        return self._delegations.until(time.monotonic())
--- /dev/null
+++ b/src/poppyhold/node/readiness.py
@@ -0,0 +1,59 @@
+"""The readiness check: whether the load balancer should send users to this controller."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable, Mapping
+from http import HTTPStatus
+
+from poppyhold.cluster.peers import PeerView
+from poppyhold.durable.store import Store
+from poppyhold.node.leader_term import LeaderTerm
+from poppyhold.node.machine_catalog import MachineCatalog
+from poppyhold.settings import Settings
+from poppyhold.wire.http import Answer, answer
+
+# A node is not ready if a peer heard from the state service later than it did by this share of a lease.
+_BEHIND_RATIO = 0.35
+
+
+class ReadinessCheck:
+    """Answers GET /ready."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        store: Store,
+        catalog: MachineCatalog,
+        peer_views: Callable[[], Mapping[str, PeerView]],
+        leader_term: Callable[[], LeaderTerm | None],
+    ) -> None:
+        self._member, self._store, self._catalog = settings.member, store, catalog
+        self._peer_views, self._leader_term = peer_views, leader_term
+        self._behind_s = settings.settings.workers.lease_s * _BEHIND_RATIO
+        self._started_at = time.monotonic()
+
+    def contact_at(self) -> float:
+        """When the state service last answered us; when we started, if it has not yet."""
+        return max(self._store.contact_at, self._started_at)
+
+    def check(self) -> Answer:
+        """200 if users may be sent here, else 503; a leader tells the state of its quota allocations."""
+        if not self._catalog.types or self._is_behind():
+            return answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not ready"}, Retry_After="1")
+        body: dict[str, object] = {"member": self._member}
+        leader_term = self._leader_term()
+        edge = leader_term.quota_edge if leader_term is not None else None
+        if edge is not None and edge.health is not None:
+            body["shares"] = edge.health._asdict()
+        return answer(HTTPStatus.OK, body)
+
+    def _is_behind(self) -> bool:
+        """Whether we alone have lost the state service.
+
+        In an outage every node is as good as another, and none may say otherwise: balancers are slow to take
+        a node back. Nodes hear from the state service at different moments, so only a clear lead of a peer
+        counts.
+        """
+        contact_at = self.contact_at()
+        return any(view.contact_at - contact_at > self._behind_s for view in self._peer_views().values())
--- /dev/null
+++ b/src/poppyhold/node/request_router.py
@@ -0,0 +1,53 @@
+"""Which part of a controller answers which HTTP request."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from http import HTTPStatus
+
+from poppyhold.node.users import Users
+from poppyhold.wire.http import Answer, Deferred, answer
+
+JOBS_PATH = "/api/jobs"
+
+
+class RequestRouter:
+    """Routes requests of users, workers and the load balancer by path and method."""
+
+    def __init__(
+        self,
+        users: Users,
+        handle_heartbeat: Callable[[bytes], Answer | Deferred],
+        check_readiness: Callable[[], Answer],
+    ) -> None:
+        self._users = users
+        self._handle_heartbeat, self._check_readiness = handle_heartbeat, check_readiness
+
+    def route(self, method: str, path: str, body: bytes) -> Answer | Deferred:
+        """Answer a request."""
+        path = path.partition("?")[0]
+        if path == "/hello":
+            return self._handle_heartbeat(body) if method == "POST" else _method_not_allowed("POST")
+        if path == "/ready":
+            return self._check_readiness() if method == "GET" else _method_not_allowed("GET")
+        if path == JOBS_PATH:
+            return self._users.submit(body) if method == "POST" else _method_not_allowed("POST")
+        if path.startswith(JOBS_PATH + "/"):
+            return self._route_job(method, path.removeprefix(JOBS_PATH + "/"))
+        return _no_such_path()
+
+    def _route_job(self, method: str, path: str) -> Answer:
+        job_id, _, action = path.partition("/")
+        if not action:
+            return self._users.poll(job_id) if method == "GET" else _method_not_allowed("GET")
+        if action == "abort":
+            return self._users.abort(job_id) if method == "POST" else _method_not_allowed("POST")
+        return _no_such_path()
+
+
+def _method_not_allowed(allowed: str) -> Answer:
+    return answer(HTTPStatus.METHOD_NOT_ALLOWED, {"error": "method"}, Allow=allowed)
+
+
+def _no_such_path() -> Answer:
+    return answer(HTTPStatus.NOT_FOUND, {"error": "no such path"})
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -17,7 +17,7 @@
 import msgspec
 import pytest
 
-from poppyhold.node.workers import Done, Lane
+from poppyhold.node.command_dispatcher import ResponseCallback, SenderPool
 from poppyhold.scale.controllers import free_port
 from poppyhold.scale.jobs import build_data, submission, wire
 from poppyhold.scale.routes import cloud_route, parse_query, state_route
@@ -320,19 +320,19 @@
     busy = threading.Event()
     sent: list[str] = []
 
-    def carry_out(endpoint: str, body: Data, done: Done) -> None:
+    def send(endpoint: str, body: Data, on_response: ResponseCallback) -> None:
         sent.append(endpoint)
         if endpoint == "silent":
             busy.wait(PATIENCE_S)
 
-    lane = Lane(41, 1.0, carry_out)
+    pool = SenderPool(41, 1.0, send)
     for _ in range(40):
-        lane.put("silent", {}, lambda outcome, heartbeat: None)
-    lane.put("quick", {}, lambda outcome, heartbeat: None)
+        pool.submit("silent", {}, lambda outcome, heartbeat: None)
+    pool.submit("quick", {}, lambda outcome, heartbeat: None)
     try:
         eventually(lambda: "quick" in sent)
     finally:
-        lane.stop()
+        pool.stop()
         busy.set()
 
 
