--- a/src/poppyhold/execution/heartbeat_commands.py
+++ b/src/poppyhold/execution/heartbeat_commands.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from poppyhold.model.context import Context
-from poppyhold.model.entities import Attempt, Machine
+from poppyhold.model.entities import Attempt, JobPhase, Machine, StartChannel
 from poppyhold.wire.messages import Command, CommandKind, Heartbeat, TaskState, TaskStatus, split_task
 
 
@@ -21,12 +21,12 @@
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
 
-    def for_news(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
+    def commands_for_new_heartbeat(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
         """All that is due, behind a report that was taken as the truth about its machine."""
         commands: list[Command] = []
         for task in heartbeat.tasks:
             if task.status == TaskState.EXITED:
-                if self._may_reap(task):
+                if self._may_forget_exit(task):
                     commands.append(Command(CommandKind.FORGET, task.task, task.attempt))
             elif task.task in machine.unknown_tasks:
                 commands.append(Command(CommandKind.STOP, task.task, task.attempt, 0.0))
@@ -35,14 +35,14 @@
                 commands.append(stop_command(attempt, now))
             elif (
                 attempt.status == TaskState.SENT
-                and attempt.start_channel == "reply"
+                and attempt.start_channel is StartChannel.HEARTBEAT_RESPONSE
                 and attempt.response_sequence < 0
             ):
                 attempt.response_sequence = heartbeat.sequence
                 commands.append(Command(CommandKind.START, attempt.name, attempt.number))
         return commands
 
-    def stops(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
+    def stop_commands(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
         """Stops for what must not go on: every answer that renews a lease carries them.
 
         A report that proves nothing may all the same be the worker's own, and its answer the last one that
@@ -56,12 +56,12 @@
         ]
         for task in heartbeat.tasks:
             job = self._ctx.fleet.jobs.get(split_task(task.task)[0])
-            if task.status != TaskState.EXITED and (job is None or job.finalized):
+            if task.status != TaskState.EXITED and (job is None or job.phase is JobPhase.FINALIZED):
                 commands.append(Command(CommandKind.STOP, task.task, task.attempt, 0.0))
         return commands
 
-    def _may_reap(self, task: TaskStatus) -> bool:
+    def _may_forget_exit(self, task: TaskStatus) -> bool:
         """A completion must be durable first: its worker is the only one that knows of it."""
         job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
-        return job is None or job.finalized or index not in job.undurable_completions
+        return job is None or job.phase is JobPhase.FINALIZED or index not in job.undurable_completions
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -13,7 +13,7 @@
 from poppyhold.machines.autoscaler import Autoscaler
 from poppyhold.model.context import Context, ImageHints
 from poppyhold.model.durations import Durations
-from poppyhold.model.entities import Attempt, Job
+from poppyhold.model.entities import Attempt, Job, JobPhase
 from poppyhold.model.outbound import OutboundPort
 from poppyhold.node.job_lifecycle import JobLifecycle
 from poppyhold.node.machine_lifecycle import MachineLifecycle
@@ -174,7 +174,7 @@
     def run_scheduling_cycle(self) -> None:
         """After a batch of events: start what may start, if a cycle is due, and send the commands."""
         self._cycle.run_if_due()
-        self.reconciler.commands.flush()
+        self.reconciler.commands.send_queued()
 
     # -- views of the state --------------------------------------------------------------------------
 
@@ -185,7 +185,11 @@
 
     def task_counts(self) -> dict[str, tuple[int, int]]:
         """Done and running tasks by job, for display."""
-        return {job.id: (job.done, job.running) for job in self.ctx.fleet.jobs.values() if not job.finalized}
+        return {
+            job.id: (job.done, job.running)
+            for job in self.ctx.fleet.jobs.values()
+            if job.phase is not JobPhase.FINALIZED
+        }
 
     def excluded_machines(self) -> list[str] | None:
         """Machines whose leases nobody may renew but us; None before we know all of them.
@@ -194,10 +198,12 @@
         """
         if self.reconciler.unreconciled:
             return None
+        finalized = JobPhase.FINALIZED
         return [
             machine.name
             for machine in self.ctx.fleet.machines.values()
-            if machine.unknown_tasks or any(attempt.job.finalized for attempt in machine.attempts.values())
+            if machine.unknown_tasks
+            or any(attempt.job.phase is finalized for attempt in machine.attempts.values())
         ]
 
     def image_hints(self) -> ImageHints:
--- a/src/poppyhold/node/job_lifecycle.py
+++ b/src/poppyhold/node/job_lifecycle.py
@@ -10,7 +10,7 @@
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.autoscaler import Autoscaler
 from poppyhold.model.context import Context
-from poppyhold.model.entities import Attempt, Job, make_job
+from poppyhold.model.entities import Attempt, Job, JobPhase, StartChannel, make_job
 from poppyhold.scheduling.admission import Admission
 from poppyhold.wire.messages import MalformedError, parse_submission
 
@@ -87,22 +87,22 @@
         """An attempt is proven to have ended: what it held is free."""
         self._admission.over(attempt)
         job = attempt.job
-        if job.finalized and set(job.active) <= {attempt.index}:
+        if job.phase is JobPhase.FINALIZED and set(job.active) <= {attempt.index}:
             self._ctx.fleet.jobs.pop(job.id, None)
 
     def record_run_time(self, attempt: Attempt, now: float) -> None:
         """Learn from a task that ran to its end how long such tasks take."""
         # An attempt that was first seen while it ran does not tell its whole duration.
-        if attempt.start_channel != "seen" and attempt.running_at is not None:
+        if attempt.start_channel is not StartChannel.OBSERVED and attempt.running_at is not None:
             self._admission.estimates.note(attempt.job, now - attempt.running_at)
 
     # -- jobs end ------------------------------------------------------------------------------------
 
     def _finalize(self, job: Job) -> None:
         """Write the final state of a job whose tasks are all done."""
-        if job.finalizing or job.finalized:
+        if job.phase is not JobPhase.ACTIVE:
             return
-        job.finalizing = True
+        job.phase = JobPhase.FINALIZING
 
         def on_committed(committed: bool) -> None:
             if committed:
@@ -121,9 +121,9 @@
         """A job has its final state: its user cancelled it, or all of its tasks are done."""
         self._finalized_ids.put(job_id, True)
         job = self._ctx.fleet.jobs.get(job_id)
-        if job is None or job.finalized:
+        if job is None or job.phase is JobPhase.FINALIZED:
             return
-        job.finalized = True
+        job.phase = JobPhase.FINALIZED
         self._autoscaler.arrivals.note_end(self._ctx.clock(), job.spec)
         self._on_active_jobs_changed()
         self._admission.forget(job)
@@ -131,7 +131,7 @@
         for attempt in list(job.active.values()):
             self._reconciler.stop(attempt, 0.0, now)
         self._completions.remove(job)
-        if job.plan_durable or job.plan_requested:
+        if job.plan_durable or job.plan_write_in_flight:
             self._admission.remove_plan(job_id)
         if not job.active:
             self._ctx.fleet.jobs.pop(job_id, None)
--- a/src/poppyhold/node/scheduling_cycle.py
+++ b/src/poppyhold/node/scheduling_cycle.py
@@ -4,6 +4,7 @@
 
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.model.context import Context
+from poppyhold.model.entities import JobPhase
 from poppyhold.scheduling.dispatch import Dispatcher
 from poppyhold.scheduling.quotas import Quotas
 
@@ -46,7 +47,9 @@
         ctx.scheduling_needed = False
         if self._guarantees_stale:
             self._guarantees_stale = False
-            self._quotas.mark_guaranteed(job for job in ctx.fleet.jobs.values() if not job.finalized)
+            self._quotas.mark_guaranteed(
+                job for job in ctx.fleet.jobs.values() if job.phase is not JobPhase.FINALIZED
+            )
         self._dispatcher.dispatch(self._reconciler.all_reconciled())
         ended_at = ctx.clock()
         interval_s = ctx.durations.heartbeat_interval_s
--- a/src/poppyhold/node/state_loader.py
+++ b/src/poppyhold/node/state_loader.py
@@ -10,7 +10,7 @@
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.autoscaler import Autoscaler
 from poppyhold.model.context import Context
-from poppyhold.model.entities import Machine
+from poppyhold.model.entities import Machine, RecordState
 from poppyhold.node.job_lifecycle import JobLifecycle
 from poppyhold.scheduling.admission import Admission
 from poppyhold.wire.messages import convert
@@ -41,7 +41,7 @@
             self._autoscaler.load_launch(name, data)
         self._load_jobs(snapshot)
         for machine in self._ctx.fleet.machines.values():
-            self._reconciler.commands.hasten(machine, now)
+            self._reconciler.commands.request_heartbeat(machine, now)
 
     def _load_machine(self, name: str, data: Data, now: float) -> None:
         """A machine that may hold tasks of earlier terms."""
@@ -50,7 +50,7 @@
         machine = Machine(name, record.machine_type, record.zone, record.spot, known_since=now)
         machine.endpoint = record.endpoint
         machine.images.update(self._ctx.image_hints.get(name, ()))
-        machine.is_recorded = machine.record_requested = machine.is_up = True
+        machine.record_state, machine.is_up = RecordState.DURABLE, True
         self._ctx.fleet.machines[name] = machine
         self._reconciler.unreconciled.add(name)
 
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -7,7 +7,7 @@
 from poppyhold.execution.gangs import GangState
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.model.context import Context
-from poppyhold.model.entities import Attempt, Job, Machine
+from poppyhold.model.entities import Attempt, Job, JobPhase, Machine
 from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled, max_copies
 from poppyhold.scheduling.admission import Admission
 from poppyhold.scheduling.free_capacity import FreeCapacityView
@@ -109,7 +109,7 @@
         jobs = [
             job
             for job in ctx.fleet.jobs.values()
-            if job.pending > 0 and not job.finalized and not job.finalizing and job.retry_at <= now
+            if job.pending > 0 and job.phase is JobPhase.ACTIVE and job.retry_at <= now
         ]
         # An older job's tasks may run on a machine that has not been heard yet.
         ready = [job for job in jobs if job.plan_durable and (job.never_started or all_reconciled)]
@@ -126,7 +126,7 @@
         if not machines:
             return
         # Machines that did not get our commands lately, or may be at fault, come last.
-        suspects = self._reconciler.failures.suspects
+        suspects = self._reconciler.failures.is_suspect
         steady = [
             machine for machine in machines if machine.unreliable_until <= now and not suspects(machine)
         ]
@@ -363,7 +363,7 @@
                     self._start(job, index, choice)
                     self._rooms.changed(choice.machine)
         elif gangs.state_of(job) is GangState.ASSEMBLING:
-            gangs.give_up(job, "no room for a replacement", self._ctx.clock())
+            gangs.abandon(job, "no room for a replacement", self._ctx.clock())
         elif self._waited_long(job, self._ctx.clock()) and not job.failures.at_fault:
             self._hold_for_gang(job, within_limit)
 
