--- a/src/poppyhold/cluster/redirect_backoff.py
+++ b/src/poppyhold/cluster/redirect_backoff.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from poppyhold.concurrency.recent import Recent
+from poppyhold.concurrency.bounded_dict import BoundedDict
 from poppyhold.wire.messages import Heartbeat
 
 # Share of a lease that such a worker is kept waiting for the next leader.
@@ -26,7 +26,7 @@
         """At most ``most_workers`` that waited are remembered."""
         self._lease_s = lease_s
         self._wait_s, self._found_s = lease_s * _WAIT_RATIO, lease_s * _FOUND_RATIO
-        self._waited_at: Recent[float] = Recent(most_workers)
+        self._waited_at: BoundedDict[float] = BoundedDict(most_workers)
 
     def wait_s(self, heartbeat: Heartbeat, leader_fencing_token: int, led_s: float, now: float) -> float:
         """How long to wait; no time for workers that may not have found this leader yet.
--- /dev/null
+++ b/src/poppyhold/concurrency/bounded_dict.py
@@ -0,0 +1,33 @@
+"""A dictionary of bounded size that forgets its oldest entries."""
+
+from __future__ import annotations
+
+import threading
+from typing import Generic, TypeVar
+
+V = TypeVar("V")
+
+
+class BoundedDict(Generic[V]):
+    """Entries by name; beyond ``max_entries`` the oldest one is forgotten. Safe for several threads."""
+
+    def __init__(self, max_entries: int) -> None:
+        self._max_entries = max(1, max_entries)
+        self._entries: dict[str, V] = {}
+        self._lock = threading.Lock()
+
+    def put(self, name: str, value: V) -> None:
+        """Keep an entry."""
+        with self._lock:
+            self._entries[name] = value
+            if len(self._entries) > self._max_entries:
+                del self._entries[next(iter(self._entries))]
+
+    def get(self, name: str) -> V | None:
+        """An entry, if it is still kept."""
+        with self._lock:
+            return self._entries.get(name)
+
+    def __contains__(self, name: str) -> bool:
+        with self._lock:
+            return name in self._entries
--- a/src/poppyhold/concurrency/priority_queue.py
+++ b/src/poppyhold/concurrency/priority_queue.py
@@ -1,4 +1,4 @@
-"""The decision thread's queue: bounded, by rank."""
+"""The decision thread's queue: bounded, by priority."""
 
 from __future__ import annotations
 
@@ -9,48 +9,51 @@
 
 Work = Callable[[], None]
 
-# What the decision thread does first: the ranks that the operators ask for.
+# What the decision thread does first, in the order that the operators ask for.
 HEARTBEATS, DECISIONS, SUBMISSIONS = 0, 1, 2
 
 
 class PriorityQueue:
-    """Work for the decision thread, bounded, lowest rank first, and in order within a rank.
+    """Work for one thread, lowest number first, and in order within a priority.
 
-    Behind some work the thread naps for a moment instead of being woken for the next: where hundreds of
+    After some work the thread naps for a moment instead of being woken for the next: where hundreds of
     events come each second, waking it for every one costs more than what it then does.
     """
 
-    def __init__(self, most: int, nap_s: float) -> None:
-        self._most, self._nap_s = most, nap_s
+    def __init__(self, max_heartbeats: int, nap_s: float) -> None:
+        """Above ``max_heartbeats`` that wait, further heartbeats are refused; other work never is."""
+        self._max_heartbeats, self._nap_s = max_heartbeats, nap_s
         self._queues: tuple[deque[Work], ...] = (deque(), deque(), deque())
         self._wake = threading.Condition(threading.Lock())
         self._waiting = self._closed = False
         self._napped = True
 
     def put(self, priority: int, work: Work) -> bool:
-        """Queue work; False if it is closed, or too much of a rank that may be turned away is waiting."""
+        """Queue work; False if the queue is closed, or if it is a heartbeat and too many of them wait."""
         with self._wake:
-            if self._closed or (priority == HEARTBEATS and len(self._queues[priority]) >= self._most):
+            if self._closed or (
+                priority == HEARTBEATS and len(self._queues[priority]) >= self._max_heartbeats
+            ):
                 return False
             self._queues[priority].append(work)
             if self._waiting:
                 self._wake.notify()
         return True
 
-    def get(self, timeout: float) -> Work | None:
+    def get(self, timeout_s: float) -> Work | None:
         """The next work, or None when the time is up."""
         work = self._next()
         if work is None and not self._napped:
             self._napped = True
-            nap_s = min(self._nap_s, timeout)
+            nap_s = min(self._nap_s, timeout_s)
             time.sleep(nap_s)
-            timeout -= nap_s
+            timeout_s -= nap_s
             work = self._next()
-        if work is None and timeout > 0:
+        if work is None and timeout_s > 0:
             with self._wake:
                 if not any(self._queues):
                     self._waiting = True
-                    self._wake.wait(timeout)
+                    self._wake.wait(timeout_s)
                     self._waiting = False
             work = self._next()
         if work is not None:
@@ -59,15 +62,15 @@
 
     def _next(self) -> Work | None:
         with self._wake:
-            return next((waiting.popleft() for waiting in self._queues if waiting), None)
+            return next((queue.popleft() for queue in self._queues if queue), None)
 
     def close(self) -> list[Work]:
-        """Take nothing more, and drop what is left but reports, which somebody waits for."""
+        """Take nothing more, and drop what waits; returns the heartbeats, as workers wait for them."""
         with self._wake:
             self._closed = True
             heartbeats = list(self._queues[HEARTBEATS])
-            for waiting in self._queues:
-                waiting.clear()
+            for queue in self._queues:
+                queue.clear()
             self._wake.notify()
         return heartbeats
 
--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from poppyhold.concurrency.pace import Pace
+from poppyhold.concurrency.rate_limiter import RateLimiter
 from poppyhold.durable.store import (
     FENCE,
     LEAD,
@@ -99,7 +99,7 @@
         self._ops = limits.txn_ops
         # Two thirds of the writes: the rest is for the users' nodes and the election. A burst of a third of a
         # second's worth goes out at once.
-        self._pace = Pace(limits.write_rps / 1.5, burst=self._ops / 2)
+        self._pace = RateLimiter(limits.write_rps / 1.5, burst=self._ops / 2)
         self._pause_s = 2 / limits.rps
         self._longest_pause_s = max(self._pause_s, settings.settings.workers.heartbeat_interval_s / 8)
         # By rank; each in order, lest the oldest starve in a burst.
@@ -155,7 +155,7 @@
             wait_s = self._pace.ready_at() - time.monotonic()
             if wait_s > 0:
                 time.sleep(wait_s)
-            self._pace.spend(sum(len(unit.writes) for unit in units), time.monotonic())
+            self._pace.consume(sum(len(unit.writes) for unit in units), time.monotonic())
             self._carry_out(units)
 
     def _carry_out(self, units: list[Unit]) -> None:
--- a/src/poppyhold/node/job_lifecycle.py
+++ b/src/poppyhold/node/job_lifecycle.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from poppyhold.concurrency.recent import Recent
+from poppyhold.concurrency.bounded_dict import BoundedDict
 from poppyhold.durable.store import ACTIVE, Entry, final_writes
 from poppyhold.execution.completions import Completions
 from poppyhold.execution.reconciliation import AttemptReconciler
@@ -37,7 +37,7 @@
         # Jobs that were finalized before we heard of them. A cancellation may overtake the submission, in our
         # own queue or because another controller told of it: the submission must not create it afterwards.
         max_ids = int(ctx.settings.settings.machine_limits.ram_mb * _FINALIZED_IDS_PER_RAM_MB)
-        self._finalized_ids: Recent[bool] = Recent(max_ids)
+        self._finalized_ids: BoundedDict[bool] = BoundedDict(max_ids)
 
     # -- jobs begin ----------------------------------------------------------------------------------
 
--- a/src/poppyhold/node/users.py
+++ b/src/poppyhold/node/users.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from poppyhold.cluster.cancellations import Cancellations
-from poppyhold.concurrency.pace import Pace
-from poppyhold.concurrency.recent import Recent
+from poppyhold.concurrency.bounded_dict import BoundedDict
+from poppyhold.concurrency.rate_limiter import RateLimiter
 from poppyhold.durable.store import (
     ACTIVE,
     FINAL,
@@ -49,10 +49,10 @@
 _MOST_NAMED = 10_000
 
 
-def _questions_pace(deployment: Deployment) -> Pace:
+def _questions_pace(deployment: Deployment) -> RateLimiter:
     """How fast one controller may ask the state service for its users' questions."""
     per_second = deployment.state.lowest.rps * _QUESTIONS_SHARE / deployment.count
-    return Pace(per_second, burst=per_second * _GATHER_RATIO * 2)
+    return RateLimiter(per_second, burst=per_second * _GATHER_RATIO * 2)
 
 
 class Users:
@@ -78,9 +78,9 @@
         most = int(settings.settings.machine_limits.ram_mb * 100)
         # Final states that the state service told: they never change. Nothing else that a user is told comes
         # from what is kept here, so no node can give an older answer than another gave before.
-        self.finals: Recent[tuple[str, int]] = Recent(most)
+        self.finals: BoundedDict[tuple[str, int]] = BoundedDict(most)
         # Jobs that were accepted: only a hint for what to do first with a repeat.
-        self._accepted: Recent[bool] = Recent(most // 10)
+        self._accepted: BoundedDict[bool] = BoundedDict(most // 10)
         # As many are named as the state service can take within the time that each of them has.
         limits = settings.settings
         self.cancellations = Cancellations(
--- a/src/poppyhold/quota/cell_quota.py
+++ b/src/poppyhold/quota/cell_quota.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from poppyhold.concurrency.pace import Pace
+from poppyhold.concurrency.rate_limiter import RateLimiter
 from poppyhold.durable.store import Data, Entry
 from poppyhold.model.context import Context
 from poppyhold.model.outbound import CommitPriority
@@ -95,7 +95,7 @@
         self._monitor = DemandMonitor(ctx, keep_s, self._holds, unknown_use, can_rent)
         limits = ctx.settings.settings.state.lowest
         self._teams_at_once = max(1, limits.txn_ops // 2)
-        self._pace = Pace(limits.write_rps * cells.moves_share, burst=1.0)
+        self._pace = RateLimiter(limits.write_rps * cells.moves_share, burst=1.0)
         self._demands: dict[str, TeamDemand] = {}
         self._current_view: CellView | None = None
         # What is being taken, for the log as it is durable.
@@ -226,7 +226,7 @@
             if not amount.is_nothing and len(offers) < self._teams_at_once:
                 offers[want.team] = amount
         if self.book.give(request.cell, request.incarnation, offers):
-            self._pace.spend(len(offers) + _CHANGES_A_TRANSFER, now)
+            self._pace.consume(len(offers) + _CHANGES_A_TRANSFER, now)
             for team, amount in offers.items():
                 self._holds.gave(team, now)
                 log.info("team %s: gives %s to cell %s", team, _in_words(amount), request.cell)
--- a/src/poppyhold/reads/job_reads.py
+++ b/src/poppyhold/reads/job_reads.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from enum import Enum, auto
 
-from poppyhold.concurrency.pace import Pace
-from poppyhold.concurrency.recent import Recent
+from poppyhold.concurrency.bounded_dict import BoundedDict
+from poppyhold.concurrency.rate_limiter import RateLimiter
 from poppyhold.durable.store import ACTIVE, LeaseGoneError, RefusedError, Store, UncertainError
 from poppyhold.reads.catch_up import BehindError, carry_out, catch_up
 from poppyhold.reads.job_view import JobView
@@ -51,14 +51,14 @@
         patience_s: float,
         fewest_shared: int = FEWEST_SHARED,
         clock: Callable[[], float] = time.monotonic,
-        pace: Pace | None = None,
+        pace: RateLimiter | None = None,
     ) -> None:
         self._store, self._gather_s, self._patience_s = store, gather_s, patience_s
         self._fewest_shared, self._clock = fewest_shared, clock
-        self._pace = pace or Pace(math.inf, burst=0)
+        self._pace = pace or RateLimiter(math.inf, burst=0)
         self._view = JobView()
         self._rounds = Rounds()
-        self._outcomes: Recent[Outcome] = Recent(_OUTCOMES_KEPT)
+        self._outcomes: BoundedDict[Outcome] = BoundedDict(_OUTCOMES_KEPT)
         # Before this moment no round begins while many questions come; when the last ones came.
         self._next_at = float("-inf")
         self._arrivals: deque[float] = deque(maxlen=fewest_shared)
@@ -112,7 +112,7 @@
         """Begin a round, and spend the requests that it most likely takes."""
         begun = self._rounds.begin()
         self._next_at = now + self._gather_s
-        self._pace.spend(min(begun.questions, _SHARED_REQUESTS), now)
+        self._pace.consume(min(begun.questions, _SHARED_REQUESTS), now)
         return begun
 
     def _play(self, begun: Round) -> Outcome:
--- a/tests/test_reads.py
+++ b/tests/test_reads.py
@@ -17,7 +17,7 @@
     run_state_machine_as_test,
 )
 
-from poppyhold.concurrency.pace import Pace
+from poppyhold.concurrency.rate_limiter import RateLimiter
 from poppyhold.durable.store import ACTIVE, Changes, Entry, LeaseGoneError, Page, RefusedError, Store
 from poppyhold.reads.catch_up import BehindError, Follow, ReadPage, ReadRevision, Step, carry_out, catch_up
 from poppyhold.reads.job_reads import JobReads
@@ -537,7 +537,7 @@
 
 @pytest.mark.parametrize("fewest_shared", [1, 3])
 def test_questions_ask_the_store_no_faster_than_their_pace(fewest_shared: int) -> None:
-    store, waiting, pace = CountingStore(), VirtualCondition(), Pace(5.0, burst=4.0)
+    store, waiting, pace = CountingStore(), VirtualCondition(), RateLimiter(5.0, burst=4.0)
     reads = JobReads(store, 0.0, 10.0, fewest_shared, lambda: waiting.now, pace)
     reads._changed = waiting
     for _ in range(200):
@@ -548,9 +548,9 @@
 
 
 def test_a_pace_lets_a_burst_go_and_then_an_even_rate() -> None:
-    pace, gone = Pace(2.0, burst=3.0), []
+    pace, gone = RateLimiter(2.0, burst=3.0), []
     for now in range(10):
         while pace.ready_at() <= now:
-            pace.spend(1.0, now)
+            pace.consume(1.0, now)
             gone.append(now)
     assert [gone.count(now) for now in range(4)] == [4, 2, 2, 2]
