--- a/src/poppyhold/node/cancellation_tracker.py
+++ b/src/poppyhold/node/cancellation_tracker.py
@@ -10,7 +10,7 @@
 from poppyhold.cluster.lease_delegation import LeaseDelegation
 from poppyhold.cluster.peers import Pong
 from poppyhold.concurrency.priority_queue import DECISIONS
-from poppyhold.durable.store import ACTIVE
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
 from poppyhold.node.controller import Controller
 from poppyhold.node.decision_loop import DecisionLoop
 
@@ -62,7 +62,7 @@
     def _apply(self, member: str, cancelled: Iterable[Cancellation], bound: int, asked_at: float) -> None:
         """Stop the jobs whose cancellation a controller confirmed: it is durable, seen here or not."""
         for job_id, _ in cancelled:
-            self._controller.handle_job_removed(ACTIVE + job_id)
+            self._controller.handle_job_removed(ACTIVE_JOB_PREFIX + job_id)
         self._authority.learned(member, asked_at, bound)
 
     def update_delegation(self) -> None:
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -5,8 +5,9 @@
 import random
 from collections.abc import Callable, Iterable
 
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
 from poppyhold.durable.snapshot import Snapshot
-from poppyhold.durable.store import ACTIVE, Entry
+from poppyhold.durable.store import Entry
 from poppyhold.execution.completions import Completions
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.reconciliation import AttemptReconciler
@@ -25,7 +26,8 @@
 from poppyhold.scheduling.dispatch import Dispatcher
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import Settings
-from poppyhold.wire.messages import Heartbeat, HeartbeatResponse, Listing, MachineType
+from poppyhold.wire.cloud_messages import MachineListing, MachineType
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
 # Silent workers that are probed within a heartbeat interval, as a share of the connections.
 _SILENT_PROBE_SHARE = 0.25
@@ -134,18 +136,18 @@
 
     def handle_job_removed(self, key: str) -> None:
         """The key of an active job was removed, which happens when the job is finalized."""
-        self._jobs.handle_finalized(key.removeprefix(ACTIVE))
+        self._jobs.handle_finalized(key.removeprefix(ACTIVE_JOB_PREFIX))
 
     def reconcile_active_jobs(self, entries: list[Entry]) -> None:
         """The watch began anew: jobs that are not among the entries were finalized meanwhile."""
         present = {entry.key for entry in entries}
         for job_id in list(self.ctx.fleet.jobs):
-            if ACTIVE + job_id not in present:
+            if ACTIVE_JOB_PREFIX + job_id not in present:
                 self._jobs.handle_finalized(job_id)
         for entry in entries:
             self._jobs.handle_accepted(entry)
 
-    def handle_machine_listing(self, listing: Listing) -> None:
+    def handle_machine_listing(self, listing: MachineListing) -> None:
         """The cloud listed its machines."""
         self.autoscaler.listed(listing)
 
--- a/src/poppyhold/node/heartbeat_endpoint.py
+++ b/src/poppyhold/node/heartbeat_endpoint.py
@@ -12,7 +12,7 @@
 from poppyhold.node.decision_loop import DecisionLoop
 from poppyhold.relay.assignment import Assignment
 from poppyhold.wire.http import Answer, Deferred, answer
-from poppyhold.wire.messages import Heartbeat, HeartbeatResponse
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
 
 class HeartbeatEndpoint:
--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -16,8 +16,9 @@
 from poppyhold.relay.forwarding import HeartbeatForwarder
 from poppyhold.relay.leader import heartbeat_response_timeout_s
 from poppyhold.settings import Settings
+from poppyhold.wire.codec import MalformedError, decode
 from poppyhold.wire.http import Answer, Deferred, answer
-from poppyhold.wire.messages import Heartbeat, HeartbeatResponse, MalformedError, decode, parse_heartbeat
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, parse_heartbeat
 
 # A worker waits for so many heartbeat intervals at most until the election names a leader.
 _AWAIT_LEADER_INTERVALS = 0.5
--- a/src/poppyhold/node/job_lifecycle.py
+++ b/src/poppyhold/node/job_lifecycle.py
@@ -5,14 +5,16 @@
 from collections.abc import Callable
 
 from poppyhold.concurrency.bounded_dict import BoundedDict
-from poppyhold.durable.store import ACTIVE, Entry, final_writes
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
+from poppyhold.durable.store import Entry, final_writes
 from poppyhold.execution.completions import Completions
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.autoscaler import Autoscaler
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Attempt, Job, JobPhase, StartChannel, make_job
 from poppyhold.scheduling.admission import Admission
-from poppyhold.wire.messages import MalformedError, parse_submission
+from poppyhold.wire.codec import MalformedError
+from poppyhold.wire.user_messages import parse_submission
 
 # Finalized jobs that are remembered, for each MB of memory that the controller may take.
 _FINALIZED_IDS_PER_RAM_MB = 10
@@ -65,7 +67,7 @@
 
     def handle_accepted(self, entry: Entry) -> None:
         """A user's submission became durable."""
-        job_id = entry.key.removeprefix(ACTIVE)
+        job_id = entry.key.removeprefix(ACTIVE_JOB_PREFIX)
         if job_id in self._ctx.fleet.jobs or job_id in self._finalized_ids:
             return
         job = self.create(entry)
@@ -111,7 +113,7 @@
             self.handle_finalized(job.id)
 
         self._ctx.outbound.commit(
-            {ACTIVE + job.id: job.version},
+            {ACTIVE_JOB_PREFIX + job.id: job.version},
             final_writes(job.id, "done", job.spec.tasks),
             on_committed,
             self._admission.commit_priority(job),
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -13,8 +13,10 @@
 from poppyhold.cluster.peers import Peers, Pong
 from poppyhold.concurrency.priority_queue import DECISIONS, SUBMISSIONS
 from poppyhold.durable.committer import Committer
+from poppyhold.durable.errors import OutcomeUnknownError, StoreRejectedError
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
 from poppyhold.durable.snapshot import Snapshot, SnapshotReader
-from poppyhold.durable.store import ACTIVE, Entry, RefusedError, Store, UncertainError
+from poppyhold.durable.store import Entry, Store
 from poppyhold.durable.watch import Watch
 from poppyhold.model.context import ImageHints
 from poppyhold.model.durations import Durations
@@ -35,8 +37,8 @@
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.leader import RelayServer
 from poppyhold.settings import Settings
+from poppyhold.wire.cloud_messages import MachineListing, MachineType
 from poppyhold.wire.http import Answer
-from poppyhold.wire.messages import Listing, MachineType
 
 log = logging.getLogger(__name__)
 
@@ -192,7 +194,7 @@
         )
         self._watch = Watch(
             self._node.store,
-            ACTIVE,
+            ACTIVE_JOB_PREFIX,
             self._node.settings.settings.workers.lease_s / 5,
             self._on_active_jobs,
             self._on_job_change,
@@ -217,7 +219,7 @@
         while self.loop.alive:
             try:
                 return reader.read()
-            except (RefusedError, UncertainError) as error:
+            except (StoreRejectedError, OutcomeUnknownError) as error:
                 log.debug("snapshot read failed error=%s", error)
                 time.sleep(self._node.store.timeout / 4)
         return Snapshot()
@@ -254,7 +256,7 @@
         self._node.catalog.publish()
         self.loop.post(DECISIONS, lambda: self.controller.handle_machine_types(machine_types))
 
-    def _on_machine_listing(self, listing: Listing) -> None:
+    def _on_machine_listing(self, listing: MachineListing) -> None:
         self.loop.post(DECISIONS, lambda: self.controller.handle_machine_listing(listing))
 
     def _on_write_rejected(self) -> None:
--- a/src/poppyhold/node/machine_lifecycle.py
+++ b/src/poppyhold/node/machine_lifecycle.py
@@ -9,7 +9,7 @@
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Attempt, Machine
 from poppyhold.scheduling.admission import Admission
-from poppyhold.wire.messages import TaskState
+from poppyhold.wire.worker_messages import TaskState
 
 # A preemption notice may last half as long as it says.
 _USABLE_NOTICE_RATIO = 0.5
--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -18,7 +18,7 @@
 from poppyhold.node.command_dispatcher import CommandDispatcher, ResponseCallback
 from poppyhold.node.decision_loop import DecisionLoop
 from poppyhold.node.users import Users
-from poppyhold.wire.messages import Heartbeat
+from poppyhold.wire.worker_messages import Heartbeat
 
 
 class OutboundAdapter:
--- a/src/poppyhold/node/state_loader.py
+++ b/src/poppyhold/node/state_loader.py
@@ -13,7 +13,7 @@
 from poppyhold.model.entities import Machine, RecordState
 from poppyhold.node.job_lifecycle import JobLifecycle
 from poppyhold.scheduling.admission import Admission
-from poppyhold.wire.messages import convert
+from poppyhold.wire.codec import convert
 
 
 class StateLoader:
--- a/tests/wire_kinds.py
+++ b/tests/wire_kinds.py
@@ -22,18 +22,14 @@
 from poppyhold.scale.profile import Profile
 from poppyhold.scale.result import Result
 from poppyhold.settings import Settings
-from poppyhold.wire.messages import (
+from poppyhold.wire.cloud_messages import LaunchRequest, LaunchResponse, MachineListPage, MachineTypes
+from poppyhold.wire.user_messages import PriorityName, Submission
+from poppyhold.wire.worker_messages import (
     Command,
     CommandKind,
     ExitCause,
     Heartbeat,
     HeartbeatResponse,
-    LaunchRequest,
-    LaunchResponse,
-    MachineList,
-    MachineTypes,
-    PriorityName,
-    Submission,
     TaskState,
 )
 
@@ -56,7 +52,7 @@
     "POST /do, order": Command,
     "POST /do, answer": Heartbeat,
     "GET /machine_types, answer": MachineTypes,
-    "GET /machines, answer": MachineList,
+    "GET /machines, answer": MachineListPage,
     "POST /machines": LaunchRequest,
     "POST /machines, answer": LaunchResponse,
     "settings file": Settings,
--- a/tests/world.py
+++ b/tests/world.py
@@ -12,9 +12,7 @@
 from typing import NamedTuple
 
 from gang_standin import GangStandIn
-from poppyhold.durable.store import (
-    LEAD,
-)
+from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.options import Options
 from poppyhold.relay.mode import RelayMode
 from poppyhold.scale.jobs import ZONES, Data, build_data, submission, wire
@@ -22,8 +20,8 @@
 from poppyhold.settings import Cloud as CloudLimits
 from poppyhold.settings import Deployment as DeploymentSettings
 from poppyhold.settings import Known, NextState, Objective, Outside, Settings, State, Team, Workers
+from poppyhold.wire.codec import encode
 from poppyhold.wire.http import Answer
-from poppyhold.wire.messages import encode
 from sim_node import STEP_S, SimNode
 
 # Users ask once in so many steps.
@@ -357,7 +355,7 @@
 
     def leader(self) -> SimNode | None:
         """The node that the leader's key names, if it runs."""
-        held = self.state.keys.get(LEAD)
+        held = self.state.keys.get(LEADER_KEY)
         for node in self.nodes:
             if held is not None and node.member == held[0]["member"] and node.alive:
                 return node
