--- a/src/poppyhold/node/job_lifecycle.py
+++ b/src/poppyhold/node/job_lifecycle.py
@@ -12,6 +12,7 @@
 from poppyhold.machines.autoscaler import Autoscaler
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Attempt, Job, JobPhase, StartChannel, make_job
+from poppyhold.model.job_status import JobStatus
 from poppyhold.scheduling.admission import Admission
 from poppyhold.wire.codec import MalformedError
 from poppyhold.wire.user_messages import parse_submission
@@ -108,13 +109,13 @@
 
         def on_committed(committed: bool) -> None:
             if committed:
-                self._ctx.outbound.job_finalized(job.id, "done", job.spec.tasks)
+                self._ctx.outbound.job_finalized(job.id, JobStatus.DONE, job.spec.tasks)
             # Otherwise it was finalized in another way, or by a repeat of this write: the watch tells which.
             self.handle_finalized(job.id)
 
         self._ctx.outbound.commit(
             {ACTIVE_JOB_PREFIX + job.id: job.version},
-            final_writes(job.id, "done", job.spec.tasks),
+            final_writes(job.id, JobStatus.DONE, job.spec.tasks),
             on_committed,
             self._admission.commit_priority(job),
         )
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -29,7 +29,7 @@
 from poppyhold.node.heartbeat_endpoint import HeartbeatEndpoint
 from poppyhold.node.machine_catalog import MachineCatalog
 from poppyhold.node.outbound_adapter import OutboundAdapter
-from poppyhold.node.users import Users
+from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
 from poppyhold.quota.edge import QuotaEdge
 from poppyhold.quota.messages import Answer as QuotaAnswer
@@ -54,7 +54,7 @@
     rng: random.Random
     store: Store
     cloud: CloudClient
-    users: Users
+    users: UserApi
     election: Election
     peers: Peers
     catalog: MachineCatalog
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -14,7 +14,7 @@
 from poppyhold.model.context import ImageHints
 from poppyhold.model.durations import Durations
 from poppyhold.node.leader_term import LeaderTerm
-from poppyhold.node.users import Users
+from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
 from poppyhold.quota.server import QuotaServer
 from poppyhold.relay.forwarding import HeartbeatForwarder
@@ -35,7 +35,7 @@
         settings: Settings,
         options: Options,
         election: Election,
-        users: Users,
+        users: UserApi,
         forwarder: HeartbeatForwarder,
         delegated_renewal: DelegatedRenewal,
         misdirected_workers: MisdirectedWorkers,
--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -12,12 +12,13 @@
 from poppyhold.cluster.peers import PeerView
 from poppyhold.concurrency.priority_queue import DECISIONS
 from poppyhold.durable.committer import Committer, Unit
+from poppyhold.model.job_status import FinalState
 from poppyhold.model.outbound import CommitPriority, Data, MisdirectedWorker
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.cloud_thread import CloudThread
 from poppyhold.node.command_dispatcher import CommandDispatcher, ResponseCallback
 from poppyhold.node.decision_loop import DecisionLoop
-from poppyhold.node.users import Users
+from poppyhold.node.user_api import UserApi
 from poppyhold.wire.worker_messages import Heartbeat
 
 
@@ -32,7 +33,7 @@
         delegations: LeaseDelegations,
         committer: Committer,
         commands: CommandDispatcher,
-        users: Users,
+        users: UserApi,
         peer_views: dict[str, PeerView],
     ) -> None:
         self._loop, self._election, self._authority = loop, election, authority
@@ -102,7 +103,7 @@
 
     def job_finalized(self, job_id: str, status: str, tasks: int) -> None:
         """See `OutboundPort`."""
-        self._users.finals.put(job_id, (status, tasks))
+        self._users.job_states.finals.put(job_id, FinalState(status, tasks))
 
     # -- questions -----------------------------------------------------------------------------------
 
--- a/src/poppyhold/node/request_router.py
+++ b/src/poppyhold/node/request_router.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from poppyhold.node.users import Users
+from poppyhold.node.user_api import UserApi
 from poppyhold.wire.http import Answer, Deferred, answer
 
 JOBS_PATH = "/api/jobs"
@@ -16,7 +16,7 @@
 
     def __init__(
         self,
-        users: Users,
+        users: UserApi,
         handle_heartbeat: Callable[[bytes], Answer | Deferred],
         check_readiness: Callable[[], Answer],
     ) -> None:
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -20,7 +20,7 @@
 from poppyhold.node.membership import Membership
 from poppyhold.node.readiness import ReadinessCheck
 from poppyhold.node.request_router import RequestRouter
-from poppyhold.node.users import Users
+from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
 from poppyhold.quota.server import QuotaServer
 from poppyhold.settings import Settings, split_address
@@ -42,7 +42,7 @@
         self.catalog = MachineCatalog(
             self.store, self.cloud, settings.settings.state.lowest.value_bytes, self.rng
         )
-        self.users = Users(settings, self.store, lambda: self.catalog.types, self._task_counts)
+        self.users = UserApi(settings, self.store, lambda: self.catalog.types, self._task_counts)
         self._leader_term: LeaderTerm | None = None
         self._leader_term_lock = threading.Lock()
         self._stop = threading.Event()
--- /dev/null
+++ b/src/poppyhold/node/submission_policy.py
@@ -0,0 +1,45 @@
+"""Which submissions can never run, and what is stored of those that are accepted."""
+
+from __future__ import annotations
+
+import time
+
+import msgspec
+
+from poppyhold.durable.store import Data, stored_bytes
+from poppyhold.model.constraints import allowed_machine_types
+from poppyhold.scheduling.quotas import Quotas
+from poppyhold.settings import Deployment
+from poppyhold.wire.cloud_messages import MachineType
+from poppyhold.wire.user_messages import Submission
+
+
+class SubmissionPolicy:
+    """Judges submissions by the teams' limits, the machine types, and the size of records."""
+
+    def __init__(self, deployment: Deployment) -> None:
+        self._quotas = Quotas(deployment.teams)
+        self._max_record_bytes = deployment.state.lowest.value_bytes
+
+    def why_infeasible(self, spec: Submission, machine_types: dict[str, MachineType]) -> str | None:
+        """Why a job can never run, or None if it may."""
+        if not self._quotas.known(spec.team):
+            return "unknown team"
+        # The tasks of an array may run one after the other.
+        tasks = 1 if spec.shape == "array" else spec.tasks
+        if not self._quotas.ever_fits(spec.team, (spec.cpus, spec.accelerators, spec.memory_gb), tasks):
+            return "above the team's limit"
+        if machine_types and not allowed_machine_types(spec, machine_types.values()):
+            return "fits no machine type"
+        return None
+
+    def record(self, spec: Submission, machine_types: dict[str, MachineType]) -> Data:
+        """What is stored of a submission; a list of machine types too long for it keeps those that exist."""
+        data: Data = {"spec": msgspec.to_builtins(spec), "at": time.time()}
+        if spec.machine_types is not None and not self.can_store(data):
+            data["spec"]["builds"] = sorted(machine_types.keys() & set(spec.machine_types))
+        return data
+
+    def can_store(self, data: Data) -> bool:
+        """Whether a record is within the state service's limit, now and when it is lowered."""
+        return stored_bytes(data) <= self._max_record_bytes
--- /dev/null
+++ b/src/poppyhold/node/user_api.py
@@ -0,0 +1,239 @@
+"""The users' interface: any node serves them, and the state service alone decides what is true."""
+
+from __future__ import annotations
+
+import logging
+import threading
+import time
+from collections.abc import Callable, Iterator
+from http import HTTPStatus
+
+from poppyhold.cluster.cancellations import Cancellations
+from poppyhold.concurrency.rate_limiter import RateLimiter
+from poppyhold.durable.errors import (
+    ConditionFailedError,
+    InvalidRequestError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StoreRejectedError,
+)
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FINAL_JOB_PREFIX
+from poppyhold.durable.store import Data, Store, final_writes, put
+from poppyhold.model.job_status import FinalState, JobStatus
+from poppyhold.node.job_states import JobStates
+from poppyhold.node.submission_policy import SubmissionPolicy
+from poppyhold.reads.job_reads import JobReads
+from poppyhold.settings import Deployment, Settings
+from poppyhold.wire.cloud_messages import MachineType
+from poppyhold.wire.codec import MalformedError, decode
+from poppyhold.wire.http import Answer, answer
+from poppyhold.wire.task_names import JOB_ID
+from poppyhold.wire.user_messages import Submission, parse_submission
+
+log = logging.getLogger(__name__)
+
+_MAX_ATTEMPTS = 3
+# Users wait five seconds for an answer: no attempt begins later than this, as one takes up to two of them.
+_LAST_ATTEMPT_S = 2.0
+# Users wait two seconds for the answer to a query.
+_QUERY_TIMEOUT_S = 1.5
+# Queries that come within this share of a heartbeat interval are answered together.
+_GATHER_RATIO = 0.05
+# Share of the state service's requests that all controllers together spend on queries. Without a bound five
+# controllers took twice what it allows, and submissions, decisions and renewals were refused beside them.
+_QUERIES_SHARE = 0.4
+# More cancellations than this would not fit into a message between controllers.
+_MAX_NAMED_CANCELLATIONS = 10_000
+# Final states that are remembered, for each MB of memory that the controller may take.
+_FINALS_PER_RAM_MB = 100
+# Requests that may use the state service at once: at least so many.
+_MIN_SLOTS = 8
+
+
+def _query_rate_limiter(deployment: Deployment) -> RateLimiter:
+    """How fast one controller may ask the state service for its users' queries."""
+    per_second = deployment.state.lowest.rps * _QUERIES_SHARE / deployment.count
+    return RateLimiter(per_second, burst=per_second * _GATHER_RATIO * 2)
+
+
+class UserApi:
+    """Submissions, queries and cancellations. Safe for all connection threads."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        store: Store,
+        machine_types: Callable[[], dict[str, MachineType]],
+        task_counts: Callable[[str], tuple[int, int] | None],
+        clock: Callable[[], float] = time.monotonic,
+        reads: JobReads | None = None,
+    ) -> None:
+        """``task_counts`` tells a job's done and running tasks; ``reads`` whether it is active."""
+        limits = settings.settings
+        self._store, self._machine_types, self._clock = store, machine_types, clock
+        self._retry_after_s = max(1, round(limits.workers.heartbeat_interval_s))
+        self._reads = reads or JobReads(
+            store,
+            limits.workers.heartbeat_interval_s * _GATHER_RATIO,
+            _QUERY_TIMEOUT_S,
+            pace=_query_rate_limiter(limits),
+        )
+        self._policy = SubmissionPolicy(limits)
+        # As many are named as the state service can take within the time that each of them has.
+        self.cancellations = Cancellations(
+            min(int(limits.state.write_rps * limits.workers.cancel_s), _MAX_NAMED_CANCELLATIONS)
+        )
+        self.job_states = JobStates(
+            store, self.cancellations, task_counts, int(limits.machine_limits.ram_mb * _FINALS_PER_RAM_MB)
+        )
+        # More at once than this would only wait for the state service's limit.
+        self._slots = threading.BoundedSemaphore(max(_MIN_SLOTS, int(limits.state.rps / 2)))
+
+    # -- submissions ---------------------------------------------------------------------------------
+
+    def submit(self, body: bytes) -> Answer:
+        """POST /api/jobs."""
+        try:
+            spec = parse_submission(decode(body))
+        except MalformedError as error:
+            return answer(HTTPStatus.BAD_REQUEST, {"error": str(error)})
+        return self._with_slot(lambda: self._submit(spec))
+
+    def _submit(self, spec: Submission) -> Answer:
+        machine_types = self._machine_types()
+        reason = self._policy.why_infeasible(spec, machine_types)
+        if reason is not None or not machine_types:
+            # A repeat of an accepted job is answered with its state, whatever we think of it now.
+            known = self.job_states.look_up(spec.name)
+            if known is not None:
+                return answer(HTTPStatus.OK, known)
+            if reason is None:
+                return self._try_later()
+            return answer(HTTPStatus.UNPROCESSABLE_ENTITY, {"error": reason})
+        data = self._policy.record(spec, machine_types)
+        if not self._policy.can_store(data):
+            return self._reject_too_long(spec)
+        return self._store_submission(spec, data)
+
+    def _reject_too_long(self, spec: Submission) -> Answer:
+        """The submission can never be stored, so that its user need not try again.
+
+        An earlier version may have stored it, under larger limits.
+        """
+        known = self.job_states.look_up(spec.name)
+        if known is not None:
+            return answer(HTTPStatus.OK, known)
+        return answer(HTTPStatus.BAD_REQUEST, {"error": "too long"})
+
+    def _store_submission(self, spec: Submission, data: Data) -> Answer:
+        # A condition that fails counts against the limit of changes like a change: users that repeat what is
+        # known to be accepted must not eat up what decisions need.
+        look_up_first = self.job_states.may_be_known(spec.name)
+        for _ in self._attempts():
+            if look_up_first or self.job_states.finals.get(spec.name) is not None:
+                known = self.job_states.look_up(spec.name)
+                if known is not None:
+                    return answer(HTTPStatus.OK, known)
+            try:
+                self._store.commit(
+                    {ACTIVE_JOB_PREFIX + spec.name: 0, FINAL_JOB_PREFIX + spec.name: 0},
+                    [put(ACTIVE_JOB_PREFIX + spec.name, data)],
+                )
+            except OutcomeUnknownError:
+                # It may have gone through: the next attempt will tell.
+                continue
+            except InvalidRequestError as error:
+                log.warning("submission refused job=%s error=%s", spec.name, error)
+                return self._reject_too_long(spec)
+            except ConditionFailedError:
+                # It exists, perhaps by our own attempt before: its user is told of its present state.
+                look_up_first = True
+            else:
+                self.job_states.note_accepted(spec.name)
+                return answer(HTTPStatus.CREATED, {"nameId": spec.name, "status": JobStatus.PENDING})
+        return self._try_later()
+
+    # -- queries -------------------------------------------------------------------------------------
+
+    def poll(self, job_id: str) -> Answer:
+        """GET /api/jobs/{id}."""
+        if not JOB_ID.match(job_id):
+            return _unknown_job()
+        final = self.job_states.finals.get(job_id)
+        if final is not None:
+            return answer(HTTPStatus.OK, self.job_states.final_state(job_id, final))
+        # A shared read takes no slot: it costs the state service the same for any number of queries.
+        return self._or_try_later(lambda: self._poll(job_id))
+
+    def _poll(self, job_id: str) -> Answer:
+        # In this order: a job moves from the active ones to the final ones, and never back.
+        if self._reads.is_active(job_id):
+            return answer(HTTPStatus.OK, self.job_states.active_state(job_id))
+        return self._with_slot(lambda: self._poll_final(job_id))
+
+    def _poll_final(self, job_id: str) -> Answer:
+        final = self.job_states.read_final(job_id)
+        if final is None:
+            return _unknown_job()
+        return answer(HTTPStatus.OK, self.job_states.final_state(job_id, final))
+
+    # -- cancellations -------------------------------------------------------------------------------
+
+    def abort(self, job_id: str) -> Answer:
+        """POST /api/jobs/{id}/abort."""
+        if not JOB_ID.match(job_id):
+            return _unknown_job()
+        return self._with_slot(lambda: self._abort(job_id))
+
+    def _abort(self, job_id: str) -> Answer:
+        for _ in self._attempts():
+            final = self.job_states.finals.get(job_id)
+            if final is not None:
+                return answer(HTTPStatus.OK, {"nameId": job_id, "status": final.status})
+            entry = self._store.get(ACTIVE_JOB_PREFIX + job_id)
+            if entry is None:
+                if self.job_states.look_up(job_id) is None:
+                    return _unknown_job()
+                continue
+            try:
+                tasks = entry.data["spec"]["chores"]
+                revision = self._store.commit(
+                    {ACTIVE_JOB_PREFIX + job_id: entry.version},
+                    final_writes(job_id, JobStatus.CANCELLED, tasks),
+                )
+            except (ConditionFailedError, OutcomeUnknownError):
+                # The job changed, or may have been cancelled by this attempt: look again.
+                continue
+            self.job_states.keep_final(job_id, FinalState(JobStatus.CANCELLED, tasks), revision)
+            return answer(HTTPStatus.OK, {"nameId": job_id, "status": JobStatus.CANCELLED})
+        return self._try_later()
+
+    # -- limits and retries --------------------------------------------------------------------------
+
+    def _attempts(self) -> Iterator[int]:
+        """A few attempts, none of which begins when its user may be gone before it ends."""
+        began_at = self._clock()
+        return (number for number in range(_MAX_ATTEMPTS) if self._clock() - began_at < _LAST_ATTEMPT_S)
+
+    def _with_slot(self, work: Callable[[], Answer]) -> Answer:
+        # What can't be taken is answered at once, with a time to come back: nobody waits for a slot.
+        if not self._slots.acquire(blocking=False):
+            return self._try_later(HTTPStatus.TOO_MANY_REQUESTS)
+        try:
+            return self._or_try_later(work)
+        finally:
+            self._slots.release()
+
+    def _or_try_later(self, work: Callable[[], Answer]) -> Answer:
+        try:
+            return work()
+        except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError) as error:
+            log.debug("user request failed error=%s", error)
+            return self._try_later()
+
+    def _try_later(self, status: HTTPStatus = HTTPStatus.SERVICE_UNAVAILABLE) -> Answer:
+        return answer(status, {"error": "try again later"}, Retry_After=str(self._retry_after_s))
+
+
+def _unknown_job() -> Answer:
+    return answer(HTTPStatus.NOT_FOUND, {"error": "unknown job"})
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -23,11 +23,12 @@
 from poppyhold.durable.snapshot import SnapshotReader
 from poppyhold.durable.store import Changes, Entry, Page, Store, put
 from poppyhold.model.durations import Durations
+from poppyhold.model.job_status import FinalState
 from poppyhold.model.outbound import CommitPriority, MisdirectedWorker
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.controller import Controller
 from poppyhold.node.leader_term import DIRECT_SHARE
-from poppyhold.node.users import Users
+from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
 from poppyhold.quota.records import PEER
 from poppyhold.reads.job_reads import JobReads
@@ -320,7 +321,7 @@
         self.node.step_down()
 
     def job_finalized(self, job_id: str, status: str, chores: int) -> None:
-        self.node.users.finals.put(job_id, (status, chores))
+        self.node.users.job_states.finals.put(job_id, FinalState(status, chores))
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
         since = self.world.now - self.world.settings.settings.workers.lease_s / 2
@@ -403,7 +404,7 @@
         builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
         # Each question is a shared read by itself: the view is what users are answered from.
         reads = JobReads(self.store, 0.0, 1.0, fewest_shared=1, clock=lambda: self.world.now)
-        self.users = Users(
+        self.users = UserApi(
             self.settings, self.store, lambda: builds, self._count, lambda: self.world.now, reads
         )
 
