--- a/src/poppyhold/cluster/peers.py
+++ b/src/poppyhold/cluster/peers.py
@@ -16,6 +16,7 @@
 from poppyhold.cluster.connectivity import Connectivity
 from poppyhold.cluster.lease_delegation import LeaseDelegation, LeaseDelegations
 from poppyhold.model.context import ImageHints
+from poppyhold.model.job_status import TaskCounts
 from poppyhold.model.outbound import MisdirectedWorker
 from poppyhold.quota.messages import Answer as QuotaAnswer
 from poppyhold.quota.messages import Opening as QuotaOpening
@@ -106,7 +107,7 @@
         self,
         settings: Settings,
         describe: Callable[[], Ping],
-        counts: Callable[[], dict[str, tuple[int, int]]],
+        counts: Callable[[], dict[str, TaskCounts]],
         image_hints: Callable[[], ImageHints],
         reply: Callable[[Ping], Pong],
         on_pong: Callable[[Pong, float], None],
@@ -202,7 +203,7 @@
             self._stop.wait(self._every_s / 2)
 
     def _talk(self, connection: socket.socket, known: Known) -> None:
-        counts: ChangeFeed[tuple[int, int]] = ChangeFeed(_MOST_COUNTS)
+        counts: ChangeFeed[TaskCounts] = ChangeFeed(_MOST_COUNTS)
         images: ChangeFeed[tuple[tuple[str, float], ...]] = ChangeFeed(_MOST_IMAGES)
         while not self._stop.is_set():
             changed_counts = [(job, *pair) for job, pair in counts.next(self._counts())]
--- a/src/poppyhold/model/job_status.py
+++ b/src/poppyhold/model/job_status.py
@@ -21,3 +21,10 @@
     # Not a `JobStatus`: a later version may store states that this one does not know.
     status: str
     tasks: int
+
+
+class TaskCounts(NamedTuple):
+    """How many tasks of a job are done and running, for display."""
+
+    done: int
+    running: int
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -15,6 +15,7 @@
 from poppyhold.model.context import Context, ImageHints
 from poppyhold.model.durations import Durations
 from poppyhold.model.entities import Attempt, Job, JobPhase
+from poppyhold.model.job_status import TaskCounts
 from poppyhold.model.outbound import OutboundPort
 from poppyhold.node.job_lifecycle import JobLifecycle
 from poppyhold.node.machine_lifecycle import MachineLifecycle
@@ -185,10 +186,10 @@
         machine = self.ctx.fleet.machines.get(machine_name)
         return machine.last_response_at if machine is not None else float("-inf")
 
-    def task_counts(self) -> dict[str, tuple[int, int]]:
-        """Done and running tasks by job, for display."""
+    def task_counts(self) -> dict[str, TaskCounts]:
+        """Done and running tasks by job."""
         return {
-            job.id: (job.done, job.running)
+            job.id: TaskCounts(job.done, job.running)
             for job in self.ctx.fleet.jobs.values()
             if job.phase is not JobPhase.FINALIZED
         }
--- a/src/poppyhold/node/job_states.py
+++ b/src/poppyhold/node/job_states.py
@@ -8,7 +8,7 @@
 from poppyhold.concurrency.bounded_dict import BoundedDict
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FINAL_JOB_PREFIX
 from poppyhold.durable.store import Store
-from poppyhold.model.job_status import FinalState, JobStatus
+from poppyhold.model.job_status import FinalState, JobStatus, TaskCounts
 
 # Accepted jobs that are remembered, as a share of the final states that are.
 _ACCEPTED_DIVISOR = 10
@@ -21,7 +21,7 @@
         self,
         store: Store,
         cancellations: Cancellations,
-        task_counts: Callable[[str], tuple[int, int] | None],
+        task_counts: Callable[[str], TaskCounts | None],
         max_finals: int,
     ) -> None:
         """``task_counts`` tells a job's done and running tasks, for display."""
@@ -71,7 +71,7 @@
     def active_state(self, job_id: str) -> dict[str, object]:
         """What the user of an active job is told."""
         self.note_accepted(job_id)
-        done, running = self._task_counts(job_id) or (0, 0)
+        done, running = self._task_counts(job_id) or TaskCounts(0, 0)
         status = JobStatus.RUNNING if running else JobStatus.PENDING
         return {"nameId": job_id, "status": status, "done": done, "running": running}
 
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -20,6 +20,7 @@
 from poppyhold.durable.watch import Watch
 from poppyhold.model.context import ImageHints
 from poppyhold.model.durations import Durations
+from poppyhold.model.job_status import TaskCounts
 from poppyhold.node.cancellation_tracker import CancellationTracker
 from poppyhold.node.cloud import CloudClient
 from poppyhold.node.cloud_thread import CloudThread
@@ -131,7 +132,7 @@
         self.quota_edge = self._make_quota_edge()
         self._watch: Watch | None = None
         # As of the last tick, for other threads.
-        self.task_counts: dict[str, tuple[int, int]] = {}
+        self.task_counts: dict[str, TaskCounts] = {}
         self.image_hints: ImageHints = {}
         self.loop.start(
             self._prepare,
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -13,6 +13,7 @@
 from poppyhold.cluster.peers import Peers, Ping, Pong
 from poppyhold.model.context import ImageHints
 from poppyhold.model.durations import Durations
+from poppyhold.model.job_status import TaskCounts
 from poppyhold.node.leader_term import LeaderTerm
 from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
@@ -50,7 +51,7 @@
         self._leader_term, self._state_contact_at = leader_term, state_contact_at
         self._better_leader_after_s = Durations(settings, options).delegated_renewal_after_s
         # The leader's counts of tasks, and its machines' images.
-        self._peer_counts: dict[str, tuple[int, int]] = {}
+        self._peer_counts: dict[str, TaskCounts] = {}
         self.peer_image_hints: ImageHints = {}
         # When we last deposed a leader that refused connections.
         self._deposed_at = float("-inf")
@@ -74,7 +75,7 @@
         """Whether another controller should campaign before this one."""
         return self.peers.connectivity.better_placed() is not None
 
-    def task_counts(self, job_id: str) -> tuple[int, int] | None:
+    def task_counts(self, job_id: str) -> TaskCounts | None:
         """A job's done and running tasks, as the leader knows them."""
         leader_term = self._leader_term()
         counts = leader_term.task_counts if leader_term is not None else self._peer_counts
@@ -82,7 +83,7 @@
 
     # -- what we tell --------------------------------------------------------------------------------
 
-    def _led_task_counts(self) -> dict[str, tuple[int, int]]:
+    def _led_task_counts(self) -> dict[str, TaskCounts]:
         leader_term = self._leader_term()
         return leader_term.task_counts if leader_term is not None else {}
 
@@ -153,7 +154,7 @@
         self._delegated_renewal.heard(ping.fencing_token, ping.delegation)
         limits = self._settings.settings.machine_limits
         counts = dict(self._peer_counts)
-        counts.update({job: (done, running) for job, done, running in ping.counts})
+        counts.update({job: TaskCounts(done, running) for job, done, running in ping.counts})
         while len(counts) > limits.ram_mb * _COUNTS_PER_RAM_MB:
             counts.pop(next(iter(counts)))
         self._peer_counts = counts
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -13,6 +13,7 @@
 from poppyhold.durable.store import Store
 from poppyhold.model.context import ImageHints
 from poppyhold.model.durations import Durations
+from poppyhold.model.job_status import TaskCounts
 from poppyhold.node.cloud import CloudClient
 from poppyhold.node.heartbeat_router import HeartbeatRouter
 from poppyhold.node.leader_term import LeaderTerm
@@ -146,5 +147,5 @@
     def _is_unreachable(self, member: str) -> bool:
         return self.peers.connectivity.unreachable(member)
 
-    def _task_counts(self, job_id: str) -> tuple[int, int] | None:
+    def _task_counts(self, job_id: str) -> TaskCounts | None:
         return self._membership.task_counts(job_id)
--- a/src/poppyhold/node/user_api.py
+++ b/src/poppyhold/node/user_api.py
@@ -19,7 +19,7 @@
 )
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FINAL_JOB_PREFIX
 from poppyhold.durable.store import Data, Store, final_writes, put
-from poppyhold.model.job_status import FinalState, JobStatus
+from poppyhold.model.job_status import FinalState, JobStatus, TaskCounts
 from poppyhold.node.job_states import JobStates
 from poppyhold.node.submission_policy import SubmissionPolicy
 from poppyhold.reads.job_reads import JobReads
@@ -64,7 +64,7 @@
         settings: Settings,
         store: Store,
         machine_types: Callable[[], dict[str, MachineType]],
-        task_counts: Callable[[str], tuple[int, int] | None],
+        task_counts: Callable[[str], TaskCounts | None],
         clock: Callable[[], float] = time.monotonic,
         reads: JobReads | None = None,
     ) -> None:
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -23,7 +23,7 @@
 from poppyhold.durable.snapshot import SnapshotReader
 from poppyhold.durable.store import Changes, Entry, Page, Store, put
 from poppyhold.model.durations import Durations
-from poppyhold.model.job_status import FinalState
+from poppyhold.model.job_status import FinalState, TaskCounts
 from poppyhold.model.outbound import CommitPriority, MisdirectedWorker
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.controller import Controller
@@ -417,7 +417,7 @@
         )
         self.settings = msgspec.structs.replace(self.world.settings, settings=deployment)
 
-    def _count(self, job_id: str) -> tuple[int, int] | None:
+    def _count(self, job_id: str) -> TaskCounts | None:
         return self.leader_term.controller.task_counts().get(job_id) if self.leader_term else None
 
     def crash(self, back_s: float) -> None:
