--- a/src/poppyhold/capacity.py
+++ b/src/poppyhold/capacity.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterator
 
 from poppyhold.machines.machine_list import LAGS_MISSING
-from poppyhold.node.cloud import LIST_PAGE
-from poppyhold.node.cloud_thread import LIST_SHARE
+from poppyhold.node.cloud_client import LIST_PAGE_SIZE
+from poppyhold.node.cloud_dispatcher import LIST_REQUEST_SHARE
 from poppyhold.options import Options
 from poppyhold.relay.assignment import MOST_OF_SHARE
 from poppyhold.relay.mode import RelayMode
@@ -41,7 +41,7 @@
     cores = _CORE_A_MACHINE * machines + _CORE_BASE
     if cores > limits.core_share:
         yield f"settings.machine_limits.core_share: {limits.core_share:g} of {cores:.2f} needed on the leader"
-    list_s = math.ceil(machines / LIST_PAGE) / (deployment.cloud.rps * LIST_SHARE)
+    list_s = math.ceil(machines / LIST_PAGE_SIZE) / (deployment.cloud.rps * LIST_REQUEST_SHARE)
     # A machine that no list has shown for so long counts as missing.
     if list_s > LAGS_MISSING * deployment.cloud.list_lag_s:
         yield f"settings.cloud.rps: reading the list of machines takes {list_s:.0f} s"
--- a/src/poppyhold/cli.py
+++ b/src/poppyhold/cli.py
@@ -19,10 +19,14 @@
 
 log = logging.getLogger(__name__)
 
-# A thread per connection: a small stack each.
-_STACK = 256 * 1024
-# New objects between two looks for garbage.
-_GARBAGE = 20_000
+# Each connection has a thread, so stacks are small.
+_THREAD_STACK_BYTES = 256 * 1024
+# Garbage collection: new objects between two runs over the youngest generation, and how many runs over one
+# generation come before one over the next.
+_GC_THRESHOLDS = (20_000, 20, 50)
+
+# Exit status when the files are wrong; argparse uses the same for wrong arguments.
+_EXIT_CONFIG_ERROR = 2
 
 
 def _parser() -> argparse.ArgumentParser:
@@ -32,16 +36,16 @@
     quota = commands.add_parser("quota", help="shares of teams' limits over cells")
     questions = quota.add_subparsers(dest="question", required=True)
     status = questions.add_parser("status", help="what this cell's leader knows of all shares")
-    _add_files(status)
+    _add_file_arguments(status)
     status.add_argument("--json", action="store_true", help="write JSON instead of a table")
     for name, text in (("serve", "run one controller"), ("check-config", "check the files and stop")):
         command = commands.add_parser(name, help=text, description=text)
-        _add_files(command)
+        _add_file_arguments(command)
     return parser
 
 
-def _add_files(command: argparse.ArgumentParser) -> None:
-    """The two files that every command takes."""
+def _add_file_arguments(command: argparse.ArgumentParser) -> None:
+    """Add the arguments for the two files that every command reads."""
     command.add_argument("--options", metavar="FILE", help="operators' settings, protobuf text format")
     command.add_argument("--config", metavar="FILE", required=True, help="the platform's settings, TOML")
 
@@ -52,14 +56,14 @@
 
 
 def _quota_status(settings: Settings, options: Options, as_json: bool) -> int:
-    """Print what the cell's leader knows of shares; returns the exit status."""
+    """Print what the cell's leader knows of quota allocations; returns the exit status."""
     import msgspec
 
     from poppyhold.quota.status import ALARM, NoLeaderError, fetch, render, summarize
 
     if options.cells is None:
         print("poppyhold: cells: the options file names no other cells", file=sys.stderr)
-        return 2
+        return _EXIT_CONFIG_ERROR
     try:
         status = summarize(fetch(settings))
     except NoLeaderError as error:
@@ -84,7 +88,7 @@
             check_limits(settings)
     except ConfigError as error:
         print(f"poppyhold: {error}", file=sys.stderr)
-        return 2
+        return _EXIT_CONFIG_ERROR
     if args.command == "quota":
         return _quota_status(settings, options, args.json)
     for line in [*strains(settings), *shortfalls(settings, options)]:
@@ -92,16 +96,22 @@
     if args.command == "check-config":
         print("ok")
         return 0
-    threading.stack_size(_STACK)
+    _serve(settings, options)
+    return 0
+
+
+def _serve(settings: Settings, options: Options) -> None:
+    """Run one controller until it is interrupted."""
     from poppyhold.node.service import Node
 
-    # What a controller holds lives long: looking through all of it for garbage every few hundred objects
-    # takes time from reports.
+    threading.stack_size(_THREAD_STACK_BYTES)
+
+    # What a controller holds lives long: searching all of it for garbage every few hundred objects takes time
+    # from heartbeats.
     gc.freeze()
-    gc.set_threshold(_GARBAGE, 20, 50)
+    gc.set_threshold(*_GC_THRESHOLDS)
     node = Node(settings, options)
     try:
         node.run()
     except KeyboardInterrupt:
         node.stop()
-    return 0
--- a/src/poppyhold/node/cloud.py
+++ b/src/poppyhold/node/cloud_client.py
@@ -1,4 +1,4 @@
-"""The cloud's interface: typed calls, each made once."""
+"""The client of the cloud's interface: typed requests, each sent once."""
 
 from __future__ import annotations
 
@@ -15,59 +15,59 @@
 
 log = logging.getLogger(__name__)
 
-# Machines on a page of the list, at the most.
-LIST_PAGE = 500
+# The most machines on a page of the list.
+LIST_PAGE_SIZE = 500
 
 T = TypeVar("T")
 
 
 class CloudClient:
-    """Typed calls, each made once."""
+    """Sends requests once, without retries. Safe for several threads."""
 
     def __init__(self, settings: Settings) -> None:
         host, port = split_address(settings.outside.cloud)
         self._client = Client(host, port, keep=2)
-        self._timeout = settings.settings.workers.lease_s / 3
+        self._timeout_s = settings.settings.workers.lease_s / 3
 
-    def machine_types(self) -> list[MachineType] | None:
-        """The machine types, or None if the cloud does not say."""
+    def fetch_machine_types(self) -> list[MachineType] | None:
+        """The machine types; None if the cloud gave no valid answer."""
         answer = self._get("/machine_types", MachineTypes)
         return answer.machine_types if answer is not None else None
 
-    def page(self, since: str) -> MachineListPage | None:
-        """One page of the list, or None."""
+    def fetch_machine_page(self, since: str) -> MachineListPage | None:
+        """One page of the list of machines, after the name ``since``; None if there was no valid answer."""
         after = f"since={since}&" if since else ""
-        return self._get(f"/machines?{after}most={LIST_PAGE}", MachineListPage)
+        return self._get(f"/machines?{after}most={LIST_PAGE_SIZE}", MachineListPage)
 
     def _get(self, path: str, kind: type[T]) -> T | None:
         try:
-            status, data = self._client.request("GET", path, timeout=self._timeout)
+            status, data = self._client.request("GET", path, timeout=self._timeout_s)
             return convert(data, kind) if status == HTTPStatus.OK else None
         except (NotSentError, NoAnswerError, MalformedError) as error:
-            log.debug("cloud %s: %s", path, error)
+            log.debug("cloud request failed path=%s error=%s", path, error)
             return None
 
-    def launch(self, body: Data) -> tuple[RequestOutcome, list[str]]:
-        """Rent machines. Unless the cloud says no, the request may yet be carried out."""
+    def launch_machines(self, body: Data) -> tuple[RequestOutcome, list[str]]:
+        """Launch machines; their names if the outcome is OK. An UNKNOWN request may still be carried out."""
         try:
-            status, data = self._client.request("POST", "/machines", body, timeout=self._timeout)
+            status, data = self._client.request("POST", "/machines", body, timeout=self._timeout_s)
             if status == HTTPStatus.OK:
                 return RequestOutcome.OK, convert(data, LaunchResponse).machines
         except (NotSentError, NoAnswerError, MalformedError) as error:
-            log.debug("hire: %s", error)
+            log.debug("launch request failed error=%s", error)
             return RequestOutcome.UNKNOWN, []
         no_capacity = status == HTTPStatus.SERVICE_UNAVAILABLE and data.get("error") == "no capacity"
         if no_capacity or status == HTTPStatus.BAD_REQUEST:
             return RequestOutcome.REJECTED, []
         return RequestOutcome.UNKNOWN, []
 
-    def delete(self, names: list[str]) -> bool:
-        """Delete machines; once True is returned they are gone."""
+    def delete_machines(self, names: list[str]) -> bool:
+        """Delete machines; if True is returned, they do not exist any more."""
         try:
             status, _ = self._client.request(
-                "POST", "/machines/delete", {"boxes": names}, timeout=self._timeout
+                "POST", "/machines/delete", {"boxes": names}, timeout=self._timeout_s
             )
             return status == HTTPStatus.OK
         except (NotSentError, NoAnswerError) as error:
-            log.debug("delete: %s", error)
+            log.debug("deletion request failed error=%s", error)
             return False
--- /dev/null
+++ b/src/poppyhold/node/cloud_dispatcher.py
@@ -0,0 +1,179 @@
+"""The leader's requests to the cloud: one thread, within the cloud's rate."""
+
+from __future__ import annotations
+
+import logging
+import threading
+import time
+from collections import deque
+from collections.abc import Callable
+from typing import NamedTuple
+
+from poppyhold.model.outbound import Data
+from poppyhold.model.outcome import RequestOutcome
+from poppyhold.node.cloud_client import CloudClient
+from poppyhold.settings import Settings
+from poppyhold.wire.cloud_messages import ListedMachine, MachineListing, MachineType
+
+log = logging.getLogger(__name__)
+
+# Share of the cloud's requests that lists may take: deletions and launches need the rest.
+LIST_REQUEST_SHARE = 0.5
+# A list is read twice within the time by which it may lag, the machine types once in four of those times.
+_LISTS_PER_LAG = 2
+_MACHINE_TYPES_LAGS = 4
+# Requests that were not sent for a while may be made up for in bursts of one second's worth: half of what the
+# cloud takes.
+_BURST_S = 1.0
+
+LaunchCallback = Callable[[RequestOutcome, list[str]], None]
+DeletionCallback = Callable[[bool], None]
+
+
+class _Launch(NamedTuple):
+    """A launch request that waits."""
+
+    body: Data
+    on_response: LaunchCallback
+
+
+class _Deletion(NamedTuple):
+    """A deletion request that waits."""
+
+    names: list[str]
+    on_response: DeletionCallback
+
+
+class MachineListReader:
+    """Reads the list of machines a page at a time, so that other requests go in between.
+
+    A fleet of 4,000 machines is eight pages: read in one go each half lag they were all the requests that
+    some clouds take, and deletions waited for them.
+    """
+
+    def __init__(self, client: CloudClient, lag_s: float, gap_s: float) -> None:
+        """``gap_s`` is the time between two requests at the cloud's rate."""
+        self._client, self._gap_s = client, gap_s
+        self._min_interval_s = lag_s / _LISTS_PER_LAG
+        self._began_at = 0.0
+        self._pages = 0
+        self._machines: list[ListedMachine] = []
+        # When the next page, or the first one of the next list, is due.
+        self.due_at = time.monotonic()
+
+    def read_next_page(self) -> MachineListing | None:
+        """Read the next page; returns the list once it is whole."""
+        now = time.monotonic()
+        if not self._pages:
+            self._began_at = now
+        page = self._client.fetch_machine_page(self._machines[-1].name if self._machines else "")
+        if page is None:
+            # A list that can't be read whole is read anew: nobody knows how old its first pages would become.
+            self._start_over()
+            return None
+        self._pages += 1
+        self._machines += page.machines
+        if page.more and page.machines:
+            self.due_at = now + self._gap_s / LIST_REQUEST_SHARE
+            return None
+        listing = MachineListing(self._machines, self._began_at)
+        self._start_over()
+        return listing
+
+    def _start_over(self) -> None:
+        """The next list is due half a lag after this one began, or later if its pages take longer."""
+        pages_s = self._pages * self._gap_s / LIST_REQUEST_SHARE
+        self.due_at = self._began_at + max(self._min_interval_s, pages_s)
+        self._pages, self._machines = 0, []
+
+
+class CloudDispatcher:
+    """Sends the leader's requests: deletions before launches before reads."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        client: CloudClient,
+        on_machine_types: Callable[[list[MachineType]], None],
+        on_machine_listing: Callable[[MachineListing], None],
+    ) -> None:
+        self._client = client
+        self._on_machine_types, self._on_machine_listing = on_machine_types, on_machine_listing
+        cloud = settings.settings.cloud
+        self._gap_s = 1.0 / cloud.rps
+        self._list_reader = MachineListReader(client, cloud.list_lag_s, self._gap_s)
+        self._machine_types_interval_s = cloud.list_lag_s * _MACHINE_TYPES_LAGS
+        self._deletions: deque[_Deletion] = deque()
+        self._launches: deque[_Launch] = deque()
+        self._wake = threading.Condition()
+        self._stopped = False
+        self._thread = threading.Thread(target=self._run, name="cloud", daemon=True)
+        self._thread.start()
+
+    def delete(self, names: list[str], on_response: DeletionCallback) -> None:
+        """Queue a deletion."""
+        with self._wake:
+            self._deletions.append(_Deletion(names, on_response))
+            self._wake.notify()
+
+    def launch(self, body: Data, on_response: LaunchCallback) -> None:
+        """Queue a launch."""
+        with self._wake:
+            self._launches.append(_Launch(body, on_response))
+            self._wake.notify()
+
+    def stop(self) -> None:
+        """End the thread after the request that it is in."""
+        with self._wake:
+            self._stopped = True
+            self._wake.notify()
+
+    def _run(self) -> None:
+        machine_types_at = credit_at = time.monotonic()
+        while not self._stopped:
+            self._await_work(min(self._list_reader.due_at, machine_types_at))
+            if self._stopped:
+                return
+            now = time.monotonic()
+            credit_at = max(credit_at + self._gap_s, now - _BURST_S)
+            if credit_at > now:
+                time.sleep(credit_at - now)
+            try:
+                if self._deletions or self._launches:
+                    self._send_change()
+                elif time.monotonic() >= self._list_reader.due_at:
+                    self._read_machine_list()
+                else:
+                    machine_types_at = time.monotonic() + self._machine_types_interval_s
+                    self._read_machine_types()
+            except Exception:
+                # The top of the thread: without it no machine would be launched or deleted in this term.
+                log.exception("cloud request failed")
+
+    def _await_work(self, until: float) -> None:
+        """Wait for a change that is asked for, or for the time of the next read."""
+        with self._wake:
+            while not (self._deletions or self._launches or self._stopped):
+                remaining_s = until - time.monotonic()
+                if remaining_s <= 0:
+                    return
+                self._wake.wait(remaining_s)
+
+    def _send_change(self) -> None:
+        """Send a deletion, or else a launch."""
+        if self._deletions:
+            deletion = self._deletions.popleft()
+            deletion.on_response(self._client.delete_machines(deletion.names))
+        else:
+            launch = self._launches.popleft()
+            launch.on_response(*self._client.launch_machines(launch.body))
+
+    def _read_machine_types(self) -> None:
+        machine_types = self._client.fetch_machine_types()
+        if machine_types is not None:
+            self._on_machine_types(machine_types)
+
+    def _read_machine_list(self) -> None:
+        listing = self._list_reader.read_next_page()
+        if listing is not None:
+            self._on_machine_listing(listing)
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -22,8 +22,8 @@
 from poppyhold.model.durations import Durations
 from poppyhold.model.job_status import TaskCounts
 from poppyhold.node.cancellation_tracker import CancellationTracker
-from poppyhold.node.cloud import CloudClient
-from poppyhold.node.cloud_thread import CloudThread
+from poppyhold.node.cloud_client import CloudClient
+from poppyhold.node.cloud_dispatcher import CloudDispatcher
 from poppyhold.node.command_dispatcher import CommandDispatcher
 from poppyhold.node.controller import Controller
 from poppyhold.node.decision_loop import DecisionLoop
@@ -190,7 +190,7 @@
         # Before all else: relays whose workers wait connect while the rest is made ready.
         self.relays.review(snapshot.machines.keys())
         self.controller.load(snapshot, self._node.catalog.types.values(), dict(self._node.peer_image_hints))
-        self._outbound.cloud = CloudThread(
+        self._outbound.cloud = CloudDispatcher(
             self._node.settings, self._node.cloud, self._on_machine_types, self._on_machine_listing
         )
         self._watch = Watch(
--- a/src/poppyhold/node/machine_catalog.py
+++ b/src/poppyhold/node/machine_catalog.py
@@ -15,7 +15,7 @@
 )
 from poppyhold.durable.machine_types import machine_type_records, read_machine_types
 from poppyhold.durable.store import Store
-from poppyhold.node.cloud import CloudClient
+from poppyhold.node.cloud_client import CloudClient
 from poppyhold.wire.cloud_messages import MachineType
 from poppyhold.wire.codec import MalformedError
 
@@ -23,17 +23,18 @@
 
 
 class MachineCatalog:
-    """Machine types by name. Without any, a controller can neither judge jobs nor know machines."""
+    """Machine types by name. Without any, a controller can neither judge jobs nor identify machines."""
 
-    def __init__(self, store: Store, cloud: CloudClient, largest_value: int, rng: random.Random) -> None:
+    def __init__(self, store: Store, cloud: CloudClient, max_value_bytes: int, rng: random.Random) -> None:
         self._store, self._cloud, self._rng = store, cloud, rng
-        self._largest_value = largest_value
+        self._max_value_bytes = max_value_bytes
         self.types: dict[str, MachineType] = {}
+        # What was last made durable of each type; prices are not.
         self._published: object = None
 
-    def await_first(self, stop: threading.Event) -> None:
-        """Ask until some are known, or the controller ends."""
-        pause = self._store.timeout / 4
+    def await_machine_types(self, stop: threading.Event) -> None:
+        """Ask the state service and the cloud in turn until machine types are known, or ``stop`` is set."""
+        pause_s = self._store.timeout / 4
         while not self.types and not stop.is_set():
             try:
                 stored = read_machine_types(self._store)
@@ -41,19 +42,19 @@
                     self.learn(stored)
                     return
             except (StoreRejectedError, OutcomeUnknownError, MalformedError) as error:
-                log.debug("machine types: %s", error)
-            machine_types = self._cloud.machine_types()
+                log.debug("machine types not read error=%s", error)
+            machine_types = self._cloud.fetch_machine_types()
             if machine_types:
                 self.learn(machine_types)
                 return
-            stop.wait(self._rng.uniform(pause, pause * 3))
+            stop.wait(self._rng.uniform(pause_s, pause_s * 3))
 
     def learn(self, machine_types: Iterable[MachineType]) -> None:
-        """Keep machine types, with their prices of now."""
+        """Keep machine types, with their current prices."""
         self.types = {**self.types, **{machine_type.name: machine_type for machine_type in machine_types}}
 
     def publish(self) -> None:
-        """Make them durable for nodes that start without a cloud, if they have changed."""
+        """Make the types durable if they have changed, for nodes that start while the cloud is away."""
         shapes = [
             (each.name, each.cpus, each.accelerators, each.memory_gb, tuple(each.zones))
             for each in self.types.values()
@@ -61,8 +62,8 @@
         if shapes == self._published:
             return
         try:
-            for record in machine_type_records(self.types.values(), self._largest_value):
+            for record in machine_type_records(self.types.values(), self._max_value_bytes):
                 self._store.commit({}, [record])
             self._published = shapes
         except (StoreRejectedError, OutcomeUnknownError, ConditionFailedError, LeaseExpiredError) as error:
-            log.debug("machine types: %s", error)
+            log.debug("machine types not stored error=%s", error)
--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -15,7 +15,7 @@
 from poppyhold.model.job_status import FinalState
 from poppyhold.model.outbound import CommitPriority, Data, MisdirectedWorker
 from poppyhold.model.outcome import RequestOutcome
-from poppyhold.node.cloud_thread import CloudThread
+from poppyhold.node.cloud_dispatcher import CloudDispatcher
 from poppyhold.node.command_dispatcher import CommandDispatcher, ResponseCallback
 from poppyhold.node.decision_loop import DecisionLoop
 from poppyhold.node.user_api import UserApi
@@ -40,7 +40,7 @@
         self._delegations, self._committer, self._commands = delegations, committer, commands
         self._users, self._peer_views = users, peer_views
         # Set once the state is rebuilt. Before that no machine is launched or deleted.
-        self.cloud: CloudThread | None = None
+        self.cloud: CloudDispatcher | None = None
 
     # -- requests ------------------------------------------------------------------------------------
 
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -14,7 +14,7 @@
 from poppyhold.model.context import ImageHints
 from poppyhold.model.durations import Durations
 from poppyhold.model.job_status import TaskCounts
-from poppyhold.node.cloud import CloudClient
+from poppyhold.node.cloud_client import CloudClient
 from poppyhold.node.heartbeat_router import HeartbeatRouter
 from poppyhold.node.leader_term import LeaderTerm
 from poppyhold.node.machine_catalog import MachineCatalog
@@ -97,7 +97,7 @@
         self._heartbeats.forwarder.start()
         self.election.watch.start()
         # Without machine types a leader could neither judge jobs nor know machines.
-        self.catalog.await_first(self._stop)
+        self.catalog.await_machine_types(self._stop)
         if not self._stop.is_set():
             self.election.start()
         self._stop.wait()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -31,7 +31,7 @@
 from poppyhold.machines.space_index import SpaceIndex
 from poppyhold.model.entities import Job, Machine, make_job
 from poppyhold.model.resources import add_scaled, fits, max_copies
-from poppyhold.node.cloud_thread import CloudThread, ListReader
+from poppyhold.node.cloud_dispatcher import CloudDispatcher, MachineListReader
 from poppyhold.options import parse_options
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.scheduling.free_capacity import FreeCapacityView, Ranking
@@ -204,33 +204,33 @@
     def __init__(self) -> None:
         self.asked: list[str] = []
 
-    def page(self, since: str) -> ListPage:
+    def fetch_machine_page(self, since: str) -> ListPage:
         self.asked.append("page")
         first = int(since.removeprefix("vm-") or 0) + 1 if since else 1
         names = range(first, min(first + 500, MACHINES + 1))
         machines = [_listed(f"vm-{number:06d}") for number in names]
         return ListPage(machines, more=first + 500 <= MACHINES)
 
-    def machine_types(self) -> list[MachineType]:
+    def fetch_machine_types(self) -> list[MachineType]:
         self.asked.append("types")
         return []
 
-    def launch(self, body: dict[str, Any]) -> tuple[str, list[str]]:
+    def launch_machines(self, body: dict[str, Any]) -> tuple[str, list[str]]:
         self.asked.append("hire")
         return "ok", []
 
-    def delete(self, names: list[str]) -> bool:
+    def delete_machines(self, names: list[str]) -> bool:
         self.asked.append("delete")
         return True
 
 
 def test_a_long_list_is_as_old_as_its_first_page_and_the_next_one_waits_as_long() -> None:
     cloud: Any = ListingCloud()
-    reader = ListReader(cloud, lag_s=0.01, gap_s=0.02)
+    reader = MachineListReader(cloud, lag_s=0.01, gap_s=0.02)
     before = time.monotonic()
     listing = None
     while listing is None:
-        listing = reader.read_page()
+        listing = reader.read_next_page()
     assert len(listing.machines) == MACHINES
     assert before <= listing.began_at <= time.monotonic()
     # Eight pages are half of what the cloud takes in twice as many gaps.
@@ -245,7 +245,7 @@
         deployed, settings=msgspec.structs.replace(deployed.settings, cloud=limits)
     )
     listings: list[Any] = []
-    thread = CloudThread(deployed, cloud, lambda types: None, listings.append)
+    thread = CloudDispatcher(deployed, cloud, lambda types: None, listings.append)
     try:
         _until(lambda: "page" in cloud.asked)
         done: list[str] = []
