--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from poppyhold.durable.changes import Entry, WatchEvent, put_record
 from poppyhold.durable.errors import (
     ConditionFailedError,
     LeaseExpiredError,
@@ -16,10 +17,13 @@
     StoreRejectedError,
 )
 from poppyhold.durable.keys import FENCING_TOKEN_KEY, LEADER_KEY, LEADER_PREFIX
-from poppyhold.durable.store import Entry, Store, put
+from poppyhold.durable.records import FencingTokenRecord, LeaderRecord
+from poppyhold.durable.store import Store
 from poppyhold.durable.watch import Watch
 from poppyhold.options import Options
 from poppyhold.settings import Settings
+from poppyhold.wire import field_names as names
+from poppyhold.wire.codec import convert
 
 log = logging.getLogger(__name__)
 
@@ -30,14 +34,14 @@
     member: str
     fencing_token: int
     lease_id: int
-    version: int
+    key_revision: int
 
 
 class Term(NamedTuple):
     """Our own term of leading."""
 
     fencing_token: int
-    version: int
+    key_revision: int
     lease_id: int
     began_at: float
 
@@ -57,17 +61,17 @@
     ) -> None:
         self._member = settings.member
         self._store, self._rng = store, rng
-        self._on_elected, self._on_deposed = on_elected, on_deposed
+        self._on_elected, self._on_leadership_lost = on_elected, on_deposed
         # Whether a controller that is placed better should campaign before us.
-        self._yields = yields
+        self._should_yield = yields
         lease_s = settings.settings.workers.lease_s
-        self.life_s = lease_s * options.leadership.term_leases
-        self._renew_s = self.life_s / options.leadership.renewals
-        self._rest_s = lease_s
+        self.lease_ttl_s = lease_s * options.leadership.term_leases
+        self._renew_s = self.lease_ttl_s / options.leadership.renewals
+        self._stand_back_s = lease_s
         self._lock = threading.Lock()
         self._wake = threading.Event()
         self._stopped = False
-        self._resting_until = 0.0
+        self._standing_back_until = 0.0
         self._vacant_since = time.monotonic()
         self.leader: Leader | None = None
         # When we learnt of this leader.
@@ -92,14 +96,14 @@
 
     def resign(self, why: str) -> None:
         """Give the term up, for another node to lead, and stand back for a lease."""
-        self._resting_until = time.monotonic() + self._rest_s
+        self._standing_back_until = time.monotonic() + self._stand_back_s
         term = self.term
-        self.deposed(why)
+        self.step_down(why)
         if term is not None:
-            self._end_lease(term.lease_id)
+            self._revoke_lease(term.lease_id)
         self._wake.set()
 
-    def hand_over(self, why: str) -> None:
+    def transfer_leadership(self, why: str) -> None:
         """Give the term up only if the state service takes it back: in an outage nobody else could have it.
 
         A leader that resigned just as an outage began left the fleet without one to its end.
@@ -108,14 +112,14 @@
         if term is None:
             return
         try:
-            self._store.end_lease(term.lease_id)
+            self._store.revoke_lease(term.lease_id)
         except (StoreRejectedError, OutcomeUnknownError) as error:
             log.debug("handing over: %s", error)
             return
-        self._resting_until = time.monotonic() + self._rest_s
-        self.deposed(why)
+        self._standing_back_until = time.monotonic() + self._stand_back_s
+        self.step_down(why)
 
-    def deposed(self, why: str) -> None:
+    def step_down(self, why: str) -> None:
         """Our term is over."""
         with self._lock:
             if self.term is None:
@@ -123,16 +127,16 @@
             self.term = None
             self.confirmed_at = float("-inf")
         log.info("no longer leading: %s", why)
-        self._on_deposed()
+        self._on_leadership_lost()
         self._wake.set()
 
     def observe_fencing_token(self, fencing_token: int) -> None:
         """Step down at once if somebody holds a higher token than ours."""
         term = self.term
         if term is not None and fencing_token > term.fencing_token:
-            self.deposed(f"baton {fencing_token} was seen")
+            self.step_down(f"baton {fencing_token} was seen")
 
-    def raised(self, fencing_token: int) -> None:
+    def record_fencing_token(self, fencing_token: int) -> None:
         """Our own token was raised within the term."""
         with self._lock:
             if self.term is not None:
@@ -145,7 +149,7 @@
                 self._named.wait(timeout)
             return self.leader
 
-    def await_next(self, leader: Leader, timeout: float) -> Leader | None:
+    def await_next_leader(self, leader: Leader, timeout: float) -> Leader | None:
         """Wait a moment for another leader than this one; the leader as it is then."""
         with self._named:
             self._named.wait_for(lambda: self.leader not in (None, leader) or self._stopped, timeout)
@@ -163,18 +167,18 @@
             if leader is not None:
                 self._named.notify_all()
 
-    def depose(self, leader: Leader) -> None:
+    def expire_lease(self, leader: Leader) -> None:
         """End the lease of a leader whose process is gone. This is safe even if it is not:
 
         every step of a leader is conditional on its key, and workers follow the higher token.
         """
-        if self.leader == leader and time.monotonic() >= self._resting_until:
+        if self.leader == leader and time.monotonic() >= self._standing_back_until:
             log.info("deposing %s", leader.member)
-            self._end_lease(leader.lease_id)
+            self._revoke_lease(leader.lease_id)
 
-    def _end_lease(self, lease_id: int) -> None:
+    def _revoke_lease(self, lease_id: int) -> None:
         try:
-            self._store.end_lease(lease_id)
+            self._store.revoke_lease(lease_id)
         except (StoreRejectedError, OutcomeUnknownError) as error:
             log.debug("lease %s: %s", lease_id, error)
 
@@ -182,24 +186,24 @@
         self._snapshot_seen = True
         self._seen(next((entry for entry in entries if entry.key == LEADER_KEY), None))
 
-    def _on_change(self, change: Entry | str, version: int) -> None:
+    def _on_change(self, change: WatchEvent) -> None:
         if isinstance(change, Entry):
             self._seen(change)
-        elif change == LEADER_KEY:
+        elif change.key == LEADER_KEY:
             term = self.term
-            if term is None or version > term.version:
+            if term is None or change.revision > term.key_revision:
                 self._seen(None)
 
     def _seen(self, entry: Entry | None) -> None:
         leader = None
         if entry is not None:
-            data = entry.data
-            leader = Leader(data["member"], data["baton"], data["permit"], entry.version)
+            record = convert(entry.data, LeaderRecord)
+            leader = Leader(record.member, record.fencing_token, record.lease_id, entry.revision)
         term = self.term
-        if term is not None and (leader is None or leader.version > term.version):
+        if term is not None and (leader is None or leader.key_revision > term.key_revision):
             self._name(leader)
-            self.deposed("the leader's key changed")
-        elif term is None or (leader is not None and leader.version == term.version):
+            self.step_down("the leader's key changed")
+        elif term is None or (leader is not None and leader.key_revision == term.key_revision):
             self._name(leader)
         self._wake.set()
 
@@ -221,9 +225,9 @@
         if asked - self.confirmed_at < self._renew_s * 0.9:
             return self._renew_s - (asked - self.confirmed_at)
         try:
-            self._store.extend(term.lease_id, self._renew_s * 2)
+            self._store.renew_lease(term.lease_id, self._renew_s * 2)
         except LeaseExpiredError:
-            self.deposed("our lease ended")
+            self.step_down("our lease ended")
             return 0.0
         except (StoreRejectedError, OutcomeUnknownError) as error:
             # An outage and a refusal of us alone look the same: go on for now. What we may still do
@@ -236,43 +240,46 @@
 
     def _campaign(self) -> float:
         now = time.monotonic()
-        if now < self._resting_until:
-            return self._resting_until - now
+        if now < self._standing_back_until:
+            return self._standing_back_until - now
         if not self._snapshot_seen:
             return self._renew_s / 4
         leader = self.leader
         if leader is not None:
             if leader.member == self._member:
                 # A process of ours before this one held it.
-                self._end_lease(leader.lease_id)
+                self._revoke_lease(leader.lease_id)
                 return self._renew_s / 2
-            return self.life_s
-        if now - self._vacant_since < self.life_s and self._yields():
+            return self.lease_ttl_s
+        if now - self._vacant_since < self.lease_ttl_s and self._should_yield():
             return self._renew_s / 2
         try:
-            lease_id = self._store.lease(self.life_s)
+            lease_id = self._store.lease(self.lease_ttl_s)
             asked = time.monotonic()
-            self._stand(lease_id, asked)
+            self._claim_leadership(lease_id, asked)
         except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError, ConditionFailedError) as error:
             log.debug("campaign: %s", error)
         return self._renew_s * self._rng.uniform(0.3, 0.7)
 
-    def _stand(self, lease_id: int, asked: float) -> None:
+    def _claim_leadership(self, lease_id: int, asked: float) -> None:
         held = self._store.get(FENCING_TOKEN_KEY)
-        fencing_token = (held.data["baton"] if held else 0) + 1
-        claim = {"member": self._member, "baton": fencing_token, "permit": lease_id}
-        conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.version if held else 0}
+        fencing_token = (convert(held.data, FencingTokenRecord).fencing_token if held else 0) + 1
+        claim = LeaderRecord(self._member, fencing_token, lease_id)
+        conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.revision if held else 0}
         try:
             version = self._store.commit(
                 conditions,
-                [put(LEADER_KEY, claim, lease_id), put(FENCING_TOKEN_KEY, {"baton": fencing_token})],
+                [
+                    put_record(LEADER_KEY, claim, lease_id),
+                    put_record(FENCING_TOKEN_KEY, FencingTokenRecord(fencing_token)),
+                ],
             )
         except OutcomeUnknownError:
             # Perhaps it went through: the key itself tells. The permit is ours alone.
             entry = self._store.get(LEADER_KEY)
-            if entry is None or entry.data.get("permit") != lease_id:
+            if entry is None or entry.data.get(names.LEASE_ID) != lease_id:
                 raise
-            version = entry.version
+            version = entry.revision
         term = Term(fencing_token, version, lease_id, time.monotonic())
         with self._lock:
             self.leader = Leader(self._member, fencing_token, lease_id, version)
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -5,9 +5,9 @@
 import random
 from collections.abc import Callable, Iterable
 
+from poppyhold.durable.changes import Entry
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
 from poppyhold.durable.snapshot import Snapshot
-from poppyhold.durable.store import Entry
 from poppyhold.execution.completions import Completions
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.reconciliation import AttemptReconciler
--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
+from poppyhold.cluster.delegated_renewals import DelegatedRenewals
 from poppyhold.cluster.election import Election, Leader
-from poppyhold.cluster.lease_delegation import DelegatedRenewal
 from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.durable.store import Store
@@ -36,7 +36,7 @@
         settings: Settings,
         store: Store,
         election: Election,
-        delegated_renewal: DelegatedRenewal,
+        delegated_renewal: DelegatedRenewals,
         misdirected_workers: MisdirectedWorkers,
         leader_term: Callable[[], LeaderTerm | None],
         is_unreachable: Callable[[str], bool],
@@ -90,7 +90,7 @@
         """Renew the lease as the leader's delegate; None if we may not."""
         if heartbeat.fencing_token:
             leader = self._election.leader
-            renewed_token = self._delegated_renewal.may_answer(
+            renewed_token = self._delegated_renewal.renewal_fencing_token(
                 heartbeat,
                 self._store.contact_at,
                 leader.fencing_token if leader else 0,
@@ -99,7 +99,7 @@
             if renewed_token is not None:
                 return answer(HTTPStatus.OK, HeartbeatResponse(renewed_token).body())
             # A new machine's worker begins with any node; one that has a token has left its leader.
-            self._misdirected_workers.note(heartbeat)
+            self._misdirected_workers.record(heartbeat)
         return None
 
     def _redirect(self, heartbeat: Heartbeat) -> Answer | Deferred:
@@ -111,7 +111,7 @@
                 heartbeat, leader.fencing_token, now - self._election.leader_since, now
             )
             if wait_s:
-                leader = self._election.await_next(leader, wait_s)
+                leader = self._election.await_next_leader(leader, wait_s)
         # The election may have named us meanwhile.
         return self._answer_as_leader(heartbeat) or self._redirect_to(leader)
 
--- a/src/poppyhold/node/job_lifecycle.py
+++ b/src/poppyhold/node/job_lifecycle.py
@@ -5,8 +5,9 @@
 from collections.abc import Callable
 
 from poppyhold.concurrency.bounded_dict import BoundedDict
+from poppyhold.durable.changes import Entry
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
-from poppyhold.durable.store import Entry, final_writes
+from poppyhold.durable.records import final_writes
 from poppyhold.execution.completions import Completions
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.autoscaler import Autoscaler
@@ -52,7 +53,7 @@
             return None
         # The job's wait began at the time of day that is stored with it.
         age_s = max(0.0, self._ctx.wall_clock() - float(entry.data["at"]))
-        job = make_job(spec, entry.version, self._ctx.clock() - age_s)
+        job = make_job(spec, entry.revision, self._ctx.clock() - age_s)
         self._ctx.fleet.jobs[job.id] = job
         self._on_active_jobs_changed()
         self._ctx.scheduling_needed = True
--- a/src/poppyhold/node/job_states.py
+++ b/src/poppyhold/node/job_states.py
@@ -58,7 +58,7 @@
         if entry is None:
             return None
         final = FinalState(entry.data["s"], entry.data["n"])
-        self.keep_final(job_id, final, entry.version)
+        self.keep_final(job_id, final, entry.revision)
         return final
 
     def keep_final(self, job_id: str, final: FinalState, revision: int) -> None:
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -9,14 +9,15 @@
 
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.election import Election, Term
-from poppyhold.cluster.lease_delegation import LeaseDelegations
+from poppyhold.cluster.lease_delegation import DelegationTracker
 from poppyhold.cluster.peers import Peers, Pong
 from poppyhold.concurrency.priority_queue import DECISIONS, SUBMISSIONS
+from poppyhold.durable.changes import Entry, WatchEvent
 from poppyhold.durable.committer import Committer
 from poppyhold.durable.errors import OutcomeUnknownError, StoreRejectedError
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
 from poppyhold.durable.snapshot import Snapshot, SnapshotReader
-from poppyhold.durable.store import Entry, Store
+from poppyhold.durable.store import Store
 from poppyhold.durable.watch import Watch
 from poppyhold.model.context import ImageHints
 from poppyhold.model.durations import Durations
@@ -82,11 +83,11 @@
         limits, workers = settings.settings.machine_limits, settings.settings.workers
         times = Durations(settings, options)
         self.loop = DecisionLoop(limits.max_sockets, workers.heartbeat_interval_s)
-        self._committer = Committer(node.store, settings, term.version, self._on_write_rejected)
+        self._committer = Committer(node.store, settings, term.key_revision, self._on_write_rejected)
         self._commands = CommandDispatcher(settings)
         members = [settings.member, *(known.member for known in settings.known)]
         self.authority = Authority(times.unconfirmed_renewal_s, members, term.began_at)
-        self.delegations = LeaseDelegations(times, settings.settings.skew_ms / 1000)
+        self.delegations = DelegationTracker(times, settings.settings.skew_ms / 1000)
         self._outbound = OutboundAdapter(
             self.loop,
             node.election,
@@ -199,7 +200,7 @@
             self._node.settings.settings.workers.lease_s / 5,
             self._on_active_jobs,
             self._on_job_change,
-            on_synced=self.cancellations.on_synced,
+            on_caught_up=self.cancellations.on_caught_up,
         ).start()
         self.relays.review(self.controller.ctx.fleet.machines.keys())
         log.info(
@@ -241,12 +242,12 @@
     def _on_active_jobs(self, entries: list[Entry]) -> None:
         self.loop.post(DECISIONS, lambda: self.controller.reconcile_active_jobs(entries))
 
-    def _on_job_change(self, change: Entry | str, version: int) -> None:
+    def _on_job_change(self, change: WatchEvent) -> None:
         if isinstance(change, Entry):
             self.loop.post(SUBMISSIONS, lambda: self.controller.handle_job_accepted(change))
         else:
             # A cancellation is not a submission: it is acted on with the decisions.
-            self.loop.post(DECISIONS, lambda: self.controller.handle_job_removed(change))
+            self.loop.post(DECISIONS, lambda: self.controller.handle_job_removed(change.key))
 
     def on_peer_response(self, pong: Pong, asked_at: float) -> None:
         """Another controller answered our ping."""
@@ -261,4 +262,4 @@
         self.loop.post(DECISIONS, lambda: self.controller.handle_machine_listing(listing))
 
     def _on_write_rejected(self) -> None:
-        self._node.election.deposed("a write was refused under our key")
+        self._node.election.step_down("a write was refused under our key")
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -7,8 +7,9 @@
 from collections.abc import Callable
 
 from poppyhold.cluster.cancellations import Cancellation
+from poppyhold.cluster.delegated_renewals import DelegatedRenewals
 from poppyhold.cluster.election import Election, Leader
-from poppyhold.cluster.lease_delegation import DelegatedRenewal, LeaseDelegations
+from poppyhold.cluster.lease_delegation import DelegationTracker
 from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
 from poppyhold.cluster.peers import Peers, Ping, Pong
 from poppyhold.model.context import ImageHints
@@ -38,7 +39,7 @@
         election: Election,
         users: UserApi,
         forwarder: HeartbeatForwarder,
-        delegated_renewal: DelegatedRenewal,
+        delegated_renewal: DelegatedRenewals,
         misdirected_workers: MisdirectedWorkers,
         quota_server: QuotaServer,
         leader_term: Callable[[], LeaderTerm | None],
@@ -73,7 +74,7 @@
 
     def should_yield(self) -> bool:
         """Whether another controller should campaign before this one."""
-        return self.peers.connectivity.better_placed() is not None
+        return self.peers.connectivity.better_connected_peer() is not None
 
     def task_counts(self, job_id: str) -> TaskCounts | None:
         """A job's done and running tasks, as the leader knows them."""
@@ -91,7 +92,7 @@
         leader_term = self._leader_term()
         return leader_term.image_hints if leader_term is not None else {}
 
-    def _led_delegations(self) -> LeaseDelegations | None:
+    def _led_delegations(self) -> DelegationTracker | None:
         leader_term = self._leader_term()
         return leader_term.delegations if leader_term is not None else None
 
@@ -103,7 +104,7 @@
         delegation = (
             leader_term.cancellations.delegation if leader_term is not None and leader_term.alive else None
         )
-        known = leader_term.authority.revision if leader_term is not None else -1
+        known = leader_term.authority.acted_on_revision if leader_term is not None else -1
         named, unnamed = self._confirmed_cancellations()
         confirmed = unnamed if unnamed < 0 else max([unnamed, *(revision for _, revision in named)])
         return Ping(
@@ -114,13 +115,13 @@
             confirmed,
             workers,
             delegation=delegation,
-            known=known,
-            relays=leader_term is not None and self._takes_relays(leader_term),
+            acted_on_revision=known,
+            accepts_relays=leader_term is not None and self._takes_relays(leader_term),
         )
 
     def _confirmed_cancellations(self) -> tuple[list[Cancellation], int]:
         """Cancellations that we confirmed to users, as `Cancellations.named` says."""
-        return self._users.cancellations.named(self._election.watch.first_revision)
+        return self._users.cancellations.report(self._election.watch.first_revision)
 
     def _answer_ping(self, ping: Ping) -> Pong:
         if ping.leading:
@@ -129,8 +130,8 @@
         named: list[Cancellation] = []
         unnamed: int | None = None
         misdirected = self._misdirected_workers.recent() if ping.leading else []
-        if ping.leading and ping.known >= 0:
-            self._users.cancellations.known(ping.known)
+        if ping.leading and ping.acted_on_revision >= 0:
+            self._users.cancellations.acknowledge(ping.acted_on_revision)
             # Read after `us`: what is confirmed in between is named as well.
             named, unnamed = self._confirmed_cancellations()
         return Pong(
@@ -138,27 +139,27 @@
             us.fencing_token,
             us.leading,
             us.state_age_s,
-            us.confirmed,
+            us.confirmed_revision,
             us.workers,
             named,
             unnamed,
             misdirected,
-            self.peers.connectivity.hears(),
+            self.peers.connectivity.reachable_peers(),
         )
 
     # -- what we learn -------------------------------------------------------------------------------
 
     def _learn_from_leader(self, ping: Ping) -> None:
         self._election.observe_fencing_token(ping.fencing_token)
-        self._forwarder.leader_spoke(ping.fencing_token, ping.relays)
-        self._delegated_renewal.heard(ping.fencing_token, ping.delegation)
+        self._forwarder.leader_spoke(ping.fencing_token, ping.accepts_relays)
+        self._delegated_renewal.observe_leader(ping.fencing_token, ping.delegation)
         limits = self._settings.settings.machine_limits
         counts = dict(self._peer_counts)
-        counts.update({job: TaskCounts(done, running) for job, done, running in ping.counts})
+        counts.update({job: TaskCounts(done, running) for job, done, running in ping.task_counts})
         while len(counts) > limits.ram_mb * _COUNTS_PER_RAM_MB:
             counts.pop(next(iter(counts)))
         self._peer_counts = counts
-        for machine, images in ping.images:
+        for machine, images in ping.image_hints:
             self.peer_image_hints.pop(machine, None)
             self.peer_image_hints[machine] = images
         while len(self.peer_image_hints) > limits.machines:
@@ -173,7 +174,7 @@
         leader_term = self._leader_term()
         if leader_term is not None:
             leader_term.on_peer_response(pong, asked_at)
-            self._hand_over_if_better_placed()
+            self._hand_over_if_better_connected_peer()
         self._check_idle_leader(pong)
 
     # -- who leads -----------------------------------------------------------------------------------
@@ -186,21 +187,21 @@
         if self._idle_leader == leader:
             # Told twice, so it is not that the answer and the election crossed.
             self._idle_leader = None
-            self._election.depose(leader)
+            self._election.expire_lease(leader)
         else:
             self._idle_leader = leader
 
-    def _hand_over_if_better_placed(self) -> None:
+    def _hand_over_if_better_connected_peer(self) -> None:
         """Let a controller lead that reaches more of the others than we do.
 
         Two zones that cannot reach each other while both reach a third: a leader in one of the two lost all
         tasks of the other one to their leases, and could not tell for half a minute what still ran there.
         """
-        better = self.peers.connectivity.better_placed(self._better_leader_after_s)
+        better = self.peers.connectivity.better_connected_peer(self._better_leader_after_s)
         view = self.peers.views.get(better) if better is not None else None
         # The next leader must be able to lead: it heard from the state service lately.
-        if view is not None and time.monotonic() - view.contact_at < self._election.life_s:
-            self._election.hand_over(f"{better} reaches more controllers")
+        if view is not None and time.monotonic() - view.store_contact_at < self._election.lease_ttl_s:
+            self._election.transfer_leadership(f"{better} reaches more controllers")
 
     def _on_connection_refused(self, member: str) -> None:
         """A controller's host refused our connection: if it leads, its process may be gone."""
@@ -216,7 +217,7 @@
         workers_left = len(self._misdirected_workers.recent()) > 1
         if quiet_s > _REFUSAL_SUFFICES_LEASES * lease_s or (quiet_s > lease_s and workers_left):
             self._deposed_at = now
-            self._election.depose(leader)
+            self._election.expire_lease(leader)
 
     # -- relays --------------------------------------------------------------------------------------
 
--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -4,14 +4,15 @@
 
 import threading
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.election import Election
-from poppyhold.cluster.lease_delegation import LeaseDelegations
+from poppyhold.cluster.lease_delegation import DelegationTracker
 from poppyhold.cluster.peers import PeerView
 from poppyhold.concurrency.priority_queue import DECISIONS
-from poppyhold.durable.committer import Committer, Unit
+from poppyhold.durable.changes import Write
+from poppyhold.durable.committer import Committer, CommitUnit
 from poppyhold.model.job_status import FinalState
 from poppyhold.model.outbound import CommitPriority, Data, MisdirectedWorker
 from poppyhold.model.outcome import RequestOutcome
@@ -30,7 +31,7 @@
         loop: DecisionLoop,
         election: Election,
         authority: Authority,
-        delegations: LeaseDelegations,
+        delegations: DelegationTracker,
         committer: Committer,
         commands: CommandDispatcher,
         users: UserApi,
@@ -47,7 +48,7 @@
     def commit(
         self,
         conditions: dict[str, int],
-        writes: list[Data],
+        writes: Sequence[Write],
         done: Callable[[bool], None],
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
@@ -56,7 +57,7 @@
         def on_committed(committed: bool) -> None:
             self._loop.post(DECISIONS, lambda: done(committed))
 
-        self._committer.submit(Unit(conditions, writes, on_committed), priority)
+        self._committer.submit(CommitUnit(conditions, writes, on_committed), priority)
 
     def send_commands(
         self, box: str, endpoint: str, body: Data, done: ResponseCallback, patient: bool
@@ -94,7 +95,7 @@
 
     def fencing_token_raised(self, fencing_token: int) -> None:
         """See `OutboundPort`."""
-        self._election.raised(fencing_token)
+        self._election.record_fencing_token(fencing_token)
 
     def resign(self, why: str) -> None:
         """See `OutboundPort`."""
@@ -109,7 +110,7 @@
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
         """See `OutboundPort`."""
-        return [view.misdirected for view in self._peer_views.values()]
+        return [view.misdirected_workers for view in self._peer_views.values()]
 
     def may_start_tasks(self) -> bool:
         """See `OutboundPort`."""
@@ -117,8 +118,8 @@
         # Both our leadership and our knowledge of cancellations must be fresh.
         return (
             self._loop.alive
-            and now - self._election.confirmed_at < self._election.life_s
-            and now - self._authority.synced_at < self._election.life_s * 2
+            and now - self._election.confirmed_at < self._election.lease_ttl_s
+            and now - self._authority.watch_caught_up_at < self._election.lease_ttl_s * 2
         )
 
     def leadership_confirmed_at(self) -> float:
@@ -127,4 +128,4 @@
 
     def delegated_leases_expire_at(self) -> float:
         """See `OutboundPort`."""
-        return self._delegations.until(time.monotonic())
+        return self._delegations.latest_renewal_at(time.monotonic())
--- a/src/poppyhold/node/readiness.py
+++ b/src/poppyhold/node/readiness.py
@@ -56,4 +56,6 @@
         counts.
         """
         contact_at = self.contact_at()
-        return any(view.contact_at - contact_at > self._behind_s for view in self._peer_views().values())
+        return any(
+            view.store_contact_at - contact_at > self._behind_s for view in self._peer_views().values()
+        )
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -6,8 +6,8 @@
 import threading
 import time
 
+from poppyhold.cluster.delegated_renewals import DelegatedRenewals
 from poppyhold.cluster.election import Election, Term
-from poppyhold.cluster.lease_delegation import DelegatedRenewal
 from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
 from poppyhold.cluster.peers import Peers
 from poppyhold.durable.store import Store
@@ -50,7 +50,7 @@
         self.election = Election(
             settings, options, self.store, self._on_elected, self._on_deposed, self._should_yield, self.rng
         )
-        delegated_renewal = DelegatedRenewal(
+        delegated_renewal = DelegatedRenewals(
             Durations(settings, options), settings.settings.skew_ms / 1000, time.monotonic, time.time
         )
         misdirected_workers = MisdirectedWorkers(
@@ -145,7 +145,7 @@
         return self._membership.should_yield()
 
     def _is_unreachable(self, member: str) -> bool:
-        return self.peers.connectivity.unreachable(member)
+        return self.peers.connectivity.is_unreachable(member)
 
     def _task_counts(self, job_id: str) -> TaskCounts | None:
         return self._membership.task_counts(job_id)
--- a/src/poppyhold/node/state_loader.py
+++ b/src/poppyhold/node/state_loader.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from poppyhold.durable.changes import Data
 from poppyhold.durable.records import MachineRecord
 from poppyhold.durable.snapshot import Snapshot
-from poppyhold.durable.store import Data
 from poppyhold.execution.completions import Completions
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.reconciliation import AttemptReconciler
--- a/src/poppyhold/node/submission_policy.py
+++ b/src/poppyhold/node/submission_policy.py
@@ -6,7 +6,8 @@
 
 import msgspec
 
-from poppyhold.durable.store import Data, stored_bytes
+from poppyhold.durable.changes import Data
+from poppyhold.durable.store import stored_bytes
 from poppyhold.model.constraints import allowed_machine_types
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import Deployment
--- a/src/poppyhold/node/user_api.py
+++ b/src/poppyhold/node/user_api.py
@@ -10,6 +10,7 @@
 
 from poppyhold.cluster.cancellations import Cancellations
 from poppyhold.concurrency.rate_limiter import RateLimiter
+from poppyhold.durable.changes import Data, Put
 from poppyhold.durable.errors import (
     ConditionFailedError,
     InvalidRequestError,
@@ -18,7 +19,8 @@
     StoreRejectedError,
 )
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FINAL_JOB_PREFIX
-from poppyhold.durable.store import Data, Store, final_writes, put
+from poppyhold.durable.records import final_writes
+from poppyhold.durable.store import Store
 from poppyhold.model.job_status import FinalState, JobStatus, TaskCounts
 from poppyhold.node.job_states import JobStates
 from poppyhold.node.submission_policy import SubmissionPolicy
@@ -137,7 +139,7 @@
             try:
                 self._store.commit(
                     {ACTIVE_JOB_PREFIX + spec.name: 0, FINAL_JOB_PREFIX + spec.name: 0},
-                    [put(ACTIVE_JOB_PREFIX + spec.name, data)],
+                    [Put(ACTIVE_JOB_PREFIX + spec.name, data)],
                 )
             except OutcomeUnknownError:
                 # It may have gone through: the next attempt will tell.
@@ -198,7 +200,7 @@
             try:
                 tasks = entry.data["spec"]["chores"]
                 revision = self._store.commit(
-                    {ACTIVE_JOB_PREFIX + job_id: entry.version},
+                    {ACTIVE_JOB_PREFIX + job_id: entry.revision},
                     final_writes(job_id, JobStatus.CANCELLED, tasks),
                 )
             except (ConditionFailedError, OutcomeUnknownError):
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -3,16 +3,18 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.connectivity import Connectivity
-from poppyhold.cluster.lease_delegation import DelegatedRenewal, LeaseDelegation, LeaseDelegations
+from poppyhold.cluster.delegated_renewals import DelegatedRenewals
+from poppyhold.cluster.lease_delegation import DelegationTracker, LeaseDelegation
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
-from poppyhold.durable.committer import Writer
+from poppyhold.durable.changes import Entry, Put, Write, decode_entry, decode_event
+from poppyhold.durable.committer import FencedWriter
 from poppyhold.durable.errors import (
     ConditionFailedError,
     OutcomeUnknownError,
@@ -21,7 +23,7 @@
 )
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FENCING_TOKEN_KEY, LEADER_KEY
 from poppyhold.durable.snapshot import SnapshotReader
-from poppyhold.durable.store import Changes, Entry, Page, Store, put
+from poppyhold.durable.store import Changes, Page, Store, transaction_body
 from poppyhold.model.durations import Durations
 from poppyhold.model.job_status import FinalState, TaskCounts
 from poppyhold.model.outbound import CommitPriority, MisdirectedWorker
@@ -72,17 +74,17 @@
 
     def page(self, prefix: str, after: str, most: int = 1000) -> Page:
         _, body = self._state().scan(prefix, after, most)
-        entries = [Entry(e["key"], e["data"], e["stamp"]) for e in body["entries"]]
+        entries = [decode_entry(entry) for entry in body["entries"]]
         return Page(entries, body["more"], body["ledger"])
 
     def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
         state = self._state()
         if state.is_too_old(since):
             raise WatchCompactedError(prefix, since)
-        return Changes(state.changes(prefix, since), state.ledger)
+        return Changes([decode_event(event) for event in state.changes(prefix, since)], state.ledger)
 
-    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
-        body = {"if": [{"key": k, "stamp": s} for k, s in conditions.items()], "writes": writes}
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
+        body = transaction_body(conditions, writes)
         state, world = self._state(), self._node.world
         # Those of a transaction whose conditions fail count as well.
         world.work["changes"] += len(writes)
@@ -110,14 +112,14 @@
         self.fencing_token, self.version, self.lease_id = baton, stamp, permit
         self.alive = True
         self.confirmed = self.world.now
-        self.delegations = LeaseDelegations(node.times, 0.0)
+        self.delegations = DelegationTracker(node.times, 0.0)
         world = self.world
         self.authority = Authority(node.times.unconfirmed_renewal_s, world.members, world.now)
-        self._writer = Writer(node.store, stamp)
-        self._units: deque[tuple[dict[str, int], list[Data], Callable[[bool], None]]] = deque()
+        self._writer = FencedWriter(node.store, stamp)
+        self._units: deque[tuple[dict[str, int], Sequence[Write], Callable[[bool], None]]] = deque()
         self._priorities: deque[CommitPriority] = deque()
         # Writes of the last transfer that was about to be carried out.
-        self._planned: list[Data] | None = None
+        self._planned: Sequence[Write] | None = None
         # When each other cell is asked next.
         self.asks_at: dict[int, float] = {}
         self.controller = Controller(
@@ -144,7 +146,7 @@
         self.intake = RelayIntake(
             self.answer_heartbeat, self.controller.last_response_at, self.assignment, patience_s
         )
-        self.authority.synced(world.now, node.store.revision())
+        self.authority.observe_watch(world.now, node.store.revision())
         self.controller.load(
             SnapshotReader(node.store, with_quota=node.options.cells is not None).read(),
             [convert(b, MachineType) for b in world.cloud.machine_types],
@@ -155,7 +157,7 @@
     def _carry_out(self) -> None:
         """One try of the first unit that waits, as the committer's thread does."""
         conditions, writes, done = self._units[0]
-        is_transfer = any(str(write.get("set")).startswith(PEER) for write in writes)
+        is_transfer = any(isinstance(write, Put) and write.key.startswith(PEER) for write in writes)
         if is_transfer and self._planned is not writes:
             self._planned = writes
             self.world.on_transfer_step(self.node, "planned")
@@ -214,7 +216,7 @@
     def commit(
         self,
         conditions: dict[str, int],
-        writes: list[Data],
+        writes: Sequence[Write],
         done: Callable[[bool], None],
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
@@ -337,19 +339,19 @@
     def answer_heartbeat(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
         """The answer to a report that a relay passed on."""
         now = self.world.now
-        if not self.alive or now >= late_at or not self.authority.may_answer(now, self.confirmed):
+        if not self.alive or now >= late_at or not self.authority.may_renew_leases(now, self.confirmed):
             return None
         return self.controller.handle_heartbeat(heartbeat)
 
     def may_start_tasks(self) -> bool:
         now = self.world.now
-        return self.alive and now - self.confirmed < 2.5 and now - self.authority.synced_at < 5.0
+        return self.alive and now - self.confirmed < 2.5 and now - self.authority.watch_caught_up_at < 5.0
 
     def leadership_confirmed_at(self) -> float:
         return self.confirmed if self.alive else float("-inf")
 
     def delegated_leases_expire_at(self) -> float:
-        return self.delegations.until(self.world.now)
+        return self.delegations.latest_renewal_at(self.world.now)
 
     def delegation(self) -> LeaseDelegation | None:
         """What the other nodes may count on."""
@@ -357,7 +359,9 @@
         return (
             None
             if shunned is None
-            else LeaseDelegation(self.fencing_token, min(self.confirmed, self.authority.synced_at), shunned)
+            else LeaseDelegation(
+                self.fencing_token, min(self.confirmed, self.authority.watch_caught_up_at), shunned
+            )
         )
 
 
@@ -394,7 +398,7 @@
         # First revision that this process saw.
         self.first_revision = -1
         self.misdirected_workers: dict[str, tuple[float, MisdirectedWorker]] = {}
-        self.delegated_renewal = DelegatedRenewal(
+        self.delegated_renewal = DelegatedRenewals(
             self.times, 0.0, lambda: self.world.now, lambda: self.world.now
         )
         self._redirect_backoff = RedirectBackoff(self.settings.settings.workers.lease_s, 1000)
@@ -440,7 +444,7 @@
         if leader_term is None:
             held = self.world.state.keys.get(LEADER_KEY)
             named = self.world.leader()
-            proxied = self.delegated_renewal.may_answer(
+            proxied = self.delegated_renewal.renewal_fencing_token(
                 parse_heartbeat(body),
                 self.store.contact_at,
                 held[0]["baton"] if held is not None and self.has_state() else 0,
@@ -452,7 +456,7 @@
             self.misdirected_workers[worker.machine] = self.world.now, worker
             leader = self.world.leader()
             return 421, {"foreman": leader.member} if leader is not None else {}
-        if not leader_term.authority.may_answer(self.world.now, leader_term.confirmed):
+        if not leader_term.authority.may_renew_leases(self.world.now, leader_term.confirmed):
             return 503, {}
         heartbeat = parse_heartbeat(body)
         relay = leader_term.assignment.assign(
@@ -539,7 +543,7 @@
         self._ask_peers()
         leader_term = self.leader_term
         if leader_term is not None:
-            better = self.connectivity.better_placed(self.times.delegated_renewal_after_s)
+            better = self.connectivity.better_connected_peer(self.times.delegated_renewal_after_s)
             if better is not None and self.has_state():
                 leader_term.resign(f"{better} reaches more controllers")
                 return
@@ -559,12 +563,13 @@
             self.step_down()
             return
         leader_term.confirmed = asked
-        for event in world.state.changes(ACTIVE_JOB_PREFIX, leader_term.authority.revision):
-            if "set" in event:
-                leader_term.controller.handle_job_accepted(Entry(event["set"], event["data"], event["stamp"]))
+        for event in world.state.changes(ACTIVE_JOB_PREFIX, leader_term.authority.acted_on_revision):
+            change = decode_event(event)
+            if isinstance(change, Entry):
+                leader_term.controller.handle_job_accepted(change)
             else:
-                leader_term.controller.handle_job_removed(event["remove"])
-        leader_term.authority.synced(asked, world.state.ledger)
+                leader_term.controller.handle_job_removed(change.key)
+        leader_term.authority.observe_watch(asked, world.state.ledger)
 
     def _campaign(self) -> None:
         world = self.world
@@ -574,22 +579,22 @@
                 # A claim of ours that had no answer, or of a process of ours before this one.
                 world.state.end(lead.data["permit"])
             return
-        if self.connectivity.better_placed() is not None:
+        if self.connectivity.better_connected_peer() is not None:
             return
         permit = world.state.lease(2500)[1]["permit"]
         held = self.store.get(FENCING_TOKEN_KEY)
         baton = (held.data["baton"] if held else 0) + 1
         claim = {"member": self.member, "baton": baton, "permit": permit}
-        conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.version if held else 0}
+        conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.revision if held else 0}
         try:
             stamp = self.store.commit(
-                conditions, [put(LEADER_KEY, claim, permit), put(FENCING_TOKEN_KEY, {"baton": baton})]
+                conditions, [Put(LEADER_KEY, claim, permit), Put(FENCING_TOKEN_KEY, {"baton": baton})]
             )
         except OutcomeUnknownError:
             lead = self.store.get(LEADER_KEY)
             if lead is None or lead.data["permit"] != permit:
                 raise
-            stamp = lead.version
+            stamp = lead.revision
         self.leader_term = SimLeaderTerm(self, baton, stamp, permit)
         world.a_leader_begins(self)
 
@@ -608,7 +613,7 @@
     def _listen(self) -> None:
         """Hear from the others whom they reach."""
         for other in self._reached():
-            self.connectivity.answered(other.member, other.connectivity.hears())
+            self.connectivity.record_response(other.member, other.connectivity.reachable_peers())
 
     def _ask_peers(self) -> None:
         world, leader_term = self.world, self.leader_term
@@ -616,9 +621,9 @@
             return
         self.tell(leader_term)
         for other in self._reached():
-            leader_term.delegations.telling(other.member, world.now)
-            other.delegated_renewal.heard(leader_term.fencing_token, leader_term.delegation())
-            leader_term.delegations.answered(other.member, world.now)
+            leader_term.delegations.record_grant(other.member, world.now)
+            other.delegated_renewal.observe_leader(leader_term.fencing_token, leader_term.delegation())
+            leader_term.delegations.record_response(other.member, world.now)
             if other.leader_term is not None and other.leader_term.fencing_token > leader_term.fencing_token:
                 self.step_down()
                 return
@@ -626,8 +631,8 @@
 
     def tell(self, leader: SimLeaderTerm) -> None:
         """Tell a leader which cancellations were told here, as peers' messages do."""
-        self.users.cancellations.known(leader.authority.revision)
-        named, bound = self.users.cancellations.named(self.first_revision)
+        self.users.cancellations.acknowledge(leader.authority.acted_on_revision)
+        named, bound = self.users.cancellations.report(self.first_revision)
         for job_id, _ in named:
             leader.controller.handle_job_removed(ACTIVE_JOB_PREFIX + job_id)
-        leader.authority.learned(self.member, self.world.now, bound)
+        leader.authority.observe_peer(self.member, self.world.now, bound)
