--- a/src/poppyhold/model/outbound.py
+++ b/src/poppyhold/model/outbound.py
@@ -42,25 +42,25 @@
         self,
         conditions: dict[str, int],
         writes: Sequence[Write],
-        done: Callable[[bool], None],
+        on_committed: Callable[[bool], None],
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
         """Carry out a transaction under our leadership, and repeat it until its outcome is certain."""
 
     def send_commands(
         self,
-        box: str,
+        machine: str,
         endpoint: str,
         body: Data,
-        done: Callable[[RequestOutcome, Heartbeat | None], None],
-        patient: bool,
+        on_response: Callable[[RequestOutcome, Heartbeat | None], None],
+        slow_lane: bool,
     ) -> None:
-        """POST /do to a worker, once. ``patient`` requests don't hold up the others."""
+        """POST /do to a worker, once. Commands of the slow lane don't hold up the others."""
 
-    def launch_machines(self, body: Data, done: Callable[[RequestOutcome, list[str]], None]) -> None:
+    def launch_machines(self, body: Data, on_response: Callable[[RequestOutcome, list[str]], None]) -> None:
         """POST /machines, once."""
 
-    def delete_machines(self, names: list[str], done: Callable[[bool], None]) -> None:
+    def delete_machines(self, names: list[str], on_deleted: Callable[[bool], None]) -> None:
         """POST /machines/delete, once."""
 
     def leadership_lost(self, fencing_token: int) -> None:
--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -16,7 +16,7 @@
 from poppyhold.model.job_status import FinalState
 from poppyhold.model.outbound import CommitPriority, Data, MisdirectedWorker
 from poppyhold.model.outcome import RequestOutcome
-from poppyhold.node.cloud_dispatcher import CloudDispatcher
+from poppyhold.node.cloud_dispatcher import CloudDispatcher, DeletionCallback, LaunchCallback
 from poppyhold.node.command_dispatcher import CommandDispatcher, ResponseCallback
 from poppyhold.node.decision_loop import DecisionLoop
 from poppyhold.node.user_api import UserApi
@@ -49,43 +49,43 @@
         self,
         conditions: dict[str, int],
         writes: Sequence[Write],
-        done: Callable[[bool], None],
+        on_committed: Callable[[bool], None],
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
         """See `OutboundPort`."""
 
-        def on_committed(committed: bool) -> None:
-            self._loop.post(DECISIONS, lambda: done(committed))
+        def post_outcome(committed: bool) -> None:
+            self._loop.post(DECISIONS, lambda: on_committed(committed))
 
-        self._committer.submit(CommitUnit(conditions, writes, on_committed), priority)
+        self._committer.submit(CommitUnit(conditions, writes, post_outcome), priority)
 
     def send_commands(
-        self, box: str, endpoint: str, body: Data, done: ResponseCallback, patient: bool
+        self, machine: str, endpoint: str, body: Data, on_response: ResponseCallback, slow_lane: bool
     ) -> None:
         """See `OutboundPort`."""
 
-        def on_response(outcome: RequestOutcome, heartbeat: Heartbeat | None) -> None:
-            self._loop.post(DECISIONS, lambda: done(outcome, heartbeat))
+        def post_outcome(outcome: RequestOutcome, heartbeat: Heartbeat | None) -> None:
+            self._loop.post(DECISIONS, lambda: on_response(outcome, heartbeat))
 
-        self._commands.send(endpoint, body, on_response, patient)
+        self._commands.send(endpoint, body, post_outcome, slow_lane)
 
-    def launch_machines(self, body: Data, done: Callable[[RequestOutcome, list[str]], None]) -> None:
+    def launch_machines(self, body: Data, on_response: LaunchCallback) -> None:
         """See `OutboundPort`."""
 
-        def on_response(outcome: RequestOutcome, machines: list[str]) -> None:
-            self._loop.post(DECISIONS, lambda: done(outcome, machines))
+        def post_outcome(outcome: RequestOutcome, machines: list[str]) -> None:
+            self._loop.post(DECISIONS, lambda: on_response(outcome, machines))
 
         if self.cloud is not None:
-            self.cloud.launch(body, on_response)
+            self.cloud.launch(body, post_outcome)
 
-    def delete_machines(self, names: list[str], done: Callable[[bool], None]) -> None:
+    def delete_machines(self, names: list[str], on_deleted: DeletionCallback) -> None:
         """See `OutboundPort`."""
 
-        def on_response(deleted: bool) -> None:
-            self._loop.post(DECISIONS, lambda: done(deleted))
+        def post_outcome(deleted: bool) -> None:
+            self._loop.post(DECISIONS, lambda: on_deleted(deleted))
 
         if self.cloud is not None:
-            self.cloud.delete(names, on_response)
+            self.cloud.delete(names, post_outcome)
 
     # -- news ----------------------------------------------------------------------------------------
 
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -217,11 +217,11 @@
         self,
         conditions: dict[str, int],
         writes: Sequence[Write],
-        done: Callable[[bool], None],
+        on_committed: Callable[[bool], None],
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
         self.world.work["commits"] += 1
-        unit = (conditions, writes, done)
+        unit = (conditions, writes, on_committed)
         if not self._units:
             self._later(0.003, self._carry_out)
         # Behind the one that is being tried, and those of its own rank.
@@ -233,21 +233,21 @@
 
     def send_commands(
         self,
-        box: str,
+        machine: str,
         endpoint: str,
         body: Data,
-        done: Callable[[RequestOutcome, Heartbeat | None], None],
-        patient: bool,
+        on_response: Callable[[RequestOutcome, Heartbeat | None], None],
+        slow_lane: bool,
     ) -> None:
         world = self.world
         worker = world.workers.get(endpoint)
 
         def answered(outcome: RequestOutcome, heartbeat: Data | None) -> None:
             parsed = parse_heartbeat(heartbeat) if heartbeat is not None else None
-            self._later(0.001 + world.link_s, lambda: done(outcome, parsed))
+            self._later(0.001 + world.link_s, lambda: on_response(outcome, parsed))
 
         if worker is None or worker.gone or self.node.cut_workers:
-            self._later(1.5, lambda: done(RequestOutcome.NOT_SENT, None))
+            self._later(1.5, lambda: on_response(RequestOutcome.NOT_SENT, None))
             return
         how = world.troubles.get(worker.name, set())
         if world.severed(self.node.zone, worker.zone):
@@ -258,55 +258,55 @@
                 worker.do(body)
 
             world.after(LATE_S, deliver_late)
-            self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
+            self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
             return
         if how & {"hang", "hold"}:
             # The command waits in the network or in a hanging machine, and is carried out later.
             worker.held_commands.append(body)
-            self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
+            self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
             return
         if "deaf" in how:
-            self._later(1.5, lambda: done(RequestOutcome.NOT_SENT, None))
+            self._later(1.5, lambda: on_response(RequestOutcome.NOT_SENT, None))
             return
 
         def deliver() -> None:
             status, heartbeat = worker.do(body)
             if "mute" in how:
-                self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
+                self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
                 return
             answered(RequestOutcome.OK if status == 200 else RequestOutcome.REJECTED, heartbeat)
 
         world.after(0.001 + world.link_s, deliver)
 
-    def launch_machines(self, body: Data, done: Callable[[RequestOutcome, list[str]], None]) -> None:
+    def launch_machines(self, body: Data, on_response: Callable[[RequestOutcome, list[str]], None]) -> None:
         def send() -> None:
             if self.world.cut == self.node.zone:
-                done(RequestOutcome.UNKNOWN, [])
+                on_response(RequestOutcome.UNKNOWN, [])
                 return
             status, answer = self.world.cloud.launch(body)
             if self.world.lose_launches > 0 and status == 200:
                 self.world.lose_launches -= 1
-                done(RequestOutcome.UNKNOWN, [])
+                on_response(RequestOutcome.UNKNOWN, [])
             elif status == 200:
-                done(RequestOutcome.OK, answer["boxes"])
+                on_response(RequestOutcome.OK, answer["boxes"])
             else:
-                done(
+                on_response(
                     RequestOutcome.REJECTED if answer["error"] == "no capacity" else RequestOutcome.UNKNOWN,
                     [],
                 )
 
         self._later(0.1, send)
 
-    def delete_machines(self, names: list[str], done: Callable[[bool], None]) -> None:
+    def delete_machines(self, names: list[str], on_deleted: Callable[[bool], None]) -> None:
         def send() -> None:
             if self.world.cut == self.node.zone:
-                done(False)
+                on_deleted(False)
                 return
             status, _ = self.world.cloud.delete(names)
             if status == 200:
                 for name in names:
                     self.world.end_worker(name)
-            done(status == 200)
+            on_deleted(status == 200)
 
         self._later(0.1, send)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -463,8 +463,8 @@
     for machine in machines.values():
         machine.endpoint = "127.0.0.1:9"
 
-    def send_commands(box: str, endpoint: str, body: Any, done: Any, patient: bool) -> None:
-        asked.append(box)
+    def send_commands(machine: str, endpoint: str, body: Any, on_response: Any, slow_lane: bool) -> None:
+        asked.append(machine)
 
     ctx: Any = SimpleNamespace(
         clock=lambda: now[0],
