--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -25,11 +25,12 @@
 from poppyhold.durable.snapshot import SnapshotReader
 from poppyhold.durable.store import Changes, Page, Store, transaction_body
 from poppyhold.model.durations import Durations
+from poppyhold.model.job_status import FinalState, TaskCounts
 from poppyhold.model.outbound import CommitPriority, MisdirectedWorker
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.controller import Controller
 from poppyhold.node.leader_term import DIRECT_SHARE
-from poppyhold.node.users import Users
+from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
 from poppyhold.quota.records import PEER
 from poppyhold.reads.job_reads import JobReads
@@ -143,7 +144,7 @@
         self.relays: dict[str, RelayState] = {}
         patience_s = heartbeat_response_timeout_s(node.settings.settings.workers)
         self.intake = RelayIntake(
-            self.answer_heartbeat, self.controller.answered_at, self.assignment, patience_s
+            self.answer_heartbeat, self.controller.last_response_at, self.assignment, patience_s
         )
         self.authority.observe_watch(world.now, node.store.revision())
         self.controller.load(
@@ -206,22 +207,21 @@
         """As the decision thread does: when a pass must wait, it wakes up for it."""
         if not self.alive or not self.node.alive or self.node.frozen:
             return
-        self.controller.settle()
-        if self.controller.ctx.scheduling_needed and self.controller.settle_at > max(
-            self.world.now, self.woken_at
-        ):
-            self.woken_at = self.controller.settle_at
+        self.controller.run_scheduling_cycle()
+        due_at = self.controller.scheduling_due_at()
+        if due_at is not None and due_at > max(self.world.now, self.woken_at):
+            self.woken_at = due_at
             self.world.after(self.woken_at - self.world.now, self.settle)
 
     def commit(
         self,
         conditions: dict[str, int],
         writes: Sequence[Write],
-        done: Callable[[bool], None],
+        on_committed: Callable[[bool], None],
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
         self.world.work["commits"] += 1
-        unit = (conditions, writes, done)
+        unit = (conditions, writes, on_committed)
         if not self._units:
             self._later(0.003, self._carry_out)
         # Behind the one that is being tried, and those of its own rank.
@@ -233,21 +233,21 @@
 
     def send_commands(
         self,
-        box: str,
+        machine: str,
         endpoint: str,
         body: Data,
-        done: Callable[[RequestOutcome, Heartbeat | None], None],
-        patient: bool,
+        on_response: Callable[[RequestOutcome, Heartbeat | None], None],
+        slow_lane: bool,
     ) -> None:
         world = self.world
         worker = world.workers.get(endpoint)
 
         def answered(outcome: RequestOutcome, heartbeat: Data | None) -> None:
             parsed = parse_heartbeat(heartbeat) if heartbeat is not None else None
-            self._later(0.001 + world.link_s, lambda: done(outcome, parsed))
+            self._later(0.001 + world.link_s, lambda: on_response(outcome, parsed))
 
         if worker is None or worker.gone or self.node.cut_workers:
-            self._later(1.5, lambda: done(RequestOutcome.NOT_SENT, None))
+            self._later(1.5, lambda: on_response(RequestOutcome.NOT_SENT, None))
             return
         how = world.troubles.get(worker.name, set())
         if world.severed(self.node.zone, worker.zone):
@@ -258,55 +258,55 @@
                 worker.do(body)
 
             world.after(LATE_S, deliver_late)
-            self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
+            self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
             return
         if how & {"hang", "hold"}:
             # The command waits in the network or in a hanging machine, and is carried out later.
             worker.held_commands.append(body)
-            self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
+            self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
             return
         if "deaf" in how:
-            self._later(1.5, lambda: done(RequestOutcome.NOT_SENT, None))
+            self._later(1.5, lambda: on_response(RequestOutcome.NOT_SENT, None))
             return
 
         def deliver() -> None:
             status, heartbeat = worker.do(body)
             if "mute" in how:
-                self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
+                self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
                 return
             answered(RequestOutcome.OK if status == 200 else RequestOutcome.REJECTED, heartbeat)
 
         world.after(0.001 + world.link_s, deliver)
 
-    def launch_machines(self, body: Data, done: Callable[[RequestOutcome, list[str]], None]) -> None:
+    def launch_machines(self, body: Data, on_response: Callable[[RequestOutcome, list[str]], None]) -> None:
         def send() -> None:
             if self.world.cut == self.node.zone:
-                done(RequestOutcome.UNKNOWN, [])
+                on_response(RequestOutcome.UNKNOWN, [])
                 return
             status, answer = self.world.cloud.launch(body)
             if self.world.lose_launches > 0 and status == 200:
                 self.world.lose_launches -= 1
-                done(RequestOutcome.UNKNOWN, [])
+                on_response(RequestOutcome.UNKNOWN, [])
             elif status == 200:
-                done(RequestOutcome.OK, answer["boxes"])
+                on_response(RequestOutcome.OK, answer["boxes"])
             else:
-                done(
+                on_response(
                     RequestOutcome.REJECTED if answer["error"] == "no capacity" else RequestOutcome.UNKNOWN,
                     [],
                 )
 
         self._later(0.1, send)
 
-    def delete_machines(self, names: list[str], done: Callable[[bool], None]) -> None:
+    def delete_machines(self, names: list[str], on_deleted: Callable[[bool], None]) -> None:
         def send() -> None:
             if self.world.cut == self.node.zone:
-                done(False)
+                on_deleted(False)
                 return
             status, _ = self.world.cloud.delete(names)
             if status == 200:
                 for name in names:
                     self.world.end_worker(name)
-            done(status == 200)
+            on_deleted(status == 200)
 
         self._later(0.1, send)
 
@@ -323,7 +323,7 @@
         self.node.step_down()
 
     def job_finalized(self, job_id: str, status: str, chores: int) -> None:
-        self.node.users.finals.put(job_id, (status, chores))
+        self.node.users.job_states.finals.put(job_id, FinalState(status, chores))
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
         since = self.world.now - self.world.settings.settings.workers.lease_s / 2
@@ -408,7 +408,7 @@
         builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
         # Each question is a shared read by itself: the view is what users are answered from.
         reads = JobReads(self.store, 0.0, 1.0, fewest_shared=1, clock=lambda: self.world.now)
-        self.users = Users(
+        self.users = UserApi(
             self.settings, self.store, lambda: builds, self._count, lambda: self.world.now, reads
         )
 
@@ -421,8 +421,8 @@
         )
         self.settings = msgspec.structs.replace(self.world.settings, settings=deployment)
 
-    def _count(self, job_id: str) -> tuple[int, int] | None:
-        return self.leader_term.controller.counts().get(job_id) if self.leader_term else None
+    def _count(self, job_id: str) -> TaskCounts | None:
+        return self.leader_term.controller.task_counts().get(job_id) if self.leader_term else None
 
     def crash(self, back_s: float) -> None:
         """The process ends without a word."""
@@ -460,7 +460,7 @@
             return 503, {}
         heartbeat = parse_heartbeat(body)
         relay = leader_term.assignment.assign(
-            heartbeat.machine, heartbeat.zone, leader_term.controller.answered_at(heartbeat.machine)
+            heartbeat.machine, heartbeat.zone, leader_term.controller.last_response_at(heartbeat.machine)
         )
         if relay is not None:
             return 421, {"foreman": relay}
@@ -558,7 +558,7 @@
         if not world.cloud.down and asked >= leader_term.next_list:
             leader_term.next_list = asked + 4.0
             boxes = [convert(b, ListedMachine) for b in world.cloud.listing()[1]["boxes"]]
-            leader_term.controller.listed(MachineListing(boxes, asked))
+            leader_term.controller.handle_machine_listing(MachineListing(boxes, asked))
         if self.store.get(LEADER_KEY) is None or world.state.extend(leader_term.lease_id)[0] == 404:
             self.step_down()
             return
@@ -566,9 +566,9 @@
         for event in world.state.changes(ACTIVE_JOB_PREFIX, leader_term.authority.acted_on_revision):
             change = decode_event(event)
             if isinstance(change, Entry):
-                leader_term.controller.job_set(change)
+                leader_term.controller.handle_job_accepted(change)
             else:
-                leader_term.controller.job_removed(change.key)
+                leader_term.controller.handle_job_removed(change.key)
         leader_term.authority.observe_watch(asked, world.state.ledger)
 
     def _campaign(self) -> None:
@@ -634,5 +634,5 @@
         self.users.cancellations.acknowledge(leader.authority.acted_on_revision)
         named, bound = self.users.cancellations.report(self.first_revision)
         for job_id, _ in named:
-            leader.controller.job_removed(ACTIVE_JOB_PREFIX + job_id)
+            leader.controller.handle_job_removed(ACTIVE_JOB_PREFIX + job_id)
         leader.authority.observe_peer(self.member, self.world.now, bound)
