--- /dev/null
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -0,0 +1,131 @@
+"""The decision core's outbound port, connected with the threads that do I/O for it."""
+
+from __future__ import annotations
+
+import threading
+import time
+from collections.abc import Callable, Sequence
+
+from poppyhold.cluster.authority import Authority
+from poppyhold.cluster.election import Election
+from poppyhold.cluster.lease_delegation import DelegationTracker
+from poppyhold.cluster.peers import PeerView
+from poppyhold.concurrency.priority_queue import DECISIONS
+from poppyhold.durable.changes import Write
+from poppyhold.durable.committer import Committer, CommitUnit
+from poppyhold.model.job_status import FinalState
+from poppyhold.model.outbound import CommitPriority, Data, MisdirectedWorker
+from poppyhold.model.outcome import RequestOutcome
+from poppyhold.node.cloud_dispatcher import CloudDispatcher, DeletionCallback, LaunchCallback
+from poppyhold.node.command_dispatcher import CommandDispatcher, ResponseCallback
+from poppyhold.node.decision_loop import DecisionLoop
+from poppyhold.node.user_api import UserApi
+from poppyhold.wire.worker_messages import Heartbeat
+
+
+class OutboundAdapter:
+    """Implements `OutboundPort`: requests go to their threads, outcomes to the decision thread."""
+
+    def __init__(
+        self,
+        loop: DecisionLoop,
+        election: Election,
+        authority: Authority,
+        delegations: DelegationTracker,
+        committer: Committer,
+        commands: CommandDispatcher,
+        users: UserApi,
+        peer_views: dict[str, PeerView],
+    ) -> None:
+        self._loop, self._election, self._authority = loop, election, authority
+        self._delegations, self._committer, self._commands = delegations, committer, commands
+        self._users, self._peer_views = users, peer_views
+        # Set once the state is rebuilt. Before that no machine is launched or deleted.
+        self.cloud: CloudDispatcher | None = None
+
+    # -- requests ------------------------------------------------------------------------------------
+
+    def commit(
+        self,
+        conditions: dict[str, int],
+        writes: Sequence[Write],
+        on_committed: Callable[[bool], None],
+        priority: CommitPriority = CommitPriority.BACKGROUND,
+    ) -> None:
+        """See `OutboundPort`."""
+
+        def post_outcome(committed: bool) -> None:
+            self._loop.post(DECISIONS, lambda: on_committed(committed))
+
+        self._committer.submit(CommitUnit(conditions, writes, post_outcome), priority)
+
+    def send_commands(
+        self, machine: str, endpoint: str, body: Data, on_response: ResponseCallback, slow_lane: bool
+    ) -> None:
+        """See `OutboundPort`."""
+
+        def post_outcome(outcome: RequestOutcome, heartbeat: Heartbeat | None) -> None:
+            self._loop.post(DECISIONS, lambda: on_response(outcome, heartbeat))
+
+        self._commands.send(endpoint, body, post_outcome, slow_lane)
+
+    def launch_machines(self, body: Data, on_response: LaunchCallback) -> None:
+        """See `OutboundPort`."""
+
+        def post_outcome(outcome: RequestOutcome, machines: list[str]) -> None:
+            self._loop.post(DECISIONS, lambda: on_response(outcome, machines))
+
+        if self.cloud is not None:
+            self.cloud.launch(body, post_outcome)
+
+    def delete_machines(self, names: list[str], on_deleted: DeletionCallback) -> None:
+        """See `OutboundPort`."""
+
+        def post_outcome(deleted: bool) -> None:
+            self._loop.post(DECISIONS, lambda: on_deleted(deleted))
+
+        if self.cloud is not None:
+            self.cloud.delete(names, post_outcome)
+
+    # -- news ----------------------------------------------------------------------------------------
+
+    def leadership_lost(self, fencing_token: int) -> None:
+        """See `OutboundPort`."""
+        self._election.observe_fencing_token(fencing_token)
+
+    def fencing_token_raised(self, fencing_token: int) -> None:
+        """See `OutboundPort`."""
+        self._election.record_fencing_token(fencing_token)
+
+    def resign(self, why: str) -> None:
+        """See `OutboundPort`."""
+        # The request that gives the lease up must not hold up the decision thread.
+        threading.Thread(target=self._election.resign, args=(why,), daemon=True).start()
+
+    def job_finalized(self, job_id: str, status: str, tasks: int) -> None:
+        """See `OutboundPort`."""
+        self._users.job_states.finals.put(job_id, FinalState(status, tasks))
+
+    # -- questions -----------------------------------------------------------------------------------
+
+    def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
+        """See `OutboundPort`."""
+        return [view.misdirected_workers for view in self._peer_views.values()]
+
+    def may_start_tasks(self) -> bool:
+        """See `OutboundPort`."""
+        now = time.monotonic()
+        # Both our leadership and our knowledge of cancellations must be fresh.
+        return (
+            self._loop.alive
+            and now - self._election.confirmed_at < self._election.lease_ttl_s
+            and now - self._authority.watch_caught_up_at < self._election.lease_ttl_s * 2
+        )
+
+    def leadership_confirmed_at(self) -> float:
+        """See `OutboundPort`."""
+        return self._election.confirmed_at if self._loop.alive else float("-inf")
+
+    def delegated_leases_expire_at(self) -> float:
+        """See `OutboundPort`."""
+        return self._delegations.latest_renewal_at(time.monotonic())
--- a/src/poppyhold/quota/cell_service.py
+++ b/src/poppyhold/quota/cell_service.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import NamedTuple
 
-from poppyhold.concurrency.pace import Pace
+from poppyhold.concurrency.rate_limiter import RateLimiter
 from poppyhold.durable.changes import Entry, Write
 from poppyhold.model.context import Context
 from poppyhold.model.outbound import CommitPriority
@@ -102,7 +102,7 @@
         self._monitor = DemandMonitor(ctx, retention_s, self._retention, unaccounted_resources, can_launch)
         limits = ctx.settings.settings.state.lowest
         self._max_teams_per_commit = max(1, limits.txn_ops // 2)
-        self._pace = Pace(limits.write_rps * cells.moves_share, burst=1.0)
+        self._rate_limiter = RateLimiter(limits.write_rps * cells.moves_share, burst=1.0)
         self._demands: dict[str, TeamDemand] = {}
         # Lines on the credits being committed, logged when they are durable.
         self._credit_log_lines: list[str] = []
@@ -198,7 +198,7 @@
         if (
             not request.unmet_demands
             or not self.ledger.can_debit(request.cell)
-            or self._pace.ready_at() > now
+            or self._rate_limiter.ready_at() > now
         ):
             return
         self._monitor.update_may_run(self._demands)
@@ -208,7 +208,7 @@
             if not amount.is_zero and len(offers) < self._max_teams_per_commit:
                 offers[unmet.team] = amount
         if self.ledger.debit(request.cell, request.incarnation, offers):
-            self._pace.spend(len(offers) + _PEER_CHANGES_PER_TRANSFER, now)
+            self._rate_limiter.consume(len(offers) + _PEER_CHANGES_PER_TRANSFER, now)
             for team, amount in offers.items():
                 self._retention.note_debit(team, now)
                 log.info("debit: team=%s %s destination_cell=%s", team, _log_values(amount), request.cell)
