--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -22,7 +22,7 @@
 from poppyhold.node.scheduling_cycle import SchedulingCycle
 from poppyhold.node.state_loader import StateLoader
 from poppyhold.options import Options
-from poppyhold.quota.cell_quota import CellQuota
+from poppyhold.quota.cell_service import CellQuotaService
 from poppyhold.scheduling.admission import Admission
 from poppyhold.scheduling.dispatch import Dispatcher
 from poppyhold.scheduling.quotas import Quotas
@@ -80,16 +80,16 @@
         self.quota = self._make_quota(options)
         self._save_completions_at = 0.0
 
-    def _make_quota(self, options: Options) -> CellQuota | None:
+    def _make_quota(self, options: Options) -> CellQuotaService | None:
         """This cell's allocations of the teams' limits; None where the fleet is one cell."""
         if options.cells is None:
             return None
-        return CellQuota(
+        return CellQuotaService(
             self.ctx,
             options.cells,
             self._quotas,
             lambda: self.ctx.fleet.unaccounted_resources(self.reconciler.unreconciled),
-            self.autoscaler.can_rent,
+            self.autoscaler.can_launch,
             self._on_quotas_changed,
         )
 
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -33,9 +33,8 @@
 from poppyhold.node.outbound_adapter import OutboundAdapter
 from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
-from poppyhold.quota.edge import QuotaEdge
-from poppyhold.quota.messages import Answer as QuotaAnswer
-from poppyhold.quota.messages import Opening as QuotaOpening
+from poppyhold.quota.endpoint import QuotaEndpoint
+from poppyhold.quota.messages import QuotaRequest, QuotaResponse
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.leader import RelayServer
 from poppyhold.settings import Settings
@@ -73,8 +72,8 @@
     """Connects the decision core with its threads, from the election to the loss of leadership.
 
     The parts own their threads: `loop` the decision thread, and the committer, the command dispatcher, the
-    cloud thread, the watch, the relay server and the quota edge one or more each. Methods of this class that
-    are passed to `loop` run on the decision thread; `stop` may be called from any thread.
+    cloud thread, the watch, the relay server and the quota endpoint one or more each. Methods of this class
+    that are passed to `loop` run on the decision thread; `stop` may be called from any thread.
     """
 
     def __init__(self, node: NodeContext, term: Term) -> None:
@@ -130,7 +129,7 @@
         self.relays = RelayServer(
             self.loop.post, self.heartbeats.answer, self.controller.last_response_at, assignment, workers
         )
-        self.quota_edge = self._make_quota_edge()
+        self.quota_endpoint = self._make_quota_endpoint()
         self._watch: Watch | None = None
         # As of the last tick, for other threads.
         self.task_counts: dict[str, TaskCounts] = {}
@@ -140,15 +139,15 @@
             self._tick,
             self.controller.scheduling_due_at,
             self.controller.run_scheduling_cycle,
-            self.quota_edge.publish if self.quota_edge is not None else lambda: None,
+            self.quota_endpoint.publish if self.quota_endpoint is not None else lambda: None,
         )
 
-    def _make_quota_edge(self) -> QuotaEdge | None:
+    def _make_quota_endpoint(self) -> QuotaEndpoint | None:
         """The term's side towards other cells; None where the fleet is one cell."""
         quota, cells = self.controller.quota, self._node.options.cells
         if quota is None or cells is None:
             return None
-        return QuotaEdge(quota, cells, self._node.settings, self.loop.post, self._node.rng)
+        return QuotaEndpoint(quota, cells, self._node.settings, self.loop.post, self._node.rng)
 
     @property
     def alive(self) -> bool:
@@ -161,17 +160,17 @@
         self._committer.stop()
         self._commands.stop()
         self.relays.close()
-        if self.quota_edge is not None:
-            self.quota_edge.stop()
+        if self.quota_endpoint is not None:
+            self.quota_endpoint.stop()
         if self._outbound.cloud is not None:
             self._outbound.cloud.stop()
         if self._watch is not None:
             self._watch.stop()
         self.loop.reject_waiting()
 
-    def answer_cell(self, message: QuotaOpening, timeout_s: float) -> QuotaAnswer | None:
+    def answer_cell(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
         """Answer another cell's leader or an operator; None: not in time."""
-        return self.quota_edge.answer(message, timeout_s) if self.quota_edge is not None else None
+        return self.quota_endpoint.answer(message, timeout_s) if self.quota_endpoint is not None else None
 
     # -- on the decision thread ----------------------------------------------------------------------
 
@@ -211,8 +210,8 @@
             time.monotonic() - read_at,
         )
         self.heartbeats.open()
-        if self.quota_edge is not None:
-            self.quota_edge.start()
+        if self.quota_endpoint is not None:
+            self.quota_endpoint.start()
         return True
 
     def _read_snapshot(self) -> Snapshot:
@@ -234,8 +233,8 @@
         self.image_hints = self.controller.image_hints()
         self.relays.review(self.controller.ctx.fleet.machines.keys())
         self.cancellations.update_delegation()
-        if self.quota_edge is not None:
-            self.quota_edge.tick()
+        if self.quota_endpoint is not None:
+            self.quota_endpoint.tick()
 
     # -- events from other threads -------------------------------------------------------------------
 
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -69,7 +69,7 @@
             self._led_delegations,
             self._serve_relay,
             quota_server.answer,
-            quota_server.most_links,
+            quota_server.max_connections,
         )
 
     def should_yield(self) -> bool:
--- a/src/poppyhold/node/readiness.py
+++ b/src/poppyhold/node/readiness.py
@@ -43,9 +43,9 @@
             return answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not ready"}, Retry_After="1")
         body: dict[str, object] = {"member": self._member}
         leader_term = self._leader_term()
-        edge = leader_term.quota_edge if leader_term is not None else None
-        if edge is not None and edge.health is not None:
-            body["shares"] = edge.health._asdict()
+        endpoint = leader_term.quota_endpoint if leader_term is not None else None
+        if endpoint is not None and endpoint.health is not None:
+            body["shares"] = endpoint.health._asdict()
         return answer(HTTPStatus.OK, body)
 
     def _is_behind(self) -> bool:
