--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -66,6 +66,8 @@
         self.admission = Admission(self.ctx, self._quotas, self._on_job_found_finalized)
         self.dispatcher = Dispatcher(self.ctx, self.reconciler, self._quotas, self.admission)
         self._machines = MachineLifecycle(self.ctx, self.admission, self.reconciler)
+        # Called for every heartbeat, hence bound once.
+        self._update_availability = self._machines.update_availability
         self.autoscaler = Autoscaler(self.ctx, self.reconciler, self._quotas, self._machines.handle_removed)
         self.completions = Completions(self.ctx)
         self._cycle = SchedulingCycle(self.ctx, self._quotas, self.dispatcher, self.reconciler)
@@ -128,7 +130,7 @@
         response = self.reconciler.handle_heartbeat(heartbeat)
         machine = self.ctx.fleet.machines.get(heartbeat.machine)
         if machine is not None:
-            self._machines.update_availability(machine)
+            self._update_availability(machine)
         return response
 
     def handle_job_accepted(self, entry: Entry) -> None:
