--- a/src/poppyhold/node/__init__.py
+++ b/src/poppyhold/node/__init__.py
@@ -1,1 +1,1 @@
-"""One controller: its threads, its edges to the outside, and its decision core."""
+"""One controller: its threads, its interfaces to users, workers, peers and cloud, and its decision core."""
--- a/src/poppyhold/node/cancellation_tracker.py
+++ b/src/poppyhold/node/cancellation_tracker.py
@@ -59,8 +59,8 @@
         """Act on what this node confirmed: the state service may not tell us of it when it refuses us."""
         asked_at = time.monotonic()
         self._own_cancellations.acknowledge(self._authority.acted_on_revision)
-        named, bound = self._own_cancellations.report(self._first_revision())
-        self._apply(self._member, named, bound, asked_at)
+        listed, bound = self._own_cancellations.report(self._first_revision())
+        self._apply(self._member, listed, bound, asked_at)
 
     def _apply(self, member: str, cancelled: Iterable[Cancellation], bound: int, asked_at: float) -> None:
         """Stop the jobs whose cancellation a controller confirmed: it is durable, seen here or not."""
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -96,7 +96,7 @@
             self._committer,
             self._commands,
             node.users,
-            node.peers.views,
+            node.peers,
         )
         self.controller = Controller(
             settings, options, self._outbound, term.fencing_token, time.monotonic, time.time, node.rng
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -60,14 +60,14 @@
         self._idle_leader: Leader | None = None
         self.peers = Peers(
             settings,
-            self._describe,
-            self._led_task_counts,
-            self._led_image_hints,
-            self._answer_ping,
-            self._on_pong,
-            self._on_connection_refused,
-            self._led_delegations,
-            self._serve_relay,
+            self.compose_ping,
+            self.led_task_counts,
+            self.led_image_hints,
+            self.handle_ping,
+            self.handle_pong,
+            self.on_connection_refused,
+            self.delegation_tracker,
+            self.serve_relay,
             quota_server.answer,
             quota_server.most_links,
         )
@@ -84,19 +84,23 @@
 
     # -- what we tell --------------------------------------------------------------------------------
 
-    def _led_task_counts(self) -> dict[str, TaskCounts]:
+    def led_task_counts(self) -> dict[str, TaskCounts]:
+        """The counts of our jobs' tasks, if we lead; they go with our pings."""
         leader_term = self._leader_term()
         return leader_term.task_counts if leader_term is not None else {}
 
-    def _led_image_hints(self) -> ImageHints:
+    def led_image_hints(self) -> ImageHints:
+        """The images of our machines, if we lead; they go with our pings."""
         leader_term = self._leader_term()
         return leader_term.image_hints if leader_term is not None else {}
 
-    def _led_delegations(self) -> DelegationTracker | None:
+    def delegation_tracker(self) -> DelegationTracker | None:
+        """What notes to whom we delegated lease renewals, if we lead."""
         leader_term = self._leader_term()
         return leader_term.delegations if leader_term is not None else None
 
-    def _describe(self) -> Ping:
+    def compose_ping(self) -> Ping:
+        """What this controller is and knows, without the entries that each peer gets in pieces."""
         term = self._election.term
         state_age_s = time.monotonic() - self._state_contact_at()
         workers = len(self._misdirected_workers.recent())
@@ -105,8 +109,8 @@
             leader_term.cancellations.delegation if leader_term is not None and leader_term.alive else None
         )
         known = leader_term.authority.acted_on_revision if leader_term is not None else -1
-        named, unnamed = self._confirmed_cancellations()
-        confirmed = unnamed if unnamed < 0 else max([unnamed, *(revision for _, revision in named)])
+        listed, bound = self._confirmed_cancellations()
+        confirmed = bound if bound < 0 else max([bound, *(revision for _, revision in listed)])
         return Ping(
             self._settings.member,
             term.fencing_token if term else 0,
@@ -120,20 +124,21 @@
         )
 
     def _confirmed_cancellations(self) -> tuple[list[Cancellation], int]:
-        """Cancellations that we confirmed to users, as `Cancellations.named` says."""
+        """Cancellations that we confirmed to users, as `Cancellations.report` says."""
         return self._users.cancellations.report(self._election.watch.first_revision)
 
-    def _answer_ping(self, ping: Ping) -> Pong:
+    def handle_ping(self, ping: Ping) -> Pong:
+        """Learn from another controller's ping, and answer it."""
         if ping.leading:
             self._learn_from_leader(ping)
-        us = self._describe()
-        named: list[Cancellation] = []
-        unnamed: int | None = None
+        us = self.compose_ping()
+        listed: list[Cancellation] = []
+        unlisted_revision: int | None = None
         misdirected = self._misdirected_workers.recent() if ping.leading else []
         if ping.leading and ping.acted_on_revision >= 0:
             self._users.cancellations.acknowledge(ping.acted_on_revision)
-            # Read after `us`: what is confirmed in between is named as well.
-            named, unnamed = self._confirmed_cancellations()
+            # Read after `us`: what is confirmed in between is listed as well.
+            listed, unlisted_revision = self._confirmed_cancellations()
         return Pong(
             us.member,
             us.fencing_token,
@@ -141,8 +146,8 @@
             us.state_age_s,
             us.confirmed_revision,
             us.workers,
-            named,
-            unnamed,
+            listed,
+            unlisted_revision,
             misdirected,
             self.peers.connectivity.reachable_peers(),
         )
@@ -165,7 +170,8 @@
         while len(self.peer_image_hints) > limits.machines:
             self.peer_image_hints.pop(next(iter(self.peer_image_hints)))
 
-    def _on_pong(self, pong: Pong, asked_at: float) -> None:
+    def handle_pong(self, pong: Pong, asked_at: float) -> None:
+        """Learn from the answer to our ping, which was sent at ``asked_at``."""
         if pong.leading:
             self._election.observe_fencing_token(pong.fencing_token)
             return
@@ -203,7 +209,7 @@
         if view is not None and time.monotonic() - view.store_contact_at < self._election.lease_ttl_s:
             self._election.transfer_leadership(f"{better} reaches more controllers")
 
-    def _on_connection_refused(self, member: str) -> None:
+    def on_connection_refused(self, member: str) -> None:
         """A controller's host refused our connection: if it leads, its process may be gone."""
         leader = self._election.leader
         if leader is None or leader.member != member or self._election.term is not None:
@@ -226,7 +232,8 @@
         relays = leader_term.relays
         return relays.wanted or (not relays.reviewed and self._forwarder.is_wanted())
 
-    def _serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
+    def serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
+        """Serve a relay's connection for as long as it lasts, if our term takes relays."""
         leader_term = self._leader_term()
         if leader_term is not None and self._takes_relays(leader_term):
             leader_term.relays.serve(connection, hello)
--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -9,7 +9,7 @@
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.election import Election
 from poppyhold.cluster.lease_delegation import DelegationTracker
-from poppyhold.cluster.peers import PeerView
+from poppyhold.cluster.peers import Peers
 from poppyhold.concurrency.priority_queue import DECISIONS
 from poppyhold.durable.changes import Write
 from poppyhold.durable.committer import Committer, CommitUnit
@@ -35,11 +35,11 @@
         committer: Committer,
         commands: CommandDispatcher,
         users: UserApi,
-        peer_views: dict[str, PeerView],
+        peers: Peers,
     ) -> None:
         self._loop, self._election, self._authority = loop, election, authority
         self._delegations, self._committer, self._commands = delegations, committer, commands
-        self._users, self._peer_views = users, peer_views
+        self._users, self._peers = users, peers
         # Set once the state is rebuilt. Before that no machine is launched or deleted.
         self.cloud: CloudDispatcher | None = None
 
@@ -110,7 +110,7 @@
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
         """See `OutboundPort`."""
-        return [view.misdirected_workers for view in self._peer_views.values()]
+        return [view.misdirected_workers for view in self._peers.views.values()]
 
     def may_start_tasks(self) -> bool:
         """See `OutboundPort`."""
