--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -80,9 +80,9 @@
     def __init__(self, node: NodeContext, term: Term) -> None:
         self._node = node
         settings, options = node.settings, node.options
-        limits, workers = settings.settings.machine_limits, settings.settings.workers
+        workers = settings.settings.workers
         times = Durations(settings, options)
-        self.loop = DecisionLoop(limits.max_sockets, workers.heartbeat_interval_s)
+        self.loop = DecisionLoop(settings.settings.machine_limits.max_sockets, workers.heartbeat_interval_s)
         self._committer = Committer(node.store, settings, term.key_revision, self._on_write_rejected)
         self._commands = CommandDispatcher(settings)
         members = [settings.member, *(known.member for known in settings.known)]
@@ -110,16 +110,7 @@
             lambda: node.election.watch.first_revision,
             self._outbound.leadership_confirmed_at,
         )
-        assignment = Assignment(
-            options.relays.mode,
-            limits.connections * options.relays.from_share,
-            limits.connections * DIRECT_SHARE,
-            settings.member,
-            settings.domain,
-            times,
-            time.monotonic,
-            node.rng,
-        )
+        assignment = self._make_assignment(times)
         self.heartbeats = HeartbeatEndpoint(
             self.loop,
             self.controller,
@@ -135,12 +126,21 @@
         # As of the last tick, for other threads.
         self.task_counts: dict[str, TaskCounts] = {}
         self.image_hints: ImageHints = {}
-        self.loop.start(
-            self._prepare,
-            self._tick,
-            self.controller.scheduling_due_at,
-            self.controller.run_scheduling_cycle,
-            self.quota_edge.publish if self.quota_edge is not None else lambda: None,
+        self._start_loop()
+
+    def _make_assignment(self, times: Durations) -> Assignment:
+        """Who relays for whom, and whether relays are wanted at all."""
+        settings, relays = self._node.settings, self._node.options.relays
+        connections = settings.settings.machine_limits.connections
+        return Assignment(
+            relays.mode,
+            connections * relays.from_share,
+            connections * DIRECT_SHARE,
+            settings.member,
+            settings.domain,
+            times,
+            time.monotonic,
+            self._node.rng,
         )
 
     def _make_quota_edge(self) -> QuotaEdge | None:
@@ -150,6 +150,15 @@
             return None
         return QuotaEdge(quota, cells, self._node.settings, self.loop.post, self._node.rng)
 
+    def _start_loop(self) -> None:
+        self.loop.start(
+            self._prepare,
+            self._tick,
+            self.controller.scheduling_due_at,
+            self.controller.run_scheduling_cycle,
+            self.quota_edge.publish if self.quota_edge is not None else lambda: None,
+        )
+
     @property
     def alive(self) -> bool:
         """Whether the term still leads."""
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -38,18 +38,21 @@
         self.settings, self.options = settings, options
         workers, limits = settings.settings.workers, settings.settings.machine_limits
         self.rng = random.Random()
+        # The external systems, and what is read of them.
         self.store = Store(settings)
         self.cloud = CloudClient(settings)
         self.catalog = MachineCatalog(
             self.store, self.cloud, settings.settings.state.lowest.value_bytes, self.rng
         )
         self.users = UserApi(settings, self.store, lambda: self.catalog.types, self._task_counts)
+        # The current term, and who leads.
         self._leader_term: LeaderTerm | None = None
         self._leader_term_lock = threading.Lock()
         self._stop = threading.Event()
         self.election = Election(
             settings, options, self.store, self._on_elected, self._on_deposed, self._should_yield, self.rng
         )
+        # Heartbeats, whoever leads.
         delegated_renewal = DelegatedRenewals(
             Durations(settings, options), settings.settings.skew_ms / 1000, time.monotonic, time.time
         )
@@ -66,6 +69,7 @@
             self._is_unreachable,
             self.rng,
         )
+        # Peers, and the HTTP server.
         readiness = ReadinessCheck(
             settings, self.store, self.catalog, lambda: self.peers.views, self._current_term
         )
