--- a/src/poppyhold/cluster/peers.py
+++ b/src/poppyhold/cluster/peers.py
@@ -17,9 +17,9 @@
 from poppyhold.cluster.lease_delegation import DelegationTracker, LeaseDelegation
 from poppyhold.configuration_checks import split_address
 from poppyhold.model.context import ImageHints
+from poppyhold.model.job_status import TaskCounts
 from poppyhold.model.outbound import MisdirectedWorker
-from poppyhold.quota.messages import Answer as QuotaAnswer
-from poppyhold.quota.messages import Opening as QuotaOpening
+from poppyhold.quota.messages import QuotaRequest, QuotaResponse
 from poppyhold.relay.messages import RelayHello
 from poppyhold.settings import PeerController, Settings
 from poppyhold.wire.frames import receive, send
@@ -83,7 +83,7 @@
 
 Message = Ping | Pong
 # What may come first on a connection from another controller.
-Opening = Message | RelayHello | QuotaOpening
+Opening = Message | RelayHello | QuotaRequest
 _opening_decoder: msgspec.msgpack.Decoder[Opening] = msgspec.msgpack.Decoder(Opening)
 
 
@@ -107,14 +107,14 @@
         self,
         settings: Settings,
         describe: Callable[[], Ping],
-        counts: Callable[[], dict[str, tuple[int, int]]],
+        counts: Callable[[], dict[str, TaskCounts]],
         image_hints: Callable[[], ImageHints],
         reply: Callable[[Ping], Pong],
         on_pong: Callable[[Pong, float], None],
         on_refused: Callable[[str], None],
         delegations: Callable[[], DelegationTracker | None],
         on_relay: Callable[[socket.socket, RelayHello], None],
-        on_quota: Callable[[QuotaOpening], QuotaAnswer],
+        on_quota: Callable[[QuotaRequest], QuotaResponse],
         quota_links: int = 0,
     ) -> None:
         """``on_quota`` answers other cells' leaders and operators, of whom ``quota_links`` may connect."""
@@ -173,7 +173,7 @@
                         # It is a relay's from now on, to its end.
                         self._on_relay(connection, message)
                         return
-                    if isinstance(message, QuotaOpening):
+                    if isinstance(message, QuotaRequest):
                         send(connection, self._on_quota(message))
                         continue
                     if not isinstance(message, Ping):
@@ -203,7 +203,7 @@
             self._stop.wait(self._every_s / 2)
 
     def _talk(self, connection: socket.socket, known: PeerController) -> None:
-        counts: ChangeFeed[tuple[int, int]] = ChangeFeed(_MOST_COUNTS)
+        counts: ChangeFeed[TaskCounts] = ChangeFeed(_MOST_COUNTS)
         images: ChangeFeed[tuple[tuple[str, float], ...]] = ChangeFeed(_MOST_IMAGES)
         while not self._stop.is_set():
             changed_counts = [(job, *pair) for job, pair in counts.next_batch(self._counts())]
--- a/src/poppyhold/model/outbound.py
+++ b/src/poppyhold/model/outbound.py
@@ -60,18 +60,18 @@
         endpoint: str,
         body: Data,
         on_response: Callable[[RequestOutcome, Heartbeat | None], None],
-        patient: bool,
+        slow_lane: bool,
     ) -> None:
         """POST commands to a worker, once.
 
-        ``patient`` requests may take long, and don't hold up the others.
+        Requests of the slow lane don't hold up the others.
         """
 
     def launch_machines(self, body: Data, on_response: Callable[[RequestOutcome, list[str]], None]) -> None:
         """Ask the cloud for machines, once; ``on_response`` gets their names."""
 
-    def delete_machines(self, names: list[str], on_response: Callable[[bool], None]) -> None:
-        """Ask the cloud to delete machines, once; ``on_response`` gets whether it has."""
+    def delete_machines(self, names: list[str], on_deleted: Callable[[bool], None]) -> None:
+        """Ask the cloud to delete machines, once; ``on_deleted`` gets whether it has."""
 
     def leadership_lost(self, fencing_token: int) -> None:
         """Note that a higher fencing token than ours was seen."""
--- a/src/poppyhold/options.py
+++ b/src/poppyhold/options.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-# What weights of cells' parts are counted in.
+# The weight of a part of 1.
 _WEIGHT = 1_000_000_000
 
 
@@ -83,11 +83,11 @@
     name: str
     part: float
     others: tuple[Cell, ...]
-    # The longest that a cell holds back what it used recently, as a multiple of workers.lease_s.
+    # The longest time for which a cell retains what it used recently, as a multiple of workers.lease_s.
     keep_leases: float = 1.0
-    # The part of the state service's changes that transfers of quota allocations may take.
+    # The part of the state service's changes that transfers may take.
     moves_share: float = 0.2
-    # The part of its initial allocations that a cell never gives away.
+    # The part of its first allocations that a cell never transfers.
     reserve: float = 0.0
 
     @property
@@ -98,7 +98,7 @@
 
     @property
     def layout(self) -> str:
-        """A text that is equal in cells that agree on the cells and their parts."""
+        """A text that is equal in all cells that agree on the cells and their parts."""
         return " ".join(f"{name}={weight}" for name, weight in self.weights.items())
 
     def other(self, name: str) -> Cell | None:
--- a/src/poppyhold/options_file.py
+++ b/src/poppyhold/options_file.py
@@ -15,7 +15,7 @@
     from poppyhold.options_pb2 import Cells as CellsMessage
 
 _CELL_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-# Parts are written in decimals: thirds can't be exact.
+# Parts are written as decimals, and thirds cannot be exact.
 _PARTS_TOLERANCE = 1e-6
 
 # By field, the lowest and the highest value that make sense.
--- /dev/null
+++ b/src/poppyhold/quota/endpoint.py
@@ -0,0 +1,97 @@
+"""One term's endpoint towards other cells: its links, its answers, and what readiness shows.
+
+`CellQuotaService` runs on the decision thread; the other threads hand it work over the term's queue.
+"""
+
+from __future__ import annotations
+
+import random
+import threading
+from collections.abc import Callable
+
+from poppyhold.concurrency.priority_queue import SUBMISSIONS, Work
+from poppyhold.options import Cells
+from poppyhold.quota.cell_service import CellQuotaService, QuotaHealth
+from poppyhold.quota.link import CellLinks
+from poppyhold.quota.messages import (
+    QuotaRequest,
+    QuotaResponse,
+    StatusRequest,
+    TransferRequest,
+    TransferResponse,
+)
+from poppyhold.settings import Settings
+
+# How long a link waits for a response, as a ratio to the lease.
+_LINK_TIMEOUT_RATIO = 0.1
+
+
+class QuotaEndpoint:
+    """The links and answers of one term. Heartbeats and decisions have priority over all their work."""
+
+    def __init__(
+        self,
+        quota: CellQuotaService,
+        cells: Cells,
+        settings: Settings,
+        post: Callable[[int, Work], bool],
+        rng: random.Random,
+    ) -> None:
+        """``post`` queues work of a priority for the decision thread; False: it takes none."""
+        self._quota, self._post = quota, post
+        workers = settings.deployment.workers
+        self._links = CellLinks(
+            cells.others,
+            self._on_response,
+            workers.heartbeat_interval_s,
+            workers.lease_s * _LINK_TIMEOUT_RATIO,
+            rng,
+        )
+        self._is_ready, self._is_stopped = threading.Event(), threading.Event()
+        # As of the last tick.
+        self.health: QuotaHealth | None = None
+
+    def start(self) -> None:
+        """Start to send requests and to answer them: the durable records have been read."""
+        self._is_ready.set()
+        self._links.start()
+
+    def stop(self) -> None:
+        """Stop to send requests and to answer them."""
+        self._is_stopped.set()
+        self._links.stop()
+
+    def tick(self) -> None:
+        """On the decision thread: update what readiness shows."""
+        self.health = self._quota.health()
+
+    def publish(self) -> None:
+        """On the decision thread: hand the links the current requests."""
+        self._links.publish(self._quota.requests())
+
+    def answer(self, request: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
+        """Have the decision thread answer another cell's leader or an operator; None: not in time."""
+        if not self._is_ready.is_set():
+            return None
+        responses: list[QuotaResponse] = []
+        done = threading.Event()
+
+        def work() -> None:
+            if not self._is_stopped.is_set():
+                responses.append(self._handle(request))
+            done.set()
+
+        if self._post(SUBMISSIONS, work):
+            done.wait(timeout_s)
+        return responses[0] if responses else None
+
+    def _handle(self, request: QuotaRequest) -> QuotaResponse:
+        match request:
+            case TransferRequest():
+                return self._quota.answer(request)
+            case StatusRequest():
+                return self._quota.status()
+
+    def _on_response(self, response: TransferResponse) -> None:
+        """On a link's thread: another cell has responded."""
+        self._post(SUBMISSIONS, lambda: self._quota.handle_response(response))
--- a/src/poppyhold/scale/cell_checks.py
+++ b/src/poppyhold/scale/cell_checks.py
@@ -8,18 +8,18 @@
 
 from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.quota.amounts import from_units
+from poppyhold.quota.consistency import problems, transfers_in_transit
 from poppyhold.quota.messages import CellView, PeerView, TeamView
-from poppyhold.quota.records import IDENTITY, PEER, SHARE, IdentityRecord, PeerRecord, ShareRecord
-from poppyhold.quota.totals import problems, transfers_in_transit
+from poppyhold.quota.records import ALLOCATION, IDENTITY, PEER, AllocationRecord, IdentityRecord, PeerRecord
 from poppyhold.scale.cell_history import CellHistory, CellSample, LimitUse
 from poppyhold.scale.cell_links import CellNetwork
 from poppyhold.scale.checks import RuleChecks
 from poppyhold.scale.run import ScaleRun
 from poppyhold.scale.state_standin import StateStandIn
+from poppyhold.scale.violations import RuleViolations
 from poppyhold.wire.codec import convert
 
 _SLACK = 1e-6
-_MOST_KEPT = 50
 _LARGEST_PAGE = 1000
 _SAMPLE_S = 1.0
 
@@ -41,9 +41,9 @@
         if key == IDENTITY:
             identity = convert(data, IdentityRecord)
             cell, incarnation = identity.cell, identity.incarnation
-        elif key.startswith(SHARE):
-            record = convert(data, ShareRecord)
-            teams.append(TeamView(record.team, record.share, record.whole))
+        elif key.startswith(ALLOCATION):
+            record = convert(data, AllocationRecord)
+            teams.append(TeamView(record.team, record.allocation, record.total))
         elif key.startswith(PEER):
             peer = convert(data, PeerRecord)
             peers.append(PeerView(key.removeprefix(PEER), peer.sent, peer.applied, peer.in_transit))
@@ -63,8 +63,7 @@
     ) -> None:
         self._runs, self._limits, self._bound = runs, limits, bound
         self._network, self._clock = network, clock
-        self.broken: list[str] = []
-        self.broken_count = 0
+        self.violations = RuleViolations()
         # Until then a trouble may hold up shares.
         self.troubled_until = float("-inf")
         self._below_since: dict[str, float] = {}
@@ -75,11 +74,6 @@
         self._looked_at: float | None = None
         self.history = CellHistory(_SAMPLE_S)
 
-    def _break(self, text: str) -> None:
-        self.broken_count += 1
-        if len(self.broken) < _MOST_KEPT:
-            self.broken.append(text)
-
     def clear(self) -> None:
         """Begin the measured time."""
         self.use_links_up, self.use_links_cut = LimitUse(), LimitUse()
@@ -104,7 +98,7 @@
     def _check_limits(self, used: Counter[str]) -> None:
         for team, amount in used.items():
             if amount > self._limits[team] + _SLACK:
-                self._break(f"quota over all cells: {team} uses {amount:g} of {self._limits[team]:g}")
+                self.violations.add(f"quota over all cells: {team} uses {amount:g} of {self._limits[team]:g}")
 
     def look(self) -> None:
         """Look at everything once."""
@@ -121,7 +115,7 @@
         self._complete = self._complete or all(len(view.teams) == len(self._limits) for view in views)
         if self._complete:
             for problem in problems({view.cell: view for view in views}):
-                self._break(f"shares: {problem}")
+                self.violations.add(f"shares: {problem}")
 
     def _views(self) -> list[CellView]:
         """The shares of all cells as they are stored, in the order of the runs."""
@@ -142,11 +136,11 @@
         """No cell may use more than its own durable share, cut off or not."""
         for run, view in zip(self._runs, views, strict=True):
             for team in view.teams:
-                if team.share.accelerators.limit is None:
+                if team.allocation.accelerators.limit is None:
                     continue
-                limit, used = from_units(team.share.accelerators.limit), run.checks.used[team.team]
+                limit, used = from_units(team.allocation.accelerators.limit), run.checks.used[team.team]
                 if used > limit + _SLACK:
-                    self._break(f"share: {team.team} uses {used:g} of {limit:g} in {view.cell}")
+                    self.violations.add(f"share: {team.team} uses {used:g} of {limit:g} in {view.cell}")
 
     def _note_use(self, used: Counter[str], waiting: Counter[str]) -> None:
         """What is in use of the limits of teams whose work waits, and for how long links are cut."""
@@ -175,7 +169,9 @@
             below_s = now - self._below_since.setdefault(team, now)
             self.longest_below_s = max(self.longest_below_s, below_s)
             if below_s > self._bound.seconds:
-                self._break(f"guarantee: {team} uses {used[team]:g} of {guaranteed:g} for {below_s:.1f} s")
+                self.violations.add(
+                    f"guarantee: {team} uses {used[team]:g} of {guaranteed:g} for {below_s:.1f} s"
+                )
 
     def _waiting(self) -> Counter[str]:
         """Tasks that wait in a cell whose machines have room for one, by team."""
@@ -189,7 +185,7 @@
 
 def _total_share(view: CellView) -> float:
     """Accelerators that all teams together may use in a cell."""
-    return from_units(sum(team.share.accelerators.limit or 0 for team in view.teams))
+    return from_units(sum(team.allocation.accelerators.limit or 0 for team in view.teams))
 
 
 # A task of one accelerator, the smallest that asks for a share of them.
