--- a/tests/test_share_book.py
+++ b/tests/test_share_book.py
@@ -11,7 +11,7 @@
 
 from guards import take_out
 from poppyhold.durable.committer import Writer
-from poppyhold.durable.store import LEAD, QUOTA, Data, Entry
+from poppyhold.durable.store import LEAD, QUOTA, Data, Entry, put
 from poppyhold.quota.amounts import (
     UNIT,
     ResourceAmount,
@@ -24,7 +24,7 @@
     whole_share,
 )
 from poppyhold.quota.demand import ResourceDemand
-from poppyhold.quota.records import Transfer
+from poppyhold.quota.records import IDENTITY, Transfer, share_key
 from poppyhold.quota.share_book import (
     OtherCellError,
     ProtocolError,
@@ -34,7 +34,7 @@
 )
 from poppyhold.scheduling.quotas import Quotas, TeamQuota
 from poppyhold.settings import ConfigError, Team
-from quota_model import CELLS, TEAM, Fleet, Outcome, always_next, join_at_once, told_at_once
+from quota_model import CELLS, TEAM, WHOLE, Fleet, Leader, Outcome, always_next, join_at_once, told_at_once
 
 WEIGHTS = st.dictionaries(st.sampled_from("abcde"), st.integers(1, 10**9), min_size=1)
 
@@ -158,6 +158,20 @@
             # A leader that was deposed may be behind. One that leads is never.
             assert to_former or any(cell.former for cell in self.fleet.cells)
 
+    @rule(cell=CELL, peer=CELL, units=st.integers(1, 8))
+    def give_durably(self, cell: int, peer: int, units: int) -> None:
+        """A gift that the state service takes at once."""
+        self.give(cell, peer, units)
+        self.carry_out(cell, Outcome.ANSWERED)
+
+    @rule(cell=CELL, peer=CELL)
+    def exchange(self, cell: int, peer: int) -> None:
+        """Over a good link a question and its answer arrive at once; what is received is not yet durable."""
+        if cell != peer:
+            self.fleet.ask(cell, peer)
+            self.deliver(-1, again=False, to_former=False)
+            self.deliver(-1, again=False, to_former=False)
+
     @rule(which=MESSAGE)
     def lose(self, which: int) -> None:
         if self.fleet.network:
@@ -384,6 +398,181 @@
     assert cell.leader.book.seed({"beta": (whole, whole)}, 10)
 
 
+def test_nothing_is_given_while_a_transfer_that_was_received_is_written() -> None:
+    """Both steps set the team's share: the later write would undo the earlier one."""
+    fleet = Fleet()
+    giver, taker = fleet.cells[0].leader, fleet.cells[1].leader
+    assert giver is not None
+    assert taker is not None
+    before = taker.limit()
+    giver.give(fleet.cells[1], UNIT)
+    giver.carry_out()
+    fleet.ask(1, 0)
+    fleet.deliver(0)
+    fleet.deliver(0)
+    assert taker.book.busy
+    assert not taker.book.can_give("west")
+    assert not taker.give(fleet.cells[2], UNIT)
+    assert (taker.limit(), len(taker.steps)) == (before, 1)
+    taker.carry_out()
+    assert taker.limit() == before + UNIT
+    assert taker.give(fleet.cells[2], UNIT)
+    assert taker.limit() == before
+    taker.carry_out()
+    assert fleet.problems() == []
+
+
+def test_one_transfer_at_a_time_is_on_its_way_to_a_cell() -> None:
+    """The record of what passed holds one: a second one would be put in the place of the first."""
+    fleet = Fleet()
+    giver = fleet.cells[0].leader
+    assert giver is not None
+    assert giver.give(fleet.cells[1], UNIT)
+    giver.carry_out()
+    assert not giver.book.can_give("north")
+    assert not giver.give(fleet.cells[1], UNIT)
+    assert giver.book.can_give("west")
+    assert giver.give(fleet.cells[2], UNIT)
+    giver.carry_out()
+    assert fleet.problems() == []
+
+
+ONE_LIMIT = TeamAmount(accelerators=ResourceAmount(0, UNIT))
+FIRST_SHARE = (WHOLE, WHOLE)
+
+
+def lonely_leader() -> Leader:
+    """The leader of a cell whose state service holds no records of shares yet."""
+    cell = Fleet().cells[0]
+    cell.state.keys = {key: value for key, value in cell.state.keys.items() if "/q/" not in key}
+    cell.crash()
+    assert cell.leader is not None
+    return cell.leader
+
+
+def test_a_cell_of_no_shared_team_has_an_incarnation_as_well() -> None:
+    leader = lonely_leader()
+    assert leader.book.seed({}, 10)
+    leader.carry_out()
+    assert leader.book.incarnation
+    assert not leader.book.seed({}, 10)
+
+
+def test_records_are_made_once_and_so_many_at_a_time() -> None:
+    leader = lonely_leader()
+    shares = dict.fromkeys(("alpha", "beta", "gamma", "delta"), FIRST_SHARE)
+    changes = []
+    while leader.book.seed(shares, 2):
+        # One step at a time: it is under way, and no second one begins.
+        assert leader.book.seed(shares, 2)
+        assert len(leader.steps) == 1
+        changes.append(len(leader.steps[0][1]))
+        leader.carry_out()
+    # The identity counts as well.
+    assert changes == [2, 2, 1]
+    assert leader.book.records.keys() == shares.keys()
+    # None of them was made anew by a later step.
+    assert {record.version for record in leader.book.records.values()} == {0}
+
+
+@pytest.mark.parametrize("shares", [{}, {"beta": FIRST_SHARE}], ids=["identity", "share"])
+def test_no_record_that_is_there_is_written_over(shares: dict[str, tuple[TeamShare, TeamShare]]) -> None:
+    leader = lonely_leader() if not shares else Fleet().cells[0].leader
+    assert leader is not None
+    key = share_key("beta") if shares else IDENTITY
+    leader.book.seed(shares, 10)
+    leader.cell.state.commit({"writes": [put(key, {"made": "meanwhile"})]})
+    leader.carry_out()
+    assert leader.unclear
+    assert leader.cell.state.keys[key][0] == {"made": "meanwhile"}
+
+
+def test_what_is_durable_is_planned_against_from_the_beginning() -> None:
+    cell = Fleet().cells[0]
+    heard: list[str] = []
+    book = ShareBook("east", str, lambda conditions, writes, done: None, heard.append, lambda why: None)
+    entries = cell.state.scan(QUOTA, "", 1000)[1]["entries"]
+    book.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
+    assert heard == [TEAM]
+
+
+@pytest.mark.parametrize(
+    "amounts",
+    [
+        pytest.param({}, id="nothing"),
+        pytest.param({TEAM: ONE_LIMIT, "beta": ONE_LIMIT}, id="team-without-a-share"),
+        pytest.param({TEAM: TeamAmount(accelerators=ResourceAmount(0, 9 * UNIT))}, id="more-than-there-is"),
+    ],
+)
+def test_only_what_is_there_is_given(amounts: dict[str, TeamAmount]) -> None:
+    leader = Fleet().cells[0].leader
+    assert leader is not None
+    before = leader.limit()
+    assert not leader.book.give("north", "north-1", amounts)
+    assert (leader.limit(), leader.steps, leader.book.busy) == (before, [], False)
+
+
+def test_nothing_passes_between_cells_without_known_records() -> None:
+    fleet = Fleet()
+    transfer(fleet)
+    giver, taker = fleet.cells[0].leader, fleet.cells[1].leader
+    assert giver is not None
+    assert taker is not None
+    giver.book.acknowledged("north", "north-1", 1)
+    giver.carry_out()
+    for incarnation in ("", "north-2"):
+        with pytest.raises(UnknownIncarnationError):
+            giver.book.check_peer("north", incarnation)
+        with pytest.raises(UnknownIncarnationError):
+            giver.book.give("north", incarnation, {TEAM: ONE_LIMIT})
+    # A cell that nothing has passed to or from: it has to name its records all the same.
+    with pytest.raises(UnknownIncarnationError):
+        taker.book.receive("west", "", Transfer(1, {TEAM: ONE_LIMIT}))
+    assert (giver.steps, taker.steps) == ([], [])
+
+
+def test_a_transfer_is_acknowledged_only_once_it_is_durable_and_forgotten_once() -> None:
+    fleet = Fleet()
+    giver = fleet.cells[0].leader
+    assert giver is not None
+    # Nothing has passed, and the other cell says so.
+    giver.book.acknowledged("north", "north-1", 0)
+    giver.give(fleet.cells[1], UNIT)
+    assert giver.book.transfer_to("north") is None
+    with pytest.raises(SequenceError):
+        giver.book.acknowledged("north", "north-1", 1)
+    giver.carry_out()
+    on_its_way = giver.book.transfer_to("north")
+    assert on_its_way is not None
+    # Asked before it arrived, and while another step is under way: it stays on its way.
+    giver.book.acknowledged("north", "north-1", 0)
+    giver.give(fleet.cells[2], UNIT)
+    giver.book.acknowledged("north", "north-1", 1)
+    assert len(giver.steps) == 1
+    giver.carry_out()
+    assert giver.book.transfer_to("north") == on_its_way
+    giver.book.acknowledged("north", "north-1", 1)
+    assert len(giver.steps) == 1
+    giver.carry_out()
+    assert giver.book.transfer_to("north") is None
+    giver.book.acknowledged("north", "north-1", 1)
+    assert giver.steps == []
+
+
+def test_a_transfer_of_a_team_without_a_share_here_has_to_come_again() -> None:
+    """Its share is being seeded, most likely: amounts that join nothing would be lost."""
+    book = Fleet().cells[1].leader
+    assert book is not None
+    assert not book.book.receive("east", "east-1", Transfer(1, {"beta": ONE_LIMIT}))
+    assert not book.book.busy
+    assert book.book.seed({"beta": FIRST_SHARE}, 10)
+    # Nor is anything received while another step is under way.
+    assert not book.book.receive("east", "east-1", Transfer(1, {TEAM: ONE_LIMIT}))
+    book.carry_out()
+    assert book.book.receive("east", "east-1", Transfer(1, {"beta": ONE_LIMIT}))
+    assert len(book.steps) == 1
+
+
 def test_records_of_another_cell_let_nothing_start() -> None:
     cell = Fleet().cells[0]
     book = ShareBook("west", str, lambda conditions, writes, done: None, lambda team: None, lambda why: None)
