--- /dev/null
+++ b/tests/test_cell_quota.py
@@ -0,0 +1,193 @@
+"""What a cell's leader answers another cell's: what it refuses, what it gives, and what it takes."""
+
+from __future__ import annotations
+
+import logging
+
+import msgspec
+import pytest
+
+from poppyhold.options import Options
+from poppyhold.quota.amounts import UNIT, ResourceAmount, ResourceShare, TeamAmount, TeamShare
+from poppyhold.quota.cell_quota import CellQuota
+from poppyhold.quota.cells import Cell, CellController, Cells, check_cells
+from poppyhold.quota.messages import PROTOCOL_VERSION, ShareReply, ShareRequest, Want
+from poppyhold.quota.records import Transfer
+from poppyhold.settings import Team
+from sim_node import SimLeaderTerm
+from world import World
+
+CONTROLLERS = (CellController("hive-0", "127.0.0.1:1"),)
+# Each cell's part of the team's limit is two accelerators that are guaranteed, and four above them.
+TEAMS = [Team("alpha", gpus=4, gpus_max=12)]
+
+
+def new_cell(reserve: float = 0.0) -> World:
+    """A cell that nobody leads yet."""
+    cells = Cells("east", 0.5, (Cell("west", 0.5, CONTROLLERS),), reserve=reserve)
+    return World(1, 10.0, 30.0, TEAMS, options=Options(cells=check_cells(cells)))
+
+
+def quota_of(world: World) -> CellQuota:
+    """The leader's part in the team's limit."""
+    quota = term_of(world).controller.quota
+    assert quota is not None
+    return quota
+
+
+def term_of(world: World) -> SimLeaderTerm:
+    leader = world.leader()
+    assert leader is not None and leader.leader_term is not None
+    return leader.leader_term
+
+
+def leading_cell(reserve: float = 0.0) -> tuple[World, CellQuota]:
+    """A cell whose shares are known, and idle."""
+    world = new_cell(reserve)
+    world.run(6.0)
+    quota = quota_of(world)
+    assert quota.book.incarnation
+    return world, quota
+
+
+def request(quota: CellQuota, *wants: Want, **changes: object) -> ShareRequest:
+    """What the other cell's leader asks."""
+    asked = ShareRequest(
+        PROTOCOL_VERSION, "west", "east", quota._cells.layout, "w1", quota.book.incarnation, 0, list(wants)
+    )
+    return msgspec.structs.replace(asked, **changes)
+
+
+def want(guaranteed: int, limit: int) -> Want:
+    return Want("alpha", accelerators_guaranteed=guaranteed * UNIT, accelerators_limit=limit * UNIT)
+
+
+def given(world: World, quota: CellQuota, *wants: Want) -> Transfer | None:
+    """What is on its way to the other cell after it has asked."""
+    quota.answer(request(quota, *wants))
+    world.run(world.now + 1.0)
+    return quota.book.transfer_to("west")
+
+
+@pytest.mark.parametrize(
+    ("wanted", "amount"),
+    [
+        pytest.param((0, 3), (0, 3), id="above-the-guarantee"),
+        pytest.param((1, 3), (1, 2), id="guaranteed-first"),
+        pytest.param((0, 6), (2, 4), id="a-limit-that-is-guaranteed"),
+        pytest.param((9, 1), (2, 0), id="more-guaranteed-than-limit"),
+        pytest.param((-1, 2), (0, 2), id="negative"),
+        pytest.param((9, 99), (2, 4), id="more-than-there-is"),
+    ],
+)
+def test_the_part_of_an_idle_share_that_is_wanted_is_given(
+    wanted: tuple[int, int], amount: tuple[int, int]
+) -> None:
+    world, quota = leading_cell()
+    transfer = given(world, quota, want(*wanted))
+    assert transfer is not None
+    assert transfer.amounts == {
+        "alpha": TeamAmount(accelerators=ResourceAmount(amount[0] * UNIT, amount[1] * UNIT))
+    }
+
+
+def test_a_reserve_is_not_given() -> None:
+    world, quota = leading_cell(reserve=0.5)
+    transfer = given(world, quota, want(9, 99))
+    assert transfer is not None
+    assert transfer.amounts["alpha"].accelerators == ResourceAmount(UNIT, 2 * UNIT)
+
+
+def test_what_nobody_wants_or_has_here_is_not_given(caplog: pytest.LogCaptureFixture) -> None:
+    world, quota = leading_cell()
+    with caplog.at_level(logging.INFO, "poppyhold.quota.cell_quota"):
+        assert given(world, quota) is None
+        assert given(world, quota, want(0, 0)) is None
+        assert given(world, quota, Want("nobody", accelerators_limit=UNIT)) is None
+    assert not quota.book.peers
+    assert [record for record in caplog.records if "gives" in record.message] == []
+
+
+def test_one_transfer_at_a_time_and_no_faster_than_the_pace() -> None:
+    world, quota = leading_cell()
+    first = given(world, quota, want(0, 1))
+    assert first is not None
+    assert given(world, quota, want(0, 1)) == first
+    # It was applied, and the next one may go once the state service's part for moves allows.
+    quota.answer(request(quota, applied=1))
+    while quota.book.peers["west"].in_transit is not None:
+        world.run(world.now + 0.05)
+    quota._pace.spend(1000.0, world.now)
+    assert given(world, quota, want(0, 1)) is None
+
+
+@pytest.mark.parametrize(
+    "changes",
+    [{"layout": "north=1"}, {"to_incarnation": "e0"}, {"incarnation": ""}, {"incarnation": "w2"}],
+    ids=["other-layout", "other-records-here", "no-records-there", "other-records-there"],
+)
+def test_a_refused_request_is_given_and_told_nothing(changes: dict[str, object]) -> None:
+    world, quota = leading_cell()
+    first = given(world, quota, want(0, 1))
+    assert first is not None
+    answer = quota.answer(request(quota, want(0, 1), applied=1, **changes))
+    assert answer.refused
+    assert answer.transfer is None
+    world.run(world.now + 1.0)
+    assert quota.book.transfer_to("west") == first
+    # Whoever asks for the first time names no records of ours.
+    answer = quota.answer(request(quota, to_incarnation=""))
+    assert (answer.refused, answer.transfer) == ("", first)
+    assert quota.alarms.texts() == []
+
+
+def test_nothing_is_told_or_asked_or_started_before_the_shares_are_known() -> None:
+    world = new_cell()
+    while (leader := world.leader()) is None or leader.leader_term is None:
+        world.run(world.now + 0.05)
+    controller = leader.leader_term.controller
+    quota = quota_of(world)
+    assert not quota.book.incarnation
+    assert not controller._quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
+    answer = quota.answer(request(quota, want(0, 1)))
+    assert answer.refused
+    assert quota.requests() == {}
+    world.run(6.0)
+    assert controller._quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
+    assert set(quota.requests()) == {"west"}
+    # Who leads there and knows its shares no more than we did is no reason for an alarm.
+    quota.replied(ShareReply("west"))
+    assert quota.alarms.texts() == []
+
+
+def test_a_broken_message_raises_an_alarm_until_a_sound_one_comes() -> None:
+    world, quota = leading_cell()
+    one = TeamAmount(accelerators=ResourceAmount(0, UNIT))
+    for broken in (Transfer(2, {"alpha": one}), None):
+        if broken is not None:
+            quota.replied(ShareReply("west", "w1", broken))
+        else:
+            quota.answer(request(quota, applied=7))
+        assert len(quota.alarms.texts()) == 1
+        quota.replied(ShareReply("west", "w1", None))
+        assert quota.alarms.texts() == []
+    quota.replied(ShareReply("west", "w1", Transfer(1, {"alpha": one})))
+    world.run(world.now + 1.0)
+    share = quota.book.share("alpha")
+    assert share == TeamShare(ResourceShare(0, None), ResourceShare(2 * UNIT, 5 * UNIT))
+    quota.replied(ShareReply("west", "w2", None))
+    assert len(quota.alarms.texts()) == 1
+    quota.replied(ShareReply("west", "w1", None))
+    assert quota.alarms.texts() == []
+
+
+def test_what_is_shown_follows_a_transfer_at_once() -> None:
+    world, quota = leading_cell()
+    view = quota.answer(request(quota)).view
+    assert view is not None
+    assert quota.answer(request(quota)).view is view
+    after = quota.answer(request(quota, want(0, 4))).view
+    assert after is not None
+    assert after.teams[0].share.accelerators.borrowable == 0
+    assert after.peers[0].in_transit is not None
+    world.run(world.now + 0.5)
