--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -13,6 +13,7 @@
 
 from poppyhold.durable.committer import Committer, Unit, Writer
 from poppyhold.durable.store import (
+    FENCE,
     HIRE,
     LEAD,
     PLAN,
@@ -20,6 +21,7 @@
     ConflictError,
     Entry,
     InvalidRequestError,
+    LeaseGoneError,
     RefusedError,
     Store,
     UncertainError,
@@ -199,6 +201,151 @@
         return super().commit(conditions, writes)
 
 
+class Noted(Held):
+    """Notes the keys of each transaction of a leader."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.transactions: list[list[str]] = []
+
+    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
+        if conditions:
+            self.transactions.append([write["set"].removeprefix(PLAN) for write in writes])
+        return super().commit(conditions, writes)
+
+
+class Backlog:
+    """A committer whose first transaction is held until all units are queued; it notes how each one ends."""
+
+    def __init__(self, store: Held) -> None:
+        self.store = store
+        self.outcomes: dict[str, bool] = {}
+        self.deposed = threading.Event()
+        stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+        settings = World(1, 10.0, 30.0, []).settings
+        self.committer = Committer(store, settings, stamp, self.deposed.set)
+        self._left = threading.Semaphore(0)
+        self.submit("first", ["first"])
+        assert store.reached.wait(60.0)
+
+    def submit(self, name: str, keys: list[str], conditions: dict[str, int] | None = None) -> None:
+        def done(result: bool) -> None:
+            self.outcomes[name] = result
+            self._left.release()
+
+        self.committer.submit(Unit(conditions or {}, [put(PLAN + key, {}) for key in keys], done))
+
+    def finish(self, units: int) -> None:
+        self.store.go_on.set()
+        for _ in range(units):
+            assert self._left.acquire(timeout=20.0)
+        self.committer.stop()
+
+
+def keys_of(first: str, number: int) -> list[str]:
+    return [f"{first}{index}" for index in range(number)]
+
+
+@pytest.mark.parametrize(
+    ("units", "conditions", "sizes"),
+    [
+        pytest.param([keys_of(unit, 8) for unit in "abc"], 0, [16, 8], id="changes"),
+        pytest.param([["a"], ["b"], ["c"]], 39, [2, 1], id="conditions"),
+        pytest.param([[unit] for unit in "abcdefghi"], 0, [8, 1], id="units"),
+        pytest.param([["a"], ["b", "a"], ["c"]], 0, [1, 3], id="a-key-of-both"),
+        pytest.param([keys_of("a", 30), ["b"]], 0, [30, 1], id="one-unit-above-the-limit"),
+    ],
+)
+def test_units_share_a_transaction_within_its_limits(
+    units: list[list[str]], conditions: int, sizes: list[int]
+) -> None:
+    store = Noted()
+    # The service may allow more than the settings say.
+    store.state.lower_limits(30, 8.0)
+    backlog = Backlog(store)
+    for number, keys in enumerate(units):
+        absent = {f"absent/{number}/{index}": 0 for index in range(conditions)}
+        backlog.submit(str(number), keys, absent)
+    backlog.finish(1 + len(units))
+    assert all(backlog.outcomes.values())
+    assert [len(keys) for keys in store.transactions[1:]] == sizes
+    assert [key for keys in store.transactions[1:] for key in keys] == [key for unit in units for key in unit]
+
+
+def test_a_unit_whose_condition_fails_is_told_and_takes_no_other_with_it() -> None:
+    store = Noted()
+    backlog = Backlog(store)
+    backlog.submit("before", ["before"])
+    backlog.submit("failing", ["failing"], {LEAD + "/other": 7})
+    backlog.submit("behind", ["behind"])
+    backlog.finish(4)
+    assert backlog.outcomes == {"first": True, "before": True, "failing": False, "behind": True}
+    assert PLAN + "failing" not in store.state.keys
+
+
+def test_a_leader_that_was_deposed_writes_no_more_and_says_so() -> None:
+    store = Noted()
+    backlog = Backlog(store)
+    store.state.commit({"writes": [put(LEAD, {"member": "hive-1"})]})
+    backlog.submit("second", ["second"])
+    store.go_on.set()
+    assert backlog.deposed.wait(20.0)
+    backlog.committer._thread.join(20.0)
+    assert not backlog.committer._thread.is_alive()
+    # Whether a step of a former leader is durable is its successor's to find out.
+    assert backlog.outcomes == {}
+    assert store.transactions == [["first"]]
+
+
+def test_a_lease_that_is_gone_is_met_by_a_repeat() -> None:
+    class Gone(Fickle):
+        tries = 0
+
+        def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
+            self.tries += bool(conditions)
+            if self.tries == 1 and conditions:
+                raise LeaseGoneError("lease")
+            return super().commit(conditions, writes)
+
+    store = Gone()
+    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    committer = Committer(store, World(1, 10.0, 30.0, []).settings, stamp, lambda: None)
+    outcomes: list[bool] = []
+    done = threading.Event()
+
+    def noted(result: bool) -> None:
+        outcomes.append(result)
+        done.set()
+
+    committer.submit(Unit({}, [put(TOKEN, {"v": 1})], noted))
+    assert done.wait(60.0)
+    committer.stop()
+    assert (outcomes, store.tries) == ([True], 2)
+
+
+def test_a_fence_that_has_moved_is_read_again() -> None:
+    store, writer = leader()
+    writer.commit({}, [put(TOKEN, {"v": 1})])
+    store.commit({}, [put(FENCE, {"moved": True})])
+    with pytest.raises(RefusedError):
+        writer.commit({}, [put(TOKEN, {"v": 2})])
+    writer.commit({}, [put(TOKEN, {"v": 3})])
+    assert store.state.keys[TOKEN][0] == {"v": 3}
+    # With a new leader's fence: that it leads no more is what counts.
+    store.commit({}, [put(LEAD, {"member": "hive-1"}), put(FENCE, {"moved": "again"})])
+    with pytest.raises(ConflictError, match=LEAD):
+        writer.commit({}, [put(TOKEN, {"v": 4})])
+
+
+@pytest.mark.parametrize("fates", [["late"], ["answered", "late"]], ids=" ".join)
+def test_a_fence_is_raised_once_for_each_transaction_without_an_answer(fates: list[str]) -> None:
+    store, writer = leader(*fates)
+    for value in range(5):
+        until_certain(writer, TOKEN, value)
+    # The leader's key, five values, and one change of the fence.
+    assert store.state.ledger == 7
+
+
 def test_hires_go_before_the_plans_of_a_backlog() -> None:
     # A hundred plans at two thirds of 25 changes a second kept the first hires of a fleet back for 11 s.
     settings = World(1, 10.0, 30.0, []).settings
