--- /dev/null
+++ b/tests/test_watch.py
@@ -0,0 +1,146 @@
+"""Following a prefix: what is handed on, in which order, and where it goes on after each kind of failure."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from itertools import count
+
+import pytest
+
+from poppyhold.durable.store import Changes, Entry, LeaseGoneError, Page, RefusedError, Store, UncertainError
+from poppyhold.durable.watch import Watch
+
+PREFIX = "ph/a/"
+SET = {"set": f"{PREFIX}new", "data": {"v": 2}, "stamp": 12}
+REMOVE = {"remove": f"{PREFIX}old", "stamp": 13}
+
+
+class ScriptedStore(Store):
+    """A state service whose answers to a watch are listed; behind the last one the watch is stopped."""
+
+    def __init__(self, *answers: Changes | Exception) -> None:
+        self.answers = deque(answers)
+        self.pages = 0
+        self.asked_from: list[int] = []
+        self.stop: Callable[[], None] = lambda: None
+
+    def page(self, prefix: str, after: str, most: int = 1000) -> Page:
+        self.pages += 1
+        return Page([Entry(f"{PREFIX}old", {"page": self.pages}, 5)], False, 10 * self.pages)
+
+    def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
+        self.asked_from.append(since)
+        if not self.answers:
+            self.stop()
+            return Changes([SET], 99)
+        answer = self.answers.popleft()
+        if isinstance(answer, Exception):
+            raise answer
+        return answer
+
+
+class Heard:
+    """What a watch hands on."""
+
+    def __init__(self) -> None:
+        self.snapshots: list[int] = []
+        self.changes: list[tuple[str, int]] = []
+        self.synced: list[tuple[float, int]] = []
+
+    def on_snapshot(self, entries: list[Entry]) -> None:
+        self.snapshots.append(entries[0].data["page"])
+        assert len(entries) == 1
+
+    def on_change(self, change: Entry | str, version: int) -> None:
+        self.changes.append((change.key if isinstance(change, Entry) else change, version))
+
+
+def watch(store: ScriptedStore, heard: Heard, **replaced: Callable[..., None]) -> Watch:
+    """A watch that ends with the script, run in this thread; its clock counts its questions to it."""
+    ticks = count(1)
+    made = Watch(
+        store,
+        PREFIX,
+        0.01,
+        replaced.get("on_snapshot", heard.on_snapshot),
+        replaced.get("on_change", heard.on_change),
+        lambda: float(next(ticks)),
+        lambda asked, revision: heard.synced.append((asked, revision)),
+    )
+    store.stop = made.stop
+    return made
+
+
+def test_a_snapshot_comes_first_and_then_every_change_in_order() -> None:
+    store, heard = ScriptedStore(Changes([SET, REMOVE], 13), Changes([], 14)), Heard()
+    made = watch(store, heard)
+    made._run()
+    assert heard.snapshots == [1]
+    assert heard.changes == [(f"{PREFIX}new", 12), (f"{PREFIX}old", 13)]
+    assert store.asked_from == [10, 13, 14]
+    # In step as of the moment of each question, and behind a stop no more.
+    assert heard.synced == [(1.0, 10), (2.0, 13), (3.0, 14)]
+    assert made.first_revision == 10
+
+
+@pytest.mark.parametrize("error", [RefusedError("503"), UncertainError("lost")], ids=str)
+def test_a_question_without_an_answer_is_asked_again(error: Exception) -> None:
+    store, heard = ScriptedStore(Changes([], 13), error), Heard()
+    watch(store, heard)._run()
+    assert (heard.snapshots, store.asked_from) == ([1], [10, 13, 13])
+
+
+def test_a_watch_that_is_too_old_reads_a_new_snapshot() -> None:
+    store, heard = ScriptedStore(LeaseGoneError("watch")), Heard()
+    made = watch(store, heard)
+    made._run()
+    assert (heard.snapshots, store.asked_from) == ([1, 2], [10, 20])
+    # What the process saw first stays what it was.
+    assert made.first_revision == 10
+
+
+def test_a_change_that_cannot_be_taken_starts_the_watch_over() -> None:
+    store, heard = ScriptedStore(Changes([SET], 13)), Heard()
+
+    def on_change(change: Entry | str, version: int) -> None:
+        raise KeyError("of a version to come")
+
+    watch(store, heard, on_change=on_change)._run()
+    assert (heard.snapshots, store.asked_from) == ([1, 2], [10, 20])
+
+
+def test_behind_a_stop_nothing_is_handed_on() -> None:
+    store, heard = ScriptedStore(Changes([SET, REMOVE], 13)), Heard()
+
+    def on_change(change: Entry | str, version: int) -> None:
+        heard.on_change(change, version)
+        made.stop()
+
+    made = watch(store, heard, on_change=on_change)
+    made._run()
+    assert heard.changes == [(f"{PREFIX}new", 12)]
+    # Not every change was handed on: nobody is told that we are in step.
+    assert heard.synced == [(1.0, 10)]
+
+
+def test_a_snapshot_that_was_read_as_the_watch_was_stopped_is_dropped() -> None:
+    store, heard = ScriptedStore(), Heard()
+    made = watch(store, heard)
+    read = store.page
+
+    def page(prefix: str, after: str, most: int = 1000) -> Page:
+        made.stop()
+        return read(prefix, after, most)
+
+    store.page = page  # type: ignore[method-assign]
+    made._run()
+    assert (heard.snapshots, heard.synced, made.first_revision) == ([], [], -1)
+
+
+def test_a_watch_needs_nobody_who_hears_that_it_is_in_step() -> None:
+    store, heard = ScriptedStore(), Heard()
+    made = Watch(store, PREFIX, 0.01, heard.on_snapshot, heard.on_change)
+    store.stop = made.stop
+    made._run()
+    assert (heard.snapshots, store.asked_from) == ([1], [10])
