--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -120,6 +120,31 @@
     assert not authority.may_answer(62.0, 41.0)
 
 
+def test_a_later_answer_to_an_earlier_question_takes_nothing_back() -> None:
+    authority = Authority(20.0, ["a"], began_at=0.0)
+    authority.synced(1.0, 10)
+    authority.learned("a", 50.0, 10)
+    authority.learned("a", 40.0, 10)
+    assert authority.known_until(1.0) == 50.0
+
+
+def test_cancellations_that_come_out_of_order_count_by_the_highest_revision() -> None:
+    confirmed = Cancellations(1)
+    confirmed.add("job-000001", 12)
+    confirmed.add("job-000002", 10)
+    assert confirmed.named(0) == ([("job-000002", 10)], 12)
+    # What that covers need not be named, and drives out nothing else.
+    confirmed.add("job-000003", 11)
+    assert confirmed.named(0) == ([("job-000002", 10)], 12)
+    confirmed.add("job-000004", 13)
+    assert confirmed.named(0) == ([("job-000004", 13)], 12)
+    acted_on = Cancellations(5)
+    acted_on.add("job-000001", 12)
+    acted_on.add("job-000002", 10)
+    acted_on.known(12)
+    assert acted_on.named(0) == ([], 12)
+
+
 class Impostor:
     """A controller's address at which something else answers pings."""
 
