--- /dev/null
+++ b/tests/test_election.py
@@ -0,0 +1,336 @@
+"""An election step by step: who campaigns when, what the leader's key tells, and how a term ends."""
+
+from __future__ import annotations
+
+from types import SimpleNamespace
+
+import pytest
+
+from poppyhold.cluster.election import Election, Leader, Term
+from poppyhold.durable.store import LEAD, TOKEN, Entry, LeaseGoneError, RefusedError, put
+from poppyhold.options import Options
+from poppyhold.settings import Team
+from test_store import Fickle
+from world import World
+
+TERM = Term(5, 40, 7, 0.0)
+OTHERS_KEY = Entry(LEAD, {"member": "hive-1", "baton": 6, "permit": 8}, 41)
+OWN_KEY = Entry(LEAD, {"member": "hive-0", "baton": 5, "permit": 7}, 40)
+
+
+class LeaseStore(Fickle):
+    """A state service with leases; it notes what is asked for."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.granted: list[int] = []
+        self.renewed: list[int] = []
+        self.ended: list[int] = []
+        self.error: Exception | None = None
+
+    def lease(self, life_s: float) -> int:
+        permit = int(self.state.lease(int(life_s * 1000))[1]["permit"])
+        self.granted.append(permit)
+        return permit
+
+    def extend(self, lease_id: int, timeout: float) -> None:
+        if self.error is not None:
+            raise self.error
+        self.renewed.append(lease_id)
+
+    def end_lease(self, lease_id: int) -> None:
+        if self.error is not None:
+            raise self.error
+        self.ended.append(lease_id)
+        self.state.end(lease_id)
+
+
+class Candidate:
+    """A node's election whose threads are not started, in a time that the test sets."""
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, yields: bool = False) -> None:
+        self.now = 1000.0
+        self.yields = yields
+        monkeypatch.setattr("poppyhold.cluster.election.time", SimpleNamespace(monotonic=lambda: self.now))
+        self.store = LeaseStore()
+        self.won: list[Term] = []
+        self.deposed = 0
+        world = World(1, 10.0, 30.0, [Team("alpha")])
+        self.election = Election(
+            world.settings,
+            Options(),
+            self.store,
+            self.won.append,
+            self._on_deposed,
+            lambda: self.yields,
+            world.rng,
+        )
+
+    def _on_deposed(self) -> None:
+        self.deposed += 1
+
+    def campaign(self) -> bool:
+        """One step; whether it asked for a lease to lead on."""
+        before = len(self.store.granted)
+        assert self.election._campaign() > 0
+        return len(self.store.granted) > before
+
+    def lead(self) -> Term:
+        """It is elected."""
+        self.election._on_snapshot([])
+        assert self.campaign()
+        term = self.election.term
+        assert term is not None
+        return term
+
+
+@pytest.fixture
+def candidate(monkeypatch: pytest.MonkeyPatch) -> Candidate:
+    return Candidate(monkeypatch)
+
+
+# -- campaigning ----------------------------------------------------------------------------------------
+
+
+def test_who_has_not_seen_whether_anybody_leads_does_not_campaign(candidate: Candidate) -> None:
+    assert not candidate.campaign()
+    candidate.election._on_snapshot([OTHERS_KEY])
+    assert not candidate.campaign()
+    candidate.election._on_change(LEAD, 42)
+    assert candidate.campaign()
+    assert [term.token for term in candidate.won] == [1]
+    assert candidate.election.leader == Leader(
+        "hive-0", 1, candidate.store.granted[0], candidate.won[0].version
+    )
+
+
+def test_a_key_of_our_own_from_before_is_removed_before_we_campaign(candidate: Candidate) -> None:
+    candidate.election._on_snapshot([OWN_KEY])
+    assert not candidate.campaign()
+    assert candidate.store.ended == [7]
+    candidate.election._on_snapshot([OTHERS_KEY])
+    assert not candidate.campaign()
+    assert candidate.store.ended == [7]
+
+
+def test_who_is_placed_worse_waits_for_others_as_long_as_a_term_lives(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    one = Candidate(monkeypatch, yields=True)
+    one.now += 10 * one.election.life_s
+    one.election._on_snapshot([OTHERS_KEY])
+    one.election._on_change(LEAD, 42)
+    # Told once more that nobody leads: it counts from the first time.
+    one.now += one.election.life_s * 0.9
+    assert not one.campaign()
+    one.election._on_change(LEAD, 43)
+    one.now += one.election.life_s * 0.2
+    assert one.campaign()
+
+
+def test_who_resigned_stands_back_for_a_lease(candidate: Candidate) -> None:
+    term = candidate.lead()
+    candidate.election.resign("told to")
+    assert (candidate.election.term, candidate.deposed) == (None, 1)
+    assert candidate.store.ended == [term.lease_id]
+    candidate.election._on_change(LEAD, term.version + 1)
+    assert not candidate.campaign()
+    # Nor does it depose anybody meanwhile.
+    candidate.election._on_snapshot([OTHERS_KEY])
+    candidate.election.depose(Leader("hive-1", 6, 8, 41))
+    assert candidate.store.ended == [term.lease_id]
+    candidate.now += 10.0
+    candidate.election.depose(Leader("hive-1", 6, 8, 41))
+    assert candidate.store.ended == [term.lease_id, 8]
+    candidate.election._on_change(LEAD, 42)
+    assert candidate.campaign()
+
+
+def test_who_resigns_without_leading_ends_no_lease(candidate: Candidate) -> None:
+    candidate.election.resign("stopped")
+    candidate.election.hand_over("another one reaches more")
+    assert (candidate.store.ended, candidate.deposed) == ([], 0)
+
+
+def test_who_handed_over_stands_back_for_a_lease(candidate: Candidate) -> None:
+    term = candidate.lead()
+    candidate.election.hand_over("another one reaches more")
+    candidate.election._on_change(LEAD, term.version + 1)
+    assert not candidate.campaign()
+    candidate.now += 10.0
+    assert candidate.campaign()
+
+
+def test_only_the_leader_that_is_known_is_deposed(candidate: Candidate) -> None:
+    candidate.election._on_snapshot([OTHERS_KEY])
+    candidate.election.depose(Leader("hive-2", 5, 7, 40))
+    assert candidate.store.ended == []
+
+
+def test_a_claim_is_conditional_on_the_key_and_on_the_token(candidate: Candidate) -> None:
+    candidate.election._on_snapshot([])
+    # Somebody else leads, and we have not heard.
+    candidate.store.state.commit({"writes": [put(LEAD, {"member": "hive-1", "baton": 3, "permit": 99})]})
+    assert candidate.campaign()
+    assert (candidate.won, candidate.election.term) == ([], None)
+    assert candidate.store.state.keys[LEAD][0]["member"] == "hive-1"
+    # The token rises between our look at it and the claim.
+    candidate.store.state.commit({"writes": [{"remove": LEAD}]})
+    look = candidate.store.get
+
+    def get(key: str) -> Entry | None:
+        entry = look(key)
+        candidate.store.state.commit({"writes": [put(TOKEN, {"baton": 9})]})
+        return entry
+
+    candidate.store.get = get  # type: ignore[method-assign]
+    assert candidate.campaign()
+    assert candidate.won == []
+    candidate.store.get = look  # type: ignore[method-assign]
+    assert candidate.campaign()
+    assert [term.token for term in candidate.won] == [10]
+
+
+def test_a_claim_without_an_answer_is_won_only_if_the_key_is_ours(candidate: Candidate) -> None:
+    candidate.election._on_snapshot([])
+    # It was not carried out, and somebody else leads.
+    candidate.store.state.commit({"writes": [put(LEAD, {"member": "hive-1", "baton": 3, "permit": 99})]})
+    candidate.store.fates.append("late")
+    assert candidate.campaign()
+    assert candidate.won == []
+
+
+# -- what the watch tells -------------------------------------------------------------------------------
+
+
+def test_changes_from_before_our_term_do_not_end_it(candidate: Candidate) -> None:
+    candidate.election.term, candidate.election.leader = TERM, Leader("hive-0", 5, 7, 40)
+    for old in (Entry(LEAD, {"member": "hive-2", "baton": 4, "permit": 3}, 39), LEAD):
+        candidate.election._on_change(old, 39)
+        assert candidate.election.term == TERM
+        assert candidate.election.leader == Leader("hive-0", 5, 7, 40)
+    candidate.election._on_change(OWN_KEY, 40)
+    assert (candidate.election.term, candidate.deposed) == (TERM, 0)
+    # Other keys beside the leader's.
+    candidate.election._on_change(LEAD + "er", 50)
+    assert candidate.election.term == TERM
+
+
+@pytest.mark.parametrize("change", [OTHERS_KEY, LEAD], ids=["another-leader", "removed"])
+def test_a_change_behind_our_term_ends_it(candidate: Candidate, change: Entry | str) -> None:
+    candidate.election.term, candidate.election.leader = TERM, Leader("hive-0", 5, 7, 40)
+    candidate.election.confirmed_at = candidate.now
+    candidate.election._on_change(change, 41)
+    assert candidate.deposed == 1
+    assert candidate.election.confirmed_at == float("-inf")
+    leader = candidate.election.leader
+    assert (leader.member if leader is not None else None) == ("hive-1" if change is OTHERS_KEY else None)
+    assert candidate.election.term is None
+    # Told again, it is no second end.
+    candidate.election.deposed("once more")
+    assert candidate.deposed == 1
+
+
+def test_a_snapshot_without_our_key_ends_our_term(candidate: Candidate) -> None:
+    candidate.lead()
+    candidate.election._on_snapshot([])
+    assert (candidate.election.term, candidate.election.leader, candidate.deposed) == (None, None, 1)
+
+
+def test_only_a_higher_token_than_ours_ends_our_term(candidate: Candidate) -> None:
+    candidate.election.saw_token(9)
+    candidate.election.term = TERM
+    candidate.election.saw_token(TERM.token)
+    assert candidate.deposed == 0
+    candidate.election.raised(6)
+    candidate.election.saw_token(6)
+    assert candidate.deposed == 0
+    candidate.election.saw_token(7)
+    assert candidate.deposed == 1
+    candidate.election.raised(8)
+    assert candidate.election.term is None
+
+
+def test_since_when_a_leader_leads_counts_from_its_first_sight(candidate: Candidate) -> None:
+    candidate.election._on_snapshot([OTHERS_KEY])
+    assert candidate.election.leader_since == 1000.0
+    candidate.now += 5.0
+    candidate.election._on_snapshot([OTHERS_KEY])
+    assert candidate.election.leader_since == 1000.0
+    candidate.election._on_change(Entry(LEAD, {"member": "hive-1", "baton": 7, "permit": 8}, 50), 50)
+    assert candidate.election.leader_since == 1005.0
+
+
+def test_a_known_leader_is_told_without_waiting(candidate: Candidate) -> None:
+    candidate.election._on_snapshot([OTHERS_KEY])
+    waited: list[float | None] = []
+
+    def wait(timeout: float | None = None) -> bool:
+        waited.append(timeout)
+        return True
+
+    candidate.election._named.wait = wait  # type: ignore[method-assign]
+    assert candidate.election.await_leader(5.0) == Leader("hive-1", 6, 8, 41)
+    assert waited == []
+    candidate.election._on_change(LEAD, 42)
+    assert candidate.election.await_leader(5.0) is None
+    assert waited == [5.0]
+    candidate.election.stop()
+    assert candidate.election.await_leader(5.0) is None
+    assert waited == [5.0]
+
+
+# -- renewing -------------------------------------------------------------------------------------------
+
+
+def test_a_renewal_confirms_the_term_as_of_its_question_and_is_not_asked_for_early(
+    candidate: Candidate,
+) -> None:
+    term = candidate.lead()
+    assert candidate.election.confirmed_at == 1000.0
+    candidate.election._renew()
+    assert candidate.store.renewed == []
+    candidate.now += candidate.election.life_s / 2
+    asked = candidate.now
+    extend = candidate.store.extend
+
+    def slow(lease_id: int, timeout: float) -> None:
+        extend(lease_id, timeout)
+        candidate.now += 0.2
+
+    candidate.store.extend = slow  # type: ignore[method-assign]
+    candidate.election._renew()
+    assert candidate.store.renewed == [term.lease_id]
+    assert candidate.election.confirmed_at == asked
+
+
+@pytest.mark.parametrize(
+    ("error", "leads"), [(LeaseGoneError("lease"), False), (RefusedError("503"), True)], ids=str
+)
+def test_only_a_lease_that_is_gone_ends_the_term(candidate: Candidate, error: Exception, leads: bool) -> None:
+    candidate.lead()
+    confirmed_at = candidate.election.confirmed_at
+    candidate.now += candidate.election.life_s / 2
+    candidate.store.error = error
+    candidate.election._renew()
+    assert candidate.election.confirmed_at == (confirmed_at if leads else float("-inf"))
+    assert (candidate.election.term is not None, candidate.deposed) == (leads, 0 if leads else 1)
+
+
+@pytest.mark.parametrize("change", ["raised", "deposed", "next-term"])
+def test_an_answer_confirms_only_the_term_that_it_was_asked_for(candidate: Candidate, change: str) -> None:
+    candidate.lead()
+    candidate.now += candidate.election.life_s / 2
+    asked = candidate.now
+
+    def extend(lease_id: int, timeout: float) -> None:
+        if change == "raised":
+            candidate.election.raised(9)
+            return
+        candidate.election.deposed("the leader's key changed")
+        if change == "next-term":
+            candidate.election.term = Term(9, 50, 99, 0.0)
+
+    candidate.store.extend = extend  # type: ignore[method-assign]
+    candidate.election._renew()
+    assert candidate.election.confirmed_at == (asked if change == "raised" else float("-inf"))
