--- a/tests/test_cell_quota.py
+++ b/tests/test_cell_quota.py
@@ -7,12 +7,15 @@
 import msgspec
 import pytest
 
+from poppyhold.durable.store import QUOTA, Entry
+from poppyhold.model.fleet import NOTHING
 from poppyhold.options import Options
 from poppyhold.quota.amounts import UNIT, ResourceAmount, ResourceShare, TeamAmount, TeamShare
 from poppyhold.quota.cell_quota import CellQuota
 from poppyhold.quota.cells import Cell, CellController, Cells, check_cells
 from poppyhold.quota.messages import PROTOCOL_VERSION, ShareReply, ShareRequest, Want
 from poppyhold.quota.records import Transfer
+from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import Team
 from sim_node import SimLeaderTerm
 from world import World
@@ -191,3 +194,24 @@
     assert after.teams[0].share.accelerators.borrowable == 0
     assert after.peers[0].in_transit is not None
     world.run(world.now + 0.5)
+
+
+def test_with_the_records_of_another_cell_nothing_starts_or_is_asked() -> None:
+    world, _ = leading_cell()
+    controller = term_of(world).controller
+    entries = [
+        Entry(key, data, stamp) for key, (data, stamp, _) in world.state.keys.items() if key.startswith(QUOTA)
+    ]
+    quotas = Quotas(TEAMS)
+    cells = check_cells(Cells("north", 0.5, (Cell("west", 0.5, CONTROLLERS),)))
+    other = CellQuota(controller.ctx, cells, quotas, lambda: NOTHING, lambda spec: True, lambda: None)
+    assert not quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
+    other.load(entries)
+    assert not quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
+    other.tick()
+    assert not quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
+    assert other.requests() == {}
+    assert len(other.alarms.texts()) == 1
+    asked = request(other, want(0, 1))
+    assert other.answer(asked).refused
+    assert not other.book.busy
