--- /dev/null
+++ b/tests/test_completions.py
@@ -0,0 +1,135 @@
+"""The durable record of completed tasks: which records, when they are written, and when they are removed."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from types import SimpleNamespace
+from typing import Any
+
+import pytest
+
+from poppyhold.durable.store import ACTIVE, DONE_STRETCHES, DONE_TASKS, Data
+from poppyhold.execution.completions import Completions, encode_bits
+from poppyhold.model.fleet import DONE, Job, make_job
+from poppyhold.scale.jobs import submission, wire
+from poppyhold.settings import NextState, State
+from poppyhold.wire.messages import parse_submission
+
+# Records of 256 tasks now; behind the change those of more than 192 don't fit, and go to ones of 64.
+LIMITS = State(value_kb=0.25, txn_ops=2, next=NextState(value_kb=0.0625))
+JOB = "job-000001"
+
+
+def some_job(tasks: int = 1000) -> Job:
+    job = submission(JOB, {"chores": tasks})
+    return make_job(parse_submission(wire(job)), 7, 0.0)
+
+
+class Records:
+    """The records of a job, and the transactions that are asked for."""
+
+    def __init__(self, job: Job, limits: State = LIMITS) -> None:
+        self.job = job
+        self.commits: list[tuple[dict[str, int], list[Data], Callable[[bool], None]]] = []
+        ctx: Any = SimpleNamespace(
+            settings=SimpleNamespace(settings=SimpleNamespace(state=limits)),
+            fleet=SimpleNamespace(jobs={job.id: job}),
+            edges=SimpleNamespace(commit=lambda *commit: self.commits.append(commit)),
+        )
+        self.completions = Completions(ctx)
+
+    def complete(self, *indices: int) -> None:
+        for index in indices:
+            self.job.complete(index)
+            self.job.unsaved.add(index)
+
+    def save(self) -> list[list[str]]:
+        """Keys of the transactions that this asks for."""
+        self.commits.clear()
+        self.completions.save()
+        return [[write["set"] for write in writes] for _, writes, _ in self.commits]
+
+
+def key(prefix: str, number: int) -> str:
+    return f"{prefix}{JOB}/{number}"
+
+
+def test_records_that_will_not_fit_are_split_and_no_others() -> None:
+    # Tasks up to 355: the last stretch is short.
+    records = Records(some_job(356))
+    records.complete(0, 70, 300)
+    assert sorted(each for keys in records.save() for each in keys) == sorted(
+        [key(DONE_STRETCHES, 0), key(DONE_STRETCHES, 1), key(DONE_TASKS, 1)]
+    )
+    same = Records(some_job(356), State(value_kb=0.25))
+    same.complete(0, 70, 300)
+    assert sorted(each for keys in same.save() for each in keys) == [key(DONE_TASKS, 0), key(DONE_TASKS, 1)]
+
+
+def test_records_are_read_by_the_size_of_their_kind_and_removed_with_the_job() -> None:
+    records = Records(some_job())
+    bits = {"d": encode_bits(bytearray([DONE, 0, DONE]))}
+    records.completions.load(DONE_TASKS, {f"{JOB}/1": bits})
+    records.completions.load(DONE_STRETCHES, {f"{JOB}/1": bits})
+    assert [index for index, state in enumerate(records.job.states) if state == DONE] == [64, 66, 256, 258]
+    assert records.commits == []
+    # What is there is not written again.
+    assert records.save() == []
+    records.completions.remove(records.job)
+    assert [writes for _, writes, _ in records.commits] == [
+        [{"remove": key(DONE_TASKS, 1)}, {"remove": key(DONE_STRETCHES, 1)}]
+    ]
+
+
+def test_records_of_a_job_that_is_no_more_are_removed() -> None:
+    records = Records(some_job())
+    records.completions.load(DONE_TASKS, {"job-000009/0": {"d": "1"}})
+    assert [writes for _, writes, _ in records.commits] == [[{"remove": f"{DONE_TASKS}job-000009/0"}]]
+
+
+@pytest.mark.parametrize("field", ["saving", "finishing", "over"])
+def test_nothing_is_saved_of_a_job_that_is_being_saved_or_ends(field: str) -> None:
+    records = Records(some_job())
+    records.complete(5)
+    setattr(records.job, field, True)
+    assert records.save() == []
+    setattr(records.job, field, False)
+    assert records.save() == [[key(DONE_STRETCHES, 0)]]
+
+
+def test_what_completes_while_records_are_written_is_saved_by_the_next_ones() -> None:
+    records = Records(some_job())
+    records.complete(5)
+    records.save()
+    conditions, _, done = records.commits[0]
+    # On the condition that the job is what it was: nothing is written of one that has ended.
+    assert conditions == {ACTIVE + JOB: 7}
+    records.complete(6)
+    done(True)
+    assert records.job.unsaved == {6}
+    assert records.save() == [[key(DONE_STRETCHES, 0)]]
+
+
+@pytest.mark.parametrize("outcomes", [(True, True), (False, True), (True, False)], ids=str)
+def test_tasks_are_saved_once_every_record_of_theirs_is(outcomes: tuple[bool, bool]) -> None:
+    records = Records(some_job())
+    records.complete(0, 70, 130)
+    assert [len(keys) for keys in records.save()] == [2, 1]
+    first, second = (done for _, _, done in records.commits)
+    first(outcomes[0])
+    assert records.job.saving
+    assert records.job.unsaved == {0, 70, 130}
+    assert records.save() == []
+    second(outcomes[1])
+    assert not records.job.saving
+    assert records.job.unsaved == (set() if all(outcomes) else {0, 70, 130})
+
+
+def test_records_are_removed_so_many_at_a_time_also_those_of_which_no_end_is_known() -> None:
+    records = Records(some_job())
+    records.complete(0, 70, 130)
+    records.save()
+    records.commits.clear()
+    records.completions.remove(records.job)
+    assert [len(writes) for _, writes, _ in records.commits] == [2, 1]
+    assert all(conditions == {} for conditions, _, _ in records.commits)
