--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
+import msgspec
 import pytest
 
 from poppyhold.execution.gangs import Gangs, GangState
-from poppyhold.model.fleet import Job
+from poppyhold.model.fleet import Attempt, Job
 from poppyhold.scale.jobs import submission
 from poppyhold.wire.messages import ExitCause, TaskState
 from test_attempts import leading_world
@@ -78,3 +79,164 @@
     first.status = TaskState.SAVING
     gangs.reported(first, world.now)
     assert gangs.state_of(job) is GangState.STOPPING
+
+
+# -- each condition by itself --------------------------------------------------------------------------
+
+
+class Assembling:
+    """A gang of three whose tasks are all sent, and the stops that are asked for."""
+
+    def __init__(self) -> None:
+        self.world, self.gangs, job_id = assembling_world()
+        self.job = job_of(self.world, job_id)
+        self.now = self.world.now
+        self.stops: list[tuple[int, float]] = []
+        self._stop_task = self.gangs._stop_task
+        self.gangs._stop_task = self._noted
+
+    def _noted(self, attempt: Attempt, grace_s: float, now: float) -> None:
+        self.stops.append((attempt.index, grace_s))
+        attempt.stopping_at, attempt.grace_s = now, grace_s
+
+    def state(self) -> GangState:
+        return self.gangs.state_of(self.job)
+
+    @property
+    def grace_s(self) -> float:
+        """The time to save, and to wait for the others."""
+        workers = self.world.settings.settings.workers
+        return self.job.spec.save_s + workers.gang_peer_s + workers.report_s
+
+    def report(self, index: int, status: TaskState) -> None:
+        """A worker reports a task's new state."""
+        self.job.active[index].status = status
+        self.gangs.reported(self.job.active[index], self.now)
+
+    def lose(self, index: int) -> None:
+        """A task is proven gone."""
+        self.gangs.gone(self.job.active.pop(index), self.now)
+
+
+@pytest.fixture
+def assembling() -> Assembling:
+    one = Assembling()
+    assert (one.state(), len(one.job.active)) == (GangState.ASSEMBLING, 3)
+    return one
+
+
+def test_tasks_of_two_attempts_end_the_attempt(assembling: Assembling) -> None:
+    first = assembling.job.active[0]
+    assembling.gangs.adopt(first, assembling.now)
+    assert assembling.state() is GangState.ASSEMBLING
+    first.number += 1
+    assembling.gangs.adopt(first, assembling.now)
+    assert assembling.state() is GangState.FAILED
+    assert assembling.stops == [(0, 0.0), (1, 0.0), (2, 0.0)]
+
+
+def test_a_task_that_is_seen_to_save_shows_that_an_earlier_leader_began_to_stop(
+    assembling: Assembling,
+) -> None:
+    assembling.report(0, TaskState.RUNNING)
+    assert assembling.state() is GangState.RUNNING
+    assembling.report(1, TaskState.SAVING)
+    assert assembling.state() is GangState.STOPPING
+    assert assembling.stops == [(index, assembling.grace_s) for index in range(3)]
+
+
+@pytest.mark.parametrize("failed", [False, True])
+def test_a_task_that_is_seen_behind_the_stop_is_stopped_as_well(assembling: Assembling, failed: bool) -> None:
+    if failed:
+        assembling.gangs.give_up(assembling.job, "no room", assembling.now)
+    else:
+        assembling.gangs.stop(assembling.job, assembling.now)
+    before = assembling.state()
+    assembling.stops.clear()
+    assembling.job.active[1].stopping_at = None
+    assembling.report(1, TaskState.RUNNING)
+    assert assembling.stops == [(1, 0.0 if failed else assembling.grace_s)]
+    assert assembling.state() is before
+
+
+def test_a_stop_is_repeated_only_with_less_time(assembling: Assembling) -> None:
+    assembling.gangs.stop(assembling.job, assembling.now)
+    assembling.stops.clear()
+    assembling.gangs.stop(assembling.job, assembling.now)
+    assembling.gangs.stop(assembling.job, assembling.now, grace_s=1e6)
+    assert assembling.stops == []
+    assembling.gangs.stop(assembling.job, assembling.now, grace_s=0.5)
+    assert assembling.stops == [(0, 0.5), (1, 0.5), (2, 0.5)]
+
+
+def test_an_attempt_that_failed_stays_so(assembling: Assembling) -> None:
+    assembling.gangs.exited(assembling.job.active[0], ExitCause.ERROR, assembling.now)
+    assembling.gangs.stop(assembling.job, assembling.now)
+    assert assembling.state() is GangState.FAILED
+    # Its other ends are held against no machine.
+    assembling.gangs.exited(assembling.job.active[1], ExitCause.GANG_INCOMPLETE, assembling.now)
+    assert assembling.job.failed_on == set()
+
+
+def test_an_end_while_all_are_stopped_fails_nothing(assembling: Assembling) -> None:
+    assembling.gangs.stop(assembling.job, assembling.now)
+    assembling.gangs.exited(assembling.job.active[0], ExitCause.PEER_LOST, assembling.now)
+    assembling.gangs.give_up(assembling.job, "no room", assembling.now)
+    assert assembling.state() is GangState.STOPPING
+
+
+@pytest.mark.parametrize("cause", [ExitCause.GANG_INCOMPLETE, ExitCause.ERROR])
+def test_machines_of_late_tasks_are_avoided_where_the_others_waited_too_long(
+    assembling: Assembling, cause: ExitCause
+) -> None:
+    first, second, third = (assembling.job.active[index] for index in range(3))
+    first.status, second.status, third.status = TaskState.WAITING, TaskState.WAITING, TaskState.SENT
+    # All three were put on the same machine.
+    third.machine = msgspec.structs.replace(third.machine, name="vm-late")
+    assembling.gangs.exited(first, cause, assembling.now)
+    assert assembling.job.failed_on == ({"vm-late"} if cause is ExitCause.GANG_INCOMPLETE else set())
+
+
+def test_only_a_running_gang_fails_without_one_of_its_tasks(assembling: Assembling) -> None:
+    assembling.lose(0)
+    assert assembling.state() is GangState.ASSEMBLING
+    assembling.report(1, TaskState.RUNNING)
+    assembling.lose(1)
+    assert assembling.state() is GangState.FAILED
+    assert assembling.stops == [(2, 0.0)]
+
+
+def test_a_gang_of_which_nothing_is_left_to_do_does_not_fail(assembling: Assembling) -> None:
+    assembling.report(0, TaskState.RUNNING)
+    for index in range(3):
+        assembling.job.complete(index)
+    assert assembling.job.remaining == 0
+    assembling.lose(0)
+    assert assembling.state() is GangState.RUNNING
+    assert assembling.stops == []
+
+
+def test_an_attempt_is_given_up_so_long_after_its_first_task_began_to_wait(assembling: Assembling) -> None:
+    wait_s = assembling.world.settings.settings.workers.gang_wait_s
+    third = assembling.job.active[2]
+    # All three were put on the same machine.
+    third.machine = msgspec.structs.replace(third.machine, name="vm-late")
+    assembling.gangs.tick(assembling.now + 10 * wait_s)
+    assembling.report(0, TaskState.WAITING)
+    since = assembling.now
+    assembling.now += wait_s / 2
+    assembling.report(1, TaskState.WAITING)
+    assembling.gangs.tick(since + wait_s)
+    assert assembling.state() is GangState.ASSEMBLING
+    assembling.gangs.tick(since + wait_s + 0.1)
+    assert assembling.state() is GangState.FAILED
+    assert assembling.job.failed_on == {"vm-late"}
+
+
+def test_a_gang_that_runs_is_not_given_up(assembling: Assembling) -> None:
+    assembling.report(0, TaskState.WAITING)
+    assembling.report(1, TaskState.RUNNING)
+    assembling.gangs.tick(assembling.now + 1e6)
+    assembling.gangs.give_up(assembling.job, "no room", assembling.now)
+    assert assembling.state() is GangState.RUNNING
+    assert assembling.stops == []
