--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -131,6 +131,33 @@
     assert pauses[-1] == settings.settings.workers.report_s / 8
 
 
+def test_transactions_keep_to_the_pace_of_the_writes(monkeypatch: pytest.MonkeyPatch) -> None:
+    settings = World(1, 10.0, 30.0, []).settings
+    now = [0.0]
+
+    def sleep(seconds: float) -> None:
+        assert seconds > 0
+        now[0] += seconds
+
+    clock = SimpleNamespace(monotonic=lambda: now[0], sleep=sleep)
+    monkeypatch.setattr("poppyhold.durable.committer.time", clock)
+    store = Fickle()
+    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    left = threading.Semaphore(0)
+    committer = Committer(store, settings, stamp, lambda: None)
+    changes = 0
+    for unit in range(20):
+        writes = [put(f"{PLAN}{unit}-{number}", {}) for number in range(10)]
+        changes += len(writes)
+        committer.submit(Unit({}, writes, lambda result: left.release()))
+    for _ in range(20):
+        assert left.acquire(timeout=20.0)
+    committer.stop()
+    # A burst goes out at once, and the last transaction when those before it have been paid for.
+    state = settings.settings.state
+    assert now[0] >= (changes - 2 * state.txn_ops) / (state.write_rps / 1.5)
+
+
 class Limited(Fickle):
     """A state service whose limits were lowered without notice."""
 
@@ -337,7 +364,9 @@
         writer.commit({}, [put(TOKEN, {"v": 4})])
 
 
-@pytest.mark.parametrize("fates", [["late"], ["answered", "late"]], ids=" ".join)
+@pytest.mark.parametrize(
+    "fates", [["late"], ["answered", "late"], ["answered", "late", "lost"]], ids=" ".join
+)
 def test_a_fence_is_raised_once_for_each_transaction_without_an_answer(fates: list[str]) -> None:
     store, writer = leader(*fates)
     for value in range(5):
