--- a/tests/test_cell_quota.py
+++ b/tests/test_cell_quota.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import logging
+from collections.abc import Callable
 
 import msgspec
 import pytest
@@ -25,10 +26,10 @@
 TEAMS = [Team("alpha", gpus=4, gpus_max=12)]
 
 
-def new_cell(reserve: float = 0.0) -> World:
+def new_cell(reserve: float = 0.0, teams: list[Team] | None = None) -> World:
     """A cell that nobody leads yet."""
     cells = Cells("east", 0.5, (Cell("west", 0.5, CONTROLLERS),), reserve=reserve)
-    return World(1, 10.0, 30.0, TEAMS, options=Options(cells=check_cells(cells)))
+    return World(1, 10.0, 30.0, teams or TEAMS, options=Options(cells=check_cells(cells)))
 
 
 def quota_of(world: World) -> CellQuota:
@@ -44,9 +45,9 @@
     return leader.leader_term
 
 
-def leading_cell(reserve: float = 0.0) -> tuple[World, CellQuota]:
+def leading_cell(reserve: float = 0.0, teams: list[Team] | None = None) -> tuple[World, CellQuota]:
     """A cell whose shares are known, and idle."""
-    world = new_cell(reserve)
+    world = new_cell(reserve, teams)
     world.run(6.0)
     quota = quota_of(world)
     assert quota.book.incarnation
@@ -101,6 +102,52 @@
     assert transfer.amounts["alpha"].accelerators == ResourceAmount(UNIT, 2 * UNIT)
 
 
+def test_a_reserve_of_cpus_is_not_given() -> None:
+    world, quota = leading_cell(0.5, [Team("alpha", cpus=16, cpus_max=32)])
+    transfer = given(world, quota, Want("alpha", cpus_guaranteed=99 * UNIT, cpus_limit=999 * UNIT))
+    assert transfer is not None
+    assert transfer.amounts["alpha"].cpus == ResourceAmount(4 * UNIT, 4 * UNIT)
+
+
+def test_so_many_teams_as_fit_a_transaction_are_given_something_guaranteed_wants_first() -> None:
+    names = [f"team-{number:02d}" for number in range(12)]
+    world, quota = leading_cell(teams=[Team(name, gpus=4, gpus_max=12) for name in names])
+    wants = [Want(name, accelerators_limit=UNIT) for name in names[:-1]]
+    wants.append(Want(names[-1], accelerators_guaranteed=UNIT, accelerators_limit=UNIT))
+    transfer = given(world, quota, *wants)
+    assert transfer is not None
+    # Each takes a change, and the transfer's own note one more, of the twenty that a transaction may hold.
+    assert list(transfer.amounts) == [names[-1], *names[:9]]
+
+
+def test_a_request_in_vain_takes_nothing_of_the_pace() -> None:
+    _, quota = leading_cell()
+    for _ in range(5):
+        quota.answer(request(quota, Want("nobody", accelerators_limit=UNIT)))
+    quota.answer(request(quota, want(0, 1)))
+    assert quota.book.peers["west"].sent == 1
+
+
+def test_a_cell_has_to_name_its_records_from_the_first_request_on() -> None:
+    _, quota = leading_cell()
+    assert quota.answer(request(quota, incarnation="")).refused
+    assert len(quota.alarms.texts()) == 1
+
+
+def test_what_is_shown_is_as_new_as_the_last_step_and_the_last_look(monkeypatch: pytest.MonkeyPatch) -> None:
+    world, quota = leading_cell()
+    assert given(world, quota, want(0, 1)) is not None
+    steps: list[Callable[[bool], None]] = []
+    monkeypatch.setattr(term_of(world), "commit", lambda conditions, writes, done, rank: steps.append(done))
+    before = quota.answer(request(quota, applied=1)).view
+    assert before is not None and before.peers[0].in_transit is not None
+    steps[0](True)
+    after = quota.answer(request(quota, applied=1)).view
+    assert after is not None and after.peers[0].in_transit is None
+    quota.tick()
+    assert quota.answer(request(quota, applied=1)).view is not after
+
+
 def test_what_nobody_wants_or_has_here_is_not_given(caplog: pytest.LogCaptureFixture) -> None:
     world, quota = leading_cell()
     with caplog.at_level(logging.INFO, "poppyhold.quota.cell_quota"):
@@ -154,6 +201,7 @@
     assert not controller._quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
     answer = quota.answer(request(quota, want(0, 1)))
     assert answer.refused
+    quota.replied(ShareReply("west"))
     assert quota.requests() == {}
     world.run(6.0)
     assert controller._quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
