--- a/tests/test_cell_quota.py
+++ b/tests/test_cell_quota.py
@@ -263,3 +263,25 @@
     asked = request(other, want(0, 1))
     assert other.answer(asked).refused
     assert not other.book.busy
+
+
+def test_what_has_started_since_the_last_look_is_not_given() -> None:
+    world, quota = leading_cell()
+    term_of(world).controller.ctx.fleet.used["alpha"] = [0.0, 5.0]
+    quota.answer(request(quota, want(9, 99)))
+    transfer = quota.book.peers["west"].in_transit
+    assert transfer is not None
+    assert transfer.amounts["alpha"].accelerators.limit == UNIT
+
+
+@pytest.mark.parametrize(("cell", "is_given"), [("afar", True), ("west", False)])
+def test_what_waits_in_vain_beside_an_idle_share_leaves_it_to_cells_before_ours(
+    cell: str, is_given: bool
+) -> None:
+    # Two cells that each hold half of what a gang needs: one of them has to give, and not both.
+    _, quota = leading_cell()
+    demand = quota._demands["alpha"]
+    demand.is_stuck = True
+    demand.accelerators.waiting = demand.accelerators.startable = 6 * UNIT
+    quota.answer(request(quota, want(0, 1), cell=cell))
+    assert (cell in quota.book.peers) is is_given
