--- a/tests/test_completions.py
+++ b/tests/test_completions.py
@@ -73,8 +73,9 @@
     records.completions.load(DONE_STRETCHES, {f"{JOB}/1": bits})
     assert [index for index, state in enumerate(records.job.states) if state == DONE] == [64, 66, 256, 258]
     assert records.commits == []
-    # What is there is not written again.
+    # What is there is not written again, and holds up nothing that completes later.
     assert records.save() == []
+    assert not records.job.saving
     records.completions.remove(records.job)
     assert [writes for _, writes, _ in records.commits] == [
         [{"remove": key(DONE_TASKS, 1)}, {"remove": key(DONE_STRETCHES, 1)}]
