--- a/tests/test_share_book.py
+++ b/tests/test_share_book.py
@@ -172,6 +172,20 @@
             self.deliver(-1, again=False, to_former=False)
             self.deliver(-1, again=False, to_former=False)
 
+    @rule(cell=CELL, peer=CELL, units=st.integers(1, 8))
+    def give_until_received(self, cell: int, peer: int, units: int) -> None:
+        """A gift that arrives at once, and whose receipt is not yet durable."""
+        self.give_durably(cell, peer, units)
+        self.exchange(peer, cell)
+
+    @rule(cell=CELL)
+    def carry_out_all(self, cell: int) -> None:
+        """The state service takes all that waits."""
+        leader = self.fleet.cells[cell].leader
+        assert leader is not None
+        for _ in range(len(leader.steps)):
+            leader.carry_out()
+
     @rule(which=MESSAGE)
     def lose(self, which: int) -> None:
         if self.fleet.network:
