--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -350,6 +350,26 @@
     assert (outcomes, store.tries) == ([True], 2)
 
 
+def test_a_committer_that_is_stopped_in_an_outage_tries_no_more() -> None:
+    class Refusing(Fickle):
+        tried = threading.Event()
+
+        def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
+            if conditions:
+                self.tried.set()
+                raise RefusedError("503")
+            return super().commit(conditions, writes)
+
+    store = Refusing()
+    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    committer = Committer(store, World(1, 10.0, 30.0, []).settings, stamp, lambda: None)
+    committer.submit(Unit({}, [put(TOKEN, {"v": 1})], lambda result: None))
+    assert store.tried.wait(20.0)
+    committer.stop()
+    committer._thread.join(20.0)
+    assert not committer._thread.is_alive()
+
+
 def test_a_fence_that_has_moved_is_read_again() -> None:
     store, writer = leader()
     writer.commit({}, [put(TOKEN, {"v": 1})])
