--- a/src/poppyhold/concurrency/ranked_queue.py
+++ b/src/poppyhold/concurrency/priority_queue.py
@@ -10,10 +10,10 @@
 Work = Callable[[], None]
 
 # What the decision thread does first: the ranks that the operators ask for.
-REPORTS, DECISIONS, SUBMISSIONS = 0, 1, 2
+HEARTBEATS, DECISIONS, SUBMISSIONS = 0, 1, 2
 
 
-class RankedQueue:
+class PriorityQueue:
     """Work for the decision thread, bounded, lowest rank first, and in order within a rank.
 
     Behind some work the thread naps for a moment instead of being woken for the next: where hundreds of
@@ -27,12 +27,12 @@
         self._waiting = self._closed = False
         self._napped = True
 
-    def put(self, rank: int, work: Work) -> bool:
+    def put(self, priority: int, work: Work) -> bool:
         """Queue work; False if it is closed, or too much of a rank that may be turned away is waiting."""
         with self._wake:
-            if self._closed or (rank == REPORTS and len(self._queues[rank]) >= self._most):
+            if self._closed or (priority == HEARTBEATS and len(self._queues[priority]) >= self._most):
                 return False
-            self._queues[rank].append(work)
+            self._queues[priority].append(work)
             if self._waiting:
                 self._wake.notify()
         return True
@@ -65,11 +65,11 @@
         """Take nothing more, and drop what is left but reports, which somebody waits for."""
         with self._wake:
             self._closed = True
-            reports = list(self._queues[REPORTS])
+            heartbeats = list(self._queues[HEARTBEATS])
             for waiting in self._queues:
                 waiting.clear()
             self._wake.notify()
-        return reports
+        return heartbeats
 
     def __len__(self) -> int:
         return sum(map(len, self._queues))
--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -6,10 +6,11 @@
 
 import msgspec
 
+from poppyhold.durable.changes import Data, Delete, Put
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, COMPLETION_RANGES_PREFIX, COMPLETIONS_PREFIX
 from poppyhold.durable.records import CompletionsRecord
-from poppyhold.durable.store import ACTIVE, DONE_STRETCHES, DONE_TASKS, Data, put, remove
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import DONE, Job
+from poppyhold.model.entities import TASK_DONE, Job, JobPhase
 from poppyhold.settings import State
 
 # Tasks that a hexadecimal digit stands for.
@@ -28,7 +29,7 @@
     """The completed tasks among these, the first in the lowest bit, in hexadecimal."""
     bits = 0
     for offset, state in enumerate(states):
-        if state == DONE:
+        if state == TASK_DONE:
             bits |= 1 << offset
     return f"{bits:x}"
 
@@ -70,9 +71,9 @@
         first = number * self.coarse
         tasks = min(self.coarse, job.spec.tasks - first)
         if tasks // _TASKS_A_DIGIT + _FRAME_BYTES <= self._largest_bytes:
-            return f"{DONE_TASKS}{job.id}/{number}", first, self.coarse
+            return f"{COMPLETIONS_PREFIX}{job.id}/{number}", first, self.coarse
         number = index // self.fine
-        return f"{DONE_STRETCHES}{job.id}/{number}", number * self.fine, self.fine
+        return f"{COMPLETION_RANGES_PREFIX}{job.id}/{number}", number * self.fine, self.fine
 
 
 class Completions:
@@ -86,12 +87,12 @@
 
     def load(self, prefix: str, records: dict[str, Data]) -> None:
         """Take the records that earlier leaders made durable; those of jobs that are over are removed."""
-        size = self._layout.coarse if prefix == DONE_TASKS else self._layout.fine
+        size = self._layout.coarse if prefix == COMPLETIONS_PREFIX else self._layout.fine
         for name, data in records.items():
             job_id, _, number = name.rpartition("/")
             job = self._ctx.fleet.jobs.get(job_id)
             if job is None:
-                self._ctx.edges.commit({}, [remove(prefix + name)], lambda done: None)
+                self._ctx.outbound.commit({}, [Delete(prefix + name)], lambda done: None)
                 continue
             job.done_records.add(prefix + name)
             record = msgspec.convert(data, CompletionsRecord)
@@ -101,19 +102,21 @@
     def save(self) -> None:
         """Make completions durable that are not yet."""
         for job in self._ctx.fleet.jobs.values():
-            if job.unsaved and not (job.saving or job.finishing or job.over):
+            if job.undurable_completions and (
+                not job.completions_save_in_flight and job.phase is JobPhase.ACTIVE
+            ):
                 self._save(job)
 
     def _save(self, job: Job) -> None:
-        indices = set(job.unsaved)
+        indices = set(job.undurable_completions)
         records = self._layout.records(job, indices)
-        job.saving = True
+        job.completions_save_in_flight = True
         job.done_records |= records.keys()
-        writes = [put(key, data) for key, data in records.items()]
+        writes = [Put(key, data) for key, data in records.items()]
         batches = [writes[i : i + self._most_changes] for i in range(0, len(writes), self._most_changes)]
         saved = self._saved(job, indices, len(batches))
         for batch in batches:
-            self._ctx.edges.commit({ACTIVE + job.id: job.version}, batch, saved)
+            self._ctx.outbound.commit({ACTIVE_JOB_PREFIX + job.id: job.version}, batch, saved)
 
     @staticmethod
     def _saved(job: Job, indices: set[int], batches: int) -> Callable[[bool], None]:
@@ -122,14 +125,14 @@
         def durable(done: bool) -> None:
             outcomes.append(done)
             if len(outcomes) == batches:
-                job.saving = False
+                job.completions_save_in_flight = False
                 if all(outcomes):
-                    job.unsaved -= indices
+                    job.undurable_completions -= indices
 
         return durable
 
     def remove(self, job: Job) -> None:
         """A job is over: its records are of no use any more."""
-        writes = [remove(key) for key in sorted(job.done_records)]
+        writes = [Delete(key) for key in sorted(job.done_records)]
         for first in range(0, len(writes), self._most_changes):
-            self._ctx.edges.commit({}, writes[first : first + self._most_changes], lambda done: None)
+            self._ctx.outbound.commit({}, writes[first : first + self._most_changes], lambda done: None)
--- a/src/poppyhold/execution/report_commands.py
+++ b/src/poppyhold/execution/heartbeat_commands.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import Attempt, Machine
-from poppyhold.wire.messages import Command, CommandKind, Report, TaskReport, TaskState, split_task
+from poppyhold.model.entities import Attempt, JobPhase, Machine, StartChannel
+from poppyhold.wire.task_names import split_task
+from poppyhold.wire.worker_messages import Command, CommandKind, Heartbeat, TaskState, TaskStatus
 
 
 def stop_command(attempt: Attempt, now: float) -> Command:
@@ -15,30 +16,34 @@
     return Command(CommandKind.STOP, attempt.name, attempt.number, grace_s)
 
 
-class ReportCommands:
+class HeartbeatCommands:
     """Chooses them by what the report shows and what the machine should hold."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
 
-    def for_news(self, machine: Machine, report: Report, now: float) -> list[Command]:
+    def commands_for_new_heartbeat(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
         """All that is due, behind a report that was taken as the truth about its machine."""
         commands: list[Command] = []
-        for task in report.tasks:
+        for task in heartbeat.tasks:
             if task.status == TaskState.EXITED:
-                if self._may_reap(task):
+                if self._may_forget_exit(task):
                     commands.append(Command(CommandKind.FORGET, task.task, task.attempt))
             elif task.task in machine.unknown_tasks:
                 commands.append(Command(CommandKind.STOP, task.task, task.attempt, 0.0))
         for attempt in machine.attempts.values():
             if attempt.stopping_at is not None:
                 commands.append(stop_command(attempt, now))
-            elif attempt.status == TaskState.SENT and attempt.via == "reply" and attempt.reply_sequence < 0:
-                attempt.reply_sequence = report.sequence
+            elif (
+                attempt.status == TaskState.SENT
+                and attempt.start_channel is StartChannel.HEARTBEAT_RESPONSE
+                and attempt.response_sequence < 0
+            ):
+                attempt.response_sequence = heartbeat.sequence
                 commands.append(Command(CommandKind.START, attempt.name, attempt.number))
         return commands
 
-    def stops(self, machine: Machine, report: Report, now: float) -> list[Command]:
+    def stop_commands(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
         """Stops for what must not go on: every answer that renews a lease carries them.
 
         A report that proves nothing may all the same be the worker's own, and its answer the last one that
@@ -50,14 +55,14 @@
             for attempt in machine.attempts.values()
             if attempt.stopping_at is not None
         ]
-        for task in report.tasks:
+        for task in heartbeat.tasks:
             job = self._ctx.fleet.jobs.get(split_task(task.task)[0])
-            if task.status != TaskState.EXITED and (job is None or job.over):
+            if task.status != TaskState.EXITED and (job is None or job.phase is JobPhase.FINALIZED):
                 commands.append(Command(CommandKind.STOP, task.task, task.attempt, 0.0))
         return commands
 
-    def _may_reap(self, task: TaskReport) -> bool:
+    def _may_forget_exit(self, task: TaskStatus) -> bool:
         """A completion must be durable first: its worker is the only one that knows of it."""
         job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
-        return job is None or job.over or index not in job.unsaved
+        return job is None or job.phase is JobPhase.FINALIZED or index not in job.undurable_completions
--- a/src/poppyhold/machines/hiring.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -6,41 +6,43 @@
 import math
 from collections.abc import Callable
 
-from poppyhold.durable.store import Data
-from poppyhold.execution.attempts import Attempts
+from poppyhold.durable.changes import Data
+from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.boots import Boots
 from poppyhold.machines.deletions import Deletions
-from poppyhold.machines.hires import Hires
+from poppyhold.machines.launches import Launches
 from poppyhold.machines.machine_list import MachineList
 from poppyhold.machines.machine_monitor import MachineMonitor
 from poppyhold.machines.packing import Packing
 from poppyhold.machines.provisioning import Arrivals, Provisioning
 from poppyhold.machines.space import Demand, Space, demand_of, space_of
 from poppyhold.model.context import Context
-from poppyhold.model.fleet import NOTHING, Attempt, Machine, Room, how_many
+from poppyhold.model.entities import Attempt, JobPhase, Machine
+from poppyhold.model.resources import NO_RESOURCES, Resources, max_copies
 from poppyhold.scheduling.quotas import Quotas
-from poppyhold.wire.messages import Listing, Submission
+from poppyhold.wire.cloud_messages import MachineListing
+from poppyhold.wire.user_messages import Submission
 
 log = logging.getLogger(__name__)
 
 
-class Hiring:
+class Autoscaler:
     """Rents and returns machines."""
 
     def __init__(
-        self, ctx: Context, attempts: Attempts, quotas: Quotas, on_gone: Callable[[Machine], None]
+        self, ctx: Context, attempts: AttemptReconciler, quotas: Quotas, on_gone: Callable[[Machine], None]
     ) -> None:
-        self._ctx, self._attempts, self._quotas = ctx, attempts, quotas
+        self._ctx, self._reconciler, self._quotas = ctx, attempts, quotas
         self._options = ctx.options.provisioning
         self._provisioning = Provisioning(self._options)
-        self._hires = Hires(ctx, self._provisioning)
+        self._launches = Launches(ctx, self._provisioning)
         self._boots = Boots()
         self._deletions = Deletions(ctx, attempts, on_gone)
         self._machine_list = MachineList(ctx, self._deletions)
         self._monitor = MachineMonitor(ctx, attempts, self._deletions, self._provisioning, self._boots)
         # The forecast looks back over a few leases, as far as the ratio of slots to leases says.
-        self.arrivals = Arrivals(2 * ctx.times.slot_s)
-        self._next_at = ctx.clock() + ctx.times.report_s * 2
+        self.arrivals = Arrivals(2 * ctx.durations.slot_s)
+        self._next_at = ctx.clock() + ctx.durations.heartbeat_interval_s * 2
         # When each machine was needed last, as far as it was looked at in every round since.
         self._needed: dict[str, float] = {}
 
@@ -49,11 +51,11 @@
         ctx = self._ctx
         return self._provisioning.is_rentable(spec, ctx.machine_types.values(), ctx.clock())
 
-    def load_hire(self, name: str, data: Data) -> None:
+    def load_launch(self, name: str, data: Data) -> None:
         """A hire that an earlier leader made durable."""
-        self._hires.load(name, data)
+        self._launches.load(name, data)
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: MachineListing) -> None:
         """The cloud listed its machines."""
         self._machine_list.take(listing)
 
@@ -61,39 +63,43 @@
         """Look after the machines, and delete those that must go."""
         self._monitor.watch()
 
-    def provide(self) -> None:
+    def scale(self) -> None:
         """Rent what is missing, and return what is not needed."""
         ctx = self._ctx
         now = ctx.clock()
-        self._hires.settle()
+        self._launches.settle()
         if now < self._next_at or not ctx.machine_types:
             return
-        self._next_at = now + ctx.times.report_s
+        self._next_at = now + ctx.durations.heartbeat_interval_s
         spaces = self._spaces(now)
-        if self._hires.busy:
+        if self._launches.busy:
             # The cloud takes few requests: one round of hires at a time, with all that it lacks.
             return
         demands = self._demands(now)
-        purchases = self._provisioning.decide(ctx.machine_types, spaces, demands, now)
-        for purchase in purchases:
-            self._hires.buy(purchase)
+        launch_specs = self._provisioning.decide(ctx.machine_types, spaces, demands, now)
+        for launch_spec in launch_specs:
+            self._launches.launch(launch_spec)
         self._return(spaces, now)
-        if not purchases:
+        if not launch_specs:
             self._pack(spaces, now)
 
     def _pack(self, spaces: list[Space], now: float) -> None:
         """Empty little used machines, one replica at a time, when nothing waits for room."""
         ctx = self._ctx
         machines = ctx.fleet.machines
-        if self._attempts.unheard or any(j.pending > 0 and not j.over for j in ctx.fleet.jobs.values()):
+        if self._reconciler.unreconciled or any(
+            j.pending > 0 and j.phase is not JobPhase.FINALIZED for j in ctx.fleet.jobs.values()
+        ):
             return
         most = max(1, len(machines) // 16)
 
         def settled(attempt: Attempt) -> bool:
             # A start that is stopped soon was none to its user.
-            return attempt.running_at is not None and now - attempt.running_at > 2 * ctx.times.cancel_s
+            return attempt.running_at is not None and now - attempt.running_at > 2 * ctx.durations.cancel_s
 
-        for machine in Packing(most, settled).choose(spaces, lambda m: m.usable(now, ctx.times.silent_s)):
+        for machine in Packing(most, settled).choose(
+            spaces, lambda m: m.is_schedulable(now, ctx.durations.silent_s)
+        ):
             machine.draining = True
             log.info("empty %s: %d replicas", machine.name, len(machine.attempts))
         moving = {
@@ -103,8 +109,8 @@
             if not machine.draining or machine.deleting:
                 continue
             for attempt in machine.attempts.values():
-                if attempt.stopping_at is None and attempt.job.service and attempt.job.id not in moving:
-                    self._attempts.stop(attempt, 0.0, now)
+                if attempt.stopping_at is None and attempt.job.is_service and attempt.job.id not in moving:
+                    self._reconciler.stop(attempt, 0.0, now)
                     break
 
     def _spaces(self, now: float) -> list[Space]:
@@ -113,13 +119,17 @@
         held = [machine for machine in ctx.fleet.machines.values() if not machine.deleting]
         late = self._boots.late(held, now)
         for machine in held:
-            gone = machine.leaving or machine.draining or machine.name in late
-            if gone or machine.taken_back_at is not None:
+            gone = machine.quarantined or machine.draining or machine.name in late
+            if gone or machine.preempted_at is not None:
                 continue
-            if machine.up and now - machine.last_report > ctx.times.silent_s and machine.heard:
+            if (
+                machine.is_up
+                and now - machine.last_heartbeat_at > ctx.durations.silent_s
+                and machine.reconciled
+            ):
                 continue
             spaces.append(space_of(machine))
-        spaces += self._hires.spaces()
+        spaces += self._launches.spaces()
         return spaces
 
     def _demands(self, now: float) -> list[Demand]:
@@ -127,23 +137,23 @@
         demands = []
         left: dict[str, tuple[float, float]] = {}
 
-        def within_limit(team: str, need: Room, tasks: int) -> int:
+        def within_limit(team: str, need: Resources, tasks: int) -> int:
             # What a team's limit keeps from running needs no machine yet.
             if team not in left:
-                left[team] = self._quotas.left(team, ctx.fleet.used.get(team, [0.0, 0.0]))
+                left[team] = self._quotas.left(team, ctx.fleet.used_by_team.get(team, [0.0, 0.0]))
             cpus, gpus = left[team]
-            most = how_many(need, (cpus, gpus, math.inf), tasks)
+            most = max_copies(need, (cpus, gpus, math.inf), tasks)
             left[team] = (cpus - most * need[0], gpus - most * need[1])
             return most
 
-        for job in sorted(ctx.fleet.jobs.values(), key=lambda job: (job.rank, job.at)):
+        for job in sorted(ctx.fleet.jobs.values(), key=lambda job: (job.priority, job.submitted_at)):
             # For a job that is at fault itself no machine is rented.
-            if job.pending > 0 and not job.over and not job.failures.at_fault:
-                most = within_limit(job.spec.team, job.need, job.startable(job.pending))
-                if most and (not job.gang or most == job.pending):
+            if job.pending > 0 and job.phase is not JobPhase.FINALIZED and not job.failures.at_fault:
+                most = within_limit(job.spec.team, job.task_resources, job.startable(job.pending))
+                if most and (not job.is_gang or most == job.pending):
                     demands.append(demand_of(job, most))
         boots = [machine_type.boot_s for machine_type in ctx.machine_types.values()]
-        ahead = sum(boots) / len(boots) + ctx.times.report_s
+        ahead = sum(boots) / len(boots) + ctx.durations.heartbeat_interval_s
         for demand in self.arrivals.forecast(now, ahead, self._options.headroom):
             demand.tasks = within_limit(demand.spec.team, demand.need, demand.tasks)
             demands.append(demand)
@@ -160,11 +170,16 @@
             machine = space.machine
             if machine is None:
                 continue
-            if space.used or machine.attempts or not machine.up or machine.name in self._attempts.unheard:
+            if (
+                space.used
+                or machine.attempts
+                or not machine.is_up
+                or machine.name in self._reconciler.unreconciled
+            ):
                 needed[machine.name] = now
                 continue
             since = needed[machine.name] = self._needed.get(machine.name, now)
-            idle = machine.used == NOTHING and machine.heard
+            idle = machine.used == NO_RESOURCES and machine.reconciled
             if idle and now - since > self._provisioning.keep_s(machine.machine_type):
                 self._deletions.mark(machine, "not needed")
         self._needed = needed
--- a/src/poppyhold/machines/space.py
+++ b/src/poppyhold/machines/space.py
@@ -4,15 +4,17 @@
 
 import msgspec
 
-from poppyhold.model.fleet import Job, Machine, Room
-from poppyhold.wire.messages import MachineType, Submission
+from poppyhold.model.entities import Job, Machine
+from poppyhold.model.resources import Resources
+from poppyhold.wire.cloud_messages import MachineType
+from poppyhold.wire.user_messages import Submission
 
 
 class Demand(msgspec.Struct, eq=False):
     """Tasks of one shape that need room."""
 
     spec: Submission
-    need: Room
+    need: Resources
     tasks: int
     zones: dict[str, int]
     forecast: bool = False
@@ -27,7 +29,7 @@
     machine_type: MachineType
     zone: str
     spot: bool
-    free: Room
+    free: Resources
     used: bool = False
 
 
@@ -40,4 +42,4 @@
 
 def demand_of(job: Job, most: int) -> Demand:
     """What a job's pending tasks need, at most ``most`` of them."""
-    return Demand(job.spec, job.need, min(job.pending, most), dict(job.zones))
+    return Demand(job.spec, job.task_resources, min(job.pending, most), dict(job.active_by_zone))
--- a/src/poppyhold/node/cloud.py
+++ b/src/poppyhold/node/cloud.py
@@ -6,17 +6,12 @@
 from http import HTTPStatus
 from typing import TypeVar
 
-from poppyhold.model.context import OK, REFUSED, UNSURE, Data
+from poppyhold.model.outbound import Data
+from poppyhold.model.outcome import RequestOutcome
 from poppyhold.settings import Settings, split_address
+from poppyhold.wire.cloud_messages import LaunchResponse, MachineListPage, MachineType, MachineTypes
+from poppyhold.wire.codec import MalformedError, convert
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
-from poppyhold.wire.messages import (
-    Hired,
-    MachineList,
-    MachineType,
-    MachineTypes,
-    MalformedError,
-    convert,
-)
 
 log = logging.getLogger(__name__)
 
@@ -39,10 +34,10 @@
         answer = self._get("/machine_types", MachineTypes)
         return answer.machine_types if answer is not None else None
 
-    def page(self, since: str) -> MachineList | None:
+    def page(self, since: str) -> MachineListPage | None:
         """One page of the list, or None."""
         after = f"since={since}&" if since else ""
-        return self._get(f"/machines?{after}most={LIST_PAGE}", MachineList)
+        return self._get(f"/machines?{after}most={LIST_PAGE}", MachineListPage)
 
     def _get(self, path: str, kind: type[T]) -> T | None:
         try:
@@ -52,19 +47,19 @@
             log.debug("cloud %s: %s", path, error)
             return None
 
-    def hire(self, body: Data) -> tuple[str, list[str]]:
+    def launch(self, body: Data) -> tuple[RequestOutcome, list[str]]:
         """Rent machines. Unless the cloud says no, the request may yet be carried out."""
         try:
             status, data = self._client.request("POST", "/machines", body, timeout=self._timeout)
             if status == HTTPStatus.OK:
-                return OK, convert(data, Hired).machines
+                return RequestOutcome.OK, convert(data, LaunchResponse).machines
         except (NotSentError, NoAnswerError, MalformedError) as error:
             log.debug("hire: %s", error)
-            return UNSURE, []
+            return RequestOutcome.UNKNOWN, []
         no_capacity = status == HTTPStatus.SERVICE_UNAVAILABLE and data.get("error") == "no capacity"
         if no_capacity or status == HTTPStatus.BAD_REQUEST:
-            return REFUSED, []
-        return UNSURE, []
+            return RequestOutcome.REJECTED, []
+        return RequestOutcome.UNKNOWN, []
 
     def delete(self, names: list[str]) -> bool:
         """Delete machines; once True is returned they are gone."""
--- a/src/poppyhold/node/cloud_thread.py
+++ b/src/poppyhold/node/cloud_thread.py
@@ -8,10 +8,11 @@
 from collections import deque
 from collections.abc import Callable
 
-from poppyhold.model.context import Data
+from poppyhold.model.outbound import Data
+from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.cloud import CloudClient
 from poppyhold.settings import Settings
-from poppyhold.wire.messages import Listed, Listing, MachineType
+from poppyhold.wire.cloud_messages import ListedMachine, MachineListing, MachineType
 
 log = logging.getLogger(__name__)
 
@@ -32,11 +33,11 @@
         self._shortest_s = lag_s / 2
         self._began_at = 0.0
         self._pages = 0
-        self._entries: list[Listed] = []
+        self._entries: list[ListedMachine] = []
         # When the next page, or the next list, is due.
         self.due_at = time.monotonic()
 
-    def read_page(self) -> Listing | None:
+    def read_page(self) -> MachineListing | None:
         """Read the next page; the list, once it is whole."""
         now = time.monotonic()
         if not self._pages:
@@ -51,7 +52,7 @@
         if page.more and page.machines:
             self.due_at = now + self._gap_s / LIST_SHARE
             return None
-        listing = Listing(self._entries, self._began_at)
+        listing = MachineListing(self._entries, self._began_at)
         self._begin_anew()
         return listing
 
@@ -70,7 +71,7 @@
         settings: Settings,
         client: CloudClient,
         on_machine_types: Callable[[list[MachineType]], None],
-        on_listed: Callable[[Listing], None],
+        on_listed: Callable[[MachineListing], None],
     ) -> None:
         self._client, self._on_machine_types, self._on_listed = client, on_machine_types, on_listed
         cloud = settings.settings.cloud
@@ -78,7 +79,7 @@
         self._lists = ListReader(client, cloud.list_lag_s, self._gap_s)
         self._types_s = cloud.list_lag_s * 4
         self._deletes: deque[tuple[list[str], Callable[[bool], None]]] = deque()
-        self._hires: deque[tuple[Data, Callable[[str, list[str]], None]]] = deque()
+        self._launches: deque[tuple[Data, Callable[[RequestOutcome, list[str]], None]]] = deque()
         self._wake = threading.Condition()
         self._stopped = False
         self._thread = threading.Thread(target=self._run, name="cloud", daemon=True)
@@ -90,10 +91,10 @@
             self._deletes.append((names, done))
             self._wake.notify()
 
-    def hire(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
+    def launch(self, body: Data, done: Callable[[RequestOutcome, list[str]], None]) -> None:
         """Queue a hire."""
         with self._wake:
-            self._hires.append((body, done))
+            self._launches.append((body, done))
             self._wake.notify()
 
     def stop(self) -> None:
@@ -114,7 +115,7 @@
             if credit_at > now:
                 time.sleep(credit_at - now)
             try:
-                if self._deletes or self._hires:
+                if self._deletes or self._launches:
                     self._change()
                 elif time.monotonic() >= self._lists.due_at:
                     self._look_at_machines()
@@ -127,7 +128,7 @@
     def _await_work(self, until: float) -> None:
         """Wait for a change that is asked for, or for the time of the next look."""
         with self._wake:
-            while not (self._deletes or self._hires or self._stopped):
+            while not (self._deletes or self._launches or self._stopped):
                 rest = until - time.monotonic()
                 if rest <= 0:
                     return
@@ -139,8 +140,8 @@
             names, deleted = self._deletes.popleft()
             deleted(self._client.delete(names))
         else:
-            body, hired = self._hires.popleft()
-            hired(*self._client.hire(body))
+            body, launched = self._launches.popleft()
+            launched(*self._client.launch(body))
 
     def _look_at_types(self) -> None:
         machine_types = self._client.machine_types()
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -6,21 +6,27 @@
 import random
 import threading
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
 from http import HTTPStatus
 from typing import Protocol
 
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.cancellations import Cancellation
 from poppyhold.cluster.election import Election, Term
-from poppyhold.cluster.lease_proxy import LeaseProxies, Trust
+from poppyhold.cluster.lease_delegation import DelegationTracker, LeaseDelegation
 from poppyhold.cluster.peers import Peers, Pong
-from poppyhold.concurrency.ranked_queue import DECISIONS, REPORTS, SUBMISSIONS, RankedQueue, Work
-from poppyhold.durable.committer import Committer, Unit
+from poppyhold.concurrency.priority_queue import DECISIONS, HEARTBEATS, SUBMISSIONS, PriorityQueue, Work
+from poppyhold.durable.changes import Entry, WatchEvent, Write
+from poppyhold.durable.committer import Committer, CommitUnit
+from poppyhold.durable.errors import OutcomeUnknownError, StoreRejectedError
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
 from poppyhold.durable.snapshot import Snapshot, SnapshotReader
-from poppyhold.durable.store import ACTIVE, Entry, RefusedError, Store, UncertainError
+from poppyhold.durable.store import Store
 from poppyhold.durable.watch import Watch
-from poppyhold.model.context import CommitRank, Data, Hints, StrayWorker, Times
+from poppyhold.model.context import ImageHints
+from poppyhold.model.durations import Durations
+from poppyhold.model.outbound import CommitPriority, Data, MisdirectedWorker
+from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.cloud import CloudClient
 from poppyhold.node.cloud_thread import CloudThread
 from poppyhold.node.controller import Controller
@@ -34,8 +40,9 @@
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.leader import RelayServer
 from poppyhold.settings import Settings
+from poppyhold.wire.cloud_messages import MachineListing, MachineType
 from poppyhold.wire.http import Answer, Deferred, answer
-from poppyhold.wire.messages import Listing, MachineType, Report, ReportAnswer
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
 log = logging.getLogger(__name__)
 
@@ -56,7 +63,7 @@
     election: Election
     peers: Peers
     catalog: MachineCatalog
-    peer_hints: Hints
+    peer_image_hints: ImageHints
 
     def confirmed_cancellations(self) -> tuple[list[Cancellation], int]:
         """Cancellations that were confirmed to users here."""
@@ -72,20 +79,20 @@
         self._node, self._term = node, term
         self.alive = True
         limits, workers = node.settings.settings.machine_limits, node.settings.settings.workers
-        self._queue = RankedQueue(limits.max_sockets, workers.report_s / 100)
-        self._committer = Committer(node.store, node.settings, term.version, self._lost)
+        self._queue = PriorityQueue(limits.max_sockets, workers.heartbeat_interval_s / 100)
+        self._committer = Committer(node.store, node.settings, term.key_revision, self._lost)
         self._senders = Senders(node.settings)
         self._cloud: CloudThread | None = None
         self._watch: Watch | None = None
         self._counts: dict[str, tuple[int, int]] = {}
-        self._hints: Hints = {}
-        times = Times(node.settings, node.options)
+        self._image_hints: ImageHints = {}
+        times = Durations(node.settings, node.options)
         members = [node.settings.member, *(known.member for known in node.settings.known)]
-        self.authority = Authority(times.blind_answers_s, members, term.began_at)
-        self.proxies = LeaseProxies(times, node.skew_s)
-        self.trust: Trust | None = None
+        self.authority = Authority(times.unconfirmed_renewal_s, members, term.began_at)
+        self.delegations = DelegationTracker(times, node.skew_s)
+        self.delegation: LeaseDelegation | None = None
         self.controller = Controller(
-            node.settings, node.options, self, term.token, time.monotonic, time.time, node.rng
+            node.settings, node.options, self, term.fencing_token, time.monotonic, time.time, node.rng
         )
         self._assignment = Assignment(
             node.options.relays.mode,
@@ -98,13 +105,13 @@
             node.rng,
         )
         self.relays = RelayServer(
-            self._post, self.answer_report, self.controller.answered_at, self._assignment, workers
+            self._post, self.answer_heartbeat, self.controller.answered_at, self._assignment, workers
         )
         self.quota_edge: QuotaEdge | None = None
         quota, cells = self.controller.quota, node.options.cells
         if quota is not None and cells is not None:
             self.quota_edge = QuotaEdge(quota, cells, node.settings, self._post, node.rng)
-        self._tick_s = node.settings.settings.workers.report_s / 4
+        self._tick_s = node.settings.settings.workers.heartbeat_interval_s / 4
         self._ready = threading.Event()
         self._thread = threading.Thread(target=self._run, name="decisions", daemon=True)
         self._thread.start()
@@ -124,17 +131,17 @@
         read_at = time.monotonic()
         # Before all else: relays whose workers wait connect while the rest is made ready.
         self.relays.review(snapshot.machines.keys())
-        self.controller.load(snapshot, self._node.catalog.types.values(), dict(self._node.peer_hints))
+        self.controller.load(snapshot, self._node.catalog.types.values(), dict(self._node.peer_image_hints))
         self._cloud = CloudThread(
             self._node.settings, self._node.cloud, self._on_machine_types, self._on_listed
         )
         self._watch = Watch(
             self._node.store,
-            ACTIVE,
+            ACTIVE_JOB_PREFIX,
             self._node.settings.settings.workers.lease_s / 5,
             self._on_resync,
             self._on_job,
-            on_synced=self._on_synced,
+            on_caught_up=self._on_caught_up,
         ).start()
         self.relays.review(self.controller.ctx.fleet.machines.keys())
         log.info(
@@ -155,7 +162,7 @@
         while self.alive:
             now = time.monotonic()
             wake_at = tick_at
-            if self.controller.ctx.dirty and self.controller.settle_at > now:
+            if self.controller.ctx.scheduling_needed and self.controller.settle_at > now:
                 wake_at = min(tick_at, self.controller.settle_at)
             work = self._queue.get(max(0.0, wake_at - now))
             try:
@@ -176,7 +183,7 @@
         self.controller.tick()
         self._ask_ourselves()
         self._counts = self.controller.counts()
-        self._hints = self.controller.hints()
+        self._image_hints = self.controller.image_hints()
         self.relays.review(self.controller.ctx.fleet.machines.keys())
         self._vouch()
         if self.quota_edge is not None:
@@ -187,65 +194,67 @@
         while self.alive:
             try:
                 return reader.read()
-            except (RefusedError, UncertainError) as error:
+            except (StoreRejectedError, OutcomeUnknownError) as error:
                 log.debug("reading: %s", error)
                 time.sleep(self._node.store.timeout / 4)
         return Snapshot()
 
-    def _post(self, rank: int, work: Work) -> bool:
-        return self.alive and self._queue.put(rank, work)
+    def _post(self, priority: int, work: Work) -> bool:
+        return self.alive and self._queue.put(priority, work)
 
     def _on_resync(self, entries: list[Entry]) -> None:
         self._post(DECISIONS, lambda: self.controller.resync(entries))
 
-    def _on_job(self, change: Entry | str, version: int) -> None:
+    def _on_job(self, change: WatchEvent) -> None:
         if isinstance(change, Entry):
             self._post(SUBMISSIONS, lambda: self.controller.job_set(change))
         else:
             # A cancellation is not a submission: it is acted on with the decisions.
-            self._post(DECISIONS, lambda: self.controller.job_removed(change))
+            self._post(DECISIONS, lambda: self.controller.job_removed(change.key))
 
-    def _on_synced(self, asked: float, revision: int) -> None:
+    def _on_caught_up(self, asked: float, revision: int) -> None:
         # In line behind the changes that it stands for.
-        self._post(DECISIONS, lambda: self.authority.synced(asked, revision))
+        self._post(DECISIONS, lambda: self.authority.observe_watch(asked, revision))
 
     def peer_answered(self, pong: Pong, asked: float) -> None:
         """Another controller answered which cancellations it confirmed to users."""
-        self._post(DECISIONS, lambda: self._act_on(pong.member, pong.cancelled, pong.bound, asked))
+        self._post(
+            DECISIONS, lambda: self._act_on(pong.member, pong.cancellations, pong.cancellations_bound, asked)
+        )
 
     def _act_on(self, member: str, cancelled: Iterable[Cancellation], bound: int, asked: float) -> None:
         """Stop what a controller confirmed as cancelled: it is durable, seen here or not."""
         for job_id, _ in cancelled:
-            self.controller.job_removed(ACTIVE + job_id)
-        self.authority.learned(member, asked, bound)
+            self.controller.job_removed(ACTIVE_JOB_PREFIX + job_id)
+        self.authority.observe_peer(member, asked, bound)
 
     def _ask_ourselves(self) -> None:
         """What our own edge confirmed may not have come back to us when the state service refuses us."""
         asked = time.monotonic()
-        self._node.users.cancellations.known(self.authority.revision)
+        self._node.users.cancellations.acknowledge(self.authority.acted_on_revision)
         named, bound = self._node.confirmed_cancellations()
         self._act_on(self._node.settings.member, named, bound, asked)
 
     def _vouch(self) -> None:
         """Note what the other controllers may count on, should they lose us."""
-        sure_at = min(self.authority.synced_at, self.confirmed_at())
+        sure_at = min(self.authority.watch_caught_up_at, self.leadership_confirmed_at())
         excluded_machines = self.controller.excluded_machines()
         if excluded_machines is None or sure_at == float("-inf"):
-            self.trust = None
+            self.delegation = None
             return
         known_wall = time.time() - (time.monotonic() - sure_at)
-        self.trust = Trust(self.controller.ctx.token, known_wall, excluded_machines)
+        self.delegation = LeaseDelegation(self.controller.ctx.fencing_token, known_wall, excluded_machines)
 
     def _on_machine_types(self, machine_types: list[MachineType]) -> None:
         self._node.catalog.learn(machine_types)
         self._node.catalog.publish()
         self._post(DECISIONS, lambda: self.controller.machine_types(machine_types))
 
-    def _on_listed(self, listing: Listing) -> None:
+    def _on_listed(self, listing: MachineListing) -> None:
         self._post(DECISIONS, lambda: self.controller.listed(listing))
 
     def _lost(self) -> None:
-        self._node.election.deposed("a write was refused under our key")
+        self._node.election.step_down("a write was refused under our key")
 
     def stop(self) -> None:
         """End the term: nothing of it is answered or sent from now on."""
@@ -269,7 +278,7 @@
 
     # -- reports -------------------------------------------------------------------------------------
 
-    def handle_report(self, report: Report, timeout: float) -> Deferred | None:
+    def handle_heartbeat(self, heartbeat: Heartbeat, timeout: float) -> Deferred | None:
         """Have a report answered by the decision thread; None if that can't be."""
         # A worker that is turned away comes back a second later, when its lease may be over: while the
         # fleet's state is read it had better wait.
@@ -282,81 +291,81 @@
             def work() -> None:
                 result = self._node.turned_away()
                 try:
-                    result = self._answer_directly(report, late_at) or result
+                    result = self._answer_directly(heartbeat, late_at) or result
                 finally:
                     send(result)
 
-            if not self._post(REPORTS, work):
+            if not self._post(HEARTBEATS, work):
                 send(self._node.turned_away())
 
         return defer
 
-    def _answer_directly(self, report: Report, late_at: float) -> Answer | None:
+    def _answer_directly(self, heartbeat: Heartbeat, late_at: float) -> Answer | None:
         """The answer to a report that came here directly; None if there can't be one."""
         relay = self._assignment.assign(
-            report.machine, report.zone, self.controller.answered_at(report.machine)
+            heartbeat.machine, heartbeat.zone, self.controller.answered_at(heartbeat.machine)
         )
         if relay is not None:
             return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": relay})
-        answered = self.answer_report(report, late_at)
+        answered = self.answer_heartbeat(heartbeat, late_at)
         return answer(HTTPStatus.OK, answered.body()) if answered is not None else None
 
-    def answer_report(self, report: Report, late_at: float) -> ReportAnswer | None:
+    def answer_heartbeat(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
         """On the decision thread: the answer to a report, whichever way it came; None if there can't be one.
 
         Behind ``late_at`` nobody waits for it.
         """
         if not self.alive or time.monotonic() >= late_at or not self.may_answer():
             return None
-        return self.controller.handle_report(report)
+        return self.controller.handle_heartbeat(heartbeat)
 
     def may_answer(self) -> bool:
         """Whether workers may be given another lease."""
-        return self.authority.may_answer(time.monotonic(), self.confirmed_at())
+        return self.authority.may_renew_leases(time.monotonic(), self.leadership_confirmed_at())
 
     def counts(self) -> dict[str, tuple[int, int]]:
         """Done and running tasks by job, as of the last tick."""
         return self._counts
 
-    def hints(self) -> Hints:
+    def image_hints(self) -> ImageHints:
         """The machines' images, as of the last tick."""
-        return self._hints
+        return self._image_hints
 
     # -- the edges of the core -----------------------------------------------------------------------
 
     def commit(
         self,
         conditions: dict[str, int],
-        writes: list[Data],
+        writes: Sequence[Write],
         done: Callable[[bool], None],
-        rank: CommitRank = CommitRank.BACKGROUND,
+        priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
-        """See `Edges`."""
+        """See `OutboundPort`."""
 
         def durable(result: bool) -> None:
             self._post(DECISIONS, lambda: done(result))
 
-        self._committer.submit(Unit(conditions, writes, durable), rank)
+        self._committer.submit(CommitUnit(conditions, writes, durable), priority)
 
-    def do(self, box: str, endpoint: str, body: Data, done: Done, patient: bool) -> None:
-        """See `Edges`."""
+    def send_commands(self, box: str, endpoint: str, body: Data, done: Done, patient: bool) -> None:
+        """See `OutboundPort`."""
 
-        def answered(outcome: str, report: Report | None) -> None:
-            self._post(DECISIONS, lambda: done(outcome, report))
+        def answered(outcome: RequestOutcome, heartbeat: Heartbeat | None) -> None:
+            self._post(DECISIONS, lambda: done(outcome, heartbeat))
 
         self._senders.send(endpoint, body, answered, patient)
 
-    def hire(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
-        """See `Edges`."""
+    def launch_machines(self, body: Data, done: Callable[[RequestOutcome, list[str]], None]) -> None:
+        """See `OutboundPort`."""
 
-        def answered(outcome: str, boxes: list[str]) -> None:
+        def answered(outcome: RequestOutcome, boxes: list[str]) -> None:
             self._post(DECISIONS, lambda: done(outcome, boxes))
 
         if self._cloud is not None:
-            self._cloud.hire(body, answered)
+            self._cloud.launch(body, answered)
 
-    def delete(self, names: list[str], done: Callable[[bool], None]) -> None:
-        """See `Edges`."""
+    def delete_machines(self, names: list[str], done: Callable[[bool], None]) -> None:
+        """See `OutboundPort`."""
 
         def deleted(result: bool) -> None:
             self._post(DECISIONS, lambda: done(result))
@@ -364,41 +373,41 @@
         if self._cloud is not None:
             self._cloud.delete(names, deleted)
 
-    def deposed(self, token: int) -> None:
-        """See `Edges`."""
-        self._node.election.saw_token(token)
+    def leadership_lost(self, fencing_token: int) -> None:
+        """See `OutboundPort`."""
+        self._node.election.observe_fencing_token(fencing_token)
 
-    def raised(self, token: int) -> None:
-        """See `Edges`."""
-        self._node.election.raised(token)
+    def fencing_token_raised(self, fencing_token: int) -> None:
+        """See `OutboundPort`."""
+        self._node.election.record_fencing_token(fencing_token)
 
     def resign(self, why: str) -> None:
-        """See `Edges`."""
+        """See `OutboundPort`."""
         threading.Thread(target=self._node.election.resign, args=(why,), daemon=True).start()
 
-    def over(self, job_id: str, status: str, tasks: int) -> None:
-        """See `Edges`."""
+    def job_finalized(self, job_id: str, status: str, tasks: int) -> None:
+        """See `OutboundPort`."""
         self._node.users.finals.put(job_id, (status, tasks))
 
-    def stray_workers(self) -> list[list[StrayWorker]]:
-        """See `Edges`."""
-        return [view.strays for view in self._node.peers.views.values()]
+    def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
+        """See `OutboundPort`."""
+        return [view.misdirected_workers for view in self._node.peers.views.values()]
 
-    def may_start(self) -> bool:
-        """See `Edges`."""
+    def may_start_tasks(self) -> bool:
+        """See `OutboundPort`."""
         election = self._node.election
         now = time.monotonic()
         # Both our lead and our knowledge of cancellations must be fresh.
         return (
             self.alive
-            and now - election.confirmed_at < election.life_s
-            and now - self.authority.synced_at < election.life_s * 2
+            and now - election.confirmed_at < election.lease_ttl_s
+            and now - self.authority.watch_caught_up_at < election.lease_ttl_s * 2
         )
 
-    def confirmed_at(self) -> float:
-        """See `Edges`."""
+    def leadership_confirmed_at(self) -> float:
+        """See `OutboundPort`."""
         return self._node.election.confirmed_at if self.alive else float("-inf")
 
-    def proxies_until(self) -> float:
-        """See `Edges`."""
-        return self.proxies.until(time.monotonic())
+    def delegated_leases_expire_at(self) -> float:
+        """See `OutboundPort`."""
+        return self.delegations.latest_renewal_at(time.monotonic())
--- a/src/poppyhold/node/users.py
+++ b/src/poppyhold/node/users.py
@@ -12,26 +12,26 @@
 from poppyhold.cluster.cancellations import Cancellations
 from poppyhold.concurrency.pace import Pace
 from poppyhold.concurrency.recent import Recent
-from poppyhold.durable.store import (
-    ACTIVE,
-    FINAL,
-    ConflictError,
-    Data,
+from poppyhold.durable.changes import Data, Put
+from poppyhold.durable.errors import (
+    ConditionFailedError,
     InvalidRequestError,
-    LeaseGoneError,
-    RefusedError,
-    Store,
-    UncertainError,
-    final_writes,
-    put,
-    stored_bytes,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StoreRejectedError,
 )
-from poppyhold.model.fleet import allowed_machine_types
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FINAL_JOB_PREFIX
+from poppyhold.durable.records import final_writes
+from poppyhold.durable.store import Store, stored_bytes
+from poppyhold.model.constraints import allowed_machine_types
 from poppyhold.reads.job_reads import JobReads
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import Deployment, Settings
+from poppyhold.wire.cloud_messages import MachineType
+from poppyhold.wire.codec import MalformedError, decode
 from poppyhold.wire.http import Answer, answer
-from poppyhold.wire.messages import JOB_ID, MachineType, MalformedError, Submission, decode, parse_submission
+from poppyhold.wire.task_names import JOB_ID
+from poppyhold.wire.user_messages import Submission, parse_submission
 
 log = logging.getLogger(__name__)
 
@@ -69,7 +69,7 @@
     ) -> None:
         """``counts`` tells a job's done and running tasks, for display; ``reads`` whether it is active."""
         self._settings, self._clock = settings, clock
-        gather_s = settings.settings.workers.report_s * _GATHER_RATIO
+        gather_s = settings.settings.workers.heartbeat_interval_s * _GATHER_RATIO
         self._reads = reads or JobReads(
             store, gather_s, _QUESTION_PATIENCE_S, pace=_questions_pace(settings.settings)
         )
@@ -91,7 +91,7 @@
         self._slots = threading.BoundedSemaphore(max(8, int(limits.state.rps / 2)))
 
     def _later(self, status: int = 503) -> Answer:
-        seconds = max(1, round(self._settings.settings.workers.report_s))
+        seconds = max(1, round(self._settings.settings.workers.heartbeat_interval_s))
         return answer(status, {"error": "try again later"}, Retry_After=str(seconds))
 
     def _tries(self) -> Iterator[int]:
@@ -111,7 +111,7 @@
     def _or_later(self, work: Callable[[], Answer]) -> Answer:
         try:
             return work()
-        except (RefusedError, UncertainError, LeaseGoneError) as error:
+        except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError) as error:
             log.debug("state service: %s", error)
             return self._later()
 
@@ -156,15 +156,16 @@
                     return answer(200, known)
             try:
                 self._store.commit(
-                    {ACTIVE + spec.name: 0, FINAL + spec.name: 0}, [put(ACTIVE + spec.name, data)]
+                    {ACTIVE_JOB_PREFIX + spec.name: 0, FINAL_JOB_PREFIX + spec.name: 0},
+                    [Put(ACTIVE_JOB_PREFIX + spec.name, data)],
                 )
-            except UncertainError:
+            except OutcomeUnknownError:
                 # Perhaps it went through: the repeat will tell.
                 continue
             except InvalidRequestError as error:
                 log.warning("%s: %s", spec.name, error)
                 return self._too_long(spec)
-            except ConflictError:
+            except ConditionFailedError:
                 # It is there, be it by our own try before: what it is now is what its user is told.
                 repeat = True
             else:
@@ -195,7 +196,7 @@
         final = self.finals.get(job_id)
         if final is None:
             # In this order: a job moves from the active ones to the final ones, and never back.
-            if self._store.get(ACTIVE + job_id) is not None:
+            if self._store.get(ACTIVE_JOB_PREFIX + job_id) is not None:
                 return self._active_state(job_id)
             final = self._read_final(job_id)
             if final is None:
@@ -204,11 +205,11 @@
 
     def _read_final(self, job_id: str) -> tuple[str, int] | None:
         """The final state of a job that was not active at a moment before; None if it was never accepted."""
-        entry = self._store.get(FINAL + job_id)
+        entry = self._store.get(FINAL_JOB_PREFIX + job_id)
         if entry is None:
             return None
         final = (entry.data["s"], entry.data["n"])
-        self._keep_final(job_id, final, entry.version)
+        self._keep_final(job_id, final, entry.revision)
         return final
 
     def _active_state(self, job_id: str) -> dict[str, object]:
@@ -261,7 +262,7 @@
             final = self.finals.get(job_id)
             if final is not None:
                 return answer(200, {"nameId": job_id, "status": final[0]})
-            entry = self._store.get(ACTIVE + job_id)
+            entry = self._store.get(ACTIVE_JOB_PREFIX + job_id)
             if entry is None:
                 if self._look_up(job_id) is None:
                     return answer(404, {"error": "unknown job"})
@@ -269,9 +270,9 @@
             try:
                 tasks = entry.data["spec"]["chores"]
                 revision = self._store.commit(
-                    {ACTIVE + job_id: entry.version}, final_writes(job_id, "cancelled", tasks)
+                    {ACTIVE_JOB_PREFIX + job_id: entry.revision}, final_writes(job_id, "cancelled", tasks)
                 )
-            except (ConflictError, UncertainError):
+            except (ConditionFailedError, OutcomeUnknownError):
                 # It moved, or may have: look again.
                 continue
             self._keep_final(job_id, ("cancelled", tasks), revision)
--- a/src/poppyhold/node/workers.py
+++ b/src/poppyhold/node/workers.py
@@ -8,14 +8,16 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from poppyhold.model.context import OK, REFUSED, UNSENT, UNSURE, Data
+from poppyhold.model.outbound import Data
+from poppyhold.model.outcome import RequestOutcome
 from poppyhold.settings import ConfigError, Settings, split_address
+from poppyhold.wire.codec import MalformedError
 from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
-from poppyhold.wire.messages import MalformedError, Report, parse_report
+from poppyhold.wire.worker_messages import Heartbeat, parse_heartbeat
 
 log = logging.getLogger(__name__)
 
-Done = Callable[[str, Report | None], None]
+Done = Callable[[RequestOutcome, Heartbeat | None], None]
 
 
 class Lane:
@@ -73,7 +75,7 @@
     def __init__(self, settings: Settings) -> None:
         workers = settings.settings.workers
         # A worker that does not answer in this time is treated as one that may still get the command.
-        self._timeout = workers.report_s * 1.5
+        self._timeout = workers.heartbeat_interval_s * 1.5
         threads = settings.settings.machine_limits.threads
         idle_s = workers.lease_s
         self._quick = Lane(max(4, threads // 20), idle_s, self._carry_out)
@@ -93,13 +95,13 @@
             done(*self._post(endpoint, body))
         except Exception:
             log.exception("command to %s", endpoint)
-            done(UNSURE, None)
+            done(RequestOutcome.UNKNOWN, None)
 
-    def _post(self, endpoint: str, body: Data) -> tuple[str, Report | None]:
+    def _post(self, endpoint: str, body: Data) -> tuple[RequestOutcome, Heartbeat | None]:
         try:
             host, port = split_address(endpoint)
         except ConfigError:
-            return UNSENT, None
+            return RequestOutcome.NOT_SENT, None
         # A new connection each time: on one that was kept open, a lost command and a closed
         # connection look alike, and a lost command has to be waited out.
         client = Client(host, port, keep=0)
@@ -107,15 +109,15 @@
             status, data = client.request("POST", "/do", body, timeout=self._timeout)
         except NotSentError as error:
             log.debug("%s: %s", endpoint, error)
-            return UNSENT, None
+            return RequestOutcome.NOT_SENT, None
         except NoAnswerError as error:
             log.debug("%s: %s", endpoint, error)
-            return UNSURE, None
+            return RequestOutcome.UNKNOWN, None
         if status not in (HTTPStatus.OK, HTTPStatus.CONFLICT):
-            return REFUSED, None
+            return RequestOutcome.REJECTED, None
         try:
-            report = parse_report(data)
+            heartbeat = parse_heartbeat(data)
         except MalformedError as error:
             log.debug("%s: %s", endpoint, error)
-            report = None
-        return (OK if status == HTTPStatus.OK else REFUSED), report
+            heartbeat = None
+        return (RequestOutcome.OK if status == HTTPStatus.OK else RequestOutcome.REJECTED), heartbeat
--- a/src/poppyhold/quota/edge.py
+++ b/src/poppyhold/quota/edge.py
@@ -9,7 +9,7 @@
 import threading
 from collections.abc import Callable
 
-from poppyhold.concurrency.ranked_queue import SUBMISSIONS, Work
+from poppyhold.concurrency.priority_queue import SUBMISSIONS, Work
 from poppyhold.quota.cell_quota import CellQuota, QuotaHealth
 from poppyhold.quota.cells import Cells
 from poppyhold.quota.link import CellLinks
@@ -35,7 +35,7 @@
         self._quota, self._post = quota, post
         workers = settings.settings.workers
         self._links = CellLinks(
-            cells.others, self._on_reply, workers.report_s, workers.lease_s * _LINK_TIMEOUT, rng
+            cells.others, self._on_reply, workers.heartbeat_interval_s, workers.lease_s * _LINK_TIMEOUT, rng
         )
         self._is_ready, self._is_stopped = threading.Event(), threading.Event()
         # As of the last tick.
--- a/tests/gang_standin.py
+++ b/tests/gang_standin.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from poppyhold.scale.standins import WorkerStandIn
+from poppyhold.scale.worker_standin import WorkerStandIn
 
-TaskReport = dict[str, Any]
-Member = tuple[WorkerStandIn, str, TaskReport]
+TaskStatus = dict[str, Any]
+Member = tuple[WorkerStandIn, str, TaskStatus]
 # Job and attempt number.
 AttemptKey = tuple[str, int]
 
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -3,32 +3,30 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.connectivity import Connectivity
-from poppyhold.cluster.departures import Departures
-from poppyhold.cluster.lease_proxy import LeaseProxies, LeaseProxy, Trust
-from poppyhold.durable.committer import Writer
-from poppyhold.durable.snapshot import SnapshotReader
-from poppyhold.durable.store import (
-    ACTIVE,
-    LEAD,
-    TOKEN,
-    Changes,
-    ConflictError,
-    Entry,
-    LeaseGoneError,
-    Page,
-    RefusedError,
-    Store,
-    UncertainError,
-    put,
+from poppyhold.cluster.delegated_renewals import DelegatedRenewals
+from poppyhold.cluster.lease_delegation import DelegationTracker, LeaseDelegation
+from poppyhold.cluster.redirect_backoff import RedirectBackoff
+from poppyhold.durable.changes import Entry, Put, Write, decode_entry, decode_event
+from poppyhold.durable.committer import FencedWriter
+from poppyhold.durable.errors import (
+    ConditionFailedError,
+    OutcomeUnknownError,
+    StoreRejectedError,
+    WatchCompactedError,
 )
-from poppyhold.model.context import OK, REFUSED, UNSENT, UNSURE, CommitRank, StrayWorker, Times
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FENCING_TOKEN_KEY, LEADER_KEY
+from poppyhold.durable.snapshot import SnapshotReader
+from poppyhold.durable.store import Changes, Page, Store, transaction_body
+from poppyhold.model.durations import Durations
+from poppyhold.model.outbound import CommitPriority, MisdirectedWorker
+from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.controller import Controller
 from poppyhold.node.leader_term import DIRECT_SHARE
 from poppyhold.node.users import Users
@@ -37,20 +35,13 @@
 from poppyhold.reads.job_reads import JobReads
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.intake import RelayIntake, RelayState
-from poppyhold.relay.leader import report_patience_s
+from poppyhold.relay.leader import heartbeat_response_timeout_s
 from poppyhold.relay.mode import RelayMode
 from poppyhold.scale.jobs import Data
-from poppyhold.scale.standins import StateStandIn
-from poppyhold.wire.messages import (
-    Listed,
-    Listing,
-    MachineType,
-    Report,
-    ReportAnswer,
-    convert,
-    encode,
-    parse_report,
-)
+from poppyhold.scale.state_standin import StateStandIn
+from poppyhold.wire.cloud_messages import ListedMachine, MachineListing, MachineType
+from poppyhold.wire.codec import convert, encode
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, parse_heartbeat
 from sim_relay import SimRelay
 
 if TYPE_CHECKING:
@@ -72,7 +63,7 @@
     def _state(self) -> StateStandIn:
         world = self._node.world
         if not self._node.alive or not self._node.has_state():
-            raise RefusedError("503")
+            raise StoreRejectedError("503")
         self.contact_at = world.now
         return world.state
 
@@ -82,33 +73,33 @@
 
     def page(self, prefix: str, after: str, most: int = 1000) -> Page:
         _, body = self._state().scan(prefix, after, most)
-        entries = [Entry(e["key"], e["data"], e["stamp"]) for e in body["entries"]]
+        entries = [decode_entry(entry) for entry in body["entries"]]
         return Page(entries, body["more"], body["ledger"])
 
     def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
         state = self._state()
         if state.is_too_old(since):
-            raise LeaseGoneError("watch")
-        return Changes(state.changes(prefix, since), state.ledger)
+            raise WatchCompactedError(prefix, since)
+        return Changes([decode_event(event) for event in state.changes(prefix, since)], state.ledger)
 
-    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
-        body = {"if": [{"key": k, "stamp": s} for k, s in conditions.items()], "writes": writes}
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
+        body = transaction_body(conditions, writes)
         state, world = self._state(), self._node.world
         # Those of a transaction whose conditions fail count as well.
         world.work["changes"] += len(writes)
         if world.late_writes and world.rng.random() < world.late_writes:
             world.after(world.rng.uniform(2.0, 12.0), lambda: world.carry_out_late(body))
-            raise UncertainError("late")
+            raise OutcomeUnknownError("late")
         status, answer = state.commit(body)
         if status == 409:
-            raise ConflictError(answer["failed"])
+            raise ConditionFailedError(answer["failed"])
         if status != 200:
-            raise RefusedError(str(answer))
+            raise StoreRejectedError(str(answer))
         if self._node.lose_answers > 0:
             self._node.lose_answers -= 1
-            raise UncertainError("lost")
+            raise OutcomeUnknownError("lost")
         if world.lost_answers and world.rng.random() < world.lost_answers:
-            raise UncertainError("lost")
+            raise OutcomeUnknownError("lost")
         return int(answer["ledger"])
 
 
@@ -117,17 +108,17 @@
 
     def __init__(self, node: SimNode, baton: int, stamp: int, permit: int) -> None:
         self.node, self.world = node, node.world
-        self.token, self.version, self.lease_id = baton, stamp, permit
+        self.fencing_token, self.version, self.lease_id = baton, stamp, permit
         self.alive = True
         self.confirmed = self.world.now
-        self.proxies = LeaseProxies(node.times, 0.0)
+        self.delegations = DelegationTracker(node.times, 0.0)
         world = self.world
-        self.authority = Authority(node.times.blind_answers_s, world.members, world.now)
-        self._writer = Writer(node.store, stamp)
-        self._units: deque[tuple[dict[str, int], list[Data], Callable[[bool], None]]] = deque()
-        self._ranks: deque[CommitRank] = deque()
+        self.authority = Authority(node.times.unconfirmed_renewal_s, world.members, world.now)
+        self._writer = FencedWriter(node.store, stamp)
+        self._units: deque[tuple[dict[str, int], Sequence[Write], Callable[[bool], None]]] = deque()
+        self._priorities: deque[CommitPriority] = deque()
         # Writes of the last transfer that was about to be carried out.
-        self._planned: list[Data] | None = None
+        self._planned: Sequence[Write] | None = None
         # When each other cell is asked next.
         self.asks_at: dict[int, float] = {}
         self.controller = Controller(
@@ -150,11 +141,11 @@
         )
         # The relays that are connected, and what is kept of each.
         self.relays: dict[str, RelayState] = {}
-        patience_s = report_patience_s(node.settings.settings.workers)
+        patience_s = heartbeat_response_timeout_s(node.settings.settings.workers)
         self.intake = RelayIntake(
-            self.answer_report, self.controller.answered_at, self.assignment, patience_s
+            self.answer_heartbeat, self.controller.answered_at, self.assignment, patience_s
         )
-        self.authority.synced(world.now, node.store.revision())
+        self.authority.observe_watch(world.now, node.store.revision())
         self.controller.load(
             SnapshotReader(node.store, with_quota=node.options.cells is not None).read(),
             [convert(b, MachineType) for b in world.cloud.machine_types],
@@ -165,7 +156,7 @@
     def _carry_out(self) -> None:
         """One try of the first unit that waits, as the committer's thread does."""
         conditions, writes, done = self._units[0]
-        is_transfer = any(str(write.get("set")).startswith(PEER) for write in writes)
+        is_transfer = any(isinstance(write, Put) and write.key.startswith(PEER) for write in writes)
         if is_transfer and self._planned is not writes:
             self._planned = writes
             self.world.on_transfer_step(self.node, "planned")
@@ -174,12 +165,12 @@
                 return
         try:
             self._writer.commit(conditions, writes)
-        except ConflictError as conflict:
-            if LEAD in conflict.failed:
+        except ConditionFailedError as conflict:
+            if LEADER_KEY in conflict.failed_keys:
                 self.node.step_down()
                 return
             result = False
-        except (RefusedError, UncertainError):
+        except (StoreRejectedError, OutcomeUnknownError):
             self._later(0.2, self._carry_out)
             return
         else:
@@ -187,7 +178,7 @@
             if is_transfer:
                 self.world.on_transfer_step(self.node, "written")
         self._units.popleft()
-        self._ranks.popleft()
+        self._priorities.popleft()
         self._later(0.002, lambda: done(result))
         if self._units:
             self._later(0.003, self._carry_out)
@@ -216,16 +207,18 @@
         if not self.alive or not self.node.alive or self.node.frozen:
             return
         self.controller.settle()
-        if self.controller.ctx.dirty and self.controller.settle_at > max(self.world.now, self.woken_at):
+        if self.controller.ctx.scheduling_needed and self.controller.settle_at > max(
+            self.world.now, self.woken_at
+        ):
             self.woken_at = self.controller.settle_at
             self.world.after(self.woken_at - self.world.now, self.settle)
 
     def commit(
         self,
         conditions: dict[str, int],
-        writes: list[Data],
+        writes: Sequence[Write],
         done: Callable[[bool], None],
-        rank: CommitRank = CommitRank.BACKGROUND,
+        priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
         self.world.work["commits"] += 1
         unit = (conditions, writes, done)
@@ -233,28 +226,28 @@
             self._later(0.003, self._carry_out)
         # Behind the one that is being tried, and those of its own rank.
         place = len(self._units)
-        while place > 1 and self._ranks[place - 1] > rank:
+        while place > 1 and self._priorities[place - 1] > priority:
             place -= 1
         self._units.insert(place, unit)
-        self._ranks.insert(place, rank)
+        self._priorities.insert(place, priority)
 
-    def do(
+    def send_commands(
         self,
         box: str,
         endpoint: str,
         body: Data,
-        done: Callable[[str, Report | None], None],
+        done: Callable[[RequestOutcome, Heartbeat | None], None],
         patient: bool,
     ) -> None:
         world = self.world
         worker = world.workers.get(endpoint)
 
-        def answered(outcome: str, report: Data | None) -> None:
-            parsed = parse_report(report) if report is not None else None
+        def answered(outcome: RequestOutcome, heartbeat: Data | None) -> None:
+            parsed = parse_heartbeat(heartbeat) if heartbeat is not None else None
             self._later(0.001 + world.link_s, lambda: done(outcome, parsed))
 
         if worker is None or worker.gone or self.node.cut_workers:
-            self._later(1.5, lambda: done(UNSENT, None))
+            self._later(1.5, lambda: done(RequestOutcome.NOT_SENT, None))
             return
         how = world.troubles.get(worker.name, set())
         if world.severed(self.node.zone, worker.zone):
@@ -265,43 +258,46 @@
                 worker.do(body)
 
             world.after(LATE_S, deliver_late)
-            self._later(1.5, lambda: done(UNSURE, None))
+            self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
             return
         if how & {"hang", "hold"}:
             # The command waits in the network or in a hanging machine, and is carried out later.
             worker.held_commands.append(body)
-            self._later(1.5, lambda: done(UNSURE, None))
+            self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
             return
         if "deaf" in how:
-            self._later(1.5, lambda: done(UNSENT, None))
+            self._later(1.5, lambda: done(RequestOutcome.NOT_SENT, None))
             return
 
         def deliver() -> None:
-            status, report = worker.do(body)
+            status, heartbeat = worker.do(body)
             if "mute" in how:
-                self._later(1.5, lambda: done(UNSURE, None))
+                self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
                 return
-            answered(OK if status == 200 else REFUSED, report)
+            answered(RequestOutcome.OK if status == 200 else RequestOutcome.REJECTED, heartbeat)
 
         world.after(0.001 + world.link_s, deliver)
 
-    def hire(self, body: Data, done: Callable[[str, list[str]], None]) -> None:
+    def launch_machines(self, body: Data, done: Callable[[RequestOutcome, list[str]], None]) -> None:
         def send() -> None:
             if self.world.cut == self.node.zone:
-                done(UNSURE, [])
+                done(RequestOutcome.UNKNOWN, [])
                 return
-            status, answer = self.world.cloud.hire(body)
-            if self.world.lose_hires > 0 and status == 200:
-                self.world.lose_hires -= 1
-                done(UNSURE, [])
+            status, answer = self.world.cloud.launch(body)
+            if self.world.lose_launches > 0 and status == 200:
+                self.world.lose_launches -= 1
+                done(RequestOutcome.UNKNOWN, [])
             elif status == 200:
-                done(OK, answer["boxes"])
+                done(RequestOutcome.OK, answer["boxes"])
             else:
-                done(REFUSED if answer["error"] == "no capacity" else UNSURE, [])
+                done(
+                    RequestOutcome.REJECTED if answer["error"] == "no capacity" else RequestOutcome.UNKNOWN,
+                    [],
+                )
 
         self._later(0.1, send)
 
-    def delete(self, names: list[str], done: Callable[[bool], None]) -> None:
+    def delete_machines(self, names: list[str], done: Callable[[bool], None]) -> None:
         def send() -> None:
             if self.world.cut == self.node.zone:
                 done(False)
@@ -314,11 +310,11 @@
 
         self._later(0.1, send)
 
-    def deposed(self, baton: int) -> None:
+    def leadership_lost(self, baton: int) -> None:
         self.node.step_down()
 
-    def raised(self, baton: int) -> None:
-        self.token = baton
+    def fencing_token_raised(self, baton: int) -> None:
+        self.fencing_token = baton
 
     def resign(self, why: str) -> None:
         self.node.resting_until = self.world.now + self.world.settings.settings.workers.lease_s
@@ -326,13 +322,13 @@
             self.world.state.end(self.lease_id)
         self.node.step_down()
 
-    def over(self, job_id: str, status: str, chores: int) -> None:
+    def job_finalized(self, job_id: str, status: str, chores: int) -> None:
         self.node.users.finals.put(job_id, (status, chores))
 
-    def stray_workers(self) -> list[list[StrayWorker]]:
+    def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
         since = self.world.now - self.world.settings.settings.workers.lease_s / 2
         return [
-            [worker for at, worker in node.stray_workers.values() if at > since]
+            [worker for at, worker in node.misdirected_workers.values() if at > since]
             for node in self.world.nodes
             if node is not self.node
             and node.alive
@@ -340,30 +336,32 @@
             and not self.world.severed(node.zone, self.node.zone)
         ]
 
-    def answer_report(self, report: Report, late_at: float) -> ReportAnswer | None:
+    def answer_heartbeat(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
         """The answer to a report that a relay passed on."""
         now = self.world.now
-        if not self.alive or now >= late_at or not self.authority.may_answer(now, self.confirmed):
+        if not self.alive or now >= late_at or not self.authority.may_renew_leases(now, self.confirmed):
             return None
-        return self.controller.handle_report(report)
+        return self.controller.handle_heartbeat(heartbeat)
 
-    def may_start(self) -> bool:
+    def may_start_tasks(self) -> bool:
         now = self.world.now
-        return self.alive and now - self.confirmed < 2.5 and now - self.authority.synced_at < 5.0
+        return self.alive and now - self.confirmed < 2.5 and now - self.authority.watch_caught_up_at < 5.0
 
-    def confirmed_at(self) -> float:
+    def leadership_confirmed_at(self) -> float:
         return self.confirmed if self.alive else float("-inf")
 
-    def proxies_until(self) -> float:
-        return self.proxies.until(self.world.now)
+    def delegated_leases_expire_at(self) -> float:
+        return self.delegations.latest_renewal_at(self.world.now)
 
-    def trust(self) -> Trust | None:
+    def delegation(self) -> LeaseDelegation | None:
         """What the other nodes may count on."""
         shunned = self.controller.excluded_machines()
         return (
             None
             if shunned is None
-            else Trust(self.token, min(self.confirmed, self.authority.synced_at), shunned)
+            else LeaseDelegation(
+                self.fencing_token, min(self.confirmed, self.authority.watch_caught_up_at), shunned
+            )
         )
 
 
@@ -374,7 +372,7 @@
         self.world, self.member = world, member
         self.zone = world.zones[world.members.index(member) % len(world.zones)]
         self.settings, self.options = world.settings, world.options
-        self.times = Times(world.settings, Options())
+        self.times = Durations(world.settings, Options())
         self.alive = True
         self.refused = False
         self.cut_workers = False
@@ -399,12 +397,14 @@
         self.leader_term = None
         # First revision that this process saw.
         self.first_revision = -1
-        self.stray_workers: dict[str, tuple[float, StrayWorker]] = {}
-        self.lease_proxy = LeaseProxy(self.times, 0.0, lambda: self.world.now, lambda: self.world.now)
-        self._departures = Departures(self.settings.settings.workers.lease_s, 1000)
+        self.misdirected_workers: dict[str, tuple[float, MisdirectedWorker]] = {}
+        self.delegated_renewal = DelegatedRenewals(
+            self.times, 0.0, lambda: self.world.now, lambda: self.world.now
+        )
+        self._redirect_backoff = RedirectBackoff(self.settings.settings.workers.lease_s, 1000)
         self._leader_since = self.world.now
-        self._leader_token = 0
-        self.connectivity = Connectivity(self.member, self.times.report_s, lambda: self.world.now)
+        self._leader_fencing_token = 0
+        self.connectivity = Connectivity(self.member, self.times.heartbeat_interval_s, lambda: self.world.now)
         builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
         # Each question is a shared read by itself: the view is what users are answered from.
         reads = JobReads(self.store, 0.0, 1.0, fewest_shared=1, clock=lambda: self.world.now)
@@ -438,83 +438,85 @@
             self.leader_term.relays.clear()
             self.leader_term = None
 
-    def handle_report(self, body: Data) -> tuple[int, Data]:
+    def handle_heartbeat(self, body: Data) -> tuple[int, Data]:
         """POST /hello."""
         leader_term = self.leader_term
         if leader_term is None:
-            held = self.world.state.keys.get(LEAD)
+            held = self.world.state.keys.get(LEADER_KEY)
             named = self.world.leader()
-            proxied = self.lease_proxy.may_answer(
-                parse_report(body),
+            proxied = self.delegated_renewal.renewal_fencing_token(
+                parse_heartbeat(body),
                 self.store.contact_at,
                 held[0]["baton"] if held is not None and self.has_state() else 0,
                 named is not None and self.world.severed(self.zone, named.zone),
             )
             if proxied is not None:
                 return 200, {"baton": proxied, "orders": []}
-            worker = StrayWorker(body["box"], body["shift"], body["tally"])
-            self.stray_workers[worker.machine] = self.world.now, worker
+            worker = MisdirectedWorker(body["box"], body["shift"], body["tally"])
+            self.misdirected_workers[worker.machine] = self.world.now, worker
             leader = self.world.leader()
             return 421, {"foreman": leader.member} if leader is not None else {}
-        if not leader_term.authority.may_answer(self.world.now, leader_term.confirmed):
+        if not leader_term.authority.may_renew_leases(self.world.now, leader_term.confirmed):
             return 503, {}
-        report = parse_report(body)
+        heartbeat = parse_heartbeat(body)
         relay = leader_term.assignment.assign(
-            report.machine, report.zone, leader_term.controller.answered_at(report.machine)
+            heartbeat.machine, heartbeat.zone, leader_term.controller.answered_at(heartbeat.machine)
         )
         if relay is not None:
             return 421, {"foreman": relay}
-        answer = leader_term.controller.handle_report(report)
+        answer = leader_term.controller.handle_heartbeat(heartbeat)
         leader_term.settle()
         if answer is None or not leader_term.alive:
             return 503, {}
         assert len(encode(answer.body())) <= 64 * 1024
         return 200, answer.body()
 
-    def relays_reports(self) -> bool:
+    def relays_heartbeats(self) -> bool:
         """Whether a report is relayed that comes now."""
         return self.leader_term is None and self.relay.is_open()
 
-    def receive_report(self, body: Data, respond: Callable[[int, Data], None], wait_s: float) -> None:
+    def receive_heartbeat(self, body: Data, respond: Callable[[int, Data], None], wait_s: float) -> None:
         """POST /hello: relayed to the leader, or answered within ``wait_s`` where its worker has left it."""
-        if self.relays_reports():
+        if self.relays_heartbeats():
             self.relay.take(body, respond)
             return
-        status, answer = self.handle_report(body)
+        status, answer = self.handle_heartbeat(body)
         if wait_s and status == 421:
-            self._await_next_leader(body, respond, self.lowest_token(), self.world.now + wait_s)
+            self._await_next_leader(body, respond, self.lowest_fencing_token(), self.world.now + wait_s)
         else:
             respond(status, answer)
 
     def _note_leader(self) -> int:
         """The leader's token, as it is known from now on."""
-        token = self.lowest_token()
-        if token != self._leader_token:
-            self._leader_token, self._leader_since = token, self.world.now
-        return token
+        fencing_token = self.lowest_fencing_token()
+        if fencing_token != self._leader_fencing_token:
+            self._leader_fencing_token, self._leader_since = fencing_token, self.world.now
+        return fencing_token
 
     def departure_wait_s(self, body: Data) -> float:
         """How long a worker waits here that has left a leader which still leads."""
         leader = self.world.leader()
-        if self.relays_reports() or leader in (None, self) or not self.has_state():
+        if self.relays_heartbeats() or leader in (None, self) or not self.has_state():
             return 0.0
-        token = self._note_leader()
+        fencing_token = self._note_leader()
         now = self.world.now
-        return self._departures.wait_s(parse_report(body), token, now - self._leader_since, now)
+        return self._redirect_backoff.wait_s(
+            parse_heartbeat(body), fencing_token, now - self._leader_since, now
+        )
 
     def _await_next_leader(
-        self, body: Data, respond: Callable[[int, Data], None], token: int, until: float
+        self, body: Data, respond: Callable[[int, Data], None], fencing_token: int, until: float
     ) -> None:
         if not self.alive:
             return
-        if self.frozen or (self.lowest_token() in (0, token) and self.world.now < until):
-            self.world.after(STEP_S, lambda: self._await_next_leader(body, respond, token, until))
+        if self.frozen or (self.lowest_fencing_token() in (0, fencing_token) and self.world.now < until):
+            self.world.after(STEP_S, lambda: self._await_next_leader(body, respond, fencing_token, until))
         else:
-            respond(*self.handle_report(body))
+            respond(*self.handle_heartbeat(body))
 
-    def lowest_token(self) -> int:
+    def lowest_fencing_token(self) -> int:
         """The highest token that this node knows of."""
-        held = self.world.state.keys.get(LEAD)
+        held = self.world.state.keys.get(LEADER_KEY)
         return int(held[0]["baton"]) if held is not None and self.has_state() else 0
 
     def has_state(self) -> bool:
@@ -534,14 +536,14 @@
                 self._campaign()
             if self.first_revision < 0:
                 self.first_revision = self.store.revision()
-        except (RefusedError, UncertainError, ConflictError):
+        except (StoreRejectedError, OutcomeUnknownError, ConditionFailedError):
             pass
         self._note_leader()
         self._listen()
         self._ask_peers()
         leader_term = self.leader_term
         if leader_term is not None:
-            better = self.connectivity.better_placed(self.times.proxy_after_s)
+            better = self.connectivity.better_connected_peer(self.times.delegated_renewal_after_s)
             if better is not None and self.has_state():
                 leader_term.resign(f"{better} reaches more controllers")
                 return
@@ -555,41 +557,44 @@
         asked = world.now
         if not world.cloud.down and asked >= leader_term.next_list:
             leader_term.next_list = asked + 4.0
-            boxes = [convert(b, Listed) for b in world.cloud.listing()[1]["boxes"]]
-            leader_term.controller.listed(Listing(boxes, asked))
-        if self.store.get(LEAD) is None or world.state.extend(leader_term.lease_id)[0] == 404:
+            boxes = [convert(b, ListedMachine) for b in world.cloud.listing()[1]["boxes"]]
+            leader_term.controller.listed(MachineListing(boxes, asked))
+        if self.store.get(LEADER_KEY) is None or world.state.extend(leader_term.lease_id)[0] == 404:
             self.step_down()
             return
         leader_term.confirmed = asked
-        for event in world.state.changes(ACTIVE, leader_term.authority.revision):
-            if "set" in event:
-                leader_term.controller.job_set(Entry(event["set"], event["data"], event["stamp"]))
+        for event in world.state.changes(ACTIVE_JOB_PREFIX, leader_term.authority.acted_on_revision):
+            change = decode_event(event)
+            if isinstance(change, Entry):
+                leader_term.controller.job_set(change)
             else:
-                leader_term.controller.job_removed(event["remove"])
-        leader_term.authority.synced(asked, world.state.ledger)
+                leader_term.controller.job_removed(change.key)
+        leader_term.authority.observe_watch(asked, world.state.ledger)
 
     def _campaign(self) -> None:
         world = self.world
-        lead = self.store.get(LEAD)
+        lead = self.store.get(LEADER_KEY)
         if lead is not None:
             if lead.data["member"] == self.member:
                 # A claim of ours that had no answer, or of a process of ours before this one.
                 world.state.end(lead.data["permit"])
             return
-        if self.connectivity.better_placed() is not None:
+        if self.connectivity.better_connected_peer() is not None:
             return
         permit = world.state.lease(2500)[1]["permit"]
-        held = self.store.get(TOKEN)
+        held = self.store.get(FENCING_TOKEN_KEY)
         baton = (held.data["baton"] if held else 0) + 1
         claim = {"member": self.member, "baton": baton, "permit": permit}
-        conditions = {LEAD: 0, TOKEN: held.version if held else 0}
+        conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.revision if held else 0}
         try:
-            stamp = self.store.commit(conditions, [put(LEAD, claim, permit), put(TOKEN, {"baton": baton})])
-        except UncertainError:
-            lead = self.store.get(LEAD)
+            stamp = self.store.commit(
+                conditions, [Put(LEADER_KEY, claim, permit), Put(FENCING_TOKEN_KEY, {"baton": baton})]
+            )
+        except OutcomeUnknownError:
+            lead = self.store.get(LEADER_KEY)
             if lead is None or lead.data["permit"] != permit:
                 raise
-            stamp = lead.version
+            stamp = lead.revision
         self.leader_term = SimLeaderTerm(self, baton, stamp, permit)
         world.a_leader_begins(self)
 
@@ -608,7 +613,7 @@
     def _listen(self) -> None:
         """Hear from the others whom they reach."""
         for other in self._reached():
-            self.connectivity.answered(other.member, other.connectivity.hears())
+            self.connectivity.record_response(other.member, other.connectivity.reachable_peers())
 
     def _ask_peers(self) -> None:
         world, leader_term = self.world, self.leader_term
@@ -616,18 +621,18 @@
             return
         self.tell(leader_term)
         for other in self._reached():
-            leader_term.proxies.telling(other.member, world.now)
-            other.lease_proxy.heard(leader_term.token, leader_term.trust())
-            leader_term.proxies.answered(other.member, world.now)
-            if other.leader_term is not None and other.leader_term.token > leader_term.token:
+            leader_term.delegations.record_grant(other.member, world.now)
+            other.delegated_renewal.observe_leader(leader_term.fencing_token, leader_term.delegation())
+            leader_term.delegations.record_response(other.member, world.now)
+            if other.leader_term is not None and other.leader_term.fencing_token > leader_term.fencing_token:
                 self.step_down()
                 return
             other.tell(leader_term)
 
     def tell(self, leader: SimLeaderTerm) -> None:
         """Tell a leader which cancellations were told here, as peers' messages do."""
-        self.users.cancellations.known(leader.authority.revision)
-        named, bound = self.users.cancellations.named(self.first_revision)
+        self.users.cancellations.acknowledge(leader.authority.acted_on_revision)
+        named, bound = self.users.cancellations.report(self.first_revision)
         for job_id, _ in named:
-            leader.controller.job_removed(ACTIVE + job_id)
-        leader.authority.learned(self.member, self.world.now, bound)
+            leader.controller.job_removed(ACTIVE_JOB_PREFIX + job_id)
+        leader.authority.observe_peer(self.member, self.world.now, bound)
--- a/tests/test_cell_quota.py
+++ b/tests/test_cell_quota.py
@@ -8,8 +8,9 @@
 import msgspec
 import pytest
 
-from poppyhold.durable.store import QUOTA, Entry
-from poppyhold.model.fleet import NOTHING
+from poppyhold.durable.changes import Entry
+from poppyhold.durable.keys import QUOTA_PREFIX
+from poppyhold.model.resources import NO_RESOURCES
 from poppyhold.options import Options
 from poppyhold.quota.amounts import UNIT, ResourceAmount, ResourceShare, TeamAmount, TeamShare
 from poppyhold.quota.cell_quota import CellQuota
@@ -138,7 +139,9 @@
     world, quota = leading_cell()
     assert given(world, quota, want(0, 1)) is not None
     steps: list[Callable[[bool], None]] = []
-    monkeypatch.setattr(term_of(world), "commit", lambda conditions, writes, done, rank: steps.append(done))
+    monkeypatch.setattr(
+        term_of(world), "commit", lambda conditions, writes, done, priority: steps.append(done)
+    )
     before = quota.answer(request(quota, applied=1)).view
     assert before is not None and before.peers[0].in_transit is not None
     steps[0](True)
@@ -248,11 +251,13 @@
     world, _ = leading_cell()
     controller = term_of(world).controller
     entries = [
-        Entry(key, data, stamp) for key, (data, stamp, _) in world.state.keys.items() if key.startswith(QUOTA)
+        Entry(key, data, stamp)
+        for key, (data, stamp, _) in world.state.keys.items()
+        if key.startswith(QUOTA_PREFIX)
     ]
     quotas = Quotas(TEAMS)
     cells = check_cells(Cells("north", 0.5, (Cell("west", 0.5, CONTROLLERS),)))
-    other = CellQuota(controller.ctx, cells, quotas, lambda: NOTHING, lambda spec: True, lambda: None)
+    other = CellQuota(controller.ctx, cells, quotas, lambda: NO_RESOURCES, lambda spec: True, lambda: None)
     assert not quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
     other.load(entries)
     assert not quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
@@ -267,7 +272,7 @@
 
 def test_what_has_started_since_the_last_look_is_not_given() -> None:
     world, quota = leading_cell()
-    term_of(world).controller.ctx.fleet.used["alpha"] = [0.0, 5.0]
+    term_of(world).controller.ctx.fleet.used_by_team["alpha"] = [0.0, 5.0]
     quota.answer(request(quota, want(9, 99)))
     transfer = quota.book.peers["west"].in_transit
     assert transfer is not None
--- a/tests/test_completions.py
+++ b/tests/test_completions.py
@@ -2,18 +2,19 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from types import SimpleNamespace
 from typing import Any
 
 import pytest
 
-from poppyhold.durable.store import ACTIVE, DONE_STRETCHES, DONE_TASKS, Data
+from poppyhold.durable.changes import Delete, Write
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, COMPLETION_RANGES_PREFIX, COMPLETIONS_PREFIX
 from poppyhold.execution.completions import Completions, encode_bits
-from poppyhold.model.fleet import DONE, Job, make_job
+from poppyhold.model.entities import TASK_DONE, Job, JobPhase, make_job
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.settings import NextState, State
-from poppyhold.wire.messages import parse_submission
+from poppyhold.wire.user_messages import parse_submission
 
 # Records of 256 tasks now; behind the change those of more than 192 don't fit, and go to ones of 64.
 LIMITS = State(value_kb=0.25, txn_ops=2, next=NextState(value_kb=0.0625))
@@ -30,24 +31,24 @@
 
     def __init__(self, job: Job, limits: State = LIMITS) -> None:
         self.job = job
-        self.commits: list[tuple[dict[str, int], list[Data], Callable[[bool], None]]] = []
+        self.commits: list[tuple[dict[str, int], Sequence[Write], Callable[[bool], None]]] = []
         ctx: Any = SimpleNamespace(
             settings=SimpleNamespace(settings=SimpleNamespace(state=limits)),
             fleet=SimpleNamespace(jobs={job.id: job}),
-            edges=SimpleNamespace(commit=lambda *commit: self.commits.append(commit)),
+            outbound=SimpleNamespace(commit=lambda *commit: self.commits.append(commit)),
         )
         self.completions = Completions(ctx)
 
     def complete(self, *indices: int) -> None:
         for index in indices:
             self.job.complete(index)
-            self.job.unsaved.add(index)
+            self.job.undurable_completions.add(index)
 
     def save(self) -> list[list[str]]:
         """Keys of the transactions that this asks for."""
         self.commits.clear()
         self.completions.save()
-        return [[write["set"] for write in writes] for _, writes, _ in self.commits]
+        return [[write.key for write in writes] for _, writes, _ in self.commits]
 
 
 def key(prefix: str, number: int) -> str:
@@ -59,43 +60,60 @@
     records = Records(some_job(356))
     records.complete(0, 70, 300)
     assert sorted(each for keys in records.save() for each in keys) == sorted(
-        [key(DONE_STRETCHES, 0), key(DONE_STRETCHES, 1), key(DONE_TASKS, 1)]
+        [key(COMPLETION_RANGES_PREFIX, 0), key(COMPLETION_RANGES_PREFIX, 1), key(COMPLETIONS_PREFIX, 1)]
     )
     same = Records(some_job(356), State(value_kb=0.25))
     same.complete(0, 70, 300)
-    assert sorted(each for keys in same.save() for each in keys) == [key(DONE_TASKS, 0), key(DONE_TASKS, 1)]
+    assert sorted(each for keys in same.save() for each in keys) == [
+        key(COMPLETIONS_PREFIX, 0),
+        key(COMPLETIONS_PREFIX, 1),
+    ]
 
 
 def test_records_are_read_by_the_size_of_their_kind_and_removed_with_the_job() -> None:
     records = Records(some_job())
-    bits = {"d": encode_bits(bytearray([DONE, 0, DONE]))}
-    records.completions.load(DONE_TASKS, {f"{JOB}/1": bits})
-    records.completions.load(DONE_STRETCHES, {f"{JOB}/1": bits})
-    assert [index for index, state in enumerate(records.job.states) if state == DONE] == [64, 66, 256, 258]
+    bits = {"d": encode_bits(bytearray([TASK_DONE, 0, TASK_DONE]))}
+    records.completions.load(COMPLETIONS_PREFIX, {f"{JOB}/1": bits})
+    records.completions.load(COMPLETION_RANGES_PREFIX, {f"{JOB}/1": bits})
+    assert [index for index, state in enumerate(records.job.states) if state == TASK_DONE] == [
+        64,
+        66,
+        256,
+        258,
+    ]
     assert records.commits == []
     # What is there is not written again, and holds up nothing that completes later.
     assert records.save() == []
-    assert not records.job.saving
+    assert not records.job.completions_save_in_flight
     records.completions.remove(records.job)
     assert [writes for _, writes, _ in records.commits] == [
-        [{"remove": key(DONE_TASKS, 1)}, {"remove": key(DONE_STRETCHES, 1)}]
+        [Delete(key(COMPLETIONS_PREFIX, 1)), Delete(key(COMPLETION_RANGES_PREFIX, 1))]
     ]
 
 
 def test_records_of_a_job_that_is_no_more_are_removed() -> None:
     records = Records(some_job())
-    records.completions.load(DONE_TASKS, {"job-000009/0": {"d": "1"}})
-    assert [writes for _, writes, _ in records.commits] == [[{"remove": f"{DONE_TASKS}job-000009/0"}]]
-
-
-@pytest.mark.parametrize("field", ["saving", "finishing", "over"])
-def test_nothing_is_saved_of_a_job_that_is_being_saved_or_ends(field: str) -> None:
+    records.completions.load(COMPLETIONS_PREFIX, {"job-000009/0": {"d": "1"}})
+    assert [writes for _, writes, _ in records.commits] == [[Delete(f"{COMPLETIONS_PREFIX}job-000009/0")]]
+
+
+@pytest.mark.parametrize(
+    ("field", "prevents", "allows"),
+    [
+        pytest.param("completions_save_in_flight", True, False, id="saving"),
+        pytest.param("phase", JobPhase.FINALIZING, JobPhase.ACTIVE, id="finalizing"),
+        pytest.param("phase", JobPhase.FINALIZED, JobPhase.ACTIVE, id="finalized"),
+    ],
+)
+def test_nothing_is_saved_of_a_job_that_is_being_saved_or_ends(
+    field: str, prevents: bool | JobPhase, allows: bool | JobPhase
+) -> None:
     records = Records(some_job())
     records.complete(5)
-    setattr(records.job, field, True)
+    setattr(records.job, field, prevents)
     assert records.save() == []
-    setattr(records.job, field, False)
-    assert records.save() == [[key(DONE_STRETCHES, 0)]]
+    setattr(records.job, field, allows)
+    assert records.save() == [[key(COMPLETION_RANGES_PREFIX, 0)]]
 
 
 def test_what_completes_while_records_are_written_is_saved_by_the_next_ones() -> None:
@@ -104,11 +122,11 @@
     records.save()
     conditions, _, done = records.commits[0]
     # On the condition that the job is what it was: nothing is written of one that has ended.
-    assert conditions == {ACTIVE + JOB: 7}
+    assert conditions == {ACTIVE_JOB_PREFIX + JOB: 7}
     records.complete(6)
     done(True)
-    assert records.job.unsaved == {6}
-    assert records.save() == [[key(DONE_STRETCHES, 0)]]
+    assert records.job.undurable_completions == {6}
+    assert records.save() == [[key(COMPLETION_RANGES_PREFIX, 0)]]
 
 
 @pytest.mark.parametrize("outcomes", [(True, True), (False, True), (True, False)], ids=str)
@@ -118,12 +136,12 @@
     assert [len(keys) for keys in records.save()] == [2, 1]
     first, second = (done for _, _, done in records.commits)
     first(outcomes[0])
-    assert records.job.saving
-    assert records.job.unsaved == {0, 70, 130}
+    assert records.job.completions_save_in_flight
+    assert records.job.undurable_completions == {0, 70, 130}
     assert records.save() == []
     second(outcomes[1])
-    assert not records.job.saving
-    assert records.job.unsaved == (set() if all(outcomes) else {0, 70, 130})
+    assert not records.job.completions_save_in_flight
+    assert records.job.undurable_completions == (set() if all(outcomes) else {0, 70, 130})
 
 
 def test_records_are_removed_so_many_at_a_time_also_those_of_which_no_end_is_known() -> None:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -6,10 +6,10 @@
 import pytest
 
 from poppyhold.execution.gangs import Gangs, GangState
-from poppyhold.model.fleet import Attempt, Job
+from poppyhold.model.entities import Attempt, Job
 from poppyhold.scale.jobs import submission
-from poppyhold.wire.messages import ExitCause, TaskState
-from test_attempts import leading_world
+from poppyhold.wire.worker_messages import ExitCause, TaskState
+from test_reconciliation import leading_world
 from world import World
 
 
@@ -19,7 +19,7 @@
     gang = {"shape": "group", "chores": 3, "bundle": "img-9", "sizeGb": 40.0, "guessS": 20.0}
     world.submit(submission("job-000002", gang))
     world.run(world.now + 1.0)
-    return world, leader_term.controller.attempts.gangs, "job-000002"
+    return world, leader_term.controller.reconciler.gangs, "job-000002"
 
 
 def job_of(world: World, job_id: str) -> Job:
@@ -41,7 +41,7 @@
     assert job.running == 3
     world.run(world.now + 25.0)
     assert world.told[job_id] == "done"
-    assert gangs.state_of(job) is GangState.WAITING_FOR_ROOM
+    assert gangs.state_of(job) is GangState.WAITING_FOR_CAPACITY
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,7 @@
 def test_ends_of_a_task_that_end_the_attempt(cause: ExitCause, state: GangState) -> None:
     world, gangs, job_id = assembling_world()
     job = job_of(world, job_id)
-    gangs.exited(job.active[1], cause, world.now)
+    gangs.task_exited(job.active[1], cause, world.now)
     failed = state is GangState.FAILED
     assert gangs.state_of(job) is state
     assert gangs.may_start(job) is not failed
@@ -77,7 +77,7 @@
     # A task that is seen to save shows a new leader that the stop has begun, and changes nothing here.
     first = job.active[0]
     first.status = TaskState.SAVING
-    gangs.reported(first, world.now)
+    gangs.task_reported(first, world.now)
     assert gangs.state_of(job) is GangState.STOPPING
 
 
@@ -106,16 +106,16 @@
     def grace_s(self) -> float:
         """The time to save, and to wait for the others."""
         workers = self.world.settings.settings.workers
-        return self.job.spec.save_s + workers.gang_peer_s + workers.report_s
+        return self.job.spec.save_s + workers.gang_peer_s + workers.heartbeat_interval_s
 
     def report(self, index: int, status: TaskState) -> None:
         """A worker reports a task's new state."""
         self.job.active[index].status = status
-        self.gangs.reported(self.job.active[index], self.now)
+        self.gangs.task_reported(self.job.active[index], self.now)
 
     def lose(self, index: int) -> None:
         """A task is proven gone."""
-        self.gangs.gone(self.job.active.pop(index), self.now)
+        self.gangs.task_terminated(self.job.active.pop(index), self.now)
 
 
 @pytest.fixture
@@ -148,7 +148,7 @@
 @pytest.mark.parametrize("failed", [False, True])
 def test_a_task_that_is_seen_behind_the_stop_is_stopped_as_well(assembling: Assembling, failed: bool) -> None:
     if failed:
-        assembling.gangs.give_up(assembling.job, "no room", assembling.now)
+        assembling.gangs.abandon(assembling.job, "no room", assembling.now)
     else:
         assembling.gangs.stop(assembling.job, assembling.now)
     before = assembling.state()
@@ -170,18 +170,18 @@
 
 
 def test_an_attempt_that_failed_stays_so(assembling: Assembling) -> None:
-    assembling.gangs.exited(assembling.job.active[0], ExitCause.ERROR, assembling.now)
+    assembling.gangs.task_exited(assembling.job.active[0], ExitCause.ERROR, assembling.now)
     assembling.gangs.stop(assembling.job, assembling.now)
     assert assembling.state() is GangState.FAILED
     # Its other ends are held against no machine.
-    assembling.gangs.exited(assembling.job.active[1], ExitCause.GANG_INCOMPLETE, assembling.now)
-    assert assembling.job.failed_on == set()
+    assembling.gangs.task_exited(assembling.job.active[1], ExitCause.GANG_INCOMPLETE, assembling.now)
+    assert assembling.job.failed_machines == set()
 
 
 def test_an_end_while_all_are_stopped_fails_nothing(assembling: Assembling) -> None:
     assembling.gangs.stop(assembling.job, assembling.now)
-    assembling.gangs.exited(assembling.job.active[0], ExitCause.PEER_LOST, assembling.now)
-    assembling.gangs.give_up(assembling.job, "no room", assembling.now)
+    assembling.gangs.task_exited(assembling.job.active[0], ExitCause.PEER_LOST, assembling.now)
+    assembling.gangs.abandon(assembling.job, "no room", assembling.now)
     assert assembling.state() is GangState.STOPPING
 
 
@@ -193,8 +193,8 @@
     first.status, second.status, third.status = TaskState.WAITING, TaskState.WAITING, TaskState.SENT
     # All three were put on the same machine.
     third.machine = msgspec.structs.replace(third.machine, name="vm-late")
-    assembling.gangs.exited(first, cause, assembling.now)
-    assert assembling.job.failed_on == ({"vm-late"} if cause is ExitCause.GANG_INCOMPLETE else set())
+    assembling.gangs.task_exited(first, cause, assembling.now)
+    assert assembling.job.failed_machines == ({"vm-late"} if cause is ExitCause.GANG_INCOMPLETE else set())
 
 
 def test_only_a_running_gang_fails_without_one_of_its_tasks(assembling: Assembling) -> None:
@@ -230,13 +230,13 @@
     assert assembling.state() is GangState.ASSEMBLING
     assembling.gangs.tick(since + wait_s + 0.1)
     assert assembling.state() is GangState.FAILED
-    assert assembling.job.failed_on == {"vm-late"}
+    assert assembling.job.failed_machines == {"vm-late"}
 
 
 def test_a_gang_that_runs_is_not_given_up(assembling: Assembling) -> None:
     assembling.report(0, TaskState.WAITING)
     assembling.report(1, TaskState.RUNNING)
     assembling.gangs.tick(assembling.now + 1e6)
-    assembling.gangs.give_up(assembling.job, "no room", assembling.now)
+    assembling.gangs.abandon(assembling.job, "no room", assembling.now)
     assert assembling.state() is GangState.RUNNING
     assert assembling.stops == []
--- a/tests/test_lease_proxy.py
+++ b/tests/test_lease_proxy.py
@@ -7,26 +7,29 @@
 import msgspec
 import pytest
 
-from poppyhold.cluster.lease_proxy import LeaseProxies, LeaseProxy, Trust
-from poppyhold.model.context import Times
+from poppyhold.cluster.delegated_renewals import DelegatedRenewals
+from poppyhold.cluster.lease_delegation import DelegationTracker, LeaseDelegation
+from poppyhold.model.durations import Durations
 from poppyhold.options import Options
-from poppyhold.wire.messages import Report, parse_report
-from test_attempts import leading_world
+from poppyhold.wire.worker_messages import Heartbeat, parse_heartbeat
+from test_reconciliation import leading_world
 from world import World
 
 SKEW_S = 0.5
-TOKEN = 7
+FENCING_TOKEN = 7
 # When the leader was last sure of everything.
 KNOWN_WALL = 1000.0
 
 
-def make_times() -> Times:
-    return Times(World(1, 10.0, 30.0, []).settings, Options())
+def make_durations() -> Durations:
+    return Durations(World(1, 10.0, 30.0, []).settings, Options())
 
 
-def report(token: int = TOKEN) -> Report:
+def heartbeat(fencing_token: int = FENCING_TOKEN) -> Heartbeat:
     world, _ = leading_world()
-    return msgspec.structs.replace(parse_report(world.workers["vm-000001"].report()), token=token)
+    return msgspec.structs.replace(
+        parse_heartbeat(world.workers["vm-000001"].heartbeat()), fencing_token=fencing_token
+    )
 
 
 class Clocks:
@@ -37,12 +40,12 @@
         self.wall = KNOWN_WALL
 
 
-def proxy(clocks: Clocks) -> tuple[LeaseProxy, Times]:
+def delegate(clocks: Clocks) -> tuple[DelegatedRenewals, Durations]:
     """A controller that hears the leader just now."""
-    times = make_times()
-    made = LeaseProxy(times, SKEW_S, lambda: clocks.now, lambda: clocks.wall)
-    made.heard(TOKEN, Trust(TOKEN, KNOWN_WALL, ["vm-excluded"]))
-    return made, times
+    durations = make_durations()
+    renewals = DelegatedRenewals(durations, SKEW_S, lambda: clocks.now, lambda: clocks.wall)
+    renewals.observe_leader(FENCING_TOKEN, LeaseDelegation(FENCING_TOKEN, KNOWN_WALL, ["vm-excluded"]))
+    return renewals, durations
 
 
 LONG_AGO = float("-inf")
@@ -50,83 +53,96 @@
 
 def test_nobody_stands_in_while_the_leader_is_heard() -> None:
     clocks = Clocks()
-    made, times = proxy(clocks)
-    worker = report()
-    clocks.now += times.proxy_after_s
-    assert made.may_answer(worker, LONG_AGO, TOKEN, True) is None
+    renewals, durations = delegate(clocks)
+    worker = heartbeat()
+    clocks.now += durations.delegated_renewal_after_s
+    assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) is None
     clocks.now += 0.1
-    assert made.may_answer(worker, LONG_AGO, TOKEN, True) == TOKEN
+    assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) == FENCING_TOKEN
     # It is heard again, and vouches for nothing yet.
-    made.heard(TOKEN, None)
-    clocks.now += 2 * times.proxy_after_s
-    assert made.may_answer(worker, LONG_AGO, TOKEN, True) is None
+    renewals.observe_leader(FENCING_TOKEN, None)
+    clocks.now += 2 * durations.delegated_renewal_after_s
+    assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) is None
 
 
 def test_a_leader_of_before_takes_back_nothing_that_a_newer_one_vouched_for() -> None:
     clocks = Clocks()
-    made, times = proxy(clocks)
-    clocks.now += 2 * times.proxy_after_s
-    made.heard(TOKEN - 1, Trust(TOKEN - 1, KNOWN_WALL, []))
-    assert made.may_answer(report(), LONG_AGO, TOKEN, True) == TOKEN
-    assert made.may_answer(report(TOKEN - 1), LONG_AGO, TOKEN, True) is None
+    renewals, durations = delegate(clocks)
+    clocks.now += 2 * durations.delegated_renewal_after_s
+    renewals.observe_leader(FENCING_TOKEN - 1, LeaseDelegation(FENCING_TOKEN - 1, KNOWN_WALL, []))
+    assert renewals.renewal_fencing_token(heartbeat(), LONG_AGO, FENCING_TOKEN, True) == FENCING_TOKEN
+    assert renewals.renewal_fencing_token(heartbeat(FENCING_TOKEN - 1), LONG_AGO, FENCING_TOKEN, True) is None
 
 
 @pytest.mark.parametrize(
-    ("known_token", "unreachable", "expected"),
+    ("known_fencing_token", "unreachable", "expected"),
     [
-        pytest.param(TOKEN, True, TOKEN, id="partition"),
-        pytest.param(TOKEN, False, None, id="leader-can-be-reached"),
-        pytest.param(TOKEN - 1, True, None, id="another-key"),
+        pytest.param(FENCING_TOKEN, True, FENCING_TOKEN, id="partition"),
+        pytest.param(FENCING_TOKEN, False, None, id="leader-can-be-reached"),
+        pytest.param(FENCING_TOKEN - 1, True, None, id="another-key"),
     ],
 )
 def test_with_the_state_service_only_a_partition_makes_one_stand_in(
-    known_token: int, unreachable: bool, expected: int | None
+    known_fencing_token: int, unreachable: bool, expected: int | None
 ) -> None:
     clocks = Clocks()
-    made, times = proxy(clocks)
-    clocks.now += 2 * times.proxy_after_s
-    worker = report()
-    assert made.may_answer(worker, clocks.now - times.proxy_after_s, known_token, unreachable) == expected
+    renewals, durations = delegate(clocks)
+    clocks.now += 2 * durations.delegated_renewal_after_s
+    worker = heartbeat()
+    assert (
+        renewals.renewal_fencing_token(
+            worker, clocks.now - durations.delegated_renewal_after_s, known_fencing_token, unreachable
+        )
+        == expected
+    )
     # Without it for as long as without the leader nothing else is asked for.
-    assert made.may_answer(worker, clocks.now - 1.1 * times.proxy_after_s, known_token, unreachable) == TOKEN
+    assert (
+        renewals.renewal_fencing_token(
+            worker, clocks.now - 1.1 * durations.delegated_renewal_after_s, known_fencing_token, unreachable
+        )
+        == FENCING_TOKEN
+    )
 
 
 def test_what_the_leader_vouched_for_ends_by_its_own_time_of_day() -> None:
     clocks = Clocks()
-    made, times = proxy(clocks)
-    clocks.now += 2 * times.proxy_after_s
-    worker = report()
-    clocks.wall = KNOWN_WALL + times.blind_answers_s - 2 * SKEW_S
-    assert made.may_answer(worker, LONG_AGO, TOKEN, True) == TOKEN
+    renewals, durations = delegate(clocks)
+    clocks.now += 2 * durations.delegated_renewal_after_s
+    worker = heartbeat()
+    clocks.wall = KNOWN_WALL + durations.unconfirmed_renewal_s - 2 * SKEW_S
+    assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) == FENCING_TOKEN
     clocks.wall += 0.1
-    assert made.may_answer(worker, LONG_AGO, TOKEN, True) is None
+    assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) is None
 
 
 def test_only_workers_of_that_leader_whose_machine_holds_nothing_to_be_stopped_are_answered() -> None:
     clocks = Clocks()
-    made, times = proxy(clocks)
-    clocks.now += 2 * times.proxy_after_s
-    worker = report()
-    assert made.may_answer(worker, LONG_AGO, TOKEN, True) == TOKEN
-    for token in (TOKEN - 1, TOKEN + 1):
-        assert made.may_answer(report(token), LONG_AGO, TOKEN, True) is None
+    renewals, durations = delegate(clocks)
+    clocks.now += 2 * durations.delegated_renewal_after_s
+    worker = heartbeat()
+    assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) == FENCING_TOKEN
+    for fencing_token in (FENCING_TOKEN - 1, FENCING_TOKEN + 1):
+        assert renewals.renewal_fencing_token(heartbeat(fencing_token), LONG_AGO, FENCING_TOKEN, True) is None
     # There is a leader behind that one.
-    assert made.may_answer(worker, LONG_AGO, TOKEN + 1, True) is None
+    assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN + 1, True) is None
     assert (
-        made.may_answer(msgspec.structs.replace(worker, machine="vm-excluded"), LONG_AGO, TOKEN, True) is None
+        renewals.renewal_fencing_token(
+            msgspec.structs.replace(worker, machine="vm-excluded"), LONG_AGO, FENCING_TOKEN, True
+        )
+        is None
     )
 
 
 def test_standing_in_is_logged_once_for_each_time(caplog: pytest.LogCaptureFixture) -> None:
     clocks = Clocks()
-    made, times = proxy(clocks)
-    worker = report()
-    with caplog.at_level(logging.INFO, "poppyhold.cluster.lease_proxy"):
+    renewals, durations = delegate(clocks)
+    worker = heartbeat()
+    with caplog.at_level(logging.INFO, "poppyhold.cluster.delegated_renewals"):
         for _ in range(2):
-            clocks.now += 2 * times.proxy_after_s
+            clocks.now += 2 * durations.delegated_renewal_after_s
             for _ in range(3):
-                made.may_answer(worker, LONG_AGO, TOKEN, True)
-            made.heard(TOKEN, Trust(TOKEN, KNOWN_WALL, []))
+                renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True)
+            renewals.observe_leader(FENCING_TOKEN, LeaseDelegation(FENCING_TOKEN, KNOWN_WALL, []))
     assert len(caplog.records) == 2
 
 
@@ -134,38 +150,38 @@
 
 
 def test_nobody_stood_in_who_was_never_told() -> None:
-    proxies = LeaseProxies(make_times(), SKEW_S)
+    tracker = DelegationTracker(make_durations(), SKEW_S)
     # An answer to a leader of before.
-    proxies.answered("hive-1", 5.0)
-    assert proxies.until(1000.0) == float("-inf")
+    tracker.record_response("hive-1", 5.0)
+    assert tracker.latest_renewal_at(1000.0) == float("-inf")
 
 
 def test_who_answers_in_time_stood_in_for_nobody() -> None:
-    times = make_times()
-    proxies = LeaseProxies(times, SKEW_S)
-    proxies.telling("hive-1", 0.0)
-    assert proxies.until(times.proxy_after_s) == float("-inf")
-    proxies.answered("hive-1", 1.0)
+    durations = make_durations()
+    tracker = DelegationTracker(durations, SKEW_S)
+    tracker.record_grant("hive-1", 0.0)
+    assert tracker.latest_renewal_at(durations.delegated_renewal_after_s) == float("-inf")
+    tracker.record_response("hive-1", 1.0)
     # An answer to a question of before that comes late takes nothing back.
-    proxies.answered("hive-1", 0.5)
-    assert proxies.until(1.0 + times.proxy_after_s) == float("-inf")
+    tracker.record_response("hive-1", 0.5)
+    assert tracker.latest_renewal_at(1.0 + durations.delegated_renewal_after_s) == float("-inf")
     # Being told says nothing of whether it hears that.
-    proxies.telling("hive-1", 4.0)
-    now = 1.2 + times.proxy_after_s
-    assert proxies.until(now) == now
+    tracker.record_grant("hive-1", 4.0)
+    now = 1.2 + durations.delegated_renewal_after_s
+    assert tracker.latest_renewal_at(now) == now
 
 
 def test_who_was_silent_may_have_stood_in_for_as_long_as_it_was_vouched_for() -> None:
-    times = make_times()
-    proxies = LeaseProxies(times, SKEW_S)
-    proxies.telling("hive-1", 0.0)
-    proxies.telling("hive-2", 0.0)
-    longest_s = times.blind_answers_s * 1.001 + 4 * SKEW_S
-    assert proxies.until(longest_s - 1.0) == longest_s - 1.0
-    assert proxies.until(longest_s + 50.0) == longest_s
+    durations = make_durations()
+    tracker = DelegationTracker(durations, SKEW_S)
+    tracker.record_grant("hive-1", 0.0)
+    tracker.record_grant("hive-2", 0.0)
+    longest_s = durations.unconfirmed_renewal_s * 1.001 + 4 * SKEW_S
+    assert tracker.latest_renewal_at(longest_s - 1.0) == longest_s - 1.0
+    assert tracker.latest_renewal_at(longest_s + 50.0) == longest_s
     # It is heard again: what was so far stays, and ends there.
-    proxies.answered("hive-1", longest_s - 2.0)
-    proxies.answered("hive-2", longest_s - 3.0)
-    assert proxies.until(longest_s - 1.0) == longest_s - 2.0
+    tracker.record_response("hive-1", longest_s - 2.0)
+    tracker.record_response("hive-2", longest_s - 3.0)
+    assert tracker.latest_renewal_at(longest_s - 1.0) == longest_s - 2.0
     # Silent once more, without a newer word: never earlier than what was found before.
-    assert proxies.until(longest_s + 50.0) == longest_s
+    assert tracker.latest_renewal_at(longest_s + 50.0) == longest_s
--- a/tests/test_share_book.py
+++ b/tests/test_share_book.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 
 import pytest
 from hypothesis import given, settings
@@ -10,8 +10,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from guards import take_out
-from poppyhold.durable.committer import Writer
-from poppyhold.durable.store import LEAD, QUOTA, Data, Entry, put
+from poppyhold.durable.changes import Entry, Put, Write
+from poppyhold.durable.committer import FencedWriter
+from poppyhold.durable.keys import LEADER_KEY, QUOTA_PREFIX
+from poppyhold.durable.store import transaction_body
 from poppyhold.quota.amounts import (
     UNIT,
     ResourceAmount,
@@ -312,12 +314,12 @@
     return None
 
 
-def _without_lead(writer: Writer, conditions: dict[str, int], writes: list[Data]) -> None:
+def _without_lead(writer: FencedWriter, conditions: dict[str, int], writes: Sequence[Write]) -> None:
     writer._store.commit(conditions, writes)
 
 
-def _without_fence(writer: Writer, conditions: dict[str, int], writes: list[Data]) -> None:
-    writer._store.commit({LEAD: writer._lead_version, **conditions}, writes)
+def _without_fence(writer: FencedWriter, conditions: dict[str, int], writes: Sequence[Write]) -> None:
+    writer._store.commit({LEADER_KEY: writer._leader_key_revision, **conditions}, writes)
 
 
 GUARDS = [
@@ -325,8 +327,8 @@
     pytest.param(started_before_the_write, ShareBook, "_leave", _leave_later, id="leaves-first"),
     pytest.param(started_before_it_was_taken, ShareBook, "_join", join_at_once, id="joins-last"),
     pytest.param(told_before_it_was_written, ShareBook, "transfer_to", told_at_once, id="durable-first"),
-    pytest.param(frozen_in_a_gift, Writer, "commit", _without_lead, id="lead"),
-    pytest.param(carried_out_late, Writer, "commit", _without_fence, id="fence"),
+    pytest.param(frozen_in_a_gift, FencedWriter, "commit", _without_lead, id="lead"),
+    pytest.param(carried_out_late, FencedWriter, "commit", _without_fence, id="fence"),
 ]
 
 
@@ -495,7 +497,7 @@
     assert leader is not None
     key = share_key("beta") if shares else IDENTITY
     leader.book.seed(shares, 10)
-    leader.cell.state.commit({"writes": [put(key, {"made": "meanwhile"})]})
+    leader.cell.state.commit(transaction_body({}, [Put(key, {"made": "meanwhile"})]))
     leader.carry_out()
     assert leader.unclear
     assert leader.cell.state.keys[key][0] == {"made": "meanwhile"}
@@ -505,7 +507,7 @@
     cell = Fleet().cells[0]
     heard: list[str] = []
     book = ShareBook("east", str, lambda conditions, writes, done: None, heard.append, lambda why: None)
-    entries = cell.state.scan(QUOTA, "", 1000)[1]["entries"]
+    entries = cell.state.scan(QUOTA_PREFIX, "", 1000)[1]["entries"]
     book.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
     assert heard == [TEAM]
 
@@ -590,7 +592,7 @@
 def test_records_of_another_cell_let_nothing_start() -> None:
     cell = Fleet().cells[0]
     book = ShareBook("west", str, lambda conditions, writes, done: None, lambda team: None, lambda why: None)
-    entries = cell.state.scan(QUOTA, "", 1000)[1]["entries"]
+    entries = cell.state.scan(QUOTA_PREFIX, "", 1000)[1]["entries"]
     book.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
     with pytest.raises(OtherCellError):
         book.check_identity()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -5,31 +5,32 @@
 import threading
 import time
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from types import SimpleNamespace
 from typing import Any
 
 import pytest
 
-from poppyhold.durable.committer import Committer, Unit, Writer
-from poppyhold.durable.store import (
-    FENCE,
-    HIRE,
-    LEAD,
-    PLAN,
-    TOKEN,
-    ConflictError,
-    Entry,
+from poppyhold.durable.changes import Entry, Put, Write
+from poppyhold.durable.committer import Committer, CommitUnit, FencedWriter
+from poppyhold.durable.errors import (
+    ConditionFailedError,
     InvalidRequestError,
-    LeaseGoneError,
-    RefusedError,
-    Store,
-    UncertainError,
-    put,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StoreRejectedError,
 )
-from poppyhold.model.context import CommitRank
+from poppyhold.durable.keys import (
+    FENCING_TOKEN_KEY,
+    LAUNCH_PREFIX,
+    LEADER_KEY,
+    PLAN_PREFIX,
+    WRITE_FENCE_KEY,
+)
+from poppyhold.durable.store import Store, transaction_body
+from poppyhold.model.outbound import CommitPriority
 from poppyhold.scale.jobs import submission
-from poppyhold.scale.standins import StateStandIn
+from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.settings import Team
 from sim_node import SimLeaderTerm
 from world import World
@@ -49,19 +50,19 @@
         status, body = self.state.get(key)
         return Entry(key, body["data"], body["stamp"]) if status == 200 else None
 
-    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
-        body = {"if": [{"key": k, "stamp": s} for k, s in conditions.items()], "writes": writes}
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
+        body = transaction_body(conditions, writes)
         fate = self.fates.popleft() if self.fates else "answered"
         if fate == "refused":
-            raise RefusedError("503")
+            raise StoreRejectedError("503")
         if fate == "late":
             self.late.append(body)
-            raise UncertainError("late")
+            raise OutcomeUnknownError("late")
         status, answer = self.state.commit(body)
         if fate == "lost":
-            raise UncertainError("lost")
+            raise OutcomeUnknownError("lost")
         if status == 409:
-            raise ConflictError(answer["failed"])
+            raise ConditionFailedError(answer["failed"])
         return int(answer["ledger"])
 
     def carry_out_late(self) -> list[int]:
@@ -69,21 +70,21 @@
         return [self.state.commit(body)[0] for body in self.late]
 
 
-def leader(*fates: str) -> tuple[Fickle, Writer]:
+def leader(*fates: str) -> tuple[Fickle, FencedWriter]:
     """A store with a leader's key, and that leader's writer."""
     store = Fickle()
-    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     store.fates.extend(fates)
-    return store, Writer(store, stamp)
+    return store, FencedWriter(store, stamp)
 
 
-def until_certain(writer: Writer, key: str, value: int) -> None:
+def until_certain(writer: FencedWriter, key: str, value: int) -> None:
     """Write as the committer does: repeat what had no answer."""
     for _ in range(10):
         try:
-            writer.commit({}, [put(key, {"v": value})])
+            writer.commit({}, [Put(key, {"v": value})])
             return
-        except (RefusedError, UncertainError):
+        except (StoreRejectedError, OutcomeUnknownError):
             continue
     raise AssertionError("never certain")
 
@@ -99,7 +100,7 @@
 
 
 @pytest.mark.parametrize("fates", FATES, ids=" ".join)
-@pytest.mark.parametrize("key", [TOKEN, PLAN + "job-000001"])
+@pytest.mark.parametrize("key", [FENCING_TOKEN_KEY, PLAN_PREFIX + "job-000001"])
 def test_late_transactions_undo_nothing_newer(fates: list[str], key: str) -> None:
     store, writer = leader(*fates)
     for value in (1, 2, 3):
@@ -119,16 +120,16 @@
     clock = SimpleNamespace(monotonic=time.monotonic, sleep=pauses.append)
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
     store = Fickle()
-    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     store.fates.extend(["refused"] * 12)
     done = threading.Event()
     committer = Committer(store, settings, stamp, lambda: None)
-    committer.submit(Unit({}, [put(TOKEN, {"v": 1})], lambda result: done.set()))
+    committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], lambda result: done.set()))
     assert done.wait(60.0)
     committer.stop()
     assert len(pauses) == 12
     assert pauses[1] == 2 * pauses[0]
-    assert pauses[-1] == settings.settings.workers.report_s / 8
+    assert pauses[-1] == settings.settings.workers.heartbeat_interval_s / 8
 
 
 def test_transactions_keep_to_the_pace_of_the_writes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -142,14 +143,14 @@
     clock = SimpleNamespace(monotonic=lambda: now[0], sleep=sleep)
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
     store = Fickle()
-    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     left = threading.Semaphore(0)
     committer = Committer(store, settings, stamp, lambda: None)
     changes = 0
     for unit in range(20):
-        writes = [put(f"{PLAN}{unit}-{number}", {}) for number in range(10)]
+        writes = [Put(f"{PLAN_PREFIX}{unit}-{number}", {}) for number in range(10)]
         changes += len(writes)
-        committer.submit(Unit({}, writes, lambda result: left.release()))
+        committer.submit(CommitUnit({}, writes, lambda result: left.release()))
     for _ in range(20):
         assert left.acquire(timeout=20.0)
     committer.stop()
@@ -165,8 +166,8 @@
         super().__init__()
         self.most_changes, self.largest = most_changes, largest
 
-    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
-        too_large = any(write["data"].get("v", 0) > self.largest for write in writes)
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
+        too_large = any(isinstance(write, Put) and write.data.get("v", 0) > self.largest for write in writes)
         if len(writes) > self.most_changes or too_large:
             raise InvalidRequestError("400")
         return super().commit(conditions, writes)
@@ -178,7 +179,7 @@
     clock = SimpleNamespace(monotonic=time.monotonic, sleep=lambda seconds: time.sleep(seconds / 100))
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
     store = Limited(most_changes=1, largest=9)
-    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     committer = Committer(store, settings, stamp, lambda: None)
     outcomes: list[tuple[int, bool]] = []
     last = threading.Event()
@@ -193,23 +194,23 @@
 
     # The second is too large by itself, and all of them are too many for one transaction.
     for value in (1, 10, 3, 4):
-        committer.submit(Unit({}, [put(f"{PLAN}{value}", {"v": value})], note(value)))
+        committer.submit(CommitUnit({}, [Put(f"{PLAN_PREFIX}{value}", {"v": value})], note(value)))
     assert last.wait(60.0)
     committer.stop()
     assert outcomes == [(1, True), (3, True), (4, True)]
-    assert f"{PLAN}10" not in store.state.keys
+    assert f"{PLAN_PREFIX}10" not in store.state.keys
 
 
 def test_a_new_leader_voids_what_the_old_one_left() -> None:
     store, old = leader("late")
-    with pytest.raises(UncertainError):
-        old.commit({}, [put(TOKEN, {"v": 1})])
-    stamp = store.commit({}, [put(LEAD, {"member": "hive-1"})])
-    until_certain(Writer(store, stamp), TOKEN, 2)
+    with pytest.raises(OutcomeUnknownError):
+        old.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})])
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-1"})])
+    until_certain(FencedWriter(store, stamp), FENCING_TOKEN_KEY, 2)
     assert store.carry_out_late() == [409]
-    with pytest.raises(ConflictError, match=LEAD):
-        old.commit({}, [put(TOKEN, {"v": 3})])
-    assert store.state.keys[TOKEN][0] == {"v": 2}
+    with pytest.raises(ConditionFailedError, match=LEADER_KEY):
+        old.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 3})])
+    assert store.state.keys[FENCING_TOKEN_KEY][0] == {"v": 2}
 
 
 class Held(Fickle):
@@ -220,11 +221,11 @@
         self.reached, self.go_on = threading.Event(), threading.Event()
         self.order: list[str] = []
 
-    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
         if conditions:
             self.reached.set()
             assert self.go_on.wait(60.0)
-            self.order += [write["set"] for write in writes]
+            self.order += [write.key for write in writes]
         return super().commit(conditions, writes)
 
 
@@ -235,9 +236,9 @@
         super().__init__()
         self.transactions: list[list[str]] = []
 
-    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
         if conditions:
-            self.transactions.append([write["set"].removeprefix(PLAN) for write in writes])
+            self.transactions.append([write.key.removeprefix(PLAN_PREFIX) for write in writes])
         return super().commit(conditions, writes)
 
 
@@ -248,7 +249,7 @@
         self.store = store
         self.outcomes: dict[str, bool] = {}
         self.deposed = threading.Event()
-        stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+        stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
         settings = World(1, 10.0, 30.0, []).settings
         self.committer = Committer(store, settings, stamp, self.deposed.set)
         self._left = threading.Semaphore(0)
@@ -260,7 +261,9 @@
             self.outcomes[name] = result
             self._left.release()
 
-        self.committer.submit(Unit(conditions or {}, [put(PLAN + key, {}) for key in keys], done))
+        self.committer.submit(
+            CommitUnit(conditions or {}, [Put(PLAN_PREFIX + key, {}) for key in keys], done)
+        )
 
     def finish(self, units: int) -> None:
         self.store.go_on.set()
@@ -303,17 +306,17 @@
     store = Noted()
     backlog = Backlog(store)
     backlog.submit("before", ["before"])
-    backlog.submit("failing", ["failing"], {LEAD + "/other": 7})
+    backlog.submit("failing", ["failing"], {LEADER_KEY + "/other": 7})
     backlog.submit("behind", ["behind"])
     backlog.finish(4)
     assert backlog.outcomes == {"first": True, "before": True, "failing": False, "behind": True}
-    assert PLAN + "failing" not in store.state.keys
+    assert PLAN_PREFIX + "failing" not in store.state.keys
 
 
 def test_a_leader_that_was_deposed_writes_no_more_and_says_so() -> None:
     store = Noted()
     backlog = Backlog(store)
-    store.state.commit({"writes": [put(LEAD, {"member": "hive-1"})]})
+    store.state.commit(transaction_body({}, [Put(LEADER_KEY, {"member": "hive-1"})]))
     backlog.submit("second", ["second"])
     store.go_on.set()
     assert backlog.deposed.wait(20.0)
@@ -328,14 +331,14 @@
     class Gone(Fickle):
         tries = 0
 
-        def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
+        def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
             self.tries += bool(conditions)
             if self.tries == 1 and conditions:
-                raise LeaseGoneError("lease")
+                raise LeaseExpiredError
             return super().commit(conditions, writes)
 
     store = Gone()
-    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     committer = Committer(store, World(1, 10.0, 30.0, []).settings, stamp, lambda: None)
     outcomes: list[bool] = []
     done = threading.Event()
@@ -344,7 +347,7 @@
         outcomes.append(result)
         done.set()
 
-    committer.submit(Unit({}, [put(TOKEN, {"v": 1})], noted))
+    committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], noted))
     assert done.wait(60.0)
     committer.stop()
     assert (outcomes, store.tries) == ([True], 2)
@@ -354,16 +357,16 @@
     class Refusing(Fickle):
         tried = threading.Event()
 
-        def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
+        def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
             if conditions:
                 self.tried.set()
-                raise RefusedError("503")
+                raise StoreRejectedError("503")
             return super().commit(conditions, writes)
 
     store = Refusing()
-    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     committer = Committer(store, World(1, 10.0, 30.0, []).settings, stamp, lambda: None)
-    committer.submit(Unit({}, [put(TOKEN, {"v": 1})], lambda result: None))
+    committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], lambda result: None))
     assert store.tried.wait(20.0)
     committer.stop()
     committer._thread.join(20.0)
@@ -372,16 +375,16 @@
 
 def test_a_fence_that_has_moved_is_read_again() -> None:
     store, writer = leader()
-    writer.commit({}, [put(TOKEN, {"v": 1})])
-    store.commit({}, [put(FENCE, {"moved": True})])
-    with pytest.raises(RefusedError):
-        writer.commit({}, [put(TOKEN, {"v": 2})])
-    writer.commit({}, [put(TOKEN, {"v": 3})])
-    assert store.state.keys[TOKEN][0] == {"v": 3}
+    writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})])
+    store.commit({}, [Put(WRITE_FENCE_KEY, {"moved": True})])
+    with pytest.raises(StoreRejectedError):
+        writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 2})])
+    writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 3})])
+    assert store.state.keys[FENCING_TOKEN_KEY][0] == {"v": 3}
     # With a new leader's fence: that it leads no more is what counts.
-    store.commit({}, [put(LEAD, {"member": "hive-1"}), put(FENCE, {"moved": "again"})])
-    with pytest.raises(ConflictError, match=LEAD):
-        writer.commit({}, [put(TOKEN, {"v": 4})])
+    store.commit({}, [Put(LEADER_KEY, {"member": "hive-1"}), Put(WRITE_FENCE_KEY, {"moved": "again"})])
+    with pytest.raises(ConditionFailedError, match=LEADER_KEY):
+        writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 4})])
 
 
 @pytest.mark.parametrize(
@@ -390,62 +393,68 @@
 def test_a_fence_is_raised_once_for_each_transaction_without_an_answer(fates: list[str]) -> None:
     store, writer = leader(*fates)
     for value in range(5):
-        until_certain(writer, TOKEN, value)
+        until_certain(writer, FENCING_TOKEN_KEY, value)
     # The leader's key, five values, and one change of the fence.
     assert store.state.ledger == 7
 
 
-def test_hires_go_before_the_plans_of_a_backlog() -> None:
+def test_launches_go_before_the_plans_of_a_backlog() -> None:
     # A hundred plans at two thirds of 25 changes a second kept the first hires of a fleet back for 11 s.
     settings = World(1, 10.0, 30.0, []).settings
     store = Held()
-    stamp = store.commit({}, [put(LEAD, {"member": "hive-0"})])
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     committer = Committer(store, settings, stamp, lambda: None)
     left = threading.Semaphore(0)
 
-    def submit(key: str, rank: CommitRank) -> None:
-        committer.submit(Unit({}, [put(key, {})], lambda result: left.release()), rank)
+    def submit(key: str, priority: CommitPriority) -> None:
+        committer.submit(CommitUnit({}, [Put(key, {})], lambda result: left.release()), priority)
 
-    submit(f"{PLAN}first", CommitRank.AWAITED)
+    submit(f"{PLAN_PREFIX}first", CommitPriority.AWAITED)
     assert store.reached.wait(60.0)
-    submit("records", CommitRank.BACKGROUND)
+    submit("records", CommitPriority.BACKGROUND)
     for number in range(20):
-        submit(f"{PLAN}{number:02d}", CommitRank.AWAITED)
-    submit(f"{HIRE}r-1", CommitRank.SOONEST)
+        submit(f"{PLAN_PREFIX}{number:02d}", CommitPriority.AWAITED)
+    submit(f"{LAUNCH_PREFIX}r-1", CommitPriority.SOONEST)
     store.go_on.set()
     for _ in range(23):
         assert left.acquire(timeout=60.0)
     committer.stop()
-    plans = [f"{PLAN}{number:02d}" for number in range(20)]
-    assert store.order == [f"{PLAN}first", f"{HIRE}r-1", *plans, "records"]
+    plans = [f"{PLAN_PREFIX}{number:02d}" for number in range(20)]
+    assert store.order == [f"{PLAN_PREFIX}first", f"{LAUNCH_PREFIX}r-1", *plans, "records"]
 
 
 def test_plans_of_urgent_jobs_go_first_and_those_of_guests_last(monkeypatch: pytest.MonkeyPatch) -> None:
     # Six one-task jobs a second of a guest team kept plans of critical replicas back for a minute.
     world = World(1, 10.0, 30.0, [Team("alpha", gpus=8), Team("gamma")])
-    ranks: dict[str, CommitRank] = {}
+    ranks: dict[str, CommitPriority] = {}
     inner = SimLeaderTerm.commit
 
     def commit(
         self: SimLeaderTerm,
         conditions: Data,
-        writes: list[Data],
+        writes: Sequence[Write],
         done: Any,
-        rank: CommitRank = CommitRank.BACKGROUND,
+        priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
-        ranks.update({write["set"]: rank for write in writes if write.get("set", "").startswith(PLAN)})
-        inner(self, conditions, writes, done, rank)
+        ranks.update(
+            {
+                write.key: priority
+                for write in writes
+                if isinstance(write, Put) and write.key.startswith(PLAN_PREFIX)
+            }
+        )
+        inner(self, conditions, writes, done, priority)
 
     monkeypatch.setattr(SimLeaderTerm, "commit", commit)
     world.run(5.0)
     jobs = {"job-000001": ("gamma", "best_effort"), "job-000002": ("alpha", "standard")}
     jobs |= {"job-000003": ("alpha", "critical"), "job-000004": ("gamma", "high")}
-    for job_id, (team, rank) in jobs.items():
-        world.submit(submission(job_id, {"crew": team, "rank": rank}))
+    for job_id, (team, priority) in jobs.items():
+        world.submit(submission(job_id, {"crew": team, "rank": priority}))
     world.run(8.0)
-    assert [ranks[PLAN + job_id] for job_id in jobs] == [
-        CommitRank.UNGUARANTEED,
-        CommitRank.AWAITED,
-        CommitRank.URGENT,
-        CommitRank.UNGUARANTEED,
+    assert [ranks[PLAN_PREFIX + job_id] for job_id in jobs] == [
+        CommitPriority.UNGUARANTEED,
+        CommitPriority.AWAITED,
+        CommitPriority.URGENT,
+        CommitPriority.UNGUARANTEED,
     ]
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -8,12 +8,14 @@
 
 import pytest
 
-from poppyhold.durable.store import Changes, Entry, LeaseGoneError, Page, RefusedError, Store, UncertainError
+from poppyhold.durable.changes import DeletedKey, Entry, WatchEvent
+from poppyhold.durable.errors import OutcomeUnknownError, StoreRejectedError, WatchCompactedError
+from poppyhold.durable.store import Changes, Page, Store
 from poppyhold.durable.watch import Watch
 
 PREFIX = "ph/a/"
-SET = {"set": f"{PREFIX}new", "data": {"v": 2}, "stamp": 12}
-REMOVE = {"remove": f"{PREFIX}old", "stamp": 13}
+SET = Entry(f"{PREFIX}new", {"v": 2}, 12)
+DELETE = DeletedKey(f"{PREFIX}old", 13)
 
 
 class ScriptedStore(Store):
@@ -52,8 +54,8 @@
         self.snapshots.append(entries[0].data["page"])
         assert len(entries) == 1
 
-    def on_change(self, change: Entry | str, version: int) -> None:
-        self.changes.append((change.key if isinstance(change, Entry) else change, version))
+    def on_change(self, change: WatchEvent) -> None:
+        self.changes.append((change.key, change.revision))
 
 
 def watch(store: ScriptedStore, heard: Heard, **replaced: Callable[..., None]) -> Watch:
@@ -73,7 +75,7 @@
 
 
 def test_a_snapshot_comes_first_and_then_every_change_in_order() -> None:
-    store, heard = ScriptedStore(Changes([SET, REMOVE], 13), Changes([], 14)), Heard()
+    store, heard = ScriptedStore(Changes([SET, DELETE], 13), Changes([], 14)), Heard()
     made = watch(store, heard)
     made._run()
     assert heard.snapshots == [1]
@@ -84,7 +86,7 @@
     assert made.first_revision == 10
 
 
-@pytest.mark.parametrize("error", [RefusedError("503"), UncertainError("lost")], ids=str)
+@pytest.mark.parametrize("error", [StoreRejectedError("503"), OutcomeUnknownError("lost")], ids=str)
 def test_a_question_without_an_answer_is_asked_again(error: Exception) -> None:
     store, heard = ScriptedStore(Changes([], 13), error), Heard()
     watch(store, heard)._run()
@@ -92,7 +94,7 @@
 
 
 def test_a_watch_that_is_too_old_reads_a_new_snapshot() -> None:
-    store, heard = ScriptedStore(LeaseGoneError("watch")), Heard()
+    store, heard = ScriptedStore(WatchCompactedError(PREFIX, 10)), Heard()
     made = watch(store, heard)
     made._run()
     assert (heard.snapshots, store.asked_from) == ([1, 2], [10, 20])
@@ -103,7 +105,7 @@
 def test_a_change_that_cannot_be_taken_starts_the_watch_over() -> None:
     store, heard = ScriptedStore(Changes([SET], 13)), Heard()
 
-    def on_change(change: Entry | str, version: int) -> None:
+    def on_change(change: WatchEvent) -> None:
         raise KeyError("of a version to come")
 
     watch(store, heard, on_change=on_change)._run()
@@ -111,10 +113,10 @@
 
 
 def test_behind_a_stop_nothing_is_handed_on() -> None:
-    store, heard = ScriptedStore(Changes([SET, REMOVE], 13)), Heard()
+    store, heard = ScriptedStore(Changes([SET, DELETE], 13)), Heard()
 
-    def on_change(change: Entry | str, version: int) -> None:
-        heard.on_change(change, version)
+    def on_change(change: WatchEvent) -> None:
+        heard.on_change(change)
         made.stop()
 
     made = watch(store, heard, on_change=on_change)
