--- a/tests/test_cell_quota.py
+++ b/tests/test_cell_quota.py
@@ -170,7 +170,7 @@
     quota.answer(request(quota, applied=1))
     while quota.book.peers["west"].in_transit is not None:
         world.run(world.now + 0.05)
-    quota._pace.spend(1000.0, world.now)
+    quota._pace.consume(1000.0, world.now)
     assert given(world, quota, want(0, 1)) is None
 
 
--- a/tests/test_completions.py
+++ b/tests/test_completions.py
@@ -1,4 +1,4 @@
-"""The durable record of completed tasks: which records, when they are written, and when they are removed."""
+"""The durable record of completed tasks: which records, when they are written, and when they are deleted."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from poppyhold.settings import NextState, State
 from poppyhold.wire.user_messages import parse_submission
 
-# Records of 256 tasks now; behind the change those of more than 192 don't fit, and go to ones of 64.
+# Records of 256 tasks now; after the change those of more than 192 don't fit, and go to ones of 64.
 LIMITS = State(value_kb=0.25, txn_ops=2, next=NextState(value_kb=0.0625))
 JOB = "job-000001"
 
@@ -56,7 +56,7 @@
 
 
 def test_records_that_will_not_fit_are_split_and_no_others() -> None:
-    # Tasks up to 355: the last stretch is short.
+    # Tasks up to 355: the last range is short.
     records = Records(some_job(356))
     records.complete(0, 70, 300)
     assert sorted(each for keys in records.save() for each in keys) == sorted(
@@ -70,7 +70,7 @@
     ]
 
 
-def test_records_are_read_by_the_size_of_their_kind_and_removed_with_the_job() -> None:
+def test_records_are_read_by_the_size_of_their_kind_and_deleted_with_the_job() -> None:
     records = Records(some_job())
     bits = {"d": encode_bits(bytearray([TASK_DONE, 0, TASK_DONE]))}
     records.completions.load(COMPLETIONS_PREFIX, {f"{JOB}/1": bits})
@@ -91,7 +91,7 @@
     ]
 
 
-def test_records_of_a_job_that_is_no_more_are_removed() -> None:
+def test_records_of_an_unknown_job_are_deleted() -> None:
     records = Records(some_job())
     records.completions.load(COMPLETIONS_PREFIX, {"job-000009/0": {"d": "1"}})
     assert [writes for _, writes, _ in records.commits] == [[Delete(f"{COMPLETIONS_PREFIX}job-000009/0")]]
@@ -105,7 +105,7 @@
         pytest.param("phase", JobPhase.FINALIZED, JobPhase.ACTIVE, id="finalized"),
     ],
 )
-def test_nothing_is_saved_of_a_job_that_is_being_saved_or_ends(
+def test_nothing_is_saved_of_a_job_that_is_being_saved_finalizing_or_finalized(
     field: str, prevents: bool | JobPhase, allows: bool | JobPhase
 ) -> None:
     records = Records(some_job())
@@ -121,7 +121,7 @@
     records.complete(5)
     records.save()
     conditions, _, done = records.commits[0]
-    # On the condition that the job is what it was: nothing is written of one that has ended.
+    # On the condition that the job is what it was: nothing is written of one that is finalized.
     assert conditions == {ACTIVE_JOB_PREFIX + JOB: 7}
     records.complete(6)
     done(True)
@@ -144,7 +144,7 @@
     assert records.job.undurable_completions == (set() if all(outcomes) else {0, 70, 130})
 
 
-def test_records_are_removed_so_many_at_a_time_also_those_of_which_no_end_is_known() -> None:
+def test_records_are_deleted_in_batches_also_those_whose_write_has_no_outcome_yet() -> None:
     records = Records(some_job())
     records.complete(0, 70, 130)
     records.save()
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -27,13 +27,13 @@
         super().__init__()
         self.granted: list[int] = []
         self.renewed: list[int] = []
-        self.ended: list[int] = []
+        self.revoked: list[int] = []
         self.error: Exception | None = None
 
-    def lease(self, life_s: float) -> int:
-        permit = int(self.state.lease(int(life_s * 1000))[1]["permit"])
-        self.granted.append(permit)
-        return permit
+    def lease(self, ttl_s: float) -> int:
+        lease_id = int(self.state.lease(int(ttl_s * 1000))[1]["permit"])
+        self.granted.append(lease_id)
+        return lease_id
 
     def renew_lease(self, lease_id: int, timeout: float) -> None:
         if self.error is not None:
@@ -43,7 +43,7 @@
     def revoke_lease(self, lease_id: int) -> None:
         if self.error is not None:
             raise self.error
-        self.ended.append(lease_id)
+        self.revoked.append(lease_id)
         self.state.end(lease_id)
 
 
@@ -56,20 +56,20 @@
         monkeypatch.setattr("poppyhold.cluster.election.time", SimpleNamespace(monotonic=lambda: self.now))
         self.store = LeaseStore()
         self.won: list[Term] = []
-        self.deposed = 0
+        self.terms_lost = 0
         world = World(1, 10.0, 30.0, [Team("alpha")])
         self.election = Election(
             world.settings,
             Options(),
             self.store,
             self.won.append,
-            self._on_deposed,
+            self._on_leadership_lost,
             lambda: self.yields,
             world.rng,
         )
 
-    def _on_deposed(self) -> None:
-        self.deposed += 1
+    def _on_leadership_lost(self) -> None:
+        self.terms_lost += 1
 
     def campaign(self) -> bool:
         """One step; whether it asked for a lease to lead on."""
@@ -94,7 +94,7 @@
 # -- campaigning ----------------------------------------------------------------------------------------
 
 
-def test_who_has_not_seen_whether_anybody_leads_does_not_campaign(candidate: Candidate) -> None:
+def test_a_candidate_that_has_not_seen_the_leaders_key_does_not_campaign(candidate: Candidate) -> None:
     assert not candidate.campaign()
     candidate.election._on_snapshot([OTHERS_KEY])
     assert not candidate.campaign()
@@ -106,16 +106,16 @@
     )
 
 
-def test_a_key_of_our_own_from_before_is_removed_before_we_campaign(candidate: Candidate) -> None:
+def test_an_earlier_key_of_our_own_is_deleted_before_we_campaign(candidate: Candidate) -> None:
     candidate.election._on_snapshot([OWN_KEY])
     assert not candidate.campaign()
-    assert candidate.store.ended == [7]
+    assert candidate.store.revoked == [7]
     candidate.election._on_snapshot([OTHERS_KEY])
     assert not candidate.campaign()
-    assert candidate.store.ended == [7]
+    assert candidate.store.revoked == [7]
 
 
-def test_who_is_placed_worse_waits_for_others_as_long_as_a_term_lives(
+def test_a_candidate_that_yields_waits_for_the_others_for_a_lease_of_a_term(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     one = Candidate(monkeypatch, yields=True)
@@ -130,31 +130,31 @@
     assert one.campaign()
 
 
-def test_who_resigned_stands_back_for_a_lease(candidate: Candidate) -> None:
+def test_a_leader_that_resigned_stands_back_for_a_lease(candidate: Candidate) -> None:
     term = candidate.lead()
     candidate.election.resign("told to")
-    assert (candidate.election.term, candidate.deposed) == (None, 1)
-    assert candidate.store.ended == [term.lease_id]
+    assert (candidate.election.term, candidate.terms_lost) == (None, 1)
+    assert candidate.store.revoked == [term.lease_id]
     candidate.election._on_change(DeletedKey(LEADER_KEY, term.key_revision + 1))
     assert not candidate.campaign()
-    # Nor does it depose anybody meanwhile.
+    # Nor does it end another leader's lease meanwhile.
     candidate.election._on_snapshot([OTHERS_KEY])
     candidate.election.expire_lease(Leader("hive-1", 6, 8, 41))
-    assert candidate.store.ended == [term.lease_id]
+    assert candidate.store.revoked == [term.lease_id]
     candidate.now += 10.0
     candidate.election.expire_lease(Leader("hive-1", 6, 8, 41))
-    assert candidate.store.ended == [term.lease_id, 8]
+    assert candidate.store.revoked == [term.lease_id, 8]
     candidate.election._on_change(DeletedKey(LEADER_KEY, 42))
     assert candidate.campaign()
 
 
-def test_who_resigns_without_leading_ends_no_lease(candidate: Candidate) -> None:
+def test_a_resignation_without_leading_revokes_no_lease(candidate: Candidate) -> None:
     candidate.election.resign("stopped")
     candidate.election.transfer_leadership("another one reaches more")
-    assert (candidate.store.ended, candidate.deposed) == ([], 0)
+    assert (candidate.store.revoked, candidate.terms_lost) == ([], 0)
 
 
-def test_who_handed_over_stands_back_for_a_lease(candidate: Candidate) -> None:
+def test_a_leader_that_transferred_its_leadership_stands_back_for_a_lease(candidate: Candidate) -> None:
     term = candidate.lead()
     candidate.election.transfer_leadership("another one reaches more")
     candidate.election._on_change(DeletedKey(LEADER_KEY, term.key_revision + 1))
@@ -163,20 +163,20 @@
     assert candidate.campaign()
 
 
-def test_only_the_leader_that_is_known_is_deposed(candidate: Candidate) -> None:
+def test_only_the_lease_of_the_known_leader_is_ended(candidate: Candidate) -> None:
     candidate.election._on_snapshot([OTHERS_KEY])
     candidate.election.expire_lease(Leader("hive-2", 5, 7, 40))
-    assert candidate.store.ended == []
+    assert candidate.store.revoked == []
 
 
-def test_a_claim_is_conditional_on_the_key_and_on_the_token(candidate: Candidate) -> None:
+def test_a_claim_is_conditional_on_the_leaders_key_and_on_the_fencing_token(candidate: Candidate) -> None:
     candidate.election._on_snapshot([])
     # Somebody else leads, and we have not heard.
     candidate.store.commit({}, [Put(LEADER_KEY, {"member": "hive-1", "baton": 3, "permit": 99})])
     assert candidate.campaign()
     assert (candidate.won, candidate.election.term) == ([], None)
     assert candidate.store.state.keys[LEADER_KEY][0]["member"] == "hive-1"
-    # The token rises between our look at it and the claim.
+    # The fencing token rises between our look at it and the claim.
     candidate.store.commit({}, [Delete(LEADER_KEY)])
     look = candidate.store.get
 
@@ -193,7 +193,7 @@
     assert [term.fencing_token for term in candidate.won] == [10]
 
 
-def test_a_claim_without_an_answer_is_won_only_if_the_key_is_ours(candidate: Candidate) -> None:
+def test_a_claim_of_unknown_outcome_is_won_only_if_the_key_is_ours(candidate: Candidate) -> None:
     candidate.election._on_snapshot([])
     # It was not carried out, and somebody else leads.
     candidate.store.commit({}, [Put(LEADER_KEY, {"member": "hive-1", "baton": 3, "permit": 99})])
@@ -205,7 +205,7 @@
 # -- what the watch tells -------------------------------------------------------------------------------
 
 
-def test_changes_from_before_our_term_do_not_end_it(candidate: Candidate) -> None:
+def test_changes_before_our_claim_do_not_end_our_term(candidate: Candidate) -> None:
     candidate.election.term, candidate.election.leader = TERM, Leader("hive-0", 5, 7, 40)
     for old in (
         Entry(LEADER_KEY, {"member": "hive-2", "baton": 4, "permit": 3}, 39),
@@ -215,45 +215,45 @@
         assert candidate.election.term == TERM
         assert candidate.election.leader == Leader("hive-0", 5, 7, 40)
     candidate.election._on_change(OWN_KEY)
-    assert (candidate.election.term, candidate.deposed) == (TERM, 0)
+    assert (candidate.election.term, candidate.terms_lost) == (TERM, 0)
     # Other keys beside the leader's.
     candidate.election._on_change(DeletedKey(LEADER_KEY + "er", 50))
     assert candidate.election.term == TERM
 
 
 @pytest.mark.parametrize(
-    "change", [OTHERS_KEY, DeletedKey(LEADER_KEY, 41)], ids=["another-leader", "removed"]
+    "change", [OTHERS_KEY, DeletedKey(LEADER_KEY, 41)], ids=["another-leader", "deleted"]
 )
-def test_a_change_behind_our_term_ends_it(candidate: Candidate, change: WatchEvent) -> None:
+def test_a_change_after_our_claim_ends_our_term(candidate: Candidate, change: WatchEvent) -> None:
     candidate.election.term, candidate.election.leader = TERM, Leader("hive-0", 5, 7, 40)
     candidate.election.confirmed_at = candidate.now
     candidate.election._on_change(change)
-    assert candidate.deposed == 1
+    assert candidate.terms_lost == 1
     assert candidate.election.confirmed_at == float("-inf")
     leader = candidate.election.leader
     assert (leader.member if leader is not None else None) == ("hive-1" if change is OTHERS_KEY else None)
     assert candidate.election.term is None
     # Told again, it is no second end.
     candidate.election.step_down("once more")
-    assert candidate.deposed == 1
+    assert candidate.terms_lost == 1
 
 
 def test_a_snapshot_without_our_key_ends_our_term(candidate: Candidate) -> None:
     candidate.lead()
     candidate.election._on_snapshot([])
-    assert (candidate.election.term, candidate.election.leader, candidate.deposed) == (None, None, 1)
+    assert (candidate.election.term, candidate.election.leader, candidate.terms_lost) == (None, None, 1)
 
 
-def test_only_a_higher_token_than_ours_ends_our_term(candidate: Candidate) -> None:
+def test_only_a_higher_fencing_token_than_ours_ends_our_term(candidate: Candidate) -> None:
     candidate.election.observe_fencing_token(9)
     candidate.election.term = TERM
     candidate.election.observe_fencing_token(TERM.fencing_token)
-    assert candidate.deposed == 0
+    assert candidate.terms_lost == 0
     candidate.election.record_fencing_token(6)
     candidate.election.observe_fencing_token(6)
-    assert candidate.deposed == 0
+    assert candidate.terms_lost == 0
     candidate.election.observe_fencing_token(7)
-    assert candidate.deposed == 1
+    assert candidate.terms_lost == 1
     candidate.election.record_fencing_token(8)
     assert candidate.election.term is None
 
@@ -290,7 +290,7 @@
 # -- renewing -------------------------------------------------------------------------------------------
 
 
-def test_a_renewal_confirms_the_term_as_of_its_question_and_is_not_asked_for_early(
+def test_a_renewal_confirms_the_term_as_of_its_request_and_is_not_sent_early(
     candidate: Candidate,
 ) -> None:
     term = candidate.lead()
@@ -299,10 +299,10 @@
     assert candidate.store.renewed == []
     candidate.now += candidate.election.lease_ttl_s / 2
     asked = candidate.now
-    extend = candidate.store.renew_lease
+    renew_lease = candidate.store.renew_lease
 
     def slow(lease_id: int, timeout: float) -> None:
-        extend(lease_id, timeout)
+        renew_lease(lease_id, timeout)
         candidate.now += 0.2
 
     candidate.store.renew_lease = slow  # type: ignore[method-assign]
@@ -314,23 +314,23 @@
 @pytest.mark.parametrize(
     ("error", "leads"), [(LeaseExpiredError(7), False), (StoreRejectedError("503"), True)], ids=str
 )
-def test_only_a_lease_that_is_gone_ends_the_term(candidate: Candidate, error: Exception, leads: bool) -> None:
+def test_only_an_expired_lease_ends_the_term(candidate: Candidate, error: Exception, leads: bool) -> None:
     candidate.lead()
     confirmed_at = candidate.election.confirmed_at
     candidate.now += candidate.election.lease_ttl_s / 2
     candidate.store.error = error
     candidate.election._renew()
     assert candidate.election.confirmed_at == (confirmed_at if leads else float("-inf"))
-    assert (candidate.election.term is not None, candidate.deposed) == (leads, 0 if leads else 1)
+    assert (candidate.election.term is not None, candidate.terms_lost) == (leads, 0 if leads else 1)
 
 
-@pytest.mark.parametrize("change", ["raised", "deposed", "next-term"])
-def test_an_answer_confirms_only_the_term_that_it_was_asked_for(candidate: Candidate, change: str) -> None:
+@pytest.mark.parametrize("change", ["raised", "lost", "next-term"])
+def test_a_response_confirms_only_the_term_that_was_to_be_renewed(candidate: Candidate, change: str) -> None:
     candidate.lead()
     candidate.now += candidate.election.lease_ttl_s / 2
     asked = candidate.now
 
-    def extend(lease_id: int, timeout: float) -> None:
+    def renew_lease(lease_id: int, timeout: float) -> None:
         if change == "raised":
             candidate.election.record_fencing_token(9)
             return
@@ -338,6 +338,6 @@
         if change == "next-term":
             candidate.election.term = Term(9, 50, 99, 0.0)
 
-    candidate.store.renew_lease = extend  # type: ignore[method-assign]
+    candidate.store.renew_lease = renew_lease  # type: ignore[method-assign]
     candidate.election._renew()
     assert candidate.election.confirmed_at == (asked if change == "raised" else float("-inf"))
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -108,13 +108,13 @@
         workers = self.world.settings.settings.workers
         return self.job.spec.save_s + workers.gang_peer_s + workers.heartbeat_interval_s
 
-    def report(self, index: int, status: TaskState) -> None:
-        """A worker reports a task's new state."""
+    def observe(self, index: int, status: TaskState) -> None:
+        """A heartbeat shows a task's new state."""
         self.job.active[index].status = status
         self.gangs.task_reported(self.job.active[index], self.now)
 
     def lose(self, index: int) -> None:
-        """A task is proven gone."""
+        """A task is proven to have terminated."""
         self.gangs.task_terminated(self.job.active.pop(index), self.now)
 
 
@@ -138,23 +138,23 @@
 def test_a_task_that_is_seen_to_save_shows_that_an_earlier_leader_began_to_stop(
     assembling: Assembling,
 ) -> None:
-    assembling.report(0, TaskState.RUNNING)
+    assembling.observe(0, TaskState.RUNNING)
     assert assembling.state() is GangState.RUNNING
-    assembling.report(1, TaskState.SAVING)
+    assembling.observe(1, TaskState.SAVING)
     assert assembling.state() is GangState.STOPPING
     assert assembling.stops == [(index, assembling.grace_s) for index in range(3)]
 
 
 @pytest.mark.parametrize("failed", [False, True])
-def test_a_task_that_is_seen_behind_the_stop_is_stopped_as_well(assembling: Assembling, failed: bool) -> None:
+def test_a_task_that_is_seen_after_the_stop_is_stopped_as_well(assembling: Assembling, failed: bool) -> None:
     if failed:
-        assembling.gangs.abandon(assembling.job, "no room", assembling.now)
+        assembling.gangs.abandon(assembling.job, "no capacity", assembling.now)
     else:
         assembling.gangs.stop(assembling.job, assembling.now)
     before = assembling.state()
     assembling.stops.clear()
     assembling.job.active[1].stopping_at = None
-    assembling.report(1, TaskState.RUNNING)
+    assembling.observe(1, TaskState.RUNNING)
     assert assembling.stops == [(1, 0.0 if failed else assembling.grace_s)]
     assert assembling.state() is before
 
@@ -181,7 +181,7 @@
 def test_an_end_while_all_are_stopped_fails_nothing(assembling: Assembling) -> None:
     assembling.gangs.stop(assembling.job, assembling.now)
     assembling.gangs.task_exited(assembling.job.active[0], ExitCause.PEER_LOST, assembling.now)
-    assembling.gangs.abandon(assembling.job, "no room", assembling.now)
+    assembling.gangs.abandon(assembling.job, "no capacity", assembling.now)
     assert assembling.state() is GangState.STOPPING
 
 
@@ -200,14 +200,14 @@
 def test_only_a_running_gang_fails_without_one_of_its_tasks(assembling: Assembling) -> None:
     assembling.lose(0)
     assert assembling.state() is GangState.ASSEMBLING
-    assembling.report(1, TaskState.RUNNING)
+    assembling.observe(1, TaskState.RUNNING)
     assembling.lose(1)
     assert assembling.state() is GangState.FAILED
     assert assembling.stops == [(2, 0.0)]
 
 
 def test_a_gang_of_which_nothing_is_left_to_do_does_not_fail(assembling: Assembling) -> None:
-    assembling.report(0, TaskState.RUNNING)
+    assembling.observe(0, TaskState.RUNNING)
     for index in range(3):
         assembling.job.complete(index)
     assert assembling.job.remaining == 0
@@ -216,16 +216,16 @@
     assert assembling.stops == []
 
 
-def test_an_attempt_is_given_up_so_long_after_its_first_task_began_to_wait(assembling: Assembling) -> None:
+def test_an_attempt_is_abandoned_so_long_after_its_first_task_began_to_wait(assembling: Assembling) -> None:
     wait_s = assembling.world.settings.settings.workers.gang_wait_s
     third = assembling.job.active[2]
     # All three were put on the same machine.
     third.machine = msgspec.structs.replace(third.machine, name="vm-late")
     assembling.gangs.tick(assembling.now + 10 * wait_s)
-    assembling.report(0, TaskState.WAITING)
+    assembling.observe(0, TaskState.WAITING)
     since = assembling.now
     assembling.now += wait_s / 2
-    assembling.report(1, TaskState.WAITING)
+    assembling.observe(1, TaskState.WAITING)
     assembling.gangs.tick(since + wait_s)
     assert assembling.state() is GangState.ASSEMBLING
     assembling.gangs.tick(since + wait_s + 0.1)
@@ -233,10 +233,10 @@
     assert assembling.job.failed_machines == {"vm-late"}
 
 
-def test_a_gang_that_runs_is_not_given_up(assembling: Assembling) -> None:
-    assembling.report(0, TaskState.WAITING)
-    assembling.report(1, TaskState.RUNNING)
+def test_a_gang_that_runs_is_not_abandoned(assembling: Assembling) -> None:
+    assembling.observe(0, TaskState.WAITING)
+    assembling.observe(1, TaskState.RUNNING)
     assembling.gangs.tick(assembling.now + 1e6)
-    assembling.gangs.abandon(assembling.job, "no room", assembling.now)
+    assembling.gangs.abandon(assembling.job, "no capacity", assembling.now)
     assert assembling.state() is GangState.RUNNING
     assert assembling.stops == []
--- a/tests/test_lease_proxy.py
+++ b/tests/test_lease_delegation.py
@@ -1,4 +1,4 @@
-"""When a controller may renew workers' leases for the leader, and until when the leader counts on that."""
+"""Lease delegation: when a delegate may renew workers' leases, and how the leader bounds such renewals."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def delegate(clocks: Clocks) -> tuple[DelegatedRenewals, Durations]:
-    """A controller that hears the leader just now."""
+    """A delegate that was pinged by the leader just now."""
     durations = make_durations()
     renewals = DelegatedRenewals(durations, SKEW_S, lambda: clocks.now, lambda: clocks.wall)
     renewals.observe_leader(FENCING_TOKEN, LeaseDelegation(FENCING_TOKEN, KNOWN_WALL, ["vm-excluded"]))
@@ -51,7 +51,7 @@
 LONG_AGO = float("-inf")
 
 
-def test_nobody_stands_in_while_the_leader_is_heard() -> None:
+def test_no_lease_is_renewed_while_the_leader_is_heard() -> None:
     clocks = Clocks()
     renewals, durations = delegate(clocks)
     worker = heartbeat()
@@ -59,13 +59,13 @@
     assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) is None
     clocks.now += 0.1
     assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) == FENCING_TOKEN
-    # It is heard again, and vouches for nothing yet.
+    # It is heard again, and delegates nothing yet.
     renewals.observe_leader(FENCING_TOKEN, None)
     clocks.now += 2 * durations.delegated_renewal_after_s
     assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) is None
 
 
-def test_a_leader_of_before_takes_back_nothing_that_a_newer_one_vouched_for() -> None:
+def test_an_earlier_leader_revokes_no_delegation_of_a_newer_one() -> None:
     clocks = Clocks()
     renewals, durations = delegate(clocks)
     clocks.now += 2 * durations.delegated_renewal_after_s
@@ -82,7 +82,7 @@
         pytest.param(FENCING_TOKEN - 1, True, None, id="another-key"),
     ],
 )
-def test_with_the_state_service_only_a_partition_makes_one_stand_in(
+def test_with_the_state_service_leases_are_renewed_in_a_partition_only(
     known_fencing_token: int, unreachable: bool, expected: int | None
 ) -> None:
     clocks = Clocks()
@@ -104,7 +104,7 @@
     )
 
 
-def test_what_the_leader_vouched_for_ends_by_its_own_time_of_day() -> None:
+def test_a_delegation_ends_by_its_own_time_of_day() -> None:
     clocks = Clocks()
     renewals, durations = delegate(clocks)
     clocks.now += 2 * durations.delegated_renewal_after_s
@@ -115,7 +115,7 @@
     assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) is None
 
 
-def test_only_workers_of_that_leader_whose_machine_holds_nothing_to_be_stopped_are_answered() -> None:
+def test_only_workers_of_that_leader_whose_machine_is_not_excluded_are_renewed() -> None:
     clocks = Clocks()
     renewals, durations = delegate(clocks)
     clocks.now += 2 * durations.delegated_renewal_after_s
@@ -123,7 +123,7 @@
     assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) == FENCING_TOKEN
     for fencing_token in (FENCING_TOKEN - 1, FENCING_TOKEN + 1):
         assert renewals.renewal_fencing_token(heartbeat(fencing_token), LONG_AGO, FENCING_TOKEN, True) is None
-    # There is a leader behind that one.
+    # There is a newer leader.
     assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN + 1, True) is None
     assert (
         renewals.renewal_fencing_token(
@@ -133,7 +133,7 @@
     )
 
 
-def test_standing_in_is_logged_once_for_each_time(caplog: pytest.LogCaptureFixture) -> None:
+def test_the_first_renewal_after_each_ping_of_the_leader_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     clocks = Clocks()
     renewals, durations = delegate(clocks)
     worker = heartbeat()
@@ -149,29 +149,29 @@
 # -- the leader's side ----------------------------------------------------------------------------------
 
 
-def test_nobody_stood_in_who_was_never_told() -> None:
+def test_a_controller_that_was_granted_nothing_renewed_nothing() -> None:
     tracker = DelegationTracker(make_durations(), SKEW_S)
-    # An answer to a leader of before.
+    # A response to an earlier leader.
     tracker.record_response("hive-1", 5.0)
     assert tracker.latest_renewal_at(1000.0) == float("-inf")
 
 
-def test_who_answers_in_time_stood_in_for_nobody() -> None:
+def test_a_controller_that_responds_in_time_renewed_nothing() -> None:
     durations = make_durations()
     tracker = DelegationTracker(durations, SKEW_S)
     tracker.record_grant("hive-1", 0.0)
     assert tracker.latest_renewal_at(durations.delegated_renewal_after_s) == float("-inf")
     tracker.record_response("hive-1", 1.0)
-    # An answer to a question of before that comes late takes nothing back.
+    # A late response to an earlier grant takes nothing back.
     tracker.record_response("hive-1", 0.5)
     assert tracker.latest_renewal_at(1.0 + durations.delegated_renewal_after_s) == float("-inf")
-    # Being told says nothing of whether it hears that.
+    # A grant does not show that it was received.
     tracker.record_grant("hive-1", 4.0)
     now = 1.2 + durations.delegated_renewal_after_s
     assert tracker.latest_renewal_at(now) == now
 
 
-def test_who_was_silent_may_have_stood_in_for_as_long_as_it_was_vouched_for() -> None:
+def test_a_silent_controller_may_have_renewed_leases_for_as_long_as_its_grant_lasts() -> None:
     durations = make_durations()
     tracker = DelegationTracker(durations, SKEW_S)
     tracker.record_grant("hive-1", 0.0)
@@ -179,9 +179,9 @@
     longest_s = durations.unconfirmed_renewal_s * 1.001 + 4 * SKEW_S
     assert tracker.latest_renewal_at(longest_s - 1.0) == longest_s - 1.0
     assert tracker.latest_renewal_at(longest_s + 50.0) == longest_s
-    # It is heard again: what was so far stays, and ends there.
+    # It responds again: the bound so far stays, and ends there.
     tracker.record_response("hive-1", longest_s - 2.0)
     tracker.record_response("hive-2", longest_s - 3.0)
     assert tracker.latest_renewal_at(longest_s - 1.0) == longest_s - 2.0
-    # Silent once more, without a newer word: never earlier than what was found before.
+    # Silent once more, without a newer grant: never earlier than the bound that was found before.
     assert tracker.latest_renewal_at(longest_s + 50.0) == longest_s
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -120,7 +120,7 @@
     assert not authority.may_renew_leases(62.0, 41.0)
 
 
-def test_a_later_answer_to_an_earlier_question_takes_nothing_back() -> None:
+def test_a_late_response_to_an_earlier_request_lowers_no_watermark() -> None:
     authority = Authority(20.0, ["a"], began_at=0.0)
     authority.observe_watch(1.0, 10)
     authority.observe_peer("a", 50.0, 10)
@@ -133,7 +133,7 @@
     confirmed.add("job-000001", 12)
     confirmed.add("job-000002", 10)
     assert confirmed.report(0) == ([("job-000002", 10)], 12)
-    # What that covers need not be named, and drives out nothing else.
+    # What that covers need not be listed, and displaces nothing else.
     confirmed.add("job-000003", 11)
     assert confirmed.report(0) == ([("job-000002", 10)], 12)
     confirmed.add("job-000004", 13)
--- a/tests/test_share_book.py
+++ b/tests/test_share_book.py
@@ -417,39 +417,39 @@
 def test_nothing_is_given_while_a_transfer_that_was_received_is_written() -> None:
     """Both steps set the team's share: the later write would undo the earlier one."""
     fleet = Fleet()
-    giver, taker = fleet.cells[0].leader, fleet.cells[1].leader
-    assert giver is not None
-    assert taker is not None
-    before = taker.limit()
-    giver.give(fleet.cells[1], UNIT)
-    giver.carry_out()
+    source, destination = fleet.cells[0].leader, fleet.cells[1].leader
+    assert source is not None
+    assert destination is not None
+    before = destination.limit()
+    source.give(fleet.cells[1], UNIT)
+    source.carry_out()
     fleet.ask(1, 0)
     fleet.deliver(0)
     fleet.deliver(0)
-    assert taker.book.busy
-    assert not taker.book.can_give("west")
-    assert not taker.give(fleet.cells[2], UNIT)
-    assert (taker.limit(), len(taker.steps)) == (before, 1)
-    taker.carry_out()
-    assert taker.limit() == before + UNIT
-    assert taker.give(fleet.cells[2], UNIT)
-    assert taker.limit() == before
-    taker.carry_out()
+    assert destination.book.busy
+    assert not destination.book.can_give("west")
+    assert not destination.give(fleet.cells[2], UNIT)
+    assert (destination.limit(), len(destination.steps)) == (before, 1)
+    destination.carry_out()
+    assert destination.limit() == before + UNIT
+    assert destination.give(fleet.cells[2], UNIT)
+    assert destination.limit() == before
+    destination.carry_out()
     assert fleet.problems() == []
 
 
 def test_one_transfer_at_a_time_is_on_its_way_to_a_cell() -> None:
     """The record of what passed holds one: a second one would be put in the place of the first."""
     fleet = Fleet()
-    giver = fleet.cells[0].leader
-    assert giver is not None
-    assert giver.give(fleet.cells[1], UNIT)
-    giver.carry_out()
-    assert not giver.book.can_give("north")
-    assert not giver.give(fleet.cells[1], UNIT)
-    assert giver.book.can_give("west")
-    assert giver.give(fleet.cells[2], UNIT)
-    giver.carry_out()
+    source = fleet.cells[0].leader
+    assert source is not None
+    assert source.give(fleet.cells[1], UNIT)
+    source.carry_out()
+    assert not source.book.can_give("north")
+    assert not source.give(fleet.cells[1], UNIT)
+    assert source.book.can_give("west")
+    assert source.give(fleet.cells[2], UNIT)
+    source.carry_out()
     assert fleet.problems() == []
 
 
@@ -531,48 +531,48 @@
 def test_nothing_passes_between_cells_without_known_records() -> None:
     fleet = Fleet()
     transfer(fleet)
-    giver, taker = fleet.cells[0].leader, fleet.cells[1].leader
-    assert giver is not None
-    assert taker is not None
-    giver.book.acknowledged("north", "north-1", 1)
-    giver.carry_out()
+    source, destination = fleet.cells[0].leader, fleet.cells[1].leader
+    assert source is not None
+    assert destination is not None
+    source.book.acknowledged("north", "north-1", 1)
+    source.carry_out()
     for incarnation in ("", "north-2"):
         with pytest.raises(UnknownIncarnationError):
-            giver.book.check_peer("north", incarnation)
+            source.book.check_peer("north", incarnation)
         with pytest.raises(UnknownIncarnationError):
-            giver.book.give("north", incarnation, {TEAM: ONE_LIMIT})
+            source.book.give("north", incarnation, {TEAM: ONE_LIMIT})
     # A cell that nothing has passed to or from: it has to name its records all the same.
     with pytest.raises(UnknownIncarnationError):
-        taker.book.receive("west", "", Transfer(1, {TEAM: ONE_LIMIT}))
-    assert (giver.steps, taker.steps) == ([], [])
+        destination.book.receive("west", "", Transfer(1, {TEAM: ONE_LIMIT}))
+    assert (source.steps, destination.steps) == ([], [])
 
 
 def test_a_transfer_is_acknowledged_only_once_it_is_durable_and_forgotten_once() -> None:
     fleet = Fleet()
-    giver = fleet.cells[0].leader
-    assert giver is not None
+    source = fleet.cells[0].leader
+    assert source is not None
     # Nothing has passed, and the other cell says so.
-    giver.book.acknowledged("north", "north-1", 0)
-    giver.give(fleet.cells[1], UNIT)
-    assert giver.book.transfer_to("north") is None
+    source.book.acknowledged("north", "north-1", 0)
+    source.give(fleet.cells[1], UNIT)
+    assert source.book.transfer_to("north") is None
     with pytest.raises(SequenceError):
-        giver.book.acknowledged("north", "north-1", 1)
-    giver.carry_out()
-    on_its_way = giver.book.transfer_to("north")
+        source.book.acknowledged("north", "north-1", 1)
+    source.carry_out()
+    on_its_way = source.book.transfer_to("north")
     assert on_its_way is not None
     # Asked before it arrived, and while another step is under way: it stays on its way.
-    giver.book.acknowledged("north", "north-1", 0)
-    giver.give(fleet.cells[2], UNIT)
-    giver.book.acknowledged("north", "north-1", 1)
-    assert len(giver.steps) == 1
-    giver.carry_out()
-    assert giver.book.transfer_to("north") == on_its_way
-    giver.book.acknowledged("north", "north-1", 1)
-    assert len(giver.steps) == 1
-    giver.carry_out()
-    assert giver.book.transfer_to("north") is None
-    giver.book.acknowledged("north", "north-1", 1)
-    assert giver.steps == []
+    source.book.acknowledged("north", "north-1", 0)
+    source.give(fleet.cells[2], UNIT)
+    source.book.acknowledged("north", "north-1", 1)
+    assert len(source.steps) == 1
+    source.carry_out()
+    assert source.book.transfer_to("north") == on_its_way
+    source.book.acknowledged("north", "north-1", 1)
+    assert len(source.steps) == 1
+    source.carry_out()
+    assert source.book.transfer_to("north") is None
+    source.book.acknowledged("north", "north-1", 1)
+    assert source.steps == []
 
 
 def test_a_transfer_of_a_team_without_a_share_here_has_to_come_again() -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -132,7 +132,7 @@
     assert pauses[-1] == settings.settings.workers.heartbeat_interval_s / 8
 
 
-def test_transactions_keep_to_the_pace_of_the_writes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_transactions_keep_to_the_rate_of_writes(monkeypatch: pytest.MonkeyPatch) -> None:
     settings = World(1, 10.0, 30.0, []).settings
     now = [0.0]
 
@@ -229,8 +229,8 @@
         return super().commit(conditions, writes)
 
 
-class Noted(Held):
-    """Notes the keys of each transaction of a leader."""
+class Recording(Held):
+    """Records the keys of each transaction of a leader."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -248,10 +248,10 @@
     def __init__(self, store: Held) -> None:
         self.store = store
         self.outcomes: dict[str, bool] = {}
-        self.deposed = threading.Event()
+        self.leadership_lost = threading.Event()
         stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
         settings = World(1, 10.0, 30.0, []).settings
-        self.committer = Committer(store, settings, stamp, self.deposed.set)
+        self.committer = Committer(store, settings, stamp, self.leadership_lost.set)
         self._left = threading.Semaphore(0)
         self.submit("first", ["first"])
         assert store.reached.wait(60.0)
@@ -289,7 +289,7 @@
 def test_units_share_a_transaction_within_its_limits(
     units: list[list[str]], conditions: int, sizes: list[int]
 ) -> None:
-    store = Noted()
+    store = Recording()
     # The service may allow more than the settings say.
     store.state.lower_limits(30, 8.0)
     backlog = Backlog(store)
@@ -303,23 +303,23 @@
 
 
 def test_a_unit_whose_condition_fails_is_told_and_takes_no_other_with_it() -> None:
-    store = Noted()
+    store = Recording()
     backlog = Backlog(store)
     backlog.submit("before", ["before"])
     backlog.submit("failing", ["failing"], {LEADER_KEY + "/other": 7})
-    backlog.submit("behind", ["behind"])
+    backlog.submit("after", ["after"])
     backlog.finish(4)
-    assert backlog.outcomes == {"first": True, "before": True, "failing": False, "behind": True}
+    assert backlog.outcomes == {"first": True, "before": True, "failing": False, "after": True}
     assert PLAN_PREFIX + "failing" not in store.state.keys
 
 
-def test_a_leader_that_was_deposed_writes_no_more_and_says_so() -> None:
-    store = Noted()
+def test_a_leader_that_lost_its_leadership_writes_no_more_and_says_so() -> None:
+    store = Recording()
     backlog = Backlog(store)
     store.state.commit(transaction_body({}, [Put(LEADER_KEY, {"member": "hive-1"})]))
     backlog.submit("second", ["second"])
     store.go_on.set()
-    assert backlog.deposed.wait(20.0)
+    assert backlog.leadership_lost.wait(20.0)
     backlog.committer._thread.join(20.0)
     assert not backlog.committer._thread.is_alive()
     # Whether a step of a former leader is durable is its successor's to find out.
@@ -327,8 +327,8 @@
     assert store.transactions == [["first"]]
 
 
-def test_a_lease_that_is_gone_is_met_by_a_repeat() -> None:
-    class Gone(Fickle):
+def test_a_transaction_whose_lease_expired_is_repeated() -> None:
+    class Expiring(Fickle):
         tries = 0
 
         def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
@@ -337,7 +337,7 @@
                 raise LeaseExpiredError
             return super().commit(conditions, writes)
 
-    store = Gone()
+    store = Expiring()
     stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     committer = Committer(store, World(1, 10.0, 30.0, []).settings, stamp, lambda: None)
     outcomes: list[bool] = []
@@ -373,7 +373,7 @@
     assert not committer._thread.is_alive()
 
 
-def test_a_fence_that_has_moved_is_read_again() -> None:
+def test_a_write_fence_that_has_changed_is_read_again() -> None:
     store, writer = leader()
     writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})])
     store.commit({}, [Put(WRITE_FENCE_KEY, {"moved": True})])
@@ -381,7 +381,7 @@
         writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 2})])
     writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 3})])
     assert store.state.keys[FENCING_TOKEN_KEY][0] == {"v": 3}
-    # With a new leader's fence: that it leads no more is what counts.
+    # With a new leader's key as well: that it leads no more is what counts.
     store.commit({}, [Put(LEADER_KEY, {"member": "hive-1"}), Put(WRITE_FENCE_KEY, {"moved": "again"})])
     with pytest.raises(ConditionFailedError, match=LEADER_KEY):
         writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 4})])
@@ -390,11 +390,11 @@
 @pytest.mark.parametrize(
     "fates", [["late"], ["answered", "late"], ["answered", "late", "lost"]], ids=" ".join
 )
-def test_a_fence_is_raised_once_for_each_transaction_without_an_answer(fates: list[str]) -> None:
+def test_the_write_fence_is_raised_once_for_each_transaction_of_unknown_outcome(fates: list[str]) -> None:
     store, writer = leader(*fates)
     for value in range(5):
         until_certain(writer, FENCING_TOKEN_KEY, value)
-    # The leader's key, five values, and one change of the fence.
+    # The leader's key, five values, and one change of the write fence.
     assert store.state.ledger == 7
 
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -19,7 +19,7 @@
 
 
 class ScriptedStore(Store):
-    """A state service whose answers to a watch are listed; behind the last one the watch is stopped."""
+    """A state service whose answers to a watch are listed; after the last one the watch is stopped."""
 
     def __init__(self, *answers: Changes | Exception) -> None:
         self.answers = deque(answers)
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         self.snapshots: list[int] = []
         self.changes: list[tuple[str, int]] = []
-        self.synced: list[tuple[float, int]] = []
+        self.caught_up: list[tuple[float, int]] = []
 
     def on_snapshot(self, entries: list[Entry]) -> None:
         self.snapshots.append(entries[0].data["page"])
@@ -59,7 +59,7 @@
 
 
 def watch(store: ScriptedStore, heard: Heard, **replaced: Callable[..., None]) -> Watch:
-    """A watch that ends with the script, run in this thread; its clock counts its questions to it."""
+    """A watch that ends with the script, run in this thread; its clock counts its requests."""
     ticks = count(1)
     made = Watch(
         store,
@@ -68,7 +68,7 @@
         replaced.get("on_snapshot", heard.on_snapshot),
         replaced.get("on_change", heard.on_change),
         lambda: float(next(ticks)),
-        lambda asked, revision: heard.synced.append((asked, revision)),
+        lambda asked, revision: heard.caught_up.append((asked, revision)),
     )
     store.stop = made.stop
     return made
@@ -81,19 +81,19 @@
     assert heard.snapshots == [1]
     assert heard.changes == [(f"{PREFIX}new", 12), (f"{PREFIX}old", 13)]
     assert store.asked_from == [10, 13, 14]
-    # In step as of the moment of each question, and behind a stop no more.
-    assert heard.synced == [(1.0, 10), (2.0, 13), (3.0, 14)]
+    # Caught up as of the moment of each request, and after a stop no more.
+    assert heard.caught_up == [(1.0, 10), (2.0, 13), (3.0, 14)]
     assert made.first_revision == 10
 
 
 @pytest.mark.parametrize("error", [StoreRejectedError("503"), OutcomeUnknownError("lost")], ids=str)
-def test_a_question_without_an_answer_is_asked_again(error: Exception) -> None:
+def test_a_request_that_failed_is_repeated(error: Exception) -> None:
     store, heard = ScriptedStore(Changes([], 13), error), Heard()
     watch(store, heard)._run()
     assert (heard.snapshots, store.asked_from) == ([1], [10, 13, 13])
 
 
-def test_a_watch_that_is_too_old_reads_a_new_snapshot() -> None:
+def test_a_compacted_watch_reads_a_new_snapshot() -> None:
     store, heard = ScriptedStore(WatchCompactedError(PREFIX, 10)), Heard()
     made = watch(store, heard)
     made._run()
@@ -102,7 +102,7 @@
     assert made.first_revision == 10
 
 
-def test_a_change_that_cannot_be_taken_starts_the_watch_over() -> None:
+def test_a_change_that_cannot_be_handled_starts_the_watch_over() -> None:
     store, heard = ScriptedStore(Changes([SET], 13)), Heard()
 
     def on_change(change: WatchEvent) -> None:
@@ -112,7 +112,7 @@
     assert (heard.snapshots, store.asked_from) == ([1, 2], [10, 20])
 
 
-def test_behind_a_stop_nothing_is_handed_on() -> None:
+def test_after_a_stop_nothing_is_handed_on() -> None:
     store, heard = ScriptedStore(Changes([SET, DELETE], 13)), Heard()
 
     def on_change(change: WatchEvent) -> None:
@@ -122,8 +122,8 @@
     made = watch(store, heard, on_change=on_change)
     made._run()
     assert heard.changes == [(f"{PREFIX}new", 12)]
-    # Not every change was handed on: nobody is told that we are in step.
-    assert heard.synced == [(1.0, 10)]
+    # Not every change was handed on: nobody is told that we have caught up.
+    assert heard.caught_up == [(1.0, 10)]
 
 
 def test_a_snapshot_that_was_read_as_the_watch_was_stopped_is_dropped() -> None:
@@ -137,10 +137,10 @@
 
     store.page = page  # type: ignore[method-assign]
     made._run()
-    assert (heard.snapshots, heard.synced, made.first_revision) == ([], [], -1)
+    assert (heard.snapshots, heard.caught_up, made.first_revision) == ([], [], -1)
 
 
-def test_a_watch_needs_nobody_who_hears_that_it_is_in_step() -> None:
+def test_a_watch_needs_no_callback_for_having_caught_up() -> None:
     store, heard = ScriptedStore(), Heard()
     made = Watch(store, PREFIX, 0.01, heard.on_snapshot, heard.on_change)
     store.stop = made.stop
