--- /dev/null
+++ b/tests/test_cell_options.py
@@ -0,0 +1,111 @@
+"""The section `cells` of the options, and a deployment without it."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from poppyhold.cli import main
+from poppyhold.durable.keys import QUOTA_PREFIX
+from poppyhold.durable.snapshot import SnapshotReader
+from poppyhold.options import Options, parse_options
+from poppyhold.quota.cells import Cells
+from poppyhold.settings import ConfigError
+from scenario import FOLDER, Scenario
+
+
+def test_without_the_file_nothing_is_read_written_or_asked() -> None:
+    scenario = Scenario((FOLDER / "limit_while_unreachable.txt").read_text(), 1)
+    read: list[str] = []
+    state = scenario.world.state
+    scan = state.scan
+
+    def noted(prefix: str, after: str, most: int) -> tuple[int, dict[str, object]]:
+        read.append(prefix)
+        return scan(prefix, after, most)
+
+    state.scan = noted  # type: ignore[method-assign]
+    scenario.play()
+    assert scenario.world.broken + scenario.failures == []
+    assert set(read) == {f"ph/{name}/" for name in ("a", "p", "d", "e", "h", "m", "none")}
+    assert not [key for key in state.keys if key.startswith(QUOTA_PREFIX)]
+    leader = scenario.world.leader()
+    assert leader is not None
+    assert leader.leader_term is not None
+    assert leader.leader_term.controller.quota is None
+    # With the file it is one prefix more.
+    read.clear()
+    SnapshotReader(leader.store, with_quota=True).read()
+    assert QUOTA_PREFIX in read
+
+
+FILE = Path(__file__).resolve().parent.parent / "deploy" / "cells.txtpb"
+
+
+def test_the_example_names_three_cells() -> None:
+    cells = parse_options(FILE.read_text()).cells
+    assert cells is not None
+    assert [cells.name, *(cell.name for cell in cells.others)] == ["east", "north", "west"]
+    assert cells.keep_leases == Cells("", 0, ()).keep_leases
+    assert Options().cells is None
+
+
+@pytest.mark.parametrize(
+    ("right", "wrong", "field"),
+    [
+        ('name: "north"', 'name: "east"', "cells.others.name"),
+        ('name: "north"', 'name: "no rth"', "cells.others.name"),
+        ('name: "east"', "", "cells.name"),
+        ("part: 0.3", "part: 0.4", "cells.part"),
+        ("part: 0.3", "part: -0.3", "cells.part"),
+        ('"10.1.0.1:8081"', '"10.1.0.1"', "cells.others.north.controllers.hive-0.address"),
+        ('member: "hive-1" address: "10.1', 'member: "hive-0" address: "10.1', "controllers.member"),
+        ("# keep_leases: 1", "keep_leases: -1", "cells.keep_leases"),
+        ("# moves_share: 0.2", "moves_share: 0.9", "cells.moves_share"),
+        ("# reserve: 0", "reserve: 1.5", "cells.reserve"),
+    ],
+)
+def test_a_bad_file_is_refused_with_the_field(right: str, wrong: str, field: str) -> None:
+    text = FILE.read_text()
+    assert right in text
+    with pytest.raises(ConfigError) as caught:
+        parse_options(text.replace(right, wrong, 1))
+    assert field in str(caught.value)
+    assert "\n" not in str(caught.value)
+
+
+CONFIG = """
+member = "hive-0"
+domain = "a"
+client_listen = "127.0.0.1:1"
+back = "127.0.0.1:2"
+[outside]
+cloud = "127.0.0.1:3"
+state = "127.0.0.1:4"
+[settings]
+count = 1
+zones = ["a"]
+[[settings.teams]]
+name = "alpha"
+gpus = 9.0
+gpus_max = 8.0
+"""
+
+
+def test_the_program_refuses_bad_input_with_status_2(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    config = tmp_path / "settings.toml"
+    config.write_text(CONFIG)
+    files = ["--config", str(config), "--options", str(FILE)]
+    assert main(["check-config", *files]) == 2
+    assert "settings.teams.alpha.gpus" in capsys.readouterr().err
+    # Without the file a guarantee above the limit is taken as it always was.
+    assert main(["check-config", "--config", str(config)]) == 0
+    assert main(["quota", "status", "--config", str(config)]) == 2
+    config.write_text(CONFIG.replace("9.0", "4.0"))
+    capsys.readouterr()
+    # Nobody leads there.
+    assert main(["quota", "status", *files]) == 1
+    assert capsys.readouterr().err.count("\n") == 1
--- a/tests/test_cell_quota.py
+++ b/tests/test_cell_service.py
@@ -1,4 +1,4 @@
-"""What a cell's leader answers another cell's: what it refuses, what it gives, and what it takes."""
+"""A cell's quota service: which transfer requests it rejects, what it debits, and what it credits."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.model.resources import NO_RESOURCES
 from poppyhold.options import Options
-from poppyhold.quota.amounts import UNIT, ResourceAmount, ResourceShare, TeamAmount, TeamShare
-from poppyhold.quota.cell_quota import CellQuota
+from poppyhold.quota.amounts import UNIT, ResourceAllocation, ResourceAmount, TeamAllocation, TeamAmount
+from poppyhold.quota.cell_service import CellQuotaService
 from poppyhold.quota.cells import Cell, CellController, Cells, check_cells
-from poppyhold.quota.messages import PROTOCOL_VERSION, ShareReply, ShareRequest, Want
+from poppyhold.quota.messages import PROTOCOL_VERSION, TransferRequest, TransferResponse, UnmetDemand
 from poppyhold.quota.records import Transfer
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import Team
@@ -23,7 +23,7 @@
 from world import World
 
 CONTROLLERS = (CellController("hive-0", "127.0.0.1:1"),)
-# Each cell's part of the team's limit is two accelerators that are guaranteed, and four above them.
+# Initially each cell has two guaranteed accelerators of the team's limit, and four above them.
 TEAMS = [Team("alpha", gpus=4, gpus_max=12)]
 
 
@@ -33,8 +33,8 @@
     return World(1, 10.0, 30.0, teams or TEAMS, options=Options(cells=check_cells(cells)))
 
 
-def quota_of(world: World) -> CellQuota:
-    """The leader's part in the team's limit."""
+def quota_of(world: World) -> CellQuotaService:
+    """The leader's quota service."""
     quota = term_of(world).controller.quota
     assert quota is not None
     return quota
@@ -46,36 +46,36 @@
     return leader.leader_term
 
 
-def leading_cell(reserve: float = 0.0, teams: list[Team] | None = None) -> tuple[World, CellQuota]:
-    """A cell whose shares are known, and idle."""
+def leading_cell(reserve: float = 0.0, teams: list[Team] | None = None) -> tuple[World, CellQuotaService]:
+    """A cell whose allocations are known, and idle."""
     world = new_cell(reserve, teams)
     world.run(6.0)
     quota = quota_of(world)
-    assert quota.book.incarnation
+    assert quota.ledger.incarnation
     return world, quota
 
 
-def request(quota: CellQuota, *wants: Want, **changes: object) -> ShareRequest:
-    """What the other cell's leader asks."""
-    asked = ShareRequest(
-        PROTOCOL_VERSION, "west", "east", quota._cells.layout, "w1", quota.book.incarnation, 0, list(wants)
+def request(quota: CellQuotaService, *unmet: UnmetDemand, **changes: object) -> TransferRequest:
+    """A request of the other cell's leader."""
+    sent = TransferRequest(
+        PROTOCOL_VERSION, "west", "east", quota._cells.layout, "w1", quota.ledger.incarnation, 0, list(unmet)
     )
-    return msgspec.structs.replace(asked, **changes)
+    return msgspec.structs.replace(sent, **changes)
 
 
-def want(guaranteed: int, limit: int) -> Want:
-    return Want("alpha", accelerators_guaranteed=guaranteed * UNIT, accelerators_limit=limit * UNIT)
+def unmet_demand(guaranteed: int, limit: int) -> UnmetDemand:
+    return UnmetDemand("alpha", accelerators_guaranteed=guaranteed * UNIT, accelerators_limit=limit * UNIT)
 
 
-def given(world: World, quota: CellQuota, *wants: Want) -> Transfer | None:
-    """What is on its way to the other cell after it has asked."""
-    quota.answer(request(quota, *wants))
+def transferred(world: World, quota: CellQuotaService, *unmet: UnmetDemand) -> Transfer | None:
+    """The transfer in transit to the other cell after its request."""
+    quota.answer(request(quota, *unmet))
     world.run(world.now + 1.0)
-    return quota.book.transfer_to("west")
+    return quota.ledger.transfer_in_transit_to("west")
 
 
 @pytest.mark.parametrize(
-    ("wanted", "amount"),
+    ("requested", "amount"),
     [
         pytest.param((0, 3), (0, 3), id="above-the-guarantee"),
         pytest.param((1, 3), (1, 2), id="guaranteed-first"),
@@ -85,96 +85,100 @@
         pytest.param((9, 99), (2, 4), id="more-than-there-is"),
     ],
 )
-def test_the_part_of_an_idle_share_that_is_wanted_is_given(
-    wanted: tuple[int, int], amount: tuple[int, int]
+def test_the_part_of_an_idle_allocation_that_is_requested_is_debited(
+    requested: tuple[int, int], amount: tuple[int, int]
 ) -> None:
     world, quota = leading_cell()
-    transfer = given(world, quota, want(*wanted))
+    transfer = transferred(world, quota, unmet_demand(*requested))
     assert transfer is not None
     assert transfer.amounts == {
         "alpha": TeamAmount(accelerators=ResourceAmount(amount[0] * UNIT, amount[1] * UNIT))
     }
 
 
-def test_a_reserve_is_not_given() -> None:
+def test_a_reserve_is_not_debited() -> None:
     world, quota = leading_cell(reserve=0.5)
-    transfer = given(world, quota, want(9, 99))
+    transfer = transferred(world, quota, unmet_demand(9, 99))
     assert transfer is not None
     assert transfer.amounts["alpha"].accelerators == ResourceAmount(UNIT, 2 * UNIT)
 
 
-def test_a_reserve_of_cpus_is_not_given() -> None:
+def test_a_reserve_of_cpus_is_not_debited() -> None:
     world, quota = leading_cell(0.5, [Team("alpha", cpus=16, cpus_max=32)])
-    transfer = given(world, quota, Want("alpha", cpus_guaranteed=99 * UNIT, cpus_limit=999 * UNIT))
+    transfer = transferred(
+        world, quota, UnmetDemand("alpha", cpus_guaranteed=99 * UNIT, cpus_limit=999 * UNIT)
+    )
     assert transfer is not None
     assert transfer.amounts["alpha"].cpus == ResourceAmount(4 * UNIT, 4 * UNIT)
 
 
-def test_so_many_teams_as_fit_a_transaction_are_given_something_guaranteed_wants_first() -> None:
+def test_as_many_teams_as_fit_a_transaction_are_debited_guaranteed_demand_first() -> None:
     names = [f"team-{number:02d}" for number in range(12)]
     world, quota = leading_cell(teams=[Team(name, gpus=4, gpus_max=12) for name in names])
-    wants = [Want(name, accelerators_limit=UNIT) for name in names[:-1]]
-    wants.append(Want(names[-1], accelerators_guaranteed=UNIT, accelerators_limit=UNIT))
-    transfer = given(world, quota, *wants)
+    unmet = [UnmetDemand(name, accelerators_limit=UNIT) for name in names[:-1]]
+    unmet.append(UnmetDemand(names[-1], accelerators_guaranteed=UNIT, accelerators_limit=UNIT))
+    transfer = transferred(world, quota, *unmet)
     assert transfer is not None
-    # Each takes a change, and the transfer's own note one more, of the twenty that a transaction may hold.
+    # Each takes a change, and the peer's record one more, of the twenty that a transaction may hold.
     assert list(transfer.amounts) == [names[-1], *names[:9]]
 
 
-def test_a_request_in_vain_takes_nothing_of_the_pace() -> None:
+def test_a_request_without_a_transfer_consumes_nothing_of_the_rate() -> None:
     _, quota = leading_cell()
     for _ in range(5):
-        quota.answer(request(quota, Want("nobody", accelerators_limit=UNIT)))
-    quota.answer(request(quota, want(0, 1)))
-    assert quota.book.peers["west"].sent == 1
+        quota.answer(request(quota, UnmetDemand("nobody", accelerators_limit=UNIT)))
+    quota.answer(request(quota, unmet_demand(0, 1)))
+    assert quota.ledger.peers["west"].sent == 1
 
 
 def test_a_cell_has_to_name_its_records_from_the_first_request_on() -> None:
     _, quota = leading_cell()
-    assert quota.answer(request(quota, incarnation="")).refused
+    assert quota.answer(request(quota, incarnation="")).rejection
     assert len(quota.alarms.texts()) == 1
 
 
-def test_what_is_shown_is_as_new_as_the_last_step_and_the_last_look(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_view_is_as_new_as_the_last_commit_and_the_last_measurement(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     world, quota = leading_cell()
-    assert given(world, quota, want(0, 1)) is not None
-    steps: list[Callable[[bool], None]] = []
+    assert transferred(world, quota, unmet_demand(0, 1)) is not None
+    commits: list[Callable[[bool], None]] = []
     monkeypatch.setattr(
-        term_of(world), "commit", lambda conditions, writes, done, priority: steps.append(done)
+        term_of(world), "commit", lambda conditions, writes, done, priority: commits.append(done)
     )
     before = quota.answer(request(quota, applied=1)).view
     assert before is not None and before.peers[0].in_transit is not None
-    steps[0](True)
+    commits[0](True)
     after = quota.answer(request(quota, applied=1)).view
     assert after is not None and after.peers[0].in_transit is None
     quota.tick()
     assert quota.answer(request(quota, applied=1)).view is not after
 
 
-def test_what_nobody_wants_or_has_here_is_not_given(caplog: pytest.LogCaptureFixture) -> None:
+def test_what_no_cell_requests_or_this_one_lacks_is_not_debited(caplog: pytest.LogCaptureFixture) -> None:
     world, quota = leading_cell()
-    with caplog.at_level(logging.INFO, "poppyhold.quota.cell_quota"):
-        assert given(world, quota) is None
-        assert given(world, quota, want(0, 0)) is None
-        assert given(world, quota, Want("nobody", accelerators_limit=UNIT)) is None
-        assert not quota.book.peers
+    with caplog.at_level(logging.INFO, "poppyhold.quota.cell_service"):
+        assert transferred(world, quota) is None
+        assert transferred(world, quota, unmet_demand(0, 0)) is None
+        assert transferred(world, quota, UnmetDemand("nobody", accelerators_limit=UNIT)) is None
+        assert not quota.ledger.peers
         assert caplog.records == []
         # A transfer is logged here: the lines above are not missed.
-        assert given(world, quota, want(0, 1)) is not None
+        assert transferred(world, quota, unmet_demand(0, 1)) is not None
         assert len(caplog.records) == 1
 
 
-def test_one_transfer_at_a_time_and_no_faster_than_the_pace() -> None:
+def test_one_transfer_at_a_time_and_no_faster_than_the_rate_limit() -> None:
     world, quota = leading_cell()
-    first = given(world, quota, want(0, 1))
+    first = transferred(world, quota, unmet_demand(0, 1))
     assert first is not None
-    assert given(world, quota, want(0, 1)) == first
-    # It was applied, and the next one may go once the state service's part for moves allows.
+    assert transferred(world, quota, unmet_demand(0, 1)) == first
+    # It was applied, and the next one may start once the rate limit of transfers allows.
     quota.answer(request(quota, applied=1))
-    while quota.book.peers["west"].in_transit is not None:
+    while quota.ledger.peers["west"].in_transit is not None:
         world.run(world.now + 0.05)
-    quota._pace.consume(1000.0, world.now)
-    assert given(world, quota, want(0, 1)) is None
+    quota._rate_limiter.consume(1000.0, world.now)
+    assert transferred(world, quota, unmet_demand(0, 1)) is None
 
 
 @pytest.mark.parametrize(
@@ -182,38 +186,38 @@
     [{"layout": "north=1"}, {"to_incarnation": "e0"}, {"incarnation": ""}, {"incarnation": "w2"}],
     ids=["other-layout", "other-records-here", "no-records-there", "other-records-there"],
 )
-def test_a_refused_request_is_given_and_told_nothing(changes: dict[str, object]) -> None:
+def test_a_rejected_request_starts_and_learns_of_no_transfer(changes: dict[str, object]) -> None:
     world, quota = leading_cell()
-    first = given(world, quota, want(0, 1))
+    first = transferred(world, quota, unmet_demand(0, 1))
     assert first is not None
-    answer = quota.answer(request(quota, want(0, 1), applied=1, **changes))
-    assert answer.refused
+    answer = quota.answer(request(quota, unmet_demand(0, 1), applied=1, **changes))
+    assert answer.rejection
     assert answer.transfer is None
     world.run(world.now + 1.0)
-    assert quota.book.transfer_to("west") == first
-    # Whoever asks for the first time names no records of ours.
+    assert quota.ledger.transfer_in_transit_to("west") == first
+    # The first request of a cell names no incarnation of our records.
     answer = quota.answer(request(quota, to_incarnation=""))
-    assert (answer.refused, answer.transfer) == ("", first)
+    assert (answer.rejection, answer.transfer) == ("", first)
     assert quota.alarms.texts() == []
 
 
-def test_nothing_is_told_or_asked_or_started_before_the_shares_are_known() -> None:
+def test_nothing_is_answered_requested_or_started_before_the_allocations_are_known() -> None:
     world = new_cell()
     while (leader := world.leader()) is None or leader.leader_term is None:
         world.run(world.now + 0.05)
     controller = leader.leader_term.controller
     quota = quota_of(world)
-    assert not quota.book.incarnation
+    assert not quota.ledger.incarnation
     assert not controller._quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
-    answer = quota.answer(request(quota, want(0, 1)))
-    assert answer.refused
-    quota.replied(ShareReply("west"))
+    answer = quota.answer(request(quota, unmet_demand(0, 1)))
+    assert answer.rejection
+    quota.handle_response(TransferResponse("west"))
     assert quota.requests() == {}
     world.run(6.0)
     assert controller._quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
     assert set(quota.requests()) == {"west"}
-    # Who leads there and knows its shares no more than we did is no reason for an alarm.
-    quota.replied(ShareReply("west"))
+    # A leader that does not know its allocations yet is no reason for an alarm.
+    quota.handle_response(TransferResponse("west"))
     assert quota.alarms.texts() == []
 
 
@@ -222,35 +226,35 @@
     one = TeamAmount(accelerators=ResourceAmount(0, UNIT))
     for broken in (Transfer(2, {"alpha": one}), None):
         if broken is not None:
-            quota.replied(ShareReply("west", "w1", broken))
+            quota.handle_response(TransferResponse("west", "w1", broken))
         else:
             quota.answer(request(quota, applied=7))
         assert len(quota.alarms.texts()) == 1
-        quota.replied(ShareReply("west", "w1", None))
+        quota.handle_response(TransferResponse("west", "w1", None))
         assert quota.alarms.texts() == []
-    quota.replied(ShareReply("west", "w1", Transfer(1, {"alpha": one})))
+    quota.handle_response(TransferResponse("west", "w1", Transfer(1, {"alpha": one})))
     world.run(world.now + 1.0)
-    share = quota.book.share("alpha")
-    assert share == TeamShare(ResourceShare(0, None), ResourceShare(2 * UNIT, 5 * UNIT))
-    quota.replied(ShareReply("west", "w2", None))
+    allocation = quota.ledger.allocation("alpha")
+    assert allocation == TeamAllocation(ResourceAllocation(0, None), ResourceAllocation(2 * UNIT, 5 * UNIT))
+    quota.handle_response(TransferResponse("west", "w2", None))
     assert len(quota.alarms.texts()) == 1
-    quota.replied(ShareReply("west", "w1", None))
+    quota.handle_response(TransferResponse("west", "w1", None))
     assert quota.alarms.texts() == []
 
 
-def test_what_is_shown_follows_a_transfer_at_once() -> None:
+def test_the_view_follows_a_transfer_at_once() -> None:
     world, quota = leading_cell()
     view = quota.answer(request(quota)).view
     assert view is not None
     assert quota.answer(request(quota)).view is view
-    after = quota.answer(request(quota, want(0, 4))).view
+    after = quota.answer(request(quota, unmet_demand(0, 4))).view
     assert after is not None
-    assert after.teams[0].share.accelerators.borrowable == 0
+    assert after.teams[0].allocation.accelerators.borrowable == 0
     assert after.peers[0].in_transit is not None
     world.run(world.now + 0.5)
 
 
-def test_with_the_records_of_another_cell_nothing_starts_or_is_asked() -> None:
+def test_with_the_records_of_another_cell_nothing_starts_or_is_requested() -> None:
     world, _ = leading_cell()
     controller = term_of(world).controller
     entries = [
@@ -260,7 +264,9 @@
     ]
     quotas = Quotas(TEAMS)
     cells = check_cells(Cells("north", 0.5, (Cell("west", 0.5, CONTROLLERS),)))
-    other = CellQuota(controller.ctx, cells, quotas, lambda: NO_RESOURCES, lambda spec: True, lambda: None)
+    other = CellQuotaService(
+        controller.ctx, cells, quotas, lambda: NO_RESOURCES, lambda spec: True, lambda: None
+    )
     assert not quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
     other.load(entries)
     assert not quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
@@ -268,28 +274,26 @@
     assert not quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
     assert other.requests() == {}
     assert len(other.alarms.texts()) == 1
-    asked = request(other, want(0, 1))
-    assert other.answer(asked).refused
-    assert not other.book.busy
+    asked = request(other, unmet_demand(0, 1))
+    assert other.answer(asked).rejection
+    assert not other.ledger.commit_in_progress
 
 
-def test_what_has_started_since_the_last_look_is_not_given() -> None:
+def test_what_has_started_since_the_last_measurement_is_not_debited() -> None:
     world, quota = leading_cell()
     term_of(world).controller.ctx.fleet.used_by_team["alpha"] = [0.0, 5.0]
-    quota.answer(request(quota, want(9, 99)))
-    transfer = quota.book.peers["west"].in_transit
+    quota.answer(request(quota, unmet_demand(9, 99)))
+    transfer = quota.ledger.peers["west"].in_transit
     assert transfer is not None
     assert transfer.amounts["alpha"].accelerators.limit == UNIT
 
 
-@pytest.mark.parametrize(("cell", "is_given"), [("afar", True), ("west", False)])
-def test_what_waits_in_vain_beside_an_idle_share_leaves_it_to_cells_before_ours(
-    cell: str, is_given: bool
-) -> None:
-    # Two cells that each hold half of what a gang needs: one of them has to give, and not both.
+@pytest.mark.parametrize(("cell", "is_debited"), [("afar", True), ("west", False)])
+def test_a_stalled_team_leaves_its_idle_allocation_to_cells_before_ours(cell: str, is_debited: bool) -> None:
+    # Two cells that each hold half of what a gang needs: one of them has to transfer it, and not both.
     _, quota = leading_cell()
     demand = quota._demands["alpha"]
-    demand.is_stuck = True
-    demand.accelerators.waiting = demand.accelerators.startable = 6 * UNIT
-    quota.answer(request(quota, want(0, 1), cell=cell))
-    assert (cell in quota.book.peers) is is_given
+    demand.is_stalled = True
+    demand.accelerators.pending = demand.accelerators.startable = 6 * UNIT
+    quota.answer(request(quota, unmet_demand(0, 1), cell=cell))
+    assert (cell in quota.ledger.peers) is is_debited
