--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -119,6 +119,31 @@
     assert not authority.may_renew_leases(62.0, 41.0)
 
 
+def test_a_late_response_to_an_earlier_request_lowers_no_watermark() -> None:
+    authority = Authority(20.0, ["a"], began_at=0.0)
+    authority.observe_watch(1.0, 10)
+    authority.observe_peer("a", 50.0, 10)
+    authority.observe_peer("a", 40.0, 10)
+    assert authority.cancellations_known_until(1.0) == 50.0
+
+
+def test_cancellations_that_come_out_of_order_count_by_the_highest_revision() -> None:
+    confirmed = Cancellations(1)
+    confirmed.add("job-000001", 12)
+    confirmed.add("job-000002", 10)
+    assert confirmed.report(0) == ([("job-000002", 10)], 12)
+    # What that covers need not be listed, and displaces nothing else.
+    confirmed.add("job-000003", 11)
+    assert confirmed.report(0) == ([("job-000002", 10)], 12)
+    confirmed.add("job-000004", 13)
+    assert confirmed.report(0) == ([("job-000004", 13)], 12)
+    acted_on = Cancellations(5)
+    acted_on.add("job-000001", 12)
+    acted_on.add("job-000002", 10)
+    acted_on.acknowledge(12)
+    assert acted_on.report(0) == ([], 12)
+
+
 class Impostor:
     """A controller's address at which something else answers pings."""
 
