--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -1,4 +1,4 @@
-"""Who leads: a key on a lease in the state service, and the token that only ever rises."""
+"""Leader election: a key on a lease in the state service, and a fencing token that only ever rises."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from poppyhold.cluster.known_leader import KnownLeader, Leader
 from poppyhold.durable.changes import Entry, WatchEvent, put_record
 from poppyhold.durable.errors import (
     ConditionFailedError,
@@ -27,27 +28,28 @@
 
 log = logging.getLogger(__name__)
 
-
-class Leader(NamedTuple):
-    """The leader's key as last seen."""
-
-    member: str
-    fencing_token: int
-    lease_id: int
-    key_revision: int
+# Between two campaigns a controller pauses for a random part of the renewal interval, so that two of them
+# don't collide time and again.
+_CAMPAIGN_PAUSE_RATIOS = 0.3, 0.7
 
 
 class Term(NamedTuple):
-    """Our own term of leading."""
+    """Our own term as the leader."""
 
     fencing_token: int
+    # Revision of the leader's key as we wrote it.
     key_revision: int
     lease_id: int
     began_at: float
 
 
 class Election:
-    """One thread that campaigns, renews and steps down; another that watches the leader's key."""
+    """One thread that campaigns and renews the lease, and another that watches the leader's key.
+
+    ``on_elected`` and ``on_leadership_lost`` are called on the threads that bring these about. While
+    ``should_yield`` says that a better connected controller should campaign first, this one holds back, but
+    no longer than a lease.
+    """
 
     def __init__(
         self,
@@ -55,56 +57,61 @@
         options: Options,
         store: Store,
         on_elected: Callable[[Term], None],
-        on_deposed: Callable[[], None],
-        yields: Callable[[], bool],
+        on_leadership_lost: Callable[[], None],
+        should_yield: Callable[[], bool],
         rng: random.Random,
     ) -> None:
         self._member = settings.member
         self._store, self._rng = store, rng
-        self._on_elected, self._on_leadership_lost = on_elected, on_deposed
-        # Whether a controller that is placed better should campaign before us.
-        self._should_yield = yields
-        lease_s = settings.settings.workers.lease_s
-        self.lease_ttl_s = lease_s * options.leadership.term_leases
-        self._renew_s = self.lease_ttl_s / options.leadership.renewals
-        self._stand_back_s = lease_s
+        self._on_elected, self._on_leadership_lost = on_elected, on_leadership_lost
+        self._should_yield = should_yield
+        worker_lease_s = settings.settings.workers.lease_s
+        self.lease_ttl_s = worker_lease_s * options.leadership.term_leases
+        self._renewal_interval_s = self.lease_ttl_s / options.leadership.renewals
+        # For so long a leader that resigned does not campaign.
+        self._stand_back_s = worker_lease_s
+        self._standing_back_until = 0.0
         self._lock = threading.Lock()
         self._wake = threading.Event()
         self._stopped = False
-        self._standing_back_until = 0.0
-        self._vacant_since = time.monotonic()
-        self.leader: Leader | None = None
-        # When we learnt of this leader.
-        self.leader_since = time.monotonic()
-        self._named = threading.Condition()
+        self.known_leader = KnownLeader()
+        # Before the key was read nobody knows whether there is a leader.
         self._snapshot_seen = False
         self.term: Term | None = None
         # The term was certainly ours at this moment.
         self.confirmed_at = float("-inf")
-        self.watch = Watch(store, LEADER_PREFIX, lease_s / 5, self._on_snapshot, self._on_change)
+        self.watch = Watch(store, LEADER_PREFIX, worker_lease_s / 5, self._on_snapshot, self._on_change)
         self._thread = threading.Thread(target=self._run, name="election", daemon=True)
 
+    @property
+    def leader(self) -> Leader | None:
+        """The leader as last seen."""
+        return self.known_leader.leader
+
     def start(self) -> None:
-        """Start to campaign. The watch is started before, for requests to be passed on to the leader."""
+        """Start to campaign. The watch is started before, for requests to be forwarded to the leader."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Step down and end the threads."""
+        """Resign and end the threads."""
         self._stopped = True
+        self.known_leader.stop()
         self.watch.stop()
         self.resign("stopped")
 
-    def resign(self, why: str) -> None:
-        """Give the term up, for another node to lead, and stand back for a lease."""
+    # -- stepping down -------------------------------------------------------------------------------
+
+    def resign(self, reason: str) -> None:
+        """Give up the term, for another controller to lead, and don't campaign for a lease."""
         self._standing_back_until = time.monotonic() + self._stand_back_s
         term = self.term
-        self.step_down(why)
+        self.step_down(reason)
         if term is not None:
             self._revoke_lease(term.lease_id)
         self._wake.set()
 
-    def transfer_leadership(self, why: str) -> None:
-        """Give the term up only if the state service takes it back: in an outage nobody else could have it.
+    def transfer_leadership(self, reason: str) -> None:
+        """Give up the term only if the state service takes it back: in an outage nobody else could get it.
 
         A leader that resigned just as an outage began left the fleet without one to its end.
         """
@@ -114,178 +121,166 @@
         try:
             self._store.revoke_lease(term.lease_id)
         except (StoreRejectedError, OutcomeUnknownError) as error:
-            log.debug("handing over: %s", error)
+            log.debug("leadership not transferred: lease=%d: %s", term.lease_id, error)
             return
         self._standing_back_until = time.monotonic() + self._stand_back_s
-        self.step_down(why)
+        self.step_down(reason)
 
-    def step_down(self, why: str) -> None:
+    def step_down(self, reason: str) -> None:
         """Our term is over."""
         with self._lock:
-            if self.term is None:
+            term = self.term
+            if term is None:
                 return
             self.term = None
             self.confirmed_at = float("-inf")
-        log.info("no longer leading: %s", why)
+        log.info("stepped down: fencing_token=%d reason=%s", term.fencing_token, reason)
         self._on_leadership_lost()
         self._wake.set()
 
+    # -- fencing tokens ------------------------------------------------------------------------------
+
     def observe_fencing_token(self, fencing_token: int) -> None:
-        """Step down at once if somebody holds a higher token than ours."""
+        """Step down at once if somebody holds a higher fencing token than ours."""
         term = self.term
         if term is not None and fencing_token > term.fencing_token:
-            self.step_down(f"baton {fencing_token} was seen")
+            self.step_down(f"fencing token {fencing_token} was seen")
 
     def record_fencing_token(self, fencing_token: int) -> None:
-        """Our own token was raised within the term."""
+        """Our own fencing token was raised within the term."""
         with self._lock:
             if self.term is not None:
                 self.term = self.term._replace(fencing_token=fencing_token)
 
-    def await_leader(self, timeout: float) -> Leader | None:
-        """The leader; if there is none, wait a moment for the election to name one."""
-        with self._named:
-            if self.leader is None and not self._stopped:
-                self._named.wait(timeout)
-            return self.leader
-
-    def await_next_leader(self, leader: Leader, timeout: float) -> Leader | None:
-        """Wait a moment for another leader than this one; the leader as it is then."""
-        with self._named:
-            self._named.wait_for(lambda: self.leader not in (None, leader) or self._stopped, timeout)
-            return self.leader
-
-    def _name(self, leader: Leader | None) -> None:
-        with self._named:
-            if leader is None and self.leader is not None:
-                self._vacant_since = time.monotonic()
-            if leader is not None and (
-                self.leader is None or leader.fencing_token != self.leader.fencing_token
-            ):
-                self.leader_since = time.monotonic()
-            self.leader = leader
-            if leader is not None:
-                self._named.notify_all()
+    # -- other leaders -------------------------------------------------------------------------------
 
     def expire_lease(self, leader: Leader) -> None:
-        """End the lease of a leader whose process is gone. This is safe even if it is not:
+        """End the lease of a leader whose process is gone.
 
-        every step of a leader is conditional on its key, and workers follow the higher token.
+        This is safe even if the process is not gone: every durable step of a leader is conditional on its
+        key, and workers follow the highest fencing token.
         """
         if self.leader == leader and time.monotonic() >= self._standing_back_until:
-            log.info("deposing %s", leader.member)
+            log.info("ending the lease of a leader that is gone: member=%s", leader.member)
             self._revoke_lease(leader.lease_id)
 
     def _revoke_lease(self, lease_id: int) -> None:
         try:
             self._store.revoke_lease(lease_id)
         except (StoreRejectedError, OutcomeUnknownError) as error:
-            log.debug("lease %s: %s", lease_id, error)
+            # It expires by itself.
+            log.debug("lease not revoked: lease=%d: %s", lease_id, error)
+
+    # -- the leader's key ----------------------------------------------------------------------------
 
     def _on_snapshot(self, entries: list[Entry]) -> None:
         self._snapshot_seen = True
-        self._seen(next((entry for entry in entries if entry.key == LEADER_KEY), None))
+        self._observe_key(next((entry for entry in entries if entry.key == LEADER_KEY), None))
 
     def _on_change(self, change: WatchEvent) -> None:
         if isinstance(change, Entry):
-            self._seen(change)
+            self._observe_key(change)
         elif change.key == LEADER_KEY:
             term = self.term
             if term is None or change.revision > term.key_revision:
-                self._seen(None)
+                self._observe_key(None)
 
-    def _seen(self, entry: Entry | None) -> None:
+    def _observe_key(self, entry: Entry | None) -> None:
+        """The leader's key was read, or is gone. What is older than our own term says nothing new."""
         leader = None
         if entry is not None:
             record = convert(entry.data, LeaderRecord)
             leader = Leader(record.member, record.fencing_token, record.lease_id, entry.revision)
         term = self.term
         if term is not None and (leader is None or leader.key_revision > term.key_revision):
-            self._name(leader)
+            self.known_leader.observe(leader)
             self.step_down("the leader's key changed")
         elif term is None or (leader is not None and leader.key_revision == term.key_revision):
-            self._name(leader)
+            self.known_leader.observe(leader)
         self._wake.set()
 
+    # -- renewing and campaigning --------------------------------------------------------------------
+
     def _run(self) -> None:
         while not self._stopped:
             try:
-                wait = self._renew() if self.term is not None else self._campaign()
+                pause_s = self._renew() if self.term is not None else self._campaign()
             except Exception:
-                log.exception("election")
-                wait = self._renew_s
-            self._wake.wait(wait)
+                # Thread boundary: without this thread the controller would never lead again.
+                log.exception("election failed and goes on")
+                pause_s = self._renewal_interval_s
+            self._wake.wait(pause_s)
             self._wake.clear()
 
     def _renew(self) -> float:
+        """Renew our lease if that is due; how long to pause."""
         term = self.term
         if term is None:
             return 0.0
-        asked = time.monotonic()
-        if asked - self.confirmed_at < self._renew_s * 0.9:
-            return self._renew_s - (asked - self.confirmed_at)
+        asked_at = time.monotonic()
+        if asked_at - self.confirmed_at < self._renewal_interval_s * 0.9:
+            return self._renewal_interval_s - (asked_at - self.confirmed_at)
         try:
-            self._store.renew_lease(term.lease_id, self._renew_s * 2)
+            self._store.renew_lease(term.lease_id, self._renewal_interval_s * 2)
         except LeaseExpiredError:
-            self.step_down("our lease ended")
+            self.step_down("our lease expired")
             return 0.0
         except (StoreRejectedError, OutcomeUnknownError) as error:
             # An outage and a refusal of us alone look the same: go on for now. What we may still do
             # without confirmation is bounded in `authority`.
-            log.debug("renewal: %s", error)
-            return self._renew_s / 2
+            log.debug("lease not renewed: lease=%d: %s", term.lease_id, error)
+            return self._renewal_interval_s / 2
         if self.term is term or (self.term is not None and self.term.lease_id == term.lease_id):
-            self.confirmed_at = asked
-        return self._renew_s
+            self.confirmed_at = asked_at
+        return self._renewal_interval_s
 
     def _campaign(self) -> float:
+        """Try to get elected if nobody leads; how long to pause."""
         now = time.monotonic()
         if now < self._standing_back_until:
             return self._standing_back_until - now
         if not self._snapshot_seen:
-            return self._renew_s / 4
+            return self._renewal_interval_s / 4
         leader = self.leader
         if leader is not None:
             if leader.member == self._member:
-                # A process of ours before this one held it.
+                # An earlier process of ours held it.
                 self._revoke_lease(leader.lease_id)
-                return self._renew_s / 2
+                return self._renewal_interval_s / 2
             return self.lease_ttl_s
-        if now - self._vacant_since < self.lease_ttl_s and self._should_yield():
-            return self._renew_s / 2
+        if now - self.known_leader.vacant_since < self.lease_ttl_s and self._should_yield():
+            return self._renewal_interval_s / 2
         try:
             lease_id = self._store.lease(self.lease_ttl_s)
-            asked = time.monotonic()
-            self._claim_leadership(lease_id, asked)
+            asked_at = time.monotonic()
+            self._claim_leadership(lease_id, asked_at)
         except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError, ConditionFailedError) as error:
-            log.debug("campaign: %s", error)
-        return self._renew_s * self._rng.uniform(0.3, 0.7)
+            log.debug("not elected: %s", error)
+        return self._renewal_interval_s * self._rng.uniform(*_CAMPAIGN_PAUSE_RATIOS)
 
-    def _claim_leadership(self, lease_id: int, asked: float) -> None:
+    def _claim_leadership(self, lease_id: int, asked_at: float) -> None:
+        """Write the leader's key and the next fencing token, if nobody else does."""
         held = self._store.get(FENCING_TOKEN_KEY)
         fencing_token = (convert(held.data, FencingTokenRecord).fencing_token if held else 0) + 1
         claim = LeaderRecord(self._member, fencing_token, lease_id)
         conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.revision if held else 0}
+        writes = [
+            put_record(LEADER_KEY, claim, lease_id),
+            put_record(FENCING_TOKEN_KEY, FencingTokenRecord(fencing_token)),
+        ]
         try:
-            version = self._store.commit(
-                conditions,
-                [
-                    put_record(LEADER_KEY, claim, lease_id),
-                    put_record(FENCING_TOKEN_KEY, FencingTokenRecord(fencing_token)),
-                ],
-            )
+            key_revision = self._store.commit(conditions, writes)
         except OutcomeUnknownError:
-            # Perhaps it went through: the key itself tells. The permit is ours alone.
+            # Perhaps it was carried out: the key itself tells. The lease is ours alone.
             entry = self._store.get(LEADER_KEY)
             if entry is None or entry.data.get(names.LEASE_ID) != lease_id:
                 raise
-            version = entry.revision
-        term = Term(fencing_token, version, lease_id, time.monotonic())
+            key_revision = entry.revision
+        term = Term(fencing_token, key_revision, lease_id, time.monotonic())
         with self._lock:
-            self.leader = Leader(self._member, fencing_token, lease_id, version)
+            self.known_leader.set_ourselves(Leader(self._member, fencing_token, lease_id, key_revision))
             self.term = term
-            self.confirmed_at = asked
-        log.info("leading with token %d", fencing_token)
+            self.confirmed_at = asked_at
+        log.info("elected: fencing_token=%d", fencing_token)
         self._on_elected(term)
-        with self._named:
-            self._named.notify_all()
+        self.known_leader.announce()
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -10,7 +10,8 @@
 
 from poppyhold.cluster.cancellations import Cancellation
 from poppyhold.cluster.delegated_renewals import DelegatedRenewals
-from poppyhold.cluster.election import Election, Leader, Term
+from poppyhold.cluster.election import Election, Term
+from poppyhold.cluster.known_leader import Leader
 from poppyhold.cluster.lease_delegation import DelegationTracker
 from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
 from poppyhold.cluster.peers import Peers, Ping, Pong
@@ -354,14 +355,14 @@
 
     def _redirect(self, heartbeat: Heartbeat) -> Answer | Deferred:
         """Wait a moment for a leader, and send the worker there."""
-        leader = self.election.await_leader(self._naming_s)
+        leader = self.election.known_leader.await_leader(self._naming_s)
         if leader is not None and leader.member != self.settings.member and not self._forwarding.is_wanted():
             now = time.monotonic()
             wait_s = self._redirect_backoff.wait_s(
-                heartbeat, leader.fencing_token, now - self.election.leader_since, now
+                heartbeat, leader.fencing_token, now - self.election.known_leader.leader_since, now
             )
             if wait_s:
-                leader = self.election.await_next_leader(leader, wait_s)
+                leader = self.election.known_leader.await_next_leader(leader, wait_s)
         # The election may have named us meanwhile.
         return self._answer_heartbeat(heartbeat) or self._elsewhere(leader)
 
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from poppyhold.cluster.election import Leader
+from poppyhold.cluster.known_leader import Leader
 from poppyhold.relay.leader import heartbeat_response_timeout_s
 from poppyhold.relay.link import RelayLink, RelayTimes
 from poppyhold.relay.messages import Outcome, RelayedAnswer, RelayHello
--- a/tests/test_quota_links.py
+++ b/tests/test_quota_links.py
@@ -12,7 +12,7 @@
 import pytest
 
 from poppyhold.cli import main
-from poppyhold.cluster.election import Leader
+from poppyhold.cluster.known_leader import Leader
 from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.durable.snapshot import SnapshotReader
 from poppyhold.options import Options, parse_options
