--- /dev/null
+++ b/src/poppyhold/cluster/peer_client.py
@@ -0,0 +1,114 @@
+"""Pings to one other controller, over a connection that is opened anew whenever it breaks."""
+
+from __future__ import annotations
+
+import logging
+import socket
+import threading
+import time
+from typing import NamedTuple
+
+import msgspec
+
+from poppyhold.cluster.change_feed import ChangeFeed
+from poppyhold.cluster.connectivity import Connectivity
+from poppyhold.cluster.peer_handler import PeerHandler
+from poppyhold.cluster.peer_messages import Pong, receive_opening
+from poppyhold.model.outbound import MisdirectedWorker
+from poppyhold.settings import Known, split_address
+from poppyhold.wire.frames import send
+
+log = logging.getLogger(__name__)
+
+# Entries of a ping, at the most: a message may be no larger than `frames` lets through, and a first one to a
+# controller that has just begun names every job and every machine. What is left goes with the next pings,
+# which then are sent so many times as fast.
+_MOST_COUNTS, _MOST_IMAGES, _BATCHES_PER_INTERVAL = 4000, 1000, 8
+
+
+class PeerTimes(NamedTuple):
+    """How often pings are sent, and how long each step may take."""
+
+    interval_s: float
+    timeout_s: float
+
+
+class PeerView(NamedTuple):
+    """What we know of another controller."""
+
+    # When the state service responded to it last, on our clock.
+    store_contact_at: float
+    misdirected_workers: list[MisdirectedWorker]
+
+
+class PeerClient:
+    """A thread that pings one other controller."""
+
+    def __init__(
+        self,
+        peer: Known,
+        times: PeerTimes,
+        handler: PeerHandler,
+        connectivity: Connectivity,
+        stop: threading.Event,
+    ) -> None:
+        self._peer, self._times, self._handler = peer, times, handler
+        self._connectivity, self._stop = connectivity, stop
+        # None before its first response.
+        self.view: PeerView | None = None
+        self._thread = threading.Thread(target=self._run, name=f"peer {peer.member}", daemon=True)
+
+    def start(self) -> None:
+        """Start the thread. It ends after the event that it was given is set."""
+        self._thread.start()
+
+    def _run(self) -> None:
+        member, address = self._peer.member, split_address(self._peer.address)
+        while not self._stop.is_set():
+            try:
+                with socket.create_connection(address, timeout=self._times.timeout_s) as connection:
+                    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                    self._exchange(connection)
+            except (OSError, ValueError, msgspec.MsgspecError) as error:
+                log.debug("connection to a peer lost: member=%s: %s", member, error)
+                self._connectivity.connection_lost(member, timed_out=isinstance(error, TimeoutError))
+                if isinstance(error, ConnectionRefusedError):
+                    self._handler.on_connection_refused(member)
+            except Exception:
+                # Thread boundary: without this thread the peer would count as unreachable for ever.
+                log.exception("connection to a peer failed: member=%s", member)
+            self._stop.wait(self._times.interval_s / 2)
+
+    def _exchange(self, connection: socket.socket) -> None:
+        """Send pings and take their responses, until the connection breaks."""
+        counts: ChangeFeed[tuple[int, int]] = ChangeFeed(_MOST_COUNTS)
+        images: ChangeFeed[tuple[tuple[str, float], ...]] = ChangeFeed(_MOST_IMAGES)
+        interval_s = self._times.interval_s
+        while not self._stop.is_set():
+            changed_counts = [
+                (job_id, *count) for job_id, count in counts.next_batch(self._handler.led_task_counts())
+            ]
+            changed_images = images.next_batch(self._handler.led_image_hints())
+            asked_at = time.monotonic()
+            tracker = self._handler.delegation_tracker()
+            if tracker is not None:
+                tracker.record_grant(self._peer.member, asked_at)
+            ping = msgspec.structs.replace(
+                self._handler.compose_ping(), task_counts=changed_counts, image_hints=changed_images
+            )
+            send(connection, ping)
+            pong = self._receive_pong(connection)
+            self.view = PeerView(asked_at - pong.state_age_s, pong.misdirected_workers)
+            self._connectivity.record_response(self._peer.member, pong.reachable_peers)
+            if tracker is not None:
+                tracker.record_response(self._peer.member, asked_at)
+            self._handler.handle_pong(pong, asked_at)
+            has_more = counts.has_more or images.has_more
+            self._stop.wait(interval_s / _BATCHES_PER_INTERVAL if has_more else interval_s)
+
+    def _receive_pong(self, connection: socket.socket) -> Pong:
+        message = receive_opening(connection)
+        if not isinstance(message, Pong) or message.member != self._peer.member:
+            # What a leader may do depends on who responded.
+            raise ValueError(f"not a response of {self._peer.member}")
+        return message
--- /dev/null
+++ b/src/poppyhold/cluster/peer_server.py
@@ -0,0 +1,96 @@
+"""The listener for other controllers, relays, other cells' leaders and operators."""
+
+from __future__ import annotations
+
+import logging
+import socket
+import threading
+
+import msgspec
+
+from poppyhold.cluster.peer_client import PeerTimes
+from poppyhold.cluster.peer_handler import PeerHandler
+from poppyhold.cluster.peer_messages import Ping, receive_opening
+from poppyhold.quota.messages import Opening as QuotaOpening
+from poppyhold.relay.messages import RelayHello
+from poppyhold.settings import Settings, split_address
+from poppyhold.wire.frames import send
+
+log = logging.getLogger(__name__)
+
+_BACKLOG = 16
+# Connections for each other controller, and for all that can't be told yet.
+_CONNECTIONS_PER_PEER, _SPARE_CONNECTIONS = 4, 4
+
+
+class PeerServer:
+    """One thread that accepts connections, and one for each of them."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        times: PeerTimes,
+        handler: PeerHandler,
+        most_cell_links: int,
+        stop: threading.Event,
+    ) -> None:
+        """``most_cell_links`` connections may come from other cells' leaders and operators."""
+        self._times, self._handler, self._stop = times, handler, stop
+        self._idle_s = max(10 * times.timeout_s, 4 * times.interval_s)
+        self._slots = threading.BoundedSemaphore(
+            _CONNECTIONS_PER_PEER * len(settings.known) + _SPARE_CONNECTIONS + most_cell_links
+        )
+        self._listener = socket.create_server(split_address(settings.back), backlog=_BACKLOG)
+        self._thread = threading.Thread(target=self._accept, name="peers", daemon=True)
+
+    def start(self) -> None:
+        """Start to accept connections."""
+        self._thread.start()
+
+    def close(self) -> None:
+        """Accept no more of them. The others end once the event that was given is set."""
+        self._listener.close()
+
+    def _accept(self) -> None:
+        while not self._stop.is_set():
+            try:
+                connection, _ = self._listener.accept()
+            except OSError:
+                if self._stop.wait(self._times.timeout_s / 10):
+                    return
+                continue
+            if not self._slots.acquire(blocking=False):
+                connection.close()
+                continue
+            threading.Thread(target=self._serve, args=(connection,), name="peer", daemon=True).start()
+
+    def _serve(self, connection: socket.socket) -> None:
+        try:
+            with connection:
+                connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                connection.settimeout(self._idle_s)
+                while not self._stop.is_set():
+                    if not self._serve_message(connection):
+                        return
+        except (OSError, ValueError, msgspec.MsgspecError) as error:
+            log.debug("connection of a peer lost: %s", error)
+        except Exception:
+            # Thread boundary: nothing that a peer sends may go unnoticed, and its connection ends.
+            log.exception("connection of a peer failed")
+        finally:
+            self._slots.release()
+
+    def _serve_message(self, connection: socket.socket) -> bool:
+        """Serve the next message; whether the connection goes on."""
+        message = receive_opening(connection)
+        if isinstance(message, RelayHello):
+            # It is a relay's from now on, to its end.
+            self._handler.serve_relay(connection, message)
+            return False
+        if isinstance(message, QuotaOpening):
+            send(connection, self._handler.answer_cell(message))
+        elif isinstance(message, Ping):
+            send(connection, self._handler.handle_ping(message))
+        else:
+            raise ValueError(f"not an opening: {type(message).__name__}")
+        return True
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -14,7 +14,8 @@
 from poppyhold.cluster.cancellations import Cancellation
 from poppyhold.cluster.election import Election, Term
 from poppyhold.cluster.lease_delegation import DelegationTracker, LeaseDelegation
-from poppyhold.cluster.peers import Peers, Pong
+from poppyhold.cluster.peer_messages import Pong
+from poppyhold.cluster.peers import Peers
 from poppyhold.concurrency.priority_queue import DECISIONS, HEARTBEATS, SUBMISSIONS, PriorityQueue, Work
 from poppyhold.durable.changes import Entry, WatchEvent, Write
 from poppyhold.durable.committer import Committer, CommitUnit
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -14,7 +14,8 @@
 from poppyhold.cluster.known_leader import Leader
 from poppyhold.cluster.lease_delegation import DelegationTracker
 from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
-from poppyhold.cluster.peers import Peers, Ping, Pong
+from poppyhold.cluster.peer_messages import Ping, Pong
+from poppyhold.cluster.peers import Peers
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.durable.store import Store
 from poppyhold.model.context import ImageHints
@@ -24,6 +25,8 @@
 from poppyhold.node.machine_catalog import MachineCatalog
 from poppyhold.node.users import Users
 from poppyhold.options import Options
+from poppyhold.quota.messages import Answer as QuotaAnswer
+from poppyhold.quota.messages import Opening as QuotaOpening
 from poppyhold.quota.server import QuotaServer
 from poppyhold.relay.forwarding import HeartbeatForwarder
 from poppyhold.relay.leader import heartbeat_response_timeout_s
@@ -70,19 +73,7 @@
         self._quota_server = QuotaServer(
             settings, options.cells, lambda: self._leader_term, lambda: self.election.leader
         )
-        self.peers = Peers(
-            settings,
-            self._describe,
-            self._counts,
-            self._image_hints,
-            self._reply,
-            self._on_pong,
-            self._refused,
-            self._delegations,
-            self._serve_relay,
-            self._quota_server.answer,
-            self._quota_server.most_links,
-        )
+        self.peers = Peers(settings, self, self._quota_server.most_links)
         workers = settings.settings.workers
         self.delegated_renewal = DelegatedRenewals(self._times, self.skew_s, time.monotonic, time.time)
         # Behind this a worker has given up the answer, as PROTOCOL says: it comes at once or not at all.
@@ -146,15 +137,18 @@
         """Whether another controller should campaign before this one."""
         return self.peers.connectivity.better_connected_peer() is not None
 
-    def _counts(self) -> dict[str, tuple[int, int]]:
+    def led_task_counts(self) -> dict[str, tuple[int, int]]:
+        """See `PeerHandler`."""
         leader_term = self._leader_term
         return leader_term.counts() if leader_term is not None else {}
 
-    def _image_hints(self) -> ImageHints:
+    def led_image_hints(self) -> ImageHints:
+        """See `PeerHandler`."""
         leader_term = self._leader_term
         return leader_term.image_hints() if leader_term is not None else {}
 
-    def _delegations(self) -> DelegationTracker | None:
+    def delegation_tracker(self) -> DelegationTracker | None:
+        """See `PeerHandler`."""
         leader_term = self._leader_term
         return leader_term.delegations if leader_term is not None else None
 
@@ -165,7 +159,8 @@
 
     # -- peers ---------------------------------------------------------------------------------------
 
-    def _describe(self) -> Ping:
+    def compose_ping(self) -> Ping:
+        """See `PeerHandler`."""
         term = self.election.term
         age = time.monotonic() - max(self.store.contact_at, self._started_at)
         workers = len(self._misdirected_workers.recent())
@@ -192,9 +187,10 @@
         """Cancellations that we confirmed to users, as `Cancellations.named` says."""
         return self.users.cancellations.report(self.election.watch.first_revision)
 
-    def _reply(self, ping: Ping) -> Pong:
+    def handle_ping(self, ping: Ping) -> Pong:
+        """See `PeerHandler`."""
         self._on_ping(ping)
-        us = self._describe()
+        us = self.compose_ping()
         named: list[Cancellation] = []
         unnamed: int | None = None
         misdirected = self._misdirected_workers.recent() if ping.leading else []
@@ -231,14 +227,15 @@
             while len(self.peer_image_hints) > self.settings.settings.machine_limits.machines:
                 self.peer_image_hints.pop(next(iter(self.peer_image_hints)))
 
-    def _on_pong(self, pong: Pong, asked: float) -> None:
+    def handle_pong(self, pong: Pong, asked_at: float) -> None:
+        """See `PeerHandler`."""
         if pong.leading:
             self.election.observe_fencing_token(pong.fencing_token)
             return
         # Only who does not lead: what a leader confirmed says nothing of what others confirm under its lead.
         leader_term = self._leader_term
         if leader_term is not None:
-            leader_term.peer_answered(pong, asked)
+            leader_term.peer_answered(pong, asked_at)
             self._hand_over()
         leader = self.election.leader
         # It runs, and leads nothing: the key is that of a process before it.
@@ -263,7 +260,8 @@
         if view is not None and time.monotonic() - view.store_contact_at < self.election.lease_ttl_s:
             self.election.transfer_leadership(f"{better} reaches more controllers")
 
-    def _refused(self, member: str) -> None:
+    def on_connection_refused(self, member: str) -> None:
+        """See `PeerHandler`."""
         leader = self.election.leader
         if leader is None or leader.member != member or self.election.term is not None:
             return
@@ -277,6 +275,10 @@
             self._deposed_at = now
             self.election.expire_lease(leader)
 
+    def answer_cell(self, message: QuotaOpening) -> QuotaAnswer:
+        """See `PeerHandler`."""
+        return self._quota_server.answer(message)
+
     # -- relaying ------------------------------------------------------------------------------------
 
     def _takes_relays(self, leader_term: LeaderTerm) -> bool:
@@ -284,7 +286,8 @@
         relays = leader_term.relays
         return relays.wanted or (not relays.reviewed and self._forwarding.is_wanted())
 
-    def _serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
+    def serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
+        """See `PeerHandler`."""
         leader_term = self._leader_term
         if leader_term is not None and self._takes_relays(leader_term):
             leader_term.relays.serve(connection, hello)
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from poppyhold.cluster.peers import Opening
+from poppyhold.cluster.peer_messages import Opening
 from poppyhold.durable.changes import Entry
 from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.options import Options
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -20,7 +20,8 @@
 from poppyhold.capacity import shortfalls
 from poppyhold.cli import main
 from poppyhold.cluster.change_feed import ChangeFeed
-from poppyhold.cluster.peers import _MOST_COUNTS, _MOST_IMAGES, Ping, receive_opening
+from poppyhold.cluster.peer_client import _MOST_COUNTS, _MOST_IMAGES
+from poppyhold.cluster.peer_messages import Ping, receive_opening
 from poppyhold.durable.changes import Entry
 from poppyhold.durable.errors import StoreRejectedError
 from poppyhold.durable.keys import MACHINE_PREFIX
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,11 +12,15 @@
 
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.cancellations import Cancellation, Cancellations
-from poppyhold.cluster.peers import Opening, Peers, Ping, Pong, receive_opening
+from poppyhold.cluster.lease_delegation import DelegationTracker
+from poppyhold.cluster.peer_messages import Opening, Ping, Pong, receive_opening
+from poppyhold.cluster.peers import Peers
+from poppyhold.model.context import ImageHints
 from poppyhold.node.service import Node
 from poppyhold.options import Options
 from poppyhold.quota.messages import Answer as QuotaAnswer
 from poppyhold.quota.messages import Opening as QuotaOpening
+from poppyhold.relay.messages import RelayHello
 from poppyhold.scale.controllers import free_port
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.settings import Known, Outside, Team, split_address
@@ -31,8 +35,40 @@
 PONG = ["pong", "hive-1", 0, False, 0.5, 40, 3]
 
 
-def no_cells(message: QuotaOpening) -> QuotaAnswer:
-    raise ValueError("this fleet has one cell")
+class Handler:
+    """A controller that takes part in nothing but pings."""
+
+    def __init__(self) -> None:
+        self.ping = Ping("hive-0", 0, False, 0.0, -1, 0)
+        self.pong = Pong("hive-0", 0, False, 0.0, -1, 0)
+        self.taken: list[Pong] = []
+
+    def compose_ping(self) -> Ping:
+        return self.ping
+
+    def led_task_counts(self) -> dict[str, tuple[int, int]]:
+        return {}
+
+    def led_image_hints(self) -> ImageHints:
+        return {}
+
+    def delegation_tracker(self) -> DelegationTracker | None:
+        return None
+
+    def handle_ping(self, ping: Ping) -> Pong:
+        return self.pong
+
+    def handle_pong(self, pong: Pong, asked_at: float) -> None:
+        self.taken.append(pong)
+
+    def on_connection_refused(self, member: str) -> None:
+        pass
+
+    def serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
+        pass
+
+    def answer_cell(self, message: QuotaOpening) -> QuotaAnswer:
+        raise ValueError("this fleet has one cell")
 
 
 def over_a_connection(message: list[Any]) -> Opening:
@@ -153,27 +189,14 @@
         back=f"127.0.0.1:{free_port()}",
         known=[Known("hive-1", "a", f"127.0.0.1:{impostor.listener.getsockname()[1]}")],
     )
-    taken: list[Pong] = []
-    describe = Ping("hive-0", 0, False, 0.0, -1, 0)
-    pong = Pong("hive-0", 0, False, 0.0, -1, 0)
-    peers = Peers(
-        settings,
-        lambda: describe,
-        dict,
-        dict,
-        lambda ping: pong,
-        lambda pong, asked: taken.append(pong),
-        lambda member: None,
-        lambda: None,
-        lambda connection, hello: None,
-        no_cells,
-    )
+    handler = Handler()
+    peers = Peers(settings, handler)
     peers.start()
     try:
         # Only the last of them is an answer of hive-1; it is asked again and again behind the others.
-        eventually(lambda: len(taken) == 2)
+        eventually(lambda: len(handler.taken) == 2)
         assert impostor.asked >= 2 * 5
-        assert {pong.member for pong in taken} == {"hive-1"}
+        assert {pong.member for pong in handler.taken} == {"hive-1"}
     finally:
         peers.stop()
         impostor.listener.close()
@@ -243,19 +266,8 @@
     settings = msgspec.structs.replace(
         World(1, 10.0, 30.0, []).settings, back=f"127.0.0.1:{free_port()}", known=[]
     )
-    pong = Pong("hive-0", 0, False, 0.0, -1, 0)
-    peers = Peers(
-        settings,
-        lambda: Ping("hive-0", 0, False, 0.0, -1, 0),
-        dict,
-        dict,
-        lambda ping: pong,
-        lambda answer, asked: None,
-        lambda member: None,
-        lambda: None,
-        lambda connection, hello: None,
-        no_cells,
-    )
+    handler = Handler()
+    peers = Peers(settings, handler)
     peers.start()
     address = split_address(settings.back)
     try:
@@ -268,6 +280,6 @@
             with contextlib.suppress(ConnectionResetError):
                 assert bad.recv(1) == b""
             send(good, Ping("hive-1", 0, False, 0.0, -1, 0))
-            assert receive_opening(good) == pong
+            assert receive_opening(good) == handler.pong
     finally:
         peers.stop()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from poppyhold.cluster.peers import Ping, Pong
+from poppyhold.cluster.peer_messages import Ping, Pong
 from poppyhold.concurrency.priority_queue import Work
 from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.model.durations import Durations
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -19,7 +19,7 @@
 
 from poppyhold.cluster.cancellations import Cancellation
 from poppyhold.cluster.lease_delegation import LeaseDelegation
-from poppyhold.cluster.peers import Message, Ping, Pong
+from poppyhold.cluster.peer_messages import Message, Ping, Pong
 from poppyhold.model.outbound import MisdirectedWorker
 from poppyhold.settings import NextState, Team
 from poppyhold.wire.cloud_messages import MachineType
--- a/tests/wire_kinds.py
+++ b/tests/wire_kinds.py
@@ -12,7 +12,7 @@
 
 from msgspec import inspect
 
-from poppyhold.cluster.peers import Ping, Pong
+from poppyhold.cluster.peer_messages import Ping, Pong
 from poppyhold.durable.records import CompletionsRecord, LaunchRecord, MachineRecord, PlanRecord
 from poppyhold.quota.messages import NotLeading, ShareReply, ShareRequest, StatusReply, StatusRequest
 from poppyhold.quota.records import IdentityRecord, PeerRecord, ShareRecord
