--- a/src/poppyhold/cluster/peer_client.py
+++ b/src/poppyhold/cluster/peer_client.py
@@ -16,7 +16,7 @@
 from poppyhold.cluster.peer_messages import Pong, receive_opening
 from poppyhold.model.outbound import MisdirectedWorker
 from poppyhold.settings import Known, split_address
-from poppyhold.wire.frames import send
+from poppyhold.wire.frames import send_message
 
 log = logging.getLogger(__name__)
 
@@ -69,7 +69,7 @@
                 with socket.create_connection(address, timeout=self._times.timeout_s) as connection:
                     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                     self._exchange(connection)
-            except (OSError, ValueError, msgspec.MsgspecError) as error:
+            except (OSError, ValueError) as error:
                 log.debug("connection to a peer lost: member=%s: %s", member, error)
                 self._connectivity.connection_lost(member, timed_out=isinstance(error, TimeoutError))
                 if isinstance(error, ConnectionRefusedError):
@@ -96,7 +96,7 @@
             ping = msgspec.structs.replace(
                 self._handler.compose_ping(), task_counts=changed_counts, image_hints=changed_images
             )
-            send(connection, ping)
+            send_message(connection, ping)
             pong = self._receive_pong(connection)
             self.view = PeerView(asked_at - pong.state_age_s, pong.misdirected_workers)
             self._connectivity.record_response(self._peer.member, pong.reachable_peers)
--- a/src/poppyhold/cluster/peer_messages.py
+++ b/src/poppyhold/cluster/peer_messages.py
@@ -15,7 +15,7 @@
 from poppyhold.model.outbound import MisdirectedWorker
 from poppyhold.quota.messages import Opening as QuotaOpening
 from poppyhold.relay.messages import RelayHello
-from poppyhold.wire.frames import receive
+from poppyhold.wire.frames import receive_message
 
 # A job with its completed and running tasks.
 JobTaskCounts = tuple[str, int, int]
@@ -83,4 +83,4 @@
         ValueError: it is malformed, and the connection must end.
         OSError: the connection broke, or nothing came in time.
     """
-    return receive(connection, _opening_decoder)
+    return receive_message(connection, _opening_decoder)
--- a/src/poppyhold/cluster/peer_server.py
+++ b/src/poppyhold/cluster/peer_server.py
@@ -6,15 +6,13 @@
 import socket
 import threading
 
-import msgspec
-
 from poppyhold.cluster.peer_client import PeerTimes
 from poppyhold.cluster.peer_handler import PeerHandler
 from poppyhold.cluster.peer_messages import Ping, receive_opening
 from poppyhold.quota.messages import Opening as QuotaOpening
 from poppyhold.relay.messages import RelayHello
 from poppyhold.settings import Settings, split_address
-from poppyhold.wire.frames import send
+from poppyhold.wire.frames import send_message
 
 log = logging.getLogger(__name__)
 
@@ -72,7 +70,7 @@
                 while not self._stop.is_set():
                     if not self._serve_message(connection):
                         return
-        except (OSError, ValueError, msgspec.MsgspecError) as error:
+        except (OSError, ValueError) as error:
             log.debug("connection of a peer lost: %s", error)
         except Exception:
             # Thread boundary: nothing that a peer sends may go unnoticed, and its connection ends.
@@ -88,9 +86,9 @@
             self._handler.serve_relay(connection, message)
             return False
         if isinstance(message, QuotaOpening):
-            send(connection, self._handler.answer_cell(message))
+            send_message(connection, self._handler.answer_cell(message))
         elif isinstance(message, Ping):
-            send(connection, self._handler.handle_ping(message))
+            send_message(connection, self._handler.handle_ping(message))
         else:
             raise ValueError(f"not an opening: {type(message).__name__}")
         return True
--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -28,7 +28,7 @@
 from poppyhold.durable.keys import EMPTY_PREFIX
 from poppyhold.settings import Settings, split_address
 from poppyhold.wire import field_names as names
-from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
+from poppyhold.wire.http_client import HttpClient, NoResponseError, NotSentError
 
 # Entries of a page, at the most.
 _PAGE_ENTRIES = 1000
@@ -62,7 +62,7 @@
 
     def __init__(self, settings: Settings, clock: Callable[[], float] = time.monotonic) -> None:
         host, port = split_address(settings.outside.state)
-        self._client = Client(host, port, keep=_IDLE_CONNECTIONS)
+        self._client = HttpClient(host, port, most_idle=_IDLE_CONNECTIONS)
         self._clock = clock
         # A response usually takes milliseconds, now and then some hundreds.
         self.timeout = settings.settings.workers.lease_s / 8
@@ -74,7 +74,7 @@
             status, data = self._client.request(method, path, body, timeout=timeout)
         except NotSentError as error:
             raise StoreRejectedError(f"{method} {path}: not sent: {error}") from error
-        except NoAnswerError as error:
+        except NoResponseError as error:
             raise OutcomeUnknownError(f"{method} {path}: no response: {error}") from error
         if status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
             raise StoreRejectedError(f"{method} {path}: status {status}")
--- a/src/poppyhold/node/cloud.py
+++ b/src/poppyhold/node/cloud.py
@@ -11,7 +11,7 @@
 from poppyhold.settings import Settings, split_address
 from poppyhold.wire.cloud_messages import LaunchResponse, MachineListPage, MachineType, MachineTypes
 from poppyhold.wire.codec import MalformedError, convert
-from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
+from poppyhold.wire.http_client import HttpClient, NoResponseError, NotSentError
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +26,7 @@
 
     def __init__(self, settings: Settings) -> None:
         host, port = split_address(settings.outside.cloud)
-        self._client = Client(host, port, keep=2)
+        self._client = HttpClient(host, port, most_idle=2)
         self._timeout = settings.settings.workers.lease_s / 3
 
     def machine_types(self) -> list[MachineType] | None:
@@ -43,7 +43,7 @@
         try:
             status, data = self._client.request("GET", path, timeout=self._timeout)
             return convert(data, kind) if status == HTTPStatus.OK else None
-        except (NotSentError, NoAnswerError, MalformedError) as error:
+        except (NotSentError, NoResponseError, MalformedError) as error:
             log.debug("cloud %s: %s", path, error)
             return None
 
@@ -53,7 +53,7 @@
             status, data = self._client.request("POST", "/machines", body, timeout=self._timeout)
             if status == HTTPStatus.OK:
                 return RequestOutcome.OK, convert(data, LaunchResponse).machines
-        except (NotSentError, NoAnswerError, MalformedError) as error:
+        except (NotSentError, NoResponseError, MalformedError) as error:
             log.debug("hire: %s", error)
             return RequestOutcome.UNKNOWN, []
         no_capacity = status == HTTPStatus.SERVICE_UNAVAILABLE and data.get("error") == "no capacity"
@@ -68,6 +68,6 @@
                 "POST", "/machines/delete", {"boxes": names}, timeout=self._timeout
             )
             return status == HTTPStatus.OK
-        except (NotSentError, NoAnswerError) as error:
+        except (NotSentError, NoResponseError) as error:
             log.debug("delete: %s", error)
             return False
--- a/src/poppyhold/node/workers.py
+++ b/src/poppyhold/node/workers.py
@@ -12,7 +12,7 @@
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.settings import ConfigError, Settings, split_address
 from poppyhold.wire.codec import MalformedError
-from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
+from poppyhold.wire.http_client import HttpClient, NoResponseError, NotSentError
 from poppyhold.wire.worker_messages import Heartbeat, parse_heartbeat
 
 log = logging.getLogger(__name__)
@@ -104,13 +104,13 @@
             return RequestOutcome.NOT_SENT, None
         # A new connection each time: on one that was kept open, a lost command and a closed
         # connection look alike, and a lost command has to be waited out.
-        client = Client(host, port, keep=0)
+        client = HttpClient(host, port, most_idle=0)
         try:
             status, data = client.request("POST", "/do", body, timeout=self._timeout)
         except NotSentError as error:
             log.debug("%s: %s", endpoint, error)
             return RequestOutcome.NOT_SENT, None
-        except NoAnswerError as error:
+        except NoResponseError as error:
             log.debug("%s: %s", endpoint, error)
             return RequestOutcome.UNKNOWN, None
         if status not in (HTTPStatus.OK, HTTPStatus.CONFLICT):
--- a/src/poppyhold/quota/link.py
+++ b/src/poppyhold/quota/link.py
@@ -18,7 +18,7 @@
 from poppyhold.quota.cells import Cell
 from poppyhold.quota.messages import Answer, NotLeading, ShareReply, ShareRequest
 from poppyhold.settings import split_address
-from poppyhold.wire.frames import receive, send
+from poppyhold.wire.frames import receive_message, send_message
 
 log = logging.getLogger(__name__)
 
@@ -42,8 +42,8 @@
         OSError, ValueError, msgspec.MsgspecError: there was none that can be read.
     """
     with socket.create_connection(split_address(address), timeout=timeout_s) as connection:
-        send(connection, request)
-        return receive(connection, _answer_decoder)
+        send_message(connection, request)
+        return receive_message(connection, _answer_decoder)
 
 
 class RequestBoard:
@@ -155,8 +155,8 @@
             address = split_address(self._cell.controllers[self._next].address)
             self._connection = socket.create_connection(address, timeout=self._timeout_s)
             self._connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        send(self._connection, request)
-        return receive(self._connection, _answer_decoder)
+        send_message(self._connection, request)
+        return receive_message(self._connection, _answer_decoder)
 
     def _turn_to(self, member: str) -> bool:
         """Ask that controller from now on; False if it is not known here, and the next one's turn it is."""
--- a/src/poppyhold/relay/leader.py
+++ b/src/poppyhold/relay/leader.py
@@ -14,7 +14,7 @@
 from poppyhold.relay.intake import RelayIntake, RelayState
 from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayedAnswer, RelayHello
 from poppyhold.settings import Workers
-from poppyhold.wire.frames import receive, send_at_once, shut
+from poppyhold.wire.frames import receive_message, shut_down, try_send_message
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
 _decoder = msgspec.msgpack.Decoder(HeartbeatBatch)
@@ -70,7 +70,7 @@
             # One that is silent for longer than its own questions take is gone.
             connection.settimeout(self._silent_s)
             while not self._closed:
-                self._queue(connection, relay, receive(connection, _decoder))
+                self._queue(connection, relay, receive_message(connection, _decoder))
         finally:
             relay.alive = False
             self._end(connection, hello.member)
@@ -88,7 +88,7 @@
             self._closed = True
             connections = list(self._open.values())
         for connection in connections:
-            shut(connection)
+            shut_down(connection)
 
     def _connected(self, relay: RelayState) -> None:
         self._states[relay.member] = relay
@@ -106,7 +106,7 @@
             self._open[member] = connection
         if before is not None:
             # Its process has begun anew, or has lost the connection that we still hold.
-            shut(before)
+            shut_down(before)
         return True
 
     def _end(self, connection: socket.socket, member: str) -> None:
@@ -121,11 +121,13 @@
 
         def work() -> None:
             # What was under way of a connection that is gone is forgotten: nobody waits for it here.
-            if relay.alive and not send_at_once(connection, self._intake.handle(relay, batch, received_at)):
-                shut(connection)
+            if relay.alive and not try_send_message(
+                connection, self._intake.handle(relay, batch, received_at)
+            ):
+                shut_down(connection)
 
-        if not self._post(HEARTBEATS, work) and not send_at_once(connection, _refused(batch)):
-            shut(connection)
+        if not self._post(HEARTBEATS, work) and not try_send_message(connection, _refused(batch)):
+            shut_down(connection)
 
 
 def _refused(batch: HeartbeatBatch) -> AnswerBatch:
--- a/src/poppyhold/relay/link.py
+++ b/src/poppyhold/relay/link.py
@@ -15,7 +15,7 @@
 from poppyhold.relay.messages import AnswerBatch, RelayHello
 from poppyhold.relay.queue import HeartbeatQueue, Respond, Response
 from poppyhold.relay.regaining import Regaining
-from poppyhold.wire.frames import receive, send, shut
+from poppyhold.wire.frames import receive_message, send_message, shut_down
 from poppyhold.wire.worker_messages import Heartbeat
 
 log = logging.getLogger(__name__)
@@ -132,7 +132,7 @@
             ) as connection:
                 connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 connection.settimeout(self._times.keepalive_s + self._times.stalled_s)
-                send(connection, self._hello)
+                send_message(connection, self._hello)
                 self._serve(connection, target)
         except (OSError, ValueError, msgspec.MsgspecError) as error:
             log.debug("relaying to %s: %s", target, error)
@@ -152,7 +152,7 @@
                 self._send_next(connection)
         finally:
             # Closed under the reader, the descriptor could be another connection's by the time it reads on.
-            shut(connection)
+            shut_down(connection)
             reader.join()
             self._lost(target)
 
@@ -172,13 +172,13 @@
                 raise TimeoutError("no answers")
             batch = self._queue.next_batch(now, _MOST_IN_BATCH, min(self._round_trips, default=0.0))
             self._under_way.append(now)
-        send(connection, batch)
+        send_message(connection, batch)
         self._give_up()
 
     def _read(self, connection: socket.socket) -> None:
         try:
             while True:
-                batch = receive(connection, _decoder)
+                batch = receive_message(connection, _decoder)
                 self._answered(batch)
         except (OSError, ValueError, msgspec.MsgspecError) as error:
             log.debug("relayed answers: %s", error)
--- a/src/poppyhold/wire/frames.py
+++ b/src/poppyhold/wire/frames.py
@@ -1,4 +1,4 @@
-"""Messages between controllers: tagged tuples (msgspec arrays), each behind its length."""
+"""Frames: messages between controllers, tagged tuples (msgspec arrays), each preceded by its length."""
 
 from __future__ import annotations
 
@@ -11,22 +11,25 @@
 import msgspec
 
 _LENGTH = struct.Struct("!I")
-_LARGEST = 1 << 20
+_LARGEST_BYTES = 1 << 20
 
 T = TypeVar("T")
 
 
-def _encode(message: msgspec.Struct) -> bytes:
-    body = msgspec.msgpack.encode(message)
-    return _LENGTH.pack(len(body)) + body
+class MalformedMessageError(ValueError):
+    """What came is no message of the protocol: the connection can't go on."""
 
 
-def send(connection: socket.socket, message: msgspec.Struct) -> None:
-    """Send one message."""
+def send_message(connection: socket.socket, message: msgspec.Struct) -> None:
+    """Send one message.
+
+    Raises:
+        OSError: the connection broke, or the message was not taken in time.
+    """
     connection.sendall(_encode(message))
 
 
-def send_at_once(connection: socket.socket, message: msgspec.Struct) -> bool:
+def try_send_message(connection: socket.socket, message: msgspec.Struct) -> bool:
     """Send one message without ever waiting; False if it was not taken whole: the connection must end."""
     data = _encode(message)
     try:
@@ -35,25 +38,39 @@
         return False
 
 
-def shut(connection: socket.socket) -> None:
+def shut_down(connection: socket.socket) -> None:
     """End a connection; threads that wait for it wake up, and whoever opened it closes it."""
     with contextlib.suppress(OSError):
         connection.shutdown(socket.SHUT_RDWR)
 
 
-def receive(connection: socket.socket, decoder: msgspec.msgpack.Decoder[T]) -> T:
-    """Receive one message; a malformed one raises ValueError, and the connection must end."""
-    size = _LENGTH.unpack(_read(connection, _LENGTH.size))[0]
-    if size > _LARGEST:
-        raise ValueError("message is too large")
-    return decoder.decode(_read(connection, size))
+def receive_message(connection: socket.socket, decoder: msgspec.msgpack.Decoder[T]) -> T:
+    """Receive one message.
+
+    Raises:
+        MalformedMessageError: it is too large or none of the decoder's types.
+        OSError: the connection broke, or nothing came in time.
+    """
+    size = _LENGTH.unpack(_receive_bytes(connection, _LENGTH.size))[0]
+    if size > _LARGEST_BYTES:
+        raise MalformedMessageError(f"a message of {size} bytes is too large")
+    body = _receive_bytes(connection, size)
+    try:
+        return decoder.decode(body)
+    except msgspec.MsgspecError as error:
+        raise MalformedMessageError(str(error)) from error
+
+
+def _encode(message: msgspec.Struct) -> bytes:
+    body = msgspec.msgpack.encode(message)
+    return _LENGTH.pack(len(body)) + body
 
 
-def _read(connection: socket.socket, size: int) -> bytes:
+def _receive_bytes(connection: socket.socket, size: int) -> bytes:
     data = bytearray()
     while len(data) < size:
         part = connection.recv(size - len(data))
         if not part:
-            raise ConnectionError("closed")
+            raise ConnectionError("the peer closed the connection")
         data += part
     return bytes(data)
--- a/src/poppyhold/wire/http_client.py
+++ b/src/poppyhold/wire/http_client.py
@@ -6,21 +6,28 @@
 import socket
 import threading
 import time
-from typing import Any
+from types import TracebackType
+from typing import Any, NamedTuple
 
 from poppyhold.wire.codec import MalformedError, decode, encode
 from poppyhold.wire.http_fields import read_fields
 
-# A connection that has been idle so long is not used again: the other side may close it meanwhile.
-_KEEP_S = 15.0
+# A connection that has been idle for so long is not used again: the server may close it meanwhile.
+_LONGEST_IDLE_S = 15.0
+# What is left for a request whose deadline has nearly passed.
+_SHORTEST_TIMEOUT_S = 0.01
 
 
-class NotSentError(Exception):
-    """The request certainly did not reach the other side."""
+class HttpRequestError(Exception):
+    """A request got no response that can be used."""
 
 
-class NoAnswerError(Exception):
-    """No answer came; the request may have been or may still be carried out."""
+class NotSentError(HttpRequestError):
+    """The request certainly did not reach the server, and may be repeated."""
+
+
+class NoResponseError(HttpRequestError):
+    """No usable response came: the request may have been carried out, or may be later."""
 
 
 class _Response(http.client.HTTPResponse):
@@ -43,45 +50,71 @@
         )
 
 
-class Client:
+class _IdleConnection(NamedTuple):
+    """A connection that is kept open, and since when it is idle."""
+
+    connection: socket.socket
+    since: float
+
+
+class HttpClient:
     """Connections to one address, kept open between requests and never pipelined."""
 
-    def __init__(self, host: str, port: int, keep: int = 4) -> None:
-        self._host, self._port, self._keep = host, port, keep
-        self._idle: list[tuple[socket.socket, float]] = []
+    def __init__(self, host: str, port: int, most_idle: int = 4) -> None:
+        """At most ``most_idle`` connections are kept open."""
+        self._host, self._port, self._most_idle = host, port, most_idle
+        self._idle: list[_IdleConnection] = []
         self._lock = threading.Lock()
         self._closed = False
 
+    def __enter__(self) -> HttpClient:
+        return self
+
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        self.close()
+
     def request(
         self, method: str, path: str, body: dict[str, Any] | None = None, *, timeout: float
     ) -> tuple[int, dict[str, Any]]:
-        """Send one request and wait for its answer, at most ``timeout`` seconds in all."""
+        """Send one request and wait for its response, at most ``timeout`` seconds in all.
+
+        Returns:
+            The status and the decoded body.
+
+        Raises:
+            NotSentError: the server could not be connected to.
+            NoResponseError: the connection broke, the response was malformed, or none came in time.
+        """
         deadline = time.monotonic() + timeout
         payload = encode(body) if body is not None else b""
-        connection = self._take()
-        if connection is None:
-            try:
-                connection = socket.create_connection((self._host, self._port), timeout)
-                connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            except OSError as error:
-                raise NotSentError(str(error)) from error
+        connection = self._take_idle() or self._connect(timeout)
         try:
-            connection.settimeout(max(0.01, deadline - time.monotonic()))
+            connection.settimeout(max(_SHORTEST_TIMEOUT_S, deadline - time.monotonic()))
             connection.sendall(self._head(method, path, payload) + payload)
             response = _Response(connection, method=method)
             response.begin()
             data = response.read()
         except (OSError, http.client.HTTPException) as error:
             connection.close()
-            raise NoAnswerError(str(error) or type(error).__name__) from error
+            raise NoResponseError(str(error) or type(error).__name__) from error
         if response.will_close:
             connection.close()
         else:
-            self._give(connection)
+            self._keep_idle(connection)
         try:
             return response.status, decode(data) if data else {}
         except MalformedError as error:
-            raise NoAnswerError(str(error)) from error
+            raise NoResponseError(str(error)) from error
+
+    def _connect(self, timeout_s: float) -> socket.socket:
+        try:
+            connection = socket.create_connection((self._host, self._port), timeout_s)
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        except OSError as error:
+            raise NotSentError(str(error)) from error
+        return connection
 
     def _head(self, method: str, path: str, payload: bytes) -> bytes:
         lines = [f"{method} {path} HTTP/1.1", f"Host: {self._host}:{self._port}"]
@@ -89,25 +122,25 @@
             lines += ["Content-Type: application/cbor", f"Content-Length: {len(payload)}"]
         return "\r\n".join(lines).encode("ascii") + b"\r\n\r\n"
 
-    def _take(self) -> socket.socket | None:
+    def _take_idle(self) -> socket.socket | None:
         now = time.monotonic()
         with self._lock:
             while self._idle:
                 connection, since = self._idle.pop()
-                if now - since < _KEEP_S:
+                if now - since < _LONGEST_IDLE_S:
                     return connection
                 connection.close()
         return None
 
-    def _give(self, connection: socket.socket) -> None:
+    def _keep_idle(self, connection: socket.socket) -> None:
         with self._lock:
-            if len(self._idle) < self._keep and not self._closed:
-                self._idle.append((connection, time.monotonic()))
+            if len(self._idle) < self._most_idle and not self._closed:
+                self._idle.append(_IdleConnection(connection, time.monotonic()))
                 return
         connection.close()
 
     def close(self) -> None:
-        """Close what is kept open."""
+        """Close the connections that are kept open, and keep none open from now on."""
         with self._lock:
             self._closed = True
             idle, self._idle = self._idle, []
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -43,7 +43,7 @@
 from poppyhold.settings import Settings as Deployed
 from poppyhold.wire.cloud_messages import ListedMachine, MachineType
 from poppyhold.wire.cloud_messages import MachineListPage as ListPage
-from poppyhold.wire.frames import send
+from poppyhold.wire.frames import send_message
 from poppyhold.wire.http import Server, answer
 from poppyhold.wire.user_messages import parse_submission
 from world import World
@@ -133,7 +133,7 @@
 
 def with_receiver(near: socket.socket, far: socket.socket, ping: Ping) -> None:
     """Send a message through a socket pair, and check that it arrives."""
-    sender = threading.Thread(target=send, args=(near, ping))
+    sender = threading.Thread(target=send_message, args=(near, ping))
     sender.start()
     received = receive_opening(far)
     sender.join(10.0)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -25,7 +25,7 @@
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.settings import Known, Outside, Team, split_address
 from poppyhold.wire.codec import encode
-from poppyhold.wire.frames import send
+from poppyhold.wire.frames import send_message
 from poppyhold.wire.http import Answer
 from test_smoke import Outside as OutsideStandIns
 from test_smoke import eventually
@@ -111,7 +111,7 @@
 
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        send(ours, Pong("hive-1", 0, False, 0.5, 41, 3, [Cancellation("job-000001", 41)], 12))
+        send_message(ours, Pong("hive-1", 0, False, 0.5, 41, 3, [Cancellation("job-000001", 41)], 12))
         size = int.from_bytes(theirs.recv(4), "big")
         assert msgspec.msgpack.decode(theirs.recv(size), type=OldPong).told == 41
 
@@ -279,7 +279,7 @@
             # Closed with some of it unread, it is reset.
             with contextlib.suppress(ConnectionResetError):
                 assert bad.recv(1) == b""
-            send(good, Ping("hive-1", 0, False, 0.0, -1, 0))
+            send_message(good, Ping("hive-1", 0, False, 0.0, -1, 0))
             assert receive_opening(good) == handler.pong
     finally:
         peers.stop()
--- a/tests/test_quota_links.py
+++ b/tests/test_quota_links.py
@@ -36,7 +36,7 @@
 from poppyhold.quota.server import QuotaServer
 from poppyhold.quota.status import render, summarize
 from poppyhold.settings import ConfigError, Settings, Team
-from poppyhold.wire.frames import receive, send
+from poppyhold.wire.frames import receive_message, send_message
 from scenario import FOLDER, Scenario
 from test_smoke import eventually
 from world import World
@@ -64,13 +64,13 @@
             with connection:
                 try:
                     while True:
-                        receive(connection, decoder)
+                        receive_message(connection, decoder)
                         answer = self.answers[min(self.asked, len(self.answers) - 1)]
                         self.asked += 1
                         if isinstance(answer, bytes):
                             connection.sendall(answer)
                         else:
-                            send(connection, answer)
+                            send_message(connection, answer)
                 except (OSError, ValueError):
                     continue
 
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -25,7 +25,7 @@
 from poppyhold.settings import MachineLimits, Workers, strains
 from poppyhold.wire.codec import decode, encode
 from poppyhold.wire.http import Answer, Deferred, Server
-from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
+from poppyhold.wire.http_client import HttpClient, NoResponseError, NotSentError
 from world import World
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -104,8 +104,10 @@
             self.worker.step()
             body, sent_at, shift = self.worker.heartbeat(), time.monotonic(), self.worker.incarnation
         try:
-            status, answer = Client("127.0.0.1", port, keep=0).request("POST", "/hello", body, timeout=4.0)
-        except (NotSentError, NoAnswerError):
+            status, answer = HttpClient("127.0.0.1", port, most_idle=0).request(
+                "POST", "/hello", body, timeout=4.0
+            )
+        except (NotSentError, NoResponseError):
             return
         if status == 200:
             with self.lock:
@@ -151,13 +153,13 @@
         # The checkout's own dependencies may not be built here: those of the tests serve as well.
         environment = {**os.environ, "PYTHONPATH": os.pathsep.join(paths), "LOG_LEVEL": "debug"}
         self.process = subprocess.Popen(command, env=environment, stderr=subprocess.DEVNULL)
-        self.client = Client("127.0.0.1", self.port)
+        self.client = HttpClient("127.0.0.1", self.port)
 
     def ask(self, method: str, path: str, body: Data | None = None) -> tuple[int, Data]:
         """One request of a user."""
         try:
             return self.client.request(method, path, body, timeout=5.0)
-        except (NotSentError, NoAnswerError):
+        except (NotSentError, NoResponseError):
             return 0, {}
 
     def kill(self) -> None:
@@ -240,7 +242,7 @@
         with socket.create_connection(("127.0.0.1", server.server_port)) as garbage:
             garbage.sendall(b"\x00\xff nonsense\r\n\r\n")
             garbage.recv(100)
-        client = Client("127.0.0.1", server.server_port)
+        client = HttpClient("127.0.0.1", server.server_port)
         assert client.request("GET", "/fail", timeout=5.0)[0] == 503
         assert client.request("POST", "/fine", {"a": 1}, timeout=5.0)[0] == 200
         silent.close()
@@ -253,7 +255,7 @@
 def test_silent_connections_make_room_and_workers_stay() -> None:
     server = Server(("127.0.0.1", 0), lambda method, path, body: (200, {}, {}), 3)
     threading.Thread(target=server.serve_forever, daemon=True).start()
-    clients = [Client("127.0.0.1", server.server_port) for _ in range(4)]
+    clients = [HttpClient("127.0.0.1", server.server_port) for _ in range(4)]
     silent: list[socket.socket] = []
     try:
         assert clients[0].request("POST", "/hello", {}, timeout=5.0)[0] == 200
@@ -264,7 +266,7 @@
         assert clients[1].request("POST", "/hello", {}, timeout=5.0)[0] == 200
         assert clients[2].request("POST", "/hello", {}, timeout=5.0)[0] == 200
         # Three workers fill it: nobody is turned out for a fourth.
-        with pytest.raises((NoAnswerError, NotSentError)):
+        with pytest.raises((NoResponseError, NotSentError)):
             clients[3].request("GET", "/ready", timeout=5.0)
     finally:
         for held in silent:
@@ -277,7 +279,7 @@
 def test_old_connections_of_workers_make_room() -> None:
     server = Server(("127.0.0.1", 0), lambda method, path, body: (200, {}, {}), 1, worker_s=0.2)
     threading.Thread(target=server.serve_forever, daemon=True).start()
-    clients = [Client("127.0.0.1", server.server_port) for _ in range(2)]
+    clients = [HttpClient("127.0.0.1", server.server_port) for _ in range(2)]
     try:
         # It was a worker's, but its zone was cut off, and it has come back over another one.
         assert clients[0].request("POST", "/hello", {}, timeout=5.0)[0] == 200
@@ -302,7 +304,7 @@
     before = threading.active_count()
     server = Server(("127.0.0.1", 0), route, limits.connections)
     threading.Thread(target=server.serve_forever, daemon=True).start()
-    clients = [Client("127.0.0.1", server.server_port) for _ in range(workers)]
+    clients = [HttpClient("127.0.0.1", server.server_port) for _ in range(workers)]
     try:
         for _ in range(2):
             for number, client in enumerate(clients):
