--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -42,7 +42,7 @@
 from poppyhold.relay.leader import RelayServer
 from poppyhold.settings import Settings
 from poppyhold.wire.cloud_messages import MachineListing, MachineType
-from poppyhold.wire.http import Answer, Deferred, answer
+from poppyhold.wire.http_server import DeferredResponse, HttpResponse, http_response
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
 log = logging.getLogger(__name__)
@@ -69,7 +69,7 @@
     def confirmed_cancellations(self) -> tuple[list[Cancellation], int]:
         """Cancellations that were confirmed to users here."""
 
-    def turned_away(self) -> Answer:
+    def turned_away(self) -> HttpResponse:
         """The answer to a report that can't be taken."""
 
 
@@ -279,7 +279,7 @@
 
     # -- reports -------------------------------------------------------------------------------------
 
-    def handle_heartbeat(self, heartbeat: Heartbeat, timeout: float) -> Deferred | None:
+    def handle_heartbeat(self, heartbeat: Heartbeat, timeout: float) -> DeferredResponse | None:
         """Have a report answered by the decision thread; None if that can't be."""
         # A worker that is turned away comes back a second later, when its lease may be over: while the
         # fleet's state is read it had better wait.
@@ -288,7 +288,7 @@
         # Nobody waits for the answer behind this: work on it would only hold up the reports that come after.
         late_at = time.monotonic() + timeout
 
-        def defer(send: Callable[[Answer], None]) -> None:
+        def defer(send: Callable[[HttpResponse], None]) -> None:
             def work() -> None:
                 result = self._node.turned_away()
                 try:
@@ -301,15 +301,15 @@
 
         return defer
 
-    def _answer_directly(self, heartbeat: Heartbeat, late_at: float) -> Answer | None:
+    def _answer_directly(self, heartbeat: Heartbeat, late_at: float) -> HttpResponse | None:
         """The answer to a report that came here directly; None if there can't be one."""
         relay = self._assignment.assign(
             heartbeat.machine, heartbeat.zone, self.controller.answered_at(heartbeat.machine)
         )
         if relay is not None:
-            return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": relay})
+            return http_response(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": relay})
         answered = self.answer_heartbeat(heartbeat, late_at)
-        return answer(HTTPStatus.OK, answered.body()) if answered is not None else None
+        return http_response(HTTPStatus.OK, answered.body()) if answered is not None else None
 
     def answer_heartbeat(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
         """On the decision thread: the answer to a report, whichever way it came; None if there can't be one.
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -33,7 +33,7 @@
 from poppyhold.relay.messages import RelayHello
 from poppyhold.settings import Settings, split_address
 from poppyhold.wire.codec import MalformedError, decode
-from poppyhold.wire.http import Answer, Deferred, Server, answer
+from poppyhold.wire.http_server import DeferredResponse, HttpResponse, HttpServer, http_response
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, parse_heartbeat
 
 log = logging.getLogger(__name__)
@@ -91,7 +91,7 @@
         self._naming_s = workers.heartbeat_interval_s / 2
         self._redirect_backoff = RedirectBackoff(workers.lease_s, settings.settings.machine_limits.machines)
         self._ready_s = workers.lease_s * 0.35
-        self.server = Server(
+        self.server = HttpServer(
             split_address(settings.client_listen),
             self.route,
             settings.settings.machine_limits.connections,
@@ -294,7 +294,7 @@
 
     # -- requests ------------------------------------------------------------------------------------
 
-    def route(self, method: str, path: str, body: bytes) -> Answer | Deferred:
+    def route(self, method: str, path: str, body: bytes) -> HttpResponse | DeferredResponse:
         """Answer a request of a user, a worker or the load balancer."""
         path = path.partition("?")[0]
         if path == "/hello":
@@ -309,38 +309,38 @@
                 return self.users.poll(job_id) if method == "GET" else self._wrong("GET")
             if action == "abort":
                 return self.users.abort(job_id) if method == "POST" else self._wrong("POST")
-        return answer(404, {"error": "no such path"})
+        return http_response(404, {"error": "no such path"})
 
     @staticmethod
-    def _wrong(allowed: str) -> Answer:
-        return answer(405, {"error": "method"}, Allow=allowed)
+    def _wrong(allowed: str) -> HttpResponse:
+        return http_response(405, {"error": "method"}, Allow=allowed)
 
-    def _is_ready(self) -> Answer:
+    def _is_ready(self) -> HttpResponse:
         # One that alone has lost the state service should not be sent users. In an outage every node is
         # as good as another, and none may say otherwise: balancers are slow to take a node back. Nodes
         # hear from the state service at different moments, so only a clear lead of a peer counts.
         ours = max(self.store.contact_at, self._started_at)
         behind = any(view.store_contact_at - ours > self._ready_s for view in self.peers.views.values())
         if not self.catalog.types or behind:
-            return answer(503, {"error": "not ready"}, Retry_After="1")
+            return http_response(503, {"error": "not ready"}, Retry_After="1")
         body: dict[str, object] = {"member": self.settings.member}
         leader_term = self._leader_term
         edge = leader_term.quota_edge if leader_term is not None else None
         if edge is not None and edge.health is not None:
             body["shares"] = edge.health._asdict()
-        return answer(200, body)
+        return http_response(200, body)
 
-    def _handle_heartbeat(self, body: bytes) -> Answer | Deferred:
+    def _handle_heartbeat(self, body: bytes) -> HttpResponse | DeferredResponse:
         try:
             heartbeat = parse_heartbeat(decode(body))
         except MalformedError as error:
-            return answer(400, {"error": str(error)})
+            return http_response(400, {"error": str(error)})
         reply = self._answer_heartbeat(heartbeat) or self._forwarding.handle(heartbeat)
         if reply is not None:
             return reply
         return self._answer_without_leader(heartbeat) or self._redirect(heartbeat)
 
-    def _answer_without_leader(self, heartbeat: Heartbeat) -> Answer | None:
+    def _answer_without_leader(self, heartbeat: Heartbeat) -> HttpResponse | None:
         """The lease proxy's answer; None if we may not stand in."""
         if heartbeat.fencing_token:
             known = self.election.leader
@@ -351,12 +351,12 @@
                 known is not None and self.peers.connectivity.is_unreachable(known.member),
             )
             if proxied is not None:
-                return answer(200, HeartbeatResponse(proxied).body())
+                return http_response(200, HeartbeatResponse(proxied).body())
             # A new machine's worker begins with any node; one that has a token has left its leader.
             self._misdirected_workers.record(heartbeat)
         return None
 
-    def _redirect(self, heartbeat: Heartbeat) -> Answer | Deferred:
+    def _redirect(self, heartbeat: Heartbeat) -> HttpResponse | DeferredResponse:
         """Wait a moment for a leader, and send the worker there."""
         leader = self.election.known_leader.await_leader(self._naming_s)
         if leader is not None and leader.member != self.settings.member and not self._forwarding.is_wanted():
@@ -369,20 +369,20 @@
         # The election may have named us meanwhile.
         return self._answer_heartbeat(heartbeat) or self._elsewhere(leader)
 
-    def _answer_heartbeat(self, heartbeat: Heartbeat) -> Answer | Deferred | None:
+    def _answer_heartbeat(self, heartbeat: Heartbeat) -> HttpResponse | DeferredResponse | None:
         """The leader's answer; None if we don't lead."""
         leader_term = self._leader_term
         if leader_term is None:
             return None
         return leader_term.handle_heartbeat(heartbeat, self._heartbeat_timeout_s) or self.turned_away()
 
-    def turned_away(self) -> Answer:
+    def turned_away(self) -> HttpResponse:
         """The answer to a report that we can't take as the leader."""
         if self._leader_term is not None:
-            return answer(503, {"error": "not entitled now"})
+            return http_response(503, {"error": "not entitled now"})
         return self._elsewhere(self.election.leader)
 
-    def _elsewhere(self, leader: Leader | None) -> Answer:
+    def _elsewhere(self, leader: Leader | None) -> HttpResponse:
         if leader is None or leader.member == self.settings.member:
-            return answer(421)
-        return answer(421, {"foreman": leader.member})
+            return http_response(421)
+        return http_response(421, {"foreman": leader.member})
--- a/src/poppyhold/node/users.py
+++ b/src/poppyhold/node/users.py
@@ -29,7 +29,7 @@
 from poppyhold.settings import Deployment, Settings
 from poppyhold.wire.cloud_messages import MachineType
 from poppyhold.wire.codec import MalformedError, decode
-from poppyhold.wire.http import Answer, answer
+from poppyhold.wire.http_server import HttpResponse, http_response
 from poppyhold.wire.task_names import JOB_ID
 from poppyhold.wire.user_messages import Submission, parse_submission
 
@@ -90,16 +90,16 @@
         self._largest_record = limits.state.lowest.value_bytes
         self._slots = threading.BoundedSemaphore(max(8, int(limits.state.rps / 2)))
 
-    def _later(self, status: int = 503) -> Answer:
+    def _later(self, status: int = 503) -> HttpResponse:
         seconds = max(1, round(self._settings.settings.workers.heartbeat_interval_s))
-        return answer(status, {"error": "try again later"}, Retry_After=str(seconds))
+        return http_response(status, {"error": "try again later"}, Retry_After=str(seconds))
 
     def _tries(self) -> Iterator[int]:
         """A few tries, none of which begins when its user may be gone before it ends."""
         began = self._clock()
         return (number for number in range(_TRIES) if self._clock() - began < _PATIENCE_S)
 
-    def _guarded(self, work: Callable[[], Answer]) -> Answer:
+    def _guarded(self, work: Callable[[], HttpResponse]) -> HttpResponse:
         # What can't be taken is answered at once, with a time to come back: nobody waits for a slot.
         if not self._slots.acquire(blocking=False):
             return self._later(429)
@@ -108,44 +108,44 @@
         finally:
             self._slots.release()
 
-    def _or_later(self, work: Callable[[], Answer]) -> Answer:
+    def _or_later(self, work: Callable[[], HttpResponse]) -> HttpResponse:
         try:
             return work()
         except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError) as error:
             log.debug("state service: %s", error)
             return self._later()
 
-    def submit(self, body: bytes) -> Answer:
+    def submit(self, body: bytes) -> HttpResponse:
         """POST /api/jobs."""
         try:
             spec = parse_submission(decode(body))
         except MalformedError as error:
-            return answer(400, {"error": str(error)})
+            return http_response(400, {"error": str(error)})
         return self._guarded(lambda: self._submit(spec))
 
-    def _submit(self, spec: Submission) -> Answer:
+    def _submit(self, spec: Submission) -> HttpResponse:
         machine_types = self._machine_types()
         verdict = self._never(spec, machine_types)
         if verdict is not None or not machine_types:
             # A repeat of an accepted job is answered with its state, whatever we think of it now.
             known = self._look_up(spec.name)
             if known is not None:
-                return answer(200, known)
-            return answer(422, {"error": verdict}) if verdict is not None else self._later()
+                return http_response(200, known)
+            return http_response(422, {"error": verdict}) if verdict is not None else self._later()
         data = self._record(spec, machine_types)
         if stored_bytes(data) > self._largest_record:
             return self._too_long(spec)
         return self._store_submission(spec, data)
 
-    def _too_long(self, spec: Submission) -> Answer:
+    def _too_long(self, spec: Submission) -> HttpResponse:
         """It can never be stored, so that its user need not try again.
 
         An earlier version may have stored it, under larger limits.
         """
         known = self._look_up(spec.name)
-        return answer(400, {"error": "too long"}) if known is None else answer(200, known)
+        return http_response(400, {"error": "too long"}) if known is None else http_response(200, known)
 
-    def _store_submission(self, spec: Submission, data: Data) -> Answer:
+    def _store_submission(self, spec: Submission, data: Data) -> HttpResponse:
         # A condition that fails counts against the limit of changes like a change: users that repeat what is
         # known to be accepted must not eat up what decisions need.
         repeat = spec.name in self._accepted or self._counts(spec.name) is not None
@@ -153,7 +153,7 @@
             if repeat or self.finals.get(spec.name) is not None:
                 known = self._look_up(spec.name)
                 if known is not None:
-                    return answer(200, known)
+                    return http_response(200, known)
             try:
                 self._store.commit(
                     {ACTIVE_JOB_PREFIX + spec.name: 0, FINAL_JOB_PREFIX + spec.name: 0},
@@ -170,7 +170,7 @@
                 repeat = True
             else:
                 self._accepted.put(spec.name, True)
-                return answer(201, {"nameId": spec.name, "status": "pending"})
+                return http_response(201, {"nameId": spec.name, "status": "pending"})
         return self._later()
 
     def _record(self, spec: Submission, machine_types: dict[str, MachineType]) -> Data:
@@ -229,43 +229,43 @@
             self.cancellations.add(job_id, revision)
         self.finals.put(job_id, final)
 
-    def poll(self, job_id: str) -> Answer:
+    def poll(self, job_id: str) -> HttpResponse:
         """GET /api/jobs/{id}."""
         if not JOB_ID.match(job_id):
-            return answer(404, {"error": "unknown job"})
+            return http_response(404, {"error": "unknown job"})
         final = self.finals.get(job_id)
         if final is not None:
-            return answer(200, self._final_state(job_id, final))
+            return http_response(200, self._final_state(job_id, final))
         # A shared read takes no slot: it costs the state service the same for any number of questions.
         return self._or_later(lambda: self._poll(job_id))
 
-    def _poll(self, job_id: str) -> Answer:
+    def _poll(self, job_id: str) -> HttpResponse:
         # In this order: a job moves from the active ones to the final ones, and never back.
         if self._reads.is_active(job_id):
-            return answer(200, self._active_state(job_id))
+            return http_response(200, self._active_state(job_id))
         return self._guarded(lambda: self._poll_final(job_id))
 
-    def _poll_final(self, job_id: str) -> Answer:
+    def _poll_final(self, job_id: str) -> HttpResponse:
         final = self._read_final(job_id)
         if final is None:
-            return answer(404, {"error": "unknown job"})
-        return answer(200, self._final_state(job_id, final))
+            return http_response(404, {"error": "unknown job"})
+        return http_response(200, self._final_state(job_id, final))
 
-    def abort(self, job_id: str) -> Answer:
+    def abort(self, job_id: str) -> HttpResponse:
         """POST /api/jobs/{id}/abort."""
         if not JOB_ID.match(job_id):
-            return answer(404, {"error": "unknown job"})
+            return http_response(404, {"error": "unknown job"})
         return self._guarded(lambda: self._abort(job_id))
 
-    def _abort(self, job_id: str) -> Answer:
+    def _abort(self, job_id: str) -> HttpResponse:
         for _ in self._tries():
             final = self.finals.get(job_id)
             if final is not None:
-                return answer(200, {"nameId": job_id, "status": final[0]})
+                return http_response(200, {"nameId": job_id, "status": final[0]})
             entry = self._store.get(ACTIVE_JOB_PREFIX + job_id)
             if entry is None:
                 if self._look_up(job_id) is None:
-                    return answer(404, {"error": "unknown job"})
+                    return http_response(404, {"error": "unknown job"})
                 continue
             try:
                 tasks = entry.data["spec"]["chores"]
@@ -276,5 +276,5 @@
                 # It moved, or may have: look again.
                 continue
             self._keep_final(job_id, ("cancelled", tasks), revision)
-            return answer(200, {"nameId": job_id, "status": "cancelled"})
+            return http_response(200, {"nameId": job_id, "status": "cancelled"})
         return self._later()
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -13,7 +13,7 @@
 from poppyhold.relay.messages import Outcome, RelayedAnswer, RelayHello
 from poppyhold.relay.overflow import Overflow
 from poppyhold.settings import Settings, split_address
-from poppyhold.wire.http import Answer, Deferred, answer
+from poppyhold.wire.http_server import DeferredResponse, HttpResponse, http_response
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
 # Share of a relay's connections that workers may take; the rest is for users and for workers on their way.
@@ -28,8 +28,8 @@
         settings: Settings,
         leader: Callable[[], Leader | None],
         leads: Callable[[], bool],
-        without_leader: Callable[[Heartbeat], Answer | None],
-        elsewhere: Callable[[], Answer],
+        without_leader: Callable[[Heartbeat], HttpResponse | None],
+        elsewhere: Callable[[], HttpResponse],
         rng: random.Random,
     ) -> None:
         """``leads``: whether we lead ourselves.
@@ -73,34 +73,36 @@
         """Whether a leader wanted reports to be relayed within the last lease."""
         return time.monotonic() - self._asked_at < self._lease_s
 
-    def handle(self, heartbeat: Heartbeat) -> Answer | Deferred | None:
+    def handle(self, heartbeat: Heartbeat) -> HttpResponse | DeferredResponse | None:
         """Pass a report to the leader, or its worker to another relay; None if none is relayed now."""
         if not self._link.is_open():
             return None
         other = self._overflow.send_on(heartbeat.machine)
         if other is not None:
-            return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": other})
+            return http_response(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": other})
 
-        def defer(send: Callable[[Answer], None]) -> None:
+        def defer(send: Callable[[HttpResponse], None]) -> None:
             def respond(relayed: RelayedAnswer | None) -> None:
                 send(self._answer(heartbeat, relayed))
 
             if not self._link.offer(heartbeat, respond):
-                send(answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "too many reports wait"}))
+                send(http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "too many reports wait"}))
 
         return defer
 
-    def _answer(self, heartbeat: Heartbeat, relayed: RelayedAnswer | None) -> Answer:
+    def _answer(self, heartbeat: Heartbeat, relayed: RelayedAnswer | None) -> HttpResponse:
         """What a worker is told behind the leader's answer, or without one."""
         if relayed is None:
             return self._without_leader(heartbeat) or self._unanswered()
         if relayed.outcome is Outcome.ANSWERED:
-            return answer(HTTPStatus.OK, HeartbeatResponse(relayed.fencing_token, relayed.commands).body())
+            return http_response(
+                HTTPStatus.OK, HeartbeatResponse(relayed.fencing_token, relayed.commands).body()
+            )
         if relayed.outcome is Outcome.MOVED:
-            return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": relayed.controller})
-        return answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
+            return http_response(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": relayed.controller})
+        return http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
 
-    def _unanswered(self) -> Answer:
+    def _unanswered(self) -> HttpResponse:
         """Where a worker goes that we had no answer for.
 
         Behind a change of leader to another relay, for the next leader reads what is durable before it takes
@@ -108,7 +110,7 @@
         only, lest a worker go from relay to relay that are all cut off from a leader that it reaches itself.
         """
         if self._link.is_regaining():
-            return answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "no leader to pass this on to"})
+            return http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "no leader to pass this on to"})
         return self._elsewhere()
 
     def _target(self) -> str | None:
--- /dev/null
+++ b/src/poppyhold/wire/http_server.py
@@ -0,0 +1,247 @@
+"""HTTP/1.1: the threaded server of a controller, with CBOR bodies."""
+
+from __future__ import annotations
+
+import http.client
+import http.server
+import logging
+import os
+import socket
+import socketserver
+import threading
+import time
+from collections.abc import Callable
+from http import HTTPStatus
+from typing import Any, NamedTuple
+
+from poppyhold.wire.codec import BODY_LIMIT, encode
+from poppyhold.wire.http_fields import read_fields
+
+log = logging.getLogger(__name__)
+
+
+class HttpResponse(NamedTuple):
+    """A response before it is encoded."""
+
+    status: int
+    body: dict[str, Any]
+    headers: dict[str, str]
+
+
+# A response that another thread will give: it is handed the means to send it, and never has to wait for that.
+DeferredResponse = Callable[[Callable[[HttpResponse], None]], None]
+# Handles a request's method, path and body.
+RequestHandler = Callable[[str, str, bytes], HttpResponse | DeferredResponse]
+
+# Whoever gets a response on this path is a worker: its connection is not closed to make room for another one.
+_HEARTBEAT_PATH = "/hello"
+# Method, path and version.
+_REQUEST_LINE_WORDS = 3
+# A connection that is silent for so many times the grace of a worker's was left by whoever opened it.
+_IDLE_GRACES = 4
+
+
+def http_response(status: int, body: dict[str, Any] | None = None, **headers: str) -> HttpResponse:
+    """Build a response; header names are written with underscores."""
+    if headers:
+        headers = {name.replace("_", "-"): value for name, value in headers.items()}
+    return HttpResponse(status, body or {}, headers)
+
+
+class _Handler(http.server.BaseHTTPRequestHandler):
+    """Serves the requests of one connection, on its thread."""
+
+    protocol_version = "HTTP/1.1"
+    disable_nagle_algorithm = True
+    server: HttpServer
+    raw_requestline: bytes
+
+    def setup(self) -> None:
+        super().setup()
+        self.connection.settimeout(self.server.idle_s)
+
+    def do_GET(self) -> None:
+        self._serve()
+
+    def do_POST(self) -> None:
+        self._serve()
+
+    do_PUT = do_DELETE = do_PATCH = do_HEAD = do_OPTIONS = do_GET  # noqa: N815 (the library's names)
+
+    def parse_request(self) -> bool:
+        """Read the request line and the header fields."""
+        self.requestline = str(self.raw_requestline, "iso-8859-1").rstrip("\r\n")
+        self.close_connection = True
+        words = self.requestline.split()
+        if len(words) != _REQUEST_LINE_WORDS or words[2] not in ("HTTP/1.1", "HTTP/1.0"):
+            self.command, self.request_version = "", "HTTP/1.0"
+            self.send_error(HTTPStatus.BAD_REQUEST, "Bad request syntax")
+            return False
+        self.command, self.path, self.request_version = words
+        fields = read_fields(self.rfile)
+        if fields is None:
+            self.send_error(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "Too many header fields")
+            return False
+        self.fields = fields
+        kept = fields.get("connection", "").lower()
+        self.close_connection = kept == "close" or (words[2] == "HTTP/1.0" and kept != "keep-alive")
+        return True
+
+    def _serve(self) -> None:
+        body = self._read_body()
+        if body is None:
+            return
+        self.server.record_request(self.connection, by_worker=False)
+        try:
+            response = self.server.handle_http(self.command, self.path, body)
+        except Exception:
+            # Thread boundary: nothing that a peer sends may end the process or go unanswered.
+            log.exception("request failed: method=%s path=%s", self.command, self.path)
+            response = http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "internal"}, Retry_After="1")
+        if not callable(response):
+            self.wfile.write(self._encode(response))
+        elif not self.close_connection:
+            # Heartbeats come by the hundred a second: to wait here for the decision thread, be woken by it
+            # and only then respond took a good part of a leader's time at 650 machines.
+            response(self._send_at_once)
+        else:
+            self._await_response(response)
+
+    def _read_body(self) -> bytes | None:
+        """The request's body; None if there is none that can be read, and the connection ends."""
+        try:
+            length = int(self.fields.get("content-length") or 0)
+        except ValueError:
+            length = -1
+        if length < 0 or length > BODY_LIMIT or self.fields.get("transfer-encoding"):
+            self.close_connection = True
+            status = HTTPStatus.REQUEST_ENTITY_TOO_LARGE if length > BODY_LIMIT else HTTPStatus.BAD_REQUEST
+            self.wfile.write(self._encode(http_response(status, {"error": "body"})))
+            return None
+        body = self.rfile.read(length) if length else b""
+        if len(body) < length:
+            self.close_connection = True
+            return None
+        return body
+
+    def _await_response(self, deferred: DeferredResponse) -> None:
+        """Wait for a deferred response before the connection is closed."""
+        sent = threading.Event()
+
+        def send(response: HttpResponse) -> None:
+            self._send_at_once(response)
+            sent.set()
+
+        deferred(send)
+        sent.wait(self.server.idle_s)
+
+    def _send_at_once(self, response: HttpResponse) -> None:
+        """Send without ever waiting: whoever does not take its responses loses the connection."""
+        data = self._encode(response)
+        try:
+            if os.write(self.connection.fileno(), data) == len(data):
+                return
+            self.connection.shutdown(socket.SHUT_RDWR)
+        except OSError as error:
+            log.debug("response not sent: client=%s: %s", self.client_address, error)
+
+    def _encode(self, response: HttpResponse) -> bytes:
+        status, body, headers = response
+        if status == HTTPStatus.OK and self.path == _HEARTBEAT_PATH:
+            # Whatever else is sent there, malformed or to a controller that leads nobody, makes nobody a
+            # worker.
+            self.server.record_request(self.connection, by_worker=True)
+        payload = encode(body)
+        head = (
+            f"HTTP/1.1 {status} {http.client.responses.get(status, '')}\r\n"
+            f"Content-Type: application/cbor\r\nContent-Length: {len(payload)}\r\n"
+        )
+        for name, value in headers.items():
+            head += f"{name}: {value}\r\n"
+        if self.close_connection:
+            head += "Connection: close\r\n"
+        return head.encode("latin-1") + b"\r\n" + payload
+
+    def log_message(self, format: str, *args: Any) -> None:
+        log.debug("client=%s: %s", self.address_string(), format % args)
+
+    def address_string(self) -> str:
+        return str(self.client_address[0])
+
+
+class HttpServer(socketserver.ThreadingMixIn, http.server.HTTPServer):
+    """One thread per connection, at most ``limit`` connections.
+
+    At the limit the connection that has been silent longest makes room, those of workers aside: many silent
+    or half-open ones would otherwise keep the workers out, and their leases would expire. A worker's
+    connection that has been silent for ``worker_grace_s`` is one like any other: when a zone that was cut off
+    is back, its workers come over new connections, and they never close the old ones.
+    """
+
+    daemon_threads = True
+    block_on_close = False
+    allow_reuse_address = True
+
+    def __init__(
+        self, address: tuple[str, int], handler: RequestHandler, limit: int, worker_grace_s: float = 15.0
+    ) -> None:
+        self.handle_http = handler
+        self._limit, self._worker_grace_s = limit, worker_grace_s
+        self.idle_s = worker_grace_s * _IDLE_GRACES
+        # After a restart all workers and users come at one moment.
+        self.request_queue_size = limit
+        # Until when each connection is spared, at the least: a worker's for a while after its heartbeat.
+        self._spared_until: dict[socket.socket, float] = {}
+        self._lock = threading.Lock()
+        super().__init__(address, _Handler)
+
+    def server_bind(self) -> None:
+        """Bind without a name look-up."""
+        # HTTPServer looks up the host's name here; these networks have no name look-ups.
+        socketserver.TCPServer.server_bind(self)
+        self.server_name, self.server_port = str(self.server_address[0]), int(self.server_address[1])
+
+    def verify_request(self, request: Any, client_address: Any) -> bool:
+        """Whether to take a connection; at the limit the one that is silent longest makes room."""
+        with self._lock:
+            if len(self._spared_until) >= self._limit:
+                oldest = min(self._spared_until, key=lambda connection: self._spared_until[connection])
+                if self._spared_until[oldest] > time.monotonic():
+                    return False
+                del self._spared_until[oldest]
+                try:
+                    # Its thread wakes up, and closes it.
+                    oldest.shutdown(socket.SHUT_RDWR)
+                except OSError:
+                    log.debug("a silent connection was closed already")
+            self._spared_until[request] = time.monotonic()
+        return True
+
+    def record_request(self, connection: socket.socket, by_worker: bool) -> None:
+        """A request came in on a connection; ``by_worker`` once it got the response to a heartbeat."""
+        with self._lock:
+            if connection in self._spared_until:
+                grace_s = self._worker_grace_s if by_worker else 0.0
+                self._spared_until[connection] = time.monotonic() + grace_s
+
+    def shutdown_request(self, request: Any) -> None:
+        """End a connection."""
+        with self._lock:
+            self._spared_until.pop(request, None)
+        super().shutdown_request(request)
+
+    def handle_error(self, request: Any, client_address: Any) -> None:
+        """Log what ended a connection; its client may have sent anything."""
+        log.debug("connection ended: client=%s", client_address, exc_info=True)
+
+    def close_all(self) -> None:
+        """Stop accepting and end every connection."""
+        self.shutdown()
+        self.server_close()
+        with self._lock:
+            connections = list(self._spared_until)
+        for connection in connections:
+            try:
+                connection.shutdown(socket.SHUT_RDWR)
+            except OSError:
+                continue
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -44,7 +44,7 @@
 from poppyhold.wire.cloud_messages import ListedMachine, MachineType
 from poppyhold.wire.cloud_messages import MachineListPage as ListPage
 from poppyhold.wire.frames import send_message
-from poppyhold.wire.http import Server, answer
+from poppyhold.wire.http_server import HttpServer, http_response
 from poppyhold.wire.user_messages import parse_submission
 from world import World
 
@@ -81,7 +81,7 @@
     # Both ends are in this process.
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 2 * wanted + 200)), hard))
-    server = Server(("127.0.0.1", 0), lambda method, path, body: answer(200), limit)
+    server = HttpServer(("127.0.0.1", 0), lambda method, path, body: http_response(200), limit)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     clients: list[socket.socket] = []
     try:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -26,7 +26,7 @@
 from poppyhold.settings import Known, Outside, Team, split_address
 from poppyhold.wire.codec import encode
 from poppyhold.wire.frames import send_message
-from poppyhold.wire.http import Answer
+from poppyhold.wire.http_server import HttpResponse, http_response
 from test_smoke import Outside as OutsideStandIns
 from test_smoke import eventually
 from world import World
@@ -209,9 +209,9 @@
         self.blind = self.down = False
         super().__init__()
 
-    def _state(self, method: str, path: str, body: bytes) -> Answer:
-        answered = (503, {}, {}) if self.down else super()._state(method, path, body)
-        return (503, {}, {}) if self.blind and path.startswith("/follow") else answered
+    def _state(self, method: str, path: str, body: bytes) -> HttpResponse:
+        answered = http_response(503) if self.down else super()._state(method, path, body)
+        return http_response(503) if self.blind and path.startswith("/follow") else answered
 
 
 def test_leader_stops_what_its_own_users_edge_told() -> None:
--- a/tests/test_program_forms.py
+++ b/tests/test_program_forms.py
@@ -35,7 +35,7 @@
 
 from poppyhold.scale.controllers import free_port
 from poppyhold.scale.jobs import submission, wire
-from poppyhold.wire.http import Answer
+from poppyhold.wire.http_server import HttpResponse, http_response
 from test_smoke import PATIENCE_S, ROOT, Outside, eventually
 
 FIXTURE_FILE = Path(__file__).parent / "fixtures" / "program_forms.json"
@@ -133,13 +133,13 @@
         super().__init__()
         self.cloud.capacity["small", "a", False] = 2
 
-    def _state(self, method: str, path: str, body: bytes) -> Answer:
+    def _state(self, method: str, path: str, body: bytes) -> HttpResponse:
         if path == "/commit":
             return self._commit(method, path, body)
         self.recorder.note(_general(f"state: {method} {path}"), cbor2.loads(body) if body else {})
         return super()._state(method, path, body)
 
-    def _commit(self, method: str, path: str, body: bytes) -> Answer:
+    def _commit(self, method: str, path: str, body: bytes) -> HttpResponse:
         asked = cbor2.loads(body)
         for condition in asked["if"]:
             self.recorder.note(f"state: if {_general(condition['key'])}", condition)
@@ -150,14 +150,14 @@
         if self.unanswered and any("/p/" in str(write.get("set")) for write in asked["writes"]):
             # Carried out, as far as the program can tell, or not: it makes what may come late void.
             self.unanswered -= 1
-            return 500, {}, {}
+            return http_response(500)
         return answer
 
-    def _cloud(self, method: str, path: str, body: bytes) -> Answer:
+    def _cloud(self, method: str, path: str, body: bytes) -> HttpResponse:
         self.recorder.note(_general(f"cloud: {method} {path}"), cbor2.loads(body) if body else {})
         return super()._cloud(method, path, body)
 
-    def _do(self, method: str, path: str, body: bytes) -> Answer:
+    def _do(self, method: str, path: str, body: bytes) -> HttpResponse:
         self.recorder.note(f"worker: {method} {path}", cbor2.loads(body))
         return super()._do(method, path, body)
 
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -26,8 +26,8 @@
 from poppyhold.scale.worker_standin import WorkerStandIn
 from poppyhold.settings import MachineLimits, Workers, strains
 from poppyhold.wire.codec import decode, encode
-from poppyhold.wire.http import Answer, Deferred, Server
 from poppyhold.wire.http_client import HttpClient, NoResponseError, NotSentError
+from poppyhold.wire.http_server import DeferredResponse, HttpResponse, HttpServer, http_response
 from world import World
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -65,7 +65,9 @@
             self.finished.append,
         )
         self.lock = threading.Lock()
-        self.servers = [Server(("127.0.0.1", 0), route, 50) for route in (self._state, self._cloud, self._do)]
+        self.servers = [
+            HttpServer(("127.0.0.1", 0), route, 50) for route in (self._state, self._cloud, self._do)
+        ]
         self.ports = [server.server_port for server in self.servers]
         self.worker.endpoint = f"127.0.0.1:{self.ports[2]}"
         for server in self.servers:
@@ -76,29 +78,29 @@
         for server in self.servers:
             server.close_all()
 
-    def _state(self, method: str, path: str, body: bytes) -> Answer:
+    def _state(self, method: str, path: str, body: bytes) -> HttpResponse:
         if path.startswith("/follow"):
             return self._follow(parse_query(path)[1])
         with self.lock:
-            return *state_route(self.state, method, path, body), {}
+            return http_response(*state_route(self.state, method, path, body))
 
-    def _follow(self, asked: dict[str, str]) -> Answer:
+    def _follow(self, asked: dict[str, str]) -> HttpResponse:
         deadline = time.monotonic() + float(asked["holdMs"]) / 1000
         while True:
             with self.lock:
                 events = self.state.changes(asked["prefix"], int(asked["since"]))
                 if events or time.monotonic() >= deadline:
-                    return 200, {"ledger": self.state.ledger, "events": events}, {}
+                    return http_response(200, {"ledger": self.state.ledger, "events": events})
             time.sleep(0.02)
 
-    def _cloud(self, method: str, path: str, body: bytes) -> Answer:
+    def _cloud(self, method: str, path: str, body: bytes) -> HttpResponse:
         with self.lock:
             self.cloud.remember()
-            return *cloud_route(self.cloud, method, path, body), {}
+            return http_response(*cloud_route(self.cloud, method, path, body))
 
-    def _do(self, method: str, path: str, body: bytes) -> Answer:
+    def _do(self, method: str, path: str, body: bytes) -> HttpResponse:
         with self.lock:
-            return *self.worker.do(decode(body)), {}
+            return http_response(*self.worker.do(decode(body)))
 
     def heartbeat(self, port: int) -> None:
         """The worker's report to a node, and what the answer brings."""
@@ -231,13 +233,13 @@
 def test_server_outlives_what_peers_send() -> None:
     calls: list[str] = []
 
-    def route(method: str, path: str, body: bytes) -> Answer:
+    def route(method: str, path: str, body: bytes) -> HttpResponse:
         calls.append(path)
         if path == "/fail":
             raise RuntimeError("a mistake")
-        return 200, {}, {}
+        return http_response(200)
 
-    server = Server(("127.0.0.1", 0), route, 10)
+    server = HttpServer(("127.0.0.1", 0), route, 10)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     try:
         silent = socket.create_connection(("127.0.0.1", server.server_port))
@@ -255,7 +257,7 @@
 
 
 def test_silent_connections_make_room_and_workers_stay() -> None:
-    server = Server(("127.0.0.1", 0), lambda method, path, body: (200, {}, {}), 3)
+    server = HttpServer(("127.0.0.1", 0), lambda method, path, body: http_response(200), 3)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     clients = [HttpClient("127.0.0.1", server.server_port) for _ in range(4)]
     silent: list[socket.socket] = []
@@ -279,7 +281,9 @@
 
 
 def test_old_connections_of_workers_make_room() -> None:
-    server = Server(("127.0.0.1", 0), lambda method, path, body: (200, {}, {}), 1, worker_s=0.2)
+    server = HttpServer(
+        ("127.0.0.1", 0), lambda method, path, body: http_response(200), 1, worker_grace_s=0.2
+    )
     threading.Thread(target=server.serve_forever, daemon=True).start()
     clients = [HttpClient("127.0.0.1", server.server_port) for _ in range(2)]
     try:
@@ -300,11 +304,11 @@
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 2 * workers + 200)), hard))
 
-    def route(method: str, path: str, body: bytes) -> Deferred:
-        return lambda send: send((200, {"of": decode(body)["box"]}, {}))
+    def route(method: str, path: str, body: bytes) -> DeferredResponse:
+        return lambda send: send(http_response(200, {"of": decode(body)["box"]}))
 
     before = threading.active_count()
-    server = Server(("127.0.0.1", 0), route, limits.connections)
+    server = HttpServer(("127.0.0.1", 0), route, limits.connections)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     clients = [HttpClient("127.0.0.1", server.server_port) for _ in range(workers)]
     try:
@@ -363,5 +367,5 @@
 
 
 def test_handler_is_the_standard_one() -> None:
-    assert issubclass(Server, http.server.HTTPServer)
+    assert issubclass(HttpServer, http.server.HTTPServer)
     assert decode(encode({"a": 1})) == {"a": 1}
--- a/tests/world.py
+++ b/tests/world.py
@@ -23,7 +23,7 @@
 from poppyhold.settings import Deployment as DeploymentSettings
 from poppyhold.settings import Known, NextState, Objective, Outside, Settings, State, Team, Workers
 from poppyhold.wire.codec import encode
-from poppyhold.wire.http import Answer
+from poppyhold.wire.http_server import HttpResponse, http_response
 from sim_node import STEP_S, SimNode
 
 # Users ask once in so many steps.
@@ -363,13 +363,13 @@
                 return node
         return None
 
-    def submit(self, job: Data) -> Answer:
+    def submit(self, job: Data) -> HttpResponse:
         """A user submits, and tries again until the answer is final."""
         self.jobs[job["nameId"]] = job
         result = self._any_node(lambda node: node.users.submit(encode(wire(job))))
         if result is None or result[0] in (429, 503):
             self.after(1.0, lambda: self._resubmit(job))
-            return result or (503, {}, {})
+            return result or http_response(503)
         if result[0] in (200, 201):
             self.work["jobs"] += job["nameId"] not in self.told
             self._tell(job["nameId"], result[1]["status"])
@@ -391,8 +391,8 @@
         self._look_closely(job_id)
 
     def _any_node(
-        self, ask: Callable[[SimNode], Answer], nodes: list[SimNode] | None = None
-    ) -> Answer | None:
+        self, ask: Callable[[SimNode], HttpResponse], nodes: list[SimNode] | None = None
+    ) -> HttpResponse | None:
         among = self.nodes if nodes is None else nodes
         alive = [node for node in among if node.alive and not node.frozen and node.zone != self.cut]
         return ask(self.rng.choice(alive)) if alive else None
@@ -435,7 +435,7 @@
             for answer in (node.users.poll("job-900000"), node.users.abort("job-900000")):
                 self._expect_status(answer, (404,), "never submitted")
 
-    def _expect_status(self, answer: Answer, right: tuple[int, ...], what: str) -> None:
+    def _expect_status(self, answer: HttpResponse, right: tuple[int, ...], what: str) -> None:
         if answer[0] in (429, 503):
             if "Retry-After" not in answer[2]:
                 self.broken.append(f"{what}: {answer[0]} without a time to come back")
