--- a/src/poppyhold/cluster/peer_client.py
+++ b/src/poppyhold/cluster/peer_client.py
@@ -14,6 +14,7 @@
 from poppyhold.cluster.connectivity import Connectivity
 from poppyhold.cluster.peer_handler import PeerHandler
 from poppyhold.cluster.peer_messages import Pong, receive_opening
+from poppyhold.model.job_status import TaskCounts
 from poppyhold.model.outbound import MisdirectedWorker
 from poppyhold.settings import Known, split_address
 from poppyhold.wire.frames import send_message
@@ -81,7 +82,7 @@
 
     def _exchange(self, connection: socket.socket) -> None:
         """Send pings and take their responses, until the connection breaks."""
-        counts: ChangeFeed[tuple[int, int]] = ChangeFeed(_MOST_COUNTS)
+        counts: ChangeFeed[TaskCounts] = ChangeFeed(_MOST_COUNTS)
         images: ChangeFeed[tuple[tuple[str, float], ...]] = ChangeFeed(_MOST_IMAGES)
         interval_s = self._times.interval_s
         while not self._stop.is_set():
--- a/src/poppyhold/cluster/peer_handler.py
+++ b/src/poppyhold/cluster/peer_handler.py
@@ -8,6 +8,7 @@
 from poppyhold.cluster.lease_delegation import DelegationTracker
 from poppyhold.cluster.peer_messages import Ping, Pong
 from poppyhold.model.context import ImageHints
+from poppyhold.model.job_status import TaskCounts
 from poppyhold.quota.messages import Answer as QuotaAnswer
 from poppyhold.quota.messages import Opening as QuotaOpening
 from poppyhold.relay.messages import RelayHello
@@ -19,7 +20,7 @@
     def compose_ping(self) -> Ping:
         """What we are and know; the links add what changed of task counts and image hints."""
 
-    def led_task_counts(self) -> dict[str, tuple[int, int]]:
+    def led_task_counts(self) -> dict[str, TaskCounts]:
         """Completed and running tasks by job, if we lead."""
 
     def led_image_hints(self) -> ImageHints:
--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from poppyhold.concurrency.pace import Pace
+from poppyhold.concurrency.rate_limiter import RateLimiter
 from poppyhold.durable.changes import Write, put_record
 from poppyhold.durable.errors import (
     ConditionFailedError,
@@ -121,7 +121,7 @@
         self._most_writes = limits.txn_ops
         # Two thirds of the writes: the rest is for the users' nodes and the election. A burst of a third of a
         # second's worth goes out at once.
-        self._pace = Pace(limits.write_rps / 1.5, burst=self._most_writes / 2)
+        self._pace = RateLimiter(limits.write_rps / 1.5, burst=self._most_writes / 2)
         self._retry_pause_s = 2 / limits.rps
         self._longest_pause_s = max(self._retry_pause_s, settings.settings.workers.heartbeat_interval_s / 8)
         # By priority, and each in the order of submission, lest the oldest starve in a burst.
@@ -180,7 +180,7 @@
             wait_s = self._pace.ready_at() - time.monotonic()
             if wait_s > 0:
                 time.sleep(wait_s)
-            self._pace.spend(sum(len(unit.writes) for unit in units), time.monotonic())
+            self._pace.consume(sum(len(unit.writes) for unit in units), time.monotonic())
             self._commit(units)
 
     def _commit(self, units: list[CommitUnit]) -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,6 +16,7 @@
 from poppyhold.cluster.peer_messages import Opening, Ping, Pong, receive_opening
 from poppyhold.cluster.peers import Peers
 from poppyhold.model.context import ImageHints
+from poppyhold.model.job_status import TaskCounts
 from poppyhold.node.service import Node
 from poppyhold.options import Options
 from poppyhold.quota.messages import Answer as QuotaAnswer
@@ -46,7 +47,7 @@
     def compose_ping(self) -> Ping:
         return self.ping
 
-    def led_task_counts(self) -> dict[str, tuple[int, int]]:
+    def led_task_counts(self) -> dict[str, TaskCounts]:
         return {}
 
     def led_image_hints(self) -> ImageHints:
