--- a/src/poppyhold/node/cloud_client.py
+++ b/src/poppyhold/node/cloud_client.py
@@ -9,7 +9,13 @@
 from poppyhold.model.outbound import Data
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.settings import Settings, split_address
-from poppyhold.wire.cloud_messages import LaunchResponse, MachineListPage, MachineType, MachineTypes
+from poppyhold.wire.cloud_messages import (
+    DeletionRequest,
+    LaunchResponse,
+    MachineListPage,
+    MachineType,
+    MachineTypes,
+)
 from poppyhold.wire.codec import MalformedError, convert
 from poppyhold.wire.http_client import HttpClient, NoResponseError, NotSentError
 
@@ -65,7 +71,7 @@
         """Delete machines; if True is returned, they do not exist any more."""
         try:
             status, _ = self._client.request(
-                "POST", "/machines/delete", {"boxes": names}, timeout=self._timeout_s
+                "POST", "/machines/delete", DeletionRequest(names).body(), timeout=self._timeout_s
             )
             return status == HTTPStatus.OK
         except (NotSentError, NoResponseError) as error:
--- a/src/poppyhold/node/heartbeat_endpoint.py
+++ b/src/poppyhold/node/heartbeat_endpoint.py
@@ -12,7 +12,7 @@
 from poppyhold.node.decision_loop import DecisionLoop
 from poppyhold.relay.assignment import Assignment
 from poppyhold.wire.http_server import DeferredResponse, HttpResponse, http_response
-from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, Redirect
 
 
 class HeartbeatEndpoint:
@@ -63,7 +63,7 @@
             heartbeat.machine, heartbeat.zone, self._controller.last_response_at(heartbeat.machine)
         )
         if relay is not None:
-            return http_response(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": relay})
+            return http_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect(relay).body())
         response = self.answer(heartbeat, late_at)
         return http_response(HTTPStatus.OK, response.body()) if response is not None else None
 
--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -19,7 +19,7 @@
 from poppyhold.settings import Settings
 from poppyhold.wire.codec import MalformedError, decode
 from poppyhold.wire.http_server import DeferredResponse, HttpResponse, http_response
-from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, parse_heartbeat
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, Redirect, parse_heartbeat
 
 # A worker waits for so many heartbeat intervals at most until the election names a leader.
 _AWAIT_LEADER_INTERVALS = 0.5
@@ -120,4 +120,4 @@
         """421, with the leader's name if another controller leads."""
         if leader is None or leader.member == self._member:
             return http_response(HTTPStatus.MISDIRECTED_REQUEST)
-        return http_response(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": leader.member})
+        return http_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect(leader.member).body())
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -14,7 +14,7 @@
 from poppyhold.relay.overflow import Overflow
 from poppyhold.settings import Settings, split_address
 from poppyhold.wire.http_server import DeferredResponse, HttpResponse, http_response
-from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, Redirect
 
 # Share of a relay's connections that workers may take; the rest is for users and for workers on their way.
 _WORKERS_SHARE = 0.9
@@ -79,7 +79,7 @@
             return None
         other = self._overflow.send_on(heartbeat.machine)
         if other is not None:
-            return http_response(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": other})
+            return http_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect(other).body())
 
         def defer(send: Callable[[HttpResponse], None]) -> None:
             def respond(relayed: RelayedAnswer | None) -> None:
@@ -99,7 +99,7 @@
                 HTTPStatus.OK, HeartbeatResponse(relayed.fencing_token, relayed.commands).body()
             )
         if relayed.outcome is Outcome.MOVED:
-            return http_response(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": relayed.controller})
+            return http_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect(relayed.controller).body())
         return http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
 
     def _unanswered(self) -> HttpResponse:
--- a/src/poppyhold/wire/cloud_messages.py
+++ b/src/poppyhold/wire/cloud_messages.py
@@ -5,6 +5,7 @@
 import msgspec
 
 from poppyhold.wire import field_names as names
+from poppyhold.wire.codec import Body
 
 
 class MachineType(msgspec.Struct, frozen=True):
@@ -57,7 +58,7 @@
     began_at: float
 
 
-class LaunchRequest(msgspec.Struct, frozen=True):
+class LaunchRequest(Body, frozen=True):
     """POST /machines: a launch, whose request ID makes a repeat idempotent."""
 
     request_id: str = msgspec.field(name=names.LAUNCH_REQUEST_ID)
@@ -67,7 +68,13 @@
     number: int
 
 
+class DeletionRequest(Body, frozen=True):
+    """POST /machines/delete."""
+
+    machines: list[str] = msgspec.field(name=names.MACHINES)
+
+
 class LaunchResponse(msgspec.Struct, frozen=True):
-    """The answer to POST /machines."""
+    """The response to POST /machines."""
 
     machines: list[str] = msgspec.field(name=names.MACHINES)
--- a/src/poppyhold/wire/codec.py
+++ b/src/poppyhold/wire/codec.py
@@ -16,6 +16,15 @@
     """A body is not what the protocol says; its sender has to change it."""
 
 
+class Body(msgspec.Struct, frozen=True):
+    """A message type that is sent as the body of a request or a response."""
+
+    def body(self) -> dict[str, Any]:
+        """The map that is sent."""
+        body: dict[str, Any] = msgspec.to_builtins(self)
+        return body
+
+
 def encode(body: object) -> bytes:
     """Encode a body as CBOR."""
     return cbor2.dumps(body)
--- a/src/poppyhold/wire/field_names.py
+++ b/src/poppyhold/wire/field_names.py
@@ -40,6 +40,7 @@
 LAUNCH_REQUEST_ID = "hire"
 
 # -- workers
+CONTROLLER = "foreman"
 INCARNATION = "shift"
 SEQUENCE = "tally"
 FENCING_TOKEN = "baton"
--- a/src/poppyhold/wire/worker_messages.py
+++ b/src/poppyhold/wire/worker_messages.py
@@ -4,12 +4,11 @@
 
 import re
 from enum import StrEnum
-from typing import Any
 
 import msgspec
 
 from poppyhold.wire import field_names as names
-from poppyhold.wire.codec import MalformedError, convert
+from poppyhold.wire.codec import Body, MalformedError, convert
 
 # Machines' names become keys of the state service: one that can't be a key would be tried there for ever.
 _MACHINE_NAME = re.compile(r"[A-Za-z0-9._:-]{1,120}\Z")
@@ -77,30 +76,26 @@
     grace_s: float | None = msgspec.field(name=names.GRACE_S, default=None)
 
 
-class HeartbeatResponse(msgspec.Struct, frozen=True):
+class HeartbeatResponse(Body, frozen=True):
     """The response to a heartbeat, which renews the worker's lease."""
 
     fencing_token: int = msgspec.field(name=names.FENCING_TOKEN)
     commands: list[Command] = msgspec.field(name=names.COMMANDS, default_factory=list)
 
-    def body(self) -> dict[str, Any]:
-        """The body of the response."""
-        body: dict[str, Any] = msgspec.to_builtins(self)
-        return body
 
+class Redirect(Body, frozen=True):
+    """The response to a heartbeat that another controller takes: the leader, or a relay."""
 
-class DirectCommandsRequest(msgspec.Struct, frozen=True):
+    controller: str = msgspec.field(name=names.CONTROLLER)
+
+
+class DirectCommandsRequest(Body, frozen=True):
     """POST /do: commands that go straight to a worker, void for any other incarnation of it."""
 
     fencing_token: int = msgspec.field(name=names.FENCING_TOKEN)
     incarnation: int = msgspec.field(name=names.INCARNATION)
     commands: list[Command] = msgspec.field(name=names.COMMANDS)
 
-    def body(self) -> dict[str, Any]:
-        """The body of the request."""
-        body: dict[str, Any] = msgspec.to_builtins(self)
-        return body
-
 
 class Heartbeat(msgspec.Struct, frozen=True):
     """POST /hello, and the responses of /do and /show."""
--- a/tests/wire_kinds.py
+++ b/tests/wire_kinds.py
@@ -13,7 +13,16 @@
 from msgspec import inspect
 
 from poppyhold.cluster.peer_messages import Ping, Pong
-from poppyhold.durable.records import CompletionsRecord, LaunchRecord, MachineRecord, PlanRecord
+from poppyhold.durable.records import (
+    CompletionsRecord,
+    FencingTokenRecord,
+    FinalRecord,
+    LaunchRecord,
+    LeaderRecord,
+    MachineRecord,
+    PlanRecord,
+    WriteFenceRecord,
+)
 from poppyhold.quota.messages import NotLeading, ShareReply, ShareRequest, StatusReply, StatusRequest
 from poppyhold.quota.records import IdentityRecord, PeerRecord, ShareRecord
 from poppyhold.quota.status import QuotaStatus
@@ -22,23 +31,35 @@
 from poppyhold.scale.profile import Profile
 from poppyhold.scale.result import Result
 from poppyhold.settings import Settings
-from poppyhold.wire.cloud_messages import LaunchRequest, LaunchResponse, MachineListPage, MachineTypes
+from poppyhold.wire.cloud_messages import (
+    DeletionRequest,
+    LaunchRequest,
+    LaunchResponse,
+    MachineListPage,
+    MachineTypes,
+)
 from poppyhold.wire.user_messages import PriorityName, Submission
 from poppyhold.wire.worker_messages import (
     Command,
     CommandKind,
+    DirectCommandsRequest,
     ExitCause,
     Heartbeat,
     HeartbeatResponse,
+    Redirect,
     TaskState,
 )
 
 # Maps: values of the state service, bodies of the outside protocols, files that are read, and JSON output.
 MAPS: dict[str, Any] = {
     "ph/a/JOB, spec": Submission,
+    "ph/b": FencingTokenRecord,
+    "ph/c": WriteFenceRecord,
     "ph/d/JOB/N": CompletionsRecord,
     "ph/e/JOB/N": CompletionsRecord,
+    "ph/f/JOB": FinalRecord,
     "ph/h/HIRE": LaunchRecord,
+    "ph/l/lead": LeaderRecord,
     "ph/m/MACHINE": MachineRecord,
     "ph/p/JOB": PlanRecord,
     "ph/q/c/CELL": PeerRecord,
@@ -49,12 +70,15 @@
     "POST /api/jobs": Submission,
     "POST /hello": Heartbeat,
     "POST /hello, answer": HeartbeatResponse,
+    "POST /hello, answer of another one": Redirect,
+    "POST /do": DirectCommandsRequest,
     "POST /do, order": Command,
     "POST /do, answer": Heartbeat,
     "GET /machine_types, answer": MachineTypes,
     "GET /machines, answer": MachineListPage,
     "POST /machines": LaunchRequest,
     "POST /machines, answer": LaunchResponse,
+    "POST /machines/delete": DeletionRequest,
     "settings file": Settings,
     "scale profile": Profile,
     "scale --json": Result,
