--- a/src/poppyhold/cluster/peer_handler.py
+++ b/src/poppyhold/cluster/peer_handler.py
@@ -9,8 +9,7 @@
 from poppyhold.cluster.peer_messages import Ping, Pong
 from poppyhold.model.context import ImageHints
 from poppyhold.model.job_status import TaskCounts
-from poppyhold.quota.messages import Answer as QuotaAnswer
-from poppyhold.quota.messages import Opening as QuotaOpening
+from poppyhold.quota.messages import QuotaRequest, QuotaResponse
 from poppyhold.relay.messages import RelayHello
 
 
@@ -41,7 +40,7 @@
     def serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
         """Serve a relay on its connection, until either ends."""
 
-    def answer_cell(self, message: QuotaOpening) -> QuotaAnswer:
+    def answer_cell(self, request: QuotaRequest) -> QuotaResponse:
         """Answer another cell's leader or an operator.
 
         Raises:
--- a/src/poppyhold/cluster/peer_messages.py
+++ b/src/poppyhold/cluster/peer_messages.py
@@ -13,7 +13,7 @@
 from poppyhold.cluster.cancellations import Cancellation
 from poppyhold.cluster.lease_delegation import LeaseDelegation
 from poppyhold.model.outbound import MisdirectedWorker
-from poppyhold.quota.messages import Opening as QuotaOpening
+from poppyhold.quota.messages import QuotaRequest
 from poppyhold.relay.messages import RelayHello
 from poppyhold.wire.frames import receive_message
 
@@ -72,7 +72,7 @@
 
 Message = Ping | Pong
 # What may come first on a connection from another controller.
-Opening = Message | RelayHello | QuotaOpening
+Opening = Message | RelayHello | QuotaRequest
 _opening_decoder: msgspec.msgpack.Decoder[Opening] = msgspec.msgpack.Decoder(Opening)
 
 
--- a/src/poppyhold/cluster/peer_server.py
+++ b/src/poppyhold/cluster/peer_server.py
@@ -9,7 +9,7 @@
 from poppyhold.cluster.peer_client import PeerTimes
 from poppyhold.cluster.peer_handler import PeerHandler
 from poppyhold.cluster.peer_messages import Ping, receive_opening
-from poppyhold.quota.messages import Opening as QuotaOpening
+from poppyhold.quota.messages import QuotaRequest
 from poppyhold.relay.messages import RelayHello
 from poppyhold.settings import Settings, split_address
 from poppyhold.wire.frames import send_message
@@ -85,7 +85,7 @@
             # It is a relay's from now on, to its end.
             self._handler.serve_relay(connection, message)
             return False
-        if isinstance(message, QuotaOpening):
+        if isinstance(message, QuotaRequest):
             send_message(connection, self._handler.answer_cell(message))
         elif isinstance(message, Ping):
             send_message(connection, self._handler.handle_ping(message))
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -22,7 +22,7 @@
 from poppyhold.node.scheduling_cycle import SchedulingCycle
 from poppyhold.node.state_loader import StateLoader
 from poppyhold.options import Options
-from poppyhold.quota.cell_quota import CellQuota
+from poppyhold.quota.cell_service import CellQuotaService
 from poppyhold.scheduling.admission import Admission
 from poppyhold.scheduling.dispatch import Dispatcher
 from poppyhold.scheduling.quotas import Quotas
@@ -66,6 +66,8 @@
         self.admission = Admission(self.ctx, self._quotas, self._on_job_found_finalized)
         self.dispatcher = Dispatcher(self.ctx, self.reconciler, self._quotas, self.admission)
         self._machines = MachineLifecycle(self.ctx, self.admission, self.reconciler)
+        # Called for every heartbeat, hence bound once.
+        self._update_availability = self._machines.update_availability
         self.autoscaler = Autoscaler(self.ctx, self.reconciler, self._quotas, self._machines.handle_removed)
         self.completions = Completions(self.ctx)
         self._cycle = SchedulingCycle(self.ctx, self._quotas, self.dispatcher, self.reconciler)
@@ -80,16 +82,16 @@
         self.quota = self._make_quota(options)
         self._save_completions_at = 0.0
 
-    def _make_quota(self, options: Options) -> CellQuota | None:
+    def _make_quota(self, options: Options) -> CellQuotaService | None:
         """This cell's allocations of the teams' limits; None where the fleet is one cell."""
         if options.cells is None:
             return None
-        return CellQuota(
+        return CellQuotaService(
             self.ctx,
             options.cells,
             self._quotas,
             lambda: self.ctx.fleet.unaccounted_resources(self.reconciler.unreconciled),
-            self.autoscaler.can_rent,
+            self.autoscaler.can_launch,
             self._on_quotas_changed,
         )
 
@@ -128,7 +130,7 @@
         response = self.reconciler.handle_heartbeat(heartbeat)
         machine = self.ctx.fleet.machines.get(heartbeat.machine)
         if machine is not None:
-            self._machines.update_availability(machine)
+            self._update_availability(machine)
         return response
 
     def handle_job_accepted(self, entry: Entry) -> None:
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -20,8 +20,7 @@
 from poppyhold.node.leader_term import LeaderTerm
 from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
-from poppyhold.quota.messages import Answer as QuotaAnswer
-from poppyhold.quota.messages import Opening as QuotaOpening
+from poppyhold.quota.messages import QuotaRequest, QuotaResponse
 from poppyhold.quota.server import QuotaServer
 from poppyhold.relay.forwarding import HeartbeatForwarder
 from poppyhold.relay.messages import RelayHello
@@ -63,7 +62,7 @@
         # A leader whose process answered, and did not lead.
         self._idle_leader: Leader | None = None
         self._quota_server = quota_server
-        self.peers = Peers(settings, self, quota_server.most_links)
+        self.peers = Peers(settings, self, quota_server.max_connections)
 
     def should_yield(self) -> bool:
         """Whether another controller should campaign before this one."""
@@ -233,6 +232,6 @@
 
     # -- other cells ---------------------------------------------------------------------------------
 
-    def answer_cell(self, message: QuotaOpening) -> QuotaAnswer:
-        """See `PeerHandler`."""
-        return self._quota_server.answer(message)
+    def answer_cell(self, request: QuotaRequest) -> QuotaResponse:
+        """Answer another cell's leader or an operator, as `QuotaServer` does."""
+        return self._quota_server.answer(request)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -19,8 +19,7 @@
 from poppyhold.model.job_status import TaskCounts
 from poppyhold.node.service import Node
 from poppyhold.options import Options
-from poppyhold.quota.messages import Answer as QuotaAnswer
-from poppyhold.quota.messages import Opening as QuotaOpening
+from poppyhold.quota.messages import QuotaRequest, QuotaResponse
 from poppyhold.relay.messages import RelayHello
 from poppyhold.scale.controllers import free_port
 from poppyhold.scale.jobs import submission, wire
@@ -68,7 +67,7 @@
     def serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
         pass
 
-    def answer_cell(self, message: QuotaOpening) -> QuotaAnswer:
+    def answer_cell(self, request: QuotaRequest) -> QuotaResponse:
         raise ValueError("this fleet has one cell")
 
 
