--- a/src/poppyhold/node/cancellation_tracker.py
+++ b/src/poppyhold/node/cancellation_tracker.py
@@ -8,7 +8,7 @@
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.cancellations import Cancellation, Cancellations
 from poppyhold.cluster.lease_delegation import LeaseDelegation
-from poppyhold.cluster.peers import Pong
+from poppyhold.cluster.peer_messages import Pong
 from poppyhold.concurrency.priority_queue import DECISIONS
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
 from poppyhold.node.controller import Controller
--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -8,7 +8,8 @@
 from http import HTTPStatus
 
 from poppyhold.cluster.delegated_renewals import DelegatedRenewals
-from poppyhold.cluster.election import Election, Leader
+from poppyhold.cluster.election import Election
+from poppyhold.cluster.known_leader import Leader
 from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.durable.store import Store
@@ -17,8 +18,8 @@
 from poppyhold.relay.leader import heartbeat_response_timeout_s
 from poppyhold.settings import Settings
 from poppyhold.wire.codec import MalformedError, decode
-from poppyhold.wire.http import Answer, Deferred, answer
-from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, parse_heartbeat
+from poppyhold.wire.http_server import DeferredResponse, HttpResponse, http_response
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, Redirect, parse_heartbeat
 
 # A worker waits for so many heartbeat intervals at most until the election names a leader.
 _AWAIT_LEADER_INTERVALS = 0.5
@@ -62,31 +63,31 @@
             rng,
         )
 
-    def handle(self, body: bytes) -> Answer | Deferred:
+    def handle(self, body: bytes) -> HttpResponse | DeferredResponse:
         """Answer a heartbeat."""
         try:
             heartbeat = parse_heartbeat(decode(body))
         except MalformedError as error:
-            return answer(HTTPStatus.BAD_REQUEST, {"error": str(error)})
+            return http_response(HTTPStatus.BAD_REQUEST, {"error": str(error)})
         response = self._answer_as_leader(heartbeat) or self.forwarder.handle(heartbeat)
         if response is not None:
             return response
         return self._answer_without_leader(heartbeat) or self._redirect(heartbeat)
 
-    def reject(self) -> Answer:
+    def reject(self) -> HttpResponse:
         """The answer to a heartbeat that we can't answer as the leader."""
         if self._leader_term() is not None:
-            return answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
+            return http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
         return self._redirect_to(self._election.leader)
 
-    def _answer_as_leader(self, heartbeat: Heartbeat) -> Answer | Deferred | None:
+    def _answer_as_leader(self, heartbeat: Heartbeat) -> HttpResponse | DeferredResponse | None:
         """The leader's answer; None if we don't lead."""
         leader_term = self._leader_term()
         if leader_term is None:
             return None
         return leader_term.heartbeats.handle(heartbeat, self._response_timeout_s) or self.reject()
 
-    def _answer_without_leader(self, heartbeat: Heartbeat) -> Answer | None:
+    def _answer_without_leader(self, heartbeat: Heartbeat) -> HttpResponse | None:
         """Renew the lease as the leader's delegate; None if we may not."""
         if heartbeat.fencing_token:
             leader = self._election.leader
@@ -97,26 +98,26 @@
                 leader is not None and self._is_unreachable(leader.member),
             )
             if renewed_token is not None:
-                return answer(HTTPStatus.OK, HeartbeatResponse(renewed_token).body())
+                return http_response(HTTPStatus.OK, HeartbeatResponse(renewed_token).body())
             # A new machine's worker begins with any node; one that has a token has left its leader.
             self._misdirected_workers.record(heartbeat)
         return None
 
-    def _redirect(self, heartbeat: Heartbeat) -> Answer | Deferred:
+    def _redirect(self, heartbeat: Heartbeat) -> HttpResponse | DeferredResponse:
         """Wait a moment for a leader, and send the worker there."""
-        leader = self._election.await_leader(self._await_leader_s)
+        leader = self._election.known_leader.await_leader(self._await_leader_s)
         if leader is not None and leader.member != self._member and not self.forwarder.is_wanted():
             now = time.monotonic()
             wait_s = self._redirect_backoff.wait_s(
-                heartbeat, leader.fencing_token, now - self._election.leader_since, now
+                heartbeat, leader.fencing_token, now - self._election.known_leader.leader_since, now
             )
             if wait_s:
-                leader = self._election.await_next_leader(leader, wait_s)
+                leader = self._election.known_leader.await_next_leader(leader, wait_s)
         # The election may have named us meanwhile.
         return self._answer_as_leader(heartbeat) or self._redirect_to(leader)
 
-    def _redirect_to(self, leader: Leader | None) -> Answer:
+    def _redirect_to(self, leader: Leader | None) -> HttpResponse:
         """421, with the leader's name if another controller leads."""
         if leader is None or leader.member == self._member:
-            return answer(HTTPStatus.MISDIRECTED_REQUEST)
-        return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": leader.member})
+            return http_response(HTTPStatus.MISDIRECTED_REQUEST)
+        return http_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect(leader.member).body())
--- a/src/poppyhold/node/user_api.py
+++ b/src/poppyhold/node/user_api.py
@@ -28,7 +28,7 @@
 from poppyhold.settings import Deployment, Settings
 from poppyhold.wire.cloud_messages import MachineType
 from poppyhold.wire.codec import MalformedError, decode
-from poppyhold.wire.http import Answer, answer
+from poppyhold.wire.http_server import HttpResponse, http_response
 from poppyhold.wire.task_names import JOB_ID
 from poppyhold.wire.user_messages import Submission, parse_submission
 
@@ -93,41 +93,41 @@
 
     # -- submissions ---------------------------------------------------------------------------------
 
-    def submit(self, body: bytes) -> Answer:
+    def submit(self, body: bytes) -> HttpResponse:
         """POST /api/jobs."""
         try:
             spec = parse_submission(decode(body))
         except MalformedError as error:
-            return answer(HTTPStatus.BAD_REQUEST, {"error": str(error)})
+            return http_response(HTTPStatus.BAD_REQUEST, {"error": str(error)})
         return self._with_slot(lambda: self._submit(spec))
 
-    def _submit(self, spec: Submission) -> Answer:
+    def _submit(self, spec: Submission) -> HttpResponse:
         machine_types = self._machine_types()
         reason = self._policy.why_infeasible(spec, machine_types)
         if reason is not None or not machine_types:
             # A repeat of an accepted job is answered with its state, whatever we think of it now.
             known = self.job_states.look_up(spec.name)
             if known is not None:
-                return answer(HTTPStatus.OK, known)
+                return http_response(HTTPStatus.OK, known)
             if reason is None:
                 return self._try_later()
-            return answer(HTTPStatus.UNPROCESSABLE_ENTITY, {"error": reason})
+            return http_response(HTTPStatus.UNPROCESSABLE_ENTITY, {"error": reason})
         data = self._policy.record(spec, machine_types)
         if not self._policy.can_store(data):
             return self._reject_too_long(spec)
         return self._store_submission(spec, data)
 
-    def _reject_too_long(self, spec: Submission) -> Answer:
+    def _reject_too_long(self, spec: Submission) -> HttpResponse:
         """The submission can never be stored, so that its user need not try again.
 
         An earlier version may have stored it, under larger limits.
         """
         known = self.job_states.look_up(spec.name)
         if known is not None:
-            return answer(HTTPStatus.OK, known)
-        return answer(HTTPStatus.BAD_REQUEST, {"error": "too long"})
+            return http_response(HTTPStatus.OK, known)
+        return http_response(HTTPStatus.BAD_REQUEST, {"error": "too long"})
 
-    def _store_submission(self, spec: Submission, data: Data) -> Answer:
+    def _store_submission(self, spec: Submission, data: Data) -> HttpResponse:
         # A condition that fails counts against the limit of changes like a change: users that repeat what is
         # known to be accepted must not eat up what decisions need.
         look_up_first = self.job_states.may_be_known(spec.name)
@@ -135,7 +135,7 @@
             if look_up_first or self.job_states.finals.get(spec.name) is not None:
                 known = self.job_states.look_up(spec.name)
                 if known is not None:
-                    return answer(HTTPStatus.OK, known)
+                    return http_response(HTTPStatus.OK, known)
             try:
                 self._store.commit(
                     {ACTIVE_JOB_PREFIX + spec.name: 0, FINAL_JOB_PREFIX + spec.name: 0},
@@ -152,46 +152,46 @@
                 look_up_first = True
             else:
                 self.job_states.note_accepted(spec.name)
-                return answer(HTTPStatus.CREATED, {"nameId": spec.name, "status": JobStatus.PENDING})
+                return http_response(HTTPStatus.CREATED, {"nameId": spec.name, "status": JobStatus.PENDING})
         return self._try_later()
 
     # -- queries -------------------------------------------------------------------------------------
 
-    def poll(self, job_id: str) -> Answer:
+    def poll(self, job_id: str) -> HttpResponse:
         """GET /api/jobs/{id}."""
         if not JOB_ID.match(job_id):
             return _unknown_job()
         final = self.job_states.finals.get(job_id)
         if final is not None:
-            return answer(HTTPStatus.OK, self.job_states.final_state(job_id, final))
+            return http_response(HTTPStatus.OK, self.job_states.final_state(job_id, final))
         # A shared read takes no slot: it costs the state service the same for any number of queries.
         return self._or_try_later(lambda: self._poll(job_id))
 
-    def _poll(self, job_id: str) -> Answer:
+    def _poll(self, job_id: str) -> HttpResponse:
         # In this order: a job moves from the active ones to the final ones, and never back.
         if self._reads.is_active(job_id):
-            return answer(HTTPStatus.OK, self.job_states.active_state(job_id))
+            return http_response(HTTPStatus.OK, self.job_states.active_state(job_id))
         return self._with_slot(lambda: self._poll_final(job_id))
 
-    def _poll_final(self, job_id: str) -> Answer:
+    def _poll_final(self, job_id: str) -> HttpResponse:
         final = self.job_states.read_final(job_id)
         if final is None:
             return _unknown_job()
-        return answer(HTTPStatus.OK, self.job_states.final_state(job_id, final))
+        return http_response(HTTPStatus.OK, self.job_states.final_state(job_id, final))
 
     # -- cancellations -------------------------------------------------------------------------------
 
-    def abort(self, job_id: str) -> Answer:
+    def abort(self, job_id: str) -> HttpResponse:
         """POST /api/jobs/{id}/abort."""
         if not JOB_ID.match(job_id):
             return _unknown_job()
         return self._with_slot(lambda: self._abort(job_id))
 
-    def _abort(self, job_id: str) -> Answer:
+    def _abort(self, job_id: str) -> HttpResponse:
         for _ in self._attempts():
             final = self.job_states.finals.get(job_id)
             if final is not None:
-                return answer(HTTPStatus.OK, {"nameId": job_id, "status": final.status})
+                return http_response(HTTPStatus.OK, {"nameId": job_id, "status": final.status})
             entry = self._store.get(ACTIVE_JOB_PREFIX + job_id)
             if entry is None:
                 if self.job_states.look_up(job_id) is None:
@@ -207,7 +207,7 @@
                 # The job changed, or may have been cancelled by this attempt: look again.
                 continue
             self.job_states.keep_final(job_id, FinalState(JobStatus.CANCELLED, tasks), revision)
-            return answer(HTTPStatus.OK, {"nameId": job_id, "status": JobStatus.CANCELLED})
+            return http_response(HTTPStatus.OK, {"nameId": job_id, "status": JobStatus.CANCELLED})
         return self._try_later()
 
     # -- limits and retries --------------------------------------------------------------------------
@@ -217,7 +217,7 @@
         began_at = self._clock()
         return (number for number in range(_MAX_ATTEMPTS) if self._clock() - began_at < _LAST_ATTEMPT_S)
 
-    def _with_slot(self, work: Callable[[], Answer]) -> Answer:
+    def _with_slot(self, work: Callable[[], HttpResponse]) -> HttpResponse:
         # What can't be taken is answered at once, with a time to come back: nobody waits for a slot.
         if not self._slots.acquire(blocking=False):
             return self._try_later(HTTPStatus.TOO_MANY_REQUESTS)
@@ -226,16 +226,16 @@
         finally:
             self._slots.release()
 
-    def _or_try_later(self, work: Callable[[], Answer]) -> Answer:
+    def _or_try_later(self, work: Callable[[], HttpResponse]) -> HttpResponse:
         try:
             return work()
         except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError) as error:
             log.debug("user request failed error=%s", error)
             return self._try_later()
 
-    def _try_later(self, status: HTTPStatus = HTTPStatus.SERVICE_UNAVAILABLE) -> Answer:
-        return answer(status, {"error": "try again later"}, Retry_After=str(self._retry_after_s))
+    def _try_later(self, status: HTTPStatus = HTTPStatus.SERVICE_UNAVAILABLE) -> HttpResponse:
+        return http_response(status, {"error": "try again later"}, Retry_After=str(self._retry_after_s))
 
 
-def _unknown_job() -> Answer:
-    return answer(HTTPStatus.NOT_FOUND, {"error": "unknown job"})
+def _unknown_job() -> HttpResponse:
+    return http_response(HTTPStatus.NOT_FOUND, {"error": "unknown job"})
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,16 +12,21 @@
 
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.cancellations import Cancellation, Cancellations
-from poppyhold.cluster.peers import Opening, Peers, Ping, Pong, receive_opening
+from poppyhold.cluster.lease_delegation import DelegationTracker
+from poppyhold.cluster.peer_messages import Opening, Ping, Pong, receive_opening
+from poppyhold.cluster.peers import Peers
+from poppyhold.model.context import ImageHints
+from poppyhold.model.job_status import TaskCounts
 from poppyhold.node.service import Node
 from poppyhold.options import Options
 from poppyhold.quota.messages import QuotaRequest, QuotaResponse
+from poppyhold.relay.messages import RelayHello
 from poppyhold.scale.controllers import free_port
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.settings import Known, Outside, Team, split_address
 from poppyhold.wire.codec import encode
-from poppyhold.wire.frames import send
-from poppyhold.wire.http import Answer
+from poppyhold.wire.frames import send_message
+from poppyhold.wire.http_server import HttpResponse, http_response
 from test_smoke import Outside as OutsideStandIns
 from test_smoke import eventually
 from world import World
@@ -30,8 +35,40 @@
 PONG = ["pong", "hive-1", 0, False, 0.5, 40, 3]
 
 
-def no_cells(message: QuotaRequest) -> QuotaResponse:
-    raise ValueError("this fleet has one cell")
+class Handler:
+    """A controller that takes part in nothing but pings."""
+
+    def __init__(self) -> None:
+        self.ping = Ping("hive-0", 0, False, 0.0, -1, 0)
+        self.pong = Pong("hive-0", 0, False, 0.0, -1, 0)
+        self.taken: list[Pong] = []
+
+    def compose_ping(self) -> Ping:
+        return self.ping
+
+    def led_task_counts(self) -> dict[str, TaskCounts]:
+        return {}
+
+    def led_image_hints(self) -> ImageHints:
+        return {}
+
+    def delegation_tracker(self) -> DelegationTracker | None:
+        return None
+
+    def handle_ping(self, ping: Ping) -> Pong:
+        return self.pong
+
+    def handle_pong(self, pong: Pong, asked_at: float) -> None:
+        self.taken.append(pong)
+
+    def on_connection_refused(self, member: str) -> None:
+        pass
+
+    def serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
+        pass
+
+    def answer_cell(self, request: QuotaRequest) -> QuotaResponse:
+        raise ValueError("this fleet has one cell")
 
 
 def over_a_connection(message: list[Any]) -> Opening:
@@ -74,7 +111,7 @@
 
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        send(ours, Pong("hive-1", 0, False, 0.5, 41, 3, [Cancellation("job-000001", 41)], 12))
+        send_message(ours, Pong("hive-1", 0, False, 0.5, 41, 3, [Cancellation("job-000001", 41)], 12))
         size = int.from_bytes(theirs.recv(4), "big")
         assert msgspec.msgpack.decode(theirs.recv(size), type=OldPong).told == 41
 
@@ -177,27 +214,14 @@
         back=f"127.0.0.1:{free_port()}",
         known=[Known("hive-1", "a", f"127.0.0.1:{impostor.listener.getsockname()[1]}")],
     )
-    taken: list[Pong] = []
-    describe = Ping("hive-0", 0, False, 0.0, -1, 0)
-    pong = Pong("hive-0", 0, False, 0.0, -1, 0)
-    peers = Peers(
-        settings,
-        lambda: describe,
-        dict,
-        dict,
-        lambda ping: pong,
-        lambda pong, asked: taken.append(pong),
-        lambda member: None,
-        lambda: None,
-        lambda connection, hello: None,
-        no_cells,
-    )
+    handler = Handler()
+    peers = Peers(settings, handler)
     peers.start()
     try:
         # Only the last of them is an answer of hive-1; it is asked again and again behind the others.
-        eventually(lambda: len(taken) == 2)
+        eventually(lambda: len(handler.taken) == 2)
         assert impostor.asked >= 2 * 5
-        assert {pong.member for pong in taken} == {"hive-1"}
+        assert {pong.member for pong in handler.taken} == {"hive-1"}
     finally:
         peers.stop()
         impostor.listener.close()
@@ -210,9 +234,9 @@
         self.blind = self.down = False
         super().__init__()
 
-    def _state(self, method: str, path: str, body: bytes) -> Answer:
-        answered = (503, {}, {}) if self.down else super()._state(method, path, body)
-        return (503, {}, {}) if self.blind and path.startswith("/follow") else answered
+    def _state(self, method: str, path: str, body: bytes) -> HttpResponse:
+        answered = http_response(503) if self.down else super()._state(method, path, body)
+        return http_response(503) if self.blind and path.startswith("/follow") else answered
 
 
 def test_leader_stops_what_its_own_users_edge_told() -> None:
@@ -267,19 +291,8 @@
     settings = msgspec.structs.replace(
         World(1, 10.0, 30.0, []).settings, back=f"127.0.0.1:{free_port()}", known=[]
     )
-    pong = Pong("hive-0", 0, False, 0.0, -1, 0)
-    peers = Peers(
-        settings,
-        lambda: Ping("hive-0", 0, False, 0.0, -1, 0),
-        dict,
-        dict,
-        lambda ping: pong,
-        lambda answer, asked: None,
-        lambda member: None,
-        lambda: None,
-        lambda connection, hello: None,
-        no_cells,
-    )
+    handler = Handler()
+    peers = Peers(settings, handler)
     peers.start()
     address = split_address(settings.back)
     try:
@@ -291,7 +304,7 @@
             # Closed with some of it unread, it is reset.
             with contextlib.suppress(ConnectionResetError):
                 assert bad.recv(1) == b""
-            send(good, Ping("hive-1", 0, False, 0.0, -1, 0))
-            assert receive_opening(good) == pong
+            send_message(good, Ping("hive-1", 0, False, 0.0, -1, 0))
+            assert receive_opening(good) == handler.pong
     finally:
         peers.stop()
