--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from poppyhold.cluster.election import Election, Leader, Term
+from poppyhold.cluster.election import Election, Term
+from poppyhold.cluster.known_leader import Leader
 from poppyhold.durable.changes import Delete, DeletedKey, Entry, Put, WatchEvent
 from poppyhold.durable.errors import LeaseExpiredError, StoreRejectedError
 from poppyhold.durable.keys import FENCING_TOKEN_KEY, LEADER_KEY
@@ -54,6 +55,9 @@
         self.now = 1000.0
         self.yields = yields
         monkeypatch.setattr("poppyhold.cluster.election.time", SimpleNamespace(monotonic=lambda: self.now))
+        monkeypatch.setattr(
+            "poppyhold.cluster.known_leader.time", SimpleNamespace(monotonic=lambda: self.now)
+        )
         self.store = LeaseStore()
         self.won: list[Term] = []
         self.terms_lost = 0
@@ -206,7 +210,8 @@
 
 
 def test_changes_before_our_claim_do_not_end_our_term(candidate: Candidate) -> None:
-    candidate.election.term, candidate.election.leader = TERM, Leader("hive-0", 5, 7, 40)
+    candidate.election.term = TERM
+    candidate.election.known_leader.observe(Leader("hive-0", 5, 7, 40))
     for old in (
         Entry(LEADER_KEY, {"member": "hive-2", "baton": 4, "permit": 3}, 39),
         DeletedKey(LEADER_KEY, 39),
@@ -225,7 +230,8 @@
     "change", [OTHERS_KEY, DeletedKey(LEADER_KEY, 41)], ids=["another-leader", "deleted"]
 )
 def test_a_change_after_our_claim_ends_our_term(candidate: Candidate, change: WatchEvent) -> None:
-    candidate.election.term, candidate.election.leader = TERM, Leader("hive-0", 5, 7, 40)
+    candidate.election.term = TERM
+    candidate.election.known_leader.observe(Leader("hive-0", 5, 7, 40))
     candidate.election.confirmed_at = candidate.now
     candidate.election._on_change(change)
     assert candidate.terms_lost == 1
@@ -260,12 +266,12 @@
 
 def test_since_when_a_leader_leads_counts_from_its_first_sight(candidate: Candidate) -> None:
     candidate.election._on_snapshot([OTHERS_KEY])
-    assert candidate.election.leader_since == 1000.0
+    assert candidate.election.known_leader.leader_since == 1000.0
     candidate.now += 5.0
     candidate.election._on_snapshot([OTHERS_KEY])
-    assert candidate.election.leader_since == 1000.0
+    assert candidate.election.known_leader.leader_since == 1000.0
     candidate.election._on_change(Entry(LEADER_KEY, {"member": "hive-1", "baton": 7, "permit": 8}, 50))
-    assert candidate.election.leader_since == 1005.0
+    assert candidate.election.known_leader.leader_since == 1005.0
 
 
 def test_a_known_leader_is_told_without_waiting(candidate: Candidate) -> None:
@@ -276,14 +282,14 @@
         waited.append(timeout)
         return True
 
-    candidate.election._named.wait = wait  # type: ignore[method-assign]
-    assert candidate.election.await_leader(5.0) == Leader("hive-1", 6, 8, 41)
+    candidate.election.known_leader._changed.wait = wait  # type: ignore[method-assign]
+    assert candidate.election.known_leader.await_leader(5.0) == Leader("hive-1", 6, 8, 41)
     assert waited == []
     candidate.election._on_change(DeletedKey(LEADER_KEY, 42))
-    assert candidate.election.await_leader(5.0) is None
+    assert candidate.election.known_leader.await_leader(5.0) is None
     assert waited == [5.0]
     candidate.election.stop()
-    assert candidate.election.await_leader(5.0) is None
+    assert candidate.election.known_leader.await_leader(5.0) is None
     assert waited == [5.0]
 
 
