--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -139,7 +139,7 @@
         def within_limit(team: str, need: Resources, tasks: int) -> int:
             # What a team's limit keeps from running needs no machine yet.
             if team not in left:
-                left[team] = self._quotas.left(team, ctx.fleet.used_by_team.get(team, [0.0, 0.0]))
+                left[team] = self._quotas.remaining(team, ctx.fleet.used_by_team.get(team, [0.0, 0.0]))
             cpus, gpus = left[team]
             most = max_copies(need, (cpus, gpus, math.inf), tasks)
             left[team] = (cpus - most * need[0], gpus - most * need[1])
--- a/src/poppyhold/machines/packing.py
+++ b/src/poppyhold/machines/packing.py
@@ -9,7 +9,7 @@
 from poppyhold.model.entities import Attempt, Machine
 from poppyhold.model.resources import add_scaled, fits
 from poppyhold.scheduling.placement import may_use
-from poppyhold.scheduling.pricing import shares_of
+from poppyhold.scheduling.pricing import machine_shares
 
 
 class Packing:
@@ -70,7 +70,7 @@
     def _fits(machine: Machine, others: list[Space]) -> bool:
         taken: dict[int, tuple[float, float, float]] = {}
         attempts = sorted(
-            machine.attempts.values(), key=lambda a: -shares_of(a.job.task_resources, machine.capacity)
+            machine.attempts.values(), key=lambda a: -machine_shares(a.job.task_resources, machine.capacity)
         )
         zones: dict[tuple[str, str], int] = {}
         for attempt in attempts:
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -301,7 +301,7 @@
     def _task_ran(self, attempt: Attempt, now: float) -> None:
         # Only whole runs tell how long a task takes.
         if attempt.start_channel is not StartChannel.OBSERVED and attempt.running_at is not None:
-            self.admission.estimates.note(attempt.job, now - attempt.running_at)
+            self.admission.estimates.record_run(attempt.job, now - attempt.running_at)
 
     def _task_done(self, job: Job, index: int) -> None:
         other = job.active.get(index)
@@ -386,7 +386,7 @@
             # A machine at fault: whatever runs there had better start again elsewhere.
             return True
         ran = now - attempt.running_at if attempt.running_at is not None else 0.0
-        rest = max(0.0, self.admission.estimates.seconds(job) - ran)
+        rest = max(0.0, self.admission.estimates.estimate_s(job) - ran)
         if rest < left:
             return False
         if job.spec.checkpoint_s > 0:
--- a/src/poppyhold/node/users.py
+++ b/src/poppyhold/node/users.py
@@ -181,7 +181,7 @@
 
     def _never(self, spec: Submission, machine_types: dict[str, MachineType]) -> str | None:
         """Why a job can never run, or None."""
-        if not self._quotas.known(spec.team):
+        if not self._quotas.is_known(spec.team):
             return "unknown team"
         tasks = 1 if spec.shape == "array" else spec.tasks
         if not self._quotas.ever_fits(spec.team, (spec.cpus, spec.accelerators, spec.memory_gb), tasks):
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -37,7 +37,7 @@
         self.pricing = Pricing(design)
         self.planner = Planner(self.pricing, self.ledger, ctx.durations.slot_s, design.work_units)
         self.estimates = Estimates()
-        self.ledger.first = self._slot()
+        self.ledger.current_slot = self._slot()
         self._released = True
         self._reconsider_at = 0.0
         self._largest_record = ctx.settings.settings.state.lowest.value_bytes
@@ -49,7 +49,7 @@
 
     def machine_up(self, machine: Machine) -> None:
         """A machine can be planned on."""
-        if machine.name not in self.ledger.rows:
+        if machine.name not in self.ledger.machines:
             self.ledger.add_machine(
                 machine.name, machine.capacity, machine.zone, machine.machine_type.name, machine.spot
             )
@@ -60,9 +60,9 @@
 
     def machine_out(self, machine: Machine) -> None:
         """A machine can't be planned on any more."""
-        if machine.name not in self.ledger.rows:
+        if machine.name not in self.ledger.machines:
             return
-        self.ledger.drop_machine(machine.name)
+        self.ledger.remove_machine(machine.name)
         for attempt in machine.attempts.values():
             attempt.booked = False
         for job in self._ctx.fleet.jobs.values():
@@ -72,14 +72,14 @@
     def book(self, attempt: Attempt, times: float) -> None:
         """Book the room of an attempt, or release it with negative ``times``."""
         job = attempt.job
-        if attempt.booked == (times > 0) or attempt.machine.name not in self.ledger.rows:
+        if attempt.booked == (times > 0) or attempt.machine.name not in self.ledger.machines:
             return
         attempt.booked = times > 0
         if times > 0:
-            estimate = self.estimates.seconds(job)
-            attempt.booked_until = self.ledger.first + self.planner.span(estimate) - 1
+            estimate = self.estimates.estimate_s(job)
+            attempt.booked_until = self.ledger.current_slot + self.planner.span_slots(estimate) - 1
         last = None if job.is_service else attempt.booked_until
-        self.ledger.book(attempt.machine.name, job.task_resources, self.ledger.first, last, times)
+        self.ledger.book(attempt.machine.name, job.task_resources, self.ledger.current_slot, last, times)
 
     def over(self, attempt: Attempt) -> None:
         """An attempt is over: what it booked is released, and what it saved is there for the next."""
@@ -114,19 +114,19 @@
         if job.is_service:
             self.ledger.book(name, job.task_resources, slot, None, number)
         else:
-            span = self.planner.span(self._planned_estimate(job))
+            span = self.planner.span_slots(self._planned_estimate(job))
             self.ledger.book(name, job.task_resources, slot, slot + span - 1, number)
 
     def _planned_estimate(self, job: Job) -> float:
         # What was booked must be released alike, though the bias that is learned moves on.
         if job.planned_s <= 0:
-            job.planned_s = self.estimates.seconds(job)
+            job.planned_s = self.estimates.estimate_s(job)
         return job.planned_s
 
     def roll(self) -> None:
         """Move to a new slot: starts that were not made and tasks that overrun carry over to it."""
         slot = self._slot()
-        if slot <= self.ledger.first:
+        if slot <= self.ledger.current_slot:
             return
         late: list[tuple[Job, str, int]] = []
         for job in self._ctx.fleet.jobs.values():
@@ -134,7 +134,7 @@
                 for name, number in job.booked.pop(old).items():
                     self._book_plan(job, name, old, -number)
                     late.append((job, name, number))
-        self.ledger.roll(slot)
+        self.ledger.advance_to(slot)
         for job, name, number in late:
             here = job.booked.setdefault(slot, {})
             here[name] = here.get(name, 0) + number
@@ -162,13 +162,13 @@
         tasks = job.pending
         if tasks <= 0:
             return False
-        estimate = self.estimates.seconds(job)
+        estimate = self.estimates.estimate_s(job)
         plan = self.planner.plan(job, tasks, estimate, self._ctx.clock())
         if plan is None or plan.payoff <= 0:
             return False
         job.planned_s = estimate
         job.admitted = True
-        job.plan = plan.zones(self.ledger)
+        job.plan = plan.tasks_by_zone(self.ledger)
         self._book_starts(job, plan)
         return True
 
@@ -243,7 +243,9 @@
 
     def cap(self, job: Job) -> int:
         """How many more tasks the plan lets start by now; a plan never stops what runs."""
-        planned = sum(sum(zones.values()) for slot, zones in job.plan.items() if slot <= self.ledger.first)
+        planned = sum(
+            sum(zones.values()) for slot, zones in job.plan.items() if slot <= self.ledger.current_slot
+        )
         return planned - job.done - len(job.active)
 
     def reconsider(self, waiting: list[Job], now: float) -> None:
@@ -268,14 +270,14 @@
         for job in self._ctx.fleet.jobs.values():
             if job.phase is JobPhase.FINALIZED:
                 continue
-            for name, number in job.booked.get(self.ledger.first, {}).items():
+            for name, number in job.booked.get(self.ledger.current_slot, {}).items():
                 reserved[name] = add_scaled(reserved.get(name, NO_RESOURCES), job.task_resources, number)
         return reserved
 
     def without_own(self, reserved: dict[str, Resources], job: Job) -> dict[str, Resources]:
         """Booked room without what the job itself has booked now."""
         own = dict(reserved)
-        for name, number in job.booked.get(self.ledger.first, {}).items():
+        for name, number in job.booked.get(self.ledger.current_slot, {}).items():
             if name in own:
                 own[name] = add_scaled(own[name], job.task_resources, -number)
         return own
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -12,7 +12,7 @@
 from poppyhold.scheduling.admission import Admission
 from poppyhold.scheduling.free_capacity import FreeCapacityView
 from poppyhold.scheduling.gang_placement import GangPlacement
-from poppyhold.scheduling.placement import Choice, Placement, fetch_wait, may_use, zone_allows
+from poppyhold.scheduling.placement import Choice, Placement, image_wait_s, may_use, zone_allows
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.scheduling.relocation import Relocation
 from poppyhold.scheduling.search import Search
@@ -61,21 +61,21 @@
 
     def begin(self, here: Pass, reserved: dict[str, Resources]) -> None:
         """A new pass, or the part of one that leaves more room reserved."""
-        self.steady.begin(here.steady, reserved)
+        self.steady.begin_cycle(here.steady, reserved)
         self.views = [self.steady]
         if len(here.steady) < len(here.machines):
-            self._all.begin(here.machines, reserved)
+            self._all.begin_cycle(here.machines, reserved)
             self.views.append(self._all)
 
     def refresh(self) -> None:
         """More was reserved."""
         for view in self.views:
-            view.refresh()
+            view.refresh_all()
 
     def changed(self, machine: Machine) -> None:
         """Something was started on a machine."""
         for view in self.views:
-            view.changed(machine)
+            view.refresh_machine(machine)
 
 
 class Dispatcher:
@@ -94,7 +94,7 @@
         self.placement = Placement(aims, self._loss)
         self._gang_placement = GangPlacement(self.placement)
         self._relocation = Relocation(
-            admission.pricing.weights, ctx.durations, self.placement.in_time, ctx.clock
+            admission.pricing.weights, ctx.durations, self.placement.meets_objective, ctx.clock
         )
         self._pass = Pass([], [], NO_RESOURCES)
         self._planned_rooms, self._unplanned_rooms = Rooms(), Rooms()
@@ -131,9 +131,9 @@
             machine for machine in machines if machine.unreliable_until <= now and not suspects(machine)
         ]
         self._pass = Pass(machines, steady, ctx.fleet.unaccounted_resources(self._reconciler.unreconciled))
-        self.placement.begin(machines, [job for job in ctx.fleet.jobs.values() if job.active])
-        self._gang_placement.begin(ctx.fleet.jobs.values())
-        self._relocation.begin(self._pass.held)
+        self.placement.begin_cycle(machines, [job for job in ctx.fleet.jobs.values() if job.active])
+        self._gang_placement.begin_cycle(ctx.fleet.jobs.values())
+        self._relocation.begin_cycle(self._pass.held)
         # A backlog that meets a thousand empty machines takes seconds: reports must not wait for it. The next
         # pass goes on with those that this one did not come to.
         budget_s = ctx.durations.heartbeat_interval_s / 16
@@ -171,7 +171,7 @@
 
     def _start_unplanned(self, job: Job, reserved: dict[str, Resources]) -> None:
         """Start on room that no plan books now."""
-        booked = bool(job.booked.get(self._admission.ledger.first))
+        booked = bool(job.booked.get(self._admission.ledger.current_slot))
         own = self._admission.without_own(reserved, job) if booked else reserved
         if job.is_gang:
             self._start_gang(job, own)
@@ -204,7 +204,7 @@
         spec = job.spec
         if job.is_service:
             return job.priority, not job.within_guarantee, 1, 0.0, job.submitted_at, job.id
-        rest = max(0.0, self._admission.estimates.seconds(job) - job.saved_s())
+        rest = max(0.0, self._admission.estimates.estimate_s(job) - job.saved_s())
         group = 1 if job.due_at is None or now + rest <= job.due_at else 2
         if self._waited_long(job, now):
             # By arrival: by least work, the largest of them would again come last.
@@ -228,7 +228,7 @@
         if job.due_at is not None:
             # Whom it makes late is stopped last, and who is late anyway has nothing more to lose.
             rest = max(
-                0.0, self._admission.estimates.seconds(job) - job.progress.get(victim.index, 0.0) - ran
+                0.0, self._admission.estimates.estimate_s(job) - job.progress.get(victim.index, 0.0) - ran
             )
             slack = job.due_at - now - rest
             if 0 <= slack < lost + self._ctx.durations.lease_s:
@@ -285,13 +285,13 @@
             self._start(job, index, choice)
             self._rooms.changed(choice.machine)
             for search in searches:
-                search.again(choice.machine)
+                search.refresh_machine(choice.machine)
 
     def _searches(self, job: Job, reserved: dict[str, Resources]) -> list[Search]:
         """Where to look for places, in this order."""
         booked: set[str] = set()
         if reserved is not self._rooms.steady.reserved:
-            booked = set(job.booked.get(self._admission.ledger.first, ()))
+            booked = set(job.booked.get(self._admission.ledger.current_slot, ()))
         searches = []
         for view in self._rooms.views:
             zones = view.zones
@@ -306,20 +306,20 @@
         if self._ctx.clock() < job.may_preempt_at or job.failures.at_fault:
             return choice
         if choice is None:
-            return search.preempt()
-        wait = fetch_wait(choice.machine, job)
-        if self.placement.in_time(job, wait):
+            return search.best_preemption()
+        wait = image_wait_s(choice.machine, job)
+        if self.placement.meets_objective(job, wait):
             return choice
         return self._sooner(job, search, wait, reserved) or choice
 
     def _sooner(self, job: Job, search: Search, wait: float, reserved: dict[str, Resources]) -> Choice | None:
         """A machine that has the image, if making room there loses less than the wait elsewhere."""
-        other = search.preempt(soon=True)
+        other = search.best_preemption(soon=True)
         if other is not None and not any(victim.job.is_service for victim in other.victims):
-            saved = wait - fetch_wait(other.machine, job)
+            saved = wait - image_wait_s(other.machine, job)
             if sum(self._loss(victim) for victim in other.victims) <= saved:
                 return other
-        made = self._relocation.make_room(job, wait, self._pass.steady, reserved)
+        made = self._relocation.relocate_for(job, wait, self._pass.steady, reserved)
         if made is not None:
             # Room was reserved for the replicas that move.
             self._rooms.refresh()
@@ -336,7 +336,7 @@
                 # One at a time: what is being stopped still counts, and would be made up for twice.
                 return None
         owed = self._quotas.excess(job.spec.team, in_use, job.task_resources)
-        places = self.placement.preemptible(job, self._pass.steady, owed)
+        places = self.placement.preemptions(job, self._pass.steady, owed)
         return next((place[2] for place in places if zone_allows(job, place[2].machine.zone)), None)
 
     @staticmethod
@@ -380,7 +380,7 @@
             return [Choice(machine) for machine in chosen]
         if job.failures.at_fault:
             return None
-        return self._gang_placement.make_room(job, here.steady, reserved)
+        return self._gang_placement.preempt_for(job, here.steady, reserved)
 
     def _gang_within_limit(self, job: Job) -> bool:
         """Whether all pending tasks together stay within the team's limit."""
@@ -420,7 +420,7 @@
         if self._await_gangs(job, choice):
             return
         attempt = self._reconciler.start(job, index, choice.machine, choice.victims)
-        self.placement.take(choice)
+        self.placement.record_preemptions(choice)
         self._admission.use_booking(job, choice.machine.name)
         self._admission.book(attempt, 1.0)
 
--- a/src/poppyhold/scheduling/free_capacity.py
+++ b/src/poppyhold/scheduling/free_capacity.py
@@ -20,7 +20,7 @@
 # The score of a machine for any job of a kind, lower is better; None if it has no room.
 Score = Callable[[Machine], float | None]
 # A score, the machine's number to tell equals apart, and the machine.
-Place = tuple[float, int, Machine]
+RankedMachine = tuple[float, int, Machine]
 
 
 class FreeCapacityView:
@@ -31,49 +31,51 @@
         self.reserved: dict[str, Resources] = {}
         self.zones: set[str] = set()
         # The machine's version and its reserved room, as they were looked at last.
-        self._seen: dict[str, tuple[int, Resources | None]] = {}
+        self._observed: dict[str, tuple[int, Resources | None]] = {}
         # Names of machines in the order in which they changed; how many were dropped from its beginning.
-        self._log: list[str] = []
-        self._dropped = 0
+        self._change_log: list[str] = []
+        self._dropped_from_log = 0
 
-    def begin(self, machines: Iterable[Machine], reserved: dict[str, Resources]) -> None:
+    def begin_cycle(self, machines: Iterable[Machine], reserved: dict[str, Resources]) -> None:
         """A new pass over these machines."""
         self.machines = {machine.name: machine for machine in machines}
         self.zones = {machine.zone for machine in self.machines.values()}
         self.reserved = reserved
-        for name in self._seen.keys() - self.machines.keys():
-            del self._seen[name]
-            self._log.append(name)
-        self.refresh()
-        excess = len(self._log) - 4 * len(self.machines)
+        for name in self._observed.keys() - self.machines.keys():
+            del self._observed[name]
+            self._change_log.append(name)
+        self.refresh_all()
+        excess = len(self._change_log) - 4 * len(self.machines)
         if excess > 0:
-            del self._log[:excess]
-            self._dropped += excess
+            del self._change_log[:excess]
+            self._dropped_from_log += excess
 
-    def refresh(self) -> None:
+    def refresh_all(self) -> None:
         """More was reserved, or less: look at every machine."""
         for machine in self.machines.values():
-            self._look_at(machine)
+            self._observe(machine)
 
-    def changed(self, machine: Machine) -> None:
+    def refresh_machine(self, machine: Machine) -> None:
         """The room of a machine may have changed."""
         if machine.name in self.machines:
-            self._look_at(machine)
+            self._observe(machine)
 
-    def _look_at(self, machine: Machine) -> None:
+    def _observe(self, machine: Machine) -> None:
         state = machine.version, self.reserved.get(machine.name)
-        if self._seen.get(machine.name) != state:
-            self._seen[machine.name] = state
-            self._log.append(machine.name)
+        if self._observed.get(machine.name) != state:
+            self._observed[machine.name] = state
+            self._change_log.append(machine.name)
 
     @property
-    def mark(self) -> int:
+    def log_position(self) -> int:
         """The present end of the log."""
-        return self._dropped + len(self._log)
+        return self._dropped_from_log + len(self._change_log)
 
-    def changes(self, mark: int) -> set[str] | None:
+    def changed_since(self, mark: int) -> set[str] | None:
         """Names of the machines that changed behind a mark; None if the log does not go back so far."""
-        return set(self._log[mark - self._dropped :]) if mark >= self._dropped else None
+        return (
+            set(self._change_log[mark - self._dropped_from_log :]) if mark >= self._dropped_from_log else None
+        )
 
 
 class Ranking:
@@ -81,53 +83,53 @@
 
     def __init__(self, view: FreeCapacityView, score: Score) -> None:
         self._view, self._score = view, score
-        self._mark = -1
-        self._places: list[Place] = []
-        self._known: dict[str, tuple[float, int]] = {}
+        self._log_position = -1
+        self._ranked: list[RankedMachine] = []
+        self._ranked_by_name: dict[str, tuple[float, int]] = {}
 
     def update(self) -> None:
         """Look at the machines that changed since the last time, or at all if that is not known."""
-        changes = self._view.changes(self._mark)
-        self._mark = self._view.mark
+        changes = self._view.changed_since(self._log_position)
+        self._log_position = self._view.log_position
         if changes is None:
-            self._rank_all()
+            self._score_all()
             return
         for name in changes:
-            self._rank(name)
+            self._score_again(name)
 
-    def _rank_all(self) -> None:
+    def _score_all(self) -> None:
         scores = ((self._score(machine), machine) for machine in self._view.machines.values())
-        self._places = sorted(
+        self._ranked = sorted(
             (found, machine.number, machine) for found, machine in scores if found is not None
         )
-        self._known = {machine.name: (found, number) for found, number, machine in self._places}
+        self._ranked_by_name = {machine.name: (found, number) for found, number, machine in self._ranked}
 
-    def _rank(self, name: str) -> None:
-        before = self._known.pop(name, None)
+    def _score_again(self, name: str) -> None:
+        before = self._ranked_by_name.pop(name, None)
         if before is not None:
-            del self._places[bisect.bisect_left(self._places, before)]
+            del self._ranked[bisect.bisect_left(self._ranked, before)]
         machine = self._view.machines.get(name)
         found = self._score(machine) if machine is not None else None
         if machine is not None and found is not None:
-            self._known[name] = found, machine.number
-            bisect.insort(self._places, (found, machine.number, machine))
+            self._ranked_by_name[name] = found, machine.number
+            bisect.insort(self._ranked, (found, machine.number, machine))
 
-    def best(self, zones: Set[str], but: Set[str]) -> Place | None:
+    def best(self, zones: Set[str], but: Set[str]) -> RankedMachine | None:
         """The best place in these zones, on none of the machines that are left out."""
         return next(
-            (place for place in self._places if place[2].zone in zones and place[2].name not in but), None
+            (place for place in self._ranked if place[2].zone in zones and place[2].name not in but), None
         )
 
 
-class Rankings:
+class RankingCache:
     """The rankings that were used last."""
 
     def __init__(self) -> None:
-        self._kept: OrderedDict[tuple[object, ...], Ranking] = OrderedDict()
+        self._rankings: OrderedDict[tuple[object, ...], Ranking] = OrderedDict()
 
     def clear(self) -> None:
         """Scores are no longer what they were."""
-        self._kept.clear()
+        self._rankings.clear()
 
     def ranking(self, view: FreeCapacityView, job: Job, score: Score) -> Ranking:
         """The up-to-date ranking for jobs like this one."""
@@ -143,11 +145,11 @@
             spec.zone,
             spec.spot,
         )
-        ranking = self._kept.get(kind)
+        ranking = self._rankings.get(kind)
         if ranking is None:
-            ranking = self._kept[kind] = Ranking(view, score)
-            if len(self._kept) > _RANKINGS_KEPT:
-                self._kept.popitem(last=False)
-        self._kept.move_to_end(kind)
+            ranking = self._rankings[kind] = Ranking(view, score)
+            if len(self._rankings) > _RANKINGS_KEPT:
+                self._rankings.popitem(last=False)
+        self._rankings.move_to_end(kind)
         ranking.update()
         return ranking
--- a/src/poppyhold/scheduling/gang_placement.py
+++ b/src/poppyhold/scheduling/gang_placement.py
@@ -9,21 +9,21 @@
 from poppyhold.model.constraints import zone_limit
 from poppyhold.model.entities import Attempt, Job, Machine
 from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled, max_copies
-from poppyhold.scheduling.placement import Choice, Placement, fetch_wait, may_use
+from poppyhold.scheduling.placement import Choice, Placement, image_wait_s, may_use
 
 # A machine and how many tasks have room on it.
-Option = tuple[int, Machine]
+GangOption = tuple[int, Machine]
 
 
-class Candidate(msgspec.Struct, frozen=True):
+class GangCandidate(msgspec.Struct, frozen=True):
     """Machines for every task, in the order of the starts, and what speaks against them."""
 
-    uses_accelerator_room: bool
+    uses_accelerator_companions: bool
     machines: list[Machine]
 
-    def cost(self) -> tuple[bool, int]:
+    def sort_key(self) -> tuple[bool, int]:
         """Candidates with less come first."""
-        return self.uses_accelerator_room, len({machine.name for machine in self.machines})
+        return self.uses_accelerator_companions, len({machine.name for machine in self.machines})
 
 
 def accelerator_companions(jobs: Iterable[Job]) -> Resources:
@@ -37,7 +37,7 @@
     return cpus, 0.0, memory
 
 
-class RoomMade(msgspec.Struct, eq=False):
+class GangPreemption(msgspec.Struct, eq=False):
     """Room for some tasks on a machine, with the attempts that must be stopped first."""
 
     machine: Machine
@@ -56,7 +56,7 @@
         # What goes with an accelerator, once a gang of this pass asks for it.
         self._companions: Resources | None = None
 
-    def begin(self, jobs: Iterable[Job]) -> None:
+    def begin_cycle(self, jobs: Iterable[Job]) -> None:
         """A new pass; what is kept free for accelerators goes by the jobs that there are."""
         self._jobs, self._companions = jobs, None
 
@@ -65,36 +65,36 @@
     ) -> list[Machine] | None:
         """A machine for each pending task, or None if they don't all have room now."""
         usable = [machine for machine in machines if may_use(job, machine)]
-        found: list[Candidate] = []
+        found: list[GangCandidate] = []
         for group in self._zone_groups(job, usable):
             candidate = self._choose_among(job, group, reserved)
             if candidate is not None:
                 found.append(candidate)
-        return min(found, key=Candidate.cost).machines if found else None
+        return min(found, key=GangCandidate.sort_key).machines if found else None
 
-    def make_room(
+    def preempt_for(
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
     ) -> list[Choice] | None:
         """A machine for each pending task where lower work makes room for all of them, least loss first."""
         usable = [machine for machine in machines if may_use(job, machine)]
         found: list[tuple[float, list[Choice]]] = []
         for group in self._zone_groups(job, usable):
-            made = (self._room_made(job, machine, reserved, job.pending) for machine in group)
-            chosen = self._cheapest(job, [room for room in made if room is not None], reserved)
+            made = (self._preemption_on(job, machine, reserved, job.pending) for machine in group)
+            chosen = self._cheapest_preemptions(job, [room for room in made if room is not None], reserved)
             if chosen is not None:
                 found.append(chosen)
         return min(found, key=lambda entry: entry[0])[1] if found else None
 
-    def _room_made(
+    def _preemption_on(
         self, job: Job, machine: Machine, reserved: dict[str, Resources], most: int
-    ) -> RoomMade | None:
+    ) -> GangPreemption | None:
         """Room for up to so many tasks, with no more stops than that takes."""
         free = machine.free_after_reservations(reserved)
         count = max_copies(job.task_resources, free, most)
         victims: list[Attempt] = []
         lost = 0.0
         stops: list[Attempt] = []
-        for attempt in self._placement.stoppable_on(job, machine):
+        for attempt in self._placement.preemptible_on(job, machine):
             if count >= most:
                 break
             free = add_scaled(free, attempt.job.task_resources)
@@ -103,12 +103,12 @@
             if more > count:
                 count = more
                 victims += stops
-                lost += sum(self._placement.loss(victim) for victim in stops)
+                lost += sum(self._placement.preemption_cost_s(victim) for victim in stops)
                 stops = []
-        return RoomMade(machine, count, victims, lost / count) if count else None
+        return GangPreemption(machine, count, victims, lost / count) if count else None
 
-    def _cheapest(
-        self, job: Job, rooms: list[RoomMade], reserved: dict[str, Resources]
+    def _cheapest_preemptions(
+        self, job: Job, rooms: list[GangPreemption], reserved: dict[str, Resources]
     ) -> tuple[float, list[Choice]] | None:
         left = job.pending
         total = 0.0
@@ -119,7 +119,7 @@
             take = min(room.count, left, limit - zones.get(room.machine.zone, 0))
             if take <= 0:
                 continue
-            needed = room if take == room.count else self._room_made(job, room.machine, reserved, take)
+            needed = room if take == room.count else self._preemption_on(job, room.machine, reserved, take)
             if needed is None:
                 continue
             zones[room.machine.zone] = zones.get(room.machine.zone, 0) + take
@@ -145,24 +145,24 @@
 
     def _choose_among(
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
-    ) -> Candidate | None:
+    ) -> GangCandidate | None:
         # Room that accelerators need comes second: without it they would stand idle.
         for keeps_companions in (True, False) if job.task_resources[1] <= 0 else (False,):
             chosen = self._fill(job, self._options(job, machines, reserved, keeps_companions))
             if chosen is not None:
-                return Candidate(not keeps_companions and job.task_resources[1] <= 0, chosen)
+                return GangCandidate(not keeps_companions and job.task_resources[1] <= 0, chosen)
         return None
 
-    def _kept_for_accelerators(self) -> Resources:
+    def _accelerator_companions(self) -> Resources:
         if self._companions is None:
             self._companions = accelerator_companions(self._jobs)
         return self._companions
 
     def _options(
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources], keeps_companions: bool
-    ) -> list[Option]:
-        options: list[Option] = []
-        companions = self._kept_for_accelerators() if keeps_companions else NO_RESOURCES
+    ) -> list[GangOption]:
+        options: list[GangOption] = []
+        companions = self._accelerator_companions() if keeps_companions else NO_RESOURCES
         for machine in machines:
             free = machine.free_after_reservations(reserved)
             if keeps_companions:
@@ -172,7 +172,7 @@
                 options.append((count, machine))
         return options
 
-    def _fill(self, job: Job, options: list[Option]) -> list[Machine] | None:
+    def _fill(self, job: Job, options: list[GangOption]) -> list[Machine] | None:
         left = job.pending
         if sum(count for count, _ in options) < left:
             return None
@@ -190,17 +190,17 @@
                 left -= take
         return None if left else chosen
 
-    def _best(self, job: Job, options: list[Option], left: int) -> Option:
-        return min(options, key=lambda option: self._rank(job, option, left))
+    def _best(self, job: Job, options: list[GangOption], left: int) -> GangOption:
+        return min(options, key=lambda option: self._option_key(job, option, left))
 
-    def _rank(self, job: Job, option: Option, left: int) -> tuple[object, ...]:
+    def _option_key(self, job: Job, option: GangOption, left: int) -> tuple[object, ...]:
         """Machines that come first are those that hold all tasks that are left, or else the most of them."""
         count, machine = option
-        wait = fetch_wait(machine, job)
+        wait = image_wait_s(machine, job)
         holds_all = count >= left
         return (
             machine.name in job.failed_machines,
-            not self._placement.in_time(job, wait),
+            not self._placement.meets_objective(job, wait),
             not holds_all,
             machine.spot,
             not machine.attempts,
--- a/src/poppyhold/scheduling/pricing.py
+++ b/src/poppyhold/scheduling/pricing.py
@@ -17,18 +17,18 @@
             design.weight_standard,
             design.weight_best_effort,
         )
-        self.low = min(self.weights) * design.lowest_price
-        self.high = max(self.weights)
-        self._ratio = self.high / self.low
-        self._late = design.late_value
+        self.lowest = min(self.weights) * design.lowest_price
+        self.highest = max(self.weights)
+        self._ratio = self.highest / self.lowest
+        self._late_value = design.late_value
 
     def price(self, booked: float, capacity: float) -> float:
         """Price of one machine's share of a resource in a slot, L when free and U when full."""
         if capacity <= 0:
-            return self.high
-        return float(self.low * self._ratio ** min(1.0, max(0.0, booked / capacity)))
+            return self.highest
+        return float(self.lowest * self._ratio ** min(1.0, max(0.0, booked / capacity)))
 
-    def rates(self, booked: Resources, capacity: Resources) -> Resources:
+    def unit_prices(self, booked: Resources, capacity: Resources) -> Resources:
         """Prices of a unit of each resource of a machine in a slot."""
         cpus, gpus, memory = (
             self.price(used, all_) / all_ if all_ > 0 else 0.0
@@ -40,15 +40,15 @@
         """Value of ``shares`` machine shares booked for a job that ends then."""
         value = self.weights[job.priority] * shares
         if job.due_at is not None and end_at > job.due_at:
-            value *= self._late ** ((end_at - job.due_at) / slot_s)
+            value *= self._late_value ** ((end_at - job.due_at) / slot_s)
         return value
 
 
-def priced(need: Resources, rates: Resources) -> float:
+def price_of(need: Resources, rates: Resources) -> float:
     """Priced room of one task in one slot, at these prices of a unit of each resource."""
     return need[0] * rates[0] + need[1] * rates[1] + need[2] * rates[2]
 
 
-def shares_of(need: Resources, capacity: Resources) -> float:
+def machine_shares(need: Resources, capacity: Resources) -> float:
     """Machine shares of one task, summed over resources."""
     return sum(want / all_ for want, all_ in zip(need, capacity, strict=True) if want > 0 and all_ > 0)
--- a/src/poppyhold/scheduling/quotas.py
+++ b/src/poppyhold/scheduling/quotas.py
@@ -25,7 +25,7 @@
     accelerators_limit: float = math.inf
 
     @classmethod
-    def of(cls, team: Team) -> TeamQuota:
+    def from_settings(cls, team: Team) -> TeamQuota:
         """The quota that the platform's settings give a team; there 0 means none."""
         return cls(team.cpus or None, team.cpus_max or math.inf, team.gpus or None, team.gpus_max or math.inf)
 
@@ -53,13 +53,13 @@
     """The quotas of all teams."""
 
     def __init__(self, teams: Iterable[Team]) -> None:
-        self._teams = {team.name: TeamQuota.of(team) for team in teams}
+        self._teams = {team.name: TeamQuota.from_settings(team) for team in teams}
 
     def set(self, team: str, quota: TeamQuota) -> None:
         """Let another quota hold for a team."""
         self._teams[team] = quota
 
-    def known(self, team: str) -> bool:
+    def is_known(self, team: str) -> bool:
         """Whether the team exists."""
         return team in self._teams
 
@@ -91,7 +91,7 @@
             or (need[1] > 0 and used[1] + need[1] > quota.accelerators_limit + EPSILON)
         )
 
-    def left(self, team: str, used: list[float]) -> tuple[float, float]:
+    def remaining(self, team: str, used: list[float]) -> tuple[float, float]:
         """What the team's limit leaves beside what is used."""
         quota = self._teams.get(team)
         if quota is None:
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -17,7 +17,7 @@
 from poppyhold.model.durations import Durations
 from poppyhold.model.entities import Attempt, Job, JobPhase, Machine
 from poppyhold.model.resources import EPSILON, NO_RESOURCES, Resources, add_scaled, fits
-from poppyhold.scheduling.placement import Choice, fetch_wait, may_use, zone_allows
+from poppyhold.scheduling.placement import Choice, image_wait_s, may_use, zone_allows
 from poppyhold.wire.messages import TaskState
 
 log = logging.getLogger(__name__)
@@ -33,7 +33,7 @@
     """A replica that leaves its machine, the one where room for it is kept, and what the move costs."""
 
     attempt: Attempt
-    home: Machine
+    target: Machine
     cost: float
 
 
@@ -49,32 +49,32 @@
     ) -> None:
         # A second of a replica's time is worth the weight of its priority.
         self._weights = weights
-        self._restart_s, self._settled_s = times.heartbeat_interval_s, times.cancel_s
+        self._restart_s, self._min_running_s = times.heartbeat_interval_s, times.cancel_s
         self._lease_s = times.lease_s
-        self._in_time, self._clock = in_time, clock
+        self._meets_objective, self._clock = in_time, clock
         self._moves: list[Move] = []
         # When replicas moved within the last lease.
         self._moved_at: deque[float] = deque()
         self._searches_left = 0
-        self._hopeless: set[tuple[str, Resources, int]] = set()
+        self._infeasible: set[tuple[str, Resources, int]] = set()
 
-    def begin(self, held: dict[str, Resources]) -> None:
+    def begin_cycle(self, held: dict[str, Resources]) -> None:
         """A new pass: keep the room of replicas that are still on their way."""
         self._moves = [move for move in self._moves if _on_its_machine(move.attempt)]
         for move in self._moves:
             _reserve(held, move)
         self._searches_left = _MOST_SEARCHES
-        self._hopeless.clear()
+        self._infeasible.clear()
 
-    def make_room(
+    def relocate_for(
         self, job: Job, wait_s: float, machines: list[Machine], reserved: dict[str, Resources]
     ) -> Choice | None:
         """A machine with the job's image and the replicas that move away, if that costs less than waiting."""
         kind = (job.spec.image, job.task_resources, job.priority)
-        if self._searches_left <= 0 or kind in self._hopeless or self._moves_left(machines) <= 0:
+        if self._searches_left <= 0 or kind in self._infeasible or self._moves_left(machines) <= 0:
             return None
         self._searches_left -= 1
-        homes = self._homes(machines, reserved)
+        homes = self._targets(machines, reserved)
         best: tuple[float, Machine, list[Move]] | None = None
         for machine in machines:
             if not self._may_take(job, machine):
@@ -84,12 +84,12 @@
             if moves and (best is None or cost < best[0]):
                 best = cost, machine, moves
         if best is None or best[0] >= wait_s * self._weights[job.priority]:
-            self._hopeless.add(kind)
+            self._infeasible.add(kind)
             return None
         _, machine, moves = best
         for move in moves:
             _reserve(reserved, move)
-            log.debug("%s moves from %s to %s", move.attempt.name, machine.name, move.home.name)
+            log.debug("%s moves from %s to %s", move.attempt.name, machine.name, move.target.name)
         self._moves += moves
         self._moved_at.extend([self._clock()] * len(moves))
         return Choice(machine, [move.attempt for move in moves])
@@ -106,7 +106,7 @@
         return job.spec.image in machine.images and may_use(job, machine) and zone_allows(job, machine.zone)
 
     @staticmethod
-    def _homes(machines: Iterable[Machine], reserved: dict[str, Resources]) -> list[Machine]:
+    def _targets(machines: Iterable[Machine], reserved: dict[str, Resources]) -> list[Machine]:
         """Machines with some room left of all that they have."""
         roomy = (
             machine
@@ -130,13 +130,14 @@
         options = [
             move
             for attempt in machine.attempts.values()
-            if self._movable(job, attempt) and (move := self._move(job, attempt, homes, reserved)) is not None
+            if self._may_move(job, attempt)
+            and (move := self._best_move(job, attempt, homes, reserved)) is not None
         ]
         options.sort(key=lambda move: (move.cost, -move.attempt.sent_at))
         chosen: list[Move] = []
         for option in options:
             # The room that others found may be taken by an earlier one of these.
-            move = self._move(job, option.attempt, homes, taken) if chosen else option
+            move = self._best_move(job, option.attempt, homes, taken) if chosen else option
             if move is None:
                 continue
             chosen.append(move)
@@ -146,7 +147,7 @@
                 return chosen
         return []
 
-    def _movable(self, job: Job, attempt: Attempt) -> bool:
+    def _may_move(self, job: Job, attempt: Attempt) -> bool:
         """Whether a replica may move for the job. A start that is stopped soon was none to its user."""
         other = attempt.job
         return (
@@ -157,10 +158,10 @@
             and attempt.status == TaskState.RUNNING
             and attempt.stopping_at is None
             and attempt.running_at is not None
-            and self._clock() - attempt.running_at > self._settled_s
+            and self._clock() - attempt.running_at > self._min_running_s
         )
 
-    def _move(
+    def _best_move(
         self, job: Job, attempt: Attempt, homes: list[Machine], reserved: dict[str, Resources]
     ) -> Move | None:
         """The best next machine of a replica. One of the same priority only moves to where its image is."""
@@ -173,7 +174,7 @@
                 continue
             if not fits(other.task_resources, home.free_after_reservations(reserved)):
                 continue
-            wait_s = fetch_wait(home, other)
+            wait_s = image_wait_s(home, other)
             if not self._may_move_to(other, wait_s, other.priority == job.priority):
                 continue
             if best is None or wait_s < best[0]:
@@ -184,7 +185,7 @@
 
     def _may_move_to(self, job: Job, wait_s: float, for_an_equal: bool) -> bool:
         """Whether a replica may wait so long on its next machine: for one of the same priority not at all."""
-        return wait_s <= 0 if for_an_equal else self._in_time(job, wait_s)
+        return wait_s <= 0 if for_an_equal else self._meets_objective(job, wait_s)
 
 
 def _on_its_machine(attempt: Attempt) -> bool:
@@ -194,5 +195,5 @@
 
 def _reserve(rooms: dict[str, Resources], move: Move) -> None:
     """Keep the room for a replica on its next machine."""
-    name = move.home.name
+    name = move.target.name
     rooms[name] = add_scaled(rooms.get(name, NO_RESOURCES), move.attempt.job.task_resources)
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -138,8 +138,8 @@
         dispatcher = self.controller.dispatcher
         self._count_calls("passes", dispatcher, "dispatch")
         self._count_calls("plans", self.controller.admission.planner, "plan")
-        self._count_calls("searches", dispatcher.placement, "free")
-        self._count_calls("searches", dispatcher.placement, "preemptible")
+        self._count_calls("searches", dispatcher.placement, "ranking")
+        self._count_calls("searches", dispatcher.placement, "preemptions")
         self.assignment = Assignment(
             world.relays if node.relays else RelayMode.OFF,
             world.relays_from,
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -134,7 +134,7 @@
     Guard("gang_gives_up_its_room", Gangs, "abandon", _never),
     Guard("gang_alone", Gangs, "_avoid_late_machines", _never),
     Guard("gang_recall", Gangs, "stop", _kill),
-    Guard("gang_preempts", GangPlacement, "make_room", _never),
+    Guard("gang_preempts", GangPlacement, "preempt_for", _never),
     Guard("gang_preempted", Dispatcher, "_await_gangs", _never),
     Guard("gang_not_starved", Dispatcher, "_hold_for_gang", _never),
     Guard("gang_team_limit", Dispatcher, "_hold_for_gang", _never),
@@ -151,7 +151,7 @@
     Guard("zone_partition_of_two", DelegatedRenewal, "_is_partition", _never),
     Guard("zone_cut_keeps_machines", Survey, "silent_zones", _no_zones),
     Guard("zone_cut_keeps_machines", MachineMonitor, "_keep_out_of", _never),
-    Guard("image_holders_make_room", Relocation, "make_room", _never),
+    Guard("image_holders_make_room", Relocation, "relocate_for", _never),
     Guard("image_holders_one_at_a_time", Relocation, "_moves_left", _plenty),
     Guard("image_holders_keep_equals", Relocation, "_may_move_to", _always),
 ]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -336,16 +336,16 @@
         return machine.free[0] if machine.free[0] >= need else None
 
     view = FreeCapacityView()
-    view.begin([machines[index] for index in sorted(present)], {})
+    view.begin_cycle([machines[index] for index in sorted(present)], {})
     ranking = Ranking(view, score)
     for index, used, comes in changes:
         machines[index].set_used((float(used), 0.0, 0.0))
         if comes:
             present.add(index)
-            view.changed(machines[index])
+            view.refresh_machine(machines[index])
         else:
             present.discard(index)
-        view.begin([machines[index] for index in sorted(present)], {})
+        view.begin_cycle([machines[index] for index in sorted(present)], {})
         ranking.update()
         fitting = [machines[i] for i in present if machines[i].free[0] >= need and machines[i].zone == "a"]
         expected = min(((m.free[0], m.number) for m in fitting), default=None)
@@ -356,13 +356,13 @@
 def test_a_ranking_without_looking_at_changes_goes_wrong() -> None:
     machine = _machine("vm-000001", "a", 0.0)
     view = FreeCapacityView()
-    view.begin([machine], {})
+    view.begin_cycle([machine], {})
     ranking = Ranking(view, lambda m: m.free[0] if m.free[0] >= 4 else None)
     ranking.update()
     machine.set_used((16.0, 0.0, 0.0))
     # Its guard: a machine that something starts on is reported to the view.
     assert ranking.best({"a"}, set()) is not None
-    view.changed(machine)
+    view.refresh_machine(machine)
     ranking.update()
     assert ranking.best({"a"}, set()) is None
 
@@ -373,16 +373,16 @@
         ledger.add_machine(f"vm-{number:06d}", (16.0, 2.0, 64.0), "ab"[number % 2], "large", False)
     for step in range(200):
         name = f"vm-{rng.randrange(60):06d}"
-        slot = ledger.first + rng.randrange(4)
+        slot = ledger.current_slot + rng.randrange(4)
         ledger.book(name, (1.0, 0.0, 1.0), slot, rng.choice([None, slot + 1]), rng.choice([1.0, -1.0]))
         if step % 20 == 0:
-            ledger.roll(ledger.first + 1)
+            ledger.advance_to(ledger.current_slot + 1)
         if step % 33 == 0:
-            ledger.drop_machine(name)
+            ledger.remove_machine(name)
         by_kind: dict[Any, set[str]] = {}
-        for held, row in ledger.rows.items():
-            by_kind.setdefault(row.kind(), set()).add(held)
-        assert {row.kind(): set(names) for row, names in ledger.groups()} == by_kind
+        for held, row in ledger.machines.items():
+            by_kind.setdefault(row.equivalence_key(), set()).add(held)
+        assert {row.equivalence_key(): set(names) for row, names in ledger.groups()} == by_kind
 
 
 @settings(max_examples=150, derandomize=True, deadline=None, database=None)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -15,7 +15,7 @@
 from poppyhold.scale import jobs
 from poppyhold.scheduling.ledger import Ledger
 from poppyhold.scheduling.planner import Planner
-from poppyhold.scheduling.pricing import Pricing, priced, shares_of
+from poppyhold.scheduling.pricing import Pricing, machine_shares, price_of
 from poppyhold.settings import Team
 from poppyhold.wire.messages import Submission, parse_submission
 
@@ -40,20 +40,20 @@
     """The best payoff over every way to start the tasks, one slot and machine each."""
     part = estimate_s / SLOT_S
     need = (job.task_resources[0] * part, job.task_resources[1] * part, job.task_resources[2] * part)
-    places = [(slot, name) for slot in range(ledger.horizon) for name in ledger.rows]
+    places = [(slot, name) for slot in range(ledger.horizon_slots) for name in ledger.machines]
     best: float | None = None
     for chosen in itertools.combinations_with_replacement(places, job.spec.tasks):
         cost = 0.0
         for slot, name in set(chosen):
-            row = ledger.rows[name]
+            row = ledger.machines[name]
             booked = row.booked(slot)
             if not fits(add_scaled(booked, need, chosen.count((slot, name))), row.capacity):
                 break
-            cost += chosen.count((slot, name)) * priced(need, pricing.rates(booked, row.capacity))
+            cost += chosen.count((slot, name)) * price_of(need, pricing.unit_prices(booked, row.capacity))
         else:
             last = max(slot for slot, _ in chosen)
             end_at = estimate_s if last == 0 else (last + 1) * SLOT_S
-            shares = shares_of(job.task_resources, (16.0, 4.0, 64.0)) * job.spec.tasks * part
+            shares = machine_shares(job.task_resources, (16.0, 4.0, 64.0)) * job.spec.tasks * part
             payoff = pricing.value(job, shares, end_at, SLOT_S) - cost
             best = payoff if best is None else max(best, payoff)
     return best
@@ -63,7 +63,7 @@
 def test_plan_has_the_best_payoff(seed: int) -> None:
     rng = random.Random(seed)
     planner, ledger, pricing = make_planner(horizon=3, machines=2)
-    for name in ledger.rows:
+    for name in ledger.machines:
         for slot in range(3):
             ledger.book(name, (4.0, 1.0, 10.0), slot, slot, rng.randrange(4))
     due = rng.choice([None, 30.0, 90.0, 150.0])
@@ -81,9 +81,9 @@
 
 def test_price_runs_from_lowest_to_highest() -> None:
     pricing = Pricing(Design())
-    assert pricing.price(0.0, 8.0) == pytest.approx(pricing.low)
-    assert pricing.price(8.0, 8.0) == pytest.approx(pricing.high)
-    assert pricing.price(4.0, 8.0) == pytest.approx((pricing.low * pricing.high) ** 0.5)
+    assert pricing.price(0.0, 8.0) == pytest.approx(pricing.lowest)
+    assert pricing.price(8.0, 8.0) == pytest.approx(pricing.highest)
+    assert pricing.price(4.0, 8.0) == pytest.approx((pricing.lowest * pricing.highest) ** 0.5)
 
 
 def test_full_machines_admit_nothing_and_half_full_ones_only_what_is_worth_it() -> None:
@@ -101,7 +101,7 @@
     planner, ledger, _ = make_planner(horizon=2, machines=3)
     plan = planner.plan(make_job(submission(chores=8, apart=True), 1, 0.0), 8, 60.0, 0.0)
     assert plan is not None
-    for zones in plan.zones(ledger).values():
+    for zones in plan.tasks_by_zone(ledger).values():
         assert max(zones.values()) <= 4
 
 
