--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -114,11 +114,11 @@
         for entry in snapshot.active:
             job = self._add_job(entry)
             if job is not None and job.id in snapshot.plans:
-                self.admission.load(job, snapshot.plans[job.id])
+                self.admission.records.load(job, snapshot.plans[job.id])
                 self.failures.load(job)
         for job_id in snapshot.plans.keys() - ctx.fleet.jobs.keys():
             # Its job was over before its plan was removed.
-            self.admission.remove_plan(job_id)
+            self.admission.records.remove(job_id)
         for prefix, records in snapshot.done.items():
             self.completions.load(prefix, records)
         for job in sorted(ctx.fleet.jobs.values(), key=lambda job: job.submitted_at):
@@ -141,7 +141,7 @@
         """Go on with a job of an earlier term."""
         self.autoscaler.arrivals.note(job.submitted_at, job.spec)
         if not job.plan_durable:
-            self.admission.arrive(job)
+            self.admission.submit(job)
         if job.done == job.spec.tasks:
             self._finish(job)
 
@@ -173,7 +173,7 @@
         job = self._add_job(entry)
         if job is not None:
             self.autoscaler.arrivals.note(self.ctx.clock(), job.spec)
-            self.admission.arrive(job)
+            self.admission.submit(job)
 
     def job_removed(self, key: str) -> None:
         """A job is over: cancelled by its user, or done by us."""
@@ -185,13 +185,13 @@
         job.phase = JobPhase.FINALIZED
         self.autoscaler.arrivals.note_end(self.ctx.clock(), job.spec)
         self._guarantees_stale = True
-        self.admission.forget(job)
+        self.admission.release_plan(job)
         now = self.ctx.clock()
         for attempt in list(job.active.values()):
             self.reconciler.stop(attempt, 0.0, now)
         self.completions.remove(job)
         if job.plan_durable or job.plan_write_in_flight:
-            self.admission.remove_plan(job_id)
+            self.admission.records.remove(job_id)
         self._prune(job)
         self.ctx.scheduling_needed = True
 
@@ -211,7 +211,7 @@
     def tick(self) -> None:
         """What time alone brings about."""
         now = self.ctx.clock()
-        self.admission.roll()
+        self.admission.advance_slot()
         self.failures.tick()
         self.autoscaler.watch()
         self._drain(now)
@@ -296,7 +296,7 @@
             self.ctx.fleet.jobs.pop(job.id, None)
 
     def _judged(self, job: Job) -> None:
-        self.admission.judged(job)
+        self.admission.fault_changed(job)
 
     def _task_ran(self, attempt: Attempt, now: float) -> None:
         # Only whole runs tell how long a task takes.
@@ -325,13 +325,13 @@
             {ACTIVE + job.id: job.version},
             final_writes(job.id, "done", job.spec.tasks),
             durable,
-            self.admission.commit_priority(job),
+            self.admission.records.commit_priority(job),
         )
 
     # -- machines ------------------------------------------------------------------------------------
 
     def _attempt_over(self, attempt: Attempt) -> None:
-        self.admission.over(attempt)
+        self.admission.attempt_ended(attempt)
         job = attempt.job
         if job.phase is JobPhase.FINALIZED and set(job.active) <= {attempt.index}:
             self.ctx.fleet.jobs.pop(job.id, None)
@@ -339,12 +339,12 @@
     def _follow_machine(self, machine: Machine) -> None:
         usable = machine.is_up and machine.reconciled and not (machine.quarantined or machine.deleting)
         if usable and machine.preempted_at is None:
-            self.admission.machine_up(machine)
+            self.admission.add_machine(machine)
         else:
-            self.admission.machine_out(machine)
+            self.admission.remove_machine(machine)
 
     def _machine_gone(self, machine: Machine) -> None:
-        self.admission.machine_out(machine)
+        self.admission.remove_machine(machine)
 
     def _drain(self, now: float) -> None:
         """Move work off machines that will go: a notice may last half as long as it says."""
@@ -352,7 +352,7 @@
         for machine in self.ctx.fleet.machines.values():
             if (machine.preempted_at is None and not machine.quarantined) or machine.deleting:
                 continue
-            self.admission.machine_out(machine)
+            self.admission.remove_machine(machine)
             left = math.inf
             if machine.preempted_at is not None and machine.notice_at is not None:
                 left = (machine.preempted_at - machine.notice_at) / 2 - (now - machine.notice_at)
--- /dev/null
+++ b/src/poppyhold/scheduling/bookings.py
@@ -0,0 +1,167 @@
+"""Bookings of plans and of running tasks in the ledger."""
+
+from __future__ import annotations
+
+from poppyhold.model.entities import Attempt, Job, JobPhase, Machine
+from poppyhold.model.fleet import Fleet
+from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled
+from poppyhold.scheduling.estimates import Estimates
+from poppyhold.scheduling.ledger import Ledger
+from poppyhold.scheduling.planner import Plan, Planner
+
+
+class Bookings:
+    """Books what plans and attempts take, and releases it again."""
+
+    def __init__(self, fleet: Fleet, ledger: Ledger, planner: Planner, estimates: Estimates) -> None:
+        self._fleet, self._ledger, self._planner, self._estimates = fleet, ledger, planner, estimates
+
+    # -- machines ------------------------------------------------------------------------------------
+
+    def add_machine(self, machine: Machine) -> bool:
+        """Let plans use a machine, and book what runs there; returns whether it is new to plans."""
+        is_new = machine.name not in self._ledger.machines
+        if is_new:
+            self._ledger.add_machine(
+                machine.name, machine.capacity, machine.zone, machine.machine_type.name, machine.spot
+            )
+        for attempt in machine.attempts.values():
+            self.book_attempt(attempt)
+        return is_new
+
+    def remove_machine(self, machine: Machine) -> None:
+        """Let plans use a machine no more; what is booked there is dropped."""
+        if machine.name not in self._ledger.machines:
+            return
+        self._ledger.remove_machine(machine.name)
+        for attempt in machine.attempts.values():
+            attempt.booked = False
+        for job in self._fleet.jobs.values():
+            for machines in job.booked.values():
+                machines.pop(machine.name, None)
+
+    # -- attempts ------------------------------------------------------------------------------------
+
+    def book_attempt(self, attempt: Attempt) -> None:
+        """Book what an attempt takes from now on, for as long as it is estimated to run."""
+        if attempt.booked or attempt.machine.name not in self._ledger.machines:
+            return
+        attempt.booked = True
+        estimate_s = self._estimates.estimate_s(attempt.job)
+        attempt.booked_until = self._ledger.current_slot + self._planner.span_slots(estimate_s) - 1
+        self._change_attempt(attempt, 1.0)
+
+    def release_attempt(self, attempt: Attempt) -> None:
+        """Release what an attempt has booked."""
+        if not attempt.booked or attempt.machine.name not in self._ledger.machines:
+            return
+        attempt.booked = False
+        self._change_attempt(attempt, -1.0)
+
+    def _change_attempt(self, attempt: Attempt, times: float) -> None:
+        job = attempt.job
+        last = None if job.is_service else attempt.booked_until
+        self._ledger.book(attempt.machine.name, job.task_resources, self._ledger.current_slot, last, times)
+
+    # -- plans ---------------------------------------------------------------------------------------
+
+    def book_plan(self, job: Job, plan: Plan) -> None:
+        """Book the starts of a job's plan."""
+        for slot, machines in plan.starts.items():
+            job.booked[slot] = dict(machines)
+            for name, number in machines.items():
+                self._change_plan(job, name, slot, number)
+
+    def release_plan(self, job: Job) -> None:
+        """Release the starts of a job's plan that were not made."""
+        for slot, machines in job.booked.items():
+            for name, number in machines.items():
+                self._change_plan(job, name, slot, -number)
+        job.booked = {}
+
+    def use(self, job: Job, machine: str) -> None:
+        """Use up one booked start of a job: one on the machine if there is any, else the earliest."""
+        for slot in sorted(job.booked):
+            machines = job.booked[slot]
+            if not machines:
+                del job.booked[slot]
+                continue
+            name = machine if machine in machines else next(iter(machines))
+            self._change_plan(job, name, slot, -1)
+            machines[name] -= 1
+            if not machines[name]:
+                del machines[name]
+            if not machines:
+                del job.booked[slot]
+            return
+
+    def _change_plan(self, job: Job, name: str, slot: int, number: int) -> None:
+        """Book starts on a machine in a slot, or release them where ``number`` is negative."""
+        if job.is_service:
+            self._ledger.book(name, job.task_resources, slot, None, number)
+        else:
+            span = self._planner.span_slots(self._planned_estimate_s(job))
+            self._ledger.book(name, job.task_resources, slot, slot + span - 1, number)
+
+    def _planned_estimate_s(self, job: Job) -> float:
+        # What was booked must be released alike, though the bias that is learned moves on.
+        if job.planned_s <= 0:
+            job.planned_s = self._estimates.estimate_s(job)
+        return job.planned_s
+
+    # -- slots ---------------------------------------------------------------------------------------
+
+    def advance_to(self, slot: int) -> None:
+        """Move to a new slot: starts that were not made and tasks that overrun carry over to it."""
+        late = self._release_late_starts(slot)
+        self._ledger.advance_to(slot)
+        for job, name, number in late:
+            machines = job.booked.setdefault(slot, {})
+            machines[name] = machines.get(name, 0) + number
+            self._change_plan(job, name, slot, number)
+        self._extend_attempts(slot)
+
+    def _release_late_starts(self, slot: int) -> list[tuple[Job, str, int]]:
+        """Release the starts before a slot; returns how many of which job were booked on which machine."""
+        late: list[tuple[Job, str, int]] = []
+        for job in self._fleet.jobs.values():
+            for old_slot in [booked for booked in job.booked if booked < slot]:
+                for name, number in job.booked.pop(old_slot).items():
+                    self._change_plan(job, name, old_slot, -number)
+                    late.append((job, name, number))
+        return late
+
+    def _extend_attempts(self, slot: int) -> None:
+        """Book a slot for tasks that outrun their estimates.
+
+        Objection in DESIGN: without this, the resources of such a task look free, and cheap.
+        """
+        for machine in self._fleet.machines.values():
+            for attempt in machine.attempts.values():
+                if attempt.booked and not attempt.job.is_service and attempt.booked_until < slot:
+                    attempt.booked_until = slot
+                    self._ledger.book(machine.name, attempt.job.task_resources, slot, slot, 1.0)
+
+    # -- what plans book now -------------------------------------------------------------------------
+
+    def machines_booked_now(self, job: Job) -> set[str]:
+        """Machines on which the job's plan books starts in the current slot."""
+        return set(job.booked.get(self._ledger.current_slot, ()))
+
+    def booked_now(self) -> dict[str, Resources]:
+        """Resources by machine that plans book in the current slot and have not used yet."""
+        reserved: dict[str, Resources] = {}
+        for job in self._fleet.jobs.values():
+            if job.phase is JobPhase.FINALIZED:
+                continue
+            for name, number in job.booked.get(self._ledger.current_slot, {}).items():
+                reserved[name] = add_scaled(reserved.get(name, NO_RESOURCES), job.task_resources, number)
+        return reserved
+
+    def without_own(self, reserved: dict[str, Resources], job: Job) -> dict[str, Resources]:
+        """What is reserved, without what the job itself has booked now."""
+        others = dict(reserved)
+        for name, number in job.booked.get(self._ledger.current_slot, {}).items():
+            if name in others:
+                others[name] = add_scaled(others[name], job.task_resources, -number)
+        return others
--- a/src/poppyhold/scheduling/free_capacity.py
+++ b/src/poppyhold/scheduling/free_capacity.py
@@ -1,8 +1,8 @@
-"""Machines with free room, ranked by kind of job and kept from one pass to the next.
+"""Machines with free capacity, ranked by kind of job and kept from one scheduling cycle to the next.
 
-Each job that waited once looked at every machine in every pass. With 4,000 machines that had room a search
-took 30 ms, so that a pass came to ten jobs and the fleet started nine tasks a second. Jobs alike now share a
-ranking, and of it only the machines whose room has changed are looked at again.
+Each job that waited once looked at every machine in every cycle. With 4,000 machines that had free capacity a
+search took 30 ms, so that a cycle came to ten jobs and the fleet started nine tasks a second. Jobs alike now
+share a ranking, and of it only the machines whose free capacity has changed are looked at again.
 """
 
 from __future__ import annotations
@@ -10,34 +10,41 @@
 import bisect
 from collections import OrderedDict
 from collections.abc import Callable, Iterable, Set
+from typing import NamedTuple
 
 from poppyhold.model.entities import Job, Machine
 from poppyhold.model.resources import Resources
 
-# Rankings that are kept; each holds an entry for every machine with room for its kind of job.
-_RANKINGS_KEPT = 32
+# Rankings that are kept; each holds an entry for every machine on which its kind of job fits.
+_MAX_RANKINGS = 32
 
-# The score of a machine for any job of a kind, lower is better; None if it has no room.
+# The score of a machine for any job of a kind, lower is better; None if no task fits.
 Score = Callable[[Machine], float | None]
-# A score, the machine's number to tell equals apart, and the machine.
-RankedMachine = tuple[float, int, Machine]
+
+
+class RankedMachine(NamedTuple):
+    """A machine with its score, and with its number, which tells equals apart."""
+
+    score: float
+    number: int
+    machine: Machine
 
 
 class FreeCapacityView:
-    """The machines of a pass with their free room beside what is reserved, and a log of what changed."""
+    """The machines of a cycle, what is reserved on them, and a log of whose free capacity changed."""
 
     def __init__(self) -> None:
         self.machines: dict[str, Machine] = {}
         self.reserved: dict[str, Resources] = {}
         self.zones: set[str] = set()
-        # The machine's version and its reserved room, as they were looked at last.
+        # The machine's version and what is reserved on it, as they were looked at last.
         self._observed: dict[str, tuple[int, Resources | None]] = {}
         # Names of machines in the order in which they changed; how many were dropped from its beginning.
         self._change_log: list[str] = []
         self._dropped_from_log = 0
 
     def begin_cycle(self, machines: Iterable[Machine], reserved: dict[str, Resources]) -> None:
-        """A new pass over these machines."""
+        """Begin a scheduling cycle, or a part of one, over these machines."""
         self.machines = {machine.name: machine for machine in machines}
         self.zones = {machine.zone for machine in self.machines.values()}
         self.reserved = reserved
@@ -51,12 +58,12 @@
             self._dropped_from_log += excess
 
     def refresh_all(self) -> None:
-        """More was reserved, or less: look at every machine."""
+        """Look at every machine again after more was reserved, or less."""
         for machine in self.machines.values():
             self._observe(machine)
 
     def refresh_machine(self, machine: Machine) -> None:
-        """The room of a machine may have changed."""
+        """Look at a machine again whose free capacity may have changed."""
         if machine.name in self.machines:
             self._observe(machine)
 
@@ -68,27 +75,27 @@
 
     @property
     def log_position(self) -> int:
-        """The present end of the log."""
+        """The present end of the change log."""
         return self._dropped_from_log + len(self._change_log)
 
-    def changed_since(self, mark: int) -> set[str] | None:
-        """Names of the machines that changed behind a mark; None if the log does not go back so far."""
-        return (
-            set(self._change_log[mark - self._dropped_from_log :]) if mark >= self._dropped_from_log else None
-        )
+    def changed_since(self, position: int) -> set[str] | None:
+        """Names of the machines that changed after a position; None if the log does not go back so far."""
+        if position < self._dropped_from_log:
+            return None
+        return set(self._change_log[position - self._dropped_from_log :])
 
 
 class Ranking:
-    """The machines of a view with room for one kind of job, best first."""
+    """The machines of a view on which a task of one kind of job fits, best first."""
 
     def __init__(self, view: FreeCapacityView, score: Score) -> None:
         self._view, self._score = view, score
         self._log_position = -1
         self._ranked: list[RankedMachine] = []
-        self._ranked_by_name: dict[str, tuple[float, int]] = {}
+        self._ranked_by_name: dict[str, RankedMachine] = {}
 
     def update(self) -> None:
-        """Look at the machines that changed since the last time, or at all if that is not known."""
+        """Score the machines again that changed since the last time, or all of them if that is not known."""
         changes = self._view.changed_since(self._log_position)
         self._log_position = self._view.log_position
         if changes is None:
@@ -100,24 +107,29 @@
     def _score_all(self) -> None:
         scores = ((self._score(machine), machine) for machine in self._view.machines.values())
         self._ranked = sorted(
-            (found, machine.number, machine) for found, machine in scores if found is not None
+            RankedMachine(score, machine.number, machine) for score, machine in scores if score is not None
         )
-        self._ranked_by_name = {machine.name: (found, number) for found, number, machine in self._ranked}
+        self._ranked_by_name = {ranked.machine.name: ranked for ranked in self._ranked}
 
     def _score_again(self, name: str) -> None:
         before = self._ranked_by_name.pop(name, None)
         if before is not None:
             del self._ranked[bisect.bisect_left(self._ranked, before)]
         machine = self._view.machines.get(name)
-        found = self._score(machine) if machine is not None else None
-        if machine is not None and found is not None:
-            self._ranked_by_name[name] = found, machine.number
-            bisect.insort(self._ranked, (found, machine.number, machine))
+        score = self._score(machine) if machine is not None else None
+        if machine is not None and score is not None:
+            ranked = self._ranked_by_name[name] = RankedMachine(score, machine.number, machine)
+            bisect.insort(self._ranked, ranked)
 
-    def best(self, zones: Set[str], but: Set[str]) -> RankedMachine | None:
-        """The best place in these zones, on none of the machines that are left out."""
+    def best(self, zones: Set[str], excluded: Set[str]) -> RankedMachine | None:
+        """The best machine in these zones that is not excluded."""
         return next(
-            (place for place in self._ranked if place[2].zone in zones and place[2].name not in but), None
+            (
+                ranked
+                for ranked in self._ranked
+                if ranked.machine.zone in zones and ranked.machine.name not in excluded
+            ),
+            None,
         )
 
 
@@ -128,7 +140,7 @@
         self._rankings: OrderedDict[tuple[object, ...], Ranking] = OrderedDict()
 
     def clear(self) -> None:
-        """Scores are no longer what they were."""
+        """Drop all rankings: scores are no longer what they were."""
         self._rankings.clear()
 
     def ranking(self, view: FreeCapacityView, job: Job, score: Score) -> Ranking:
@@ -148,7 +160,7 @@
         ranking = self._rankings.get(kind)
         if ranking is None:
             ranking = self._rankings[kind] = Ranking(view, score)
-            if len(self._rankings) > _RANKINGS_KEPT:
+            if len(self._rankings) > _MAX_RANKINGS:
                 self._rankings.popitem(last=False)
         self._rankings.move_to_end(kind)
         ranking.update()
--- /dev/null
+++ b/src/poppyhold/scheduling/gang_scheduler.py
@@ -0,0 +1,93 @@
+"""Gangs in a scheduling cycle: all pending tasks of one start in one step, or none of them."""
+
+from __future__ import annotations
+
+from poppyhold.execution.gangs import Gangs, GangState
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Job
+from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled
+from poppyhold.scheduling.cycle import SchedulingCycle, reserve
+from poppyhold.scheduling.gang_placement import GangPlacement
+from poppyhold.scheduling.job_order import JobOrder
+from poppyhold.scheduling.placement import Choice, copies_that_fit, in_best_zone, may_use
+from poppyhold.scheduling.quotas import Quotas
+from poppyhold.scheduling.task_starter import TaskStarter
+
+
+class GangScheduler:
+    """Starts gangs, and reserves capacity for those that have waited long."""
+
+    def __init__(
+        self,
+        ctx: Context,
+        gangs: Gangs,
+        quotas: Quotas,
+        placement: GangPlacement,
+        order: JobOrder,
+        starter: TaskStarter,
+    ) -> None:
+        self._ctx, self._gangs, self._quotas = ctx, gangs, quotas
+        self._placement, self._order, self._starter = placement, order, starter
+
+    def start_gang(self, cycle: SchedulingCycle, job: Job, reserved: dict[str, Resources]) -> None:
+        """Start all pending tasks of a gang, if they fit beside what is reserved."""
+        if not self._gangs.may_start(job):
+            return
+        within_limit = self._within_limit(cycle, job)
+        choices = self._choices(cycle, job, reserved) if within_limit else None
+        if choices is not None:
+            for choice in choices:
+                index = job.next_pending()
+                if index is not None:
+                    self._starter.start(job, index, choice)
+                    cycle.capacity.refresh_machine(choice.machine)
+        elif self._gangs.state_of(job) is GangState.ASSEMBLING:
+            self._gangs.abandon(job, "no room for a replacement", self._ctx.clock())
+        elif self._order.has_waited_long(job, self._ctx.clock()) and not job.failures.at_fault:
+            self._reserve_for(cycle, job, within_limit)
+
+    def _choices(
+        self, cycle: SchedulingCycle, job: Job, reserved: dict[str, Resources]
+    ) -> list[Choice] | None:
+        """A machine for each pending task, if need be among those that are not reliable.
+
+        Where they don't all fit, lower work is preempted: for all of them, or none is stopped.
+        """
+        chosen = self._placement.choose(job, cycle.reliable_machines, reserved)
+        if chosen is None and len(cycle.reliable_machines) < len(cycle.machines):
+            chosen = self._placement.choose(job, cycle.machines, reserved)
+        if chosen is not None:
+            return [Choice(machine) for machine in chosen]
+        if job.failures.at_fault:
+            return None
+        return self._placement.preempt_for(job, cycle.reliable_machines, reserved)
+
+    def _within_limit(self, cycle: SchedulingCycle, job: Job) -> bool:
+        """Whether all pending tasks together stay within the team's limit."""
+        in_use = cycle.in_use(self._ctx.fleet.used_by_team.get(job.spec.team))
+        return self._quotas.allows(
+            job.spec.team, in_use, add_scaled(NO_RESOURCES, job.task_resources, job.pending)
+        )
+
+    def _reserve_for(self, cycle: SchedulingCycle, job: Job, within_limit: bool) -> None:
+        """Reserve what is released for a gang that has waited long, for a while at a time.
+
+        Smaller jobs would take each part that is released, and the gang would never find enough at once.
+        Reserved without end, it would let a gang that nothing can serve block all others.
+        """
+        waited_s = self._order.passed_over_s(job, self._ctx.clock())
+        reservation_s = self._ctx.settings.settings.workers.gang_wait_s
+        # Intervals with the reservation and without it alternate.
+        if int(waited_s / reservation_s) % 2:
+            return
+        if not within_limit:
+            cycle.reserved_teams.add(job.spec.team)
+            return
+        machines = [machine for machine in cycle.machines if may_use(job, machine)]
+        if job.spec.one_zone:
+            machines = in_best_zone(job, machines, cycle.reserved)
+        for machine in machines:
+            count = copies_that_fit(job, machine, cycle.reserved)
+            if count:
+                reserve(cycle.reserved, machine.name, add_scaled(NO_RESOURCES, job.task_resources, count))
+        cycle.capacity.refresh_all()
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -1,29 +1,53 @@
-"""Which machine a task starts on, and what has to make room for it."""
+"""Which machine a task starts on, and what has to be preempted for it."""
 
 from __future__ import annotations
 
 import math
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Collection, Iterable
+from typing import NamedTuple
 
 import msgspec
 
 from poppyhold.model.constraints import zone_limit
 from poppyhold.model.entities import Attempt, Job, Machine
-from poppyhold.model.resources import EPSILON, NO_RESOURCES, Resources, add_scaled, fits
+from poppyhold.model.resources import EPSILON, NO_RESOURCES, Resources, add_scaled, fits, max_copies
 from poppyhold.scheduling.free_capacity import FreeCapacityView, Ranking, RankingCache
+from poppyhold.scheduling.quotas import QuotaExcess
 from poppyhold.wire.messages import BEFORE_IMAGE, STOPPABLE
 
 # Fetches take a third longer at times, as PROTOCOL says.
 _FETCH_SPREAD = 4 / 3
+# A rate for machines whose type gives none.
+_MIN_FETCH_GB_PER_S = 1e-3
+
+# Weights of a score, in seconds: of a wait for the image that is short enough; of fetching fast, as a part of
+# what users expect; and parts of a boot time for what stays free, for a spot task on an ordinary machine, for
+# another replica of the job on the machine.
+_WAIT_IN_TIME_WEIGHT = 0.3
+_FAST_FETCH_WEIGHT = 0.2
+_FREE_WEIGHT = 0.02
+_SPOT_TASK_WEIGHT = 0.2
+_REPLICA_WEIGHT = 0.05
+# Weights of the cost of a preemption: of each second that is lost, and seconds for each victim.
+_LOSS_WEIGHT = 0.05
+_VICTIM_COST_S = 0.5
 
 
 class Choice(msgspec.Struct, eq=False):
-    """A machine for a task, with the attempts that must go first."""
+    """A machine for a task, with the attempts that must be stopped first."""
 
     machine: Machine
     victims: list[Attempt] = msgspec.field(default_factory=list)
 
 
+class PreemptionOption(NamedTuple):
+    """A choice that preempts, what it costs, and its machine's place in the order of the machines."""
+
+    cost: float
+    order: int
+    choice: Choice
+
+
 def may_use(job: Job, machine: Machine) -> bool:
     """Whether the job's own terms allow the machine, other tasks aside."""
     spec = job.spec
@@ -41,41 +65,59 @@
     return job.active_by_zone.get(zone, 0) < zone_limit(job.spec)
 
 
+def copies_that_fit(job: Job, machine: Machine, reserved: dict[str, Resources]) -> int:
+    """How many of the job's pending tasks fit on a machine now, beside what is reserved."""
+    return max_copies(job.task_resources, machine.free_after_reservations(reserved), job.pending)
+
+
+def in_best_zone(job: Job, machines: Collection[Machine], reserved: dict[str, Resources]) -> list[Machine]:
+    """The machines of the zone that fits most tasks, for a job that has to stay in one."""
+    counts: dict[str, int] = {}
+    for machine in machines:
+        if may_use(job, machine):
+            counts[machine.zone] = counts.get(machine.zone, 0) + copies_that_fit(job, machine, reserved)
+    best = max(counts, key=lambda zone: (counts[zone], zone), default=None)
+    return [machine for machine in machines if machine.zone == best]
+
+
 def image_wait_s(machine: Machine, job: Job) -> float:
     """Seconds until the machine has the job's image, as far as we can know."""
     image = job.spec.image
     if image in machine.images:
         return 0.0
-    price = max(machine.machine_type.fetch_gb_per_s, 1e-3)
-    pulling: dict[str, float] = {}
+    rate_gb_per_s = max(machine.machine_type.fetch_gb_per_s, _MIN_FETCH_GB_PER_S)
+    # Sizes of the images that the machine fetches, by name.
+    fetching: dict[str, float] = {}
     for attempt in machine.attempts.values():
         if attempt.status in BEFORE_IMAGE and attempt.job.spec.image not in machine.images:
-            pulling[attempt.job.spec.image] = attempt.job.spec.image_gb
-    already = image in pulling
-    pulling[image] = job.spec.image_gb
+            fetching[attempt.job.spec.image] = attempt.job.spec.image_gb
+    has_begun = image in fetching
+    fetching[image] = job.spec.image_gb
     # Fetches share the rate; one that has begun is on average half done.
-    return sum(pulling.values()) / price * (0.5 if already else 1.0)
+    return sum(fetching.values()) / rate_gb_per_s * (0.5 if has_begun else 1.0)
 
 
 class Placement:
-    """Chooses machines by the wait for their image, then by how they pack."""
+    """Scores machines by the wait for their image, then by how tasks pack; and chooses whom to preempt."""
 
-    def __init__(self, aims: dict[str, float], loss: Callable[[Attempt], float]) -> None:
-        self._objectives_s = aims
+    def __init__(self, objectives_s: dict[str, float], preemption_cost_s: Callable[[Attempt], float]) -> None:
+        # Within how many seconds the tasks of a class should have started.
+        self._objectives_s = objectives_s
         self._fastest_fetch_gb_per_s = 0.0
         # Seconds of work, or of waiting, that are lost with an attempt.
-        self._preemption_cost_s = loss
-        # Team, priority and guarantee of whoever needs room -> what it may preempt, by machine.
+        self._preemption_cost_s = preemption_cost_s
+        # What jobs may preempt, by machine, for each team, priority and guarantee.
         self._preemptible_cache: dict[tuple[str, int, bool], dict[str, list[Attempt]]] = {}
+        # Version of the machine, and the victims there, for each kind of job and machine.
         self._victims_cache: dict[tuple[object, ...], tuple[int, list[Attempt] | None]] = {}
-        # Room that stops of this pass will have freed before anything else that it starts there.
+        # What preemptions of this cycle will have freed before anything else that it starts there.
         self._freed_by_preemption: dict[str, Resources] = {}
         self._active_jobs: list[Job] = []
         self._rankings = RankingCache()
 
-    def begin_cycle(self, machines: list[Machine], running: list[Job]) -> None:
-        """A new pass over the jobs that wait, on these machines and with these jobs on them."""
-        self._active_jobs = running
+    def begin_cycle(self, machines: list[Machine], active_jobs: list[Job]) -> None:
+        """Begin a scheduling cycle on these machines, with these jobs on them."""
+        self._active_jobs = active_jobs
         fastest = max((machine.machine_type.fetch_gb_per_s for machine in machines), default=0.0)
         if fastest != self._fastest_fetch_gb_per_s:
             self._fastest_fetch_gb_per_s = fastest
@@ -85,31 +127,34 @@
         self._freed_by_preemption.clear()
 
     def record_preemptions(self, choice: Choice) -> None:
-        """A choice was carried out: the stops come before any later start on the machine."""
+        """Note that a choice was carried out: its stops come before any later start on the machine."""
         name = choice.machine.name
         for victim in choice.victims:
             self._freed_by_preemption[name] = add_scaled(
                 self._freed_by_preemption.get(name, NO_RESOURCES), victim.job.task_resources
             )
 
-    def meets_objective(self, job: Job, wait: float) -> bool:
+    def meets_objective(self, job: Job, wait_s: float) -> bool:
         """Whether a task that waits so long for its image starts within what its users expect."""
-        return wait * _FETCH_SPREAD <= self._objectives_s.get(job.spec.job_class, math.inf)
+        return wait_s * _FETCH_SPREAD <= self._objectives_s.get(job.spec.job_class, math.inf)
 
     def _shared_score(self, job: Job, machine: Machine, free: Resources) -> float:
-        """Seconds that a placement costs any job alike; beside waits, parts of a boot time."""
-        boot = machine.machine_type.boot_s
+        """Seconds that a placement costs any job alike: waits, and parts of a boot time. Lower is better."""
+        boot_s = machine.machine_type.boot_s
         score = image_wait_s(machine, job)
-        aim = self._objectives_s.get(job.spec.job_class)
-        if aim is not None and self.meets_objective(job, score):
+        objective_s = self._objectives_s.get(job.spec.job_class)
+        if objective_s is not None and self.meets_objective(job, score):
             # Soon enough is as good as at once. Machines that fetch fast are left to images that need it:
             # once they were full of small ones, every large image took twice as long as is expected.
-            score = score * 0.3 + aim * 0.2 * machine.machine_type.fetch_gb_per_s / max(
-                self._fastest_fetch_gb_per_s, 1e-3
+            fetch_gb_per_s = machine.machine_type.fetch_gb_per_s
+            fastest_gb_per_s = max(self._fastest_fetch_gb_per_s, _MIN_FETCH_GB_PER_S)
+            score = (
+                score * _WAIT_IN_TIME_WEIGHT
+                + objective_s * _FAST_FETCH_WEIGHT * fetch_gb_per_s / fastest_gb_per_s
             )
         # Packing: machines that are nearly full first, so that others empty.
         capacity = machine.capacity
-        left = max(
+        free_share = max(
             (
                 (free[i] - job.task_resources[i]) / capacity[i]
                 for i in range(3)
@@ -117,15 +162,15 @@
             ),
             default=0.0,
         )
-        score += left * boot * 0.02
+        score += free_share * boot_s * _FREE_WEIGHT
         # Work that may run on spot machines leaves the ordinary ones to work that may not.
         if job.spec.spot and not machine.spot:
-            score += boot * 0.2
+            score += boot_s * _SPOT_TASK_WEIGHT
         return score
 
     @staticmethod
     def machines_scored_per_job(job: Job) -> set[str]:
-        """Machines that count differently for this very job than for others like it."""
+        """Machines whose score is another for this very job than for others like it."""
         if job.is_service and job.spec.tasks > 1:
             return job.failed_machines | {attempt.machine.name for attempt in job.active.values()}
         return job.failed_machines
@@ -133,23 +178,27 @@
     @staticmethod
     def _job_score(job: Job, machine: Machine) -> float:
         """What a placement costs this very job beyond others like it."""
-        boot = machine.machine_type.boot_s
-        score = boot if machine.name in job.failed_machines else 0.0
+        boot_s = machine.machine_type.boot_s
+        score = boot_s if machine.name in job.failed_machines else 0.0
         # Replicas on one machine are lost together.
         if job.is_service and job.spec.tasks > 1:
-            score += boot * 0.05 * sum(1 for attempt in machine.attempts.values() if attempt.job is job)
+            score += (
+                boot_s
+                * _REPLICA_WEIGHT
+                * sum(1 for attempt in machine.attempts.values() if attempt.job is job)
+            )
         return score
 
     def score_if_fits(self, job: Job, machine: Machine, reserved: dict[str, Resources]) -> float | None:
-        """The score of a machine with free room beside what is reserved for plans; None if it has none."""
+        """The score of a machine for this very job; None if a task does not fit beside what is reserved."""
         score = self._shared_score_if_fits(job, machine, reserved)
         return None if score is None else score + self._job_score(job, machine)
 
     def _shared_score_if_fits(
         self, job: Job, machine: Machine, reserved: dict[str, Resources]
     ) -> float | None:
-        """The same for any job alike, without what this one's own tasks and failures make of it."""
-        # The bulk of all machines is full: they are passed over at the price of three comparisons.
+        """The same for any job like this one, without what its own tasks and failures make of it."""
+        # The bulk of all machines is full: they cost three comparisons each.
         free, need = machine.free, job.task_resources
         if not fits(need, free) or not may_use(job, machine):
             return None
@@ -157,43 +206,44 @@
         return self._shared_score(job, machine, free) if fits(need, free) else None
 
     def ranking(self, job: Job, view: FreeCapacityView) -> Ranking:
-        """Machines with free room for a task of the job or any like it, best first."""
+        """Machines on which a task of the job, or of any like it, fits now; best first."""
         return self._rankings.ranking(
             view, job, lambda machine: self._shared_score_if_fits(job, machine, view.reserved)
         )
 
     def preemption_on(
-        self, job: Job, machine: Machine, owed: tuple[float, float] | None = None
-    ) -> tuple[float, Choice] | None:
-        """What it costs to make room on a machine, if preemption is allowed there at all.
+        self, job: Job, machine: Machine, order: int, excess: QuotaExcess | None = None
+    ) -> PreemptionOption | None:
+        """What it costs to preempt on a machine for a task of the job, if that is allowed there at all.
 
-        Where the team is at its limit, its own lower work has to free ``owed`` cpus and accelerators. The
-        stops and the start reach the worker in one command, so the limit holds all the while.
+        Where the team is at its limit, its own lower work has to free the ``excess``. The stops and the start
+        reach the worker in one command, so the limit holds all the while.
         """
         candidates = self._preemptible_by_machine(job).get(machine.name)
         if candidates is None or not may_use(job, machine):
             return None
-        victims = self._cached_victims(job, machine, candidates, owed)
+        victims = self._cached_victims(job, machine, candidates, excess)
         if victims is None:
             return None
-        lost = sum(self._preemption_cost_s(victim) for victim in victims)
-        return image_wait_s(machine, job) + lost * 0.05 + len(victims) * 0.5, Choice(machine, victims)
+        lost_s = sum(self._preemption_cost_s(victim) for victim in victims)
+        cost = image_wait_s(machine, job) + lost_s * _LOSS_WEIGHT + len(victims) * _VICTIM_COST_S
+        return PreemptionOption(cost, order, Choice(machine, victims))
 
     def preemptions(
-        self, job: Job, machines: Iterable[Machine], owed: tuple[float, float] | None = None
-    ) -> list[tuple[float, int, Choice]]:
-        """Machines where room can be made for a task of the job, least loss first."""
+        self, job: Job, machines: Iterable[Machine], excess: QuotaExcess | None = None
+    ) -> list[PreemptionOption]:
+        """Machines where preemption lets a task of the job start, least cost first."""
         found = []
         if self._preemptible_by_machine(job):
             for order, machine in enumerate(machines):
-                place = self.preemption_on(job, machine, owed)
-                if place is not None:
-                    found.append((place[0], order, place[1]))
+                option = self.preemption_on(job, machine, order, excess)
+                if option is not None:
+                    found.append(option)
         found.sort(key=lambda entry: entry[:2])
         return found
 
     def preemptible_on(self, job: Job, machine: Machine) -> list[Attempt]:
-        """What the job may preempt on a machine where nothing was stopped in this pass, least loss first."""
+        """What the job may preempt on a machine where nothing was stopped in this cycle, least loss first."""
         if machine.name in self._freed_by_preemption or not may_use(job, machine):
             return []
         found = [
@@ -212,9 +262,9 @@
         return self._preemption_cost_s(attempt)
 
     def _preemptible_by_machine(self, job: Job) -> dict[str, list[Attempt]]:
-        """What the job may preempt, by machine. Within a pass it only gets less."""
-        claim = (job.spec.team, job.priority, job.within_guarantee)
-        found = self._preemptible_cache.get(claim)
+        """What the job may preempt, by machine. Within a cycle it only gets less."""
+        key = (job.spec.team, job.priority, job.within_guarantee)
+        found = self._preemptible_cache.get(key)
         if found is None:
             found = {}
             for other in self._active_jobs:
@@ -223,56 +273,59 @@
                 for attempt in other.active.values():
                     if attempt.stopping_at is None and attempt.status in STOPPABLE:
                         found.setdefault(attempt.machine.name, []).append(attempt)
-            self._preemptible_cache[claim] = found
+            self._preemptible_cache[key] = found
         return found
 
     def _cached_victims(
-        self, job: Job, machine: Machine, candidates: list[Attempt], owed: tuple[float, float] | None
+        self, job: Job, machine: Machine, candidates: list[Attempt], excess: QuotaExcess | None
     ) -> list[Attempt] | None:
         """The victims on a machine; jobs alike share them as long as nothing starts there.
 
-        Every waiting job once chose them anew on every machine for each of its tasks: at 650 machines a pass
-        behind a burst took seconds.
+        Every waiting job once chose them anew on every machine for each of its tasks: at 650 machines a cycle
+        after a burst took seconds.
         """
-        if owed is not None:
-            return self._choose_victims(job, machine, candidates, owed)
-        claim = (job.spec.team, job.priority, job.within_guarantee, job.task_resources, machine.name)
-        known = self._victims_cache.get(claim)
+        if excess is not None:
+            return self._choose_victims(job, machine, candidates, excess)
+        key = (job.spec.team, job.priority, job.within_guarantee, job.task_resources, machine.name)
+        known = self._victims_cache.get(key)
         if known is None or known[0] != machine.version:
             known = (machine.version, self._choose_victims(job, machine, candidates, None))
-            self._victims_cache[claim] = known
+            self._victims_cache[key] = known
         return known[1]
 
     def _choose_victims(
-        self, job: Job, machine: Machine, candidates: list[Attempt], owed: tuple[float, float] | None
+        self, job: Job, machine: Machine, candidates: list[Attempt], excess: QuotaExcess | None
     ) -> list[Attempt] | None:
+        """The attempts to stop, least loss first; None if that would not do, or is not needed."""
         free = machine.free
-        if owed is None and fits(job.task_resources, free):
+        if excess is None and fits(job.task_resources, free):
             return None
-        # A second start beside an earlier one's victims: were their room not counted, it would take as many
-        # victims again, and a third one more than that.
+        # A second start beside an earlier one's victims: were what they free not counted, it would take as
+        # many victims again, and a third one more than that.
         free = add_scaled(free, self._freed_by_preemption.get(machine.name, NO_RESOURCES))
-        if owed is None and fits(job.task_resources, free):
+        if excess is None and fits(job.task_resources, free):
             return []
-        left = [
+        stoppable = [
             attempt
             for attempt in candidates
-            if attempt.stopping_at is None and (owed is None or attempt.job.spec.team == job.spec.team)
+            if attempt.stopping_at is None and (excess is None or attempt.job.spec.team == job.spec.team)
         ]
         most = free
-        for attempt in left:
+        for attempt in stoppable:
             most = add_scaled(most, attempt.job.task_resources)
         if not fits(job.task_resources, most):
             return None
-        left.sort(key=self._least_cost_first)
+        stoppable.sort(key=self._least_cost_first)
         chosen: list[Attempt] = []
-        cpus, gpus = owed or (0.0, 0.0)
-        for attempt in left:
+        cpus, accelerators = excess or (0.0, 0.0)
+        for attempt in stoppable:
             free = add_scaled(free, attempt.job.task_resources)
             cpus -= attempt.job.task_resources[0]
-            gpus -= attempt.job.task_resources[1]
+            accelerators -= attempt.job.task_resources[1]
             chosen.append(attempt)
-            if fits(job.task_resources, free) and (owed is None or (cpus <= EPSILON and gpus <= EPSILON)):
+            if fits(job.task_resources, free) and (
+                excess is None or (cpus <= EPSILON and accelerators <= EPSILON)
+            ):
                 return chosen
         return None
 
--- /dev/null
+++ b/src/poppyhold/scheduling/plan_records.py
@@ -0,0 +1,90 @@
+"""Durable records of plans: counts of tasks by slot and zone that may start."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import msgspec
+
+from poppyhold.durable.records import PlanRecord
+from poppyhold.durable.store import ACTIVE as ACTIVE_KEYS
+from poppyhold.durable.store import PLAN, Data, put, remove, stored_bytes
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Job
+from poppyhold.model.outbound import CommitPriority
+from poppyhold.scheduling.quotas import Quotas
+from poppyhold.wire.messages import PRIORITIES, convert
+
+# Jobs of this priority and above it are urgent.
+_LEAST_URGENT = PRIORITIES.index("high")
+
+
+class PlanRecords:
+    """Makes plans durable, and takes those that earlier leaders made durable."""
+
+    def __init__(self, ctx: Context, quotas: Quotas, on_ended: Callable[[Job], None]) -> None:
+        self._ctx, self._quotas, self._on_ended = ctx, quotas, on_ended
+        self._max_record_bytes = ctx.settings.settings.state.lowest.value_bytes
+
+    def write(self, job: Job) -> None:
+        """Make durable that tasks of the job may start from now on."""
+        if job.plan_write_in_flight:
+            return
+        job.plan_write_in_flight = True
+        data = self._record(job)
+
+        def on_committed(done: bool) -> None:
+            job.plan_write_in_flight = False
+            if done:
+                job.plan_durable = True
+                self._ctx.scheduling_needed = True
+            else:
+                # Its record is gone: the job is finalized, and the news of that came before its own.
+                self._on_ended(job)
+
+        conditions = {ACTIVE_KEYS + job.id: job.version}
+        self._ctx.outbound.commit(
+            conditions, [put(PLAN + job.id, data)], on_committed, self._plan_commit_priority(job)
+        )
+
+    def load(self, job: Job, data: Data) -> None:
+        """Take a plan that an earlier leader made durable."""
+        job.never_started = False
+        job.plan_durable = True
+        record = convert(data, PlanRecord)
+        job.plan = {int(slot): zones for slot, zones in record.slots.items()}
+        job.admitted = bool(job.plan)
+        job.failures.at_fault = record.at_fault
+
+    def remove(self, job_id: str) -> None:
+        """Remove the plan of a finalized job, when nobody waits for changes."""
+        self._ctx.outbound.commit({}, [remove(PLAN + job_id)], lambda done: None)
+
+    def commit_priority(self, job: Job) -> CommitPriority:
+        """The priority of a change of a job that somebody waits for."""
+        return (
+            CommitPriority.AWAITED
+            if self._quotas.has_guarantee(job.spec.team)
+            else CommitPriority.UNGUARANTEED
+        )
+
+    def _plan_commit_priority(self, job: Job) -> CommitPriority:
+        priority = self.commit_priority(job)
+        return (
+            CommitPriority.URGENT
+            if priority is CommitPriority.AWAITED and job.priority <= _LEAST_URGENT
+            else priority
+        )
+
+    def _record(self, job: Job) -> Data:
+        """The durable form of a plan; one that does not fit loses its last slots.
+
+        What is left out starts later, on capacity that no plan books.
+        """
+        slots = sorted(job.plan)
+        while True:
+            record = PlanRecord({str(slot): job.plan[slot] for slot in slots}, job.failures.at_fault)
+            data: Data = msgspec.to_builtins(record)
+            if not slots or stored_bytes(data) <= self._max_record_bytes:
+                return data
+            slots.pop()
--- /dev/null
+++ b/src/poppyhold/scheduling/preemption_cost.py
@@ -0,0 +1,52 @@
+"""What is lost when an attempt is preempted."""
+
+from __future__ import annotations
+
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Attempt
+from poppyhold.scheduling.estimates import Estimates
+
+
+class PreemptionCost:
+    """Seconds that are lost with an attempt: of its work, and of the wait for what takes its place."""
+
+    def __init__(self, ctx: Context, estimates: Estimates) -> None:
+        self._ctx, self._estimates = ctx, estimates
+
+    def seconds(self, victim: Attempt) -> float:
+        """The cost of preempting an attempt now."""
+        job, boot_s = victim.job, victim.machine.machine_type.boot_s
+        if job.is_service:
+            # Somebody waits for a replica all the time; an array's task only at its end.
+            return boot_s
+        if job.is_gang:
+            return boot_s + self._gang_cost_s(victim)
+        if victim.running_at is None:
+            return 0.0
+        now = self._ctx.clock()
+        ran_s = now - victim.running_at
+        lost_s = ran_s % job.spec.checkpoint_s if job.spec.checkpoint_s > 0 else ran_s
+        if job.due_at is not None:
+            # A task that a stop would make late is stopped last; one that is late anyway has nothing more to
+            # lose.
+            remaining_s = max(
+                0.0, self._estimates.estimate_s(job) - job.progress.get(victim.index, 0.0) - ran_s
+            )
+            slack_s = job.due_at - now - remaining_s
+            if 0 <= slack_s < lost_s + self._ctx.durations.lease_s:
+                lost_s += boot_s
+        return lost_s
+
+    def _gang_cost_s(self, victim: Attempt) -> float:
+        """Seconds of work that all tasks of a gang lose with one of them."""
+        job, now = victim.job, self._ctx.clock()
+        if victim.running_at is None:
+            return 0.0
+        ran_s = now - victim.running_at
+        if job.spec.checkpoint_s <= 0:
+            return ran_s * job.spec.tasks
+        silent_s = self._ctx.durations.silent_s
+        # It saves a checkpoint only if all of its machines can be told in time.
+        reachable = all(now - mate.machine.last_heartbeat_at <= silent_s for mate in job.active.values())
+        lost_s = min(ran_s, job.spec.save_s) if reachable else ran_s % job.spec.checkpoint_s
+        return lost_s * job.spec.tasks
--- a/src/poppyhold/scheduling/quotas.py
+++ b/src/poppyhold/scheduling/quotas.py
@@ -4,6 +4,7 @@
 
 import math
 from collections.abc import Iterable
+from typing import NamedTuple
 
 import msgspec
 
@@ -49,6 +50,20 @@
     return guaranteed is None or amount <= guaranteed + EPSILON
 
 
+class QuotaExcess(NamedTuple):
+    """By how much one more task would go beyond a team's limit."""
+
+    cpus: float
+    accelerators: float
+
+
+class RemainingQuota(NamedTuple):
+    """What a team's limit leaves beside what the team uses."""
+
+    cpus: float
+    accelerators: float
+
+
 class Quotas:
     """The quotas of all teams."""
 
@@ -79,9 +94,9 @@
     def allows(self, team: str, used: tuple[float, float], need: Resources) -> bool:
         """Whether one more task stays within the team's limit.
 
-        A task takes nothing of a resource that it does not need, whatever else may be in use of it: behind a
-        change of leader all accelerators of machines that were not heard yet count for every team, and urgent
-        work that needs none waited until the last of 4,000 machines was heard.
+        A task takes nothing of a resource that it does not need, whatever else may be in use of it: after a
+        change of leader all accelerators of machines that are not reconciled yet count for every team, and
+        urgent work that needs none waited until the last of 4,000 machines was reconciled.
         """
         quota = self._teams.get(team)
         if quota is None:
@@ -91,17 +106,17 @@
             or (need[1] > 0 and used[1] + need[1] > quota.accelerators_limit + EPSILON)
         )
 
-    def remaining(self, team: str, used: list[float]) -> tuple[float, float]:
+    def remaining(self, team: str, used: list[float]) -> RemainingQuota:
         """What the team's limit leaves beside what is used."""
         quota = self._teams.get(team)
         if quota is None:
-            return 0.0, 0.0
-        return quota.cpus_limit - used[0], quota.accelerators_limit - used[1]
+            return RemainingQuota(0.0, 0.0)
+        return RemainingQuota(quota.cpus_limit - used[0], quota.accelerators_limit - used[1])
 
-    def excess(self, team: str, used: tuple[float, float], need: Resources) -> tuple[float, float]:
+    def excess(self, team: str, used: tuple[float, float], need: Resources) -> QuotaExcess:
         """By how much one more task would go beyond the team's limit."""
         quota = self._teams[team]
-        return (
+        return QuotaExcess(
             max(0.0, used[0] + need[0] - quota.cpus_limit) if need[0] > 0 else 0.0,
             max(0.0, used[1] + need[1] - quota.accelerators_limit) if need[1] > 0 else 0.0,
         )
@@ -114,8 +129,8 @@
     def mark_guaranteed(self, jobs: Iterable[Job]) -> None:
         """Mark the jobs that fit into their team's guarantee, highest priority and earliest first.
 
-        Once one does not fit, none behind it is marked: so within a team nobody of a lower priority is
-        guaranteed what one of a higher is not, and preemption has no circles.
+        Once one does not fit, none after it is marked: so within a team no job of a lower priority is
+        guaranteed what one of a higher priority is not, and preemption has no cycles.
         """
         sums: dict[str, list[float]] = {}
         full: set[str] = set()
--- a/src/poppyhold/scheduling/search.py
+++ b/src/poppyhold/scheduling/search.py
@@ -1,4 +1,4 @@
-"""Places for the tasks of one job in a pass."""
+"""Machines for the tasks of one job in a scheduling cycle."""
 
 from __future__ import annotations
 
@@ -8,11 +8,18 @@
 from poppyhold.model.entities import Job, Machine
 from poppyhold.model.resources import Resources
 from poppyhold.scheduling.free_capacity import FreeCapacityView, RankedMachine, Ranking
-from poppyhold.scheduling.placement import Choice, Placement, image_wait_s, may_use, zone_allows
+from poppyhold.scheduling.placement import (
+    Choice,
+    Placement,
+    PreemptionOption,
+    image_wait_s,
+    may_use,
+    zone_allows,
+)
 
 
-class Search:
-    """Places on the machines of one view; after a start only its machine is looked at again."""
+class PlacementSearch:
+    """Searches the machines of one view; after a start only its machine is looked at again."""
 
     def __init__(
         self,
@@ -23,58 +30,62 @@
         booked: Set[str],
         zones: Set[str],
     ) -> None:
-        """``reserved`` is what the view goes by, but on machines where the job itself has ``booked`` room."""
+        """``reserved`` differs from the view's own only on machines that the job itself has ``booked``."""
         self._placement, self._job, self._view, self._reserved = placement, job, view, reserved
         self._booked, self._zones = booked, zones
         self._ranking: Ranking | None = None
-        self._preemptions: list[tuple[float, int, Choice]] | None = None
+        self._preemptions: list[PreemptionOption] | None = None
 
     def best(self) -> Choice | None:
-        """The best machine with free room, leaving what is reserved for plans."""
+        """The best machine on which a task fits now, beside what is reserved."""
         open_zones = self._open_zones()
-        own = self._placement.machines_scored_per_job(self._job) | self._booked
+        # Machines that count differently for this job than for others like it are left out of the ranking.
+        scored_per_job = self._placement.machines_scored_per_job(self._job) | self._booked
         if self._ranking is None:
             self._ranking = self._placement.ranking(self._job, self._view)
         else:
             self._ranking.update()
-        best = self._ranking.best(open_zones, own)
-        for name in own:
-            place = self._scored_for_job(name, open_zones)
-            if place is not None and (best is None or place[:2] < best[:2]):
-                best = place
-        return Choice(best[2]) if best is not None else None
+        best = self._ranking.best(open_zones, scored_per_job)
+        for name in scored_per_job:
+            ranked = self._scored_for_job(name, open_zones)
+            if ranked is not None and (best is None or ranked < best):
+                best = ranked
+        return Choice(best.machine) if best is not None else None
 
     def _scored_for_job(self, name: str, open_zones: Set[str]) -> RankedMachine | None:
-        """A place on a machine that counts differently for this job than for others like it."""
+        """A machine with its score for this very job; None if no task fits there."""
         machine = self._view.machines.get(name)
         if machine is None or machine.zone not in open_zones or not may_use(self._job, machine):
             return None
         score = self._placement.score_if_fits(self._job, machine, self._reserved)
-        return (score, machine.number, machine) if score is not None else None
+        return RankedMachine(score, machine.number, machine) if score is not None else None
 
-    def best_preemption(self, soon: bool = False) -> Choice | None:
-        """The machine where the least is lost by making room; ``soon``: only if its image comes in time."""
+    def best_preemption(self, in_time_only: bool = False) -> Choice | None:
+        """The machine where preemption costs least; ``in_time_only``: and where the image comes in time."""
         if self._preemptions is None:
             self._preemptions = self._placement.preemptions(self._job, self._view.machines.values())
         open_zones = self._open_zones()
-        for _, _, choice in self._preemptions:
-            if choice.machine.zone in open_zones and not (
-                soon
-                and not self._placement.meets_objective(self._job, image_wait_s(choice.machine, self._job))
+        for option in self._preemptions:
+            machine = option.choice.machine
+            if machine.zone in open_zones and (
+                not in_time_only
+                or self._placement.meets_objective(self._job, image_wait_s(machine, self._job))
             ):
-                return choice
+                return option.choice
         return None
 
     def refresh_machine(self, machine: Machine) -> None:
-        """Something was started on a machine."""
+        """Look at a machine again on which something was started."""
         if self._preemptions is None:
             return
-        index = next((i for i, entry in enumerate(self._preemptions) if entry[2].machine is machine), None)
+        index = next(
+            (i for i, option in enumerate(self._preemptions) if option.choice.machine is machine), None
+        )
         if index is not None:
-            order = self._preemptions.pop(index)[1]
-            emptied = self._placement.preemption_on(self._job, machine)
-            if emptied is not None:
-                bisect.insort(self._preemptions, (emptied[0], order, emptied[1]), key=lambda entry: entry[:2])
+            order = self._preemptions.pop(index).order
+            option = self._placement.preemption_on(self._job, machine, order)
+            if option is not None:
+                bisect.insort(self._preemptions, option, key=lambda entry: entry[:2])
 
     def _open_zones(self) -> set[str]:
         return {zone for zone in self._zones if zone_allows(self._job, zone)}
--- /dev/null
+++ b/src/poppyhold/scheduling/task_scheduler.py
@@ -0,0 +1,141 @@
+"""Tasks in a scheduling cycle that start one by one: those of arrays and services."""
+
+from __future__ import annotations
+
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Job
+from poppyhold.model.resources import Resources
+from poppyhold.scheduling.bookings import Bookings
+from poppyhold.scheduling.cycle import SchedulingCycle
+from poppyhold.scheduling.placement import Choice, Placement, image_wait_s, in_best_zone, zone_allows
+from poppyhold.scheduling.quotas import Quotas
+from poppyhold.scheduling.relocation import Relocation
+from poppyhold.scheduling.search import PlacementSearch
+from poppyhold.scheduling.task_starter import TaskStarter
+
+
+class TaskScheduler:
+    """Starts tasks of a job, each on the machine that suits it best at that moment."""
+
+    def __init__(
+        self,
+        ctx: Context,
+        quotas: Quotas,
+        bookings: Bookings,
+        placement: Placement,
+        relocation: Relocation,
+        starter: TaskStarter,
+    ) -> None:
+        self._ctx, self._quotas, self._bookings = ctx, quotas, bookings
+        self._placement, self._relocation, self._starter = placement, relocation, starter
+
+    def start_tasks(
+        self,
+        cycle: SchedulingCycle,
+        job: Job,
+        max_tasks: int,
+        reserved: dict[str, Resources],
+        has_own_booking: bool = False,
+    ) -> None:
+        """Start up to so many tasks beside what is reserved.
+
+        ``has_own_booking``: ``reserved`` leaves out what the job itself has booked; else it is the same for
+        all jobs.
+        """
+        team = job.spec.team
+        if team in cycle.reserved_teams:
+            return
+        searches: list[PlacementSearch] = []
+        for _ in range(job.startable(max_tasks)):
+            index = job.next_pending()
+            if index is None:
+                return
+            in_use = cycle.in_use(self._ctx.fleet.used_by_team.get(team))
+            at_limit = not self._quotas.allows(team, in_use, job.task_resources)
+            # Capacity that the job itself has booked is free for it alone; at the limit none of it counts.
+            is_equivalent = at_limit or not has_own_booking
+            key = cycle.scheduling_key(job, at_limit, bool(reserved) and not at_limit)
+            if is_equivalent and key in cycle.infeasible:
+                return
+            if at_limit:
+                choice = self._choose_at_limit(cycle, job, in_use)
+            else:
+                if not searches or job.spec.one_zone:
+                    searches = self._searches(cycle, job, reserved, has_own_booking)
+                choices = (self._choose(cycle, job, search, reserved) for search in searches)
+                choice = next((found for found in choices if found is not None), None)
+            if choice is None:
+                anywhere = not job.spec.one_zone and all(zone_allows(job, zone) for zone in cycle.zones)
+                if is_equivalent and anywhere:
+                    cycle.infeasible.add(key)
+                return
+            self._starter.start(job, index, choice)
+            cycle.capacity.refresh_machine(choice.machine)
+            for search in searches:
+                search.refresh_machine(choice.machine)
+
+    def _searches(
+        self, cycle: SchedulingCycle, job: Job, reserved: dict[str, Resources], has_own_booking: bool
+    ) -> list[PlacementSearch]:
+        """Where to look for machines, in this order."""
+        own_booking = self._bookings.machines_booked_now(job) if has_own_booking else set()
+        searches = []
+        for view in cycle.capacity.views:
+            zones = view.zones
+            if job.spec.one_zone and not job.active:
+                zones = {machine.zone for machine in in_best_zone(job, view.machines.values(), reserved)}
+            searches.append(PlacementSearch(self._placement, job, view, reserved, own_booking, zones))
+        return searches
+
+    def _choose(
+        self, cycle: SchedulingCycle, job: Job, search: PlacementSearch, reserved: dict[str, Resources]
+    ) -> Choice | None:
+        """The best machine with free capacity; else, or where its image would come too late, preemption."""
+        choice = search.best()
+        if self._ctx.clock() < job.may_preempt_at or job.failures.at_fault:
+            return choice
+        if choice is None:
+            return search.best_preemption()
+        wait_s = image_wait_s(choice.machine, job)
+        if self._placement.meets_objective(job, wait_s):
+            return choice
+        return self._choose_sooner(cycle, job, search, wait_s, reserved) or choice
+
+    def _choose_sooner(
+        self,
+        cycle: SchedulingCycle,
+        job: Job,
+        search: PlacementSearch,
+        wait_s: float,
+        reserved: dict[str, Resources],
+    ) -> Choice | None:
+        """A machine that has the image, if preemption there loses less than the wait elsewhere."""
+        preemption = search.best_preemption(in_time_only=True)
+        if preemption is not None and not any(victim.job.is_service for victim in preemption.victims):
+            saved_s = wait_s - image_wait_s(preemption.machine, job)
+            if sum(self._placement.preemption_cost_s(victim) for victim in preemption.victims) <= saved_s:
+                return preemption
+        relocation = self._relocation.relocate_for(job, wait_s, cycle.reliable_machines, reserved)
+        if relocation is not None:
+            # Capacity was reserved for the replicas that move.
+            cycle.capacity.refresh_all()
+        return relocation
+
+    def _choose_at_limit(
+        self, cycle: SchedulingCycle, job: Job, in_use: tuple[float, float]
+    ) -> Choice | None:
+        """At its team's limit, a job may still take the place of lower work of the team."""
+        if job.failures.at_fault:
+            return None
+        team = job.spec.team
+        for other in self._ctx.fleet.jobs.values():
+            if other.spec.team == team and any(
+                attempt.stopping_at is not None for attempt in other.active.values()
+            ):
+                # One at a time: what is being stopped still counts, and would be made up for twice.
+                return None
+        excess = self._quotas.excess(team, in_use, job.task_resources)
+        preemptions = self._placement.preemptions(job, cycle.reliable_machines, excess)
+        return next(
+            (option.choice for option in preemptions if zone_allows(job, option.choice.machine.zone)), None
+        )
--- /dev/null
+++ b/src/poppyhold/scheduling/task_starter.py
@@ -0,0 +1,39 @@
+"""Carrying out the choice of a machine for a task: stops of its victims, the start, and its booking."""
+
+from __future__ import annotations
+
+from poppyhold.execution.reconciliation import AttemptReconciler
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Job
+from poppyhold.scheduling.bookings import Bookings
+from poppyhold.scheduling.placement import Choice, Placement
+
+
+class TaskStarter:
+    """Starts tasks on the machines that were chosen for them."""
+
+    def __init__(
+        self, ctx: Context, reconciler: AttemptReconciler, bookings: Bookings, placement: Placement
+    ) -> None:
+        self._ctx, self._reconciler, self._bookings, self._placement = ctx, reconciler, bookings, placement
+
+    def start(self, job: Job, index: int, choice: Choice) -> None:
+        """Start a task, unless gangs among its victims have to save their checkpoints first."""
+        if self._await_gangs(job, choice):
+            return
+        attempt = self._reconciler.start(job, index, choice.machine, choice.victims)
+        self._placement.record_preemptions(choice)
+        self._bookings.use(job, choice.machine.name)
+        self._bookings.book_attempt(attempt)
+
+    def _await_gangs(self, job: Job, choice: Choice) -> bool:
+        """Whether a start has to wait for gangs among its victims, which are stopped whole and save first."""
+        gangs = {victim.job.id: victim.job for victim in choice.victims if victim.job.is_gang}
+        if not gangs:
+            return False
+        now = self._ctx.clock()
+        for gang in gangs.values():
+            self._reconciler.gangs.stop(gang, now)
+        saving_s = max(gang.spec.save_s for gang in gangs.values())
+        job.may_preempt_at = now + saving_s + 2 * self._ctx.durations.heartbeat_interval_s
+        return True
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -14,7 +14,7 @@
 from poppyhold.quota.demand import DemandMonitor, RecentPeak, ResourceDemand
 from poppyhold.quota.hold_times import HoldTimes
 from poppyhold.quota.share_book import ShareBook
-from poppyhold.scheduling.dispatch import Dispatcher
+from poppyhold.scheduling.gang_scheduler import GangScheduler
 from poppyhold.scheduling.quotas import Quotas, TeamQuota
 from quota_model import always_next, join_at_once, told_at_once
 from scenario import FOLDER, play, variants
@@ -103,7 +103,7 @@
     Guard("state_outage_in_transfer", ShareBook, "_join", join_at_once),
     Guard("cut_in_one_direction", ShareBook, "acknowledged", _unreconciled),
     Guard("share_moves", ShareBook, "acknowledged", _unreconciled),
-    Guard("gang_at_the_edge", Dispatcher, "_gang_within_limit", _always),
+    Guard("gang_at_the_edge", GangScheduler, "_within_limit", _always),
     Guard("steady_and_alternating", RecentPeak, "note", _nothing_of_late),
     Guard("steady_and_alternating", HoldTimes, "seconds", _shortest_hold),
     Guard("waiting_without_room", ResourceDemand, "kept", _all_that_waits_kept),
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -23,10 +23,12 @@
 from poppyhold.model.fleet import Fleet
 from poppyhold.model.resources import NO_RESOURCES, Resources, max_copies
 from poppyhold.node.controller import Controller
-from poppyhold.scheduling.dispatch import Dispatcher, Pass
+from poppyhold.scheduling.cycle import SchedulingCycle
 from poppyhold.scheduling.gang_placement import GangPlacement
+from poppyhold.scheduling.gang_scheduler import GangScheduler
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.scheduling.relocation import Relocation
+from poppyhold.scheduling.task_starter import TaskStarter
 from poppyhold.wire.messages import Heartbeat
 from scenario import FOLDER
 
@@ -81,7 +83,7 @@
 
 
 def _unlike(*_: object) -> object:
-    """No claim is like another: a pass remembers nothing."""
+    """No scheduling key equals another: a cycle remembers nothing."""
     return object()
 
 
@@ -118,7 +120,7 @@
     Guard("isolated_leader", Authority, "may_answer", _always),
     Guard("lost_hire_answer", Launches, "load", _count_nothing),
     Guard("done_before_reap", HeartbeatCommands, "_may_forget_exit", _always),
-    Guard("large_fleet", Pass, "claim", _unlike),
+    Guard("large_fleet", SchedulingCycle, "scheduling_key", _unlike),
     Guard("zone_cut", DelegatedRenewal, "may_answer", _never),
     Guard("zone_cut_long", LeaseDelegations, "until", _long_ago),
     Guard("cancelled_before_the_cut", Controller, "excluded_machines", _nobody),
@@ -135,9 +137,9 @@
     Guard("gang_alone", Gangs, "_avoid_late_machines", _never),
     Guard("gang_recall", Gangs, "stop", _kill),
     Guard("gang_preempts", GangPlacement, "preempt_for", _never),
-    Guard("gang_preempted", Dispatcher, "_await_gangs", _never),
-    Guard("gang_not_starved", Dispatcher, "_hold_for_gang", _never),
-    Guard("gang_team_limit", Dispatcher, "_hold_for_gang", _never),
+    Guard("gang_preempted", TaskStarter, "_await_gangs", _never),
+    Guard("gang_not_starved", GangScheduler, "_reserve_for", _never),
+    Guard("gang_team_limit", GangScheduler, "_reserve_for", _never),
     Guard("gang_half_sent", Gangs, "adopt", _never),
     Guard("gang_half_heard", AttemptReconciler, "all_reconciled", _always),
     Guard("gang_short_notice", Controller, "_drain_gang", _never),
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -114,8 +114,8 @@
     assert len(plan.starts) >= 200 // 16
 
 
-def test_a_pass_that_is_broken_off_goes_on_where_it_was() -> None:
-    # A clock that moves on with each look at it: every pass is over its time behind the first job or two.
+def test_a_cycle_that_runs_out_of_time_goes_on_where_it_was() -> None:
+    # A clock that moves on with each look at it: every cycle runs out of time after the first job or two.
     fleet = world.World(1, 10.0, 30.0, [Team("alpha")])
     for _ in range(4):
         fleet.add_worker(fleet.cloud.add("large", "a", False, "running"))
@@ -126,7 +126,7 @@
     ticking = itertools.count(fleet.now, 0.02)
     started: list[str] = []
     dispatcher._ctx.clock = lambda: next(ticking)
-    dispatcher._start_unplanned = lambda job, reserved: started.append(job.id)  # type: ignore[method-assign]
+    dispatcher._start_unplanned = lambda cycle, job, reserved: started.append(job.id)  # type: ignore[method-assign]
     for number in range(1, 7):
         fleet.submit(jobs.submission(f"job-{number:06d}", {}))
         key = f"{ACTIVE}job-{number:06d}"
