--- a/src/poppyhold/scheduling/estimates.py
+++ b/src/poppyhold/scheduling/estimates.py
@@ -3,27 +3,44 @@
 from __future__ import annotations
 
 import math
+from typing import NamedTuple
 
 from poppyhold.model.entities import Job
 
+# The mean moves by one part in so many with each run, once it has seen as many.
+_MAX_RUNS_OF_MEAN = 20
+# So many runs give the mean half of its weight.
+_RUNS_OF_HALF_CONFIDENCE = 4.0
+_MIN_ESTIMATE_S = 0.1
+
+
+class _ClassBias(NamedTuple):
+    """A moving mean of the logarithm of actual run time to estimate, and how many runs it has seen."""
+
+    mean: float
+    runs: int
+
+
+_NO_BIAS = _ClassBias(0.0, 0)
+
 
 class Estimates:
-    """How far owners' estimates are off, by class: a moving mean of the ratio's logarithm."""
+    """Corrects owners' estimates by how far off those of their class were."""
 
     def __init__(self) -> None:
-        self._bias_by_class: dict[str, tuple[float, int]] = {}
+        self._bias_by_class: dict[str, _ClassBias] = {}
 
     def record_run(self, job: Job, ran_s: float) -> None:
-        """A task of the job ran this long from its start to its end."""
+        """Learn from a task of the job that ran this long from its start to its end."""
         if job.spec.estimate_s <= 0 or ran_s <= 0:
             return
-        mean, count = self._bias_by_class.get(job.spec.job_class, (0.0, 0))
+        mean, runs = self._bias_by_class.get(job.spec.job_class, _NO_BIAS)
         ratio = math.log(ran_s / job.spec.estimate_s)
-        step = 1.0 / min(count + 1, 20)
-        self._bias_by_class[job.spec.job_class] = (mean + step * (ratio - mean), count + 1)
+        step = 1.0 / min(runs + 1, _MAX_RUNS_OF_MEAN)
+        self._bias_by_class[job.spec.job_class] = _ClassBias(mean + step * (ratio - mean), runs + 1)
 
     def estimate_s(self, job: Job) -> float:
-        """The estimate to plan with."""
-        mean, count = self._bias_by_class.get(job.spec.job_class, (0.0, 0))
-        confidence = count / (count + 4.0)
-        return max(0.1, job.spec.estimate_s * math.exp(mean * confidence))
+        """The seconds to plan with for a task of the job."""
+        mean, runs = self._bias_by_class.get(job.spec.job_class, _NO_BIAS)
+        confidence = runs / (runs + _RUNS_OF_HALF_CONFIDENCE)
+        return max(_MIN_ESTIMATE_S, job.spec.estimate_s * math.exp(mean * confidence))
--- a/src/poppyhold/scheduling/gang_placement.py
+++ b/src/poppyhold/scheduling/gang_placement.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
+from typing import NamedTuple
 
 import msgspec
 
@@ -11,8 +12,12 @@
 from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled, max_copies
 from poppyhold.scheduling.placement import Choice, Placement, image_wait_s, may_use
 
-# A machine and how many tasks have room on it.
-GangOption = tuple[int, Machine]
+
+class GangOption(NamedTuple):
+    """A machine, and how many tasks of a gang fit on it."""
+
+    tasks: int
+    machine: Machine
 
 
 class GangCandidate(msgspec.Struct, frozen=True):
@@ -22,7 +27,7 @@
     machines: list[Machine]
 
     def sort_key(self) -> tuple[bool, int]:
-        """Candidates with less come first."""
+        """Candidates with the lower key are preferred."""
         return self.uses_accelerator_companions, len({machine.name for machine in self.machines})
 
 
@@ -38,32 +43,39 @@
 
 
 class GangPreemption(msgspec.Struct, eq=False):
-    """Room for some tasks on a machine, with the attempts that must be stopped first."""
+    """How many tasks fit on a machine once these attempts are stopped."""
 
     machine: Machine
     count: int
     victims: list[Attempt]
     # Seconds that are lost by the stops, for each task that starts.
-    cost: float
+    cost_s: float
+
+
+class _PreemptionPlan(NamedTuple):
+    """Machines for all pending tasks of a gang, and the seconds that the preemptions for them cost."""
+
+    cost_s: float
+    choices: list[Choice]
 
 
 class GangPlacement:
-    """Chooses machines for gangs within one pass over the jobs that wait."""
+    """Chooses machines for gangs within one scheduling cycle."""
 
     def __init__(self, placement: Placement) -> None:
         self._placement = placement
         self._jobs: Iterable[Job] = ()
-        # What goes with an accelerator, once a gang of this pass asks for it.
+        # What goes with an accelerator, once a gang of this cycle asks for it.
         self._companions: Resources | None = None
 
     def begin_cycle(self, jobs: Iterable[Job]) -> None:
-        """A new pass; what is kept free for accelerators goes by the jobs that there are."""
+        """Begin a scheduling cycle; what is kept free for accelerators goes by the jobs that there are."""
         self._jobs, self._companions = jobs, None
 
     def choose(
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
     ) -> list[Machine] | None:
-        """A machine for each pending task, or None if they don't all have room now."""
+        """A machine for each pending task, or None if they don't all fit now."""
         usable = [machine for machine in machines if may_use(job, machine)]
         found: list[GangCandidate] = []
         for group in self._zone_groups(job, usable):
@@ -75,60 +87,65 @@
     def preempt_for(
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
     ) -> list[Choice] | None:
-        """A machine for each pending task where lower work makes room for all of them, least loss first."""
+        """A machine for each pending task, with preemption for all of them at the least loss."""
         usable = [machine for machine in machines if may_use(job, machine)]
-        found: list[tuple[float, list[Choice]]] = []
+        found: list[_PreemptionPlan] = []
         for group in self._zone_groups(job, usable):
-            made = (self._preemption_on(job, machine, reserved, job.pending) for machine in group)
-            chosen = self._cheapest_preemptions(job, [room for room in made if room is not None], reserved)
-            if chosen is not None:
-                found.append(chosen)
-        return min(found, key=lambda entry: entry[0])[1] if found else None
+            preemptions = (self._preemption_on(job, machine, reserved, job.pending) for machine in group)
+            possible = [preemption for preemption in preemptions if preemption is not None]
+            plan = self._cheapest_preemptions(job, possible, reserved)
+            if plan is not None:
+                found.append(plan)
+        return min(found, key=lambda plan: plan.cost_s).choices if found else None
 
     def _preemption_on(
-        self, job: Job, machine: Machine, reserved: dict[str, Resources], most: int
+        self, job: Job, machine: Machine, reserved: dict[str, Resources], max_tasks: int
     ) -> GangPreemption | None:
-        """Room for up to so many tasks, with no more stops than that takes."""
+        """Preemption for up to so many tasks, with no more stops than that takes; None if no task fits."""
         free = machine.free_after_reservations(reserved)
-        count = max_copies(job.task_resources, free, most)
+        count = max_copies(job.task_resources, free, max_tasks)
         victims: list[Attempt] = []
-        lost = 0.0
+        lost_s = 0.0
         stops: list[Attempt] = []
         for attempt in self._placement.preemptible_on(job, machine):
-            if count >= most:
+            if count >= max_tasks:
                 break
             free = add_scaled(free, attempt.job.task_resources)
             stops.append(attempt)
-            more = max_copies(job.task_resources, free, most)
+            more = max_copies(job.task_resources, free, max_tasks)
             if more > count:
                 count = more
                 victims += stops
-                lost += sum(self._placement.preemption_cost_s(victim) for victim in stops)
+                lost_s += sum(self._placement.preemption_cost_s(victim) for victim in stops)
                 stops = []
-        return GangPreemption(machine, count, victims, lost / count) if count else None
+        return GangPreemption(machine, count, victims, lost_s / count) if count else None
 
     def _cheapest_preemptions(
-        self, job: Job, rooms: list[GangPreemption], reserved: dict[str, Resources]
-    ) -> tuple[float, list[Choice]] | None:
-        left = job.pending
-        total = 0.0
+        self, job: Job, preemptions: list[GangPreemption], reserved: dict[str, Resources]
+    ) -> _PreemptionPlan | None:
+        """Preemptions for all pending tasks, the cheapest for each task first; None if they don't suffice."""
+        remaining = job.pending
+        total_cost_s = 0.0
         chosen: list[Choice] = []
         zones = dict(job.active_by_zone)
         limit = zone_limit(job.spec)
-        for room in sorted(rooms, key=lambda room: (room.cost, -room.count)):
-            take = min(room.count, left, limit - zones.get(room.machine.zone, 0))
-            if take <= 0:
+        for preemption in sorted(preemptions, key=lambda option: (option.cost_s, -option.count)):
+            machine = preemption.machine
+            count = min(preemption.count, remaining, limit - zones.get(machine.zone, 0))
+            if count <= 0:
                 continue
-            needed = room if take == room.count else self._preemption_on(job, room.machine, reserved, take)
+            needed: GangPreemption | None = preemption
+            if count != preemption.count:
+                needed = self._preemption_on(job, machine, reserved, count)
             if needed is None:
                 continue
-            zones[room.machine.zone] = zones.get(room.machine.zone, 0) + take
+            zones[machine.zone] = zones.get(machine.zone, 0) + count
             # All stops come before the first start on the machine.
-            chosen.append(Choice(room.machine, needed.victims))
-            chosen += [Choice(room.machine) for _ in range(take - 1)]
-            total += needed.cost * take
-            left -= take
-        return None if left else (total, chosen)
+            chosen.append(Choice(machine, needed.victims))
+            chosen += [Choice(machine) for _ in range(count - 1)]
+            total_cost_s += needed.cost_s * count
+            remaining -= count
+        return None if remaining else _PreemptionPlan(total_cost_s, chosen)
 
     @staticmethod
     def _zone_groups(job: Job, machines: list[Machine]) -> Iterator[list[Machine]]:
@@ -146,7 +163,7 @@
     def _choose_among(
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
     ) -> GangCandidate | None:
-        # Room that accelerators need comes second: without it they would stand idle.
+        # What accelerators need beside them comes second: without it they would stand idle.
         for keeps_companions in (True, False) if job.task_resources[1] <= 0 else (False,):
             chosen = self._fill(job, self._options(job, machines, reserved, keeps_companions))
             if chosen is not None:
@@ -169,42 +186,42 @@
                 free = add_scaled(free, companions, -max(0.0, free[1]))
             count = max_copies(job.task_resources, free, job.pending)
             if count:
-                options.append((count, machine))
+                options.append(GangOption(count, machine))
         return options
 
     def _fill(self, job: Job, options: list[GangOption]) -> list[Machine] | None:
-        left = job.pending
-        if sum(count for count, _ in options) < left:
+        remaining = job.pending
+        if sum(option.tasks for option in options) < remaining:
             return None
         chosen: list[Machine] = []
         zones = dict(job.active_by_zone)
         limit = zone_limit(job.spec)
-        while left and options:
-            best = self._best(job, options, left)
+        while remaining and options:
+            best = self._best(job, options, remaining)
             options.remove(best)
-            count, machine = best
-            take = min(count, left, limit - zones.get(machine.zone, 0))
-            if take > 0:
-                zones[machine.zone] = zones.get(machine.zone, 0) + take
-                chosen += [machine] * take
-                left -= take
-        return None if left else chosen
-
-    def _best(self, job: Job, options: list[GangOption], left: int) -> GangOption:
-        return min(options, key=lambda option: self._option_key(job, option, left))
-
-    def _option_key(self, job: Job, option: GangOption, left: int) -> tuple[object, ...]:
-        """Machines that come first are those that hold all tasks that are left, or else the most of them."""
+            machine = best.machine
+            count = min(best.tasks, remaining, limit - zones.get(machine.zone, 0))
+            if count > 0:
+                zones[machine.zone] = zones.get(machine.zone, 0) + count
+                chosen += [machine] * count
+                remaining -= count
+        return None if remaining else chosen
+
+    def _best(self, job: Job, options: list[GangOption], remaining: int) -> GangOption:
+        return min(options, key=lambda option: self._option_key(job, option, remaining))
+
+    def _option_key(self, job: Job, option: GangOption, remaining: int) -> tuple[object, ...]:
+        """Machines that fit all tasks that remain come first, or else those that fit the most of them."""
         count, machine = option
-        wait = image_wait_s(machine, job)
-        holds_all = count >= left
+        wait_s = image_wait_s(machine, job)
+        fits_all = count >= remaining
         return (
             machine.name in job.failed_machines,
-            not self._placement.meets_objective(job, wait),
-            not holds_all,
+            not self._placement.meets_objective(job, wait_s),
+            not fits_all,
             machine.spot,
             not machine.attempts,
-            0 if holds_all else -count,
-            wait,
+            0 if fits_all else -count,
+            wait_s,
             count,
         )
--- a/src/poppyhold/scheduling/gang_scheduler.py
+++ b/src/poppyhold/scheduling/gang_scheduler.py
@@ -42,7 +42,7 @@
                     self._starter.start(job, index, choice)
                     cycle.capacity.refresh_machine(choice.machine)
         elif self._gangs.state_of(job) is GangState.ASSEMBLING:
-            self._gangs.abandon(job, "no room for a replacement", self._ctx.clock())
+            self._gangs.abandon(job, "no capacity for a replacement", self._ctx.clock())
         elif self._order.has_waited_long(job, self._ctx.clock()) and not job.failures.at_fault:
             self._reserve_for(cycle, job, within_limit)
 
--- a/src/poppyhold/scheduling/planner.py
+++ b/src/poppyhold/scheduling/planner.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import math
+from typing import NamedTuple
 
 import msgspec
 
@@ -13,6 +14,10 @@
 from poppyhold.scheduling.pricing import Pricing, machine_shares, price_of
 
 INFINITE = float("inf")
+# The least part of a slot that a task counts for.
+_MIN_SLOT_SHARE = 0.01
+# A span that ends less than this beyond a slot's end does not touch the next one.
+_ROUNDING_SLOTS = 1e-9
 
 
 class Plan(msgspec.Struct, eq=False):
@@ -33,7 +38,7 @@
 
 
 class Offer(msgspec.Struct, frozen=True):
-    """Room for up to ``most`` tasks on a machine, at a price for each."""
+    """Capacity for up to ``max_tasks`` tasks on a machine, at a price for each."""
 
     cost: float
     machine: str
@@ -41,133 +46,163 @@
     max_tasks: int
 
 
+class _GroupOffer(NamedTuple):
+    """Capacity for up to ``max_tasks`` tasks on each machine of a group, at a price for each."""
+
+    cost: float
+    first_machine: str
+    max_tasks: int
+    group: MachineGroup
+
+
+class _Units(NamedTuple):
+    """The tasks of a job in units that the dynamic program counts; the last one may not be full."""
+
+    tasks: int
+    tasks_each: int
+    total: int
+
+
 class Planner:
     """Computes plans against a ledger; it changes nothing."""
 
-    def __init__(self, pricing: Pricing, ledger: Ledger, slot_s: float, units: int) -> None:
-        self._pricing, self._ledger, self._slot_s, self._max_units = pricing, ledger, slot_s, units
+    def __init__(self, pricing: Pricing, ledger: Ledger, slot_s: float, max_units: int) -> None:
+        self._pricing, self._ledger, self._slot_s, self._max_units = pricing, ledger, slot_s, max_units
 
     def span_slots(self, estimate_s: float) -> int:
         """Slots that a task with this estimate touches when it starts at a slot's begin."""
-        return max(1, math.ceil(estimate_s / self._slot_s - 1e-9))
+        return max(1, math.ceil(estimate_s / self._slot_s - _ROUNDING_SLOTS))
 
     def plan(self, job: Job, tasks: int, estimate_s: float, now: float) -> Plan | None:
-        """The plan with the highest payoff, or None if there is no room for the job at all."""
+        """The plan with the highest payoff, or None if the job does not fit at all."""
         groups = self._groups(job)
         if not groups or tasks <= 0:
             return None
-        shares = max(machine_shares(job.task_resources, row.capacity) for row, _ in groups)
+        shares = max(machine_shares(job.task_resources, group.bookings.capacity) for group in groups)
         best: Plan | None = None
         for zone in self._candidate_zones(job, groups):
-            chosen = [group for group in groups if zone is None or group[0].zone == zone]
+            in_zone = [group for group in groups if zone is None or group.bookings.zone == zone]
             found = (
-                self._plan_service(job, tasks, chosen, shares)
+                self._plan_service(job, tasks, in_zone, shares)
                 if job.is_service
-                else self._plan_array(job, tasks, estimate_s, now, chosen, shares)
+                else self._plan_array(job, tasks, estimate_s, now, in_zone, shares)
             )
             if found is not None and (best is None or found.payoff > best.payoff):
                 best = found
         return best
 
     def _groups(self, job: Job) -> list[MachineGroup]:
-        """The machines that a job may use, those alike together.
+        """The machines that a job may use, equivalent ones together.
 
         Most of a large fleet is full or empty in few ways: with a price for each machine and slot, a plan
         for 650 machines took 13 ms.
         """
-        return [group for group in self._ledger.groups() if self._allowed(job, group[0])]
+        return [group for group in self._ledger.groups() if self._may_use(job, group.bookings)]
 
-    def _allowed(self, job: Job, row: MachineBookings) -> bool:
+    def _may_use(self, job: Job, machine: MachineBookings) -> bool:
         spec = job.spec
         return (
-            (spec.machine_types is None or row.machine_type in spec.machine_types)
-            and (spec.zone is None or row.zone == spec.zone)
-            and (spec.spot or not row.spot)
+            (spec.machine_types is None or machine.machine_type in spec.machine_types)
+            and (spec.zone is None or machine.zone == spec.zone)
+            and (spec.spot or not machine.spot)
         )
 
     def _candidate_zones(self, job: Job, groups: list[MachineGroup]) -> list[str | None]:
+        """The zones that are planned on one by one; None: all of them together."""
         if not job.spec.one_zone:
             return [None]
         held = [zone for zone, count in job.active_by_zone.items() if count > 0]
-        found: list[str | None] = []
-        found += held or sorted({row.zone for row, _ in groups})
-        return found
+        zones: list[str | None] = []
+        zones += held or sorted({group.bookings.zone for group in groups})
+        return zones
 
     def offers(
-        self, job: Job, groups: list[MachineGroup], first: int, last: int, tasks: int, part: float = 1.0
+        self,
+        job: Job,
+        groups: list[MachineGroup],
+        first: int,
+        last: int,
+        tasks: int,
+        slot_share: float = 1.0,
     ) -> list[Offer]:
-        """Room for tasks that hold all the slots from ``first`` to ``last``, cheapest first.
+        """Offers for tasks that hold all the slots from ``first`` to ``last``, cheapest first.
 
-        ``part`` is the part of a slot that a task takes, where several fit one after another. What a zone
-        offers beyond all the tasks is left out.
+        ``slot_share`` is the part of a slot that a task takes, where several fit one after another. What a
+        zone offers beyond all the tasks is left out.
         """
-        need = (
-            job.task_resources
-            if part == 1.0
-            else (job.task_resources[0] * part, job.task_resources[1] * part, job.task_resources[2] * part)
-        )
-        alike: list[tuple[float, str, int, MachineGroup]] = []
+        need = job.task_resources
+        if slot_share != 1.0:
+            need = (need[0] * slot_share, need[1] * slot_share, need[2] * slot_share)
+        group_offers: list[_GroupOffer] = []
         for group in groups:
-            most, cost = self._capacity_on(group[0], need, first, last, tasks)
-            if most:
-                alike.append((cost, group[1][0], most, group))
-        alike.sort(key=lambda entry: entry[:2])
-        found: list[Offer] = []
-        offered: dict[str, int] = {}
-        for cost, _, most, (row, names) in alike:
+            max_tasks, cost = self._capacity_on(group.bookings, need, first, last, tasks)
+            if max_tasks:
+                group_offers.append(_GroupOffer(cost, group.names[0], max_tasks, group))
+        group_offers.sort(key=lambda offer: offer[:2])
+        offers: list[Offer] = []
+        offered_by_zone: dict[str, int] = {}
+        for cost, _, max_tasks, (bookings, names) in group_offers:
+            zone = bookings.zone
             for name in names:
-                if offered.get(row.zone, 0) >= tasks:
+                if offered_by_zone.get(zone, 0) >= tasks:
                     break
-                offered[row.zone] = offered.get(row.zone, 0) + most
-                found.append(Offer(cost, name, row.zone, most))
-        return found
+                offered_by_zone[zone] = offered_by_zone.get(zone, 0) + max_tasks
+                offers.append(Offer(cost, name, zone, max_tasks))
+        return offers
 
     def _capacity_on(
-        self, row: MachineBookings, need: Resources, first: int, last: int, tasks: int
+        self, machine: MachineBookings, need: Resources, first: int, last: int, tasks: int
     ) -> tuple[int, float]:
         """How many tasks fit on a machine in all of the slots, and the price of one."""
-        most, cost = tasks, 0.0
-        own_slots = [slot for slot in range(first, last + 1) if slot in row.slots] if row.slots else []
+        max_tasks, cost = tasks, 0.0
+        own_slots: list[int] = []
+        if machine.slots:
+            own_slots = [slot for slot in range(first, last + 1) if slot in machine.slots]
         for slot in own_slots:
-            free, prices = row.free_and_prices(slot, self._pricing.unit_prices)
-            most = max_copies(need, free, most)
-            if not most:
+            free, prices = machine.free_and_prices(slot, self._pricing.unit_prices)
+            max_tasks = max_copies(need, free, max_tasks)
+            if not max_tasks:
                 return 0, 0.0
             cost += price_of(need, prices)
         # The other slots hold nothing but what is booked in every slot.
-        standing = last - first + 1 - len(own_slots)
-        if standing:
-            free, prices = row.free_and_prices(EVERY_SLOT, self._pricing.unit_prices)
-            most = max_copies(need, free, most)
-            cost += standing * price_of(need, prices)
-        return most, cost
-
-    def fill(self, job: Job, offers: list[Offer], tasks: int, held: dict[str, int]) -> dict[str, int]:
+        other_slots = last - first + 1 - len(own_slots)
+        if other_slots:
+            free, prices = machine.free_and_prices(EVERY_SLOT, self._pricing.unit_prices)
+            max_tasks = max_copies(need, free, max_tasks)
+            cost += other_slots * price_of(need, prices)
+        return max_tasks, cost
+
+    def fill(self, job: Job, offers: list[Offer], tasks: int) -> dict[str, int]:
         """Greedy fill, cheapest first, within what one zone may hold; may be less than asked."""
         limit = zone_limit(job.spec)
-        zones = dict(held)
-        chosen: dict[str, int] = {}
+        tasks_by_zone = dict(job.active_by_zone)
+        tasks_by_machine: dict[str, int] = {}
         for offer in offers:
             if tasks <= 0:
                 break
-            take = min(tasks, offer.max_tasks, limit - zones.get(offer.zone, 0))
-            if take > 0:
-                chosen[offer.machine] = take
-                zones[offer.zone] = zones.get(offer.zone, 0) + take
-                tasks -= take
-        return chosen
+            count = min(tasks, offer.max_tasks, limit - tasks_by_zone.get(offer.zone, 0))
+            if count > 0:
+                tasks_by_machine[offer.machine] = count
+                tasks_by_zone[offer.zone] = tasks_by_zone.get(offer.zone, 0) + count
+                tasks -= count
+        return tasks_by_machine
+
+    # -- services ------------------------------------------------------------------------------------
 
     def _plan_service(self, job: Job, tasks: int, groups: list[MachineGroup], shares: float) -> Plan | None:
+        """Replicas that all start now, and hold every slot of the horizon."""
         first, horizon = self._ledger.current_slot, self._ledger.horizon_slots
         offers = self.offers(job, groups, first, first + horizon - 1, tasks)
-        chosen = self.fill(job, offers, tasks, job.active_by_zone)
+        chosen = self.fill(job, offers, tasks)
         if sum(chosen.values()) < tasks:
             return None
-        price = {offer.machine: offer.cost for offer in offers}
-        cost = sum(price[name] * number for name, number in chosen.items())
+        cost_by_machine = {offer.machine: offer.cost for offer in offers}
+        cost = sum(cost_by_machine[name] * count for name, count in chosen.items())
         value = self._pricing.weights[job.priority] * shares * tasks * horizon
         return Plan(value - cost, {first: chosen})
 
+    # -- arrays and gangs ----------------------------------------------------------------------------
+
     def _plan_array(
         self,
         job: Job,
@@ -177,57 +212,76 @@
         groups: list[MachineGroup],
         shares: float,
     ) -> Plan | None:
-        first, horizon = self._ledger.current_slot, self._ledger.horizon_slots
+        """The best end slot, by a dynamic program over the slots and the units that start in each."""
         span = self.span_slots(estimate_s)
-        part = min(1.0, max(estimate_s / self._slot_s, 0.01)) if span == 1 else 1.0
-        # A gang is one unit of work: it starts whole in a slot.
-        unit = tasks if job.is_gang else max(1, math.ceil(tasks / self._max_units))
-        steps = math.ceil(tasks / unit)
-        # What lies beyond the horizon is carried forward: the last slots take a cut-off span.
-        tables: list[list[float]] = []
-        offers: list[list[Offer]] = []
-        for slot in range(first, first + horizon):
-            last = min(slot + span - 1, first + horizon - 1)
-            offered = self.offers(job, groups, slot, last, tasks, part)
-            offers.append(offered)
-            tables.append(self._unit_costs(job, offered, tasks, unit, steps))
-        # cheapest[d]: least cost of starting d units up to the slot looked at; choices recover them.
-        cheapest = [0.0] + [INFINITE] * steps
+        slot_share = min(1.0, max(estimate_s / self._slot_s, _MIN_SLOT_SHARE)) if span == 1 else 1.0
+        units = self._units(job, tasks)
+        offers = self._offers_by_slot(job, groups, span, tasks, slot_share)
+        costs_by_slot = [self._unit_costs(job, offered, units) for offered in offers]
+        # cheapest[n]: least cost of starting n units up to the slot looked at; choices recover them.
+        cheapest = [0.0] + [INFINITE] * units.total
         choices: list[list[int]] = []
         best_payoff, best_end = -INFINITE, -1
-        for offset, table in enumerate(tables):
-            cheapest, choice = self._add_slot(cheapest, table)
+        for offset, unit_costs in enumerate(costs_by_slot):
+            cheapest, choice = self._add_slot(cheapest, unit_costs)
             choices.append(choice)
-            if cheapest[steps] < INFINITE and choice[steps]:
-                end_at = now + (offset + max(part, span)) * self._slot_s
+            if cheapest[units.total] < INFINITE and choice[units.total]:
+                end_at = now + (offset + max(slot_share, span)) * self._slot_s
                 if offset == 0:
                     end_at = now + estimate_s
-                value = self._pricing.value(job, shares * tasks * span * part, end_at, self._slot_s)
-                payoff = value - cheapest[steps]
+                value = self._pricing.value(job, shares * tasks * span * slot_share, end_at, self._slot_s)
+                payoff = value - cheapest[units.total]
                 if payoff > best_payoff:
                     best_payoff, best_end = payoff, offset
         if best_end < 0:
             return None
-        starts: dict[int, dict[str, int]] = {}
-        left = steps
-        for offset in range(best_end, -1, -1):
-            here = choices[offset][left]
-            if here:
-                number = min(here * unit, tasks)
-                chosen = self.fill(job, offers[offset], number, job.active_by_zone)
-                starts[first + offset] = chosen
-                left -= here
-        self._trim_excess(starts, tasks)
-        return Plan(best_payoff, starts)
+        return Plan(best_payoff, self._starts(job, offers, choices[: best_end + 1], units))
+
+    def _units(self, job: Job, tasks: int) -> _Units:
+        # A gang is one unit of work: it starts whole in a slot.
+        per_unit = tasks if job.is_gang else max(1, math.ceil(tasks / self._max_units))
+        return _Units(tasks, per_unit, math.ceil(tasks / per_unit))
+
+    def _offers_by_slot(
+        self, job: Job, groups: list[MachineGroup], span: int, tasks: int, slot_share: float
+    ) -> list[list[Offer]]:
+        """The offers for tasks that start in each slot of the horizon.
+
+        What lies beyond the horizon is carried forward: the last slots take a cut-off span.
+        """
+        first, horizon = self._ledger.current_slot, self._ledger.horizon_slots
+        end = first + horizon - 1
+        return [
+            self.offers(job, groups, slot, min(slot + span - 1, end), tasks, slot_share)
+            for slot in range(first, first + horizon)
+        ]
+
+    def _unit_costs(self, job: Job, offers: list[Offer], units: _Units) -> list[float]:
+        """Cost of starting 0, 1, ... units in a slot; infinite where they don't fit."""
+        costs = [0.0] + [INFINITE] * units.total
+        cost_by_machine = {offer.machine: offer.cost for offer in offers}
+        total, placed, unit = 0.0, 0, 1
+        for name, chosen in self.fill(job, offers, units.tasks).items():
+            remaining = chosen
+            while remaining and unit <= units.total:
+                goal = min(unit * units.tasks_each, units.tasks)
+                count = min(remaining, goal - placed)
+                total += count * cost_by_machine[name]
+                placed += count
+                remaining -= count
+                if placed == goal:
+                    costs[unit] = total
+                    unit += 1
+        return costs
 
     @staticmethod
-    def _add_slot(cheapest: list[float], table: list[float]) -> tuple[list[float], list[int]]:
+    def _add_slot(cheapest: list[float], unit_costs: list[float]) -> tuple[list[float], list[int]]:
         """One more slot of the dynamic program: the least cost of each amount, and how much starts here."""
         following = list(cheapest)
         choice = [0] * len(cheapest)
         for done in range(1, len(cheapest)):
             for here in range(1, done + 1):
-                cost = table[here]
+                cost = unit_costs[here]
                 if cost == INFINITE:
                     break
                 total = cheapest[done - here] + cost
@@ -235,24 +289,20 @@
                     following[done], choice[done] = total, here
         return following, choice
 
-    def _unit_costs(self, job: Job, offers: list[Offer], tasks: int, unit: int, steps: int) -> list[float]:
-        """Cost of starting 0, 1, ... units in a slot; infinite where they don't fit."""
-        costs = [0.0] + [INFINITE] * steps
-        chosen = self.fill(job, offers, tasks, job.active_by_zone)
-        price = {offer.machine: offer.cost for offer in offers}
-        total, placed, step = 0.0, 0, 1
-        for name, chosen_here in chosen.items():
-            number = chosen_here
-            while number and step <= steps:
-                goal = min(step * unit, tasks)
-                take = min(number, goal - placed)
-                total += take * price[name]
-                placed += take
-                number -= take
-                if placed == goal:
-                    costs[step] = total
-                    step += 1
-        return costs
+    def _starts(
+        self, job: Job, offers: list[list[Offer]], choices: list[list[int]], units: _Units
+    ) -> dict[int, dict[str, int]]:
+        """Tasks by slot and machine, from how many units the dynamic program chose in each slot."""
+        starts: dict[int, dict[str, int]] = {}
+        remaining = units.total
+        for offset in range(len(choices) - 1, -1, -1):
+            here = choices[offset][remaining]
+            if here:
+                count = min(here * units.tasks_each, units.tasks)
+                starts[self._ledger.current_slot + offset] = self.fill(job, offers[offset], count)
+                remaining -= here
+        self._trim_excess(starts, units.tasks)
+        return starts
 
     @staticmethod
     def _trim_excess(starts: dict[int, dict[str, int]], tasks: int) -> None:
--- a/src/poppyhold/scheduling/pricing.py
+++ b/src/poppyhold/scheduling/pricing.py
@@ -1,4 +1,4 @@
-"""Prices of booked room, and what a job is worth (OASiS, section IV-B, as DESIGN adapts it)."""
+"""Prices of booked capacity, and what a job is worth (OASiS, section IV-B, as DESIGN adapts it)."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
     def unit_prices(self, booked: Resources, capacity: Resources) -> Resources:
         """Prices of a unit of each resource of a machine in a slot."""
-        cpus, gpus, memory = (
+        cpus, accelerators, memory = (
             self.price(used, all_) / all_ if all_ > 0 else 0.0
             for used, all_ in zip(booked, capacity, strict=True)
         )
-        return cpus, gpus, memory
+        return cpus, accelerators, memory
 
     def value(self, job: Job, shares: float, end_at: float, slot_s: float) -> float:
         """Value of ``shares`` machine shares booked for a job that ends then."""
@@ -44,9 +44,9 @@
         return value
 
 
-def price_of(need: Resources, rates: Resources) -> float:
-    """Priced room of one task in one slot, at these prices of a unit of each resource."""
-    return need[0] * rates[0] + need[1] * rates[1] + need[2] * rates[2]
+def price_of(need: Resources, unit_prices: Resources) -> float:
+    """Price of what one task takes in one slot, at these prices of a unit of each resource."""
+    return need[0] * unit_prices[0] + need[1] * unit_prices[1] + need[2] * unit_prices[2]
 
 
 def machine_shares(need: Resources, capacity: Resources) -> float:
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -1,8 +1,8 @@
-"""Moving standing replicas to make room where an image is, for a task that would wait for its fetch.
+"""Relocating running replicas from where an image is, for a task that would wait for its fetch.
 
-Machines that hold the image of a small class fill up with replicas that stay for long, while there is room on
-others that would have to fetch it first. A replica that another machine can take at once, or whose class may
-wait for a fetch, gives up its place to a task whose class may not.
+Machines that hold the image of a small class fill up with replicas that stay for long, while others that
+would have to fetch it first have free capacity. A replica that another machine can take at once, or whose
+class may wait for a fetch, gives up its place to a task whose class may not.
 """
 
 from __future__ import annotations
@@ -16,21 +16,22 @@
 
 from poppyhold.model.durations import Durations
 from poppyhold.model.entities import Attempt, Job, JobPhase, Machine
-from poppyhold.model.resources import EPSILON, NO_RESOURCES, Resources, add_scaled, fits
+from poppyhold.model.resources import EPSILON, Resources, add_scaled, fits
+from poppyhold.scheduling.cycle import reserve
 from poppyhold.scheduling.placement import Choice, image_wait_s, may_use, zone_allows
 from poppyhold.wire.messages import TaskState
 
 log = logging.getLogger(__name__)
 
-# Of so many machines one replica may leave within a lease: many at a time would be an outage to their users.
-_MACHINES_A_MOVE = 16
-# Searches in one pass, and machines that are looked at as a replica's next one: reports must not wait.
-_MOST_SEARCHES = 8
-_MOST_HOMES = 32
+# For each so many machines one replica may move within a lease: many at a time would be an outage to users.
+_MACHINES_PER_MOVE = 16
+# Searches in one cycle, and machines that are looked at as a replica's next one: heartbeats must not wait.
+_MAX_SEARCHES = 8
+_MAX_TARGETS = 32
 
 
 class Move(msgspec.Struct, eq=False):
-    """A replica that leaves its machine, the one where room for it is kept, and what the move costs."""
+    """A replica that leaves its machine, the one where capacity is reserved for it, and the move's cost."""
 
     attempt: Attempt
     target: Machine
@@ -38,32 +39,32 @@
 
 
 class Relocation:
-    """Finds replicas to move, and keeps room for them until their old attempts are over."""
+    """Finds replicas to move, and reserves capacity for them until their old attempts are terminated."""
 
     def __init__(
         self,
         weights: Sequence[float],
-        times: Durations,
-        in_time: Callable[[Job, float], bool],
+        durations: Durations,
+        meets_objective: Callable[[Job, float], bool],
         clock: Callable[[], float],
     ) -> None:
         # A second of a replica's time is worth the weight of its priority.
         self._weights = weights
-        self._restart_s, self._min_running_s = times.heartbeat_interval_s, times.cancel_s
-        self._lease_s = times.lease_s
-        self._meets_objective, self._clock = in_time, clock
+        self._restart_s, self._min_running_s = durations.heartbeat_interval_s, durations.cancel_s
+        self._lease_s = durations.lease_s
+        self._meets_objective, self._clock = meets_objective, clock
         self._moves: list[Move] = []
         # When replicas moved within the last lease.
         self._moved_at: deque[float] = deque()
         self._searches_left = 0
         self._infeasible: set[tuple[str, Resources, int]] = set()
 
-    def begin_cycle(self, held: dict[str, Resources]) -> None:
-        """A new pass: keep the room of replicas that are still on their way."""
+    def begin_cycle(self, reserved: dict[str, Resources]) -> None:
+        """Begin a scheduling cycle: reserve capacity for replicas that have not left their machines yet."""
         self._moves = [move for move in self._moves if _on_its_machine(move.attempt)]
         for move in self._moves:
-            _reserve(held, move)
-        self._searches_left = _MOST_SEARCHES
+            _reserve(reserved, move)
+        self._searches_left = _MAX_SEARCHES
         self._infeasible.clear()
 
     def relocate_for(
@@ -74,12 +75,12 @@
         if self._searches_left <= 0 or kind in self._infeasible or self._moves_left(machines) <= 0:
             return None
         self._searches_left -= 1
-        homes = self._targets(machines, reserved)
+        targets = self._targets(machines, reserved)
         best: tuple[float, Machine, list[Move]] | None = None
         for machine in machines:
             if not self._may_take(job, machine):
                 continue
-            moves = self._moves_from(job, machine, homes, reserved)
+            moves = self._moves_from(job, machine, targets, reserved)
             cost = sum(move.cost for move in moves)
             if moves and (best is None or cost < best[0]):
                 best = cost, machine, moves
@@ -89,7 +90,9 @@
         _, machine, moves = best
         for move in moves:
             _reserve(reserved, move)
-            log.debug("%s moves from %s to %s", move.attempt.name, machine.name, move.target.name)
+            log.debug(
+                "replica relocated: task=%s from=%s to=%s", move.attempt.name, machine.name, move.target.name
+            )
         self._moves += moves
         self._moved_at.extend([self._clock()] * len(moves))
         return Choice(machine, [move.attempt for move in moves])
@@ -98,17 +101,17 @@
         """How many replicas may still move within this lease."""
         while self._moved_at and self._moved_at[0] < self._clock() - self._lease_s:
             self._moved_at.popleft()
-        return max(1, len(machines) // _MACHINES_A_MOVE) - len(self._moved_at)
+        return max(1, len(machines) // _MACHINES_PER_MOVE) - len(self._moved_at)
 
     @staticmethod
     def _may_take(job: Job, machine: Machine) -> bool:
-        """Whether a task of the job could start at once, had the machine room."""
+        """Whether a task of the job could start at once, if the machine had free capacity."""
         return job.spec.image in machine.images and may_use(job, machine) and zone_allows(job, machine.zone)
 
     @staticmethod
     def _targets(machines: Iterable[Machine], reserved: dict[str, Resources]) -> list[Machine]:
-        """Machines with some room left of all that they have."""
-        roomy = (
+        """Machines on which some of each resource is free."""
+        with_free_capacity = (
             machine
             for machine in machines
             if all(
@@ -119,25 +122,25 @@
                 if all_ > 0
             )
         )
-        return list(itertools.islice(roomy, _MOST_HOMES))
+        return list(itertools.islice(with_free_capacity, _MAX_TARGETS))
 
     def _moves_from(
-        self, job: Job, machine: Machine, homes: list[Machine], reserved: dict[str, Resources]
+        self, job: Job, machine: Machine, targets: list[Machine], reserved: dict[str, Resources]
     ) -> list[Move]:
-        """The replicas whose moves make room for one task on a machine; none if that can't be."""
+        """The replicas whose moves let one task start on a machine; none if that can't be."""
         taken = dict(reserved)
         free = machine.free_after_reservations(reserved)
         options = [
             move
             for attempt in machine.attempts.values()
             if self._may_move(job, attempt)
-            and (move := self._best_move(job, attempt, homes, reserved)) is not None
+            and (move := self._best_move(job, attempt, targets, reserved)) is not None
         ]
         options.sort(key=lambda move: (move.cost, -move.attempt.sent_at))
         chosen: list[Move] = []
         for option in options:
-            # The room that others found may be taken by an earlier one of these.
-            move = self._best_move(job, option.attempt, homes, taken) if chosen else option
+            # What others found free may be taken by an earlier one of these.
+            move = self._best_move(job, option.attempt, targets, taken) if chosen else option
             if move is None:
                 continue
             chosen.append(move)
@@ -148,7 +151,7 @@
         return []
 
     def _may_move(self, job: Job, attempt: Attempt) -> bool:
-        """Whether a replica may move for the job. A start that is stopped soon was none to its user."""
+        """Whether a replica may move for the job. A start that is stopped soon is of no use to its user."""
         other = attempt.job
         return (
             other.is_service
@@ -162,23 +165,23 @@
         )
 
     def _best_move(
-        self, job: Job, attempt: Attempt, homes: list[Machine], reserved: dict[str, Resources]
+        self, job: Job, attempt: Attempt, targets: list[Machine], reserved: dict[str, Resources]
     ) -> Move | None:
         """The best next machine of a replica. One of the same priority only moves to where its image is."""
         other = attempt.job
         best: tuple[float, Machine] | None = None
-        for home in homes:
-            if home is attempt.machine or not may_use(other, home):
+        for target in targets:
+            if target is attempt.machine or not may_use(other, target):
                 continue
-            if home.zone != attempt.machine.zone and not zone_allows(other, home.zone):
+            if target.zone != attempt.machine.zone and not zone_allows(other, target.zone):
                 continue
-            if not fits(other.task_resources, home.free_after_reservations(reserved)):
+            if not fits(other.task_resources, target.free_after_reservations(reserved)):
                 continue
-            wait_s = image_wait_s(home, other)
+            wait_s = image_wait_s(target, other)
             if not self._may_move_to(other, wait_s, other.priority == job.priority):
                 continue
             if best is None or wait_s < best[0]:
-                best = wait_s, home
+                best = wait_s, target
         if best is None:
             return None
         return Move(attempt, best[1], (best[0] + self._restart_s) * self._weights[other.priority])
@@ -189,11 +192,10 @@
 
 
 def _on_its_machine(attempt: Attempt) -> bool:
-    """Whether an attempt is not proven to be over."""
+    """Whether an attempt is not proven to be terminated."""
     return attempt.machine.attempts.get(attempt.name) is attempt
 
 
-def _reserve(rooms: dict[str, Resources], move: Move) -> None:
-    """Keep the room for a replica on its next machine."""
-    name = move.target.name
-    rooms[name] = add_scaled(rooms.get(name, NO_RESOURCES), move.attempt.job.task_resources)
+def _reserve(reserved: dict[str, Resources], move: Move) -> None:
+    """Reserve what a replica takes on its next machine."""
+    reserve(reserved, move.target.name, move.attempt.job.task_resources)
