--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -6,8 +6,9 @@
 
 import msgspec
 
+from poppyhold.durable.changes import Data, Delete, Put
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, COMPLETION_RANGES_PREFIX, COMPLETIONS_PREFIX
 from poppyhold.durable.records import CompletionsRecord
-from poppyhold.durable.store import ACTIVE, DONE_STRETCHES, DONE_TASKS, Data, put, remove
 from poppyhold.model.context import Context
 from poppyhold.model.entities import TASK_DONE, Job, JobPhase
 from poppyhold.settings import State
@@ -70,9 +71,9 @@
         first = number * self.coarse
         tasks = min(self.coarse, job.spec.tasks - first)
         if tasks // _TASKS_A_DIGIT + _FRAME_BYTES <= self._largest_bytes:
-            return f"{DONE_TASKS}{job.id}/{number}", first, self.coarse
+            return f"{COMPLETIONS_PREFIX}{job.id}/{number}", first, self.coarse
         number = index // self.fine
-        return f"{DONE_STRETCHES}{job.id}/{number}", number * self.fine, self.fine
+        return f"{COMPLETION_RANGES_PREFIX}{job.id}/{number}", number * self.fine, self.fine
 
 
 class Completions:
@@ -86,12 +87,12 @@
 
     def load(self, prefix: str, records: dict[str, Data]) -> None:
         """Take the records that earlier leaders made durable; those of jobs that are over are removed."""
-        size = self._layout.coarse if prefix == DONE_TASKS else self._layout.fine
+        size = self._layout.coarse if prefix == COMPLETIONS_PREFIX else self._layout.fine
         for name, data in records.items():
             job_id, _, number = name.rpartition("/")
             job = self._ctx.fleet.jobs.get(job_id)
             if job is None:
-                self._ctx.outbound.commit({}, [remove(prefix + name)], lambda done: None)
+                self._ctx.outbound.commit({}, [Delete(prefix + name)], lambda done: None)
                 continue
             job.done_records.add(prefix + name)
             record = msgspec.convert(data, CompletionsRecord)
@@ -111,11 +112,11 @@
         records = self._layout.records(job, indices)
         job.completions_save_in_flight = True
         job.done_records |= records.keys()
-        writes = [put(key, data) for key, data in records.items()]
+        writes = [Put(key, data) for key, data in records.items()]
         batches = [writes[i : i + self._most_changes] for i in range(0, len(writes), self._most_changes)]
         saved = self._saved(job, indices, len(batches))
         for batch in batches:
-            self._ctx.outbound.commit({ACTIVE + job.id: job.version}, batch, saved)
+            self._ctx.outbound.commit({ACTIVE_JOB_PREFIX + job.id: job.version}, batch, saved)
 
     @staticmethod
     def _saved(job: Job, indices: set[int], batches: int) -> Callable[[bool], None]:
@@ -132,6 +133,6 @@
 
     def remove(self, job: Job) -> None:
         """A job is over: its records are of no use any more."""
-        writes = [remove(key) for key in sorted(job.done_records)]
+        writes = [Delete(key) for key in sorted(job.done_records)]
         for first in range(0, len(writes), self._most_changes):
             self._ctx.outbound.commit({}, writes[first : first + self._most_changes], lambda done: None)
--- a/src/poppyhold/scale/routes.py
+++ b/src/poppyhold/scale/routes.py
@@ -4,8 +4,10 @@
 
 from typing import Any
 
-from poppyhold.scale.standins import CloudStandIn, StateStandIn, Status
-from poppyhold.wire.messages import decode
+from poppyhold.scale.cloud_standin import CloudStandIn
+from poppyhold.scale.responses import Status
+from poppyhold.scale.state_standin import StateStandIn
+from poppyhold.wire.codec import decode
 
 _LARGEST_LIST = 500
 
--- a/src/poppyhold/scale/run.py
+++ b/src/poppyhold/scale/run.py
@@ -14,16 +14,16 @@
 import msgspec
 import psutil
 
-from poppyhold.durable.store import LEAD
+from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.scale.checks import RuleChecks
 from poppyhold.scale.controllers import ControllerProcess, Controllers, team_limits
+from poppyhold.scale.external_services import StateService
 from poppyhold.scale.fleet import Fleet
 from poppyhold.scale.measure import Latency, ProcessMeter
-from poppyhold.scale.outside import StateService
 from poppyhold.scale.profile import Profile, Trouble
 from poppyhold.scale.result import ControllerResult, Result, TroubleResult
-from poppyhold.scale.standins import WorkerStandIn
 from poppyhold.scale.users import Users
+from poppyhold.scale.worker_standin import WorkerStandIn
 
 _SAMPLE_S, _PROGRESS_S, _COUNT_S, _LOOP_S, _WATCH_S = 1.0, 5.0, 0.5, 0.05, 0.02
 # Listing a process's connections takes long where there are thousands.
@@ -183,7 +183,7 @@
         await self.controllers.start(controller)
 
     def _leader(self) -> str | None:
-        held = self.state.standin.keys.get(LEAD)
+        held = self.state.standin.keys.get(LEADER_KEY)
         member = held[0]["member"] if held is not None else None
         if member is not None and self._measured_at is not None:
             self._led.add(member)
@@ -249,7 +249,8 @@
         self._say(
             f"{phase}: {len(self.fleet.workers)} workers, {self._running} tasks, "
             f"{figures.answered.total} reports answered, {figures.failed.total} failed, "
-            f"{figures.leases_lost} leases lost, {self.checks.broken_count} broken, leader {self._leader()}"
+            f"{figures.leases_lost} leases lost, {self.checks.violations.count} broken, "
+            f"leader {self._leader()}"
         )
 
     def _say(self, text: str) -> None:
@@ -332,8 +333,8 @@
             state_requests=dict(self.state.requests),
             statuses={str(status): count for status, count in users.statuses.items()},
             troubles=self._troubles,
-            broken=self.checks.broken,
-            broken_count=self.checks.broken_count,
+            broken=self.checks.violations.messages,
+            broken_count=self.checks.violations.count,
             stopped=self._stopped,
         )
 
--- a/src/poppyhold/scheduling/cycle.py
+++ b/src/poppyhold/scheduling/cycle_state.py
@@ -57,8 +57,8 @@
             view.refresh_machine(machine)
 
 
-class SchedulingCycle:
-    """One cycle over the jobs that wait. Free capacity only shrinks during a cycle.
+class CycleState:
+    """What one cycle over the jobs that wait goes by. Free capacity only shrinks during a cycle.
 
     So once no machine is found for a task, equivalent ones are not searched for again. Without this, a full
     fleet of 200 machines was searched for every waiting task at every event, and heartbeats were answered so
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -7,7 +7,7 @@
 from poppyhold.model.entities import Job, JobPhase
 from poppyhold.model.resources import Resources
 from poppyhold.scheduling.admission import Admission
-from poppyhold.scheduling.cycle import CapacityViews, SchedulingCycle, reserve
+from poppyhold.scheduling.cycle_state import CapacityViews, CycleState, reserve
 from poppyhold.scheduling.gang_placement import GangPlacement
 from poppyhold.scheduling.gang_scheduler import GangScheduler
 from poppyhold.scheduling.job_order import JobOrder
@@ -75,7 +75,7 @@
         self._order.sort(jobs, now)
         return jobs
 
-    def _begin_cycle(self, now: float) -> SchedulingCycle | None:
+    def _begin_cycle(self, now: float) -> CycleState | None:
         """A cycle over the machines that tasks may start on; None if there are none."""
         ctx = self._ctx
         machines = [
@@ -90,7 +90,7 @@
             machine for machine in machines if machine.unreliable_until <= now and not is_suspect(machine)
         ]
         unaccounted = ctx.fleet.unaccounted_resources(self._reconciler.unreconciled)
-        cycle = SchedulingCycle(machines, reliable_machines, unaccounted)
+        cycle = CycleState(machines, reliable_machines, unaccounted)
         self.placement.begin_cycle(machines, [job for job in ctx.fleet.jobs.values() if job.active])
         self._gang_placement.begin_cycle(ctx.fleet.jobs.values())
         self._relocation.begin_cycle(cycle.reserved)
@@ -104,7 +104,7 @@
         """
         return self._ctx.clock() + self._ctx.durations.heartbeat_interval_s * _BUDGET_HEARTBEATS
 
-    def _start_all_planned(self, cycle: SchedulingCycle, jobs: list[Job], now: float) -> None:
+    def _start_all_planned(self, cycle: CycleState, jobs: list[Job], now: float) -> None:
         cycle.schedule_on(self._planned_capacity, cycle.reserved)
         deadline = self._deadline()
         jobs.sort(key=lambda job: job.id in self._visited)
@@ -112,7 +112,7 @@
             if self._ctx.clock() <= deadline:
                 self._start_planned(cycle, job, now)
 
-    def _start_all_unplanned(self, cycle: SchedulingCycle, jobs: list[Job]) -> None:
+    def _start_all_unplanned(self, cycle: CycleState, jobs: list[Job]) -> None:
         reserved = self._reserved(cycle)
         cycle.schedule_on(self._unplanned_capacity, reserved)
         deadline = self._deadline()
@@ -125,7 +125,7 @@
                 self._start_unplanned(cycle, job, reserved)
         self._visited.clear()
 
-    def _start_planned(self, cycle: SchedulingCycle, job: Job, now: float) -> None:
+    def _start_planned(self, cycle: CycleState, job: Job, now: float) -> None:
         """Start what the job's plan lets start by now."""
         if job.is_gang:
             # One that has waited long goes first like one with a plan.
@@ -135,7 +135,7 @@
         elif job.admitted:
             self._tasks.start_tasks(cycle, job, self._admission.startable_by_plan(job), cycle.reserved)
 
-    def _start_unplanned(self, cycle: SchedulingCycle, job: Job, reserved: dict[str, Resources]) -> None:
+    def _start_unplanned(self, cycle: CycleState, job: Job, reserved: dict[str, Resources]) -> None:
         """Start on capacity that no other job's plan books now."""
         bookings = self._admission.bookings
         has_own_booking = bool(bookings.machines_booked_now(job))
@@ -145,7 +145,7 @@
         else:
             self._tasks.start_tasks(cycle, job, job.pending, beside, has_own_booking)
 
-    def _reserved(self, cycle: SchedulingCycle) -> dict[str, Resources]:
+    def _reserved(self, cycle: CycleState) -> dict[str, Resources]:
         """What plans book now and have not used yet, and what is reserved for gangs and replicas."""
         reserved = self._admission.bookings.booked_now()
         for name, resources in cycle.reserved.items():
--- a/src/poppyhold/scheduling/gang_scheduler.py
+++ b/src/poppyhold/scheduling/gang_scheduler.py
@@ -6,7 +6,7 @@
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Job
 from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled
-from poppyhold.scheduling.cycle import SchedulingCycle, reserve
+from poppyhold.scheduling.cycle_state import CycleState, reserve
 from poppyhold.scheduling.gang_placement import GangPlacement
 from poppyhold.scheduling.job_order import JobOrder
 from poppyhold.scheduling.placement import Choice, copies_that_fit, in_best_zone, may_use
@@ -29,7 +29,7 @@
         self._ctx, self._gangs, self._quotas = ctx, gangs, quotas
         self._placement, self._order, self._starter = placement, order, starter
 
-    def start_gang(self, cycle: SchedulingCycle, job: Job, reserved: dict[str, Resources]) -> None:
+    def start_gang(self, cycle: CycleState, job: Job, reserved: dict[str, Resources]) -> None:
         """Start all pending tasks of a gang, if they fit beside what is reserved."""
         if not self._gangs.may_start(job):
             return
@@ -46,9 +46,7 @@
         elif self._order.has_waited_long(job, self._ctx.clock()) and not job.failures.at_fault:
             self._reserve_for(cycle, job, within_limit)
 
-    def _choices(
-        self, cycle: SchedulingCycle, job: Job, reserved: dict[str, Resources]
-    ) -> list[Choice] | None:
+    def _choices(self, cycle: CycleState, job: Job, reserved: dict[str, Resources]) -> list[Choice] | None:
         """A machine for each pending task, if need be among those that are not reliable.
 
         Where they don't all fit, lower work is preempted: for all of them, or none is stopped.
@@ -62,14 +60,14 @@
             return None
         return self._placement.preempt_for(job, cycle.reliable_machines, reserved)
 
-    def _within_limit(self, cycle: SchedulingCycle, job: Job) -> bool:
+    def _within_limit(self, cycle: CycleState, job: Job) -> bool:
         """Whether all pending tasks together stay within the team's limit."""
         in_use = cycle.in_use(self._ctx.fleet.used_by_team.get(job.spec.team))
         return self._quotas.allows(
             job.spec.team, in_use, add_scaled(NO_RESOURCES, job.task_resources, job.pending)
         )
 
-    def _reserve_for(self, cycle: SchedulingCycle, job: Job, within_limit: bool) -> None:
+    def _reserve_for(self, cycle: CycleState, job: Job, within_limit: bool) -> None:
         """Reserve what is released for a gang that has waited long, for a while at a time.
 
         Smaller jobs would take each part that is released, and the gang would never find enough at once.
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -13,7 +13,7 @@
 from poppyhold.model.resources import EPSILON, NO_RESOURCES, Resources, add_scaled, fits, max_copies
 from poppyhold.scheduling.free_capacity import FreeCapacityView, Ranking, RankingCache
 from poppyhold.scheduling.quotas import QuotaExcess
-from poppyhold.wire.messages import BEFORE_IMAGE, STOPPABLE
+from poppyhold.wire.worker_messages import BEFORE_IMAGE, STOPPABLE
 
 # Fetches take a third longer at times, as PROTOCOL says.
 _FETCH_SPREAD = 4 / 3
--- a/src/poppyhold/scheduling/plan_records.py
+++ b/src/poppyhold/scheduling/plan_records.py
@@ -6,14 +6,16 @@
 
 import msgspec
 
+from poppyhold.durable.changes import Data, Delete, Put
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, PLAN_PREFIX
 from poppyhold.durable.records import PlanRecord
-from poppyhold.durable.store import ACTIVE as ACTIVE_KEYS
-from poppyhold.durable.store import PLAN, Data, put, remove, stored_bytes
+from poppyhold.durable.store import stored_bytes
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Job
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.scheduling.quotas import Quotas
-from poppyhold.wire.messages import PRIORITIES, convert
+from poppyhold.wire.codec import convert
+from poppyhold.wire.user_messages import PRIORITIES
 
 # Jobs of this priority and above it are urgent.
 _LEAST_URGENT = PRIORITIES.index("high")
@@ -42,9 +44,9 @@
                 # Its record is gone: the job is finalized, and the news of that came before its own.
                 self._on_ended(job)
 
-        conditions = {ACTIVE_KEYS + job.id: job.version}
+        conditions = {ACTIVE_JOB_PREFIX + job.id: job.version}
         self._ctx.outbound.commit(
-            conditions, [put(PLAN + job.id, data)], on_committed, self._plan_commit_priority(job)
+            conditions, [Put(PLAN_PREFIX + job.id, data)], on_committed, self._plan_commit_priority(job)
         )
 
     def load(self, job: Job, data: Data) -> None:
@@ -58,7 +60,7 @@
 
     def remove(self, job_id: str) -> None:
         """Remove the plan of a finalized job, when nobody waits for changes."""
-        self._ctx.outbound.commit({}, [remove(PLAN + job_id)], lambda done: None)
+        self._ctx.outbound.commit({}, [Delete(PLAN_PREFIX + job_id)], lambda done: None)
 
     def commit_priority(self, job: Job) -> CommitPriority:
         """The priority of a change of a job that somebody waits for."""
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -17,9 +17,9 @@
 from poppyhold.model.durations import Durations
 from poppyhold.model.entities import Attempt, Job, JobPhase, Machine
 from poppyhold.model.resources import EPSILON, Resources, add_scaled, fits
-from poppyhold.scheduling.cycle import reserve
+from poppyhold.scheduling.cycle_state import reserve
 from poppyhold.scheduling.placement import Choice, image_wait_s, may_use, zone_allows
-from poppyhold.wire.messages import TaskState
+from poppyhold.wire.worker_messages import TaskState
 
 log = logging.getLogger(__name__)
 
--- a/src/poppyhold/scheduling/task_scheduler.py
+++ b/src/poppyhold/scheduling/task_scheduler.py
@@ -6,7 +6,7 @@
 from poppyhold.model.entities import Job
 from poppyhold.model.resources import Resources
 from poppyhold.scheduling.bookings import Bookings
-from poppyhold.scheduling.cycle import SchedulingCycle
+from poppyhold.scheduling.cycle_state import CycleState
 from poppyhold.scheduling.placement import Choice, Placement, image_wait_s, in_best_zone, zone_allows
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.scheduling.relocation import Relocation
@@ -31,7 +31,7 @@
 
     def start_tasks(
         self,
-        cycle: SchedulingCycle,
+        cycle: CycleState,
         job: Job,
         max_tasks: int,
         reserved: dict[str, Resources],
@@ -75,7 +75,7 @@
                 search.refresh_machine(choice.machine)
 
     def _searches(
-        self, cycle: SchedulingCycle, job: Job, reserved: dict[str, Resources], has_own_booking: bool
+        self, cycle: CycleState, job: Job, reserved: dict[str, Resources], has_own_booking: bool
     ) -> list[PlacementSearch]:
         """Where to look for machines, in this order."""
         own_booking = self._bookings.machines_booked_now(job) if has_own_booking else set()
@@ -88,7 +88,7 @@
         return searches
 
     def _choose(
-        self, cycle: SchedulingCycle, job: Job, search: PlacementSearch, reserved: dict[str, Resources]
+        self, cycle: CycleState, job: Job, search: PlacementSearch, reserved: dict[str, Resources]
     ) -> Choice | None:
         """The best machine with free capacity; else, or where its image would come too late, preemption."""
         choice = search.best()
@@ -103,7 +103,7 @@
 
     def _choose_sooner(
         self,
-        cycle: SchedulingCycle,
+        cycle: CycleState,
         job: Job,
         search: PlacementSearch,
         wait_s: float,
@@ -121,9 +121,7 @@
             cycle.capacity.refresh_all()
         return relocation
 
-    def _choose_at_limit(
-        self, cycle: SchedulingCycle, job: Job, in_use: tuple[float, float]
-    ) -> Choice | None:
+    def _choose_at_limit(self, cycle: CycleState, job: Job, in_use: tuple[float, float]) -> Choice | None:
         """At its team's limit, a job may still take the place of lower work of the team."""
         if job.failures.at_fault:
             return None
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -8,7 +8,9 @@
 import msgspec
 
 from cells_world import CellsWorld
-from poppyhold.durable.store import FENCING_TOKEN, QUOTA, remove
+from poppyhold.durable.changes import Delete
+from poppyhold.durable.keys import FENCING_TOKEN_KEY, QUOTA_PREFIX
+from poppyhold.durable.store import transaction_body
 from poppyhold.options import Options
 from poppyhold.relay.mode import RelayMode
 from poppyhold.scale.jobs import submission
@@ -143,11 +145,11 @@
 
     @staticmethod
     def _remove_shares(world: World) -> None:
-        keys = [key for key in world.state.keys if key.startswith(QUOTA)]
+        keys = [key for key in world.state.keys if key.startswith(QUOTA_PREFIX)]
         for node in world.nodes:
             node.crash(3.0)
         for key in keys:
-            world.state.commit({"writes": [remove(key)]})
+            world.state.commit(transaction_body({}, [Delete(key)]))
 
     def do_swap_cell(self, name: str) -> None:
         """The cell's controllers come back with a file that gives the cell another name."""
@@ -490,7 +492,7 @@
         self._expect(len(lost) <= int(most), f"lost their leases: {', '.join(lost)}")
 
     def _expect_terms(self, most: str) -> None:
-        held = self.world.state.keys[FENCING_TOKEN][0]["baton"]
+        held = self.world.state.keys[FENCING_TOKEN_KEY][0]["baton"]
         self._expect(held <= int(most), f"{held} terms")
 
     def _expect_settled(self) -> None:
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -3,37 +3,34 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.connectivity import Connectivity
-from poppyhold.cluster.lease_delegation import DelegatedRenewal, LeaseDelegation, LeaseDelegations
+from poppyhold.cluster.delegated_renewals import DelegatedRenewals
+from poppyhold.cluster.lease_delegation import DelegationTracker, LeaseDelegation
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
-from poppyhold.durable.committer import Writer
-from poppyhold.durable.snapshot import SnapshotReader
-from poppyhold.durable.store import (
-    ACTIVE,
-    FENCING_TOKEN,
-    LEAD,
-    Changes,
-    ConflictError,
-    Entry,
-    LeaseGoneError,
-    Page,
-    RefusedError,
-    Store,
-    UncertainError,
-    put,
+from poppyhold.durable.changes import Entry, Put, Write, decode_entry, decode_event
+from poppyhold.durable.committer import FencedWriter
+from poppyhold.durable.errors import (
+    ConditionFailedError,
+    OutcomeUnknownError,
+    StoreRejectedError,
+    WatchCompactedError,
 )
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FENCING_TOKEN_KEY, LEADER_KEY
+from poppyhold.durable.snapshot import SnapshotReader
+from poppyhold.durable.store import Changes, Page, Store, transaction_body
 from poppyhold.model.durations import Durations
+from poppyhold.model.job_status import FinalState, TaskCounts
 from poppyhold.model.outbound import CommitPriority, MisdirectedWorker
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.controller import Controller
 from poppyhold.node.leader_term import DIRECT_SHARE
-from poppyhold.node.users import Users
+from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
 from poppyhold.quota.records import PEER
 from poppyhold.reads.job_reads import JobReads
@@ -42,17 +39,10 @@
 from poppyhold.relay.leader import heartbeat_response_timeout_s
 from poppyhold.relay.mode import RelayMode
 from poppyhold.scale.jobs import Data
-from poppyhold.scale.standins import StateStandIn
-from poppyhold.wire.messages import (
-    Heartbeat,
-    HeartbeatResponse,
-    Listed,
-    Listing,
-    MachineType,
-    convert,
-    encode,
-    parse_heartbeat,
-)
+from poppyhold.scale.state_standin import StateStandIn
+from poppyhold.wire.cloud_messages import ListedMachine, MachineListing, MachineType
+from poppyhold.wire.codec import convert, encode
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, parse_heartbeat
 from sim_relay import SimRelay
 
 if TYPE_CHECKING:
@@ -74,7 +64,7 @@
     def _state(self) -> StateStandIn:
         world = self._node.world
         if not self._node.alive or not self._node.has_state():
-            raise RefusedError("503")
+            raise StoreRejectedError("503")
         self.contact_at = world.now
         return world.state
 
@@ -84,33 +74,33 @@
 
     def page(self, prefix: str, after: str, most: int = 1000) -> Page:
         _, body = self._state().scan(prefix, after, most)
-        entries = [Entry(e["key"], e["data"], e["stamp"]) for e in body["entries"]]
+        entries = [decode_entry(entry) for entry in body["entries"]]
         return Page(entries, body["more"], body["ledger"])
 
     def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
         state = self._state()
         if state.is_too_old(since):
-            raise LeaseGoneError("watch")
-        return Changes(state.changes(prefix, since), state.ledger)
+            raise WatchCompactedError(prefix, since)
+        return Changes([decode_event(event) for event in state.changes(prefix, since)], state.ledger)
 
-    def commit(self, conditions: dict[str, int], writes: list[Data]) -> int:
-        body = {"if": [{"key": k, "stamp": s} for k, s in conditions.items()], "writes": writes}
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
+        body = transaction_body(conditions, writes)
         state, world = self._state(), self._node.world
         # Those of a transaction whose conditions fail count as well.
         world.work["changes"] += len(writes)
         if world.late_writes and world.rng.random() < world.late_writes:
             world.after(world.rng.uniform(2.0, 12.0), lambda: world.carry_out_late(body))
-            raise UncertainError("late")
+            raise OutcomeUnknownError("late")
         status, answer = state.commit(body)
         if status == 409:
-            raise ConflictError(answer["failed"])
+            raise ConditionFailedError(answer["failed"])
         if status != 200:
-            raise RefusedError(str(answer))
+            raise StoreRejectedError(str(answer))
         if self._node.lose_answers > 0:
             self._node.lose_answers -= 1
-            raise UncertainError("lost")
+            raise OutcomeUnknownError("lost")
         if world.lost_answers and world.rng.random() < world.lost_answers:
-            raise UncertainError("lost")
+            raise OutcomeUnknownError("lost")
         return int(answer["ledger"])
 
 
@@ -122,14 +112,14 @@
         self.fencing_token, self.version, self.lease_id = baton, stamp, permit
         self.alive = True
         self.confirmed = self.world.now
-        self.delegations = LeaseDelegations(node.times, 0.0)
+        self.delegations = DelegationTracker(node.times, 0.0)
         world = self.world
         self.authority = Authority(node.times.unconfirmed_renewal_s, world.members, world.now)
-        self._writer = Writer(node.store, stamp)
-        self._units: deque[tuple[dict[str, int], list[Data], Callable[[bool], None]]] = deque()
+        self._writer = FencedWriter(node.store, stamp)
+        self._units: deque[tuple[dict[str, int], Sequence[Write], Callable[[bool], None]]] = deque()
         self._priorities: deque[CommitPriority] = deque()
         # Writes of the last transfer that was about to be carried out.
-        self._planned: list[Data] | None = None
+        self._planned: Sequence[Write] | None = None
         # When each other cell is asked next.
         self.asks_at: dict[int, float] = {}
         self.controller = Controller(
@@ -154,9 +144,9 @@
         self.relays: dict[str, RelayState] = {}
         patience_s = heartbeat_response_timeout_s(node.settings.settings.workers)
         self.intake = RelayIntake(
-            self.answer_heartbeat, self.controller.answered_at, self.assignment, patience_s
+            self.answer_heartbeat, self.controller.last_response_at, self.assignment, patience_s
         )
-        self.authority.synced(world.now, node.store.revision())
+        self.authority.observe_watch(world.now, node.store.revision())
         self.controller.load(
             SnapshotReader(node.store, with_quota=node.options.cells is not None).read(),
             [convert(b, MachineType) for b in world.cloud.machine_types],
@@ -167,7 +157,7 @@
     def _carry_out(self) -> None:
         """One try of the first unit that waits, as the committer's thread does."""
         conditions, writes, done = self._units[0]
-        is_transfer = any(str(write.get("set")).startswith(PEER) for write in writes)
+        is_transfer = any(isinstance(write, Put) and write.key.startswith(PEER) for write in writes)
         if is_transfer and self._planned is not writes:
             self._planned = writes
             self.world.on_transfer_step(self.node, "planned")
@@ -176,12 +166,12 @@
                 return
         try:
             self._writer.commit(conditions, writes)
-        except ConflictError as conflict:
-            if LEAD in conflict.failed:
+        except ConditionFailedError as conflict:
+            if LEADER_KEY in conflict.failed_keys:
                 self.node.step_down()
                 return
             result = False
-        except (RefusedError, UncertainError):
+        except (StoreRejectedError, OutcomeUnknownError):
             self._later(0.2, self._carry_out)
             return
         else:
@@ -217,22 +207,21 @@
         """As the decision thread does: when a pass must wait, it wakes up for it."""
         if not self.alive or not self.node.alive or self.node.frozen:
             return
-        self.controller.settle()
-        if self.controller.ctx.scheduling_needed and self.controller.settle_at > max(
-            self.world.now, self.woken_at
-        ):
-            self.woken_at = self.controller.settle_at
+        self.controller.run_scheduling_cycle()
+        due_at = self.controller.scheduling_due_at()
+        if due_at is not None and due_at > max(self.world.now, self.woken_at):
+            self.woken_at = due_at
             self.world.after(self.woken_at - self.world.now, self.settle)
 
     def commit(
         self,
         conditions: dict[str, int],
-        writes: list[Data],
-        done: Callable[[bool], None],
+        writes: Sequence[Write],
+        on_committed: Callable[[bool], None],
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
         self.world.work["commits"] += 1
-        unit = (conditions, writes, done)
+        unit = (conditions, writes, on_committed)
         if not self._units:
             self._later(0.003, self._carry_out)
         # Behind the one that is being tried, and those of its own rank.
@@ -244,21 +233,21 @@
 
     def send_commands(
         self,
-        box: str,
+        machine: str,
         endpoint: str,
         body: Data,
-        done: Callable[[RequestOutcome, Heartbeat | None], None],
-        patient: bool,
+        on_response: Callable[[RequestOutcome, Heartbeat | None], None],
+        slow_lane: bool,
     ) -> None:
         world = self.world
         worker = world.workers.get(endpoint)
 
         def answered(outcome: RequestOutcome, heartbeat: Data | None) -> None:
             parsed = parse_heartbeat(heartbeat) if heartbeat is not None else None
-            self._later(0.001 + world.link_s, lambda: done(outcome, parsed))
+            self._later(0.001 + world.link_s, lambda: on_response(outcome, parsed))
 
         if worker is None or worker.gone or self.node.cut_workers:
-            self._later(1.5, lambda: done(RequestOutcome.NOT_SENT, None))
+            self._later(1.5, lambda: on_response(RequestOutcome.NOT_SENT, None))
             return
         how = world.troubles.get(worker.name, set())
         if world.severed(self.node.zone, worker.zone):
@@ -269,55 +258,55 @@
                 worker.do(body)
 
             world.after(LATE_S, deliver_late)
-            self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
+            self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
             return
         if how & {"hang", "hold"}:
             # The command waits in the network or in a hanging machine, and is carried out later.
             worker.held_commands.append(body)
-            self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
+            self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
             return
         if "deaf" in how:
-            self._later(1.5, lambda: done(RequestOutcome.NOT_SENT, None))
+            self._later(1.5, lambda: on_response(RequestOutcome.NOT_SENT, None))
             return
 
         def deliver() -> None:
             status, heartbeat = worker.do(body)
             if "mute" in how:
-                self._later(1.5, lambda: done(RequestOutcome.UNKNOWN, None))
+                self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
                 return
             answered(RequestOutcome.OK if status == 200 else RequestOutcome.REJECTED, heartbeat)
 
         world.after(0.001 + world.link_s, deliver)
 
-    def launch_machines(self, body: Data, done: Callable[[RequestOutcome, list[str]], None]) -> None:
+    def launch_machines(self, body: Data, on_response: Callable[[RequestOutcome, list[str]], None]) -> None:
         def send() -> None:
             if self.world.cut == self.node.zone:
-                done(RequestOutcome.UNKNOWN, [])
+                on_response(RequestOutcome.UNKNOWN, [])
                 return
             status, answer = self.world.cloud.launch(body)
             if self.world.lose_launches > 0 and status == 200:
                 self.world.lose_launches -= 1
-                done(RequestOutcome.UNKNOWN, [])
+                on_response(RequestOutcome.UNKNOWN, [])
             elif status == 200:
-                done(RequestOutcome.OK, answer["boxes"])
+                on_response(RequestOutcome.OK, answer["boxes"])
             else:
-                done(
+                on_response(
                     RequestOutcome.REJECTED if answer["error"] == "no capacity" else RequestOutcome.UNKNOWN,
                     [],
                 )
 
         self._later(0.1, send)
 
-    def delete_machines(self, names: list[str], done: Callable[[bool], None]) -> None:
+    def delete_machines(self, names: list[str], on_deleted: Callable[[bool], None]) -> None:
         def send() -> None:
             if self.world.cut == self.node.zone:
-                done(False)
+                on_deleted(False)
                 return
             status, _ = self.world.cloud.delete(names)
             if status == 200:
                 for name in names:
                     self.world.end_worker(name)
-            done(status == 200)
+            on_deleted(status == 200)
 
         self._later(0.1, send)
 
@@ -334,7 +323,7 @@
         self.node.step_down()
 
     def job_finalized(self, job_id: str, status: str, chores: int) -> None:
-        self.node.users.finals.put(job_id, (status, chores))
+        self.node.users.job_states.finals.put(job_id, FinalState(status, chores))
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
         since = self.world.now - self.world.settings.settings.workers.lease_s / 2
@@ -350,19 +339,19 @@
     def answer_heartbeat(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
         """The answer to a report that a relay passed on."""
         now = self.world.now
-        if not self.alive or now >= late_at or not self.authority.may_answer(now, self.confirmed):
+        if not self.alive or now >= late_at or not self.authority.may_renew_leases(now, self.confirmed):
             return None
         return self.controller.handle_heartbeat(heartbeat)
 
     def may_start_tasks(self) -> bool:
         now = self.world.now
-        return self.alive and now - self.confirmed < 2.5 and now - self.authority.synced_at < 5.0
+        return self.alive and now - self.confirmed < 2.5 and now - self.authority.watch_caught_up_at < 5.0
 
     def leadership_confirmed_at(self) -> float:
         return self.confirmed if self.alive else float("-inf")
 
     def delegated_leases_expire_at(self) -> float:
-        return self.delegations.until(self.world.now)
+        return self.delegations.latest_renewal_at(self.world.now)
 
     def delegation(self) -> LeaseDelegation | None:
         """What the other nodes may count on."""
@@ -370,7 +359,9 @@
         return (
             None
             if shunned is None
-            else LeaseDelegation(self.fencing_token, min(self.confirmed, self.authority.synced_at), shunned)
+            else LeaseDelegation(
+                self.fencing_token, min(self.confirmed, self.authority.watch_caught_up_at), shunned
+            )
         )
 
 
@@ -407,7 +398,7 @@
         # First revision that this process saw.
         self.first_revision = -1
         self.misdirected_workers: dict[str, tuple[float, MisdirectedWorker]] = {}
-        self.delegated_renewal = DelegatedRenewal(
+        self.delegated_renewal = DelegatedRenewals(
             self.times, 0.0, lambda: self.world.now, lambda: self.world.now
         )
         self._redirect_backoff = RedirectBackoff(self.settings.settings.workers.lease_s, 1000)
@@ -417,7 +408,7 @@
         builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
         # Each question is a shared read by itself: the view is what users are answered from.
         reads = JobReads(self.store, 0.0, 1.0, fewest_shared=1, clock=lambda: self.world.now)
-        self.users = Users(
+        self.users = UserApi(
             self.settings, self.store, lambda: builds, self._count, lambda: self.world.now, reads
         )
 
@@ -430,8 +421,8 @@
         )
         self.settings = msgspec.structs.replace(self.world.settings, settings=deployment)
 
-    def _count(self, job_id: str) -> tuple[int, int] | None:
-        return self.leader_term.controller.counts().get(job_id) if self.leader_term else None
+    def _count(self, job_id: str) -> TaskCounts | None:
+        return self.leader_term.controller.task_counts().get(job_id) if self.leader_term else None
 
     def crash(self, back_s: float) -> None:
         """The process ends without a word."""
@@ -451,9 +442,9 @@
         """POST /hello."""
         leader_term = self.leader_term
         if leader_term is None:
-            held = self.world.state.keys.get(LEAD)
+            held = self.world.state.keys.get(LEADER_KEY)
             named = self.world.leader()
-            proxied = self.delegated_renewal.may_answer(
+            proxied = self.delegated_renewal.renewal_fencing_token(
                 parse_heartbeat(body),
                 self.store.contact_at,
                 held[0]["baton"] if held is not None and self.has_state() else 0,
@@ -465,11 +456,11 @@
             self.misdirected_workers[worker.machine] = self.world.now, worker
             leader = self.world.leader()
             return 421, {"foreman": leader.member} if leader is not None else {}
-        if not leader_term.authority.may_answer(self.world.now, leader_term.confirmed):
+        if not leader_term.authority.may_renew_leases(self.world.now, leader_term.confirmed):
             return 503, {}
         heartbeat = parse_heartbeat(body)
         relay = leader_term.assignment.assign(
-            heartbeat.machine, heartbeat.zone, leader_term.controller.answered_at(heartbeat.machine)
+            heartbeat.machine, heartbeat.zone, leader_term.controller.last_response_at(heartbeat.machine)
         )
         if relay is not None:
             return 421, {"foreman": relay}
@@ -525,7 +516,7 @@
 
     def lowest_fencing_token(self) -> int:
         """The highest token that this node knows of."""
-        held = self.world.state.keys.get(LEAD)
+        held = self.world.state.keys.get(LEADER_KEY)
         return int(held[0]["baton"]) if held is not None and self.has_state() else 0
 
     def has_state(self) -> bool:
@@ -545,14 +536,14 @@
                 self._campaign()
             if self.first_revision < 0:
                 self.first_revision = self.store.revision()
-        except (RefusedError, UncertainError, ConflictError):
+        except (StoreRejectedError, OutcomeUnknownError, ConditionFailedError):
             pass
         self._note_leader()
         self._listen()
         self._ask_peers()
         leader_term = self.leader_term
         if leader_term is not None:
-            better = self.connectivity.better_placed(self.times.delegated_renewal_after_s)
+            better = self.connectivity.better_connected_peer(self.times.delegated_renewal_after_s)
             if better is not None and self.has_state():
                 leader_term.resign(f"{better} reaches more controllers")
                 return
@@ -566,43 +557,44 @@
         asked = world.now
         if not world.cloud.down and asked >= leader_term.next_list:
             leader_term.next_list = asked + 4.0
-            boxes = [convert(b, Listed) for b in world.cloud.listing()[1]["boxes"]]
-            leader_term.controller.listed(Listing(boxes, asked))
-        if self.store.get(LEAD) is None or world.state.extend(leader_term.lease_id)[0] == 404:
+            boxes = [convert(b, ListedMachine) for b in world.cloud.listing()[1]["boxes"]]
+            leader_term.controller.handle_machine_listing(MachineListing(boxes, asked))
+        if self.store.get(LEADER_KEY) is None or world.state.extend(leader_term.lease_id)[0] == 404:
             self.step_down()
             return
         leader_term.confirmed = asked
-        for event in world.state.changes(ACTIVE, leader_term.authority.revision):
-            if "set" in event:
-                leader_term.controller.job_set(Entry(event["set"], event["data"], event["stamp"]))
+        for event in world.state.changes(ACTIVE_JOB_PREFIX, leader_term.authority.acted_on_revision):
+            change = decode_event(event)
+            if isinstance(change, Entry):
+                leader_term.controller.handle_job_accepted(change)
             else:
-                leader_term.controller.job_removed(event["remove"])
-        leader_term.authority.synced(asked, world.state.ledger)
+                leader_term.controller.handle_job_removed(change.key)
+        leader_term.authority.observe_watch(asked, world.state.ledger)
 
     def _campaign(self) -> None:
         world = self.world
-        lead = self.store.get(LEAD)
+        lead = self.store.get(LEADER_KEY)
         if lead is not None:
             if lead.data["member"] == self.member:
                 # A claim of ours that had no answer, or of a process of ours before this one.
                 world.state.end(lead.data["permit"])
             return
-        if self.connectivity.better_placed() is not None:
+        if self.connectivity.better_connected_peer() is not None:
             return
         permit = world.state.lease(2500)[1]["permit"]
-        held = self.store.get(FENCING_TOKEN)
+        held = self.store.get(FENCING_TOKEN_KEY)
         baton = (held.data["baton"] if held else 0) + 1
         claim = {"member": self.member, "baton": baton, "permit": permit}
-        conditions = {LEAD: 0, FENCING_TOKEN: held.version if held else 0}
+        conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.revision if held else 0}
         try:
             stamp = self.store.commit(
-                conditions, [put(LEAD, claim, permit), put(FENCING_TOKEN, {"baton": baton})]
+                conditions, [Put(LEADER_KEY, claim, permit), Put(FENCING_TOKEN_KEY, {"baton": baton})]
             )
-        except UncertainError:
-            lead = self.store.get(LEAD)
+        except OutcomeUnknownError:
+            lead = self.store.get(LEADER_KEY)
             if lead is None or lead.data["permit"] != permit:
                 raise
-            stamp = lead.version
+            stamp = lead.revision
         self.leader_term = SimLeaderTerm(self, baton, stamp, permit)
         world.a_leader_begins(self)
 
@@ -621,7 +613,7 @@
     def _listen(self) -> None:
         """Hear from the others whom they reach."""
         for other in self._reached():
-            self.connectivity.answered(other.member, other.connectivity.hears())
+            self.connectivity.record_response(other.member, other.connectivity.reachable_peers())
 
     def _ask_peers(self) -> None:
         world, leader_term = self.world, self.leader_term
@@ -629,9 +621,9 @@
             return
         self.tell(leader_term)
         for other in self._reached():
-            leader_term.delegations.telling(other.member, world.now)
-            other.delegated_renewal.heard(leader_term.fencing_token, leader_term.delegation())
-            leader_term.delegations.answered(other.member, world.now)
+            leader_term.delegations.record_grant(other.member, world.now)
+            other.delegated_renewal.observe_leader(leader_term.fencing_token, leader_term.delegation())
+            leader_term.delegations.record_response(other.member, world.now)
             if other.leader_term is not None and other.leader_term.fencing_token > leader_term.fencing_token:
                 self.step_down()
                 return
@@ -639,8 +631,8 @@
 
     def tell(self, leader: SimLeaderTerm) -> None:
         """Tell a leader which cancellations were told here, as peers' messages do."""
-        self.users.cancellations.known(leader.authority.revision)
-        named, bound = self.users.cancellations.named(self.first_revision)
+        self.users.cancellations.acknowledge(leader.authority.acted_on_revision)
+        named, bound = self.users.cancellations.report(self.first_revision)
         for job_id, _ in named:
-            leader.controller.job_removed(ACTIVE + job_id)
-        leader.authority.learned(self.member, self.world.now, bound)
+            leader.controller.handle_job_removed(ACTIVE_JOB_PREFIX + job_id)
+        leader.authority.observe_peer(self.member, self.world.now, bound)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,15 +21,18 @@
 from poppyhold.cli import main
 from poppyhold.cluster.change_feed import ChangeFeed
 from poppyhold.cluster.peers import _MOST_COUNTS, _MOST_IMAGES, Ping, receive_opening
+from poppyhold.durable.changes import Entry
+from poppyhold.durable.errors import StoreRejectedError
+from poppyhold.durable.keys import MACHINE_PREFIX
 from poppyhold.durable.prefix_reader import PrefixReader
 from poppyhold.durable.snapshot import SnapshotReader
-from poppyhold.durable.store import MACHINE, Entry, Page, RefusedError, Store
+from poppyhold.durable.store import Page, Store
 from poppyhold.execution.direct_commands import DirectCommands
 from poppyhold.machines.space import Demand, Space
 from poppyhold.machines.space_index import SpaceIndex
 from poppyhold.model.entities import Job, Machine, make_job
 from poppyhold.model.resources import add_scaled, fits, max_copies
-from poppyhold.node.cloud_thread import CloudThread, ListReader
+from poppyhold.node.cloud_dispatcher import CloudDispatcher, MachineListReader
 from poppyhold.options import parse_options
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.scheduling.free_capacity import FreeCapacityView, Ranking
@@ -37,10 +40,11 @@
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import ConfigError, MachineLimits, Team
 from poppyhold.settings import Settings as Deployed
+from poppyhold.wire.cloud_messages import ListedMachine, MachineType
+from poppyhold.wire.cloud_messages import MachineListPage as ListPage
 from poppyhold.wire.frames import send
 from poppyhold.wire.http import Server, answer
-from poppyhold.wire.messages import Listed, MachineType, parse_submission
-from poppyhold.wire.messages import MachineList as ListPage
+from poppyhold.wire.user_messages import parse_submission
 from world import World
 
 MACHINES = 4000
@@ -109,21 +113,21 @@
     near, far = socket.socketpair()
     with near, far:
         for _ in range(30):
-            image_piece, count_piece = image_feed.next(images), count_feed.next(counts)
+            image_piece, count_piece = image_feed.next_batch(images), count_feed.next_batch(counts)
             ping = Ping(
                 "hive-0", 1, True, 0.0, 0, 0, [(job, *pair) for job, pair in count_piece], image_piece
             )
             with_receiver(near, far, ping)
             told_images.update(image_piece)
             told_counts.update(count_piece)
-            if not (image_feed.behind or count_feed.behind):
+            if not (image_feed.has_more or count_feed.has_more):
                 break
     assert told_images == images
     assert told_counts == counts
-    assert image_feed.next(images) == []
+    assert image_feed.next_batch(images) == []
     images["vm-000001"] = ()
     del images["vm-000002"]
-    assert image_feed.next(images) == [("vm-000001", ())]
+    assert image_feed.next_batch(images) == [("vm-000001", ())]
 
 
 def with_receiver(near: socket.socket, far: socket.socket, ping: Ping) -> None:
@@ -148,8 +152,12 @@
     def page(self, prefix: str, after: str, most: int = 1000) -> Page:
         self.pages += 1
         if self.pages in self._failing:
-            raise RefusedError("429")
-        names = [f"{MACHINE}vm-{number:06d}" for number in range(MACHINES)] if prefix == MACHINE else []
+            raise StoreRejectedError("429")
+        names = (
+            [f"{MACHINE_PREFIX}vm-{number:06d}" for number in range(MACHINES)]
+            if prefix == MACHINE_PREFIX
+            else []
+        )
         later = [name for name in names if name > after]
         entries = [Entry(name, {"e": "", "b": {}, "z": "a", "s": False}, 7) for name in later[:most]]
         return Page(entries, len(later) > most, 100 + self.pages)
@@ -157,11 +165,13 @@
 
 def test_a_page_that_fails_is_asked_for_again_and_no_other() -> None:
     store = PagedStore({3})
-    reader = PrefixReader(store, MACHINE)
-    with pytest.raises(RefusedError):
+    reader = PrefixReader(store, MACHINE_PREFIX)
+    with pytest.raises(StoreRejectedError):
         reader.read()
     entries = reader.read()
-    assert [entry.key for entry in entries] == [f"{MACHINE}vm-{number:06d}" for number in range(MACHINES)]
+    assert [entry.key for entry in entries] == [
+        f"{MACHINE_PREFIX}vm-{number:06d}" for number in range(MACHINES)
+    ]
     assert store.pages == 5
     assert (reader.revision, reader.last_revision) == (101, 105)
 
@@ -174,7 +184,7 @@
         try:
             snapshot = reader.read()
             break
-        except RefusedError:
+        except StoreRejectedError:
             failures += 1
     assert len(snapshot.machines) == MACHINES
     # Nine pages in all, five of them empty ones, and the four that were refused.
@@ -184,9 +194,9 @@
 # -- the cloud's lists -----------------------------------------------------------------------------------
 
 
-def _listed(name: str) -> Listed:
+def _listed(name: str) -> ListedMachine:
     """A machine of the list."""
-    return Listed(name, machine_type="large", zone="a", spot=False, status="running")
+    return ListedMachine(name, machine_type="large", zone="a", spot=False, status="running")
 
 
 class ListingCloud:
@@ -195,33 +205,33 @@
     def __init__(self) -> None:
         self.asked: list[str] = []
 
-    def page(self, since: str) -> ListPage:
+    def fetch_machine_page(self, since: str) -> ListPage:
         self.asked.append("page")
         first = int(since.removeprefix("vm-") or 0) + 1 if since else 1
         names = range(first, min(first + 500, MACHINES + 1))
         machines = [_listed(f"vm-{number:06d}") for number in names]
         return ListPage(machines, more=first + 500 <= MACHINES)
 
-    def machine_types(self) -> list[MachineType]:
+    def fetch_machine_types(self) -> list[MachineType]:
         self.asked.append("types")
         return []
 
-    def launch(self, body: dict[str, Any]) -> tuple[str, list[str]]:
+    def launch_machines(self, body: dict[str, Any]) -> tuple[str, list[str]]:
         self.asked.append("hire")
         return "ok", []
 
-    def delete(self, names: list[str]) -> bool:
+    def delete_machines(self, names: list[str]) -> bool:
         self.asked.append("delete")
         return True
 
 
 def test_a_long_list_is_as_old_as_its_first_page_and_the_next_one_waits_as_long() -> None:
     cloud: Any = ListingCloud()
-    reader = ListReader(cloud, lag_s=0.01, gap_s=0.02)
+    reader = MachineListReader(cloud, lag_s=0.01, gap_s=0.02)
     before = time.monotonic()
     listing = None
     while listing is None:
-        listing = reader.read_page()
+        listing = reader.read_next_page()
     assert len(listing.machines) == MACHINES
     assert before <= listing.began_at <= time.monotonic()
     # Eight pages are half of what the cloud takes in twice as many gaps.
@@ -236,7 +246,7 @@
         deployed, settings=msgspec.structs.replace(deployed.settings, cloud=limits)
     )
     listings: list[Any] = []
-    thread = CloudThread(deployed, cloud, lambda types: None, listings.append)
+    thread = CloudDispatcher(deployed, cloud, lambda types: None, listings.append)
     try:
         _until(lambda: "page" in cloud.asked)
         done: list[str] = []
@@ -453,8 +463,8 @@
     for machine in machines.values():
         machine.endpoint = "127.0.0.1:9"
 
-    def send_commands(box: str, endpoint: str, body: Any, done: Any, patient: bool) -> None:
-        asked.append(box)
+    def send_commands(machine: str, endpoint: str, body: Any, on_response: Any, slow_lane: bool) -> None:
+        asked.append(machine)
 
     ctx: Any = SimpleNamespace(
         clock=lambda: now[0],
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -15,7 +15,7 @@
 
 from poppyhold.cluster.peers import Ping, Pong
 from poppyhold.concurrency.priority_queue import Work
-from poppyhold.durable.store import LEAD
+from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.model.durations import Durations
 from poppyhold.options import Options, load_options, parse_options
 from poppyhold.relay.assignment import Assignment
@@ -28,7 +28,7 @@
 from poppyhold.relay.queue import HeartbeatQueue
 from poppyhold.relay.regaining import Regaining
 from poppyhold.settings import ConfigError, Workers
-from poppyhold.wire.messages import Command, CommandKind, Heartbeat, HeartbeatResponse, TaskStatus
+from poppyhold.wire.worker_messages import Command, CommandKind, Heartbeat, HeartbeatResponse, TaskStatus
 from scenario import Scenario
 from test_smoke import eventually
 from world import World
@@ -460,7 +460,7 @@
         old.decode(msgspec.msgpack.encode(RelayHello("hive-1", "a")))
     # Its pings end before the field that asks for relays.
     ping = msgspec.msgpack.encode(["ping", "hive-0", 7, True, 0.5, 12, 2, [], [], None, 41])
-    assert old.decode(ping) == Ping("hive-0", 7, True, 0.5, 12, 2, [], [], None, 41, relays=False)
+    assert old.decode(ping) == Ping("hive-0", 7, True, 0.5, 12, 2, [], [], None, 41, accepts_relays=False)
 
 
 # -- in virtual time -----------------------------------------------------------------------------------
@@ -484,8 +484,8 @@
     answers = term.intake.handle(state, batch, world.now)
     assert [answer.outcome for answer in answers.answers] == [Outcome.ANSWERED]
     # Another one takes the lead while the answers are on their way.
-    held = world.state.keys[LEAD]
-    world.state.keys[LEAD] = ({**held[0], "baton": held[0]["baton"] + 1}, *held[1:])
+    held = world.state.keys[LEADER_KEY]
+    world.state.keys[LEADER_KEY] = ({**held[0], "baton": held[0]["baton"] + 1}, *held[1:])
     node.relay._answered(state, term, answers)
     assert told and told[0] != 200
 
