--- a/src/poppyhold/scheduling/cycle_state.py
+++ b/src/poppyhold/scheduling/cycle_state.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from poppyhold.model.entities import Job, Machine
-from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled
+from poppyhold.model.resources import ACCELERATORS, CPUS, NO_RESOURCES, Resources, add_scaled
 from poppyhold.scheduling.free_capacity import FreeCapacityView
 
 
@@ -111,7 +111,7 @@
     def in_use(self, used: list[float] | None) -> tuple[float, float]:
         """What counts against the limit of a team that uses this: that, and what is not known."""
         cpus, accelerators = used or (0.0, 0.0)
-        return cpus + self.unaccounted[0], accelerators + self.unaccounted[1]
+        return cpus + self.unaccounted[CPUS], accelerators + self.unaccounted[ACCELERATORS]
 
 
 def reserve(reserved: dict[str, Resources], machine: str, resources: Resources) -> None:
--- a/src/poppyhold/scheduling/gang_placement.py
+++ b/src/poppyhold/scheduling/gang_placement.py
@@ -9,7 +9,15 @@
 
 from poppyhold.model.constraints import zone_limit
 from poppyhold.model.entities import Attempt, Job, Machine
-from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled, max_copies
+from poppyhold.model.resources import (
+    ACCELERATORS,
+    CPUS,
+    MEMORY_GB,
+    NO_RESOURCES,
+    Resources,
+    add_scaled,
+    max_copies,
+)
 from poppyhold.scheduling.placement import Choice, Placement, image_wait_s, may_use
 
 
@@ -35,10 +43,10 @@
     """The most of each resource that a task takes beside one accelerator, among these jobs."""
     cpus = memory = 0.0
     for job in jobs:
-        accelerators = job.task_resources[1]
+        accelerators = job.task_resources[ACCELERATORS]
         if accelerators > 0:
-            cpus = max(cpus, job.task_resources[0] / accelerators)
-            memory = max(memory, job.task_resources[2] / accelerators)
+            cpus = max(cpus, job.task_resources[CPUS] / accelerators)
+            memory = max(memory, job.task_resources[MEMORY_GB] / accelerators)
     return cpus, 0.0, memory
 
 
@@ -164,10 +172,10 @@
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
     ) -> GangCandidate | None:
         # What accelerators need beside them comes second: without it they would stand idle.
-        for keeps_companions in (True, False) if job.task_resources[1] <= 0 else (False,):
+        for keeps_companions in (True, False) if job.task_resources[ACCELERATORS] <= 0 else (False,):
             chosen = self._fill(job, self._options(job, machines, reserved, keeps_companions))
             if chosen is not None:
-                return GangCandidate(not keeps_companions and job.task_resources[1] <= 0, chosen)
+                return GangCandidate(not keeps_companions and job.task_resources[ACCELERATORS] <= 0, chosen)
         return None
 
     def _accelerator_companions(self) -> Resources:
@@ -183,7 +191,7 @@
         for machine in machines:
             free = machine.free_after_reservations(reserved)
             if keeps_companions:
-                free = add_scaled(free, companions, -max(0.0, free[1]))
+                free = add_scaled(free, companions, -max(0.0, free[ACCELERATORS]))
             count = max_copies(job.task_resources, free, job.pending)
             if count:
                 options.append(GangOption(count, machine))
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -10,7 +10,16 @@
 
 from poppyhold.model.constraints import zone_limit
 from poppyhold.model.entities import Attempt, Job, Machine
-from poppyhold.model.resources import EPSILON, NO_RESOURCES, Resources, add_scaled, fits, max_copies
+from poppyhold.model.resources import (
+    ACCELERATORS,
+    CPUS,
+    EPSILON,
+    NO_RESOURCES,
+    Resources,
+    add_scaled,
+    fits,
+    max_copies,
+)
 from poppyhold.scheduling.free_capacity import FreeCapacityView, Ranking, RankingCache
 from poppyhold.scheduling.quotas import QuotaExcess
 from poppyhold.wire.worker_messages import BEFORE_IMAGE, STOPPABLE
@@ -48,6 +57,13 @@
     choice: Choice
 
 
+class _CachedVictims(NamedTuple):
+    """The victims on a machine for a kind of job, as long as the machine's version stays the same."""
+
+    machine_version: int
+    victims: list[Attempt] | None
+
+
 def may_use(job: Job, machine: Machine) -> bool:
     """Whether the job's own terms allow the machine, other tasks aside."""
     spec = job.spec
@@ -108,8 +124,8 @@
         self._preemption_cost_s = preemption_cost_s
         # What jobs may preempt, by machine, for each team, priority and guarantee.
         self._preemptible_cache: dict[tuple[str, int, bool], dict[str, list[Attempt]]] = {}
-        # Version of the machine, and the victims there, for each kind of job and machine.
-        self._victims_cache: dict[tuple[object, ...], tuple[int, list[Attempt] | None]] = {}
+        # For each kind of job and machine.
+        self._victims_cache: dict[tuple[object, ...], _CachedVictims] = {}
         # What preemptions of this cycle will have freed before anything else that it starts there.
         self._freed_by_preemption: dict[str, Resources] = {}
         self._active_jobs: list[Job] = []
@@ -288,10 +304,10 @@
             return self._choose_victims(job, machine, candidates, excess)
         key = (job.spec.team, job.priority, job.within_guarantee, job.task_resources, machine.name)
         known = self._victims_cache.get(key)
-        if known is None or known[0] != machine.version:
-            known = (machine.version, self._choose_victims(job, machine, candidates, None))
+        if known is None or known.machine_version != machine.version:
+            known = _CachedVictims(machine.version, self._choose_victims(job, machine, candidates, None))
             self._victims_cache[key] = known
-        return known[1]
+        return known.victims
 
     def _choose_victims(
         self, job: Job, machine: Machine, candidates: list[Attempt], excess: QuotaExcess | None
@@ -320,8 +336,8 @@
         cpus, accelerators = excess or (0.0, 0.0)
         for attempt in stoppable:
             free = add_scaled(free, attempt.job.task_resources)
-            cpus -= attempt.job.task_resources[0]
-            accelerators -= attempt.job.task_resources[1]
+            cpus -= attempt.job.task_resources[CPUS]
+            accelerators -= attempt.job.task_resources[ACCELERATORS]
             chosen.append(attempt)
             if fits(job.task_resources, free) and (
                 excess is None or (cpus <= EPSILON and accelerators <= EPSILON)
--- a/src/poppyhold/scheduling/quotas.py
+++ b/src/poppyhold/scheduling/quotas.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from poppyhold.model.entities import Job
-from poppyhold.model.resources import EPSILON, Resources
+from poppyhold.model.resources import ACCELERATORS, CPUS, EPSILON, Resources
 from poppyhold.settings import Team
 
 
@@ -87,8 +87,8 @@
         """Whether so many tasks stay within the team's limit."""
         quota = self._teams[team]
         return (
-            need[0] * tasks <= quota.cpus_limit + EPSILON
-            and need[1] * tasks <= quota.accelerators_limit + EPSILON
+            need[CPUS] * tasks <= quota.cpus_limit + EPSILON
+            and need[ACCELERATORS] * tasks <= quota.accelerators_limit + EPSILON
         )
 
     def allows(self, team: str, used: tuple[float, float], need: Resources) -> bool:
@@ -102,8 +102,11 @@
         if quota is None:
             return False
         return not (
-            (need[0] > 0 and used[0] + need[0] > quota.cpus_limit + EPSILON)
-            or (need[1] > 0 and used[1] + need[1] > quota.accelerators_limit + EPSILON)
+            (need[CPUS] > 0 and used[CPUS] + need[CPUS] > quota.cpus_limit + EPSILON)
+            or (
+                need[ACCELERATORS] > 0
+                and used[ACCELERATORS] + need[ACCELERATORS] > quota.accelerators_limit + EPSILON
+            )
         )
 
     def remaining(self, team: str, used: list[float]) -> RemainingQuota:
@@ -111,14 +114,16 @@
         quota = self._teams.get(team)
         if quota is None:
             return RemainingQuota(0.0, 0.0)
-        return RemainingQuota(quota.cpus_limit - used[0], quota.accelerators_limit - used[1])
+        return RemainingQuota(quota.cpus_limit - used[CPUS], quota.accelerators_limit - used[ACCELERATORS])
 
     def excess(self, team: str, used: tuple[float, float], need: Resources) -> QuotaExcess:
         """By how much one more task would go beyond the team's limit."""
         quota = self._teams[team]
         return QuotaExcess(
-            max(0.0, used[0] + need[0] - quota.cpus_limit) if need[0] > 0 else 0.0,
-            max(0.0, used[1] + need[1] - quota.accelerators_limit) if need[1] > 0 else 0.0,
+            max(0.0, used[CPUS] + need[CPUS] - quota.cpus_limit) if need[CPUS] > 0 else 0.0,
+            max(0.0, used[ACCELERATORS] + need[ACCELERATORS] - quota.accelerators_limit)
+            if need[ACCELERATORS] > 0
+            else 0.0,
         )
 
     def within_guarantee(self, team: str, cpus: float, accelerators: float) -> bool:
@@ -137,8 +142,8 @@
         for job in sorted(jobs, key=lambda job: (job.priority, job.submitted_at, job.id)):
             team = job.spec.team
             total = sums.setdefault(team, [0.0, 0.0])
-            total[0] += job.task_resources[0] * job.spec.tasks
-            total[1] += job.task_resources[1] * job.spec.tasks
-            if team not in full and not self.within_guarantee(team, total[0], total[1]):
+            total[CPUS] += job.task_resources[CPUS] * job.spec.tasks
+            total[ACCELERATORS] += job.task_resources[ACCELERATORS] * job.spec.tasks
+            if team not in full and not self.within_guarantee(team, total[CPUS], total[ACCELERATORS]):
                 full.add(team)
             job.within_guarantee = team not in full
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -9,8 +9,10 @@
 
 import itertools
 import logging
+import math
 from collections import deque
 from collections.abc import Callable, Iterable, Sequence
+from typing import NamedTuple
 
 import msgspec
 
@@ -38,6 +40,14 @@
     cost: float
 
 
+class _Clearing(NamedTuple):
+    """The moves that let one task start on a machine, and what they cost together."""
+
+    cost: float
+    machine: Machine
+    moves: list[Move]
+
+
 class Relocation:
     """Finds replicas to move, and reserves capacity for them until their old attempts are terminated."""
 
@@ -76,15 +86,15 @@
             return None
         self._searches_left -= 1
         targets = self._targets(machines, reserved)
-        best: tuple[float, Machine, list[Move]] | None = None
+        best: _Clearing | None = None
         for machine in machines:
             if not self._may_take(job, machine):
                 continue
             moves = self._moves_from(job, machine, targets, reserved)
             cost = sum(move.cost for move in moves)
-            if moves and (best is None or cost < best[0]):
-                best = cost, machine, moves
-        if best is None or best[0] >= wait_s * self._weights[job.priority]:
+            if moves and (best is None or cost < best.cost):
+                best = _Clearing(cost, machine, moves)
+        if best is None or best.cost >= wait_s * self._weights[job.priority]:
             self._infeasible.add(kind)
             return None
         _, machine, moves = best
@@ -169,7 +179,8 @@
     ) -> Move | None:
         """The best next machine of a replica. One of the same priority only moves to where its image is."""
         other = attempt.job
-        best: tuple[float, Machine] | None = None
+        best_target: Machine | None = None
+        best_wait_s = math.inf
         for target in targets:
             if target is attempt.machine or not may_use(other, target):
                 continue
@@ -180,11 +191,12 @@
             wait_s = image_wait_s(target, other)
             if not self._may_move_to(other, wait_s, other.priority == job.priority):
                 continue
-            if best is None or wait_s < best[0]:
-                best = wait_s, target
-        if best is None:
+            if best_target is None or wait_s < best_wait_s:
+                best_target, best_wait_s = target, wait_s
+        if best_target is None:
             return None
-        return Move(attempt, best[1], (best[0] + self._restart_s) * self._weights[other.priority])
+        cost = (best_wait_s + self._restart_s) * self._weights[other.priority]
+        return Move(attempt, best_target, cost)
 
     def _may_move_to(self, job: Job, wait_s: float, for_an_equal: bool) -> bool:
         """Whether a replica may wait so long on its next machine: for one of the same priority not at all."""
