--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -8,14 +8,14 @@
 
 from poppyhold.durable.changes import Data
 from poppyhold.execution.reconciliation import AttemptReconciler
-from poppyhold.machines.boots import Boots
+from poppyhold.machines.boot_tracker import BootTracker
+from poppyhold.machines.consolidation import Consolidation
 from poppyhold.machines.deletions import Deletions
 from poppyhold.machines.launches import Launches
 from poppyhold.machines.machine_list import MachineList
 from poppyhold.machines.machine_monitor import MachineMonitor
-from poppyhold.machines.packing import Packing
 from poppyhold.machines.provisioning import Arrivals, Provisioning
-from poppyhold.machines.space import Demand, Space, demand_of, space_of
+from poppyhold.machines.supply_and_demand import CapacitySlot, Demand, demand_of, slot_of
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Attempt, JobPhase, Machine
 from poppyhold.model.resources import NO_RESOURCES, Resources, max_copies
@@ -36,7 +36,7 @@
         self._options = ctx.options.provisioning
         self._provisioning = Provisioning(self._options)
         self._launches = Launches(ctx, self._provisioning)
-        self._boots = Boots()
+        self._boots = BootTracker()
         self._deletions = Deletions(ctx, attempts, on_gone)
         self._machine_list = MachineList(ctx, self._deletions)
         self._monitor = MachineMonitor(ctx, attempts, self._deletions, self._provisioning, self._boots)
@@ -44,20 +44,20 @@
         self.arrivals = Arrivals(2 * ctx.durations.slot_s)
         self._next_at = ctx.clock() + ctx.durations.heartbeat_interval_s * 2
         # When each machine was needed last, as far as it was looked at in every round since.
-        self._needed: dict[str, float] = {}
+        self._needed_at: dict[str, float] = {}
 
-    def can_rent(self, spec: Submission) -> bool:
+    def can_launch(self, spec: Submission) -> bool:
         """Whether a machine for a task of a job may be had from the cloud."""
         ctx = self._ctx
-        return self._provisioning.is_rentable(spec, ctx.machine_types.values(), ctx.clock())
+        return self._provisioning.is_launchable(spec, ctx.machine_types.values(), ctx.clock())
 
     def load_launch(self, name: str, data: Data) -> None:
         """A hire that an earlier leader made durable."""
         self._launches.load(name, data)
 
-    def listed(self, listing: MachineListing) -> None:
+    def handle_listing(self, listing: MachineListing) -> None:
         """The cloud listed its machines."""
-        self._machine_list.take(listing)
+        self._machine_list.apply(listing)
 
     def watch(self) -> None:
         """Look after the machines, and delete those that must go."""
@@ -71,19 +71,19 @@
         if now < self._next_at or not ctx.machine_types:
             return
         self._next_at = now + ctx.durations.heartbeat_interval_s
-        spaces = self._spaces(now)
-        if self._launches.busy:
+        spaces = self._supply(now)
+        if self._launches.in_flight:
             # The cloud takes few requests: one round of hires at a time, with all that it lacks.
             return
-        demands = self._demands(now)
+        demands = self._demand(now)
         launch_specs = self._provisioning.decide(ctx.machine_types, spaces, demands, now)
         for launch_spec in launch_specs:
             self._launches.launch(launch_spec)
-        self._return(spaces, now)
+        self._scale_in(spaces, now)
         if not launch_specs:
-            self._pack(spaces, now)
+            self._consolidate(spaces, now)
 
-    def _pack(self, spaces: list[Space], now: float) -> None:
+    def _consolidate(self, spaces: list[CapacitySlot], now: float) -> None:
         """Empty little used machines, one replica at a time, when nothing waits for room."""
         ctx = self._ctx
         machines = ctx.fleet.machines
@@ -97,7 +97,7 @@
             # A start that is stopped soon was none to its user.
             return attempt.running_at is not None and now - attempt.running_at > 2 * ctx.durations.cancel_s
 
-        for machine in Packing(most, settled).choose(
+        for machine in Consolidation(most, settled).choose(
             spaces, lambda m: m.is_schedulable(now, ctx.durations.silent_s)
         ):
             machine.draining = True
@@ -113,11 +113,11 @@
                     self._reconciler.stop(attempt, 0.0, now)
                     break
 
-    def _spaces(self, now: float) -> list[Space]:
+    def _supply(self, now: float) -> list[CapacitySlot]:
         ctx = self._ctx
         spaces = []
         held = [machine for machine in ctx.fleet.machines.values() if not machine.deleting]
-        late = self._boots.late(held, now)
+        late = self._boots.overdue(held, now)
         for machine in held:
             gone = machine.quarantined or machine.draining or machine.name in late
             if gone or machine.preempted_at is not None:
@@ -128,11 +128,11 @@
                 and machine.reconciled
             ):
                 continue
-            spaces.append(space_of(machine))
-        spaces += self._launches.spaces()
+            spaces.append(slot_of(machine))
+        spaces += self._launches.expected_capacity()
         return spaces
 
-    def _demands(self, now: float) -> list[Demand]:
+    def _demand(self, now: float) -> list[Demand]:
         ctx = self._ctx
         demands = []
         left: dict[str, tuple[float, float]] = {}
@@ -159,7 +159,7 @@
             demands.append(demand)
         return demands
 
-    def _return(self, spaces: list[Space], now: float) -> None:
+    def _scale_in(self, spaces: list[CapacitySlot], now: float) -> None:
         """Return what has been seen idle for long enough, without a gap.
 
         A machine that was silent meanwhile, as in a zone that was cut off, is not idle since before that: it
@@ -178,8 +178,8 @@
             ):
                 needed[machine.name] = now
                 continue
-            since = needed[machine.name] = self._needed.get(machine.name, now)
+            since = needed[machine.name] = self._needed_at.get(machine.name, now)
             idle = machine.used == NO_RESOURCES and machine.reconciled
-            if idle and now - since > self._provisioning.keep_s(machine.machine_type):
+            if idle and now - since > self._provisioning.max_idle_s(machine.machine_type):
                 self._deletions.mark(machine, "not needed")
-        self._needed = needed
+        self._needed_at = needed
--- a/src/poppyhold/machines/boots.py
+++ b/src/poppyhold/machines/boot_tracker.py
@@ -14,7 +14,7 @@
 _SLOW_PATIENCE = 2
 
 
-class Boots:
+class BootTracker:
     """Tells a few machines that are late from many that boot slowly.
 
     Those that are late are replaced once. What was rented in their place is late as well only if a machine
@@ -26,9 +26,9 @@
 
     def __init__(self) -> None:
         # By machine type: when the newest of the machines that came up in this term was rented.
-        self._newest_up: dict[str, float] = defaultdict(lambda: float("-inf"))
+        self._newest_booted_launch: dict[str, float] = defaultdict(lambda: float("-inf"))
 
-    def late(self, machines: Iterable[Machine], now: float) -> set[str]:
+    def overdue(self, machines: Iterable[Machine], now: float) -> set[str]:
         """Names of the machines that are not waited for."""
         booting = []
         for machine in machines:
@@ -36,19 +36,19 @@
                 booting.append(machine)
             elif machine.up_at > float("-inf"):
                 name = machine.machine_type.name
-                self._newest_up[name] = max(self._newest_up[name], machine.known_since)
+                self._newest_booted_launch[name] = max(self._newest_booted_launch[name], machine.known_since)
         oldest: dict[str, float] = {}
         for machine in booting:
             name = machine.machine_type.name
             oldest[name] = min(machine.known_since, oldest.get(name, machine.known_since))
-        return {machine.name for machine in booting if self._is_late(machine, oldest, now)}
+        return {machine.name for machine in booting if self._is_overdue(machine, oldest, now)}
 
-    def is_hopeless(self, machine: Machine, give_up_s: float, now: float) -> bool:
+    def is_given_up(self, machine: Machine, give_up_s: float, now: float) -> bool:
         """Whether a machine is given up: much sooner where others boot than where all are slow."""
         patience = 1 if self._others_boot(machine) else _SLOW_PATIENCE
         return now - machine.known_since > give_up_s * patience
 
-    def _is_late(self, machine: Machine, oldest: dict[str, float], now: float) -> bool:
+    def _is_overdue(self, machine: Machine, oldest: dict[str, float], now: float) -> bool:
         late_s = _LATE_BOOTS * machine.machine_type.boot_s
         if now - machine.known_since <= late_s:
             return False
@@ -57,4 +57,4 @@
 
     def _others_boot(self, machine: Machine) -> bool:
         """Whether a machine of its type has come up that was rented no sooner."""
-        return self._newest_up[machine.machine_type.name] >= machine.known_since
+        return self._newest_booted_launch[machine.machine_type.name] >= machine.known_since
--- a/src/poppyhold/machines/space_index.py
+++ b/src/poppyhold/machines/capacity_index.py
@@ -7,20 +7,20 @@
 
 import msgspec
 
-from poppyhold.machines.space import Demand, Space
+from poppyhold.machines.supply_and_demand import CapacitySlot, Demand
 from poppyhold.model.resources import fits
 
 # What decides which spaces serve a demand, and in which order.
 Claim = tuple[object, ...]
 # Place of a space in the order, its number, and the space.
-_Candidate = tuple[tuple[bool, bool, bool], int, Space]
+_Candidate = tuple[tuple[bool, bool, bool], int, CapacitySlot]
 
 
-def allowed(demand: Demand, space: Space) -> bool:
+def allowed(demand: Demand, space: CapacitySlot) -> bool:
     """Whether a demand's own terms allow a space, whatever is free there."""
     spec = demand.spec
     return (
-        demand.home in (None, space.zone)
+        demand.required_zone in (None, space.zone)
         and (spec.machine_types is None or space.machine_type.name in spec.machine_types)
         and (spec.zone is None or spec.zone == space.zone)
         and (spec.spot or not space.spot)
@@ -30,7 +30,7 @@
 def _claim(demand: Demand) -> Claim:
     spec = demand.spec
     machine_types = None if spec.machine_types is None else tuple(spec.machine_types)
-    return demand.need, machine_types, spec.zone, spec.spot, demand.home
+    return demand.need, machine_types, spec.zone, spec.spot, demand.required_zone
 
 
 class _Candidates(msgspec.Struct, eq=False):
@@ -39,35 +39,35 @@
     demand: Demand
     ordered: list[_Candidate]
 
-    def add(self, number: int, space: Space) -> None:
+    def add(self, number: int, space: CapacitySlot) -> None:
         """Take a space in, if it serves the claim."""
         if fits(self.demand.need, space.free) and allowed(self.demand, space):
             bisect.insort(self.ordered, (_order(space), number, space), key=lambda entry: entry[:2])
 
 
-def _order(space: Space) -> tuple[bool, bool, bool]:
+def _order(space: CapacitySlot) -> tuple[bool, bool, bool]:
     """Spot first; spaces in use before empty ones, so that empty ones may be given back."""
     return not space.spot, not space.used, space.machine is not None and not space.machine.attempts
 
 
-class SpaceIndex:
+class CapacityIndex:
     """All spaces of one decision. Room only gets less in it: what is full for a claim stays so.
 
     With 1,100 jobs that waited and 4,000 machines, looking at every machine for each job kept the decision
     thread from workers' reports for seconds, and their leases ended.
     """
 
-    def __init__(self, spaces: Iterable[Space]) -> None:
-        self.spaces = list(spaces)
+    def __init__(self, spaces: Iterable[CapacitySlot]) -> None:
+        self.slots = list(spaces)
         self._candidates: dict[Claim, _Candidates] = {}
 
-    def add(self, space: Space) -> None:
+    def add(self, space: CapacitySlot) -> None:
         """A machine that is about to be rented."""
-        self.spaces.append(space)
+        self.slots.append(space)
         for candidates in self._candidates.values():
-            candidates.add(len(self.spaces), space)
+            candidates.add(len(self.slots), space)
 
-    def serve(self, demand: Demand, use: Callable[[Space], bool]) -> None:
+    def serve(self, demand: Demand, use: Callable[[CapacitySlot], bool]) -> None:
         """Offer the spaces for a demand, best first, until ``use`` says that it wants no more."""
         claim = _claim(demand)
         candidates = self._candidates.get(claim)
@@ -87,7 +87,7 @@
     def _collect(self, demand: Demand) -> _Candidates:
         found = [
             (_order(space), number, space)
-            for number, space in enumerate(self.spaces)
+            for number, space in enumerate(self.slots)
             if fits(demand.need, space.free) and allowed(demand, space)
         ]
         found.sort(key=lambda entry: entry[:2])
--- a/src/poppyhold/machines/packing.py
+++ b/src/poppyhold/machines/consolidation.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable
 
-from poppyhold.machines.space import Space
+from poppyhold.machines.supply_and_demand import CapacitySlot
 from poppyhold.model.constraints import zone_limit
 from poppyhold.model.entities import Attempt, Machine
 from poppyhold.model.resources import add_scaled, fits
@@ -12,26 +12,26 @@
 from poppyhold.scheduling.pricing import machine_shares
 
 
-class Packing:
+class Consolidation:
     """Chooses machines to empty. What the forecast and waiting work need is left free."""
 
     def __init__(self, most: int, settled: Callable[[Attempt], bool]) -> None:
-        self._most, self._settled = most, settled
+        self._most, self._is_settled = most, settled
 
-    def choose(self, spaces: Iterable[Space], ready: Callable[[Machine], bool]) -> list[Machine]:
+    def choose(self, spaces: Iterable[CapacitySlot], ready: Callable[[Machine], bool]) -> list[Machine]:
         """Machines whose replicas all fit, with their images, on machines that stay."""
         held = [space for space in spaces if space.machine is not None and ready(space.machine)]
         draining = sum(1 for space in held if space.machine is not None and space.machine.draining)
         candidates = sorted(
             (space for space in held if space.machine is not None and self._movable(space.machine)),
-            key=self._load,
+            key=self._utilization,
         )
         chosen: list[Machine] = []
         for space in candidates:
             if draining + len(chosen) >= self._most:
                 break
             machine = space.machine
-            if machine is None or machine.draining or self._load(space) > _LOAD:
+            if machine is None or machine.draining or self._utilization(space) > _LOAD:
                 continue
             if space.free != machine.free:
                 # Waiting work or the forecast counts on it: it would be rented again at once.
@@ -50,7 +50,7 @@
         return chosen
 
     @staticmethod
-    def _load(space: Space) -> float:
+    def _utilization(space: CapacitySlot) -> float:
         machine = space.machine
         if machine is None:
             return 0.0
@@ -62,12 +62,12 @@
     def _movable(self, machine: Machine) -> bool:
         """Only settled replicas move; a machine with array tasks is left until they are done."""
         return bool(machine.attempts) and all(
-            attempt.job.is_service and attempt.stopping_at is None and self._settled(attempt)
+            attempt.job.is_service and attempt.stopping_at is None and self._is_settled(attempt)
             for attempt in machine.attempts.values()
         )
 
     @staticmethod
-    def _fits(machine: Machine, others: list[Space]) -> bool:
+    def _fits(machine: Machine, others: list[CapacitySlot]) -> bool:
         taken: dict[int, tuple[float, float, float]] = {}
         attempts = sorted(
             machine.attempts.values(), key=lambda a: -machine_shares(a.job.task_resources, machine.capacity)
--- a/src/poppyhold/machines/deletions.py
+++ b/src/poppyhold/machines/deletions.py
@@ -23,7 +23,7 @@
 
     def __init__(self, ctx: Context, attempts: AttemptReconciler, on_gone: Callable[[Machine], None]) -> None:
         self._ctx, self._reconciler, self._on_gone = ctx, attempts, on_gone
-        self._asked = False
+        self._in_flight = False
         # Machines that were not told of yet, by reason: hundreds go at one moment at times.
         self._unlogged: dict[str, list[str]] = {}
 
@@ -33,30 +33,30 @@
             machine.deleting = True
             self._unlogged.setdefault(why, []).append(machine.name)
 
-    def carry_out(self) -> None:
+    def send_request(self) -> None:
         """Ask the cloud to delete what is marked."""
         for why, names in self._unlogged.items():
             log.info("delete %d machines: %s: %s", len(names), why, ", ".join(names[:_NAMED]))
         self._unlogged.clear()
         # Who is not sure to lead must not delete: workers that it misses may have gone to the next leader.
-        if self._asked or not self._ctx.outbound.may_start_tasks():
+        if self._in_flight or not self._ctx.outbound.may_start_tasks():
             return
         names = [m.name for m in self._ctx.fleet.machines.values() if m.deleting][:DELETE_LIMIT]
         if not names:
             return
-        self._asked = True
+        self._in_flight = True
 
         def deleted(done: bool) -> None:
-            self._asked = False
+            self._in_flight = False
             if done:
                 for name in names:
                     machine = self._ctx.fleet.machines.get(name)
                     if machine is not None:
-                        self._gone(machine)
+                        self._on_deleted(machine)
 
         self._ctx.outbound.delete_machines(names, deleted)
 
-    def _gone(self, machine: Machine) -> None:
+    def _on_deleted(self, machine: Machine) -> None:
         recorded = machine.record_state is not RecordState.NOT_RECORDED
         self._reconciler.machine_deleted(machine)
         self._on_gone(machine)
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -12,7 +12,7 @@
 from poppyhold.durable.records import LaunchRecord
 from poppyhold.durable.store import stored_bytes
 from poppyhold.machines.provisioning import LaunchSpec, Provisioning
-from poppyhold.machines.space import Space
+from poppyhold.machines.supply_and_demand import CapacitySlot
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Machine, RecordState
 from poppyhold.model.outbound import CommitPriority
@@ -31,9 +31,9 @@
     machine_type: str
     zone: str
     spot: bool
-    number: int
+    count: int
     machines: list[str] | None = None
-    busy: bool = False
+    in_flight: bool = False
     retry_at: float = 0.0
 
 
@@ -45,17 +45,17 @@
         self._launches: dict[str, Launch] = {}
 
     @property
-    def busy(self) -> bool:
+    def in_flight(self) -> bool:
         """Whether a request is on its way."""
-        return any(launch.busy for launch in self._launches.values())
+        return any(launch.in_flight for launch in self._launches.values())
 
-    def spaces(self) -> Iterator[Space]:
+    def expected_capacity(self) -> Iterator[CapacitySlot]:
         """Room of machines that were asked for and have no names yet."""
         for launch in self._launches.values():
             machine_type = self._ctx.machine_types.get(launch.machine_type)
             if launch.machines is None and machine_type is not None:
-                for _ in range(launch.number):
-                    yield Space(
+                for _ in range(launch.count):
+                    yield CapacitySlot(
                         None, machine_type, launch.zone, launch.spot, machine_type_capacity(machine_type)
                     )
 
@@ -65,31 +65,36 @@
         launch = Launch(name, record.machine_type, record.zone, record.spot, record.number, record.machines)
         self._launches[name] = launch
         if launch.machines is not None:
-            self._expect(launch)
+            self._add_machines(launch)
 
     def launch(self, launch_spec: LaunchSpec) -> None:
         """Rent machines."""
         name = f"r-{self._ctx.next_unique_number()}"
         launch = Launch(
-            name, launch_spec.machine_type, launch_spec.zone, launch_spec.spot, launch_spec.number, busy=True
+            name,
+            launch_spec.machine_type,
+            launch_spec.zone,
+            launch_spec.spot,
+            launch_spec.count,
+            in_flight=True,
         )
         log.info("hire %s: %s", name, launch_spec)
         self._launches[name] = launch
 
         def durable(done: bool) -> None:
             if done:
-                self._send(launch)
+                self._send_request(launch)
             else:
                 self._launches.pop(name, None)
 
         # Machines boot for longer than anything else takes: behind the plans of a first backlog the first
         # requests of a fleet that began small waited for eleven seconds.
         self._ctx.outbound.commit(
-            {}, [Put(LAUNCH_PREFIX + name, self._data(launch))], durable, CommitPriority.SOONEST
+            {}, [Put(LAUNCH_PREFIX + name, self._record(launch))], durable, CommitPriority.SOONEST
         )
 
-    def _data(self, launch: Launch) -> Data:
-        record = LaunchRecord(launch.machine_type, launch.zone, launch.spot, launch.number, launch.machines)
+    def _record(self, launch: Launch) -> Data:
+        record = LaunchRecord(launch.machine_type, launch.zone, launch.spot, launch.count, launch.machines)
         data: Data = msgspec.to_builtins(record)
         if stored_bytes(data) <= self._ctx.settings.settings.state.lowest.value_bytes:
             return data
@@ -97,41 +102,41 @@
         nameless: Data = msgspec.to_builtins(msgspec.structs.replace(record, machines=None))
         return nameless
 
-    def _send(self, launch: Launch) -> None:
-        launch.busy = True
-        request = LaunchRequest(launch.name, launch.machine_type, launch.zone, launch.spot, launch.number)
+    def _send_request(self, launch: Launch) -> None:
+        launch.in_flight = True
+        request = LaunchRequest(launch.name, launch.machine_type, launch.zone, launch.spot, launch.count)
 
         def answered(outcome: RequestOutcome, names: list[str]) -> None:
-            launch.busy = False
+            launch.in_flight = False
             now = self._ctx.clock()
             log.info("hire %s: %s, %d machines", launch.name, outcome, len(names))
             if outcome == RequestOutcome.OK:
                 launch.machines = names
                 self._ctx.outbound.commit(
-                    {}, [Put(LAUNCH_PREFIX + launch.name, self._data(launch))], lambda done: None
+                    {}, [Put(LAUNCH_PREFIX + launch.name, self._record(launch))], lambda done: None
                 )
-                self._expect(launch)
-                if len(names) < launch.number:
-                    self._refused(launch, now)
+                self._add_machines(launch)
+                if len(names) < launch.count:
+                    self._block_kind(launch, now)
             elif outcome == RequestOutcome.REJECTED:
                 # No capacity. If a copy of the request is carried out later after all, its machines
                 # show up in the list and in reports, and are used or returned like any other.
-                self._refused(launch, now)
-                self._drop(launch)
+                self._block_kind(launch, now)
+                self._forget(launch)
             else:
                 launch.retry_at = now + self._ctx.durations.heartbeat_interval_s * 2
 
         self._ctx.outbound.launch_machines(msgspec.to_builtins(request), answered)
 
-    def _refused(self, launch: Launch, now: float) -> None:
+    def _block_kind(self, launch: Launch, now: float) -> None:
         until = now + self._ctx.durations.lease_s
-        self._provisioning.refuse(launch.machine_type, launch.zone, launch.spot, until)
+        self._provisioning.block(launch.machine_type, launch.zone, launch.spot, until)
 
-    def _drop(self, launch: Launch) -> None:
+    def _forget(self, launch: Launch) -> None:
         self._launches.pop(launch.name, None)
         self._ctx.outbound.commit({}, [Delete(LAUNCH_PREFIX + launch.name)], lambda done: None)
 
-    def _expect(self, launch: Launch) -> None:
+    def _add_machines(self, launch: Launch) -> None:
         """The machines of a hire are on their way."""
         machine_type = self._ctx.machine_types.get(launch.machine_type)
         now = self._ctx.clock()
@@ -149,11 +154,11 @@
         now = self._ctx.clock()
         for launch in list(self._launches.values()):
             if launch.machines is None:
-                if not launch.busy and launch.retry_at <= now:
-                    self._send(launch)
-            elif all(self._settled(name) for name in launch.machines):
-                self._drop(launch)
+                if not launch.in_flight and launch.retry_at <= now:
+                    self._send_request(launch)
+            elif all(self._is_settled(name) for name in launch.machines):
+                self._forget(launch)
 
-    def _settled(self, name: str) -> bool:
+    def _is_settled(self, name: str) -> bool:
         machine = self._ctx.fleet.machines.get(name)
         return machine is None or machine.record_state is RecordState.DURABLE
--- a/src/poppyhold/machines/machine_list.py
+++ b/src/poppyhold/machines/machine_list.py
@@ -19,7 +19,7 @@
     def __init__(self, ctx: Context, deletions: Deletions) -> None:
         self._ctx, self._deletions = ctx, deletions
 
-    def take(self, listing: MachineListing) -> None:
+    def apply(self, listing: MachineListing) -> None:
         """Take what a list shows. That a machine is missing from it proves nothing.
 
         It tells of the time when its first page was asked for: of what came since it knows nothing.
@@ -33,18 +33,18 @@
         present = set()
         for entry in listing.machines:
             present.add(entry.name)
-            self._take_entry(entry, listing.began_at, now)
+            self._apply_entry(entry, listing.began_at, now)
         for machine in list(ctx.fleet.machines.values()):
             seen_at = max(machine.known_since, machine.listed_at, machine.last_heartbeat_at)
             unseen_s = listing.began_at - seen_at
             if machine.name not in present and not machine.deleting and unseen_s > LAGS_MISSING * lag:
-                self._not_listed(machine)
+                self._handle_missing(machine)
 
-    def _take_entry(self, entry: ListedMachine, listed_at: float, now: float) -> None:
+    def _apply_entry(self, entry: ListedMachine, listed_at: float, now: float) -> None:
         """A machine is on the list."""
         machine = self._ctx.fleet.machines.get(entry.name)
         if machine is None:
-            machine = self._found(entry, now)
+            machine = self._add_unknown(entry, now)
             if machine is None:
                 return
         else:
@@ -56,7 +56,7 @@
         elif not machine.is_up:
             machine.known_since = min(machine.known_since, now - entry.age_s)
 
-    def _found(self, entry: ListedMachine, now: float) -> Machine | None:
+    def _add_unknown(self, entry: ListedMachine, now: float) -> Machine | None:
         """A machine that we did not know: a late hire, or one of an earlier leader."""
         ctx = self._ctx
         machine_type = ctx.machine_types.get(entry.machine_type)
@@ -67,7 +67,7 @@
         ctx.scheduling_needed = True
         return machine
 
-    def _not_listed(self, machine: Machine) -> None:
+    def _handle_missing(self, machine: Machine) -> None:
         """A machine that should be listed is not: an earlier leader returned it, most likely.
 
         If it never was up it holds no tasks, and if it does come up after all its reports bring it back.
--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from poppyhold.execution.reconciliation import AttemptReconciler
-from poppyhold.machines.boots import Boots
+from poppyhold.machines.boot_tracker import BootTracker
 from poppyhold.machines.deletions import Deletions
 from poppyhold.machines.provisioning import Provisioning
 from poppyhold.model.context import Context
@@ -19,23 +19,23 @@
 _ZONE_PATIENCE = 8
 
 
-class Survey(msgspec.Struct, eq=False):
+class FleetSurvey(msgspec.Struct, eq=False):
     """How many machines are up, heard and quiet, and those that are silent for too long."""
 
     up: int = 0
-    heard: int = 0
+    responsive: int = 0
     quiet: int = 0
     silent: list[Machine] = msgspec.field(default_factory=list)
     # By zone: machines that are up, and those of them that were heard lately.
-    zones_up: Counter[str] = msgspec.field(default_factory=Counter)
-    zones_heard: Counter[str] = msgspec.field(default_factory=Counter)
+    up_by_zone: Counter[str] = msgspec.field(default_factory=Counter)
+    responsive_by_zone: Counter[str] = msgspec.field(default_factory=Counter)
 
     def silent_zones(self) -> set[str]:
         """Zones whose machines are all silent: most likely they are cut off, and come back together."""
         return {
             zone
-            for zone, up in self.zones_up.items()
-            if up >= _FEWEST_OF_A_ZONE and not self.zones_heard[zone]
+            for zone, up in self.up_by_zone.items()
+            if up >= _FEWEST_OF_A_ZONE and not self.responsive_by_zone[zone]
         }
 
 
@@ -48,19 +48,19 @@
         attempts: AttemptReconciler,
         deletions: Deletions,
         provisioning: Provisioning,
-        boots: Boots,
+        boots: BootTracker,
     ) -> None:
         self._ctx, self._reconciler, self._boots = ctx, attempts, boots
         self._deletions, self._provisioning = deletions, provisioning
         # Since when most workers have turned to another controller.
-        self._turned_away_at = float("inf")
+        self._turned_away_since = float("inf")
         # When many machines were silent last.
         self._many_quiet_at = float("-inf")
 
     def watch(self) -> None:
         """Look after machines that are silent, that never came up, or that are to be deleted."""
         now = self._ctx.clock()
-        survey = Survey()
+        survey = FleetSurvey()
         for machine in self._ctx.fleet.machines.values():
             if machine.deleting:
                 # The cloud may not answer for long; the end of a lease is proof too.
@@ -68,16 +68,16 @@
                     self._reconciler.expire_leases(machine, now)
             elif machine.is_up or machine.name in self._reconciler.unreconciled:
                 self._survey(machine, survey, now)
-            elif self._boots.is_hopeless(machine, self._provisioning.give_up_s(machine.machine_type), now):
+            elif self._boots.is_given_up(machine, self._provisioning.max_boot_s(machine.machine_type), now):
                 self._deletions.mark(machine, "never came up")
-        self._judge_silence(survey, now)
+        self._handle_silent_machines(survey, now)
         for machine in self._ctx.fleet.machines.values():
             gone = not machine.attempts and machine.name not in self._reconciler.unreconciled
             if gone and (machine.quarantined or machine.draining):
                 self._deletions.mark(machine, "left")
-        self._deletions.carry_out()
+        self._deletions.send_request()
 
-    def _quiet_s(self, machine: Machine, now: float) -> float:
+    def _silence_s(self, machine: Machine, now: float) -> float:
         """For how long a machine has been silent, as far as we could have heard it."""
         times, began = self._ctx.durations, self._reconciler.began_at
         if machine.reconciled or machine.name not in self._reconciler.unreconciled:
@@ -94,15 +94,15 @@
         times = self._ctx.durations
         return quiet_s > times.presumed_lost_s / 2 + times.heartbeat_interval_s / 2
 
-    def _survey(self, machine: Machine, survey: Survey, now: float) -> None:
+    def _survey(self, machine: Machine, survey: FleetSurvey, now: float) -> None:
         """Count a machine that should be heard, ask it if it is not, and end what it can't hold any more."""
         times = self._ctx.durations
         heard = now - machine.last_heartbeat_at <= times.presumed_lost_s
         survey.up += 1
-        survey.heard += heard
-        survey.zones_up[machine.zone] += 1
-        survey.zones_heard[machine.zone] += heard
-        quiet_s = self._quiet_s(machine, now)
+        survey.responsive += heard
+        survey.up_by_zone[machine.zone] += 1
+        survey.responsive_by_zone[machine.zone] += heard
+        quiet_s = self._silence_s(machine, now)
         survey.quiet += self._is_quiet(quiet_s)
         if quiet_s > times.silent_s / 2:
             self._reconciler.commands.probe_silent_worker(machine, now)
@@ -116,10 +116,10 @@
         if machine.errors and self._reconciler.failures.machine_at_fault(machine):
             machine.quarantined = True
 
-    def _judge_silence(self, survey: Survey, now: float) -> None:
+    def _handle_silent_machines(self, survey: FleetSurvey, now: float) -> None:
         """Whether silent machines are lost, or cut off, or we are."""
         times, silent = self._ctx.durations, survey.silent
-        if self._turned_away(survey, now):
+        if self._workers_turned_away(survey, now):
             # They try the other controllers: it is our own way to them that is broken. Where a zone is cut
             # off, half of all are silent too, and those that came to us passed the others on their way: with
             # each new leader resigning for that, nothing was started for the length of the cut.
@@ -130,7 +130,7 @@
             # enough. And when it is back they don't all come at one moment.
             self._many_quiet_at = now
         silent_zones = survey.silent_zones()
-        self._keep_out_of(silent_zones, now)
+        self._block_launches_in(silent_zones, now)
         for machine in silent:
             # A zone that is cut off comes back with all its machines: its tasks start elsewhere once its
             # leases are over, but machines are given up for good only a good while behind that.
@@ -147,27 +147,27 @@
             if given_up:
                 self._deletions.mark(machine, "silent")
 
-    def _turned_away(self, survey: Survey, now: float) -> bool:
+    def _workers_turned_away(self, survey: FleetSurvey, now: float) -> bool:
         """Whether most workers are silent here and have turned to another controller, for an interval.
 
         Where all of them were silent and come back at one moment, some come to others first, and wait there.
         """
         most_silent = len(survey.silent) * 2 >= survey.up and len(survey.silent) > 1
-        if not (most_silent and self._lost_to_others(now) > 2 * survey.heard):
-            self._turned_away_at = float("inf")
+        if not (most_silent and self._count_turned_away(now) > 2 * survey.responsive):
+            self._turned_away_since = float("inf")
             return False
-        self._turned_away_at = min(self._turned_away_at, now)
-        return now - self._turned_away_at >= self._ctx.durations.heartbeat_interval_s
+        self._turned_away_since = min(self._turned_away_since, now)
+        return now - self._turned_away_since >= self._ctx.durations.heartbeat_interval_s
 
-    def _keep_out_of(self, zones: set[str], now: float) -> None:
+    def _block_launches_in(self, zones: set[str], now: float) -> None:
         """Rent nothing in zones that nothing is heard of: nobody could use it there."""
         for machine_type in self._ctx.machine_types.values():
             for zone in zones.intersection(machine_type.zones):
                 for spot in (False, True):
                     until = now + self._ctx.durations.heartbeat_interval_s
-                    self._provisioning.refuse(machine_type.name, zone, spot, until)
+                    self._provisioning.block(machine_type.name, zone, spot, until)
 
-    def _lost_to_others(self, now: float) -> int:
+    def _count_turned_away(self, now: float) -> int:
         """How many workers have turned to another controller since they reported here last.
 
         A copy of an old report is none that turned away. Who has just begun to lead has no reports to compare
--- a/src/poppyhold/machines/space.py
+++ b/src/poppyhold/machines/supply_and_demand.py
@@ -17,12 +17,12 @@
     need: Resources
     tasks: int
     zones: dict[str, int]
-    forecast: bool = False
+    is_forecast: bool = False
     # The only zone that may be used, where all tasks have to be in one.
-    home: str | None = None
+    required_zone: str | None = None
 
 
-class Space(msgspec.Struct, eq=False):
+class CapacitySlot(msgspec.Struct, eq=False):
     """Free room of one machine that is held or coming."""
 
     machine: Machine | None
@@ -33,9 +33,9 @@
     used: bool = False
 
 
-def space_of(machine: Machine) -> Space:
+def slot_of(machine: Machine) -> CapacitySlot:
     """The free room of a machine we hold."""
-    return Space(
+    return CapacitySlot(
         machine, machine.machine_type, machine.zone, machine.spot, machine.free, bool(machine.attempts)
     )
 
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -89,7 +89,7 @@
             options.cells,
             self._quotas,
             lambda: self.ctx.fleet.unaccounted_resources(self.reconciler.unreconciled),
-            self.autoscaler.can_rent,
+            self.autoscaler.can_launch,
             self._on_quotas_changed,
         )
 
@@ -150,7 +150,7 @@
 
     def handle_machine_listing(self, listing: MachineListing) -> None:
         """The cloud listed its machines."""
-        self.autoscaler.listed(listing)
+        self.autoscaler.handle_listing(listing)
 
     def tick(self) -> None:
         """Do what depends on time alone."""
--- a/src/poppyhold/node/job_lifecycle.py
+++ b/src/poppyhold/node/job_lifecycle.py
@@ -61,7 +61,7 @@
 
     def resume(self, job: Job) -> None:
         """Go on with a job that an earlier leader accepted."""
-        self._autoscaler.arrivals.note(job.submitted_at, job.spec)
+        self._autoscaler.arrivals.record_submission(job.submitted_at, job.spec)
         if not job.plan_durable:
             self._admission.submit(job)
         if job.done == job.spec.tasks:
@@ -74,7 +74,7 @@
             return
         job = self.create(entry)
         if job is not None:
-            self._autoscaler.arrivals.note(self._ctx.clock(), job.spec)
+            self._autoscaler.arrivals.record_submission(self._ctx.clock(), job.spec)
             self._admission.submit(job)
 
     # -- tasks end -----------------------------------------------------------------------------------
@@ -128,7 +128,7 @@
         if job is None or job.phase is JobPhase.FINALIZED:
             return
         job.phase = JobPhase.FINALIZED
-        self._autoscaler.arrivals.note_end(self._ctx.clock(), job.spec)
+        self._autoscaler.arrivals.record_end(self._ctx.clock(), job.spec)
         self._on_active_jobs_changed()
         self._admission.release_plan(job)
         now = self._ctx.clock()
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -17,9 +17,9 @@
 from poppyhold.execution.gangs import Gangs, GangState
 from poppyhold.execution.heartbeat_commands import HeartbeatCommands
 from poppyhold.execution.reconciliation import AttemptReconciler
-from poppyhold.machines.boots import Boots
+from poppyhold.machines.boot_tracker import BootTracker
 from poppyhold.machines.launches import Launches
-from poppyhold.machines.machine_monitor import MachineMonitor, Survey
+from poppyhold.machines.machine_monitor import FleetSurvey, MachineMonitor
 from poppyhold.model.entities import TASK_DONE, Job, Machine
 from poppyhold.model.fleet import Fleet
 from poppyhold.model.resources import NO_RESOURCES, Resources, max_copies
@@ -128,7 +128,7 @@
     Guard("zone_cut_long", DelegationTracker, "latest_renewal_at", _long_ago),
     Guard("cancelled_before_the_cut", Controller, "excluded_machines", _nobody),
     Guard("limit_and_cancelled", Fleet, "unaccounted_resources", _no_room),
-    Guard("mute_machines_and_copies", MachineMonitor, "_lost_to_others", _all_of_them),
+    Guard("mute_machines_and_copies", MachineMonitor, "_count_turned_away", _all_of_them),
     Guard("deaf_machine", AttemptReconciler, "_ignores_responses", _never),
     Guard("gap", Cancellations, "report", _told_nothing),
     Guard("gap", Authority, "observe_peer", _never),
@@ -154,8 +154,8 @@
     Guard("zone_partition", Connectivity, "better_connected_peer", _never),
     Guard("few_hang_at_change_of_leader", MachineMonitor, "_is_quiet", _always),
     Guard("zone_partition_of_two", DelegatedRenewals, "_is_partition", _never),
-    Guard("zone_cut_keeps_machines", Survey, "silent_zones", _no_zones),
-    Guard("zone_cut_keeps_machines", MachineMonitor, "_keep_out_of", _never),
+    Guard("zone_cut_keeps_machines", FleetSurvey, "silent_zones", _no_zones),
+    Guard("zone_cut_keeps_machines", MachineMonitor, "_block_launches_in", _never),
     Guard("image_holders_make_room", Relocation, "relocate_for", _never),
     Guard("image_holders_one_at_a_time", Relocation, "_moves_left", _plenty),
     Guard("image_holders_keep_equals", Relocation, "_may_move_to", _always),
@@ -187,7 +187,7 @@
 ]
 
 
-def _late_alone(self: Boots, machine: Machine, oldest: dict[str, float], now: float) -> bool:
+def _overdue_alone(self: BootTracker, machine: Machine, oldest: dict[str, float], now: float) -> bool:
     """Each machine is late by itself, whatever others do."""
     return now - machine.known_since > 1.5 * machine.machine_type.boot_s
 
@@ -199,10 +199,10 @@
     return self._wait_s if heartbeat.fencing_token >= leader_fencing_token else 0.0
 
 
-def _at_one_moment(self: MachineMonitor, survey: Survey, now: float) -> bool:
+def _at_one_moment(self: MachineMonitor, survey: FleetSurvey, now: float) -> bool:
     """One look is enough to tell that the workers have turned away."""
     silent = len(survey.silent)
-    return silent * 2 >= survey.up and silent > 1 and self._lost_to_others(now) > 2 * survey.heard
+    return silent * 2 >= survey.up and silent > 1 and self._count_turned_away(now) > 2 * survey.responsive
 
 
 def _again_and_again(
@@ -214,16 +214,16 @@
     )
 
 
-def _hopeless_alone(self: Boots, machine: Machine, give_up_s: float, now: float) -> bool:
+def _given_up_alone(self: BootTracker, machine: Machine, give_up_s: float, now: float) -> bool:
     """Each machine is given up by itself, whatever others do."""
     return now - machine.known_since > give_up_s
 
 
 GUARDS += [
-    Guard("slow_boots", Boots, "_is_late", _late_alone),
-    Guard("slow_boots", Boots, "is_hopeless", _hopeless_alone),
-    Guard("boots_that_never_end", Boots, "_is_late", _never),
-    Guard("boots_that_never_end", Boots, "is_hopeless", _never),
+    Guard("slow_boots", BootTracker, "_is_overdue", _overdue_alone),
+    Guard("slow_boots", BootTracker, "is_given_up", _given_up_alone),
+    Guard("boots_that_never_end", BootTracker, "_is_overdue", _never),
+    Guard("boots_that_never_end", BootTracker, "is_given_up", _never),
 ]
 
 # Controllers that stand still, and a huge array.
@@ -237,7 +237,7 @@
     Guard("leader_drops_workers", RedirectBackoff, "wait_s", _no_time),
     Guard("few_hang_at_change_of_leader", RedirectBackoff, "wait_s", _behind_a_change_too),
     Guard("zone_partition_of_two", RedirectBackoff, "wait_s", _again_and_again),
-    Guard("mute_machines_and_copies", MachineMonitor, "_turned_away", _at_one_moment),
+    Guard("mute_machines_and_copies", MachineMonitor, "_workers_turned_away", _at_one_moment),
 ]
 
 # The same for relays.
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -28,8 +28,8 @@
 from poppyhold.durable.snapshot import SnapshotReader
 from poppyhold.durable.store import Page, Store
 from poppyhold.execution.direct_commands import DirectCommands
-from poppyhold.machines.space import Demand, Space
-from poppyhold.machines.space_index import SpaceIndex
+from poppyhold.machines.capacity_index import CapacityIndex
+from poppyhold.machines.supply_and_demand import CapacitySlot, Demand
 from poppyhold.model.entities import Job, Machine, make_job
 from poppyhold.model.resources import add_scaled, fits, max_copies
 from poppyhold.node.cloud_dispatcher import CloudDispatcher, MachineListReader
@@ -403,14 +403,14 @@
 def test_spaces_serve_demands_as_a_look_at_each_would(
     spaces: list[tuple[int, bool]], demands: list[tuple[int, int, str | None]]
 ) -> None:
-    def built() -> list[Space]:
+    def built() -> list[CapacitySlot]:
         return [
-            Space(None, LARGE, "ab"[index % 2], spot, (float(free), 2.0, 64.0))
+            CapacitySlot(None, LARGE, "ab"[index % 2], spot, (float(free), 2.0, 64.0))
             for index, (free, spot) in enumerate(spaces)
         ]
 
     indexed, plain = built(), built()
-    index = SpaceIndex(indexed)
+    index = CapacityIndex(indexed)
     for cpus, tasks, zone in demands:
         job = _job(1, float(cpus), 0.0, paddock=zone, loaners=True)
         demand = Demand(job.spec, job.task_resources, tasks, {})
@@ -419,10 +419,10 @@
     assert sorted(space.free for space in indexed) == sorted(space.free for space in plain)
 
 
-def _serve(index: SpaceIndex, demand: Demand) -> int:
+def _serve(index: CapacityIndex, demand: Demand) -> int:
     left = demand.tasks
 
-    def use(space: Space) -> bool:
+    def use(space: CapacitySlot) -> bool:
         nonlocal left
         take = max_copies(demand.need, space.free, left)
         space.free = add_scaled(space.free, demand.need, -take)
@@ -434,7 +434,7 @@
     return left
 
 
-def _serve_plainly(spaces: list[Space], demand: Demand) -> int:
+def _serve_plainly(spaces: list[CapacitySlot], demand: Demand) -> int:
     left = demand.tasks
     for space in sorted(spaces, key=lambda space: (not space.spot, not space.used)):
         if not left:
