--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -162,12 +162,12 @@
 
     def handle_machine_listing(self, listing: MachineListing) -> None:
         """The cloud listed its machines."""
-        self.autoscaler.listed(listing)
+        self.autoscaler.handle_listing(listing)
 
     def tick(self) -> None:
         """Do what depends on time alone."""
         now = self.ctx.clock()
-        self.admission.roll()
+        self.admission.advance_slot()
         self.failures.tick()
         self.autoscaler.watch()
         self._machines.drain_all(now)
@@ -234,7 +234,7 @@
     # Each of these is given to a part that is made before the part that it calls.
 
     def _on_job_judged(self, job: Job) -> None:
-        self.admission.judged(job)
+        self.admission.fault_changed(job)
 
     def _on_task_completed(self, job: Job, index: int) -> None:
         self._jobs.handle_task_completed(job, index)
--- a/src/poppyhold/node/job_lifecycle.py
+++ b/src/poppyhold/node/job_lifecycle.py
@@ -61,9 +61,9 @@
 
     def resume(self, job: Job) -> None:
         """Go on with a job that an earlier leader accepted."""
-        self._autoscaler.arrivals.note(job.submitted_at, job.spec)
+        self._autoscaler.arrivals.record_submission(job.submitted_at, job.spec)
         if not job.plan_durable:
-            self._admission.arrive(job)
+            self._admission.submit(job)
         if job.done == job.spec.tasks:
             self._finalize(job)
 
@@ -74,8 +74,8 @@
             return
         job = self.create(entry)
         if job is not None:
-            self._autoscaler.arrivals.note(self._ctx.clock(), job.spec)
-            self._admission.arrive(job)
+            self._autoscaler.arrivals.record_submission(self._ctx.clock(), job.spec)
+            self._admission.submit(job)
 
     # -- tasks end -----------------------------------------------------------------------------------
 
@@ -89,7 +89,7 @@
 
     def handle_attempt_ended(self, attempt: Attempt) -> None:
         """An attempt is proven to have ended: what it held is free."""
-        self._admission.over(attempt)
+        self._admission.attempt_ended(attempt)
         job = attempt.job
         if job.phase is JobPhase.FINALIZED and set(job.active) <= {attempt.index}:
             self._ctx.fleet.jobs.pop(job.id, None)
@@ -98,7 +98,7 @@
         """Learn from a task that ran to its end how long such tasks take."""
         # An attempt that was first seen while it ran does not tell its whole duration.
         if attempt.start_channel is not StartChannel.OBSERVED and attempt.running_at is not None:
-            self._admission.estimates.note(attempt.job, now - attempt.running_at)
+            self._admission.estimates.record_run(attempt.job, now - attempt.running_at)
 
     # -- jobs end ------------------------------------------------------------------------------------
 
@@ -118,7 +118,7 @@
             {ACTIVE_JOB_PREFIX + job.id: job.version},
             final_writes(job.id, JobStatus.DONE, job.spec.tasks),
             on_committed,
-            self._admission.commit_priority(job),
+            self._admission.records.commit_priority(job),
         )
 
     def handle_finalized(self, job_id: str) -> None:
@@ -128,15 +128,15 @@
         if job is None or job.phase is JobPhase.FINALIZED:
             return
         job.phase = JobPhase.FINALIZED
-        self._autoscaler.arrivals.note_end(self._ctx.clock(), job.spec)
+        self._autoscaler.arrivals.record_end(self._ctx.clock(), job.spec)
         self._on_active_jobs_changed()
-        self._admission.forget(job)
+        self._admission.release_plan(job)
         now = self._ctx.clock()
         for attempt in list(job.active.values()):
             self._reconciler.lifecycle.stop(attempt, 0.0, now)
         self._completions.remove(job)
         if job.plan_durable or job.plan_write_in_flight:
-            self._admission.remove_plan(job_id)
+            self._admission.records.remove(job_id)
         if not job.active:
             self._ctx.fleet.jobs.pop(job_id, None)
         self._ctx.scheduling_needed = True
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -10,7 +10,8 @@
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.election import Election, Term
 from poppyhold.cluster.lease_delegation import DelegationTracker
-from poppyhold.cluster.peers import Peers, Pong
+from poppyhold.cluster.peer_messages import Pong
+from poppyhold.cluster.peers import Peers
 from poppyhold.concurrency.priority_queue import DECISIONS, SUBMISSIONS
 from poppyhold.durable.changes import Entry, WatchEvent
 from poppyhold.durable.committer import Committer
@@ -39,7 +40,7 @@
 from poppyhold.relay.leader import RelayServer
 from poppyhold.settings import Settings
 from poppyhold.wire.cloud_messages import MachineListing, MachineType
-from poppyhold.wire.http import Answer
+from poppyhold.wire.http_server import HttpResponse
 
 log = logging.getLogger(__name__)
 
@@ -64,7 +65,7 @@
     def peer_image_hints(self) -> ImageHints:
         """The machines' images, as the last leader told them."""
 
-    def reject_heartbeat(self) -> Answer:
+    def reject_heartbeat(self) -> HttpResponse:
         """The answer to a heartbeat that the leader can't answer."""
 
 
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -8,16 +8,19 @@
 
 from poppyhold.cluster.cancellations import Cancellation
 from poppyhold.cluster.delegated_renewals import DelegatedRenewals
-from poppyhold.cluster.election import Election, Leader
+from poppyhold.cluster.election import Election
+from poppyhold.cluster.known_leader import Leader
 from poppyhold.cluster.lease_delegation import DelegationTracker
 from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
-from poppyhold.cluster.peers import Peers, Ping, Pong
+from poppyhold.cluster.peer_messages import Ping, Pong
+from poppyhold.cluster.peers import Peers
 from poppyhold.model.context import ImageHints
 from poppyhold.model.durations import Durations
 from poppyhold.model.job_status import TaskCounts
 from poppyhold.node.leader_term import LeaderTerm
 from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
+from poppyhold.quota.messages import QuotaRequest, QuotaResponse
 from poppyhold.quota.server import QuotaServer
 from poppyhold.relay.forwarding import HeartbeatForwarder
 from poppyhold.relay.messages import RelayHello
@@ -58,19 +61,8 @@
         self._deposed_at = float("-inf")
         # A leader whose process answered, and did not lead.
         self._idle_leader: Leader | None = None
-        self.peers = Peers(
-            settings,
-            self.compose_ping,
-            self.led_task_counts,
-            self.led_image_hints,
-            self.handle_ping,
-            self.handle_pong,
-            self.on_connection_refused,
-            self.delegation_tracker,
-            self.serve_relay,
-            quota_server.answer,
-            quota_server.max_connections,
-        )
+        self._quota_server = quota_server
+        self.peers = Peers(settings, self, quota_server.max_connections)
 
     def should_yield(self) -> bool:
         """Whether another controller should campaign before this one."""
@@ -237,3 +229,9 @@
         leader_term = self._leader_term()
         if leader_term is not None and self._takes_relays(leader_term):
             leader_term.relays.serve(connection, hello)
+
+    # -- other cells ---------------------------------------------------------------------------------
+
+    def answer_cell(self, request: QuotaRequest) -> QuotaResponse:
+        """Answer another cell's leader or an operator, as `QuotaServer` does."""
+        return self._quota_server.answer(request)
--- a/src/poppyhold/node/state_loader.py
+++ b/src/poppyhold/node/state_loader.py
@@ -59,11 +59,11 @@
         for entry in snapshot.active:
             job = self._jobs.create(entry)
             if job is not None and job.id in snapshot.plans:
-                self._admission.load(job, snapshot.plans[job.id])
+                self._admission.records.load(job, snapshot.plans[job.id])
                 self._failures.load(job)
         for job_id in snapshot.plans.keys() - jobs.keys():
             # The job was finalized before its plan was removed.
-            self._admission.remove_plan(job_id)
+            self._admission.records.remove(job_id)
         for prefix, records in snapshot.done.items():
             self._completions.load(prefix, records)
         for job in sorted(jobs.values(), key=lambda job: job.submitted_at):
--- a/src/poppyhold/scheduling/free_capacity.py
+++ b/src/poppyhold/scheduling/free_capacity.py
@@ -1,8 +1,8 @@
-"""Machines with free room, ranked by kind of job and kept from one pass to the next.
+"""Machines with free capacity, ranked by kind of job and kept from one scheduling cycle to the next.
 
-Each job that waited once looked at every machine in every pass. With 4,000 machines that had room a search
-took 30 ms, so that a pass came to ten jobs and the fleet started nine tasks a second. Jobs alike now share a
-ranking, and of it only the machines whose room has changed are looked at again.
+Each job that waited once looked at every machine in every cycle. With 4,000 machines that had free capacity a
+search took 30 ms, so that a cycle came to ten jobs and the fleet started nine tasks a second. Jobs alike now
+share a ranking, and of it only the machines whose free capacity has changed are looked at again.
 """
 
 from __future__ import annotations
@@ -10,124 +10,138 @@
 import bisect
 from collections import OrderedDict
 from collections.abc import Callable, Iterable, Set
+from typing import NamedTuple
 
 from poppyhold.model.entities import Job, Machine
 from poppyhold.model.resources import Resources
 
-# Rankings that are kept; each holds an entry for every machine with room for its kind of job.
-_RANKINGS_KEPT = 32
+# Rankings that are kept; each holds an entry for every machine on which its kind of job fits.
+_MAX_RANKINGS = 32
 
-# The score of a machine for any job of a kind, lower is better; None if it has no room.
+# The score of a machine for any job of a kind, lower is better; None if no task fits.
 Score = Callable[[Machine], float | None]
-# A score, the machine's number to tell equals apart, and the machine.
-Place = tuple[float, int, Machine]
+
+
+class RankedMachine(NamedTuple):
+    """A machine with its score, and with its number, which tells equals apart."""
+
+    score: float
+    number: int
+    machine: Machine
 
 
 class FreeCapacityView:
-    """The machines of a pass with their free room beside what is reserved, and a log of what changed."""
+    """The machines of a cycle, what is reserved on them, and a log of whose free capacity changed."""
 
     def __init__(self) -> None:
         self.machines: dict[str, Machine] = {}
         self.reserved: dict[str, Resources] = {}
         self.zones: set[str] = set()
-        # The machine's version and its reserved room, as they were looked at last.
-        self._seen: dict[str, tuple[int, Resources | None]] = {}
+        # The machine's version and what is reserved on it, as they were looked at last.
+        self._observed: dict[str, tuple[int, Resources | None]] = {}
         # Names of machines in the order in which they changed; how many were dropped from its beginning.
-        self._log: list[str] = []
-        self._dropped = 0
+        self._change_log: list[str] = []
+        self._dropped_from_log = 0
 
-    def begin(self, machines: Iterable[Machine], reserved: dict[str, Resources]) -> None:
-        """A new pass over these machines."""
+    def begin_cycle(self, machines: Iterable[Machine], reserved: dict[str, Resources]) -> None:
+        """Begin a scheduling cycle, or a part of one, over these machines."""
         self.machines = {machine.name: machine for machine in machines}
         self.zones = {machine.zone for machine in self.machines.values()}
         self.reserved = reserved
-        for name in self._seen.keys() - self.machines.keys():
-            del self._seen[name]
-            self._log.append(name)
-        self.refresh()
-        excess = len(self._log) - 4 * len(self.machines)
+        for name in self._observed.keys() - self.machines.keys():
+            del self._observed[name]
+            self._change_log.append(name)
+        self.refresh_all()
+        excess = len(self._change_log) - 4 * len(self.machines)
         if excess > 0:
-            del self._log[:excess]
-            self._dropped += excess
+            del self._change_log[:excess]
+            self._dropped_from_log += excess
 
-    def refresh(self) -> None:
-        """More was reserved, or less: look at every machine."""
+    def refresh_all(self) -> None:
+        """Look at every machine again after more was reserved, or less."""
         for machine in self.machines.values():
-            self._look_at(machine)
+            self._observe(machine)
 
-    def changed(self, machine: Machine) -> None:
-        """The room of a machine may have changed."""
+    def refresh_machine(self, machine: Machine) -> None:
+        """Look at a machine again whose free capacity may have changed."""
         if machine.name in self.machines:
-            self._look_at(machine)
+            self._observe(machine)
 
-    def _look_at(self, machine: Machine) -> None:
+    def _observe(self, machine: Machine) -> None:
         state = machine.version, self.reserved.get(machine.name)
-        if self._seen.get(machine.name) != state:
-            self._seen[machine.name] = state
-            self._log.append(machine.name)
+        if self._observed.get(machine.name) != state:
+            self._observed[machine.name] = state
+            self._change_log.append(machine.name)
 
     @property
-    def mark(self) -> int:
-        """The present end of the log."""
-        return self._dropped + len(self._log)
+    def log_position(self) -> int:
+        """The present end of the change log."""
+        return self._dropped_from_log + len(self._change_log)
 
-    def changes(self, mark: int) -> set[str] | None:
-        """Names of the machines that changed behind a mark; None if the log does not go back so far."""
-        return set(self._log[mark - self._dropped :]) if mark >= self._dropped else None
+    def changed_since(self, position: int) -> set[str] | None:
+        """Names of the machines that changed after a position; None if the log does not go back so far."""
+        if position < self._dropped_from_log:
+            return None
+        return set(self._change_log[position - self._dropped_from_log :])
 
 
 class Ranking:
-    """The machines of a view with room for one kind of job, best first."""
+    """The machines of a view on which a task of one kind of job fits, best first."""
 
     def __init__(self, view: FreeCapacityView, score: Score) -> None:
         self._view, self._score = view, score
-        self._mark = -1
-        self._places: list[Place] = []
-        self._known: dict[str, tuple[float, int]] = {}
+        self._log_position = -1
+        self._ranked: list[RankedMachine] = []
+        self._ranked_by_name: dict[str, RankedMachine] = {}
 
     def update(self) -> None:
-        """Look at the machines that changed since the last time, or at all if that is not known."""
-        changes = self._view.changes(self._mark)
-        self._mark = self._view.mark
+        """Score the machines again that changed since the last time, or all of them if that is not known."""
+        changes = self._view.changed_since(self._log_position)
+        self._log_position = self._view.log_position
         if changes is None:
-            self._rank_all()
+            self._score_all()
             return
         for name in changes:
-            self._rank(name)
+            self._score_again(name)
 
-    def _rank_all(self) -> None:
+    def _score_all(self) -> None:
         scores = ((self._score(machine), machine) for machine in self._view.machines.values())
-        self._places = sorted(
-            (found, machine.number, machine) for found, machine in scores if found is not None
+        self._ranked = sorted(
+            RankedMachine(score, machine.number, machine) for score, machine in scores if score is not None
         )
-        self._known = {machine.name: (found, number) for found, number, machine in self._places}
+        self._ranked_by_name = {ranked.machine.name: ranked for ranked in self._ranked}
 
-    def _rank(self, name: str) -> None:
-        before = self._known.pop(name, None)
+    def _score_again(self, name: str) -> None:
+        before = self._ranked_by_name.pop(name, None)
         if before is not None:
-            del self._places[bisect.bisect_left(self._places, before)]
+            del self._ranked[bisect.bisect_left(self._ranked, before)]
         machine = self._view.machines.get(name)
-        found = self._score(machine) if machine is not None else None
-        if machine is not None and found is not None:
-            self._known[name] = found, machine.number
-            bisect.insort(self._places, (found, machine.number, machine))
+        score = self._score(machine) if machine is not None else None
+        if machine is not None and score is not None:
+            ranked = self._ranked_by_name[name] = RankedMachine(score, machine.number, machine)
+            bisect.insort(self._ranked, ranked)
 
-    def best(self, zones: Set[str], but: Set[str]) -> Place | None:
-        """The best place in these zones, on none of the machines that are left out."""
+    def best(self, zones: Set[str], excluded: Set[str]) -> RankedMachine | None:
+        """The best machine in these zones that is not excluded."""
         return next(
-            (place for place in self._places if place[2].zone in zones and place[2].name not in but), None
+            (
+                ranked
+                for ranked in self._ranked
+                if ranked.machine.zone in zones and ranked.machine.name not in excluded
+            ),
+            None,
         )
 
 
-class Rankings:
+class RankingCache:
     """The rankings that were used last."""
 
     def __init__(self) -> None:
-        self._kept: OrderedDict[tuple[object, ...], Ranking] = OrderedDict()
+        self._rankings: OrderedDict[tuple[object, ...], Ranking] = OrderedDict()
 
     def clear(self) -> None:
-        """Scores are no longer what they were."""
-        self._kept.clear()
+        """Drop all rankings: scores are no longer what they were."""
+        self._rankings.clear()
 
     def ranking(self, view: FreeCapacityView, job: Job, score: Score) -> Ranking:
         """The up-to-date ranking for jobs like this one."""
@@ -143,11 +157,11 @@
             spec.zone,
             spec.spot,
         )
-        ranking = self._kept.get(kind)
+        ranking = self._rankings.get(kind)
         if ranking is None:
-            ranking = self._kept[kind] = Ranking(view, score)
-            if len(self._kept) > _RANKINGS_KEPT:
-                self._kept.popitem(last=False)
-        self._kept.move_to_end(kind)
+            ranking = self._rankings[kind] = Ranking(view, score)
+            if len(self._rankings) > _MAX_RANKINGS:
+                self._rankings.popitem(last=False)
+        self._rankings.move_to_end(kind)
         ranking.update()
         return ranking
--- a/src/poppyhold/scheduling/quotas.py
+++ b/src/poppyhold/scheduling/quotas.py
@@ -4,11 +4,12 @@
 
 import math
 from collections.abc import Iterable
+from typing import NamedTuple
 
 import msgspec
 
 from poppyhold.model.entities import Job
-from poppyhold.model.resources import EPSILON, Resources
+from poppyhold.model.resources import ACCELERATORS, CPUS, EPSILON, Resources
 from poppyhold.settings import Team
 
 
@@ -25,7 +26,7 @@
     accelerators_limit: float = math.inf
 
     @classmethod
-    def of(cls, team: Team) -> TeamQuota:
+    def from_settings(cls, team: Team) -> TeamQuota:
         """The quota that the platform's settings give a team; there 0 means none."""
         return cls(
             team.cpus or None,
@@ -54,17 +55,31 @@
     return guaranteed is None or amount <= guaranteed + EPSILON
 
 
+class QuotaExcess(NamedTuple):
+    """By how much one more task would go beyond a team's limit."""
+
+    cpus: float
+    accelerators: float
+
+
+class RemainingQuota(NamedTuple):
+    """What a team's limit leaves beside what the team uses."""
+
+    cpus: float
+    accelerators: float
+
+
 class Quotas:
     """The quotas of all teams."""
 
     def __init__(self, teams: Iterable[Team]) -> None:
-        self._teams = {team.name: TeamQuota.of(team) for team in teams}
+        self._teams = {team.name: TeamQuota.from_settings(team) for team in teams}
 
     def set(self, team: str, quota: TeamQuota) -> None:
         """Let another quota hold for a team."""
         self._teams[team] = quota
 
-    def known(self, team: str) -> bool:
+    def is_known(self, team: str) -> bool:
         """Whether the team exists."""
         return team in self._teams
 
@@ -77,38 +92,43 @@
         """Whether so many tasks stay within the team's limit."""
         quota = self._teams[team]
         return (
-            need[0] * tasks <= quota.cpus_limit + EPSILON
-            and need[1] * tasks <= quota.accelerators_limit + EPSILON
+            need[CPUS] * tasks <= quota.cpus_limit + EPSILON
+            and need[ACCELERATORS] * tasks <= quota.accelerators_limit + EPSILON
         )
 
     def allows(self, team: str, used: tuple[float, float], need: Resources) -> bool:
         """Whether one more task stays within the team's limit.
 
-        A task takes nothing of a resource that it does not need, whatever else may be in use of it: behind a
-        change of leader all accelerators of machines that were not heard yet count for every team, and urgent
-        work that needs none waited until the last of 4,000 machines was heard.
+        A task takes nothing of a resource that it does not need, whatever else may be in use of it: after a
+        change of leader all accelerators of machines that are not reconciled yet count for every team, and
+        urgent work that needs none waited until the last of 4,000 machines was reconciled.
         """
         quota = self._teams.get(team)
         if quota is None:
             return False
         return not (
-            (need[0] > 0 and used[0] + need[0] > quota.cpus_limit + EPSILON)
-            or (need[1] > 0 and used[1] + need[1] > quota.accelerators_limit + EPSILON)
+            (need[CPUS] > 0 and used[CPUS] + need[CPUS] > quota.cpus_limit + EPSILON)
+            or (
+                need[ACCELERATORS] > 0
+                and used[ACCELERATORS] + need[ACCELERATORS] > quota.accelerators_limit + EPSILON
+            )
         )
 
-    def left(self, team: str, used: list[float]) -> tuple[float, float]:
+    def remaining(self, team: str, used: list[float]) -> RemainingQuota:
         """What the team's limit leaves beside what is used."""
         quota = self._teams.get(team)
         if quota is None:
-            return 0.0, 0.0
-        return quota.cpus_limit - used[0], quota.accelerators_limit - used[1]
+            return RemainingQuota(0.0, 0.0)
+        return RemainingQuota(quota.cpus_limit - used[CPUS], quota.accelerators_limit - used[ACCELERATORS])
 
-    def excess(self, team: str, used: tuple[float, float], need: Resources) -> tuple[float, float]:
+    def excess(self, team: str, used: tuple[float, float], need: Resources) -> QuotaExcess:
         """By how much one more task would go beyond the team's limit."""
         quota = self._teams[team]
-        return (
-            max(0.0, used[0] + need[0] - quota.cpus_limit) if need[0] > 0 else 0.0,
-            max(0.0, used[1] + need[1] - quota.accelerators_limit) if need[1] > 0 else 0.0,
+        return QuotaExcess(
+            max(0.0, used[CPUS] + need[CPUS] - quota.cpus_limit) if need[CPUS] > 0 else 0.0,
+            max(0.0, used[ACCELERATORS] + need[ACCELERATORS] - quota.accelerators_limit)
+            if need[ACCELERATORS] > 0
+            else 0.0,
         )
 
     def within_guarantee(self, team: str, cpus: float, accelerators: float) -> bool:
@@ -119,16 +139,16 @@
     def mark_guaranteed(self, jobs: Iterable[Job]) -> None:
         """Mark the jobs that fit into their team's guarantee, highest priority and earliest first.
 
-        Once one does not fit, none behind it is marked: so within a team nobody of a lower priority is
-        guaranteed what one of a higher is not, and preemption has no circles.
+        Once one does not fit, none after it is marked: so within a team no job of a lower priority is
+        guaranteed what one of a higher priority is not, and preemption has no cycles.
         """
         sums: dict[str, list[float]] = {}
         full: set[str] = set()
         for job in sorted(jobs, key=lambda job: (job.priority, job.submitted_at, job.id)):
             team = job.spec.team
             total = sums.setdefault(team, [0.0, 0.0])
-            total[0] += job.task_resources[0] * job.spec.tasks
-            total[1] += job.task_resources[1] * job.spec.tasks
-            if team not in full and not self.within_guarantee(team, total[0], total[1]):
+            total[CPUS] += job.task_resources[CPUS] * job.spec.tasks
+            total[ACCELERATORS] += job.task_resources[ACCELERATORS] * job.spec.tasks
+            if team not in full and not self.within_guarantee(team, total[CPUS], total[ACCELERATORS]):
                 full.add(team)
             job.within_guarantee = team not in full
--- a/tests/test_quota_links.py
+++ b/tests/test_quota_links.py
@@ -20,7 +20,7 @@
     TransferRequest,
     TransferResponse,
 )
-from poppyhold.wire.frames import receive, send
+from poppyhold.wire.frames import receive_message, send_message
 from test_smoke import eventually
 
 REQUEST = TransferRequest(PROTOCOL_VERSION, "east", "west", "layout", "e1", "w1", 0)
@@ -46,13 +46,13 @@
             with connection:
                 try:
                     while True:
-                        receive(connection, decoder)
+                        receive_message(connection, decoder)
                         answer = self.answers[min(self.asked, len(self.answers) - 1)]
                         self.asked += 1
                         if isinstance(answer, bytes):
                             connection.sendall(answer)
                         else:
-                            send(connection, answer)
+                            send_message(connection, answer)
                 except (OSError, ValueError):
                     continue
 
--- a/tests/wire_kinds.py
+++ b/tests/wire_kinds.py
@@ -12,8 +12,17 @@
 
 from msgspec import inspect
 
-from poppyhold.cluster.peers import Ping, Pong
-from poppyhold.durable.records import CompletionsRecord, LaunchRecord, MachineRecord, PlanRecord
+from poppyhold.cluster.peer_messages import Ping, Pong
+from poppyhold.durable.records import (
+    CompletionsRecord,
+    FencingTokenRecord,
+    FinalRecord,
+    LaunchRecord,
+    LeaderRecord,
+    MachineRecord,
+    PlanRecord,
+    WriteFenceRecord,
+)
 from poppyhold.quota.messages import (
     NotLeading,
     StatusRequest,
@@ -28,23 +37,35 @@
 from poppyhold.scale.profile import Profile
 from poppyhold.scale.result import Result
 from poppyhold.settings import Settings
-from poppyhold.wire.cloud_messages import LaunchRequest, LaunchResponse, MachineListPage, MachineTypes
+from poppyhold.wire.cloud_messages import (
+    DeletionRequest,
+    LaunchRequest,
+    LaunchResponse,
+    MachineListPage,
+    MachineTypes,
+)
 from poppyhold.wire.user_messages import PriorityName, Submission
 from poppyhold.wire.worker_messages import (
     Command,
     CommandKind,
+    DirectCommandsRequest,
     ExitCause,
     Heartbeat,
     HeartbeatResponse,
+    Redirect,
     TaskState,
 )
 
 # Maps: values of the state service, bodies of the outside protocols, files that are read, and JSON output.
 MAPS: dict[str, Any] = {
     "ph/a/JOB, spec": Submission,
+    "ph/b": FencingTokenRecord,
+    "ph/c": WriteFenceRecord,
     "ph/d/JOB/N": CompletionsRecord,
     "ph/e/JOB/N": CompletionsRecord,
+    "ph/f/JOB": FinalRecord,
     "ph/h/HIRE": LaunchRecord,
+    "ph/l/lead": LeaderRecord,
     "ph/m/MACHINE": MachineRecord,
     "ph/p/JOB": PlanRecord,
     "ph/q/c/CELL": PeerRecord,
@@ -55,12 +76,15 @@
     "POST /api/jobs": Submission,
     "POST /hello": Heartbeat,
     "POST /hello, answer": HeartbeatResponse,
+    "POST /hello, answer of another one": Redirect,
+    "POST /do": DirectCommandsRequest,
     "POST /do, order": Command,
     "POST /do, answer": Heartbeat,
     "GET /machine_types, answer": MachineTypes,
     "GET /machines, answer": MachineListPage,
     "POST /machines": LaunchRequest,
     "POST /machines, answer": LaunchResponse,
+    "POST /machines/delete": DeletionRequest,
     "settings file": Settings,
     "scale profile": Profile,
     "scale --json": Result,
