--- a/src/poppyhold/machines/__init__.py
+++ b/src/poppyhold/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Which machines there are: renting, watching and returning them."""
+"""Which machines there are: launching, watching and deleting them."""
--- /dev/null
+++ b/src/poppyhold/machines/arrivals.py
@@ -0,0 +1,143 @@
+"""The forecast of what is submitted while a machine boots, from what was submitted lately."""
+
+from __future__ import annotations
+
+import math
+from collections import deque
+from typing import NamedTuple
+
+from poppyhold.machines.supply_and_demand import Demand
+from poppyhold.model.resources import ACCELERATORS, CPUS, Resources
+from poppyhold.wire.user_messages import Submission
+
+# Parts of the forecast's window that are told apart.
+_WINDOW_PARTS = 6
+
+
+class _JobKind(NamedTuple):
+    """Jobs whose arrivals are counted together: team, class, and what one task takes."""
+
+    team: str
+    job_class: str
+    need: Resources
+
+    @property
+    def is_accelerated(self) -> bool:
+        """Whether its tasks need accelerators."""
+        return self.need[ACCELERATORS] > 0
+
+    @property
+    def task_size(self) -> float:
+        """Size of a task by the resource that machines run out of first, as far as one can tell."""
+        return self.need[ACCELERATORS] if self.is_accelerated else self.need[CPUS]
+
+
+class _Event(NamedTuple):
+    """A job that was submitted, or that ended."""
+
+    at: float
+    spec: Submission
+
+
+def _kind_of(spec: Submission) -> _JobKind:
+    return _JobKind(spec.team, spec.job_class, (spec.cpus, spec.accelerators, spec.memory_gb))
+
+
+def _pooled_share(deviations: list[float]) -> float:
+    """The deviation of a sum as a part of the sum of the deviations."""
+    total = sum(deviations)
+    return math.sqrt(sum(deviation * deviation for deviation in deviations)) / total if total else 0.0
+
+
+class Arrivals:
+    """Forecasts demand by kind of job, from the submissions and ends within a window."""
+
+    def __init__(self, window_s: float) -> None:
+        self._window_s = window_s
+        self._submissions: deque[_Event] = deque()
+        self._ends: deque[_Event] = deque()
+        self._first_at: float | None = None
+
+    def record_submission(self, now: float, spec: Submission) -> None:
+        """A job was submitted."""
+        if self._first_at is None:
+            self._first_at = now
+        self._submissions.append(_Event(now, spec))
+
+    def record_end(self, now: float, spec: Submission) -> None:
+        """A job ended."""
+        self._ends.append(_Event(now, spec))
+
+    def forecast(self, now: float, ahead_s: float, factor: float) -> list[Demand]:
+        """Tasks to keep capacity for: one deviation of what arrives in ``ahead_s``, times ``factor``.
+
+        And the replicas that come beyond those that go: a young fleet's grow until as many end as begin.
+        """
+        self._drop_old(now)
+        if self._first_at is None:
+            return []
+        by_kind: dict[_JobKind, list[_Event]] = {}
+        for event in self._submissions:
+            by_kind.setdefault(_kind_of(event.spec), []).append(event)
+        deviations = {
+            kind: math.sqrt(self._steady_rate(now, events, 2) * ahead_s) for kind, events in by_kind.items()
+        }
+        pooled_shares = {accelerated: self._pooled(deviations, accelerated) for accelerated in (True, False)}
+        return [
+            Demand(
+                events[-1].spec,
+                kind.need,
+                math.ceil(
+                    factor * pooled_shares[kind.is_accelerated] * deviations[kind]
+                    + self._growth(now, kind, events, ahead_s)
+                ),
+                {},
+                is_forecast=True,
+            )
+            for kind, events in by_kind.items()
+        ]
+
+    def _drop_old(self, now: float) -> None:
+        for history in (self._submissions, self._ends):
+            while history and history[0].at < now - self._window_s:
+                history.popleft()
+
+    def _growth(self, now: float, kind: _JobKind, events: list[_Event], ahead_s: float) -> float:
+        """By how many replicas a kind of service grows in ``ahead_s``."""
+        if events[-1].spec.shape != "service":
+            return 0.0
+        ended = sum(event.spec.tasks for event in self._ends if _kind_of(event.spec) == kind)
+        return max(0.0, self._steady_rate(now, events, 1) - ended / self._window_s) * ahead_s
+
+    @staticmethod
+    def _pooled(deviations: dict[_JobKind, float], accelerated: bool) -> float:
+        """The part of their deviations that kinds need which share capacity.
+
+        They seldom all come at once: the deviation of the sum is less than the sum of the deviations. Kinds
+        with accelerators and those without run out of different resources.
+        """
+        return _pooled_share(
+            [
+                deviation * kind.task_size
+                for kind, deviation in deviations.items()
+                if kind.is_accelerated == accelerated
+            ]
+        )
+
+    def _steady_rate(self, now: float, events: list[_Event], power: int) -> float:
+        """Job sizes, or their squares, per second, without the busiest part of the window.
+
+        A backlog that comes at once, as when a fleet is first started, is no sign of what will come. But it
+        is all that is known of how uneven arrivals are, and a fleet with no capacity to spare makes the first
+        ones wait for boots: squares count it as if it had come over all of the first window.
+        """
+        parts = [0.0] * _WINDOW_PARTS
+        part_s = self._window_s / _WINDOW_PARTS
+        for at, spec in events:
+            parts[min(_WINDOW_PARTS - 1, int((now - at) / part_s))] += float(spec.tasks) ** power
+        covered = min(_WINDOW_PARTS, math.ceil((now - (self._first_at or 0.0)) / part_s))
+        if covered < _WINDOW_PARTS and power > 1:
+            return sum(parts) / self._window_s
+        if covered <= 1:
+            return 0.0
+        return (sum(parts) - max(parts)) / ((covered - 1) * part_s)
--- a/src/poppyhold/machines/consolidation.py
+++ b/src/poppyhold/machines/consolidation.py
@@ -1,65 +1,143 @@
-"""Emptying machines that are little used: replicas move to where their image is already."""
+"""Consolidation: machines that are little used are drained, where their replicas fit elsewhere."""
 
 from __future__ import annotations
 
+import logging
 from collections.abc import Callable, Iterable
 
+from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.supply_and_demand import CapacitySlot
 from poppyhold.model.constraints import zone_limit
-from poppyhold.model.entities import Attempt, Machine
-from poppyhold.model.resources import add_scaled, fits
+from poppyhold.model.context import Context
+from poppyhold.model.entities import Attempt, JobPhase, Machine
+from poppyhold.model.resources import Resources, add_scaled, fits
 from poppyhold.scheduling.placement import may_use
 from poppyhold.scheduling.pricing import machine_shares
 
+log = logging.getLogger(__name__)
+
+# Machines that are used more than this are not worth draining.
+_MAX_UTILIZATION = 0.5
+# Of so many machines one may be drained at a time.
+_MACHINES_PER_DRAIN = 16
+# A replica moves only after it has run for so many times `cancel_s`.
+_MIN_RUNNING_CANCELS = 2
+
+
+class Consolidator:
+    """Drains machines while nothing waits for capacity, one replica of a job at a time."""
+
+    def __init__(self, ctx: Context, reconciler: AttemptReconciler) -> None:
+        self._ctx, self._reconciler = ctx, reconciler
+
+    def consolidate(self, slots: list[CapacitySlot], now: float) -> None:
+        """Choose machines to drain, and move the next replicas of those that are."""
+        fleet = self._ctx.fleet
+        if self._reconciler.unreconciled or any(
+            job.pending > 0 and job.phase is not JobPhase.FINALIZED for job in fleet.jobs.values()
+        ):
+            return
+        self._start_drains(slots, now)
+        self._move_replicas(now)
+
+    def _start_drains(self, slots: list[CapacitySlot], now: float) -> None:
+        durations = self._ctx.durations
+        max_draining = max(1, len(self._ctx.fleet.machines) // _MACHINES_PER_DRAIN)
+
+        def is_settled(attempt: Attempt) -> bool:
+            # A start that is stopped soon is of no use to its user.
+            return (
+                attempt.running_at is not None
+                and now - attempt.running_at > _MIN_RUNNING_CANCELS * durations.cancel_s
+            )
+
+        def is_schedulable(machine: Machine) -> bool:
+            return machine.is_schedulable(now, durations.silent_s)
+
+        for machine in Consolidation(max_draining, is_settled).choose(slots, is_schedulable):
+            machine.draining = True
+            log.info(
+                "draining machine machine=%s replicas=%d reason=underused",
+                machine.name,
+                len(machine.attempts),
+            )
+
+    def _move_replicas(self, now: float) -> None:
+        machines = self._ctx.fleet.machines
+        moving_jobs = {
+            attempt.job.id
+            for machine in machines.values()
+            for attempt in machine.attempts.values()
+            if attempt.stopping_at is not None
+        }
+        for machine in machines.values():
+            if not machine.draining or machine.deleting:
+                continue
+            for attempt in machine.attempts.values():
+                if (
+                    attempt.stopping_at is None
+                    and attempt.job.is_service
+                    and attempt.job.id not in moving_jobs
+                ):
+                    self._reconciler.stop(attempt, 0.0, now)
+                    break
+
 
 class Consolidation:
-    """Chooses machines to empty. What the forecast and waiting work need is left free."""
+    """Chooses machines to drain. What the forecast and waiting work need is left free."""
 
-    def __init__(self, most: int, settled: Callable[[Attempt], bool]) -> None:
-        self._most, self._is_settled = most, settled
+    def __init__(self, max_draining: int, is_settled: Callable[[Attempt], bool]) -> None:
+        self._max_draining, self._is_settled = max_draining, is_settled
 
-    def choose(self, spaces: Iterable[CapacitySlot], ready: Callable[[Machine], bool]) -> list[Machine]:
+    def choose(
+        self, slots: Iterable[CapacitySlot], is_schedulable: Callable[[Machine], bool]
+    ) -> list[Machine]:
         """Machines whose replicas all fit, with their images, on machines that stay."""
-        held = [space for space in spaces if space.machine is not None and ready(space.machine)]
-        draining = sum(1 for space in held if space.machine is not None and space.machine.draining)
+        held = [slot for slot in slots if slot.machine is not None and is_schedulable(slot.machine)]
+        draining = sum(1 for slot in held if slot.machine is not None and slot.machine.draining)
         candidates = sorted(
-            (space for space in held if space.machine is not None and self._movable(space.machine)),
+            (slot for slot in held if slot.machine is not None and self._is_movable(slot.machine)),
             key=self._utilization,
         )
         chosen: list[Machine] = []
-        for space in candidates:
-            if draining + len(chosen) >= self._most:
+        for slot in candidates:
+            if draining + len(chosen) >= self._max_draining:
                 break
-            machine = space.machine
-            if machine is None or machine.draining or self._utilization(space) > _LOAD:
+            machine = slot.machine
+            if machine is None or machine.draining or self._utilization(slot) > _MAX_UTILIZATION:
                 continue
-            if space.free != machine.free:
-                # Waiting work or the forecast counts on it: it would be rented again at once.
+            if slot.free != machine.free:
+                # Waiting work or the forecast counts on it: it would be launched again at once.
                 continue
-            others = [
+            targets = [
                 other
                 for other in held
-                if other is not space
+                if other is not slot
                 and other.machine is not None
                 and other.machine.attempts
                 and not other.machine.draining
                 and other.machine not in chosen
             ]
-            if self._fits(machine, others):
+            if self._place_replicas(machine, targets):
                 chosen.append(machine)
         return chosen
 
     @staticmethod
-    def _utilization(space: CapacitySlot) -> float:
-        machine = space.machine
+    def _utilization(slot: CapacitySlot) -> float:
+        """The used part of the resource of which the machine uses most."""
+        machine = slot.machine
         if machine is None:
             return 0.0
         return max(
-            (used / all_ for used, all_ in zip(machine.used, machine.capacity, strict=True) if all_ > 0),
+            (
+                used / capacity
+                for used, capacity in zip(machine.used, machine.capacity, strict=True)
+                if capacity > 0
+            ),
             default=0.0,
         )
 
-    def _movable(self, machine: Machine) -> bool:
+    def _is_movable(self, machine: Machine) -> bool:
         """Only settled replicas move; a machine with array tasks is left until they are done."""
         return bool(machine.attempts) and all(
             attempt.job.is_service and attempt.stopping_at is None and self._is_settled(attempt)
@@ -67,35 +145,35 @@
         )
 
     @staticmethod
-    def _fits(machine: Machine, others: list[CapacitySlot]) -> bool:
-        taken: dict[int, tuple[float, float, float]] = {}
+    def _place_replicas(machine: Machine, targets: list[CapacitySlot]) -> bool:
+        """Take capacity on the targets for all replicas of a machine; False if they don't all fit."""
+        free_on: dict[int, Resources] = {}
         attempts = sorted(
-            machine.attempts.values(), key=lambda a: -machine_shares(a.job.task_resources, machine.capacity)
+            machine.attempts.values(),
+            key=lambda attempt: -machine_shares(attempt.job.task_resources, machine.capacity),
         )
-        zones: dict[tuple[str, str], int] = {}
+        # How many replicas of a job come to a zone from another.
+        moved: dict[tuple[str, str], int] = {}
         for attempt in attempts:
             job = attempt.job
-            for index, space in enumerate(others):
-                target = space.machine
+            for index, slot in enumerate(targets):
+                target = slot.machine
                 if target is None or job.spec.image not in target.images or not may_use(job, target):
                     continue
-                free = taken.get(index, space.free)
+                free = free_on.get(index, slot.free)
                 if not fits(job.task_resources, free):
                     continue
-                moved = zones.get((job.id, target.zone), 0) + (target.zone != machine.zone)
-                if job.active_by_zone.get(target.zone, 0) + moved > zone_limit(job.spec):
+                changes_zone = target.zone != machine.zone
+                count = moved.get((job.id, target.zone), 0) + changes_zone
+                if job.active_by_zone.get(target.zone, 0) + count > zone_limit(job.spec):
                     continue
-                if job.spec.one_zone and job.spec.tasks > 1 and target.zone != machine.zone:
+                if job.spec.one_zone and job.spec.tasks > 1 and changes_zone:
                     continue
-                taken[index] = add_scaled(free, job.task_resources, -1.0)
-                zones[(job.id, target.zone)] = moved
+                free_on[index] = add_scaled(free, job.task_resources, -1.0)
+                moved[(job.id, target.zone)] = count
                 break
             else:
                 return False
-        for index, free in taken.items():
-            others[index].free = free
+        for index, free in free_on.items():
+            targets[index].free = free
         return True
-
-
-# Machines that are used more than this are not worth emptying.
-_LOAD = 0.5
--- a/src/poppyhold/machines/deletions.py
+++ b/src/poppyhold/machines/deletions.py
@@ -1,4 +1,4 @@
-"""Deleting machines: marked first, so that nothing starts on them, and gone once the cloud has said so."""
+"""Deletion of machines: marked first, so that nothing starts on them, and sent to the cloud in batches."""
 
 from __future__ import annotations
 
@@ -14,39 +14,47 @@
 log = logging.getLogger(__name__)
 
 DELETE_LIMIT = 100
-# Names in a line of the log.
-_NAMED = 8
+# Names in a log line.
+_MAX_NAMES_LOGGED = 8
 
 
 class Deletions:
     """Machines that are to be deleted, a request at a time."""
 
-    def __init__(self, ctx: Context, attempts: AttemptReconciler, on_gone: Callable[[Machine], None]) -> None:
-        self._ctx, self._reconciler, self._on_gone = ctx, attempts, on_gone
+    def __init__(
+        self, ctx: Context, reconciler: AttemptReconciler, on_deleted: Callable[[Machine], None]
+    ) -> None:
+        self._ctx, self._reconciler, self._notify_deleted = ctx, reconciler, on_deleted
         self._in_flight = False
-        # Machines that were not told of yet, by reason: hundreds go at one moment at times.
+        # Machines that were not logged yet, by reason: hundreds are marked at one moment at times.
         self._unlogged: dict[str, list[str]] = {}
 
-    def mark(self, machine: Machine, why: str) -> None:
-        """Delete a machine: from now on nothing starts on it, whether or not an answer comes soon."""
+    def mark(self, machine: Machine, reason: str) -> None:
+        """Delete a machine: from now on nothing starts on it, whether or not the cloud responds soon."""
         if not machine.deleting:
             machine.deleting = True
-            self._unlogged.setdefault(why, []).append(machine.name)
+            self._unlogged.setdefault(reason, []).append(machine.name)
 
     def send_request(self) -> None:
         """Ask the cloud to delete what is marked."""
-        for why, names in self._unlogged.items():
-            log.info("delete %d machines: %s: %s", len(names), why, ", ".join(names[:_NAMED]))
+        for reason, names in self._unlogged.items():
+            log.info(
+                "deleting machines count=%d reason=%r machines=%s",
+                len(names),
+                reason,
+                ",".join(names[:_MAX_NAMES_LOGGED]),
+            )
         self._unlogged.clear()
-        # Who is not sure to lead must not delete: workers that it misses may have gone to the next leader.
+        # A controller that is not sure to lead must not delete: silent workers may be with the next leader.
         if self._in_flight or not self._ctx.outbound.may_start_tasks():
             return
-        names = [m.name for m in self._ctx.fleet.machines.values() if m.deleting][:DELETE_LIMIT]
+        names = [machine.name for machine in self._ctx.fleet.machines.values() if machine.deleting]
+        names = names[:DELETE_LIMIT]
         if not names:
             return
         self._in_flight = True
 
-        def deleted(done: bool) -> None:
+        def on_response(done: bool) -> None:
             self._in_flight = False
             if done:
                 for name in names:
@@ -54,11 +62,11 @@
                     if machine is not None:
                         self._on_deleted(machine)
 
-        self._ctx.outbound.delete_machines(names, deleted)
+        self._ctx.outbound.delete_machines(names, on_response)
 
     def _on_deleted(self, machine: Machine) -> None:
         recorded = machine.record_state is not RecordState.NOT_RECORDED
         self._reconciler.machine_deleted(machine)
-        self._on_gone(machine)
+        self._notify_deleted(machine)
         if recorded:
             self._ctx.outbound.commit({}, [Delete(MACHINE_PREFIX + machine.name)], lambda done: None)
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -1,4 +1,4 @@
-"""Rental requests: durable under their names before they are sent, and until their machines are known."""
+"""Launch requests: durable under their names before they are sent, and until their machines are known."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from poppyhold.durable.keys import LAUNCH_PREFIX
 from poppyhold.durable.records import LaunchRecord
 from poppyhold.durable.store import stored_bytes
-from poppyhold.machines.provisioning import LaunchSpec, Provisioning
+from poppyhold.machines.provisioning import LaunchSpec, MachineKind, Provisioning
 from poppyhold.machines.supply_and_demand import CapacitySlot
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Machine, RecordState
@@ -23,22 +23,31 @@
 
 log = logging.getLogger(__name__)
 
+# A request whose outcome is not known is repeated after so many heartbeat intervals.
+_RETRY_HEARTBEATS = 2
+
 
 class Launch(msgspec.Struct, eq=False):
-    """A rental request, durable under its name before it is sent."""
+    """A launch request, durable under its name before it is sent; the cloud carries out a name once."""
 
     name: str
     machine_type: str
     zone: str
     spot: bool
     count: int
+    # The machines' names, once the cloud has told them.
     machines: list[str] | None = None
     in_flight: bool = False
     retry_at: float = 0.0
 
+    @property
+    def kind(self) -> MachineKind:
+        """The kind of its machines."""
+        return MachineKind(self.machine_type, self.zone, self.spot)
+
 
 class Launches:
-    """The rental requests of this term, and those that earlier leaders left."""
+    """The launch requests of this term, and those that earlier leaders left."""
 
     def __init__(self, ctx: Context, provisioning: Provisioning) -> None:
         self._ctx, self._provisioning = ctx, provisioning
@@ -46,11 +55,11 @@
 
     @property
     def in_flight(self) -> bool:
-        """Whether a request is on its way."""
+        """Whether the response to a request is awaited."""
         return any(launch.in_flight for launch in self._launches.values())
 
     def expected_capacity(self) -> Iterator[CapacitySlot]:
-        """Room of machines that were asked for and have no names yet."""
+        """Capacity of machines that were asked for and have no names yet."""
         for launch in self._launches.values():
             machine_type = self._ctx.machine_types.get(launch.machine_type)
             if launch.machines is None and machine_type is not None:
@@ -60,37 +69,37 @@
                     )
 
     def load(self, name: str, data: Data) -> None:
-        """A hire that an earlier leader made durable: repeat it if its machines aren't known."""
+        """Take a launch that an earlier leader made durable: it is repeated if its machines aren't known."""
         record = convert(data, LaunchRecord)
         launch = Launch(name, record.machine_type, record.zone, record.spot, record.number, record.machines)
         self._launches[name] = launch
         if launch.machines is not None:
             self._add_machines(launch)
 
-    def launch(self, launch_spec: LaunchSpec) -> None:
-        """Rent machines."""
+    def launch(self, spec: LaunchSpec) -> None:
+        """Launch machines, once the request is durable."""
         name = f"r-{self._ctx.next_unique_number()}"
-        launch = Launch(
+        launch = Launch(name, spec.machine_type, spec.zone, spec.spot, spec.number, in_flight=True)
+        log.info(
+            "launch requested launch=%s machine_type=%s zone=%s spot=%s count=%d",
             name,
-            launch_spec.machine_type,
-            launch_spec.zone,
-            launch_spec.spot,
-            launch_spec.count,
-            in_flight=True,
+            spec.machine_type,
+            spec.zone,
+            spec.spot,
+            spec.number,
         )
-        log.info("hire %s: %s", name, launch_spec)
         self._launches[name] = launch
 
-        def durable(done: bool) -> None:
+        def on_committed(done: bool) -> None:
             if done:
                 self._send_request(launch)
             else:
                 self._launches.pop(name, None)
 
-        # Machines boot for longer than anything else takes: behind the plans of a first backlog the first
+        # Machines boot for longer than anything else takes: after the plans of a first backlog the first
         # requests of a fleet that began small waited for eleven seconds.
         self._ctx.outbound.commit(
-            {}, [Put(LAUNCH_PREFIX + name, self._record(launch))], durable, CommitPriority.SOONEST
+            {}, [Put(LAUNCH_PREFIX + name, self._record(launch))], on_committed, CommitPriority.SOONEST
         )
 
     def _record(self, launch: Launch) -> Data:
@@ -98,7 +107,7 @@
         data: Data = msgspec.to_builtins(record)
         if stored_bytes(data) <= self._ctx.settings.settings.state.lowest.value_bytes:
             return data
-        # Without the names a next leader repeats the request, which rents nothing and names them again.
+        # Without the names a next leader repeats the request, which launches nothing and names them again.
         nameless: Data = msgspec.to_builtins(msgspec.structs.replace(record, machines=None))
         return nameless
 
@@ -106,38 +115,41 @@
         launch.in_flight = True
         request = LaunchRequest(launch.name, launch.machine_type, launch.zone, launch.spot, launch.count)
 
-        def answered(outcome: RequestOutcome, names: list[str]) -> None:
+        def on_response(outcome: RequestOutcome, names: list[str]) -> None:
             launch.in_flight = False
-            now = self._ctx.clock()
-            log.info("hire %s: %s, %d machines", launch.name, outcome, len(names))
-            if outcome == RequestOutcome.OK:
-                launch.machines = names
-                self._ctx.outbound.commit(
-                    {}, [Put(LAUNCH_PREFIX + launch.name, self._record(launch))], lambda done: None
-                )
-                self._add_machines(launch)
-                if len(names) < launch.count:
-                    self._block_kind(launch, now)
-            elif outcome == RequestOutcome.REJECTED:
-                # No capacity. If a copy of the request is carried out later after all, its machines
-                # show up in the list and in reports, and are used or returned like any other.
-                self._block_kind(launch, now)
-                self._forget(launch)
-            else:
-                launch.retry_at = now + self._ctx.durations.heartbeat_interval_s * 2
+            self._handle_response(launch, outcome, names)
+
+        self._ctx.outbound.launch_machines(msgspec.to_builtins(request), on_response)
 
-        self._ctx.outbound.launch_machines(msgspec.to_builtins(request), answered)
+    def _handle_response(self, launch: Launch, outcome: RequestOutcome, names: list[str]) -> None:
+        now = self._ctx.clock()
+        log.info("launch answered launch=%s outcome=%s machines=%d", launch.name, outcome.value, len(names))
+        if outcome == RequestOutcome.OK:
+            launch.machines = names
+            self._ctx.outbound.commit(
+                {}, [Put(LAUNCH_PREFIX + launch.name, self._record(launch))], lambda done: None
+            )
+            self._add_machines(launch)
+            if len(names) < launch.count:
+                self._block_kind(launch, now)
+        elif outcome == RequestOutcome.REJECTED:
+            # No capacity. If a copy of the request is carried out later after all, its machines show up in
+            # the list and in heartbeats, and are used or scaled in like any other.
+            self._block_kind(launch, now)
+            self._forget(launch)
+        else:
+            launch.retry_at = now + self._ctx.durations.heartbeat_interval_s * _RETRY_HEARTBEATS
 
     def _block_kind(self, launch: Launch, now: float) -> None:
-        until = now + self._ctx.durations.lease_s
-        self._provisioning.block(launch.machine_type, launch.zone, launch.spot, until)
+        """Don't ask for more of a kind that the cloud lacks, for the length of a lease."""
+        self._provisioning.block(launch.kind, now + self._ctx.durations.lease_s)
 
     def _forget(self, launch: Launch) -> None:
         self._launches.pop(launch.name, None)
         self._ctx.outbound.commit({}, [Delete(LAUNCH_PREFIX + launch.name)], lambda done: None)
 
     def _add_machines(self, launch: Launch) -> None:
-        """The machines of a hire are on their way."""
+        """Add the machines of a launch to the fleet; they boot."""
         machine_type = self._ctx.machine_types.get(launch.machine_type)
         now = self._ctx.clock()
         for name in launch.machines or []:
@@ -149,8 +161,8 @@
                 machine = Machine(name, machine_type, launch.zone, launch.spot, known_since=now)
                 self._ctx.fleet.machines[name] = machine
 
-    def settle(self) -> None:
-        """Hires whose machines have all reported, or are gone, need no record any more."""
+    def reconcile(self) -> None:
+        """Repeat requests without an outcome, and forget those whose machines are all recorded or gone."""
         now = self._ctx.clock()
         for launch in list(self._launches.values()):
             if launch.machines is None:
--- a/src/poppyhold/machines/machine_list.py
+++ b/src/poppyhold/machines/machine_list.py
@@ -14,15 +14,15 @@
 
 
 class MachineList:
-    """Keeps the fleet's machines in step with the lists."""
+    """Reconciles the fleet's machines with the cloud's lists."""
 
     def __init__(self, ctx: Context, deletions: Deletions) -> None:
         self._ctx, self._deletions = ctx, deletions
 
     def apply(self, listing: MachineListing) -> None:
-        """Take what a list shows. That a machine is missing from it proves nothing.
+        """Apply a list. That a machine is missing from it proves nothing.
 
-        It tells of the time when its first page was asked for: of what came since it knows nothing.
+        It is of the time when its first page was asked for, and does not show what came since.
         """
         ctx = self._ctx
         now = ctx.clock()
@@ -41,7 +41,7 @@
                 self._handle_missing(machine)
 
     def _apply_entry(self, entry: ListedMachine, listed_at: float, now: float) -> None:
-        """A machine is on the list."""
+        """Apply one entry of a list."""
         machine = self._ctx.fleet.machines.get(entry.name)
         if machine is None:
             machine = self._add_unknown(entry, now)
@@ -57,7 +57,7 @@
             machine.known_since = min(machine.known_since, now - entry.age_s)
 
     def _add_unknown(self, entry: ListedMachine, now: float) -> Machine | None:
-        """A machine that we did not know: a late hire, or one of an earlier leader."""
+        """Add a machine that we did not know: of a launch that came late, or of an earlier leader."""
         ctx = self._ctx
         machine_type = ctx.machine_types.get(entry.machine_type)
         if machine_type is None or entry.name in ctx.deleted_at:
@@ -68,12 +68,12 @@
         return machine
 
     def _handle_missing(self, machine: Machine) -> None:
-        """A machine that should be listed is not: an earlier leader returned it, most likely.
+        """A machine that should be listed is not: an earlier leader deleted it, most likely.
 
-        If it never was up it holds no tasks, and if it does come up after all its reports bring it back.
-        Otherwise that it is missing proves nothing; that it is deleted does. Until then what it may hold is
-        charged to every team, and tasks of older jobs wait, up to the certain end of its last lease, with
-        each leader anew.
+        If it never was up it holds no tasks, and if it does come up after all its heartbeats bring it back.
+        Otherwise that it is missing proves nothing; that it is deleted does. Until then what it may hold
+        counts against every team, and tasks of older jobs wait, up to the certain expiry of its last lease,
+        with each leader anew.
         """
         if machine.is_up:
             self._deletions.mark(machine, "not listed")
--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -9,24 +9,30 @@
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.boot_tracker import BootTracker
 from poppyhold.machines.deletions import Deletions
-from poppyhold.machines.provisioning import Provisioning
+from poppyhold.machines.provisioning import MachineKind, Provisioning
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Machine
 
 # Machines of one zone that must all be silent to take the zone for cut off; fewer may have died together.
-_FEWEST_OF_A_ZONE = 3
-# Silence of such a zone behind which its machines are given up, as a multiple of `cancel_s`.
-_ZONE_PATIENCE = 8
+_MIN_MACHINES_OF_ZONE = 3
+# Silence of such a zone after which its machines are given up, as a multiple of `cancel_s`.
+_ZONE_PATIENCE_CANCELS = 8
+# Silence after which a machine is given up although many others are silent, as a multiple of `cancel_s`.
+_PATIENCE_CANCELS = 2
+# Machines are not silent before so many heartbeat intervals of a term.
+_FIRST_HEARTBEATS = 2
+# More than one in so many machines that are quiet are many.
+_MANY_QUIET_DIVISOR = 4
 
 
 class FleetSurvey(msgspec.Struct, eq=False):
-    """How many machines are up, heard and quiet, and those that are silent for too long."""
+    """How many machines are up, responsive and quiet, and those that are silent for too long."""
 
     up: int = 0
     responsive: int = 0
     quiet: int = 0
     silent: list[Machine] = msgspec.field(default_factory=list)
-    # By zone: machines that are up, and those of them that were heard lately.
+    # By zone: machines that are up, and those of them that are responsive.
     up_by_zone: Counter[str] = msgspec.field(default_factory=Counter)
     responsive_by_zone: Counter[str] = msgspec.field(default_factory=Counter)
 
@@ -35,24 +41,24 @@
         return {
             zone
             for zone, up in self.up_by_zone.items()
-            if up >= _FEWEST_OF_A_ZONE and not self.responsive_by_zone[zone]
+            if up >= _MIN_MACHINES_OF_ZONE and not self.responsive_by_zone[zone]
         }
 
 
 class MachineMonitor:
-    """Looks after the machines that should be heard."""
+    """Looks after the machines whose heartbeats should come."""
 
     def __init__(
         self,
         ctx: Context,
-        attempts: AttemptReconciler,
+        reconciler: AttemptReconciler,
         deletions: Deletions,
         provisioning: Provisioning,
         boots: BootTracker,
     ) -> None:
-        self._ctx, self._reconciler, self._boots = ctx, attempts, boots
+        self._ctx, self._reconciler, self._boots = ctx, reconciler, boots
         self._deletions, self._provisioning = deletions, provisioning
-        # Since when most workers have turned to another controller.
+        # Since when most workers have turned to another controller; infinite while they have not.
         self._turned_away_since = float("inf")
         # When many machines were silent last.
         self._many_quiet_at = float("-inf")
@@ -72,81 +78,90 @@
                 self._deletions.mark(machine, "never came up")
         self._handle_silent_machines(survey, now)
         for machine in self._ctx.fleet.machines.values():
-            gone = not machine.attempts and machine.name not in self._reconciler.unreconciled
-            if gone and (machine.quarantined or machine.draining):
-                self._deletions.mark(machine, "left")
+            is_empty = not machine.attempts and machine.name not in self._reconciler.unreconciled
+            if is_empty and (machine.quarantined or machine.draining):
+                self._deletions.mark(machine, "drained")
         self._deletions.send_request()
 
     def _silence_s(self, machine: Machine, now: float) -> float:
-        """For how long a machine has been silent, as far as we could have heard it."""
-        times, began = self._ctx.durations, self._reconciler.began_at
+        """For how long a machine has been silent, as far as its heartbeats could have reached us."""
+        times, began_at = self._ctx.durations, self._reconciler.began_at
         if machine.reconciled or machine.name not in self._reconciler.unreconciled:
-            return now - max(machine.last_heartbeat_at, machine.up_at, began + times.heartbeat_interval_s * 2)
-        # It was up, and was asked when our term began: a sound worker answers that at once.
-        return now - began + times.presumed_lost_s / 2
-
-    def _is_quiet(self, quiet_s: float) -> bool:
+            return now - max(
+                machine.last_heartbeat_at,
+                machine.up_at,
+                began_at + times.heartbeat_interval_s * _FIRST_HEARTBEATS,
+            )
+        # It was up, and was asked for a heartbeat when our term began: a sound worker answers that at once.
+        return now - began_at + times.presumed_lost_s / 2
+
+    def _is_quiet(self, silence_s: float) -> bool:
         """Whether a machine counts among those that may be silent for one and the same reason.
 
         Those of earlier terms are asked as a term begins. They have the time to answer before they count, or
         all of them would, and a few that hang would keep older jobs waiting for twice as long.
         """
         times = self._ctx.durations
-        return quiet_s > times.presumed_lost_s / 2 + times.heartbeat_interval_s / 2
+        return silence_s > times.presumed_lost_s / 2 + times.heartbeat_interval_s / 2
 
     def _survey(self, machine: Machine, survey: FleetSurvey, now: float) -> None:
-        """Count a machine that should be heard, ask it if it is not, and end what it can't hold any more."""
+        """Count a machine, request its heartbeat if it is silent, and end attempts whose leases expired."""
         times = self._ctx.durations
-        heard = now - machine.last_heartbeat_at <= times.presumed_lost_s
+        responsive = now - machine.last_heartbeat_at <= times.presumed_lost_s
         survey.up += 1
-        survey.responsive += heard
+        survey.responsive += responsive
         survey.up_by_zone[machine.zone] += 1
-        survey.responsive_by_zone[machine.zone] += heard
-        quiet_s = self._silence_s(machine, now)
-        survey.quiet += self._is_quiet(quiet_s)
-        if quiet_s > times.silent_s / 2:
+        survey.responsive_by_zone[machine.zone] += responsive
+        silence_s = self._silence_s(machine, now)
+        survey.quiet += self._is_quiet(silence_s)
+        if silence_s > times.silent_s / 2:
             self._reconciler.commands.probe_silent_worker(machine, now)
-        if quiet_s > times.presumed_lost_s:
+        if silence_s > times.presumed_lost_s:
             if machine.preempted_at is not None and now > machine.preempted_at - times.presumed_lost_s:
-                self._deletions.mark(machine, "recalled")
+                self._deletions.mark(machine, "preempted")
             else:
                 survey.silent.append(machine)
-        if quiet_s > times.lease_s:
+        if silence_s > times.lease_s:
             self._reconciler.expire_leases(machine, now)
         if machine.errors and self._reconciler.failures.machine_at_fault(machine):
             machine.quarantined = True
 
     def _handle_silent_machines(self, survey: FleetSurvey, now: float) -> None:
-        """Whether silent machines are lost, or cut off, or we are."""
-        times, silent = self._ctx.durations, survey.silent
+        """Decide whether silent machines are lost, or cut off, or this controller is."""
         if self._workers_turned_away(survey, now):
-            # They try the other controllers: it is our own way to them that is broken. Where a zone is cut
-            # off, half of all are silent too, and those that came to us passed the others on their way: with
-            # each new leader resigning for that, nothing was started for the length of the cut.
+            # They try the other controllers: it is our own connection to them that is broken. Where a zone is
+            # cut off, half of all are silent too, and those that came to us passed the others on their way:
+            # with each new leader resigning for that, nothing was started for the length of the cut.
             self._ctx.outbound.resign("most workers are silent")
-        if survey.quiet > max(1, survey.up // 4):
+        if survey.quiet > max(1, survey.up // _MANY_QUIET_DIVISOR):
             # Those that fall silent with others count as soon as they might be missed: in a zone that is cut
             # off the first ones were deleted, up to a quarter of all, before the rest had been silent long
             # enough. And when it is back they don't all come at one moment.
             self._many_quiet_at = now
         silent_zones = survey.silent_zones()
         self._block_launches_in(silent_zones, now)
-        for machine in silent:
-            # A zone that is cut off comes back with all its machines: its tasks start elsewhere once its
-            # leases are over, but machines are given up for good only a good while behind that.
-            heard_at = max(machine.last_heartbeat_at, machine.up_at, self._reconciler.began_at)
-            if machine.zone in silent_zones:
-                # Others in their place would be no more use there, and have to boot when the zone is back:
-                # 39 machines were given up 20 s before that, and their tasks waited for 50 s more. Those
-                # that are dead are listed as failed meanwhile.
-                given_up = now - heard_at > _ZONE_PATIENCE * times.cancel_s
-            else:
-                given_up = (
-                    now - self._many_quiet_at > times.presumed_lost_s or now - heard_at > 2 * times.cancel_s
-                )
-            if given_up:
+        for machine in survey.silent:
+            if self._is_lost(machine, machine.zone in silent_zones, now):
                 self._deletions.mark(machine, "silent")
 
+    def _is_lost(self, machine: Machine, in_silent_zone: bool, now: float) -> bool:
+        """Whether a silent machine is given up.
+
+        A zone that is cut off comes back with all its machines: its tasks start elsewhere once its leases
+        have expired, but machines are given up for good only a good while after that.
+        """
+        times = self._ctx.durations
+        silence_s = now - max(machine.last_heartbeat_at, machine.up_at, self._reconciler.began_at)
+        if in_silent_zone:
+            # Others in their place would be no more use there, and have to boot when the zone is back: 39
+            # machines were given up 20 s before that, and their tasks waited for 50 s more. Those that are
+            # dead are listed as failed meanwhile.
+            return silence_s > _ZONE_PATIENCE_CANCELS * times.cancel_s
+        return (
+            now - self._many_quiet_at > times.presumed_lost_s
+            or silence_s > _PATIENCE_CANCELS * times.cancel_s
+        )
+
     def _workers_turned_away(self, survey: FleetSurvey, now: float) -> bool:
         """Whether most workers are silent here and have turned to another controller, for an interval.
 
@@ -160,18 +175,18 @@
         return now - self._turned_away_since >= self._ctx.durations.heartbeat_interval_s
 
     def _block_launches_in(self, zones: set[str], now: float) -> None:
-        """Rent nothing in zones that nothing is heard of: nobody could use it there."""
+        """Launch nothing in zones whose machines are all silent: nobody could use it there."""
+        until = now + self._ctx.durations.heartbeat_interval_s
         for machine_type in self._ctx.machine_types.values():
             for zone in zones.intersection(machine_type.zones):
                 for spot in (False, True):
-                    until = now + self._ctx.durations.heartbeat_interval_s
-                    self._provisioning.block(machine_type.name, zone, spot, until)
+                    self._provisioning.block(MachineKind(machine_type.name, zone, spot), until)
 
     def _count_turned_away(self, now: float) -> int:
-        """How many workers have turned to another controller since they reported here last.
+        """How many workers have turned to another controller since their last heartbeat here.
 
-        A copy of an old report is none that turned away. Who has just begun to lead has no reports to compare
-        with, and gives them the time to come.
+        A copy of an old heartbeat does not count. A controller that has just begun to lead has no heartbeats
+        to compare with, and gives them the time to come.
         """
         if now - self._reconciler.began_at < self._ctx.durations.lease_s:
             return 0
--- a/src/poppyhold/machines/supply_and_demand.py
+++ b/src/poppyhold/machines/supply_and_demand.py
@@ -1,4 +1,4 @@
-"""What needs room, and the room that there is: the two sides of renting machines."""
+"""Demand for capacity, and the capacity that there is or will be: the two sides of scaling out."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Demand(msgspec.Struct, eq=False):
-    """Tasks of one shape that need room."""
+    """Tasks of one shape that need capacity."""
 
     spec: Submission
     need: Resources
@@ -23,7 +23,7 @@
 
 
 class CapacitySlot(msgspec.Struct, eq=False):
-    """Free room of one machine that is held or coming."""
+    """Free capacity of one machine that is held or expected; one that has no name yet has no machine."""
 
     machine: Machine | None
     machine_type: MachineType
@@ -34,7 +34,7 @@
 
 
 def slot_of(machine: Machine) -> CapacitySlot:
-    """The free room of a machine we hold."""
+    """The free capacity of a machine we hold."""
     return CapacitySlot(
         machine, machine.machine_type, machine.zone, machine.spot, machine.free, bool(machine.attempts)
     )
