--- a/src/poppyhold/node/cloud_client.py
+++ b/src/poppyhold/node/cloud_client.py
@@ -9,9 +9,15 @@
 from poppyhold.model.outbound import Data
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.settings import Settings, split_address
-from poppyhold.wire.cloud_messages import LaunchResponse, MachineListPage, MachineType, MachineTypes
+from poppyhold.wire.cloud_messages import (
+    DeletionRequest,
+    LaunchResponse,
+    MachineListPage,
+    MachineType,
+    MachineTypes,
+)
 from poppyhold.wire.codec import MalformedError, convert
-from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
+from poppyhold.wire.http_client import HttpClient, NoResponseError, NotSentError
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +32,7 @@
 
     def __init__(self, settings: Settings) -> None:
         host, port = split_address(settings.outside.cloud)
-        self._client = Client(host, port, keep=2)
+        self._client = HttpClient(host, port, most_idle=2)
         self._timeout_s = settings.settings.workers.lease_s / 3
 
     def fetch_machine_types(self) -> list[MachineType] | None:
@@ -43,7 +49,7 @@
         try:
             status, data = self._client.request("GET", path, timeout=self._timeout_s)
             return convert(data, kind) if status == HTTPStatus.OK else None
-        except (NotSentError, NoAnswerError, MalformedError) as error:
+        except (NotSentError, NoResponseError, MalformedError) as error:
             log.debug("cloud request failed path=%s error=%s", path, error)
             return None
 
@@ -53,7 +59,7 @@
             status, data = self._client.request("POST", "/machines", body, timeout=self._timeout_s)
             if status == HTTPStatus.OK:
                 return RequestOutcome.OK, convert(data, LaunchResponse).machines
-        except (NotSentError, NoAnswerError, MalformedError) as error:
+        except (NotSentError, NoResponseError, MalformedError) as error:
             log.debug("launch request failed error=%s", error)
             return RequestOutcome.UNKNOWN, []
         no_capacity = status == HTTPStatus.SERVICE_UNAVAILABLE and data.get("error") == "no capacity"
@@ -65,9 +71,9 @@
         """Delete machines; if True is returned, they do not exist any more."""
         try:
             status, _ = self._client.request(
-                "POST", "/machines/delete", {"boxes": names}, timeout=self._timeout_s
+                "POST", "/machines/delete", DeletionRequest(names).body(), timeout=self._timeout_s
             )
             return status == HTTPStatus.OK
-        except (NotSentError, NoAnswerError) as error:
+        except (NotSentError, NoResponseError) as error:
             log.debug("deletion request failed error=%s", error)
             return False
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -10,7 +10,8 @@
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.election import Election, Term
 from poppyhold.cluster.lease_delegation import DelegationTracker
-from poppyhold.cluster.peers import Peers, Pong
+from poppyhold.cluster.peer_messages import Pong
+from poppyhold.cluster.peers import Peers
 from poppyhold.concurrency.priority_queue import DECISIONS, SUBMISSIONS
 from poppyhold.durable.changes import Entry, WatchEvent
 from poppyhold.durable.committer import Committer
@@ -33,14 +34,13 @@
 from poppyhold.node.outbound_adapter import OutboundAdapter
 from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
-from poppyhold.quota.edge import QuotaEdge
-from poppyhold.quota.messages import Answer as QuotaAnswer
-from poppyhold.quota.messages import Opening as QuotaOpening
+from poppyhold.quota.endpoint import QuotaEndpoint
+from poppyhold.quota.messages import QuotaRequest, QuotaResponse
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.leader import RelayServer
 from poppyhold.settings import Settings
 from poppyhold.wire.cloud_messages import MachineListing, MachineType
-from poppyhold.wire.http import Answer
+from poppyhold.wire.http_server import HttpResponse
 
 log = logging.getLogger(__name__)
 
@@ -65,7 +65,7 @@
     def peer_image_hints(self) -> ImageHints:
         """The machines' images, as the last leader told them."""
 
-    def reject_heartbeat(self) -> Answer:
+    def reject_heartbeat(self) -> HttpResponse:
         """The answer to a heartbeat that the leader can't answer."""
 
 
@@ -73,16 +73,16 @@
     """Connects the decision core with its threads, from the election to the loss of leadership.
 
     The parts own their threads: `loop` the decision thread, and the committer, the command dispatcher, the
-    cloud thread, the watch, the relay server and the quota edge one or more each. Methods of this class that
-    are passed to `loop` run on the decision thread; `stop` may be called from any thread.
+    cloud thread, the watch, the relay server and the quota endpoint one or more each. Methods of this class
+    that are passed to `loop` run on the decision thread; `stop` may be called from any thread.
     """
 
     def __init__(self, node: NodeContext, term: Term) -> None:
         self._node = node
         settings, options = node.settings, node.options
-        limits, workers = settings.settings.machine_limits, settings.settings.workers
+        workers = settings.settings.workers
         times = Durations(settings, options)
-        self.loop = DecisionLoop(limits.max_sockets, workers.heartbeat_interval_s)
+        self.loop = DecisionLoop(settings.settings.machine_limits.max_sockets, workers.heartbeat_interval_s)
         self._committer = Committer(node.store, settings, term.key_revision, self._on_write_rejected)
         self._commands = CommandDispatcher(settings)
         members = [settings.member, *(known.member for known in settings.known)]
@@ -96,7 +96,7 @@
             self._committer,
             self._commands,
             node.users,
-            node.peers.views,
+            node.peers,
         )
         self.controller = Controller(
             settings, options, self._outbound, term.fencing_token, time.monotonic, time.time, node.rng
@@ -110,16 +110,7 @@
             lambda: node.election.watch.first_revision,
             self._outbound.leadership_confirmed_at,
         )
-        assignment = Assignment(
-            options.relays.mode,
-            limits.connections * options.relays.from_share,
-            limits.connections * DIRECT_SHARE,
-            settings.member,
-            settings.domain,
-            times,
-            time.monotonic,
-            node.rng,
-        )
+        assignment = self._make_assignment(times)
         self.heartbeats = HeartbeatEndpoint(
             self.loop,
             self.controller,
@@ -130,25 +121,43 @@
         self.relays = RelayServer(
             self.loop.post, self.heartbeats.answer, self.controller.last_response_at, assignment, workers
         )
-        self.quota_edge = self._make_quota_edge()
+        self.quota_endpoint = self._make_quota_endpoint()
         self._watch: Watch | None = None
         # As of the last tick, for other threads.
         self.task_counts: dict[str, TaskCounts] = {}
         self.image_hints: ImageHints = {}
-        self.loop.start(
-            self._prepare,
-            self._tick,
-            self.controller.scheduling_due_at,
-            self.controller.run_scheduling_cycle,
-            self.quota_edge.publish if self.quota_edge is not None else lambda: None,
+        self._start_loop()
+
+    def _make_assignment(self, times: Durations) -> Assignment:
+        """Who relays for whom, and whether relays are wanted at all."""
+        settings, relays = self._node.settings, self._node.options.relays
+        connections = settings.settings.machine_limits.connections
+        return Assignment(
+            relays.mode,
+            connections * relays.from_share,
+            connections * DIRECT_SHARE,
+            settings.member,
+            settings.domain,
+            times,
+            time.monotonic,
+            self._node.rng,
         )
 
-    def _make_quota_edge(self) -> QuotaEdge | None:
+    def _make_quota_endpoint(self) -> QuotaEndpoint | None:
         """The term's side towards other cells; None where the fleet is one cell."""
         quota, cells = self.controller.quota, self._node.options.cells
         if quota is None or cells is None:
             return None
-        return QuotaEdge(quota, cells, self._node.settings, self.loop.post, self._node.rng)
+        return QuotaEndpoint(quota, cells, self._node.settings, self.loop.post, self._node.rng)
+
+    def _start_loop(self) -> None:
+        self.loop.start(
+            self._prepare,
+            self._tick,
+            self.controller.scheduling_due_at,
+            self.controller.run_scheduling_cycle,
+            self.quota_endpoint.publish if self.quota_endpoint is not None else lambda: None,
+        )
 
     @property
     def alive(self) -> bool:
@@ -161,17 +170,17 @@
         self._committer.stop()
         self._commands.stop()
         self.relays.close()
-        if self.quota_edge is not None:
-            self.quota_edge.stop()
+        if self.quota_endpoint is not None:
+            self.quota_endpoint.stop()
         if self._outbound.cloud is not None:
             self._outbound.cloud.stop()
         if self._watch is not None:
             self._watch.stop()
         self.loop.reject_waiting()
 
-    def answer_cell(self, message: QuotaOpening, timeout_s: float) -> QuotaAnswer | None:
+    def answer_cell(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
         """Answer another cell's leader or an operator; None: not in time."""
-        return self.quota_edge.answer(message, timeout_s) if self.quota_edge is not None else None
+        return self.quota_endpoint.answer(message, timeout_s) if self.quota_endpoint is not None else None
 
     # -- on the decision thread ----------------------------------------------------------------------
 
@@ -211,8 +220,8 @@
             time.monotonic() - read_at,
         )
         self.heartbeats.open()
-        if self.quota_edge is not None:
-            self.quota_edge.start()
+        if self.quota_endpoint is not None:
+            self.quota_endpoint.start()
         return True
 
     def _read_snapshot(self) -> Snapshot:
@@ -234,8 +243,8 @@
         self.image_hints = self.controller.image_hints()
         self.relays.review(self.controller.ctx.fleet.machines.keys())
         self.cancellations.update_delegation()
-        if self.quota_edge is not None:
-            self.quota_edge.tick()
+        if self.quota_endpoint is not None:
+            self.quota_endpoint.tick()
 
     # -- events from other threads -------------------------------------------------------------------
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -20,7 +20,8 @@
 from poppyhold.capacity import shortfalls
 from poppyhold.cli import main
 from poppyhold.cluster.change_feed import ChangeFeed
-from poppyhold.cluster.peers import _MOST_COUNTS, _MOST_IMAGES, Ping, receive_opening
+from poppyhold.cluster.peer_client import _MOST_COUNTS, _MOST_IMAGES
+from poppyhold.cluster.peer_messages import Ping, receive_opening
 from poppyhold.durable.changes import Entry
 from poppyhold.durable.errors import StoreRejectedError
 from poppyhold.durable.keys import MACHINE_PREFIX
@@ -42,8 +43,8 @@
 from poppyhold.settings import Settings as Deployed
 from poppyhold.wire.cloud_messages import ListedMachine, MachineType
 from poppyhold.wire.cloud_messages import MachineListPage as ListPage
-from poppyhold.wire.frames import send
-from poppyhold.wire.http import Server, answer
+from poppyhold.wire.frames import send_message
+from poppyhold.wire.http_server import HttpServer, http_response
 from poppyhold.wire.user_messages import parse_submission
 from world import World
 
@@ -80,7 +81,7 @@
     # Both ends are in this process.
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 2 * wanted + 200)), hard))
-    server = Server(("127.0.0.1", 0), lambda method, path, body: answer(200), limit)
+    server = HttpServer(("127.0.0.1", 0), lambda method, path, body: http_response(200), limit)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     clients: list[socket.socket] = []
     try:
@@ -132,7 +133,7 @@
 
 def with_receiver(near: socket.socket, far: socket.socket, ping: Ping) -> None:
     """Send a message through a socket pair, and check that it arrives."""
-    sender = threading.Thread(target=send, args=(near, ping))
+    sender = threading.Thread(target=send_message, args=(near, ping))
     sender.start()
     received = receive_opening(far)
     sender.join(10.0)
