--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -1,4 +1,4 @@
-"""A controller node of the simulated deployment: the real decision core and users' edge, without threads."""
+"""A controller node of the simulated deployment: the real decision core and user API, without threads."""
 
 from __future__ import annotations
 
@@ -105,7 +105,7 @@
 
 
 class SimLeaderTerm:
-    """The edges of one term, with latencies, losses and late deliveries."""
+    """One term of leading: the core's outbound port, with latencies, losses and late deliveries."""
 
     def __init__(self, node: SimNode, baton: int, stamp: int, permit: int) -> None:
         self.node, self.world = node, node.world
@@ -204,7 +204,7 @@
         self.world.after(delay, run)
 
     def settle(self) -> None:
-        """As the decision thread does: when a pass must wait, it wakes up for it."""
+        """As the decision thread does: when a scheduling cycle must wait, it wakes up for it."""
         if not self.alive or not self.node.alive or self.node.frozen:
             return
         self.controller.run_scheduling_cycle()
@@ -337,7 +337,7 @@
         ]
 
     def answer_heartbeat(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
-        """The answer to a report that a relay passed on."""
+        """The answer to a heartbeat that a relay forwarded."""
         now = self.world.now
         if not self.alive or now >= late_at or not self.authority.may_renew_leases(now, self.confirmed):
             return None
@@ -472,7 +472,7 @@
         return 200, answer.body()
 
     def relays_heartbeats(self) -> bool:
-        """Whether a report is relayed that comes now."""
+        """Whether a heartbeat that comes now is relayed."""
         return self.leader_term is None and self.relay.is_open()
 
     def receive_heartbeat(self, body: Data, respond: Callable[[int, Data], None], wait_s: float) -> None:
@@ -630,7 +630,7 @@
             other.tell(leader_term)
 
     def tell(self, leader: SimLeaderTerm) -> None:
-        """Tell a leader which cancellations were told here, as peers' messages do."""
+        """Tell a leader which cancellations were confirmed here, as peers' messages do."""
         self.users.cancellations.acknowledge(leader.authority.acted_on_revision)
         named, bound = self.users.cancellations.report(self.first_revision)
         for job_id, _ in named:
--- a/tests/test_edges.py
+++ b/tests/test_input_validation.py
@@ -1,4 +1,4 @@
-"""What bad input gets, and the large jobs that are legal."""
+"""What invalid input is answered, and the large jobs that are valid."""
 
 from __future__ import annotations
 
