--- a/src/poppyhold/node/submission_policy.py
+++ b/src/poppyhold/node/submission_policy.py
@@ -24,7 +24,7 @@
 
     def why_infeasible(self, spec: Submission, machine_types: dict[str, MachineType]) -> str | None:
         """Why a job can never run, or None if it may."""
-        if not self._quotas.known(spec.team):
+        if not self._quotas.is_known(spec.team):
             return "unknown team"
         # The tasks of an array may run one after the other.
         tasks = 1 if spec.shape == "array" else spec.tasks
