--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -23,7 +23,7 @@
         return self.now
 
 
-def test_who_reaches_all_that_we_reach_and_more_is_placed_better() -> None:
+def test_peer_that_reaches_all_that_we_reach_and_more_is_better_connected() -> None:
     links = Connectivity("a", 2.0, Clock())
     links.record_response("b", ["a", "c"])
     assert links.better_connected_peer() == "b"
@@ -32,14 +32,14 @@
     assert links.better_connected_peer() is None
 
 
-def test_who_reaches_others_but_not_all_of_ours_is_not_placed_better() -> None:
+def test_peer_that_reaches_others_but_not_all_of_ours_is_not_better_connected() -> None:
     links = Connectivity("a", 2.0, Clock())
     links.record_response("b", ["a", "d"])
     links.record_response("c", ["a"])
     assert links.better_connected_peer() is None
 
 
-def test_who_does_not_hear_us_or_names_nobody_is_not_placed_better() -> None:
+def test_peer_that_does_not_reach_us_or_lists_nobody_is_not_better_connected() -> None:
     links = Connectivity("a", 2.0, Clock())
     links.record_response("b", ["c", "d"])
     assert links.better_connected_peer() is None
@@ -48,7 +48,7 @@
     assert links.better_connected_peer() is None
 
 
-def test_answers_grow_old_and_broken_links_count_at_once() -> None:
+def test_responses_expire_and_lost_connections_count_at_once() -> None:
     clock = Clock()
     links = Connectivity("a", 2.0, clock)
     links.record_response("b", ["a", "c"])
@@ -59,7 +59,7 @@
     assert links.better_connected_peer() is None
 
 
-def test_only_who_has_been_missed_for_a_while_makes_another_one_better() -> None:
+def test_only_a_controller_unreachable_for_a_while_makes_a_peer_better_connected() -> None:
     clock = Clock()
     links = Connectivity("a", 2.0, clock)
     links.record_response("b", ["a", "c"])
@@ -82,7 +82,7 @@
     assert links.better_connected_peer() is None
 
 
-def test_who_was_never_heard_counts_from_the_beginning() -> None:
+def test_a_controller_that_never_responded_counts_as_unreachable_from_the_start() -> None:
     clock = Clock()
     links = Connectivity("a", 2.0, clock)
     clock.now = 1.0
@@ -93,7 +93,7 @@
     assert links.better_connected_peer(unreachable_s=2.5) == "b"
 
 
-def test_only_who_gives_no_answer_at_all_is_unreachable() -> None:
+def test_only_a_peer_that_times_out_is_unreachable() -> None:
     links = Connectivity("a", 2.0, Clock())
     links.connection_lost("b", timed_out=True)
     links.connection_lost("c", timed_out=False)
@@ -106,7 +106,7 @@
     assert not links.is_unreachable("b")
 
 
-class Ending(Store):
+class RevocableLeaseStore(Store):
     """A state service that takes back leases, or does not."""
 
     def __init__(self, error: Exception | None) -> None:
@@ -120,9 +120,11 @@
 
 
 @pytest.mark.parametrize("error", [None, StoreRejectedError("503"), OutcomeUnknownError("lost")], ids=str)
-def test_a_lead_is_handed_over_only_if_the_state_service_takes_it_back(error: Exception | None) -> None:
+def test_leadership_is_transferred_only_if_the_state_service_revokes_the_lease(
+    error: Exception | None,
+) -> None:
     # In a run a leader resigned as an outage began, and nobody led for 50 s.
-    store, deposed = Ending(error), []
+    store, deposed = RevocableLeaseStore(error), []
     world = World(1, 10.0, 30.0, [Team("alpha")])
     election = Election(
         world.settings,
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -19,7 +19,7 @@
 from poppyhold.wire.worker_messages import parse_heartbeat
 from sim_node import SimLeaderTerm
 from test_reconciliation import leading_world
-from test_store import Fickle
+from test_store import UnreliableStore
 from world import World
 
 
@@ -145,14 +145,14 @@
     assert world.broken == []
 
 
-def candidate(store: Fickle, won: list[Term]) -> Election:
+def candidate(store: UnreliableStore, won: list[Term]) -> Election:
     """A node that stands for the lead."""
     world = World(1, 10.0, 30.0, [Team("alpha")])
     return Election(world.settings, Options(), store, won.append, lambda: None, lambda: False, world.rng)
 
 
 def test_election_whose_answer_is_lost_is_won() -> None:
-    store = Fickle("lost")
+    store = UnreliableStore("lost")
     won: list[Term] = []
     permit = store.state.lease(2500)[1]["permit"]
     candidate(store, won)._claim_leadership(permit, 0.0)
@@ -161,7 +161,7 @@
 
 
 def test_claim_that_is_carried_out_late_takes_the_lead_from_nobody() -> None:
-    store = Fickle("late")
+    store = UnreliableStore("late")
     won: list[Term] = []
     first, second = (store.state.lease(2500)[1]["permit"] for _ in range(2))
     with pytest.raises(OutcomeUnknownError):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -100,7 +100,7 @@
     assert isinstance(over_a_connection([*PING, [], [], None, 39, True, "a further field"]), Ping)
 
 
-def test_what_we_send_is_what_an_older_version_reads() -> None:
+def test_an_older_version_reads_what_we_send() -> None:
     class OldPong(msgspec.Struct, frozen=True, array_like=True, tag="pong"):
         member: str
         fencing_token: int
@@ -122,7 +122,7 @@
         over_a_connection(message)
 
 
-def test_what_is_not_named_bounds_what_a_leader_knows() -> None:
+def test_unlisted_cancellations_bound_what_a_leader_knows() -> None:
     confirmed = Cancellations(2)
     assert confirmed.report(-1) == ([], -1)
     assert confirmed.report(5) == ([], 5)
@@ -138,7 +138,7 @@
     assert confirmed.report(-1) == ([("job-000003", 12)], -1)
 
 
-def test_only_moments_of_asking_count_and_only_of_all_controllers() -> None:
+def test_watermark_is_the_earliest_request_to_any_controller() -> None:
     authority = Authority(20.0, ["a", "b"], began_at=0.0)
     authority.observe_watch(1.0, 10)
     authority.observe_peer("a", 30.0, 10)
@@ -182,7 +182,7 @@
                     continue
 
 
-def test_foreign_answers_prove_nothing_and_end_no_thread() -> None:
+def test_responses_of_others_prove_nothing_and_end_no_thread() -> None:
     impostor = Impostor(["pong", "hive-9", *PONG[2:]], {"a": 1}, ["pong", "hive-1"], PING, PONG)
     settings = msgspec.structs.replace(
         World(1, 10.0, 30.0, [Team("alpha")]).settings,
@@ -202,7 +202,7 @@
         impostor.listener.close()
 
 
-class Refusing(OutsideStandIns):
+class RejectingServices(OutsideStandIns):
     """The state service can refuse watches alone, those that are open too, or everything."""
 
     def __init__(self) -> None:
@@ -214,9 +214,9 @@
         return http_response(503) if self.blind and path.startswith("/follow") else answered
 
 
-def test_leader_stops_what_its_own_users_edge_told() -> None:
+def test_leader_stops_what_its_own_user_api_cancelled() -> None:
     """It confirms a cancellation, and the state service never tells it of that: it knows all the same."""
-    world = Refusing()
+    world = RejectingServices()
     settings = msgspec.structs.replace(
         World(1, 10.0, 30.0, [Team("alpha")]).settings,
         client_listen=f"127.0.0.1:{free_port()}",
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -31,7 +31,7 @@
 Data = dict[str, Any]
 
 
-class Fickle(Store):
+class UnreliableStore(Store):
     """A state service that does with each transaction what it is told to."""
 
     def __init__(self, *fates: str) -> None:
@@ -63,15 +63,15 @@
         return [self.state.commit(body)[0] for body in self.late]
 
 
-def leader(*fates: str) -> tuple[Fickle, FencedWriter]:
+def leader(*fates: str) -> tuple[UnreliableStore, FencedWriter]:
     """A store with a leader's key, and that leader's writer."""
-    store = Fickle()
+    store = UnreliableStore()
     stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     store.fates.extend(fates)
     return store, FencedWriter(store, stamp)
 
 
-def until_certain(writer: FencedWriter, key: str, value: int) -> None:
+def write_until_certain(writer: FencedWriter, key: str, value: int) -> None:
     """Write as the committer does: repeat what had no answer."""
     for _ in range(10):
         try:
@@ -97,22 +97,22 @@
 def test_late_transactions_undo_nothing_newer(fates: list[str], key: str) -> None:
     store, writer = leader(*fates)
     for value in (1, 2, 3):
-        until_certain(writer, key, value)
+        write_until_certain(writer, key, value)
         assert store.state.keys[key][0] == {"v": value}
     assert store.late or "late" not in fates
     assert 200 not in store.carry_out_late()
     assert store.state.keys[key][0] == {"v": 3}
     # The leader goes on behind them.
-    until_certain(writer, key, 4)
+    write_until_certain(writer, key, 4)
     assert store.state.keys[key][0] == {"v": 4}
 
 
-def test_refused_transactions_are_tried_ever_more_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rejected_transactions_are_retried_with_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
     settings = World(1, 10.0, 30.0, []).settings
     pauses: list[float] = []
     clock = SimpleNamespace(monotonic=time.monotonic, sleep=pauses.append)
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
-    store = Fickle()
+    store = UnreliableStore()
     stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     store.fates.extend(["refused"] * 12)
     done = threading.Event()
@@ -125,7 +125,7 @@
     assert pauses[-1] == settings.settings.workers.heartbeat_interval_s / 8
 
 
-class Limited(Fickle):
+class LimitedStore(UnreliableStore):
     """A state service whose limits were lowered without notice."""
 
     def __init__(self, most_changes: int, largest: int) -> None:
@@ -139,12 +139,12 @@
         return super().commit(conditions, writes)
 
 
-def test_what_is_above_a_limit_holds_up_nothing_else(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_unit_above_a_limit_holds_up_no_other_unit(monkeypatch: pytest.MonkeyPatch) -> None:
     # By reading: a transaction that got 400 was repeated for ever, and every later one of the leader waited.
     settings = World(1, 10.0, 30.0, []).settings
     clock = SimpleNamespace(monotonic=time.monotonic, sleep=lambda seconds: time.sleep(seconds / 100))
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
-    store = Limited(most_changes=1, largest=9)
+    store = LimitedStore(most_changes=1, largest=9)
     stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     committer = Committer(store, settings, stamp, lambda: None)
     outcomes: list[tuple[int, bool]] = []
@@ -167,19 +167,19 @@
     assert f"{PLAN_PREFIX}10" not in store.state.keys
 
 
-def test_a_new_leader_voids_what_the_old_one_left() -> None:
+def test_a_new_leader_voids_transactions_of_the_old_one() -> None:
     store, old = leader("late")
     with pytest.raises(OutcomeUnknownError):
         old.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})])
     stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-1"})])
-    until_certain(FencedWriter(store, stamp), FENCING_TOKEN_KEY, 2)
+    write_until_certain(FencedWriter(store, stamp), FENCING_TOKEN_KEY, 2)
     assert store.carry_out_late() == [409]
     with pytest.raises(ConditionFailedError, match=LEADER_KEY):
         old.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 3})])
     assert store.state.keys[FENCING_TOKEN_KEY][0] == {"v": 2}
 
 
-class Held(Fickle):
+class BlockingStore(UnreliableStore):
     """A state service that keeps the first transaction of a leader waiting."""
 
     def __init__(self) -> None:
@@ -198,7 +198,7 @@
 def test_launches_go_before_the_plans_of_a_backlog() -> None:
     # A hundred plans at two thirds of 25 changes a second kept the first hires of a fleet back for 11 s.
     settings = World(1, 10.0, 30.0, []).settings
-    store = Held()
+    store = BlockingStore()
     stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     committer = Committer(store, settings, stamp, lambda: None)
     left = threading.Semaphore(0)
@@ -220,7 +220,9 @@
     assert store.order == [f"{PLAN_PREFIX}first", f"{LAUNCH_PREFIX}r-1", *plans, "records"]
 
 
-def test_plans_of_urgent_jobs_go_first_and_those_of_guests_last(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_plans_of_urgent_jobs_go_first_and_those_without_a_guarantee_last(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     # Six one-task jobs a second of a guest team kept plans of critical replicas back for a minute.
     world = World(1, 10.0, 30.0, [Team("alpha", gpus=8), Team("gamma")])
     ranks: dict[str, CommitPriority] = {}
