--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,10 +16,17 @@
 from poppyhold.durable.errors import (
     ConditionFailedError,
     InvalidRequestError,
+    LeaseExpiredError,
     OutcomeUnknownError,
     StoreRejectedError,
 )
-from poppyhold.durable.keys import FENCING_TOKEN_KEY, LAUNCH_PREFIX, LEADER_KEY, PLAN_PREFIX
+from poppyhold.durable.keys import (
+    FENCING_TOKEN_KEY,
+    LAUNCH_PREFIX,
+    LEADER_KEY,
+    PLAN_PREFIX,
+    WRITE_FENCE_KEY,
+)
 from poppyhold.durable.store import Store, transaction_body
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.scale.jobs import submission
@@ -125,6 +132,33 @@
     assert pauses[-1] == settings.settings.workers.heartbeat_interval_s / 8
 
 
+def test_transactions_keep_to_the_rate_of_writes(monkeypatch: pytest.MonkeyPatch) -> None:
+    settings = World(1, 10.0, 30.0, []).settings
+    now = [0.0]
+
+    def sleep(seconds: float) -> None:
+        assert seconds > 0
+        now[0] += seconds
+
+    clock = SimpleNamespace(monotonic=lambda: now[0], sleep=sleep)
+    monkeypatch.setattr("poppyhold.durable.committer.time", clock)
+    store = UnreliableStore()
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    left = threading.Semaphore(0)
+    committer = Committer(store, settings, stamp, lambda: None)
+    changes = 0
+    for unit in range(20):
+        writes = [Put(f"{PLAN_PREFIX}{unit}-{number}", {}) for number in range(10)]
+        changes += len(writes)
+        committer.submit(CommitUnit({}, writes, lambda result: left.release()))
+    for _ in range(20):
+        assert left.acquire(timeout=20.0)
+    committer.stop()
+    # A burst goes out at once, and the last transaction when those before it have been paid for.
+    state = settings.settings.state
+    assert now[0] >= (changes - 2 * state.txn_ops) / (state.write_rps / 1.5)
+
+
 class LimitedStore(UnreliableStore):
     """A state service whose limits were lowered without notice."""
 
@@ -195,6 +229,175 @@
         return super().commit(conditions, writes)
 
 
+class Recording(BlockingStore):
+    """Records the keys of each transaction of a leader."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.transactions: list[list[str]] = []
+
+    def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
+        if conditions:
+            self.transactions.append([write.key.removeprefix(PLAN_PREFIX) for write in writes])
+        return super().commit(conditions, writes)
+
+
+class Backlog:
+    """A committer whose first transaction is held until all units are queued; it notes how each one ends."""
+
+    def __init__(self, store: BlockingStore) -> None:
+        self.store = store
+        self.outcomes: dict[str, bool] = {}
+        self.leadership_lost = threading.Event()
+        stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+        settings = World(1, 10.0, 30.0, []).settings
+        self.committer = Committer(store, settings, stamp, self.leadership_lost.set)
+        self._left = threading.Semaphore(0)
+        self.submit("first", ["first"])
+        assert store.reached.wait(60.0)
+
+    def submit(self, name: str, keys: list[str], conditions: dict[str, int] | None = None) -> None:
+        def done(result: bool) -> None:
+            self.outcomes[name] = result
+            self._left.release()
+
+        self.committer.submit(
+            CommitUnit(conditions or {}, [Put(PLAN_PREFIX + key, {}) for key in keys], done)
+        )
+
+    def finish(self, units: int) -> None:
+        self.store.go_on.set()
+        for _ in range(units):
+            assert self._left.acquire(timeout=20.0)
+        self.committer.stop()
+
+
+def keys_of(first: str, number: int) -> list[str]:
+    return [f"{first}{index}" for index in range(number)]
+
+
+@pytest.mark.parametrize(
+    ("units", "conditions", "sizes"),
+    [
+        pytest.param([keys_of(unit, 8) for unit in "abc"], 0, [16, 8], id="changes"),
+        pytest.param([["a"], ["b"], ["c"]], 39, [2, 1], id="conditions"),
+        pytest.param([[unit] for unit in "abcdefghi"], 0, [8, 1], id="units"),
+        pytest.param([["a"], ["b", "a"], ["c"]], 0, [1, 3], id="a-key-of-both"),
+        pytest.param([keys_of("a", 30), ["b"]], 0, [30, 1], id="one-unit-above-the-limit"),
+    ],
+)
+def test_units_share_a_transaction_within_its_limits(
+    units: list[list[str]], conditions: int, sizes: list[int]
+) -> None:
+    store = Recording()
+    # The service may allow more than the settings say.
+    store.state.lower_limits(30, 8.0)
+    backlog = Backlog(store)
+    for number, keys in enumerate(units):
+        absent = {f"absent/{number}/{index}": 0 for index in range(conditions)}
+        backlog.submit(str(number), keys, absent)
+    backlog.finish(1 + len(units))
+    assert all(backlog.outcomes.values())
+    assert [len(keys) for keys in store.transactions[1:]] == sizes
+    assert [key for keys in store.transactions[1:] for key in keys] == [key for unit in units for key in unit]
+
+
+def test_a_unit_whose_condition_fails_is_told_and_takes_no_other_with_it() -> None:
+    store = Recording()
+    backlog = Backlog(store)
+    backlog.submit("before", ["before"])
+    backlog.submit("failing", ["failing"], {LEADER_KEY + "/other": 7})
+    backlog.submit("after", ["after"])
+    backlog.finish(4)
+    assert backlog.outcomes == {"first": True, "before": True, "failing": False, "after": True}
+    assert PLAN_PREFIX + "failing" not in store.state.keys
+
+
+def test_a_leader_that_lost_its_leadership_writes_no_more_and_says_so() -> None:
+    store = Recording()
+    backlog = Backlog(store)
+    store.state.commit(transaction_body({}, [Put(LEADER_KEY, {"member": "hive-1"})]))
+    backlog.submit("second", ["second"])
+    store.go_on.set()
+    assert backlog.leadership_lost.wait(20.0)
+    backlog.committer._thread.join(20.0)
+    assert not backlog.committer._thread.is_alive()
+    # Whether a step of a former leader is durable is its successor's to find out.
+    assert backlog.outcomes == {}
+    assert store.transactions == [["first"]]
+
+
+def test_a_transaction_whose_lease_expired_is_repeated() -> None:
+    class Expiring(UnreliableStore):
+        tries = 0
+
+        def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
+            self.tries += bool(conditions)
+            if self.tries == 1 and conditions:
+                raise LeaseExpiredError
+            return super().commit(conditions, writes)
+
+    store = Expiring()
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    committer = Committer(store, World(1, 10.0, 30.0, []).settings, stamp, lambda: None)
+    outcomes: list[bool] = []
+    done = threading.Event()
+
+    def noted(result: bool) -> None:
+        outcomes.append(result)
+        done.set()
+
+    committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], noted))
+    assert done.wait(60.0)
+    committer.stop()
+    assert (outcomes, store.tries) == ([True], 2)
+
+
+def test_a_committer_that_is_stopped_in_an_outage_tries_no_more() -> None:
+    class RejectingServices(UnreliableStore):
+        tried = threading.Event()
+
+        def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
+            if conditions:
+                self.tried.set()
+                raise StoreRejectedError("503")
+            return super().commit(conditions, writes)
+
+    store = RejectingServices()
+    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    committer = Committer(store, World(1, 10.0, 30.0, []).settings, stamp, lambda: None)
+    committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], lambda result: None))
+    assert store.tried.wait(20.0)
+    committer.stop()
+    committer._thread.join(20.0)
+    assert not committer._thread.is_alive()
+
+
+def test_a_write_fence_that_has_changed_is_read_again() -> None:
+    store, writer = leader()
+    writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})])
+    store.commit({}, [Put(WRITE_FENCE_KEY, {"moved": True})])
+    with pytest.raises(StoreRejectedError):
+        writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 2})])
+    writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 3})])
+    assert store.state.keys[FENCING_TOKEN_KEY][0] == {"v": 3}
+    # With a new leader's key as well: that it leads no more is what counts.
+    store.commit({}, [Put(LEADER_KEY, {"member": "hive-1"}), Put(WRITE_FENCE_KEY, {"moved": "again"})])
+    with pytest.raises(ConditionFailedError, match=LEADER_KEY):
+        writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 4})])
+
+
+@pytest.mark.parametrize(
+    "fates", [["late"], ["answered", "late"], ["answered", "late", "lost"]], ids=" ".join
+)
+def test_the_write_fence_is_raised_once_for_each_transaction_of_unknown_outcome(fates: list[str]) -> None:
+    store, writer = leader(*fates)
+    for value in range(5):
+        write_until_certain(writer, FENCING_TOKEN_KEY, value)
+    # The leader's key, five values, and one change of the write fence.
+    assert store.state.ledger == 7
+
+
 def test_launches_go_before_the_plans_of_a_backlog() -> None:
     # A hundred plans at two thirds of 25 changes a second kept the first hires of a fleet back for 11 s.
     settings = World(1, 10.0, 30.0, []).settings
