--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -13,7 +13,7 @@
 from poppyhold.durable.keys import FENCING_TOKEN_KEY, LEADER_KEY
 from poppyhold.options import Options
 from poppyhold.settings import Team
-from test_store import Fickle
+from test_store import UnreliableStore
 from world import World
 
 TERM = Term(5, 40, 7, 0.0)
@@ -21,7 +21,7 @@
 OWN_KEY = Entry(LEADER_KEY, {"member": "hive-0", "baton": 5, "permit": 7}, 40)
 
 
-class LeaseStore(Fickle):
+class LeaseStore(UnreliableStore):
     """A state service with leases; it notes what is asked for."""
 
     def __init__(self) -> None:
