--- a/src/poppyhold/capacity.py
+++ b/src/poppyhold/capacity.py
@@ -9,8 +9,8 @@
 from poppyhold.node.cloud_client import LIST_PAGE_SIZE
 from poppyhold.node.cloud_dispatcher import LIST_REQUEST_SHARE
 from poppyhold.options import Options
-from poppyhold.relay.assignment import MOST_OF_SHARE
-from poppyhold.relay.mode import RelayMode
+from poppyhold.relay.assignment import MAX_LOAD_RATIO
+from poppyhold.relay.relay_mode import RelayMode
 from poppyhold.settings import BASE_MB, CONNECTION_MB, MACHINE_MB, Settings
 
 # The leader's processor time: cores a machine with its starts, and what a line through two runs leaves.
@@ -55,4 +55,4 @@
     relays = controllers - 2
     if options.relays.mode is RelayMode.OFF or relays < 1:
         return machines
-    return math.ceil(min(machines, MOST_OF_SHARE * machines / relays))
+    return math.ceil(min(machines, MAX_LOAD_RATIO * machines / relays))
--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -14,7 +14,7 @@
 from poppyhold.durable.store import Store
 from poppyhold.node.leader_term import LeaderTerm
 from poppyhold.relay.forwarding import HeartbeatForwarder
-from poppyhold.relay.leader import heartbeat_response_timeout_s
+from poppyhold.relay.timings import heartbeat_response_timeout_s
 from poppyhold.settings import Settings
 from poppyhold.wire.codec import MalformedError, decode
 from poppyhold.wire.http import Answer, Deferred, answer
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -36,7 +36,7 @@
 from poppyhold.quota.endpoint import QuotaEndpoint
 from poppyhold.quota.messages import QuotaRequest, QuotaResponse
 from poppyhold.relay.assignment import Assignment
-from poppyhold.relay.leader import RelayServer
+from poppyhold.relay.server import RelayServer
 from poppyhold.settings import Settings
 from poppyhold.wire.cloud_messages import MachineListing, MachineType
 from poppyhold.wire.http import Answer
@@ -188,7 +188,7 @@
             return False
         read_at = time.monotonic()
         # Before all else: relays whose workers wait connect while the rest is made ready.
-        self.relays.review(snapshot.machines.keys())
+        self.relays.update_machines(snapshot.machines.keys())
         self.controller.load(snapshot, self._node.catalog.types.values(), dict(self._node.peer_image_hints))
         self._outbound.cloud = CloudDispatcher(
             self._node.settings, self._node.cloud, self._on_machine_types, self._on_machine_listing
@@ -201,7 +201,7 @@
             self._on_job_change,
             on_caught_up=self.cancellations.on_caught_up,
         ).start()
-        self.relays.review(self.controller.ctx.fleet.machines.keys())
+        self.relays.update_machines(self.controller.ctx.fleet.machines.keys())
         log.info(
             "leader ready jobs=%d machines=%d read_s=%.1f prepare_s=%.1f",
             len(snapshot.active),
@@ -231,7 +231,7 @@
         self.cancellations.apply_own_cancellations()
         self.task_counts = self.controller.task_counts()
         self.image_hints = self.controller.image_hints()
-        self.relays.review(self.controller.ctx.fleet.machines.keys())
+        self.relays.update_machines(self.controller.ctx.fleet.machines.keys())
         self.cancellations.update_delegation()
         if self.quota_endpoint is not None:
             self.quota_endpoint.tick()
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -151,7 +151,7 @@
 
     def _learn_from_leader(self, ping: Ping) -> None:
         self._election.observe_fencing_token(ping.fencing_token)
-        self._forwarder.leader_spoke(ping.fencing_token, ping.accepts_relays)
+        self._forwarder.note_ping(ping.fencing_token, ping.accepts_relays)
         self._delegated_renewal.observe_leader(ping.fencing_token, ping.delegation)
         limits = self._settings.settings.machine_limits
         counts = dict(self._peer_counts)
@@ -224,7 +224,7 @@
     def _takes_relays(self, leader_term: LeaderTerm) -> bool:
         """Whether a term takes relays; before it knows how many machines there are, as the last one."""
         relays = leader_term.relays
-        return relays.wanted or (not relays.reviewed and self._forwarder.is_wanted())
+        return relays.relays_wanted or (not relays.knows_machines and self._forwarder.is_wanted())
 
     def _serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
         leader_term = self._leader_term()
--- a/src/poppyhold/options.py
+++ b/src/poppyhold/options.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from poppyhold.quota.cells import Cell, CellController, Cells, check_cells
-from poppyhold.relay.mode import RelayMode
+from poppyhold.relay.relay_mode import RelayMode
 from poppyhold.settings import ConfigError
 
 if TYPE_CHECKING:
--- a/src/poppyhold/relay/assignment.py
+++ b/src/poppyhold/relay/assignment.py
@@ -1,4 +1,4 @@
-"""Which worker reports to which relay: stable, balanced, near, and never many at one step."""
+"""Which worker sends its heartbeats to which relay: stable, balanced, near, and never many at one step."""
 
 from __future__ import annotations
 
@@ -6,247 +6,232 @@
 import random
 from collections import Counter
 from collections.abc import Callable, Set
+from typing import NamedTuple
 
 import msgspec
 
 from poppyhold.model.durations import Durations
-from poppyhold.relay.mode import RelayMode
+from poppyhold.relay.health import RelayHealth
+from poppyhold.relay.redirect_budget import RedirectBudget
+from poppyhold.relay.relay_mode import RelayMode
 from poppyhold.relay.rendezvous import rendezvous_weight
 
-# No relay takes more than this times its even share of the workers.
-MOST_OF_SHARE = 1.25
-# Workers that may be sent elsewhere at one moment, as a share of all.
-_BURST_SHARE = 1 / 16
-# Relays that let down so many workers within a lease get no more of them for a lease.
-_LET_DOWN = 2
-# Batches that take longer than this share of a report's interval make a relay slow: behind it a report takes
-# twice as many links as one that goes directly, and its worker waits only four seconds.
-_SLOW_RATIO = 0.25
-# Longest time that a worker is kept from relays, in leases.
-_LONGEST_REST = 8
+# No relay is assigned more than this times its even share of the workers.
+MAX_LOAD_RATIO = 1.25
+# The longest time for which a worker is not assigned to relays, in leases.
+_LONGEST_BACKOFF_LEASES = 8
 # Relaying ends below this share of the count from which on it begins.
 _OFF_SHARE = 0.5
 
 
-class _Sent(msgspec.Struct, frozen=True):
-    """A worker that was sent to a relay, and has not been heard through it yet."""
+class LoadAdvice(NamedTuple):
+    """The most workers that a relay should have, and other relays with less than an even share."""
+
+    max_workers: int
+    underloaded_relays: list[str]
+
+
+class _PendingRedirect(msgspec.Struct, frozen=True):
+    """A worker that was redirected to a relay, and has sent no heartbeat through it yet."""
 
     relay: str
     at: float
 
 
-class _LetDown(msgspec.Struct, eq=False):
-    """A worker that came back from a relay unheard."""
+class _RelayBackoff(msgspec.Struct, eq=False):
+    """A worker that returned from a relay without a response: it is answered directly for a time."""
 
-    times: int = 0
+    failures: int = 0
     direct_until: float = 0.0
 
 
 class Assignment:
-    """The leader's plan of who relays for whom; only the decision thread touches it."""
+    """The leader's assignment of workers to relays; only the decision thread uses it."""
 
     def __init__(
         self,
         mode: RelayMode,
         from_workers: float,
-        most_direct: float,
+        max_direct: float,
         member: str,
         zone: str,
-        times: Durations,
+        durations: Durations,
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
         """With `AUTO`, relaying begins with ``from_workers`` machines.
 
-        The leader keeps up to ``most_direct`` workers that had better not depend on relays.
+        The leader keeps up to ``max_direct`` workers that should not depend on relays of other zones.
         ``member`` and ``zone`` are the leader's own.
         """
-        self._mode, self._from_workers, self._most_direct = mode, from_workers, most_direct
+        self._mode, self._from_workers, self._max_direct = mode, from_workers, max_direct
         self._member, self._zone = member, zone
-        self._times, self._clock, self._rng = times, clock, rng
+        self._durations, self._clock, self._rng = durations, clock, rng
         # Connected relays, and their zones.
         self._zones: dict[str, str] = {}
         self._workers = 0
         self._relay_of: dict[str, str] = {}
         self._load: Counter[str] = Counter()
-        # Workers that report directly.
+        # Workers that send their heartbeats directly.
         self._direct: set[str] = set()
-        self._sent: dict[str, _Sent] = {}
-        self._let_down: dict[str, _LetDown] = {}
-        # Relays that have told how long their batches take; those that take too long, and when they last did.
-        self._measured: set[str] = set()
-        self._slow_at: dict[str, float] = {}
-        # When relays let a worker down lately.
-        self._complaints: dict[str, list[float]] = {}
-        self._allowance, self._allowed_at = 0.0, clock()
+        self._pending_redirects: dict[str, _PendingRedirect] = {}
+        self._backoffs: dict[str, _RelayBackoff] = {}
+        self._health = RelayHealth(durations, clock)
+        self._budget = RedirectBudget(durations.lease_s, clock())
         # Whether controllers are asked to relay.
-        self.wanted = mode is RelayMode.FORCED
+        self.relays_wanted = mode is RelayMode.FORCED
 
-    # -- what there is -----------------------------------------------------------------------------
+    # -- relays and machines -----------------------------------------------------------------------
 
-    def connected(self, member: str, zone: str) -> None:
+    def relay_connected(self, member: str, zone: str) -> None:
         """A controller connected as a relay."""
         self._zones[member] = zone
 
-    def disconnected(self, member: str) -> None:
-        """Its connection is gone; so are the workers that it relayed for."""
+    def relay_disconnected(self, member: str) -> None:
+        """A relay's connection is lost, and with it the assignments to the relay."""
         self._zones.pop(member, None)
-        self._measured.discard(member)
+        self._health.forget_round_trip(member)
         for machine in [machine for machine, relay in self._relay_of.items() if relay == member]:
-            self._forget_relay(machine)
+            self._unassign(machine)
 
-    def took(self, member: str, round_trip_s: float) -> None:
-        """A relay tells how long its batches take at the least; 0: it does not know yet."""
-        if round_trip_s > 0 and member in self._zones:
-            self._measured.add(member)
-        if round_trip_s > self._times.heartbeat_interval_s * _SLOW_RATIO:
-            self._slow_at[member] = self._clock()
+    def note_round_trip(self, member: str, round_trip_s: float) -> None:
+        """Note how long a relay's batches take at the least; 0: it does not know yet."""
+        self._health.note_round_trip(member, round_trip_s, member in self._zones)
 
-    def review(self, machines: Set[str]) -> None:
-        """Go by the machines that there are now."""
+    def update_machines(self, machines: Set[str]) -> None:
+        """Adapt to the machines that exist now."""
         self._workers = len(machines)
         if self._mode is RelayMode.AUTO:
-            least = self._from_workers * (_OFF_SHARE if self.wanted else 1.0)
-            self.wanted = self._workers >= least
+            threshold = self._from_workers * (_OFF_SHARE if self.relays_wanted else 1.0)
+            self.relays_wanted = self._workers >= threshold
         for machine in [machine for machine in self._relay_of if machine not in machines]:
-            self._forget_relay(machine)
+            self._unassign(machine)
         self._direct &= machines
-        for kept in (self._sent, self._let_down):
-            for machine in [machine for machine in kept if machine not in machines]:
-                del kept[machine]
+        for by_machine in (self._pending_redirects, self._backoffs):
+            for machine in [machine for machine in by_machine if machine not in machines]:
+                del by_machine[machine]
 
-    def _forget_relay(self, machine: str) -> None:
+    def _unassign(self, machine: str) -> None:
         relay = self._relay_of.pop(machine, None)
         if relay is not None:
             self._load[relay] -= 1
 
-    # -- reports -----------------------------------------------------------------------------------
+    # -- heartbeats --------------------------------------------------------------------------------
 
-    def heard(self, machine: str, relay: str) -> None:
-        """The leader answered a report that came through a relay."""
-        self._sent.pop(machine, None)
-        self._let_down.pop(machine, None)
+    def note_relayed_heartbeat(self, machine: str, relay: str) -> None:
+        """The leader answered a heartbeat that came through a relay."""
+        self._pending_redirects.pop(machine, None)
+        self._backoffs.pop(machine, None)
         self._direct.discard(machine)
         if self._relay_of.get(machine) != relay:
-            self._forget_relay(machine)
+            self._unassign(machine)
             self._relay_of[machine] = relay
             self._load[relay] += 1
 
     def assign(self, machine: str, zone: str, answered_at: float) -> str | None:
-        """The relay to send a worker to that reports directly; None: answer it.
+        """The relay to which to redirect a worker that sent a direct heartbeat; None: answer it.
 
-        Only one that was answered lately is sent, so that its lease lasts until it is back here should the
-        relay let it down: half a second to get there, four without an answer, and one to the next node.
+        Only a worker that was answered recently is redirected, so that its lease lasts until it returns here
+        if the relay fails it: half a second to get there, four without a response, and one to the next node.
         """
         now = self._clock()
-        self._came_back(machine, now)
+        self._note_return(machine, now)
         self._direct.add(machine)
-        if not self.wanted or not self._zones or not self._may_send(answered_at, now):
+        if not self.relays_wanted or not self._zones or not self._may_redirect(answered_at, now):
             return None
-        let_down = self._let_down.get(machine)
-        if let_down is not None and now < let_down.direct_until:
+        backoff = self._backoffs.get(machine)
+        if backoff is not None and now < backoff.direct_until:
             return None
         relay = self._choose(machine, zone, now)
-        if relay is None or self._is_better_off_here(zone, relay):
+        if relay is None or self._should_stay_direct(zone, relay):
             return None
-        self._allowance -= 1
-        self._sent[machine] = _Sent(relay, now)
+        self._budget.consume()
+        self._pending_redirects[machine] = _PendingRedirect(relay, now)
         self._direct.discard(machine)
         return relay
 
-    def move(self, machine: str, zone: str, relay: str, answered_at: float) -> str | None:
-        """Another controller for a worker that had better leave its relay; None: it stays.
+    def reassign(self, machine: str, zone: str, relay: str, answered_at: float) -> str | None:
+        """Another controller for a worker that should leave its relay; None: it stays.
 
-        Its relay is slow or has more than its share, or it is of the leader's zone and depends on another.
+        Either its relay is slow or has more than its share, or the worker is of the leader's zone and depends
+        on another zone.
         """
         now = self._clock()
-        slow = self._is_slow(relay, now)
-        comes_home = self._is_better_off_here(zone, relay) and zone not in self._zones.values()
-        overloaded = self._load[relay] > self._most_each()
-        if self._relay_of.get(machine) != relay or not (slow or overloaded or comes_home):
+        is_slow = self._health.is_slow(relay, now)
+        returns_to_leader = self._should_stay_direct(zone, relay) and zone not in self._zones.values()
+        is_overloaded = self._load[relay] > self._max_load()
+        if self._relay_of.get(machine) != relay or not (is_slow or is_overloaded or returns_to_leader):
             return None
-        if not self._may_send(answered_at, now):
+        if not self._may_redirect(answered_at, now):
             return None
-        if comes_home:
-            other: str | None = self._member
+        if returns_to_leader:
+            target: str | None = self._member
         else:
-            other = self._choose(machine, zone, now, but=relay) or (self._member if slow else None)
-        if other is None:
+            target = self._choose(machine, zone, now, exclude=relay) or (self._member if is_slow else None)
+        if target is None:
             return None
-        self._allowance -= 1
-        if other != self._member:
-            self._sent[machine] = _Sent(other, now)
-        self._forget_relay(machine)
-        return other
-
-    def advice(self, member: str) -> tuple[int, list[str]]:
-        """How many workers a relay should have at the most, and which others have less than an even share."""
+        self._budget.consume()
+        if target != self._member:
+            self._pending_redirects[machine] = _PendingRedirect(target, now)
+        self._unassign(machine)
+        return target
+
+    def load_advice(self, member: str) -> LoadAdvice:
+        """What a relay needs to redirect workers that come to it beyond its share."""
         now = self._clock()
-        even = self._workers / max(1, len(self._zones))
-        others = (other for other in self._zones if other != member and self._is_sound(other, now))
-        return self._most_each(), [other for other in others if self._load[other] < even]
+        even_share = self._workers / max(1, len(self._zones))
+        others = (other for other in self._zones if other != member and self._health.is_healthy(other, now))
+        return LoadAdvice(self._max_load(), [other for other in others if self._load[other] < even_share])
 
-    def _is_better_off_here(self, zone: str, relay: str) -> bool:
-        """Whether a worker of the leader's zone would depend on another zone for want of a relay in its own.
+    def _should_stay_direct(self, zone: str, relay: str) -> bool:
+        """Whether a worker of the leader's zone would depend on another zone, without a relay in its own.
 
-        Where all relays stood in a zone that was cut off, workers of the leader's own zone lost their leases:
-        five seconds until they gave a relay up, and five more for the next. So they stay, as far as there are
-        connections for them.
+        Where all relays were in a zone that was partitioned off, workers of the leader's own zone lost their
+        leases: five seconds until they abandoned a relay, and five more for the next. So they stay, as long
+        as there are connections for them.
         """
-        elsewhere = zone == self._zone and self._zones.get(relay) != zone
-        return elsewhere and len(self._direct) <= self._most_direct
+        depends_on_other_zone = zone == self._zone and self._zones.get(relay) != zone
+        return depends_on_other_zone and len(self._direct) <= self._max_direct
 
-    def _came_back(self, machine: str, now: float) -> None:
-        """A worker that a relay should have kept reports here: it was let down.
+    def _note_return(self, machine: str, now: float) -> None:
+        """A worker that should be at a relay sent a direct heartbeat: the relay failed it.
 
-        Whatever we answered through that relay, the worker did not have it in time.
+        Whatever the leader answered through that relay did not reach the worker in time.
         """
-        sent = self._sent.pop(machine, None)
-        relay = sent.relay if sent is not None else self._relay_of.get(machine)
-        self._forget_relay(machine)
+        pending = self._pending_redirects.pop(machine, None)
+        relay = pending.relay if pending is not None else self._relay_of.get(machine)
+        self._unassign(machine)
         if relay is None:
             return
-        let_down = self._let_down.setdefault(machine, _LetDown())
-        let_down.times += 1
-        rest = min(2.0 ** (let_down.times - 1), _LONGEST_REST) * self._rng.uniform(1.0, 2.0)
-        let_down.direct_until = now + rest * self._times.lease_s
-        self._complaints.setdefault(relay, []).append(now)
+        backoff = self._backoffs.setdefault(machine, _RelayBackoff())
+        backoff.failures += 1
+        leases = min(2.0 ** (backoff.failures - 1), _LONGEST_BACKOFF_LEASES) * self._rng.uniform(1.0, 2.0)
+        backoff.direct_until = now + leases * self._durations.lease_s
+        self._health.note_failure(relay, now)
 
     # -- choice ------------------------------------------------------------------------------------
 
-    def _choose(self, machine: str, zone: str, now: float, but: str = "") -> str | None:
-        """By rendezvous hashing, those of the worker's zone first; none above its share.
+    def _choose(self, machine: str, zone: str, now: float, exclude: str = "") -> str | None:
+        """By rendezvous hashing, relays of the worker's zone first; none above its share.
 
-        Each worker ranks the relays in an order of its own. When one comes or goes, only those move that rank
-        it first, or that have it.
+        Each worker orders the relays in its own way. When one connects or disconnects, only those workers
+        move that order it first, or that are assigned to it.
         """
-        most = self._most_each()
-        ranked = sorted(
-            (member for member in self._zones if member != but and self._is_sound(member, now)),
+        max_load = self._max_load()
+        by_preference = sorted(
+            (member for member in self._zones if member != exclude and self._health.is_healthy(member, now)),
             key=lambda member: (self._zones[member] == zone, rendezvous_weight(member, machine)),
             reverse=True,
         )
-        under_way = Counter(sent.relay for sent in self._sent.values())
-        return next((member for member in ranked if self._load[member] + under_way[member] < most), None)
-
-    def _most_each(self) -> int:
-        return math.ceil(MOST_OF_SHARE * self._workers / max(1, len(self._zones)))
-
-    def _is_sound(self, member: str, now: float) -> bool:
-        lately = [at for at in self._complaints.get(member, ()) if now - at < self._times.lease_s]
-        self._complaints[member] = lately
-        return member in self._measured and len(lately) < _LET_DOWN and not self._is_slow(member, now)
-
-    def _is_slow(self, member: str, now: float) -> bool:
-        return now - self._slow_at.get(member, float("-inf")) < self._times.lease_s
+        pending = Counter(redirect.relay for redirect in self._pending_redirects.values())
+        return next(
+            (member for member in by_preference if self._load[member] + pending[member] < max_load), None
+        )
 
-    def _may_send(self, answered_at: float, now: float) -> bool:
-        """Whether a worker that was answered at that moment may be sent elsewhere now.
+    def _max_load(self) -> int:
+        return math.ceil(MAX_LOAD_RATIO * self._workers / max(1, len(self._zones)))
 
-        They are sent at a pace that moves all of them within a lease, and no faster.
-        """
-        most = max(1.0, self._workers * _BURST_SHARE)
-        rate = max(1.0, self._workers / self._times.lease_s)
-        self._allowance = min(most, self._allowance + (now - self._allowed_at) * rate)
-        self._allowed_at = now
-        return self._allowance >= 1 and now - answered_at <= 2 * self._times.heartbeat_interval_s
+    def _may_redirect(self, answered_at: float, now: float) -> bool:
+        """Whether a worker that was answered at that moment may be redirected now."""
+        was_answered_recently = now - answered_at <= 2 * self._durations.heartbeat_interval_s
+        return self._budget.has_any(self._workers, now) and was_answered_recently
--- /dev/null
+++ b/src/poppyhold/relay/batch_handler.py
@@ -0,0 +1,63 @@
+"""The leader's side: batches of heartbeats, answered as direct heartbeats are."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+
+from poppyhold.relay.assignment import Assignment
+from poppyhold.relay.connected_relay import ConnectedRelay
+from poppyhold.relay.messages import HeartbeatBatch, RelayedResponse, RelayOutcome, ResponseBatch
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
+
+
+class BatchHandler:
+    """Answers batches, on the decision thread."""
+
+    def __init__(
+        self,
+        answer: Callable[[Heartbeat, float], HeartbeatResponse | None],
+        answered_at: Callable[[str], float],
+        assignment: Assignment,
+        response_timeout_s: float,
+    ) -> None:
+        """``answer`` takes a heartbeat and the moment after which nobody waits for its response.
+
+        ``answered_at`` tells when a machine's worker was last answered.
+        """
+        self._answer_heartbeat, self._answered_at = answer, answered_at
+        self._assignment, self._response_timeout_s = assignment, response_timeout_s
+
+    def handle(self, relay: ConnectedRelay, batch: HeartbeatBatch, received_at: float) -> ResponseBatch:
+        """Answer each heartbeat of a batch that arrived at that moment."""
+        self._assignment.note_round_trip(relay.member, batch.round_trip_ms / 1000)
+        responses = list(self._responses(relay, batch, received_at))
+        advice = self._assignment.load_advice(relay.member)
+        return ResponseBatch(responses, advice.max_workers, advice.underloaded_relays)
+
+    def _responses(
+        self, relay: ConnectedRelay, batch: HeartbeatBatch, received_at: float
+    ) -> Iterator[RelayedResponse]:
+        for full in batch.heartbeats:
+            relay.cache_full(full.heartbeat)
+            yield self._answer(relay, full.number, full.waited_ms, full.heartbeat, received_at)
+        for unchanged in batch.unchanged:
+            heartbeat = relay.restore(unchanged)
+            if heartbeat is None:
+                yield RelayedResponse(unchanged.number, RelayOutcome.FULL_HEARTBEAT_REQUIRED)
+            else:
+                yield self._answer(relay, unchanged.number, unchanged.waited_ms, heartbeat, received_at)
+
+    def _answer(
+        self, relay: ConnectedRelay, number: int, waited_ms: int, heartbeat: Heartbeat, received_at: float
+    ) -> RelayedResponse:
+        answered_at = self._answered_at(heartbeat.machine)
+        target = self._assignment.reassign(heartbeat.machine, heartbeat.zone, relay.member, answered_at)
+        if target is not None:
+            return RelayedResponse(number, RelayOutcome.REDIRECTED, controller=target)
+        # The relay's clock only tells how long the heartbeat waited there: clocks need not agree.
+        deadline = received_at + self._response_timeout_s - waited_ms / 1000
+        response = self._answer_heartbeat(heartbeat, deadline)
+        if response is None:
+            return RelayedResponse(number, RelayOutcome.REJECTED)
+        self._assignment.note_relayed_heartbeat(heartbeat.machine, relay.member)
+        return RelayedResponse(number, RelayOutcome.ANSWERED, response.fencing_token, response.commands)
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -1,4 +1,4 @@
-"""A controller as a relay: whether it passes reports on, to whom, and what it tells workers then."""
+"""A controller as a relay: whether it forwards heartbeats, to whom, and how it then answers workers."""
 
 from __future__ import annotations
 
@@ -8,52 +8,56 @@
 from http import HTTPStatus
 
 from poppyhold.cluster.election import Leader
-from poppyhold.relay.leader import heartbeat_response_timeout_s
-from poppyhold.relay.link import RelayLink, RelayTimes
-from poppyhold.relay.messages import Outcome, RelayedAnswer, RelayHello
-from poppyhold.relay.overflow import Overflow
+from poppyhold.relay.link import RelayLink
+from poppyhold.relay.messages import RelayedResponse, RelayHello, RelayOutcome
+from poppyhold.relay.overflow_redirect import OverflowRedirector
+from poppyhold.relay.timings import RelayTimings, heartbeat_response_timeout_s
 from poppyhold.settings import Settings, split_address
 from poppyhold.wire.http import Answer, Deferred, answer
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
-# Share of a relay's connections that workers may take; the rest is for users and for workers on their way.
+# Share of a relay's connections that workers may take; the rest is for users and for redirected workers.
 _WORKERS_SHARE = 0.9
 
 
 class HeartbeatForwarder:
-    """Passes workers' reports on while a leader wants it."""
+    """Forwards workers' heartbeats while a leader wants it."""
 
     def __init__(
         self,
         settings: Settings,
         leader: Callable[[], Leader | None],
-        leads: Callable[[], bool],
-        without_leader: Callable[[Heartbeat], Answer | None],
-        elsewhere: Callable[[], Answer],
+        is_leading: Callable[[], bool],
+        answer_without_leader: Callable[[Heartbeat], Answer | None],
+        redirect_to_leader: Callable[[], Answer],
         rng: random.Random,
     ) -> None:
-        """``leads``: whether we lead ourselves.
+        """``is_leading``: whether this node leads itself.
 
-        ``without_leader`` answers what the leader did not, if that may be; ``elsewhere`` sends to the leader.
+        ``answer_without_leader`` answers what the leader did not, if that is allowed.
         """
-        self._leader, self._leads = leader, leads
-        self._without_leader, self._elsewhere = without_leader, elsewhere
+        self._leader, self._is_leading = leader, is_leading
+        self._answer_without_leader, self._redirect_to_leader = answer_without_leader, redirect_to_leader
         workers = settings.settings.workers
         self._lease_s = workers.lease_s
-        # When a leader last asked for reports to be relayed.
-        self._asked_at = float("-inf")
+        # When a leader last asked for heartbeats to be relayed.
+        self._wanted_at = float("-inf")
         self._highest_fencing_token = 0
         connections = settings.settings.machine_limits.connections
-        self._overflow = Overflow(int(connections * _WORKERS_SHARE), workers.lease_s, time.monotonic)
+        self._overflow = OverflowRedirector(
+            int(connections * _WORKERS_SHARE), workers.lease_s, time.monotonic
+        )
         self._link = RelayLink(
             RelayHello(settings.member, settings.domain),
             {known.member: split_address(known.address) for known in settings.known},
             self._target,
-            self._seen_fencing_token,
-            RelayTimes(workers.heartbeat_interval_s, heartbeat_response_timeout_s(workers), workers.lease_s),
+            self._highest_seen_fencing_token,
+            RelayTimings(
+                workers.heartbeat_interval_s, heartbeat_response_timeout_s(workers), workers.lease_s
+            ),
             connections,
             rng,
-            self._overflow.advise,
+            self._overflow.update_advice,
         )
 
     def start(self) -> None:
@@ -61,62 +65,65 @@
         self._link.start()
 
     def stop(self) -> None:
-        """End it."""
+        """Stop the thread."""
         self._link.stop()
 
-    def leader_spoke(self, fencing_token: int, wants_relays: bool) -> None:
-        """A leader's ping came."""
+    def note_ping(self, fencing_token: int, wants_relays: bool) -> None:
+        """A leader's ping arrived."""
         self._highest_fencing_token = max(self._highest_fencing_token, fencing_token)
-        self._asked_at = time.monotonic() if wants_relays else float("-inf")
+        self._wanted_at = time.monotonic() if wants_relays else float("-inf")
 
     def is_wanted(self) -> bool:
-        """Whether a leader wanted reports to be relayed within the last lease."""
-        return time.monotonic() - self._asked_at < self._lease_s
+        """Whether a leader wanted heartbeats to be relayed within the last lease."""
+        return time.monotonic() - self._wanted_at < self._lease_s
 
     def handle(self, heartbeat: Heartbeat) -> Answer | Deferred | None:
-        """Pass a report to the leader, or its worker to another relay; None if none is relayed now."""
+        """Forward a heartbeat to the leader, or redirect its worker; None if none is relayed now."""
         if not self._link.is_open():
             return None
-        other = self._overflow.send_on(heartbeat.machine)
-        if other is not None:
-            return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": other})
+        target = self._overflow.redirect(heartbeat.machine)
+        if target is not None:
+            return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": target})
 
         def defer(send: Callable[[Answer], None]) -> None:
-            def respond(relayed: RelayedAnswer | None) -> None:
-                send(self._answer(heartbeat, relayed))
+            def on_response(response: RelayedResponse | None) -> None:
+                send(self._answer(heartbeat, response))
 
-            if not self._link.offer(heartbeat, respond):
+            if not self._link.offer(heartbeat, on_response):
                 send(answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "too many reports wait"}))
 
         return defer
 
-    def _answer(self, heartbeat: Heartbeat, relayed: RelayedAnswer | None) -> Answer:
-        """What a worker is told behind the leader's answer, or without one."""
-        if relayed is None:
-            return self._without_leader(heartbeat) or self._unanswered()
-        if relayed.outcome is Outcome.ANSWERED:
-            return answer(HTTPStatus.OK, HeartbeatResponse(relayed.fencing_token, relayed.commands).body())
-        if relayed.outcome is Outcome.MOVED:
-            return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": relayed.controller})
+    def _answer(self, heartbeat: Heartbeat, response: RelayedResponse | None) -> Answer:
+        """The answer to a worker after the leader's response, or without one."""
+        if response is None:
+            return self._answer_without_leader(heartbeat) or self._unanswered()
+        if response.outcome is RelayOutcome.ANSWERED:
+            return answer(HTTPStatus.OK, HeartbeatResponse(response.fencing_token, response.commands).body())
+        if response.outcome is RelayOutcome.REDIRECTED:
+            return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": response.controller})
         return answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
 
     def _unanswered(self) -> Answer:
-        """Where a worker goes that we had no answer for.
+        """Where to send a worker for which there was no response.
 
-        Behind a change of leader to another relay, for the next leader reads what is durable before it takes
-        any: sent to it by the hundred, workers took most of its connections. That is said for one patience
-        only, lest a worker go from relay to relay that are all cut off from a leader that it reaches itself.
+        After a change of leader it goes to another relay, because the next leader loads the durable state
+        before it accepts any: redirected to it by the hundred, workers took most of its connections. That
+        lasts for one response timeout only. Otherwise a worker could be passed between relays that are all
+        partitioned from a leader which it can reach itself.
         """
-        if self._link.is_regaining():
+        if self._link.is_reconnecting():
             return answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "no leader to pass this on to"})
-        return self._elsewhere()
+        return self._redirect_to_leader()
 
     def _target(self) -> str | None:
-        """The leader, if it takes relays: by its own word, or by that of the one before it."""
+        """The leader, if it accepts relays: as it said itself, or as the one before it did."""
         leader = self._leader()
-        return leader.member if self.is_wanted() and leader is not None and not self._leads() else None
+        if self.is_wanted() and leader is not None and not self._is_leading():
+            return leader.member
+        return None
 
-    def _seen_fencing_token(self) -> int:
-        """The highest token that we know of."""
+    def _highest_seen_fencing_token(self) -> int:
+        """The highest fencing token that this node knows."""
         leader = self._leader()
         return max(self._highest_fencing_token, leader.fencing_token if leader is not None else 0)
--- a/src/poppyhold/relay/link.py
+++ b/src/poppyhold/relay/link.py
@@ -1,4 +1,4 @@
-"""The relay's connection to the leader: one thread that sends batches, one that reads answers."""
+"""The relay's connection to the leader: one thread that sends batches, one that reads responses."""
 
 from __future__ import annotations
 
@@ -12,46 +12,25 @@
 
 import msgspec
 
-from poppyhold.relay.messages import AnswerBatch, RelayHello
-from poppyhold.relay.queue import HeartbeatQueue, Respond, Response
-from poppyhold.relay.regaining import Regaining
+from poppyhold.relay.messages import RelayHello, ResponseBatch
+from poppyhold.relay.queue import HeartbeatQueue, OnResponse, Response
+from poppyhold.relay.reconnection import ReconnectionWindow
+from poppyhold.relay.timings import RelayTimings
 from poppyhold.wire.frames import receive, send, shut
 from poppyhold.wire.worker_messages import Heartbeat
 
 log = logging.getLogger(__name__)
 
-_decoder = msgspec.msgpack.Decoder(AnswerBatch)
-# Reports in a batch: what comes in while one is under way, bounded so that the leader does other things too.
-_MOST_IN_BATCH = 64
-# Of so many batches the fastest tells whether the way to the leader is slow: one may wait for a decision.
+_decoder = msgspec.msgpack.Decoder(ResponseBatch)
+# Heartbeats in a batch: what arrives while one is in progress, bounded so that the leader does other things
+# too.
+_MAX_BATCH_SIZE = 64
+# The fastest of so many batches tells whether the way to the leader is slow: one may wait for a decision.
 _ROUND_TRIPS = 4
 
 
-class RelayTimes:
-    """Spans of time of a relay, each a ratio to the interval of reports or to the workers' patience."""
-
-    def __init__(self, heartbeat_interval_s: float, patience_s: float, lease_s: float) -> None:
-        # A report that has waited so long is not answered any more: its worker gives up soon.
-        self.patience_s = patience_s
-        # Reports that come so close to one another go in one batch.
-        self.gather_s = heartbeat_interval_s / 20
-        # Without reports the leader is asked so often whether it is there.
-        self.keepalive_s = heartbeat_interval_s / 2
-        # A batch without answers for so long: the leader is cut off, and workers had better go elsewhere.
-        self.stalled_s = patience_s / 2
-        # Behind a connection that is gone, reports are taken so long for the next one. By its end a lease
-        # proxy may answer: workers of a cut zone were sent to a leader that they could not reach.
-        self.regain_s = patience_s
-        # The same where the leader changes: an election takes a quarter of a lease at the most, and reading a
-        # second or two. What is left of a worker's lease must do for the way to the leader itself.
-        self.longest_regain_s = max(patience_s, 0.4 * lease_s)
-        self.retry_s = heartbeat_interval_s / 20
-        # Nothing that waits is given up meanwhile, so that this comes on top of its patience at the most.
-        self.connect_s = patience_s / 6
-
-
 class RelayLink:
-    """Passes reports on to whoever leads, while that one wants it."""
+    """Forwards heartbeats to the leader, while that one wants relays."""
 
     def __init__(
         self,
@@ -59,25 +38,26 @@
         addresses: dict[str, tuple[str, int]],
         target: Callable[[], str | None],
         lowest_fencing_token: Callable[[], int],
-        times: RelayTimes,
-        most: int,
+        timings: RelayTimings,
+        max_pending: int,
         rng: random.Random,
-        on_advice: Callable[[int, list[str]], None] = lambda most, roomy: None,
+        on_advice: Callable[[int, list[str]], None] = lambda max_workers, underloaded: None,
     ) -> None:
-        """``target`` names the controller to relay to now; ``lowest_token`` is the highest token seen.
+        """``target`` names the controller to which to relay now.
 
-        ``on_advice`` is told how many workers a relay should have, and which others have room.
+        ``lowest_fencing_token`` is the highest one seen: responses with a lower one do not count.
+        ``on_advice`` is called with the most workers that a relay should have, and the underloaded relays.
         """
         self._on_advice = on_advice
         self._hello, self._addresses = hello, addresses
         self._target, self._lowest_fencing_token = target, lowest_fencing_token
-        self._times, self._rng = times, rng
-        self._queue = HeartbeatQueue(most, times.patience_s)
+        self._timings, self._rng = timings, rng
+        self._queue = HeartbeatQueue(max_pending, timings.response_timeout_s)
         self._wake = threading.Condition(threading.Lock())
         self._connected = False
-        self._regaining = Regaining(times.regain_s, times.longest_regain_s)
-        # When each batch was sent that has no answers yet, and how long the last ones took.
-        self._under_way: deque[float] = deque()
+        self._reconnection = ReconnectionWindow(timings.reconnect_s, timings.longest_reconnect_s)
+        # When each batch was sent that has no responses yet, and the last round trips.
+        self._in_flight: deque[float] = deque()
         self._round_trips: deque[float] = deque(maxlen=_ROUND_TRIPS)
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, name="relay", daemon=True)
@@ -87,63 +67,60 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End it; whatever waits is refused."""
+        """Stop the thread; whatever waits gets no response."""
         self._stop.set()
         with self._wake:
             self._wake.notify_all()
 
     def is_open(self) -> bool:
-        """Whether reports are relayed now."""
-        return self._connected or self.is_regaining()
+        """Whether heartbeats are relayed now."""
+        return self._connected or self.is_reconnecting()
 
-    def is_regaining(self) -> bool:
-        """Whether the connection was lost just now, and reports wait for the next one."""
-        return not self._connected and self._regaining.is_on(time.monotonic())
+    def is_reconnecting(self) -> bool:
+        """Whether the connection was lost just now, and heartbeats wait for the next one."""
+        return not self._connected and self._reconnection.is_open(time.monotonic())
 
-    def offer(self, heartbeat: Heartbeat, respond: Respond) -> bool:
-        """Pass a report on; False if it is refused at once, as too many wait."""
+    def offer(self, heartbeat: Heartbeat, on_response: OnResponse) -> bool:
+        """Forward a heartbeat; False if it is rejected at once, as too many wait."""
         with self._wake:
-            taken = self._queue.put(heartbeat, time.monotonic(), respond)
+            accepted = self._queue.put(heartbeat, time.monotonic(), on_response)
             self._wake.notify()
-        return taken
+        return accepted
 
     # -- the connection ----------------------------------------------------------------------------
 
     def _run(self) -> None:
         while not self._stop.is_set():
             target = self._target()
-            self._regaining.look(target, time.monotonic())
+            self._reconnection.note_leader(target, time.monotonic())
             if target in self._addresses:
                 self._connect(target)
             elif target is None and not self.is_open():
-                with self._wake:
-                    responses = self._queue.give_up_all()
-                self._respond(responses)
-            self._give_up()
-            self._stop.wait(self._times.retry_s * self._rng.uniform(0.5, 1.5))
-        with self._wake:
-            responses = self._queue.give_up_all()
-        self._respond(responses)
+                self._fail_all()
+            self._expire()
+            self._stop.wait(self._timings.retry_s * self._rng.uniform(0.5, 1.5))
+        self._fail_all()
 
     def _connect(self, target: str) -> None:
         try:
             with socket.create_connection(
-                self._addresses[target], timeout=self._times.connect_s
+                self._addresses[target], timeout=self._timings.connect_s
             ) as connection:
                 connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                connection.settimeout(self._times.keepalive_s + self._times.stalled_s)
+                connection.settimeout(self._timings.keepalive_s + self._timings.stalled_s)
                 send(connection, self._hello)
                 self._serve(connection, target)
         except (OSError, ValueError, msgspec.MsgspecError) as error:
-            log.debug("relaying to %s: %s", target, error)
+            log.debug("relay connection ended: leader=%s error=%r", target, str(error))
         except Exception:
-            log.exception("relaying to %s", target)
+            # The thread has to go on for as long as the process: the next connection starts anew.
+            log.exception("relay connection failed unexpectedly: leader=%s", target)
 
     def _serve(self, connection: socket.socket, target: str) -> None:
-        """Send batches until the connection or the leader is gone."""
-        self._regaining.reached(time.monotonic())
+        """Send batches until the connection is lost or the leader changes."""
+        self._reconnection.connection_accepted(time.monotonic())
         with self._wake:
-            self._under_way.clear()
+            self._in_flight.clear()
             self._round_trips.clear()
         reader = threading.Thread(target=self._read, args=(connection,), name="relay answers", daemon=True)
         reader.start()
@@ -151,72 +128,81 @@
             while not self._stop.is_set() and self._target() == target and reader.is_alive():
                 self._send_next(connection)
         finally:
-            # Closed under the reader, the descriptor could be another connection's by the time it reads on.
+            # If it were closed while the reader uses it, the descriptor could be another connection's by the
+            # time it reads on.
             shut(connection)
             reader.join()
-            self._lost(target)
+            self._connection_lost(target)
 
     def _send_next(self, connection: socket.socket) -> None:
-        times = self._times
+        timings = self._timings
         with self._wake:
             if not self._queue.unsent and self._round_trips:
-                self._wake.wait(times.keepalive_s)
+                self._wake.wait(timings.keepalive_s)
             elif not self._queue.unsent:
-                # The first batches show how long they take.
-                self._wake.wait(times.gather_s)
+                # The first batches measure the round trip.
+                self._wake.wait(timings.gather_s)
         if self._queue.unsent:
-            self._stop.wait(times.gather_s)
+            self._stop.wait(timings.gather_s)
         now = time.monotonic()
         with self._wake:
-            if self._under_way and now - self._under_way[0] > times.stalled_s:
-                raise TimeoutError("no answers")
-            batch = self._queue.next_batch(now, _MOST_IN_BATCH, min(self._round_trips, default=0.0))
-            self._under_way.append(now)
+            if self._in_flight and now - self._in_flight[0] > timings.stalled_s:
+                raise TimeoutError("no responses")
+            batch = self._queue.next_batch(now, _MAX_BATCH_SIZE, min(self._round_trips, default=0.0))
+            self._in_flight.append(now)
         send(connection, batch)
-        self._give_up()
+        self._expire()
 
     def _read(self, connection: socket.socket) -> None:
         try:
             while True:
-                batch = receive(connection, _decoder)
-                self._answered(batch)
+                self._handle_responses(receive(connection, _decoder))
         except (OSError, ValueError, msgspec.MsgspecError) as error:
-            log.debug("relayed answers: %s", error)
+            log.debug("relayed responses ended: error=%r", str(error))
         except Exception:
-            log.exception("relayed answers")
+            # The sending thread has to learn of the end, whatever it was: it closes the connection.
+            log.exception("relayed responses failed unexpectedly")
         with self._wake:
-            # The sending thread looks whether we are still there.
+            # The sending thread checks whether this one is alive.
             self._wake.notify()
 
-    def _answered(self, batch: AnswerBatch) -> None:
-        self._on_advice(batch.most_workers, batch.roomy)
+    def _handle_responses(self, batch: ResponseBatch) -> None:
+        self._on_advice(batch.max_workers, batch.underloaded_relays)
         with self._wake:
-            # The first answers of all show that the leader takes us.
+            # The first responses show that the leader accepts this relay.
             self._connected = True
-            if self._under_way:
-                self._round_trips.append(time.monotonic() - self._under_way.popleft())
-            responses = self._queue.take_answers(batch, time.monotonic(), self._lowest_fencing_token())
+            if self._in_flight:
+                self._round_trips.append(time.monotonic() - self._in_flight.popleft())
+            responses = self._queue.match_responses(batch, time.monotonic(), self._lowest_fencing_token())
             if self._queue.unsent:
                 self._wake.notify()
-        self._respond(responses)
+        self._deliver(responses)
 
-    def _lost(self, target: str) -> None:
+    def _connection_lost(self, target: str) -> None:
         with self._wake:
             if self._connected:
                 self._connected = False
-                self._regaining.lost(target, time.monotonic())
+                self._reconnection.connection_lost(target, time.monotonic())
             self._queue.connection_lost()
         self._on_advice(0, [])
 
-    def _give_up(self) -> None:
+    def _expire(self) -> None:
+        with self._wake:
+            responses = self._queue.expire(time.monotonic())
+        self._deliver(responses)
+
+    def _fail_all(self) -> None:
         with self._wake:
-            responses = self._queue.give_up(time.monotonic())
-        self._respond(responses)
+            responses = self._queue.fail_all()
+        self._deliver(responses)
 
     @staticmethod
-    def _respond(responses: Iterable[Response]) -> None:
+    def _deliver(responses: Iterable[Response]) -> None:
         for response in responses:
             try:
-                response.give()
+                response.deliver()
             except Exception:
-                log.exception("answer to a report")
+                # One worker's callback must not keep the others' responses from them.
+                log.exception(
+                    "delivery of a relayed response failed: machine=%s", response.pending.heartbeat.machine
+                )
--- a/src/poppyhold/relay/messages.py
+++ b/src/poppyhold/relay/messages.py
@@ -1,4 +1,7 @@
-"""What relays and the leader send one another, over a connection of their own between controllers."""
+"""The messages between relays and the leader, over a connection of their own between controllers.
+
+The fields go by position: their order and the tags must stay.
+"""
 
 from __future__ import annotations
 
@@ -17,64 +20,64 @@
 
 
 class FullHeartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """A report that is not what the last full one of its machine on this connection was."""
+    """A heartbeat that differs from the last full one of its machine on this connection."""
 
-    # Counts up on the relay; the answer carries it.
+    # Counts up on the relay; the response carries it.
     number: int
-    # How long the report has waited at the relay, in milliseconds.
+    # How long the heartbeat has waited at the relay, in milliseconds.
     waited_ms: int
     heartbeat: Heartbeat
 
 
 class UnchangedHeartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """A report that differs in nothing but its sequence number from one that was sent in full."""
+    """A heartbeat that differs in nothing but its sequence number from one that was sent in full."""
 
     number: int
     waited_ms: int
     machine: str
     incarnation: int
     sequence: int
-    # The sequence number of that full report, of the same session.
+    # The sequence number of that full heartbeat, of the same incarnation.
     full_sequence: int
 
 
 class HeartbeatBatch(msgspec.Struct, frozen=True, array_like=True, tag="reports"):
-    """Reports that came in since the last batch. An empty one asks whether the leader is there."""
+    """Heartbeats that arrived since the last batch. An empty one checks whether the leader is there."""
 
     heartbeats: list[FullHeartbeat] = []
     unchanged: list[UnchangedHeartbeat] = []
-    # The shortest time of late that a batch's answers took to come, in milliseconds; 0: none has come yet.
+    # The shortest recent round trip of a batch, in milliseconds; 0: none is known yet.
     round_trip_ms: int = 0
 
 
-class Outcome(IntEnum):
-    """What became of a report at the leader."""
+class RelayOutcome(IntEnum):
+    """The leader's decision on a relayed heartbeat."""
 
     ANSWERED = 0
-    # The leader may not answer, or the report's time was up.
-    REFUSED = 1
-    # The leader does not hold the full report that a heartbeat names.
-    FULL_WANTED = 2
-    # The worker should report to another relay.
-    MOVED = 3
+    # The leader may not answer, or the heartbeat has waited too long.
+    REJECTED = 1
+    # The leader does not have the full heartbeat to which an unchanged one refers.
+    FULL_HEARTBEAT_REQUIRED = 2
+    # The worker should send its heartbeats to another controller.
+    REDIRECTED = 3
 
 
-class RelayedAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """The leader's answer to one report."""
+class RelayedResponse(msgspec.Struct, frozen=True, array_like=True):
+    """The leader's response to one heartbeat."""
 
     number: int
-    outcome: Outcome
+    outcome: RelayOutcome
     fencing_token: int = 0
     commands: list[Command] = []
-    # Where to, for a worker that is moved.
+    # The target of a redirect.
     controller: str = ""
 
 
-class AnswerBatch(msgspec.Struct, frozen=True, array_like=True, tag="answers"):
-    """The leader's answers to one batch, in any order."""
+class ResponseBatch(msgspec.Struct, frozen=True, array_like=True, tag="answers"):
+    """The leader's responses to one batch, in any order."""
 
-    answers: list[RelayedAnswer] = []
-    # Workers that the relay should have at the most, and relays with less than an even share for those that
-    # come to it beyond that; 0 from a version before these fields.
-    most_workers: int = 0
-    roomy: list[str] = []
+    responses: list[RelayedResponse] = []
+    # The most workers that the relay should have, and relays with less than an even share for those that come
+    # to it beyond that; 0 from a version before these fields.
+    max_workers: int = 0
+    underloaded_relays: list[str] = []
--- a/src/poppyhold/relay/queue.py
+++ b/src/poppyhold/relay/queue.py
@@ -1,4 +1,4 @@
-"""Reports that wait at a relay for the leader's answer: bounded in number and in time.
+"""Heartbeats that wait at a relay for the leader's response: bounded in number and in time.
 
 Not safe for use by several threads at a time; `link` holds a lock around it.
 """
@@ -13,47 +13,47 @@
 import msgspec
 
 from poppyhold.relay.messages import (
-    AnswerBatch,
     FullHeartbeat,
     HeartbeatBatch,
-    Outcome,
-    RelayedAnswer,
+    RelayedResponse,
+    RelayOutcome,
+    ResponseBatch,
     UnchangedHeartbeat,
 )
 from poppyhold.wire.worker_messages import Heartbeat
 
-# Called once for each report: with the leader's answer, or with None if there is none in time.
-Respond = Callable[[RelayedAnswer | None], None]
+# Called once for each heartbeat: with the leader's response, or with None if there is none in time.
+OnResponse = Callable[[RelayedResponse | None], None]
 
 
 class PendingHeartbeat(msgspec.Struct, frozen=True, eq=False):
-    """A report whose worker waits."""
+    """A heartbeat whose worker waits for a response."""
 
     number: int
     heartbeat: Heartbeat
     # On the relay's clock.
     arrived_at: float
-    respond: Respond
+    on_response: OnResponse
 
 
 class Response(NamedTuple):
-    """What a worker that waits is to be told."""
+    """The response to a worker that waits; None: there is none."""
 
     pending: PendingHeartbeat
-    answer: RelayedAnswer | None
+    response: RelayedResponse | None
 
-    def give(self) -> None:
-        """Tell it."""
-        self.pending.respond(self.answer)
+    def deliver(self) -> None:
+        """Hand it to the worker's connection."""
+        self.pending.on_response(self.response)
 
 
 class HeartbeatQueue:
-    """The relay's reports, from their arrival to their answer."""
+    """The relay's heartbeats, from their arrival to their response."""
 
-    def __init__(self, most: int, patience_s: float) -> None:
-        """At most ``most`` reports wait, none of them for more than ``patience_s`` seconds."""
-        self._most, self._patience_s = most, patience_s
-        self._numbers = 0
+    def __init__(self, max_pending: int, response_timeout_s: float) -> None:
+        """At most ``max_pending`` heartbeats wait, none of them for more than ``response_timeout_s``."""
+        self._max_pending, self._response_timeout_s = max_pending, response_timeout_s
+        self._last_number = 0
         # By number, which is in the order of their arrival.
         self._pending: dict[int, PendingHeartbeat] = {}
         self._unsent: deque[int] = deque()
@@ -65,25 +65,26 @@
 
     @property
     def unsent(self) -> int:
-        """Reports that no batch has taken yet."""
+        """Heartbeats that are in no batch yet."""
         return len(self._unsent)
 
-    def put(self, heartbeat: Heartbeat, now: float, respond: Respond) -> bool:
-        """Take a report; False if too many wait."""
-        if len(self._pending) >= self._most:
+    def put(self, heartbeat: Heartbeat, now: float, on_response: OnResponse) -> bool:
+        """Add a heartbeat; False if too many wait."""
+        if len(self._pending) >= self._max_pending:
             return False
-        self._numbers += 1
-        self._pending[self._numbers] = PendingHeartbeat(self._numbers, heartbeat, now, respond)
-        self._unsent.append(self._numbers)
+        self._last_number += 1
+        number = self._last_number
+        self._pending[number] = PendingHeartbeat(number, heartbeat, now, on_response)
+        self._unsent.append(number)
         return True
 
-    def next_batch(self, now: float, most: int, round_trip_s: float = 0.0) -> HeartbeatBatch:
-        """What has not been sent yet, at most ``most`` reports.
+    def next_batch(self, now: float, max_heartbeats: int, round_trip_s: float = 0.0) -> HeartbeatBatch:
+        """A batch of what has not been sent yet, at most ``max_heartbeats``.
 
-        With it goes the time that batches take of late, 0 if that is not known.
+        It carries the recent round trip of batches, 0 if that is not known.
         """
         batch = HeartbeatBatch([], [], math.ceil(round_trip_s * 1000))
-        while self._unsent and len(batch.heartbeats) + len(batch.unchanged) < most:
+        while self._unsent and len(batch.heartbeats) + len(batch.unchanged) < max_heartbeats:
             pending = self._pending.get(self._unsent.popleft())
             if pending is not None:
                 self._add(batch, pending, now)
@@ -104,54 +105,56 @@
                 )
             )
             return
-        if len(self._full) >= self._most:
+        if len(self._full) >= self._max_pending:
             self._full.pop(next(iter(self._full)))
         self._full[heartbeat.machine] = heartbeat
         batch.heartbeats.append(FullHeartbeat(pending.number, waited_ms, heartbeat))
 
     def connection_lost(self) -> None:
-        """The next connection knows nothing: whatever waits goes again, and in full.
+        """Send everything that waits again on the next connection, and in full.
 
         What the leader had answered by then counts as a repeat there, which proves nothing.
         """
         self._full.clear()
         self._unsent = deque(self._pending)
 
-    def take_answers(self, batch: AnswerBatch, now: float, lowest_fencing_token: int) -> list[Response]:
-        """Match answers with the reports that wait.
+    def match_responses(self, batch: ResponseBatch, now: float, lowest_fencing_token: int) -> list[Response]:
+        """Match responses with the heartbeats that wait.
 
-        An answer that comes too late is none: its worker has given up, and counts its lease from the report
-        before. Nor is one of a leader that was deposed meanwhile, ``lowest_token`` being the highest token
-        that this controller has seen: who is not entitled any more must not be heard through us.
+        A response that comes too late counts as none: its worker has timed out, and counts its lease from the
+        heartbeat before. So does one of a leader that has lost its leadership, ``lowest_fencing_token`` being
+        the highest one that this controller has seen: a former leader must not renew leases through us.
         """
-        responses = []
-        for answer in batch.answers:
-            pending = self._pending.get(answer.number)
+        matched = []
+        for response in batch.responses:
+            pending = self._pending.get(response.number)
             if pending is None:
                 continue
-            if answer.outcome is Outcome.FULL_WANTED:
+            if response.outcome is RelayOutcome.FULL_HEARTBEAT_REQUIRED:
                 self._full.pop(pending.heartbeat.machine, None)
                 self._unsent.append(pending.number)
                 continue
-            del self._pending[answer.number]
-            late = now - pending.arrived_at > self._patience_s
-            deposed = answer.outcome is Outcome.ANSWERED and answer.fencing_token < lowest_fencing_token
-            responses.append(Response(pending, None if late or deposed else answer))
-        return responses
+            del self._pending[response.number]
+            is_late = now - pending.arrived_at > self._response_timeout_s
+            lost_leadership = (
+                response.outcome is RelayOutcome.ANSWERED and response.fencing_token < lowest_fencing_token
+            )
+            matched.append(Response(pending, None if is_late or lost_leadership else response))
+        return matched
 
-    def give_up(self, now: float) -> list[Response]:
-        """The reports whose time is up."""
-        late = []
+    def expire(self, now: float) -> list[Response]:
+        """Remove the heartbeats that have waited too long; they get no response."""
+        expired = []
         for pending in self._pending.values():
-            if now - pending.arrived_at <= self._patience_s:
+            if now - pending.arrived_at <= self._response_timeout_s:
                 break
-            late.append(pending)
-        for pending in late:
+            expired.append(pending)
+        for pending in expired:
             del self._pending[pending.number]
-        return [Response(pending, None) for pending in late]
+        return [Response(pending, None) for pending in expired]
 
-    def give_up_all(self) -> list[Response]:
-        """Every report: there is no leader to pass them on to."""
+    def fail_all(self) -> list[Response]:
+        """Remove every heartbeat: there is no leader to which to forward them."""
         responses = [Response(pending, None) for pending in self._pending.values()]
         self._pending.clear()
         self._unsent.clear()
--- a/src/poppyhold/relay/mode.py
+++ b/src/poppyhold/relay/relay_mode.py
@@ -1,4 +1,4 @@
-"""When reports are relayed."""
+"""The operators' choice of when heartbeats are relayed."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RelayMode(Enum):
-    """What the operators want."""
+    """When heartbeats are relayed."""
 
     # From a share of the limit of connections on.
     AUTO = "auto"
--- /dev/null
+++ b/src/poppyhold/relay/server.py
@@ -0,0 +1,135 @@
+"""The leader's connections with relays: each has a thread that reads batches; the decision thread answers."""
+
+from __future__ import annotations
+
+import socket
+import threading
+import time
+from collections.abc import Callable, Set
+
+import msgspec
+
+from poppyhold.concurrency.priority_queue import DECISIONS, HEARTBEATS, Work
+from poppyhold.relay.assignment import Assignment
+from poppyhold.relay.batch_handler import BatchHandler
+from poppyhold.relay.connected_relay import ConnectedRelay
+from poppyhold.relay.messages import (
+    HeartbeatBatch,
+    RelayedResponse,
+    RelayHello,
+    RelayOutcome,
+    ResponseBatch,
+)
+from poppyhold.relay.timings import heartbeat_response_timeout_s
+from poppyhold.settings import Workers
+from poppyhold.wire.frames import receive, send_at_once, shut
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
+
+_decoder = msgspec.msgpack.Decoder(HeartbeatBatch)
+
+
+class RelayServer:
+    """Accepts relays' connections for one term."""
+
+    def __init__(
+        self,
+        post: Callable[[int, Work], bool],
+        answer: Callable[[Heartbeat, float], HeartbeatResponse | None],
+        answered_at: Callable[[str], float],
+        assignment: Assignment,
+        workers: Workers,
+    ) -> None:
+        """``post`` queues work for the decision thread; False if it takes no more."""
+        self._post, self._assignment = post, assignment
+        response_timeout_s = heartbeat_response_timeout_s(workers)
+        self._idle_timeout_s = workers.heartbeat_interval_s + response_timeout_s
+        self._handler = BatchHandler(answer, answered_at, assignment, response_timeout_s)
+        self._connections: dict[str, socket.socket] = {}
+        # The connected relays; only the decision thread uses it.
+        self._relays: dict[str, ConnectedRelay] = {}
+        self._lock = threading.Lock()
+        self._closed = False
+        self._knows_machines = False
+
+    @property
+    def relays_wanted(self) -> bool:
+        """Whether controllers are asked to relay."""
+        return self._assignment.relays_wanted
+
+    @property
+    def knows_machines(self) -> bool:
+        """Whether it is known how many machines there are, and so whether relays are wanted."""
+        return self._knows_machines
+
+    def serve(self, connection: socket.socket, hello: RelayHello) -> None:
+        """Answer a relay's batches until its connection ends, or the term does."""
+        if not self._begin(connection, hello.member):
+            return
+        relay = ConnectedRelay(hello.member, hello.zone)
+        self._post(DECISIONS, lambda: self._connected(relay))
+        try:
+            # A relay that is silent for longer than its own keepalives take is gone.
+            connection.settimeout(self._idle_timeout_s)
+            while not self._closed:
+                self._queue(connection, relay, receive(connection, _decoder))
+        finally:
+            relay.alive = False
+            self._end(connection, hello.member)
+
+    def update_machines(self, machines: Set[str]) -> None:
+        """On the decision thread: adapt to the machines that exist now."""
+        self._assignment.update_machines(machines)
+        self._knows_machines = True
+        for relay in self._relays.values():
+            relay.drop_others(machines)
+
+    def close(self) -> None:
+        """End every connection: relays look for the next leader."""
+        with self._lock:
+            self._closed = True
+            connections = list(self._connections.values())
+        for connection in connections:
+            shut(connection)
+
+    def _connected(self, relay: ConnectedRelay) -> None:
+        self._relays[relay.member] = relay
+        self._assignment.relay_connected(relay.member, relay.zone)
+
+    def _disconnected(self, member: str) -> None:
+        self._relays.pop(member, None)
+        self._assignment.relay_disconnected(member)
+
+    def _begin(self, connection: socket.socket, member: str) -> bool:
+        with self._lock:
+            if self._closed:
+                return False
+            previous = self._connections.get(member)
+            self._connections[member] = connection
+        if previous is not None:
+            # Its process has restarted, or has lost the connection that we still hold.
+            shut(previous)
+        return True
+
+    def _end(self, connection: socket.socket, member: str) -> None:
+        with self._lock:
+            if self._connections.get(member) is not connection:
+                return
+            del self._connections[member]
+        self._post(DECISIONS, lambda: self._disconnected(member))
+
+    def _queue(self, connection: socket.socket, relay: ConnectedRelay, batch: HeartbeatBatch) -> None:
+        received_at = time.monotonic()
+
+        def work() -> None:
+            # Batches of a connection that is lost are dropped: nobody waits for them here.
+            if relay.alive and not send_at_once(connection, self._handler.handle(relay, batch, received_at)):
+                shut(connection)
+
+        if not self._post(HEARTBEATS, work) and not send_at_once(connection, _rejected(batch)):
+            shut(connection)
+
+
+def _rejected(batch: HeartbeatBatch) -> ResponseBatch:
+    """Too much waits here already: workers should learn of it at once."""
+    numbers = [full.number for full in batch.heartbeats] + [same.number for same in batch.unchanged]
+    return ResponseBatch([RelayedResponse(number, RelayOutcome.REJECTED) for number in numbers])
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -12,7 +12,7 @@
 from poppyhold.durable.keys import FENCING_TOKEN_KEY, QUOTA_PREFIX
 from poppyhold.durable.store import transaction_body
 from poppyhold.options import Options
-from poppyhold.relay.mode import RelayMode
+from poppyhold.relay.relay_mode import RelayMode
 from poppyhold.scale.jobs import submission
 from poppyhold.settings import NextState, Objective, Team
 from sim_node import SimNode
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -35,9 +35,10 @@
 from poppyhold.quota.records import PEER
 from poppyhold.reads.job_reads import JobReads
 from poppyhold.relay.assignment import Assignment
-from poppyhold.relay.intake import RelayIntake, RelayState
-from poppyhold.relay.leader import heartbeat_response_timeout_s
-from poppyhold.relay.mode import RelayMode
+from poppyhold.relay.batch_handler import BatchHandler
+from poppyhold.relay.connected_relay import ConnectedRelay
+from poppyhold.relay.relay_mode import RelayMode
+from poppyhold.relay.timings import heartbeat_response_timeout_s
 from poppyhold.scale.jobs import Data
 from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.wire.cloud_messages import ListedMachine, MachineListing, MachineType
@@ -141,9 +142,9 @@
             world.rng,
         )
         # The relays that are connected, and what is kept of each.
-        self.relays: dict[str, RelayState] = {}
+        self.relays: dict[str, ConnectedRelay] = {}
         patience_s = heartbeat_response_timeout_s(node.settings.settings.workers)
-        self.intake = RelayIntake(
+        self.intake = BatchHandler(
             self.answer_heartbeat, self.controller.last_response_at, self.assignment, patience_s
         )
         self.authority.observe_watch(world.now, node.store.revision())
@@ -548,7 +549,7 @@
                 leader_term.resign(f"{better} reaches more controllers")
                 return
             leader_term.controller.tick()
-            leader_term.assignment.review(leader_term.controller.ctx.fleet.machines.keys())
+            leader_term.assignment.update_machines(leader_term.controller.ctx.fleet.machines.keys())
             leader_term.settle()
         self.relay.step()
 
--- a/tests/sim_relay.py
+++ b/tests/sim_relay.py
@@ -5,12 +5,11 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from poppyhold.relay.intake import RelayState
-from poppyhold.relay.leader import heartbeat_response_timeout_s
-from poppyhold.relay.link import RelayTimes
-from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayedAnswer
+from poppyhold.relay.connected_relay import ConnectedRelay
+from poppyhold.relay.messages import HeartbeatBatch, RelayedResponse, RelayOutcome, ResponseBatch
 from poppyhold.relay.queue import HeartbeatQueue, Response
-from poppyhold.relay.regaining import Regaining
+from poppyhold.relay.reconnection import ReconnectionWindow
+from poppyhold.relay.timings import RelayTimings, heartbeat_response_timeout_s
 from poppyhold.scale.responses import Data
 from poppyhold.wire.worker_messages import HeartbeatResponse, parse_heartbeat
 
@@ -29,31 +28,31 @@
     def __init__(self, node: SimNode) -> None:
         self._node, self._world = node, node.world
         workers = node.settings.settings.workers
-        self._times = RelayTimes(
+        self._timings = RelayTimings(
             workers.heartbeat_interval_s, heartbeat_response_timeout_s(workers), workers.lease_s
         )
-        self._queue = HeartbeatQueue(_MOST, self._times.patience_s)
+        self._queue = HeartbeatQueue(_MOST, self._timings.response_timeout_s)
         self._term: SimLeaderTerm | None = None
-        self._state: RelayState | None = None
-        self._regaining = Regaining(self._times.regain_s, self._times.longest_regain_s)
+        self._state: ConnectedRelay | None = None
+        self._reconnection = ReconnectionWindow(self._timings.reconnect_s, self._timings.longest_reconnect_s)
         self._sent_at: float | None = None
         self._round_trip_s = 0.0
         self._gathering = False
 
     def is_open(self) -> bool:
         """Whether reports are relayed now."""
-        return self._term is not None or self._regaining.is_on(self._world.now)
+        return self._term is not None or self._reconnection.is_open(self._world.now)
 
     def take(self, body: Data, respond: Respond) -> None:
         """A worker's report: its answer comes once the leader has given it."""
         heartbeat = parse_heartbeat(body)
 
-        def relayed(answer: RelayedAnswer | None) -> None:
+        def relayed(answer: RelayedResponse | None) -> None:
             if answer is None:
                 respond(*self._unanswered(body))
-            elif answer.outcome is Outcome.ANSWERED:
+            elif answer.outcome is RelayOutcome.ANSWERED:
                 respond(200, HeartbeatResponse(answer.fencing_token, answer.commands).body())
-            elif answer.outcome is Outcome.MOVED:
+            elif answer.outcome is RelayOutcome.REDIRECTED:
                 respond(421, {"foreman": answer.controller})
             else:
                 respond(503, {})
@@ -66,7 +65,7 @@
     def _unanswered(self, body: Data) -> tuple[int, Data]:
         """As `relay.forwarding` answers what the leader did not."""
         status, answer = self._node.handle_heartbeat(body)
-        regaining = self._term is None and self._regaining.is_on(self._world.now)
+        regaining = self._term is None and self._reconnection.is_open(self._world.now)
         return (503, {}) if status == 421 and regaining else (status, answer)
 
     def close(self) -> None:
@@ -82,16 +81,16 @@
         if self._term is not None and self._node.has_state() and leader not in (None, self._term.node):
             # The key names another leader.
             self._lost()
-        if self._sent_at is not None and now - self._sent_at > self._times.stalled_s:
+        if self._sent_at is not None and now - self._sent_at > self._timings.stalled_s:
             self._lost()
         if self._term is None:
-            self._regaining.look(leader.member if leader is not None else None, now)
+            self._reconnection.note_leader(leader.member if leader is not None else None, now)
             self._connect()
         if self._term is not None and self._sent_at is None and not self._queue.unsent:
             self._send_batch(self._term)
-        self._give(self._queue.give_up(now))
+        self._deliver(self._queue.expire(now))
         if not self.is_open():
-            self._give(self._queue.give_up_all())
+            self._deliver(self._queue.fail_all())
         if self._queue.unsent:
             self._gather()
 
@@ -110,20 +109,20 @@
         if leader is None or leader is self._node or leader.leader_term is None or not self._reaches(leader):
             return
         term = leader.leader_term
-        if not term.assignment.wanted or leader.frozen or not self._node.relays:
+        if not term.assignment.relays_wanted or leader.frozen or not self._node.relays:
             return
         self._round_trip_s = 0.0
-        self._term, self._state = term, RelayState(self._node.member, self._node.zone)
+        self._term, self._state = term, ConnectedRelay(self._node.member, self._node.zone)
         before = term.relays.get(self._node.member)
         if before is not None:
             before.alive = False
         term.relays[self._node.member] = self._state
-        term.assignment.connected(self._node.member, self._node.zone)
+        term.assignment.relay_connected(self._node.member, self._node.zone)
 
     def _lost(self) -> None:
         member = self._term.node.member if self._term is not None else None
         self._disconnect()
-        self._regaining.lost(member, self._world.now)
+        self._reconnection.connection_lost(member, self._world.now)
         self._queue.connection_lost()
 
     def _disconnect(self) -> None:
@@ -133,14 +132,14 @@
             state.alive = False
         if term is not None and state is not None and term.relays.get(self._node.member) is state:
             del term.relays[self._node.member]
-            term.assignment.disconnected(self._node.member)
+            term.assignment.relay_disconnected(self._node.member)
 
     # -- batches -----------------------------------------------------------------------------------
 
     def _gather(self) -> None:
         if not self._gathering:
             self._gathering = True
-            self._world.after(self._times.gather_s, self._send)
+            self._world.after(self._timings.gather_s, self._send)
 
     def _send(self) -> None:
         self._gathering = False
@@ -159,7 +158,7 @@
             self._carry(term, self._state, batch, self._world.rng.uniform(0.0, _LATEST_COPY_S))
 
     def _carry(
-        self, term: SimLeaderTerm, state: RelayState | None, batch: HeartbeatBatch, later_s: float = 0.0
+        self, term: SimLeaderTerm, state: ConnectedRelay | None, batch: HeartbeatBatch, later_s: float = 0.0
     ) -> None:
         delay = 0.001 + self._world.link_s + self._world.batches_late_s + later_s
 
@@ -177,7 +176,7 @@
 
         self._world.after(delay, arrive)
 
-    def _answered(self, state: RelayState, term: SimLeaderTerm, answers: AnswerBatch) -> None:
+    def _answered(self, state: ConnectedRelay, term: SimLeaderTerm, answers: ResponseBatch) -> None:
         if self._state is not state or not self._node.alive:
             return
         if self._node.frozen or not self._reaches(term.node):
@@ -187,9 +186,9 @@
         if self._sent_at is not None:
             self._round_trip_s = now - self._sent_at
         self._sent_at = None
-        self._give(self._queue.take_answers(answers, now, self._node.lowest_fencing_token()))
+        self._deliver(self._queue.match_responses(answers, now, self._node.lowest_fencing_token()))
 
     @staticmethod
-    def _give(responses: list[Response]) -> None:
+    def _deliver(responses: list[Response]) -> None:
         for response in responses:
-            response.give()
+            response.deliver()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -19,14 +19,16 @@
 from poppyhold.model.durations import Durations
 from poppyhold.options import Options, load_options, parse_options
 from poppyhold.relay.assignment import Assignment
-from poppyhold.relay.intake import RelayIntake, RelayState
-from poppyhold.relay.leader import RelayServer
-from poppyhold.relay.link import RelayLink, RelayTimes
-from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayedAnswer, RelayHello
-from poppyhold.relay.mode import RelayMode
-from poppyhold.relay.overflow import Overflow
+from poppyhold.relay.batch_handler import BatchHandler
+from poppyhold.relay.connected_relay import ConnectedRelay
+from poppyhold.relay.link import RelayLink
+from poppyhold.relay.messages import HeartbeatBatch, RelayedResponse, RelayHello, RelayOutcome, ResponseBatch
+from poppyhold.relay.overflow_redirect import OverflowRedirector
 from poppyhold.relay.queue import HeartbeatQueue
-from poppyhold.relay.regaining import Regaining
+from poppyhold.relay.reconnection import ReconnectionWindow
+from poppyhold.relay.relay_mode import RelayMode
+from poppyhold.relay.server import RelayServer
+from poppyhold.relay.timings import RelayTimings
 from poppyhold.settings import ConfigError, Workers
 from poppyhold.wire.worker_messages import Command, CommandKind, Heartbeat, HeartbeatResponse, TaskStatus
 from scenario import Scenario
@@ -53,23 +55,23 @@
 
     def __init__(self, most: int = 100) -> None:
         self.queue = HeartbeatQueue(most, PATIENCE_S)
-        self.told: list[RelayedAnswer | None] = []
+        self.told: list[RelayedResponse | None] = []
 
     def put(self, taken: Heartbeat, now: float = 0.0) -> bool:
         """A report comes in."""
         return self.queue.put(taken, now, self.told.append)
 
     def answers(
-        self, *answers: RelayedAnswer, now: float = 0.1, lowest_fencing_token: int = FENCING_TOKEN
+        self, *answers: RelayedResponse, now: float = 0.1, lowest_fencing_token: int = FENCING_TOKEN
     ) -> None:
         """The leader's answers come in."""
-        for response in self.queue.take_answers(AnswerBatch(list(answers)), now, lowest_fencing_token):
-            response.give()
+        for response in self.queue.match_responses(ResponseBatch(list(answers)), now, lowest_fencing_token):
+            response.deliver()
 
 
-def answered(number: int, fencing_token: int = FENCING_TOKEN) -> RelayedAnswer:
+def answered(number: int, fencing_token: int = FENCING_TOKEN) -> RelayedResponse:
     """The leader's answer to a report."""
-    return RelayedAnswer(number, Outcome.ANSWERED, fencing_token)
+    return RelayedResponse(number, RelayOutcome.ANSWERED, fencing_token)
 
 
 # -- the relay's queue ---------------------------------------------------------------------------------
@@ -126,7 +128,7 @@
     relay.answers(answered(1))
     relay.put(heartbeat(sequence=2))
     relay.queue.next_batch(0.0, 64)
-    relay.answers(RelayedAnswer(2, Outcome.FULL_WANTED))
+    relay.answers(RelayedResponse(2, RelayOutcome.FULL_HEARTBEAT_REQUIRED))
     assert [full.heartbeat.sequence for full in relay.queue.next_batch(0.1, 64).heartbeats] == [2]
     relay.answers(answered(2))
     assert relay.told == [answered(1), answered(2)]
@@ -164,8 +166,8 @@
         True,
         False,
     ]
-    for response in relay.queue.give_up(PATIENCE_S + 0.5):
-        response.give()
+    for response in relay.queue.expire(PATIENCE_S + 0.5):
+        response.deliver()
     assert relay.told == [None]
     assert relay.put(heartbeat("vm-3"), now=3.0)
     # What was given up is not sent any more.
@@ -183,9 +185,9 @@
         self.taken: list[Heartbeat] = []
         self.answer: HeartbeatResponse | None = HeartbeatResponse(FENCING_TOKEN, [])
         self.assignment = assignment(lambda: self.now)
-        self.assignment.connected("hive-1", "a")
-        self.intake = RelayIntake(self._answer, lambda _: self.now, self.assignment, PATIENCE_S)
-        self.relay = RelayState("hive-1", "a")
+        self.assignment.relay_connected("hive-1", "a")
+        self.intake = BatchHandler(self._answer, lambda _: self.now, self.assignment, PATIENCE_S)
+        self.relay = ConnectedRelay("hive-1", "a")
 
     def _answer(self, taken: Heartbeat, late_at: float) -> HeartbeatResponse | None:
         if self.now >= late_at:
@@ -193,10 +195,10 @@
         self.taken.append(taken)
         return self.answer
 
-    def handle(self, relay: Relayed) -> list[RelayedAnswer]:
+    def handle(self, relay: Relayed) -> list[RelayedResponse]:
         """Take what a relay has to send."""
         batch = over_the_wire(relay.queue.next_batch(self.now, 64))
-        return self.intake.handle(self.relay, batch, self.now).answers
+        return self.intake.handle(self.relay, batch, self.now).responses
 
 
 def assignment(
@@ -212,7 +214,7 @@
     tasks = [TaskStatus("job-000001/0", 1, "running")]
     for sequence in (1, 2):
         relay.put(heartbeat(sequence=sequence, tasks=tasks))
-        assert [answer.outcome for answer in leader.handle(relay)] == [Outcome.ANSWERED]
+        assert [answer.outcome for answer in leader.handle(relay)] == [RelayOutcome.ANSWERED]
     assert leader.taken == [heartbeat(sequence=1, tasks=tasks), heartbeat(sequence=2, tasks=tasks)]
 
 
@@ -222,10 +224,10 @@
     leader.handle(relay)
     relay.put(heartbeat(sequence=2))
     # A new leader, or one that took another report of the machine in full meanwhile.
-    for state in (RelayState("hive-1", "a"), RelayState("hive-1", "a")):
+    for state in (ConnectedRelay("hive-1", "a"), ConnectedRelay("hive-1", "a")):
         leader.relay = state
-    leader.relay.keep(heartbeat(sequence=9, incarnation=2))
-    assert [answer.outcome for answer in leader.handle(relay)] == [Outcome.FULL_WANTED]
+    leader.relay.cache_full(heartbeat(sequence=9, incarnation=2))
+    assert [answer.outcome for answer in leader.handle(relay)] == [RelayOutcome.FULL_HEARTBEAT_REQUIRED]
     assert [taken.sequence for taken in leader.taken] == [1]
 
 
@@ -234,17 +236,20 @@
     command = Command(CommandKind.STOP, "job-000001/0", 3, 4.0)
     leader.answer = HeartbeatResponse(FENCING_TOKEN + 1, [command])
     relay.put(heartbeat())
-    answers = AnswerBatch(leader.handle(relay))
-    received = msgspec.msgpack.decode(msgspec.msgpack.encode(answers), type=AnswerBatch)
+    answers = ResponseBatch(leader.handle(relay))
+    received = msgspec.msgpack.decode(msgspec.msgpack.encode(answers), type=ResponseBatch)
     assert received == answers
-    assert (received.answers[0].fencing_token, received.answers[0].commands) == (FENCING_TOKEN + 1, [command])
+    assert (received.responses[0].fencing_token, received.responses[0].commands) == (
+        FENCING_TOKEN + 1,
+        [command],
+    )
 
 
 def test_heartbeats_that_waited_too_long_at_the_relay_are_refused() -> None:
     leader, relay = Leader(), Relayed()
     relay.put(heartbeat(), now=0.0)
     leader.now = PATIENCE_S
-    assert [answer.outcome for answer in leader.handle(relay)] == [Outcome.REFUSED]
+    assert [answer.outcome for answer in leader.handle(relay)] == [RelayOutcome.REJECTED]
     assert leader.taken == []
 
 
@@ -252,7 +257,7 @@
     leader, relay = Leader(), Relayed()
     leader.answer = None
     relay.put(heartbeat())
-    assert [answer.outcome for answer in leader.handle(relay)] == [Outcome.REFUSED]
+    assert [answer.outcome for answer in leader.handle(relay)] == [RelayOutcome.REJECTED]
 
 
 # -- who relays for whom -------------------------------------------------------------------------------
@@ -269,22 +274,22 @@
         self.assignment = assignment(lambda: self.now, mode, from_workers)
         for member, zone in ZONES.items():
             self.connect(member, zone)
-        self.assignment.review(set(MACHINES))
+        self.assignment.update_machines(set(MACHINES))
         # Some may be sent at once.
         self.now += 5.0
         self.at: dict[str, str] = {}
 
     def connect(self, member: str, zone: str) -> None:
         """A relay connects, and has measured its way."""
-        self.assignment.connected(member, zone)
-        self.assignment.took(member, 0.01)
+        self.assignment.relay_connected(member, zone)
+        self.assignment.note_round_trip(member, 0.01)
 
     def direct(self, machine: str, answered_ago: float = 1.0) -> str | None:
         """A worker reports directly; where it is sent it is heard."""
         relay = self.assignment.assign(machine, MACHINES[machine], self.now - answered_ago)
         if relay is not None:
             self.at[machine] = relay
-            self.assignment.heard(machine, relay)
+            self.assignment.note_relayed_heartbeat(machine, relay)
         return relay
 
     def settle(self, spans: int = 200) -> None:
@@ -296,12 +301,12 @@
                 if relay is None:
                     self.direct(machine)
                     continue
-                target = self.assignment.move(machine, zone, relay, self.now - 1.0)
+                target = self.assignment.reassign(machine, zone, relay, self.now - 1.0)
                 if target is not None:
                     self.at.pop(machine)
                     if target != "hive-0":
                         self.at[machine] = target
-                        self.assignment.heard(machine, target)
+                        self.assignment.note_relayed_heartbeat(machine, target)
 
 
 def test_workers_are_spread_evenly_and_in_their_zone_first() -> None:
@@ -319,7 +324,7 @@
     plan = Plan()
     plan.settle()
     before = dict(plan.at)
-    plan.assignment.disconnected("hive-3")
+    plan.assignment.relay_disconnected("hive-3")
     for machine in [machine for machine, relay in plan.at.items() if relay == "hive-3"]:
         del plan.at[machine]
     plan.settle()
@@ -364,11 +369,11 @@
         relay = plan.assignment.assign(machine, "b", plan.now)
         assert relay is not None
         if heard:
-            plan.assignment.heard(machine, relay)
+            plan.assignment.note_relayed_heartbeat(machine, relay)
         began = plan.now = plan.now + 1.0
         while plan.assignment.assign(machine, "b", plan.now) is None:
             plan.now += 1.0
-        plan.assignment._sent.clear()
+        plan.assignment._pending_redirects.clear()
         rests.append(plan.now - began)
     assert min(rests) >= 10.0
     if not heard:
@@ -390,33 +395,33 @@
     plan.settle()
     assert "hive-5" in plan.at.values()
     for _ in range(200):
-        plan.assignment.took("hive-5", 0.3)
+        plan.assignment.note_round_trip("hive-5", 0.3)
         plan.settle(1)
     assert "hive-5" not in plan.at.values()
     for member in ZONES:
-        plan.assignment.took(member, 0.3)
+        plan.assignment.note_round_trip(member, 0.3)
     relay = next(iter(plan.at.values()))
     machine = next(machine for machine, there in plan.at.items() if there == relay)
     # No other is left: the leader takes it itself.
-    assert plan.assignment.move(machine, MACHINES[machine], relay, plan.now) == "hive-0"
+    assert plan.assignment.reassign(machine, MACHINES[machine], relay, plan.now) == "hive-0"
 
 
 def test_relays_get_workers_once_they_know_how_long_their_way_is() -> None:
     plan = Plan()
     for member in list(ZONES):
-        plan.assignment.disconnected(member)
+        plan.assignment.relay_disconnected(member)
     machine = next(machine for machine, zone in MACHINES.items() if zone == "b")
-    plan.assignment.connected("hive-3", "b")
-    plan.assignment.took("hive-3", 0.0)
+    plan.assignment.relay_connected("hive-3", "b")
+    plan.assignment.note_round_trip("hive-3", 0.0)
     assert plan.direct(machine) is None
-    plan.assignment.took("hive-3", 0.01)
+    plan.assignment.note_round_trip("hive-3", 0.01)
     assert plan.direct(machine) == "hive-3"
 
 
 def test_workers_of_the_leaders_zone_stay_if_all_relays_stand_elsewhere() -> None:
     plan = Plan()
     for member in ("hive-1", "hive-2"):
-        plan.assignment.disconnected(member)
+        plan.assignment.relay_disconnected(member)
     of_zone = [machine for machine, zone in MACHINES.items() if zone == "a"]
     assert [plan.direct(machine) for machine in of_zone[:8]] == [None] * 8
     # Above the bound connections count more.
@@ -427,11 +432,11 @@
     plan = assignment(lambda: 0.0, RelayMode.AUTO, from_workers=100.0)
     wanted = []
     for count in (99, 100, 60, 50, 49, 99):
-        plan.review({f"vm-{index}" for index in range(count)})
-        wanted.append(plan.wanted)
+        plan.update_machines({f"vm-{index}" for index in range(count)})
+        wanted.append(plan.relays_wanted)
     assert wanted == [False, True, True, True, False, False]
     off = Plan(RelayMode.OFF)
-    assert not off.assignment.wanted
+    assert not off.assignment.relays_wanted
     assert all(off.direct(machine) is None for machine in MACHINES)
 
 
@@ -482,7 +487,7 @@
     state = node.relay._state
     assert state is not None
     answers = term.intake.handle(state, batch, world.now)
-    assert [answer.outcome for answer in answers.answers] == [Outcome.ANSWERED]
+    assert [answer.outcome for answer in answers.responses] == [RelayOutcome.ANSWERED]
     # Another one takes the lead while the answers are on their way.
     held = world.state.keys[LEADER_KEY]
     world.state.keys[LEADER_KEY] = ({**held[0], "baton": held[0]["baton"] + 1}, *held[1:])
@@ -501,10 +506,10 @@
         self.frozen = threading.Event()
         self.target: str | None = "hive-0"
         self.sequences: list[int] = []
-        self.told: list[RelayedAnswer | None] = []
+        self.told: list[RelayedResponse | None] = []
         self.plan = assignment(lambda: 0.0)
         self.server = self._server()
-        times = RelayTimes(0.4, 0.5, 2.0)
+        times = RelayTimings(0.4, 0.5, 2.0)
         address = ("127.0.0.1", int(self.listener.getsockname()[1]))
         hello = RelayHello("hive-1", "a")
         self.link = RelayLink(
@@ -578,7 +583,7 @@
         ends.send(sequence)
         eventually(lambda sequence=sequence: len(ends.told) == sequence)  # type: ignore[misc]
     assert ends.sequences == [1, 2, 3, 4, 5]
-    assert all(answer is not None and answer.outcome is Outcome.ANSWERED for answer in ends.told)
+    assert all(answer is not None and answer.outcome is RelayOutcome.ANSWERED for answer in ends.told)
 
 
 def test_heartbeats_outlive_the_connection_and_are_sent_again(ends: Ends) -> None:
@@ -588,7 +593,7 @@
     ends.restart()
     ends.send(2)
     eventually(lambda: len(ends.told) == 2)
-    assert ends.told[1] is not None and ends.told[1].outcome is Outcome.ANSWERED
+    assert ends.told[1] is not None and ends.told[1].outcome is RelayOutcome.ANSWERED
 
 
 def test_a_leader_that_stands_still_costs_workers_no_more_than_their_patience(ends: Ends) -> None:
@@ -626,16 +631,16 @@
 # -- workers of a relay that ends --------------------------------------------------------------------
 
 
-def _arrive(overflow: Overflow, machines: Iterable[str]) -> dict[str, str | None]:
-    return {machine: overflow.send_on(machine) for machine in machines}
+def _arrive(overflow: OverflowRedirector, machines: Iterable[str]) -> dict[str, str | None]:
+    return {machine: overflow.redirect(machine) for machine in machines}
 
 
 def test_workers_beyond_a_relays_share_are_spread_over_the_others() -> None:
     now = [0.0]
-    overflow = Overflow(1100, 15.0, lambda: now[0])
+    overflow = OverflowRedirector(1100, 15.0, lambda: now[0])
     own = [f"vm-{number:06d}" for number in range(800)]
     assert set(_arrive(overflow, own).values()) == {None}
-    overflow.advise(1000, ["hive-3", "hive-4", "hive-5"])
+    overflow.update_advice(1000, ["hive-3", "hive-4", "hive-5"])
     # Another relay ends, and its 800 workers come here one after the other.
     came = [f"vm-{number:06d}" for number in range(1000, 1800)]
     sent = _arrive(overflow, came)
@@ -646,88 +651,88 @@
     # Those that were here stay, and so does one that comes back.
     assert set(_arrive(overflow, own).values()) == {None}
     back = next(machine for machine, other in sent.items() if other is not None)
-    assert overflow.send_on(back) is None
+    assert overflow.redirect(back) is None
 
 
 def test_two_relays_never_send_a_worker_to_and_fro() -> None:
     now = [0.0]
-    relays = {member: Overflow(10, 15.0, lambda: now[0]) for member in ("hive-1", "hive-2")}
+    relays = {member: OverflowRedirector(10, 15.0, lambda: now[0]) for member in ("hive-1", "hive-2")}
     for member, other in (("hive-1", "hive-2"), ("hive-2", "hive-1")):
         _arrive(relays[member], [f"{member}-{number}" for number in range(10)])
-        relays[member].advise(10, [other])
+        relays[member].update_advice(10, [other])
     at: str | None = "hive-1"
     hops = 0
     while at is not None:
-        at = relays[at].send_on("vm-000001")
+        at = relays[at].redirect("vm-000001")
         hops += 1
     assert hops == 3
 
 
 def test_nobody_is_sent_on_without_advice_or_behind_a_lost_connection() -> None:
-    overflow = Overflow(2, 15.0, lambda: 0.0)
+    overflow = OverflowRedirector(2, 15.0, lambda: 0.0)
     assert set(_arrive(overflow, ["vm-1", "vm-2", "vm-3", "vm-4"]).values()) == {None}
-    overflow.advise(2, ["hive-3"])
-    assert overflow.send_on("vm-5") == "hive-3"
-    overflow.advise(0, [])
-    assert overflow.send_on("vm-6") is None
+    overflow.update_advice(2, ["hive-3"])
+    assert overflow.redirect("vm-5") == "hive-3"
+    overflow.update_advice(0, [])
+    assert overflow.redirect("vm-6") is None
 
 
 def test_a_worker_that_left_makes_room() -> None:
     now = [0.0]
-    overflow = Overflow(2, 15.0, lambda: now[0])
-    overflow.advise(2, ["hive-3"])
+    overflow = OverflowRedirector(2, 15.0, lambda: now[0])
+    overflow.update_advice(2, ["hive-3"])
     assert set(_arrive(overflow, ["vm-1", "vm-2"]).values()) == {None}
-    assert overflow.send_on("vm-3") == "hive-3"
+    assert overflow.redirect("vm-3") == "hive-3"
     now[0] = 16.0
-    assert overflow.send_on("vm-4") is None
+    assert overflow.redirect("vm-4") is None
 
 
 def test_the_leader_tells_relays_who_has_room() -> None:
     plan = Plan()
     for number in range(math.ceil(len(MACHINES) / len(ZONES))):
-        plan.assignment.heard(f"vm-{number:04d}", "hive-1")
-    most, roomy = plan.assignment.advice("hive-1")
+        plan.assignment.note_relayed_heartbeat(f"vm-{number:04d}", "hive-1")
+    most, roomy = plan.assignment.load_advice("hive-1")
     assert most == math.ceil(1.25 * len(MACHINES) / len(ZONES))
     assert set(roomy) == set(ZONES) - {"hive-1"}
     # With an even share it is nobody's next.
-    assert set(plan.assignment.advice("hive-2")[1]) == set(ZONES) - {"hive-1", "hive-2"}
+    assert set(plan.assignment.load_advice("hive-2")[1]) == set(ZONES) - {"hive-1", "hive-2"}
 
 
 # -- behind a lost connection ------------------------------------------------------------------------
 
 
-def _regaining() -> Regaining:
-    regaining = Regaining(3.0, 6.0)
-    regaining.lost("hive-0", 100.0)
+def _reconnection() -> ReconnectionWindow:
+    regaining = ReconnectionWindow(3.0, 6.0)
+    regaining.connection_lost("hive-0", 100.0)
     return regaining
 
 
 def test_a_leader_that_stays_away_is_waited_for_no_longer_than_a_worker_waits() -> None:
-    regaining = _regaining()
-    regaining.look("hive-0", 102.0)
-    assert regaining.is_on(102.9)
-    assert not regaining.is_on(103.1)
+    regaining = _reconnection()
+    regaining.note_leader("hive-0", 102.0)
+    assert regaining.is_open(102.9)
+    assert not regaining.is_open(103.1)
 
 
 def test_a_leader_that_changes_is_waited_for_within_a_bound() -> None:
-    regaining = _regaining()
-    regaining.look(None, 102.0)
-    assert regaining.is_on(104.9)
-    regaining.look("hive-1", 104.9)
-    assert regaining.is_on(105.9)
+    regaining = _reconnection()
+    regaining.note_leader(None, 102.0)
+    assert regaining.is_open(104.9)
+    regaining.note_leader("hive-1", 104.9)
+    assert regaining.is_open(105.9)
     # However often it changes.
-    regaining.look(None, 105.9)
-    assert not regaining.is_on(106.1)
-    regaining.look("hive-2", 106.1)
-    assert not regaining.is_on(106.2)
+    regaining.note_leader(None, 105.9)
+    assert not regaining.is_open(106.1)
+    regaining.note_leader("hive-2", 106.1)
+    assert not regaining.is_open(106.2)
 
 
 def test_a_leader_that_takes_connections_is_slow_and_not_cut_off() -> None:
-    regaining = _regaining()
-    regaining.reached(102.0)
-    assert regaining.is_on(104.9)
-    regaining.reached(104.9)
-    assert not regaining.is_on(106.1)
+    regaining = _reconnection()
+    regaining.connection_accepted(102.0)
+    assert regaining.is_open(104.9)
+    regaining.connection_accepted(104.9)
+    assert not regaining.is_open(106.1)
     # Once workers were sent elsewhere, a connection alone brings nobody back.
-    regaining.reached(106.2)
-    assert not regaining.is_on(106.3)
+    regaining.connection_accepted(106.2)
+    assert not regaining.is_open(106.3)
--- a/tests/wire_kinds.py
+++ b/tests/wire_kinds.py
@@ -23,7 +23,7 @@
 )
 from poppyhold.quota.records import AllocationRecord, IdentityRecord, PeerRecord
 from poppyhold.quota.status import QuotaStatus
-from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayHello
+from poppyhold.relay.messages import HeartbeatBatch, RelayHello, RelayOutcome, ResponseBatch
 from poppyhold.scale.cells import CellsResult
 from poppyhold.scale.profile import Profile
 from poppyhold.scale.result import Result
@@ -74,7 +74,7 @@
     "pong": Pong,
     "relay": RelayHello,
     "reports": HeartbeatBatch,
-    "answers": AnswerBatch,
+    "answers": ResponseBatch,
     "share": TransferRequest,
     "shared": TransferResponse,
     "elsewhere": NotLeading,
@@ -87,7 +87,7 @@
     "task status": TaskState,
     "task cause": ExitCause,
     "order verb": CommandKind,
-    "relayed answer": Outcome,
+    "relayed answer": RelayOutcome,
     "rank": PriorityName,
 }
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -14,7 +14,7 @@
 from gang_standin import GangStandIn
 from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.options import Options
-from poppyhold.relay.mode import RelayMode
+from poppyhold.relay.relay_mode import RelayMode
 from poppyhold.scale.cloud_standin import CloudStandIn
 from poppyhold.scale.jobs import ZONES, Data, build_data, submission, wire
 from poppyhold.scale.state_standin import StateStandIn
