--- a/src/poppyhold/node/user_api.py
+++ b/src/poppyhold/node/user_api.py
@@ -24,7 +24,7 @@
 from poppyhold.model.job_status import FinalState, JobStatus, TaskCounts
 from poppyhold.node.job_states import JobStates
 from poppyhold.node.submission_policy import SubmissionPolicy
-from poppyhold.reads.job_reads import JobReads
+from poppyhold.reads.batched_job_reads import BatchedJobReads
 from poppyhold.settings import Deployment, Settings
 from poppyhold.wire.cloud_messages import MachineType
 from poppyhold.wire.codec import MalformedError, decode
@@ -68,17 +68,17 @@
         machine_types: Callable[[], dict[str, MachineType]],
         task_counts: Callable[[str], TaskCounts | None],
         clock: Callable[[], float] = time.monotonic,
-        reads: JobReads | None = None,
+        reads: BatchedJobReads | None = None,
     ) -> None:
         """``task_counts`` tells a job's done and running tasks; ``reads`` whether it is active."""
         limits = settings.settings
         self._store, self._machine_types, self._clock = store, machine_types, clock
         self._retry_after_s = max(1, round(limits.workers.heartbeat_interval_s))
-        self._reads = reads or JobReads(
+        self._reads = reads or BatchedJobReads(
             store,
             limits.workers.heartbeat_interval_s * _GATHER_RATIO,
             _QUERY_TIMEOUT_S,
-            pace=_query_rate_limiter(limits),
+            rate_limiter=_query_rate_limiter(limits),
         )
         self._policy = SubmissionPolicy(limits)
         # As many are named as the state service can take within the time that each of them has.
--- a/src/poppyhold/reads/job_view.py
+++ b/src/poppyhold/reads/active_jobs_view.py
@@ -1,4 +1,4 @@
-"""The active jobs as a controller has followed them, up to a revision of the state service."""
+"""The active jobs, as a controller has followed them up to a revision of the state service."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from poppyhold.durable.store import Changes
 
 
-class JobView:
+class ActiveJobsView:
     """Which jobs are active, as of a revision. Only one thread at a time changes it."""
 
     def __init__(self) -> None:
@@ -17,24 +17,24 @@
         # -1: nothing is known.
         self.revision = -1
 
-    def copy(self) -> JobView:
-        """The same view once more, to be brought up to date while this one is read."""
-        view = JobView()
+    def copy(self) -> ActiveJobsView:
+        """A copy, to be advanced while this one is read."""
+        view = ActiveJobsView()
         view._active, view.revision = set(self._active), self.revision
         return view
 
     def reset(self, entries: Iterable[Entry], revision: int) -> None:
-        """Begin anew with all active jobs; changes behind the revision may be among them already."""
+        """Start again from all active jobs; they may already contain changes after the revision."""
         self._active = {entry.key.removeprefix(ACTIVE_JOB_PREFIX) for entry in entries}
         self.revision = revision
 
-    def forget(self) -> None:
-        """Nothing is known any more: changes are missing."""
+    def invalidate(self) -> None:
+        """Forget everything: changes are missing."""
         self._active = set()
         self.revision = -1
 
     def apply(self, changes: Changes) -> None:
-        """Take every change behind our revision, in order."""
+        """Apply all changes after the view's revision, in order."""
         for event in changes.events:
             job_id = event.key.removeprefix(ACTIVE_JOB_PREFIX)
             if isinstance(event, Entry):
--- /dev/null
+++ b/src/poppyhold/reads/batched_job_reads.py
@@ -0,0 +1,146 @@
+"""Whether jobs are active: queries that wait at the same time share one read of the store's revision."""
+
+from __future__ import annotations
+
+import math
+import threading
+import time
+from collections import deque
+from collections.abc import Callable
+from enum import Enum, auto
+
+from poppyhold.concurrency.bounded_dict import BoundedDict
+from poppyhold.concurrency.rate_limiter import RateLimiter
+from poppyhold.durable.errors import OutcomeUnknownError, StoreRejectedError, WatchCompactedError
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
+from poppyhold.durable.store import Store
+from poppyhold.reads.active_jobs_view import ActiveJobsView
+from poppyhold.reads.read_batches import ReadBatch, ReadBatches
+from poppyhold.reads.read_index import LaggingChangesError, advance_view, execute
+
+# A shared read is two requests: with fewer queries each of them reads its own key.
+MIN_BATCH_SIZE = 3
+# Requests of a shared read that only follows: the revision, and the changes up to it.
+_SHARED_REQUESTS = 2
+# Outcomes of batches that are kept for the queries that have not seen theirs yet.
+_OUTCOMES_KEPT = 64
+
+
+class BatchOutcome(Enum):
+    """The result of a batch."""
+
+    # The view is at least as new as the start of the batch.
+    CURRENT = auto()
+    # Too few queries for a shared read, or changes that lag: each query reads its own key.
+    READ_INDIVIDUALLY = auto()
+    # The state service did not respond.
+    FAILED = auto()
+
+
+class BatchedJobReads:
+    """Answers from memory whether a job is active, no older than the query.
+
+    A query waits for the first batch that starts after it. Where many come, batches start no more often than
+    once in ``gather_s``, and never faster than ``rate_limiter`` allows requests to the state service: the
+    queries of a storm wait for one another, while submissions and decisions continue. The thread of one of
+    the queries runs the batch for all.
+    """
+
+    def __init__(
+        self,
+        store: Store,
+        gather_s: float,
+        timeout_s: float,
+        min_batch_size: int = MIN_BATCH_SIZE,
+        clock: Callable[[], float] = time.monotonic,
+        rate_limiter: RateLimiter | None = None,
+    ) -> None:
+        self._store, self._gather_s, self._timeout_s = store, gather_s, timeout_s
+        self._min_batch_size, self._clock = min_batch_size, clock
+        self._rate_limiter = rate_limiter or RateLimiter(math.inf, burst=0)
+        self._view = ActiveJobsView()
+        self._batches = ReadBatches()
+        self._outcomes: BoundedDict[BatchOutcome] = BoundedDict(_OUTCOMES_KEPT)
+        # Before this moment no batch starts while many queries come; and when the last ones came.
+        self._next_start_at = float("-inf")
+        self._arrivals: deque[float] = deque(maxlen=min_batch_size)
+        self._changed = threading.Condition()
+
+    def is_active(self, job_id: str) -> bool:
+        """Whether a job is active, at a moment after the start of this call.
+
+        Raises:
+            StoreRejectedError: the state service did not respond in time. Nothing is answered from memory
+                then: another controller may have told something newer.
+        """
+        outcome = self._await_batch()
+        if outcome is BatchOutcome.CURRENT:
+            # After its batch the view only gets newer.
+            with self._changed:
+                return job_id in self._view
+        if outcome is BatchOutcome.READ_INDIVIDUALLY:
+            return self._store.get(ACTIVE_JOB_PREFIX + job_id) is not None
+        raise StoreRejectedError("the store's revision could not be read")
+
+    def _await_batch(self) -> BatchOutcome:
+        """Wait for the first batch that starts from now on, or run it."""
+        with self._changed:
+            number = self._batches.join()
+            now = self._clock()
+            deadline = now + self._timeout_s
+            start_at = self._earliest_start(now)
+            while (outcome := self._outcomes.get(str(number))) is None:
+                if now >= deadline:
+                    raise StoreRejectedError("no answer in time")
+                # Other batches may have started, and consumed the rate, since this query came.
+                start_at = max(start_at, self._rate_limiter.ready_at())
+                if not self._batches.running and now >= start_at:
+                    started = self._start_batch(now)
+                    break
+                wake_at = deadline if self._batches.running else min(deadline, start_at)
+                self._changed.wait(wake_at - now)
+                now = self._clock()
+            else:
+                return outcome
+        return self._run_batch(started)
+
+    def _earliest_start(self, now: float) -> float:
+        """When a batch may start for a query that arrives now: few queries don't wait for others."""
+        self._arrivals.append(now)
+        are_many = len(self._arrivals) == self._min_batch_size and now - self._arrivals[0] < self._gather_s
+        return self._next_start_at if are_many else now
+
+    def _start_batch(self, now: float) -> ReadBatch:
+        """Start a batch, and consume the requests that it is expected to send."""
+        started = self._batches.start()
+        self._next_start_at = now + self._gather_s
+        self._rate_limiter.consume(min(started.queries, _SHARED_REQUESTS), now)
+        return started
+
+    def _run_batch(self, batch: ReadBatch) -> BatchOutcome:
+        """Run a batch, and wake the queries that wait for it."""
+        outcome = BatchOutcome.FAILED
+        try:
+            is_small = batch.queries < self._min_batch_size
+            outcome = BatchOutcome.READ_INDIVIDUALLY if is_small else self._advance_view()
+        finally:
+            with self._changed:
+                self._batches.finish()
+                self._outcomes.put(str(batch.number), outcome)
+                self._changed.notify_all()
+        return outcome
+
+    def _advance_view(self) -> BatchOutcome:
+        """Advance the view to the present revision."""
+        # Earlier queries continue to read the old view: a newer one replaces it as a whole.
+        fresh = self._view.copy()
+        try:
+            execute(advance_view(fresh), self._store)
+        except (StoreRejectedError, OutcomeUnknownError, WatchCompactedError):
+            return BatchOutcome.FAILED
+        except LaggingChangesError:
+            # Reads of single keys are right whatever a follow says of its revision.
+            return BatchOutcome.READ_INDIVIDUALLY
+        with self._changed:
+            self._view = fresh
+        return BatchOutcome.CURRENT
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -33,7 +33,7 @@
 from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
 from poppyhold.quota.records import PEER
-from poppyhold.reads.job_reads import JobReads
+from poppyhold.reads.batched_job_reads import BatchedJobReads
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.batch_handler import BatchHandler
 from poppyhold.relay.connected_relay import ConnectedRelay
@@ -408,7 +408,7 @@
         self.connectivity = Connectivity(self.member, self.times.heartbeat_interval_s, lambda: self.world.now)
         builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
         # Each question is a shared read by itself: the view is what users are answered from.
-        reads = JobReads(self.store, 0.0, 1.0, fewest_shared=1, clock=lambda: self.world.now)
+        reads = BatchedJobReads(self.store, 0.0, 1.0, min_batch_size=1, clock=lambda: self.world.now)
         self.users = UserApi(
             self.settings, self.store, lambda: builds, self._count, lambda: self.world.now, reads
         )
--- a/tests/test_reads.py
+++ b/tests/test_reads.py
@@ -22,10 +22,18 @@
 from poppyhold.durable.errors import StoreRejectedError, WatchCompactedError
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
 from poppyhold.durable.store import Changes, Page, Store
-from poppyhold.reads.catch_up import BehindError, Follow, ReadPage, ReadRevision, Step, carry_out, catch_up
-from poppyhold.reads.job_reads import JobReads
-from poppyhold.reads.job_view import JobView
-from poppyhold.reads.rounds import Round, Rounds
+from poppyhold.reads.active_jobs_view import ActiveJobsView
+from poppyhold.reads.batched_job_reads import BatchedJobReads
+from poppyhold.reads.read_batches import ReadBatch, ReadBatches
+from poppyhold.reads.read_index import (
+    Follow,
+    LaggingChangesError,
+    ReadPage,
+    ReadRevision,
+    StoreRequest,
+    advance_view,
+    execute,
+)
 
 JOBS = ("job-000001", "job-000002")
 NO_JOB = "job-000003"
@@ -57,7 +65,7 @@
         self.log.append(Write(self.revision, job_id, self.states[job_id]))
         return self.states[job_id]
 
-    def answer(self, step: Step, lag: int) -> int | Page | Changes:
+    def answer(self, step: StoreRequest, lag: int) -> int | Page | Changes:
         """A step's answer as of now; a follow may be ``lag`` changes late, as PROTOCOL does not rule out."""
         if isinstance(step, ReadRevision):
             return self.revision
@@ -89,14 +97,14 @@
 class NodeModel:
     """A controller: the real rounds and steps, with every message of theirs in the test's hands."""
 
-    def __init__(self, rounds: Rounds, steps: Any) -> None:
+    def __init__(self, rounds: ReadBatches, steps: Any) -> None:
         self.rounds, self._steps = rounds, steps
-        self.view = JobView()
+        self.view = ActiveJobsView()
         self.waiting: list[Question] = []
-        self.begun: Round | None = None
+        self.begun: ReadBatch | None = None
         self.fresh = self.view
-        self.running: Generator[Step, Any, None] | None = None
-        self.step: Step | None = None
+        self.running: Generator[StoreRequest, Any, None] | None = None
+        self.step: StoreRequest | None = None
         # An answer of the store that is on its way.
         self.answer: int | Page | Changes | Exception | None = None
         # Questions whose job is not active and whose final record is to be read.
@@ -104,7 +112,7 @@
 
     def begin(self) -> bool:
         """Begin a round; True if it is over at once."""
-        self.begun = self.rounds.begin()
+        self.begun = self.rounds.start()
         self.fresh = self.view.copy()
         self.running = self._steps(self.fresh)
         self.step = next(self.running, None)
@@ -151,10 +159,10 @@
 class Reads(RuleBasedStateMachine):
     """Writes, follows, cuts and questions on several controllers, in any order."""
 
-    def rounds(self) -> Rounds:
-        return Rounds()
+    def rounds(self) -> ReadBatches:
+        return ReadBatches()
 
-    steps = staticmethod(catch_up)
+    steps = staticmethod(advance_view)
 
     @initialize()
     def begin(self) -> None:
@@ -175,7 +183,7 @@
     def ask(self, job_id: str, index: int) -> None:
         node = self.nodes[index]
         self.history.time += 1
-        node.waiting.append(Question(job_id, self.history.time, node.rounds.arrive()))
+        node.waiting.append(Question(job_id, self.history.time, node.rounds.join()))
 
     @rule(index=st.integers(0, NODES - 1), lag=st.integers(0, 3), halves=st.integers(1, 8))
     def advance(self, index: int, lag: int, halves: int) -> None:
@@ -192,7 +200,7 @@
         elif node.answer is not None:
             try:
                 over = node.deliver()
-            except BehindError:
+            except LaggingChangesError:
                 # Each question asks for its own key instead, which is a write's own order.
                 self._finish(node, answered=False)
                 return
@@ -240,7 +248,7 @@
         self.store.kept_from = max(self.store.kept_from, self.store.revision - kept)
 
 
-def _play(machine: type[Reads], examples: int) -> None:
+def _search(machine: type[Reads], examples: int) -> None:
     # The same examples each time: the verdict must not depend on chance. One that fails is shown as it is.
     run_state_machine_as_test(
         machine,
@@ -256,40 +264,40 @@
 
 
 def test_no_answer_is_older_than_one_before_its_question() -> None:
-    _play(Reads, 250)
+    _search(Reads, 250)
 
 
 # -- the checker finds each guard that is taken out --------------------------------------------------
 
 
-class JoinsRunningRound(Rounds):
+class JoinsRunningBatch(ReadBatches):
     """A question joins the round that is under way."""
 
-    def arrive(self) -> int:
-        number = super().arrive()
+    def join(self) -> int:
+        number = super().join()
         return number - 1 if self.running else number
 
 
-def _without_revision(view: JobView) -> Any:
+def _without_revision(view: ActiveJobsView) -> Any:
     """A view that is there is taken for current."""
     if view.revision < 0:
-        yield from catch_up(view)
+        yield from advance_view(view)
 
 
-def _one_follow(view: JobView) -> Any:
+def _one_follow(view: ActiveJobsView) -> Any:
     """One follow is taken for enough, however late it is."""
     yield ReadRevision()
     if view.revision < 0:
-        yield from catch_up(view)
+        yield from advance_view(view)
         return
     try:
         view.apply((yield Follow(view.revision)))
     except WatchCompactedError:
-        view.forget()
-        yield from catch_up(view)
+        view.invalidate()
+        yield from advance_view(view)
 
 
-def _pages_as_snapshot(view: JobView) -> Any:
+def _pages_as_snapshot(view: ActiveJobsView) -> Any:
     """Several pages are taken for a snapshot as of the first one, and replayed from there in part."""
     present = yield ReadRevision()
     while view.revision < present:
@@ -308,15 +316,15 @@
         try:
             view.apply((yield Follow(view.revision)))
         except WatchCompactedError:
-            view.forget()
+            view.invalidate()
 
 
-def _gap_is_skipped(view: JobView) -> Any:
+def _gap_is_skipped(view: ActiveJobsView) -> Any:
     """Changes that the store has dropped are taken for none."""
     present = yield ReadRevision()
     while view.revision < present:
         if view.revision < 0:
-            yield from catch_up(view)
+            yield from advance_view(view)
             return
         try:
             view.apply((yield Follow(view.revision)))
@@ -367,14 +375,14 @@
 
 def test_a_question_does_not_join_a_running_round() -> None:
     _ask_during_a_round(Reads())
-    broken = type("Broken", (Reads,), {"rounds": lambda self: JoinsRunningRound()})
+    broken = type("Broken", (Reads,), {"rounds": lambda self: JoinsRunningBatch()})
     with pytest.raises(AssertionError):
         _ask_during_a_round(broken())
 
 
 def _through_a_change_between_pages(steps: Any) -> bool:
     """Whether a job is active in the view that a read of two pages leaves behind."""
-    view = JobView()
+    view = ActiveJobsView()
     running = steps(view)
     assert isinstance(next(running), ReadRevision)
     assert isinstance(running.send(1), ReadPage)
@@ -394,16 +402,16 @@
     return JOBS[1] in view
 
 
-def _send(running: Any, answer: Any) -> Step | None:
+def _send(running: Any, answer: Any) -> StoreRequest | None:
     try:
-        step: Step = running.send(answer)
+        step: StoreRequest = running.send(answer)
     except StopIteration:
         return None
     return step
 
 
 def test_pages_that_are_no_snapshot_are_followed_to_the_newest_of_them() -> None:
-    assert not _through_a_change_between_pages(catch_up)
+    assert not _through_a_change_between_pages(advance_view)
     assert _through_a_change_between_pages(_pages_as_snapshot)
 
 
@@ -446,7 +454,7 @@
         return Changes([], 7)
 
 
-def _ask_at_once(reads: JobReads, count: int) -> list[bool | str]:
+def _ask_at_once(reads: BatchedJobReads, count: int) -> list[bool | str]:
     answers: list[bool | str] = []
 
     def ask(index: int) -> None:
@@ -466,7 +474,7 @@
 def test_questions_that_wait_share_one_read() -> None:
     store = CountingStore()
     store.gate.clear()
-    reads = JobReads(store, gather_s=0.05, patience_s=10.0)
+    reads = BatchedJobReads(store, gather_s=0.05, timeout_s=10.0)
     threading.Timer(0.3, store.gate.set).start()
     assert _ask_at_once(reads, 60) == [True] * 60
     # The first ones may ask alone; the rest are a few rounds of two requests, and one reading of all jobs.
@@ -475,7 +483,7 @@
 
 def test_a_question_alone_is_one_request() -> None:
     store = CountingStore()
-    reads = JobReads(store, gather_s=0.05, patience_s=10.0)
+    reads = BatchedJobReads(store, gather_s=0.05, timeout_s=10.0)
     assert reads.is_active(JOBS[0])
     assert not reads.is_active(NO_JOB)
     assert store.requests == ["get", "get"]
@@ -483,7 +491,7 @@
 
 def test_nothing_is_answered_from_memory_while_the_store_is_unsure() -> None:
     store = CountingStore()
-    reads = JobReads(store, gather_s=0.0, patience_s=10.0, fewest_shared=1)
+    reads = BatchedJobReads(store, gather_s=0.0, timeout_s=10.0, min_batch_size=1)
     assert reads.is_active(JOBS[0])
     store.refuses = True
     with pytest.raises(StoreRejectedError):
@@ -495,7 +503,7 @@
 def test_who_waits_for_a_slow_read_is_told_to_come_back() -> None:
     store = CountingStore()
     store.gate.clear()
-    reads = JobReads(store, gather_s=0.0, patience_s=0.05, fewest_shared=1)
+    reads = BatchedJobReads(store, gather_s=0.0, timeout_s=0.05, min_batch_size=1)
     runner = threading.Thread(target=reads.is_active, args=(JOBS[0],))
     runner.start()
     while not store.requests:
@@ -507,8 +515,8 @@
 
 
 def test_steps_are_carried_out_one_after_the_other() -> None:
-    store, view = CountingStore(), JobView()
-    carry_out(catch_up(view), store)
+    store, view = CountingStore(), ActiveJobsView()
+    execute(advance_view(view), store)
     assert (JOBS[0] in view, NO_JOB in view, view.revision) == (True, False, 7)
     assert store.requests == ["revision", "page"]
 
@@ -522,7 +530,7 @@
 
 def test_where_follows_stay_behind_each_question_asks_for_its_key() -> None:
     store = StoreThatStaysBehind()
-    reads = JobReads(store, gather_s=0.0, patience_s=10.0, fewest_shared=1)
+    reads = BatchedJobReads(store, gather_s=0.0, timeout_s=10.0, min_batch_size=1)
     assert reads.is_active(JOBS[0])
     assert not reads.is_active(NO_JOB)
     assert store.requests.count("follow") <= 16
@@ -542,10 +550,10 @@
         return False
 
 
-@pytest.mark.parametrize("fewest_shared", [1, 3])
-def test_questions_ask_the_store_no_faster_than_their_pace(fewest_shared: int) -> None:
+@pytest.mark.parametrize("min_batch_size", [1, 3])
+def test_questions_ask_the_store_no_faster_than_their_pace(min_batch_size: int) -> None:
     store, waiting, pace = CountingStore(), VirtualCondition(), RateLimiter(5.0, burst=4.0)
-    reads = JobReads(store, 0.0, 10.0, fewest_shared, lambda: waiting.now, pace)
+    reads = BatchedJobReads(store, 0.0, 10.0, min_batch_size, lambda: waiting.now, pace)
     reads._changed = waiting
     for _ in range(200):
         reads.is_active(JOBS[0])
