--- /dev/null
+++ b/tests/reads_model.py
@@ -0,0 +1,175 @@
+"""A state service, controllers and the history of what users were told, for tests of reads."""
+
+from __future__ import annotations
+
+import threading
+from collections.abc import Generator
+from typing import Any, NamedTuple
+
+from poppyhold.durable.changes import DeletedKey, Entry
+from poppyhold.durable.errors import StoreRejectedError, WatchCompactedError
+from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
+from poppyhold.durable.store import Changes, Page, Store
+from poppyhold.reads.active_jobs_view import ActiveJobsView
+from poppyhold.reads.read_batches import ReadBatch, ReadBatches
+from poppyhold.reads.read_index import (
+    ReadPage,
+    ReadRevision,
+    StoreRequest,
+)
+
+JOBS = ("job-000001", "job-000002")
+NO_JOB = "job-000003"
+NODES = 2
+UNKNOWN, ACCEPTED, OVER = 0, 1, 2
+
+
+class Write(NamedTuple):
+    """A change of a job's key: it comes into being, or is moved to the final ones."""
+
+    revision: int
+    job_id: str
+    state: int
+
+
+class StoreModel:
+    """The state service: jobs by state, and the changes that are kept of them."""
+
+    def __init__(self) -> None:
+        self.revision = 0
+        self.states: dict[str, int] = dict.fromkeys(JOBS, UNKNOWN)
+        self.log: list[Write] = []
+        self.kept_from = 0
+
+    def write(self, job_id: str) -> int:
+        """The job's next state."""
+        self.revision += 1
+        self.states[job_id] += 1
+        self.log.append(Write(self.revision, job_id, self.states[job_id]))
+        return self.states[job_id]
+
+    def answer(self, step: StoreRequest, lag: int) -> int | Page | Changes:
+        """A step's answer as of now; a follow may be ``lag`` changes late, as PROTOCOL does not rule out."""
+        if isinstance(step, ReadRevision):
+            return self.revision
+        if isinstance(step, ReadPage):
+            keys = sorted(ACTIVE_JOB_PREFIX + job for job, state in self.states.items() if state == ACCEPTED)
+            later = [key for key in keys if key > step.after]
+            return Page([Entry(key, {}, 1) for key in later[:1]], len(later) > 1, self.revision)
+        if step.since < self.kept_from:
+            raise WatchCompactedError(ACTIVE_JOB_PREFIX, step.since)
+        upto = max(step.since, self.revision - lag)
+        events = [
+            Entry(ACTIVE_JOB_PREFIX + w.job_id, {}, w.revision)
+            if w.state == ACCEPTED
+            else DeletedKey(ACTIVE_JOB_PREFIX + w.job_id, w.revision)
+            for w in self.log
+            if step.since < w.revision <= upto
+        ]
+        return Changes(events, upto)
+
+
+class Question(NamedTuple):
+    """A question that waits."""
+
+    job_id: str
+    asked_at: int
+    number: int
+
+
+class NodeModel:
+    """A controller: the real rounds and steps, with every message of theirs in the test's hands."""
+
+    def __init__(self, rounds: ReadBatches, steps: Any) -> None:
+        self.rounds, self._steps = rounds, steps
+        self.view = ActiveJobsView()
+        self.waiting: list[Question] = []
+        self.begun: ReadBatch | None = None
+        self.fresh = self.view
+        self.running: Generator[StoreRequest, Any, None] | None = None
+        self.step: StoreRequest | None = None
+        # An answer of the store that is on its way.
+        self.answer: int | Page | Changes | Exception | None = None
+        # Questions whose job is not active and whose final record is to be read.
+        self.finals: list[Question] = []
+
+    def begin(self) -> bool:
+        """Begin a round; True if it is over at once."""
+        self.begun = self.rounds.start()
+        self.fresh = self.view.copy()
+        self.running = self._steps(self.fresh)
+        self.step = next(self.running, None)
+        return self.step is None
+
+    def deliver(self) -> bool:
+        """The answer arrives; True if the round is over."""
+        assert self.running is not None
+        answer, self.answer = self.answer, None
+        try:
+            if isinstance(answer, Exception):
+                self.step = self.running.throw(answer)
+            else:
+                self.step = self.running.send(answer)
+        except StopIteration:
+            return True
+        return False
+
+
+class History:
+    """What users were told, and a checker: each job's answers must fit into one order in real time."""
+
+    def __init__(self) -> None:
+        self.time = 0
+        # Least state that a question which arrives now may be answered with, and the highest there can be.
+        self.told: dict[str, int] = dict.fromkeys(JOBS, UNKNOWN)
+        self.possible: dict[str, int] = dict.fromkeys(JOBS, UNKNOWN)
+        self._least_at: dict[str, list[tuple[int, int]]] = {job: [(0, UNKNOWN)] for job in JOBS}
+
+    def tell(self, job_id: str, state: int) -> None:
+        """A user was told, or a transaction's answer arrived: from now on nobody may answer less."""
+        self.time += 1
+        if state > self.told[job_id]:
+            self.told[job_id] = state
+            self._least_at[job_id].append((self.time, state))
+
+    def check(self, question: Question, state: int) -> None:
+        """States only rise: an order exists if no answer is below what was told before its question."""
+        least = max(value for at, value in self._least_at[question.job_id] if at <= question.asked_at)
+        assert least <= state <= self.possible[question.job_id], (question, least, state)
+        self.tell(question.job_id, state)
+
+
+class CountingStore(Store):
+    """A store of two jobs that counts requests, and may refuse them or hold them up."""
+
+    def __init__(self) -> None:
+        self.requests: list[str] = []
+        self.refuses = False
+        self.gate = threading.Event()
+        self.gate.set()
+
+    def _request(self, kind: str) -> None:
+        self.requests.append(kind)
+        assert self.gate.wait(10.0)
+        if self.refuses:
+            raise StoreRejectedError("503")
+
+    def get(self, key: str) -> Entry | None:
+        self._request("get")
+        return (
+            Entry(key, {}, 1) if key in (ACTIVE_JOB_PREFIX + JOBS[0], ACTIVE_JOB_PREFIX + JOBS[1]) else None
+        )
+
+    def revision(self) -> int:
+        self._request("revision")
+        return 7
+
+    def page(self, prefix: str, after: str, most: int = 1000) -> Page:
+        self._request("page")
+        return Page(
+            [Entry(ACTIVE_JOB_PREFIX + JOBS[0], {}, 1), Entry(ACTIVE_JOB_PREFIX + JOBS[1], {}, 1)], False, 7
+        )
+
+    def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
+        self._request("follow")
+        return Changes([], 7)
--- a/tests/test_reads.py
+++ b/tests/test_linearizable_reads.py
@@ -1,10 +1,8 @@
-"""Shared reads: no answer is older than any that was given before its question arrived."""
+"""Linearizable reads: no answer is older than any that was given before its query arrived."""
 
 from __future__ import annotations
 
-import threading
-from collections.abc import Generator
-from typing import Any, NamedTuple
+from typing import Any
 
 import pytest
 from hypothesis import Phase, settings
@@ -17,14 +15,12 @@
     run_state_machine_as_test,
 )
 
-from poppyhold.concurrency.rate_limiter import RateLimiter
 from poppyhold.durable.changes import DeletedKey, Entry
-from poppyhold.durable.errors import StoreRejectedError, WatchCompactedError
+from poppyhold.durable.errors import WatchCompactedError
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
-from poppyhold.durable.store import Changes, Page, Store
+from poppyhold.durable.store import Changes, Page
 from poppyhold.reads.active_jobs_view import ActiveJobsView
-from poppyhold.reads.batched_job_reads import BatchedJobReads
-from poppyhold.reads.read_batches import ReadBatch, ReadBatches
+from poppyhold.reads.read_batches import ReadBatches
 from poppyhold.reads.read_index import (
     Follow,
     LaggingChangesError,
@@ -34,126 +30,19 @@
     advance_view,
     execute,
 )
-
-JOBS = ("job-000001", "job-000002")
-NO_JOB = "job-000003"
-NODES = 2
-UNKNOWN, ACCEPTED, OVER = 0, 1, 2
-
-
-class Write(NamedTuple):
-    """A change of a job's key: it comes into being, or is moved to the final ones."""
-
-    revision: int
-    job_id: str
-    state: int
-
-
-class StoreModel:
-    """The state service: jobs by state, and the changes that are kept of them."""
-
-    def __init__(self) -> None:
-        self.revision = 0
-        self.states: dict[str, int] = dict.fromkeys(JOBS, UNKNOWN)
-        self.log: list[Write] = []
-        self.kept_from = 0
-
-    def write(self, job_id: str) -> int:
-        """The job's next state."""
-        self.revision += 1
-        self.states[job_id] += 1
-        self.log.append(Write(self.revision, job_id, self.states[job_id]))
-        return self.states[job_id]
-
-    def answer(self, step: StoreRequest, lag: int) -> int | Page | Changes:
-        """A step's answer as of now; a follow may be ``lag`` changes late, as PROTOCOL does not rule out."""
-        if isinstance(step, ReadRevision):
-            return self.revision
-        if isinstance(step, ReadPage):
-            keys = sorted(ACTIVE_JOB_PREFIX + job for job, state in self.states.items() if state == ACCEPTED)
-            later = [key for key in keys if key > step.after]
-            return Page([Entry(key, {}, 1) for key in later[:1]], len(later) > 1, self.revision)
-        if step.since < self.kept_from:
-            raise WatchCompactedError(ACTIVE_JOB_PREFIX, step.since)
-        upto = max(step.since, self.revision - lag)
-        events = [
-            Entry(ACTIVE_JOB_PREFIX + w.job_id, {}, w.revision)
-            if w.state == ACCEPTED
-            else DeletedKey(ACTIVE_JOB_PREFIX + w.job_id, w.revision)
-            for w in self.log
-            if step.since < w.revision <= upto
-        ]
-        return Changes(events, upto)
-
-
-class Question(NamedTuple):
-    """A question that waits."""
-
-    job_id: str
-    asked_at: int
-    number: int
-
-
-class NodeModel:
-    """A controller: the real rounds and steps, with every message of theirs in the test's hands."""
-
-    def __init__(self, rounds: ReadBatches, steps: Any) -> None:
-        self.rounds, self._steps = rounds, steps
-        self.view = ActiveJobsView()
-        self.waiting: list[Question] = []
-        self.begun: ReadBatch | None = None
-        self.fresh = self.view
-        self.running: Generator[StoreRequest, Any, None] | None = None
-        self.step: StoreRequest | None = None
-        # An answer of the store that is on its way.
-        self.answer: int | Page | Changes | Exception | None = None
-        # Questions whose job is not active and whose final record is to be read.
-        self.finals: list[Question] = []
-
-    def begin(self) -> bool:
-        """Begin a round; True if it is over at once."""
-        self.begun = self.rounds.start()
-        self.fresh = self.view.copy()
-        self.running = self._steps(self.fresh)
-        self.step = next(self.running, None)
-        return self.step is None
-
-    def deliver(self) -> bool:
-        """The answer arrives; True if the round is over."""
-        assert self.running is not None
-        answer, self.answer = self.answer, None
-        try:
-            if isinstance(answer, Exception):
-                self.step = self.running.throw(answer)
-            else:
-                self.step = self.running.send(answer)
-        except StopIteration:
-            return True
-        return False
-
-
-class History:
-    """What users were told, and a checker: each job's answers must fit into one order in real time."""
-
-    def __init__(self) -> None:
-        self.time = 0
-        # Least state that a question which arrives now may be answered with, and the highest there can be.
-        self.told: dict[str, int] = dict.fromkeys(JOBS, UNKNOWN)
-        self.possible: dict[str, int] = dict.fromkeys(JOBS, UNKNOWN)
-        self._least_at: dict[str, list[tuple[int, int]]] = {job: [(0, UNKNOWN)] for job in JOBS}
-
-    def tell(self, job_id: str, state: int) -> None:
-        """A user was told, or a transaction's answer arrived: from now on nobody may answer less."""
-        self.time += 1
-        if state > self.told[job_id]:
-            self.told[job_id] = state
-            self._least_at[job_id].append((self.time, state))
-
-    def check(self, question: Question, state: int) -> None:
-        """States only rise: an order exists if no answer is below what was told before its question."""
-        least = max(value for at, value in self._least_at[question.job_id] if at <= question.asked_at)
-        assert least <= state <= self.possible[question.job_id], (question, least, state)
-        self.tell(question.job_id, state)
+from reads_model import (
+    ACCEPTED,
+    JOBS,
+    NO_JOB,
+    NODES,
+    OVER,
+    UNKNOWN,
+    CountingStore,
+    History,
+    NodeModel,
+    Question,
+    StoreModel,
+)
 
 
 class Reads(RuleBasedStateMachine):
@@ -415,157 +304,8 @@
     assert _through_a_change_between_pages(_pages_as_snapshot)
 
 
-# -- threads -----------------------------------------------------------------------------------------
-
-
-class CountingStore(Store):
-    """A store of two jobs that counts requests, and may refuse them or hold them up."""
-
-    def __init__(self) -> None:
-        self.requests: list[str] = []
-        self.refuses = False
-        self.gate = threading.Event()
-        self.gate.set()
-
-    def _request(self, kind: str) -> None:
-        self.requests.append(kind)
-        assert self.gate.wait(10.0)
-        if self.refuses:
-            raise StoreRejectedError("503")
-
-    def get(self, key: str) -> Entry | None:
-        self._request("get")
-        return (
-            Entry(key, {}, 1) if key in (ACTIVE_JOB_PREFIX + JOBS[0], ACTIVE_JOB_PREFIX + JOBS[1]) else None
-        )
-
-    def revision(self) -> int:
-        self._request("revision")
-        return 7
-
-    def page(self, prefix: str, after: str, most: int = 1000) -> Page:
-        self._request("page")
-        return Page(
-            [Entry(ACTIVE_JOB_PREFIX + JOBS[0], {}, 1), Entry(ACTIVE_JOB_PREFIX + JOBS[1], {}, 1)], False, 7
-        )
-
-    def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
-        self._request("follow")
-        return Changes([], 7)
-
-
-def _ask_at_once(reads: BatchedJobReads, count: int) -> list[bool | str]:
-    answers: list[bool | str] = []
-
-    def ask(index: int) -> None:
-        try:
-            answers.append(reads.is_active(JOBS[index % 2]))
-        except StoreRejectedError as error:
-            answers.append(str(error))
-
-    threads = [threading.Thread(target=ask, args=(index,)) for index in range(count)]
-    for thread in threads:
-        thread.start()
-    for thread in threads:
-        thread.join(20.0)
-    return answers
-
-
-def test_questions_that_wait_share_one_read() -> None:
-    store = CountingStore()
-    store.gate.clear()
-    reads = BatchedJobReads(store, gather_s=0.05, timeout_s=10.0)
-    threading.Timer(0.3, store.gate.set).start()
-    assert _ask_at_once(reads, 60) == [True] * 60
-    # The first ones may ask alone; the rest are a few rounds of two requests, and one reading of all jobs.
-    assert len(store.requests) <= 12, store.requests
-
-
-def test_a_question_alone_is_one_request() -> None:
-    store = CountingStore()
-    reads = BatchedJobReads(store, gather_s=0.05, timeout_s=10.0)
-    assert reads.is_active(JOBS[0])
-    assert not reads.is_active(NO_JOB)
-    assert store.requests == ["get", "get"]
-
-
-def test_nothing_is_answered_from_memory_while_the_store_is_unsure() -> None:
-    store = CountingStore()
-    reads = BatchedJobReads(store, gather_s=0.0, timeout_s=10.0, min_batch_size=1)
-    assert reads.is_active(JOBS[0])
-    store.refuses = True
-    with pytest.raises(StoreRejectedError):
-        reads.is_active(JOBS[0])
-    store.refuses = False
-    assert reads.is_active(JOBS[0])
-
-
-def test_who_waits_for_a_slow_read_is_told_to_come_back() -> None:
-    store = CountingStore()
-    store.gate.clear()
-    reads = BatchedJobReads(store, gather_s=0.0, timeout_s=0.05, min_batch_size=1)
-    runner = threading.Thread(target=reads.is_active, args=(JOBS[0],))
-    runner.start()
-    while not store.requests:
-        runner.join(0.01)
-    with pytest.raises(StoreRejectedError):
-        reads.is_active(JOBS[0])
-    store.gate.set()
-    runner.join(10.0)
-
-
 def test_steps_are_carried_out_one_after_the_other() -> None:
     store, view = CountingStore(), ActiveJobsView()
     execute(advance_view(view), store)
     assert (JOBS[0] in view, NO_JOB in view, view.revision) == (True, False, 7)
     assert store.requests == ["revision", "page"]
-
-
-class StoreThatStaysBehind(CountingStore):
-    """Its follows never come up to its own revision."""
-
-    def revision(self) -> int:
-        return super().revision() + 100
-
-
-def test_where_follows_stay_behind_each_question_asks_for_its_key() -> None:
-    store = StoreThatStaysBehind()
-    reads = BatchedJobReads(store, gather_s=0.0, timeout_s=10.0, min_batch_size=1)
-    assert reads.is_active(JOBS[0])
-    assert not reads.is_active(NO_JOB)
-    assert store.requests.count("follow") <= 16
-    assert store.requests.count("get") == 2
-
-
-class VirtualCondition(threading.Condition):
-    """Waits by moving a clock on."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.now = 0.0
-
-    def wait(self, timeout: float | None = None) -> bool:
-        assert timeout is not None
-        self.now += max(timeout, 1e-6)
-        return False
-
-
-@pytest.mark.parametrize("min_batch_size", [1, 3])
-def test_questions_ask_the_store_no_faster_than_their_pace(min_batch_size: int) -> None:
-    store, waiting, pace = CountingStore(), VirtualCondition(), RateLimiter(5.0, burst=4.0)
-    reads = BatchedJobReads(store, 0.0, 10.0, min_batch_size, lambda: waiting.now, pace)
-    reads._changed = waiting
-    for _ in range(200):
-        reads.is_active(JOBS[0])
-    # The first read of all jobs is one request more than rounds are taken to cost.
-    assert len(store.requests) <= 5.0 * waiting.now + 4.0 + 3.0
-    assert len(store.requests) >= 200
-
-
-def test_a_pace_lets_a_burst_go_and_then_an_even_rate() -> None:
-    pace, gone = RateLimiter(2.0, burst=3.0), []
-    for now in range(10):
-        while pace.ready_at() <= now:
-            pace.consume(1.0, now)
-            gone.append(now)
-    assert [gone.count(now) for now in range(4)] == [4, 2, 2, 2]
