--- a/src/poppyhold/node/request_router.py
+++ b/src/poppyhold/node/request_router.py
@@ -6,7 +6,7 @@
 from http import HTTPStatus
 
 from poppyhold.node.user_api import UserApi
-from poppyhold.wire.http import Answer, Deferred, answer
+from poppyhold.wire.http_server import DeferredResponse, HttpResponse, http_response
 
 JOBS_PATH = "/api/jobs"
 
@@ -17,13 +17,13 @@
     def __init__(
         self,
         users: UserApi,
-        handle_heartbeat: Callable[[bytes], Answer | Deferred],
-        check_readiness: Callable[[], Answer],
+        handle_heartbeat: Callable[[bytes], HttpResponse | DeferredResponse],
+        check_readiness: Callable[[], HttpResponse],
     ) -> None:
         self._users = users
         self._handle_heartbeat, self._check_readiness = handle_heartbeat, check_readiness
 
-    def route(self, method: str, path: str, body: bytes) -> Answer | Deferred:
+    def route(self, method: str, path: str, body: bytes) -> HttpResponse | DeferredResponse:
         """Answer a request."""
         path = path.partition("?")[0]
         if path == "/hello":
@@ -36,7 +36,7 @@
             return self._route_job(method, path.removeprefix(JOBS_PATH + "/"))
         return _no_such_path()
 
-    def _route_job(self, method: str, path: str) -> Answer:
+    def _route_job(self, method: str, path: str) -> HttpResponse:
         job_id, _, action = path.partition("/")
         if not action:
             return self._users.poll(job_id) if method == "GET" else _method_not_allowed("GET")
@@ -45,9 +45,9 @@
         return _no_such_path()
 
 
-def _method_not_allowed(allowed: str) -> Answer:
-    return answer(HTTPStatus.METHOD_NOT_ALLOWED, {"error": "method"}, Allow=allowed)
+def _method_not_allowed(allowed: str) -> HttpResponse:
+    return http_response(HTTPStatus.METHOD_NOT_ALLOWED, {"error": "method"}, Allow=allowed)
 
 
-def _no_such_path() -> Answer:
-    return answer(HTTPStatus.NOT_FOUND, {"error": "no such path"})
+def _no_such_path() -> HttpResponse:
+    return http_response(HTTPStatus.NOT_FOUND, {"error": "no such path"})
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -25,7 +25,7 @@
 from poppyhold.options import Options
 from poppyhold.quota.server import QuotaServer
 from poppyhold.settings import Settings, split_address
-from poppyhold.wire.http import Answer, Server
+from poppyhold.wire.http_server import HttpResponse, HttpServer
 
 # More misdirected workers would not fit into a message between controllers.
 _MAX_MISDIRECTED_WORKERS = 20_000
@@ -86,7 +86,7 @@
             readiness.contact_at,
         )
         self.peers: Peers = self._membership.peers
-        self.server = Server(
+        self.server = HttpServer(
             split_address(settings.client_listen),
             RequestRouter(self.users, self._heartbeats.handle, readiness.check).route,
             limits.connections,
@@ -139,7 +139,7 @@
         """The machines' images, as the last leader told them."""
         return self._membership.peer_image_hints
 
-    def reject_heartbeat(self) -> Answer:
+    def reject_heartbeat(self) -> HttpResponse:
         """The answer to a heartbeat that the leader can't answer."""
         return self._heartbeats.reject()
 
--- a/src/poppyhold/quota/link.py
+++ b/src/poppyhold/quota/link.py
@@ -19,7 +19,7 @@
 from poppyhold.quota.messages import NotLeading, QuotaResponse, TransferRequest, TransferResponse
 from poppyhold.quota.request_board import RequestBoard
 from poppyhold.settings import split_address
-from poppyhold.wire.frames import receive, send
+from poppyhold.wire.frames import receive_message, send_message
 
 log = logging.getLogger(__name__)
 
@@ -46,8 +46,8 @@
         OSError, ValueError, msgspec.MsgspecError: there was no response that can be read.
     """
     with socket.create_connection(split_address(address), timeout=timeout_s) as connection:
-        send(connection, request)
-        return receive(connection, _response_decoder)
+        send_message(connection, request)
+        return receive_message(connection, _response_decoder)
 
 
 class CellLink:
@@ -131,8 +131,8 @@
             address = split_address(self._cell.controllers[self._next].address)
             self._connection = socket.create_connection(address, timeout=self._timeout_s)
             self._connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        send(self._connection, request)
-        return receive(self._connection, _response_decoder)
+        send_message(self._connection, request)
+        return receive_message(self._connection, _response_decoder)
 
     def _select_controller(self, member: str) -> bool:
         """Send the next request to that controller; False if it is unknown here, or was just asked."""
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from poppyhold.cluster.election import Leader
+from poppyhold.cluster.known_leader import Leader
 from poppyhold.relay.link import RelayLink
 from poppyhold.relay.messages import RelayedResponse, RelayHello, RelayOutcome
 from poppyhold.relay.overflow_redirect import OverflowRedirector
 from poppyhold.relay.timings import RelayTimings, heartbeat_response_timeout_s
 from poppyhold.settings import Settings, split_address
-from poppyhold.wire.http import Answer, Deferred, answer
-from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
+from poppyhold.wire.http_server import DeferredResponse, HttpResponse, http_response
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, Redirect
 
 # Share of a relay's connections that workers may take; the rest is for users and for redirected workers.
 _WORKERS_SHARE = 0.9
@@ -28,8 +28,8 @@
         settings: Settings,
         leader: Callable[[], Leader | None],
         is_leading: Callable[[], bool],
-        answer_without_leader: Callable[[Heartbeat], Answer | None],
-        redirect_to_leader: Callable[[], Answer],
+        answer_without_leader: Callable[[Heartbeat], HttpResponse | None],
+        redirect_to_leader: Callable[[], HttpResponse],
         rng: random.Random,
     ) -> None:
         """``is_leading``: whether this node leads itself.
@@ -77,34 +77,36 @@
         """Whether a leader wanted heartbeats to be relayed within the last lease."""
         return time.monotonic() - self._wanted_at < self._lease_s
 
-    def handle(self, heartbeat: Heartbeat) -> Answer | Deferred | None:
+    def handle(self, heartbeat: Heartbeat) -> HttpResponse | DeferredResponse | None:
         """Forward a heartbeat to the leader, or redirect its worker; None if none is relayed now."""
         if not self._link.is_open():
             return None
         target = self._overflow.redirect(heartbeat.machine)
         if target is not None:
-            return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": target})
+            return http_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect(target).body())
 
-        def defer(send: Callable[[Answer], None]) -> None:
+        def defer(send: Callable[[HttpResponse], None]) -> None:
             def on_response(response: RelayedResponse | None) -> None:
                 send(self._answer(heartbeat, response))
 
             if not self._link.offer(heartbeat, on_response):
-                send(answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "too many reports wait"}))
+                send(http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "too many reports wait"}))
 
         return defer
 
-    def _answer(self, heartbeat: Heartbeat, response: RelayedResponse | None) -> Answer:
+    def _answer(self, heartbeat: Heartbeat, response: RelayedResponse | None) -> HttpResponse:
         """The answer to a worker after the leader's response, or without one."""
         if response is None:
             return self._answer_without_leader(heartbeat) or self._unanswered()
         if response.outcome is RelayOutcome.ANSWERED:
-            return answer(HTTPStatus.OK, HeartbeatResponse(response.fencing_token, response.commands).body())
+            return http_response(
+                HTTPStatus.OK, HeartbeatResponse(response.fencing_token, response.commands).body()
+            )
         if response.outcome is RelayOutcome.REDIRECTED:
-            return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": response.controller})
-        return answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
+            return http_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect(response.controller).body())
+        return http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
 
-    def _unanswered(self) -> Answer:
+    def _unanswered(self) -> HttpResponse:
         """Where to send a worker for which there was no response.
 
         After a change of leader it goes to another relay, because the next leader loads the durable state
@@ -113,7 +115,7 @@
         partitioned from a leader which it can reach itself.
         """
         if self._link.is_reconnecting():
-            return answer(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "no leader to pass this on to"})
+            return http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "no leader to pass this on to"})
         return self._redirect_to_leader()
 
     def _target(self) -> str | None:
--- a/src/poppyhold/relay/link.py
+++ b/src/poppyhold/relay/link.py
@@ -16,7 +16,7 @@
 from poppyhold.relay.queue import HeartbeatQueue, OnResponse, Response
 from poppyhold.relay.reconnection import ReconnectionWindow
 from poppyhold.relay.timings import RelayTimings
-from poppyhold.wire.frames import receive, send, shut
+from poppyhold.wire.frames import receive_message, send_message, shut_down
 from poppyhold.wire.worker_messages import Heartbeat
 
 log = logging.getLogger(__name__)
@@ -108,7 +108,7 @@
             ) as connection:
                 connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 connection.settimeout(self._timings.keepalive_s + self._timings.stalled_s)
-                send(connection, self._hello)
+                send_message(connection, self._hello)
                 self._serve(connection, target)
         except (OSError, ValueError, msgspec.MsgspecError) as error:
             log.debug("relay connection ended: leader=%s error=%r", target, str(error))
@@ -130,7 +130,7 @@
         finally:
             # If it were closed while the reader uses it, the descriptor could be another connection's by the
             # time it reads on.
-            shut(connection)
+            shut_down(connection)
             reader.join()
             self._connection_lost(target)
 
@@ -150,13 +150,13 @@
                 raise TimeoutError("no responses")
             batch = self._queue.next_batch(now, _MAX_BATCH_SIZE, min(self._round_trips, default=0.0))
             self._in_flight.append(now)
-        send(connection, batch)
+        send_message(connection, batch)
         self._expire()
 
     def _read(self, connection: socket.socket) -> None:
         try:
             while True:
-                self._handle_responses(receive(connection, _decoder))
+                self._handle_responses(receive_message(connection, _decoder))
         except (OSError, ValueError, msgspec.MsgspecError) as error:
             log.debug("relayed responses ended: error=%r", str(error))
         except Exception:
--- a/src/poppyhold/relay/server.py
+++ b/src/poppyhold/relay/server.py
@@ -22,7 +22,7 @@
 )
 from poppyhold.relay.timings import heartbeat_response_timeout_s
 from poppyhold.settings import Workers
-from poppyhold.wire.frames import receive, send_at_once, shut
+from poppyhold.wire.frames import receive_message, shut_down, try_send_message
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
 _decoder = msgspec.msgpack.Decoder(HeartbeatBatch)
@@ -71,7 +71,7 @@
             # A relay that is silent for longer than its own keepalives take is gone.
             connection.settimeout(self._idle_timeout_s)
             while not self._closed:
-                self._queue(connection, relay, receive(connection, _decoder))
+                self._queue(connection, relay, receive_message(connection, _decoder))
         finally:
             relay.alive = False
             self._end(connection, hello.member)
@@ -89,7 +89,7 @@
             self._closed = True
             connections = list(self._connections.values())
         for connection in connections:
-            shut(connection)
+            shut_down(connection)
 
     def _connected(self, relay: ConnectedRelay) -> None:
         self._relays[relay.member] = relay
@@ -107,7 +107,7 @@
             self._connections[member] = connection
         if previous is not None:
             # Its process has restarted, or has lost the connection that we still hold.
-            shut(previous)
+            shut_down(previous)
         return True
 
     def _end(self, connection: socket.socket, member: str) -> None:
@@ -122,11 +122,13 @@
 
         def work() -> None:
             # Batches of a connection that is lost are dropped: nobody waits for them here.
-            if relay.alive and not send_at_once(connection, self._handler.handle(relay, batch, received_at)):
-                shut(connection)
+            if relay.alive and not try_send_message(
+                connection, self._handler.handle(relay, batch, received_at)
+            ):
+                shut_down(connection)
 
-        if not self._post(HEARTBEATS, work) and not send_at_once(connection, _rejected(batch)):
-            shut(connection)
+        if not self._post(HEARTBEATS, work) and not try_send_message(connection, _rejected(batch)):
+            shut_down(connection)
 
 
 def _rejected(batch: HeartbeatBatch) -> ResponseBatch:
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -26,8 +26,8 @@
 from poppyhold.scale.worker_standin import WorkerStandIn
 from poppyhold.settings import MachineLimits, Workers, strains
 from poppyhold.wire.codec import decode, encode
-from poppyhold.wire.http import Answer, Deferred, Server
-from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
+from poppyhold.wire.http_client import HttpClient, NoResponseError, NotSentError
+from poppyhold.wire.http_server import DeferredResponse, HttpResponse, HttpServer, http_response
 from world import World
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -65,7 +65,9 @@
             self.finished.append,
         )
         self.lock = threading.Lock()
-        self.servers = [Server(("127.0.0.1", 0), route, 50) for route in (self._state, self._cloud, self._do)]
+        self.servers = [
+            HttpServer(("127.0.0.1", 0), route, 50) for route in (self._state, self._cloud, self._do)
+        ]
         self.ports = [server.server_port for server in self.servers]
         self.worker.endpoint = f"127.0.0.1:{self.ports[2]}"
         for server in self.servers:
@@ -76,29 +78,29 @@
         for server in self.servers:
             server.close_all()
 
-    def _state(self, method: str, path: str, body: bytes) -> Answer:
+    def _state(self, method: str, path: str, body: bytes) -> HttpResponse:
         if path.startswith("/follow"):
             return self._follow(parse_query(path)[1])
         with self.lock:
-            return *state_route(self.state, method, path, body), {}
+            return http_response(*state_route(self.state, method, path, body))
 
-    def _follow(self, asked: dict[str, str]) -> Answer:
+    def _follow(self, asked: dict[str, str]) -> HttpResponse:
         deadline = time.monotonic() + float(asked["holdMs"]) / 1000
         while True:
             with self.lock:
                 events = self.state.changes(asked["prefix"], int(asked["since"]))
                 if events or time.monotonic() >= deadline:
-                    return 200, {"ledger": self.state.ledger, "events": events}, {}
+                    return http_response(200, {"ledger": self.state.ledger, "events": events})
             time.sleep(0.02)
 
-    def _cloud(self, method: str, path: str, body: bytes) -> Answer:
+    def _cloud(self, method: str, path: str, body: bytes) -> HttpResponse:
         with self.lock:
             self.cloud.remember()
-            return *cloud_route(self.cloud, method, path, body), {}
+            return http_response(*cloud_route(self.cloud, method, path, body))
 
-    def _do(self, method: str, path: str, body: bytes) -> Answer:
+    def _do(self, method: str, path: str, body: bytes) -> HttpResponse:
         with self.lock:
-            return *self.worker.do(decode(body)), {}
+            return http_response(*self.worker.do(decode(body)))
 
     def heartbeat(self, port: int) -> None:
         """The worker's report to a node, and what the answer brings."""
@@ -106,8 +108,10 @@
             self.worker.step()
             body, sent_at, shift = self.worker.heartbeat(), time.monotonic(), self.worker.incarnation
         try:
-            status, answer = Client("127.0.0.1", port, keep=0).request("POST", "/hello", body, timeout=4.0)
-        except (NotSentError, NoAnswerError):
+            status, answer = HttpClient("127.0.0.1", port, most_idle=0).request(
+                "POST", "/hello", body, timeout=4.0
+            )
+        except (NotSentError, NoResponseError):
             return
         if status == 200:
             with self.lock:
@@ -153,13 +157,13 @@
         # The checkout's own dependencies may not be built here: those of the tests serve as well.
         environment = {**os.environ, "PYTHONPATH": os.pathsep.join(paths), "LOG_LEVEL": "debug"}
         self.process = subprocess.Popen(command, env=environment, stderr=subprocess.DEVNULL)
-        self.client = Client("127.0.0.1", self.port)
+        self.client = HttpClient("127.0.0.1", self.port)
 
     def ask(self, method: str, path: str, body: Data | None = None) -> tuple[int, Data]:
         """One request of a user."""
         try:
             return self.client.request(method, path, body, timeout=5.0)
-        except (NotSentError, NoAnswerError):
+        except (NotSentError, NoResponseError):
             return 0, {}
 
     def kill(self) -> None:
@@ -229,20 +233,20 @@
 def test_server_outlives_what_peers_send() -> None:
     calls: list[str] = []
 
-    def route(method: str, path: str, body: bytes) -> Answer:
+    def route(method: str, path: str, body: bytes) -> HttpResponse:
         calls.append(path)
         if path == "/fail":
             raise RuntimeError("a mistake")
-        return 200, {}, {}
+        return http_response(200)
 
-    server = Server(("127.0.0.1", 0), route, 10)
+    server = HttpServer(("127.0.0.1", 0), route, 10)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     try:
         silent = socket.create_connection(("127.0.0.1", server.server_port))
         with socket.create_connection(("127.0.0.1", server.server_port)) as garbage:
             garbage.sendall(b"\x00\xff nonsense\r\n\r\n")
             garbage.recv(100)
-        client = Client("127.0.0.1", server.server_port)
+        client = HttpClient("127.0.0.1", server.server_port)
         assert client.request("GET", "/fail", timeout=5.0)[0] == 503
         assert client.request("POST", "/fine", {"a": 1}, timeout=5.0)[0] == 200
         silent.close()
@@ -253,9 +257,9 @@
 
 
 def test_silent_connections_make_room_and_workers_stay() -> None:
-    server = Server(("127.0.0.1", 0), lambda method, path, body: (200, {}, {}), 3)
+    server = HttpServer(("127.0.0.1", 0), lambda method, path, body: http_response(200), 3)
     threading.Thread(target=server.serve_forever, daemon=True).start()
-    clients = [Client("127.0.0.1", server.server_port) for _ in range(4)]
+    clients = [HttpClient("127.0.0.1", server.server_port) for _ in range(4)]
     silent: list[socket.socket] = []
     try:
         assert clients[0].request("POST", "/hello", {}, timeout=5.0)[0] == 200
@@ -266,7 +270,7 @@
         assert clients[1].request("POST", "/hello", {}, timeout=5.0)[0] == 200
         assert clients[2].request("POST", "/hello", {}, timeout=5.0)[0] == 200
         # Three workers fill it: nobody is turned out for a fourth.
-        with pytest.raises((NoAnswerError, NotSentError)):
+        with pytest.raises((NoResponseError, NotSentError)):
             clients[3].request("GET", "/ready", timeout=5.0)
     finally:
         for held in silent:
@@ -277,9 +281,11 @@
 
 
 def test_old_connections_of_workers_make_room() -> None:
-    server = Server(("127.0.0.1", 0), lambda method, path, body: (200, {}, {}), 1, worker_s=0.2)
+    server = HttpServer(
+        ("127.0.0.1", 0), lambda method, path, body: http_response(200), 1, worker_grace_s=0.2
+    )
     threading.Thread(target=server.serve_forever, daemon=True).start()
-    clients = [Client("127.0.0.1", server.server_port) for _ in range(2)]
+    clients = [HttpClient("127.0.0.1", server.server_port) for _ in range(2)]
     try:
         # It was a worker's, but its zone was cut off, and it has come back over another one.
         assert clients[0].request("POST", "/hello", {}, timeout=5.0)[0] == 200
@@ -298,13 +304,13 @@
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 2 * workers + 200)), hard))
 
-    def route(method: str, path: str, body: bytes) -> Deferred:
-        return lambda send: send((200, {"of": decode(body)["box"]}, {}))
+    def route(method: str, path: str, body: bytes) -> DeferredResponse:
+        return lambda send: send(http_response(200, {"of": decode(body)["box"]}))
 
     before = threading.active_count()
-    server = Server(("127.0.0.1", 0), route, limits.connections)
+    server = HttpServer(("127.0.0.1", 0), route, limits.connections)
     threading.Thread(target=server.serve_forever, daemon=True).start()
-    clients = [Client("127.0.0.1", server.server_port) for _ in range(workers)]
+    clients = [HttpClient("127.0.0.1", server.server_port) for _ in range(workers)]
     try:
         for _ in range(2):
             for number, client in enumerate(clients):
@@ -361,5 +367,5 @@
 
 
 def test_handler_is_the_standard_one() -> None:
-    assert issubclass(Server, http.server.HTTPServer)
+    assert issubclass(HttpServer, http.server.HTTPServer)
     assert decode(encode({"a": 1})) == {"a": 1}
