--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -57,9 +57,9 @@
         # Ways between cells that are cut, each in one direction.
         self.cuts: set[tuple[int, int]] = set()
         self.twice_share = self.lost_share = self.late_share = 0.0
-        # Cells whose controllers once ran without the file: there the share may be exceeded, not unnoticed.
+        # Cells whose controllers once ran without the file: their use may exceed it, not unnoticed.
         self.without_file: set[int] = set()
-        # A cell was restored from nothing: until all shares are made anew, they don't add up.
+        # A cell was restored from nothing: until all allocations are created anew, they don't add up.
         self.cell_is_lost = False
         self._unsaid: Counter[int] = Counter()
         self._check_at = 0.0
@@ -140,19 +140,19 @@
 
     # -- what there is ---------------------------------------------------------------------------------
 
-    def _book(self, world: World) -> AllocationLedger:
-        """What is durable of a cell's shares."""
-        book = AllocationLedger(
+    def _ledger(self, world: World) -> AllocationLedger:
+        """A cell's durable allocations."""
+        ledger = AllocationLedger(
             "", str, lambda conditions, writes, done: None, lambda team: None, lambda why: None
         )
         entries = world.state.scan(QUOTA_PREFIX, "", 1000)[1]["entries"]
-        book.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
-        return book
+        ledger.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
+        return ledger
 
-    def share(self, cell: int) -> float:
+    def allocation(self, cell: int) -> float:
         """The limit of the team's accelerators in a cell."""
-        share = self._book(self.worlds[cell]).allocation(TEAM)
-        return 0.0 if share is None else (share.accelerators.limit or 0) / UNIT
+        allocation = self._ledger(self.worlds[cell]).allocation(TEAM)
+        return 0.0 if allocation is None else (allocation.accelerators.limit or 0) / UNIT
 
     def used(self) -> float:
         """Accelerators that the team uses in all cells."""
@@ -164,17 +164,17 @@
         return float(sum(job["accelerators"] for job in jobs if job["crew"] == TEAM))
 
     def in_transit(self) -> list[str]:
-        """Transfers that who gave them has not forgotten."""
+        """Transfers not yet forgotten at their source."""
         return [
             f"{name} to {peer}"
             for name, world in zip(self._names, self.worlds, strict=True)
-            for peer, record in self._book(world).peers.items()
+            for peer, record in self._ledger(world).peers.items()
             if record.in_transit is not None
         ]
 
     def moves(self) -> int:
-        """Transfers that were begun in all cells."""
-        return sum(record.sent for world in self.worlds for record in self._book(world).peers.values())
+        """Transfers that were started in all cells."""
+        return sum(record.sent for world in self.worlds for record in self._ledger(world).peers.values())
 
     def alarms(self, cell: int) -> list[str]:
         """What stands at the cell's leader."""
@@ -193,18 +193,18 @@
         if self.now < self._check_at:
             return
         self._check_at = self.now + _CHECK_S
-        books = {name: self._book(world) for name, world in zip(self._names, self.worlds, strict=True)}
-        if self.cell_is_lost or any(book.allocation(TEAM) is None for book in books.values()):
+        ledgers = {name: self._ledger(world) for name, world in zip(self._names, self.worlds, strict=True)}
+        if self.cell_is_lost or any(ledger.allocation(TEAM) is None for ledger in ledgers.values()):
             return
         running = {
             name: 0 if index in self.without_file and self._says_so(index) else to_units(self._used(world))
             for index, (name, world) in enumerate(zip(self._names, self.worlds, strict=True))
         }
-        for problem in sum_problems(books, TEAM, self._whole, running):
-            self.broken.append(f"shares: {problem} at {self.now:.1f}")
+        for problem in sum_problems(ledgers, TEAM, self._whole, running):
+            self.broken.append(f"allocations: {problem} at {self.now:.1f}")
 
     def _says_so(self, cell: int) -> bool:
-        """Whether more in use than the share is named there, or nobody with the file leads who could."""
+        """Whether an alarm tells of use above the allocation, or no leader with options could raise it."""
         leader = self.worlds[cell].leader()
         term = leader.leader_term if leader is not None else None
         quota = term.controller.quota if term is not None else None
@@ -212,6 +212,6 @@
             return True
         if any("use above share" in alarm for alarm in quota.alarms.texts()):
             return True
-        # It is found at the next tick behind the report that shows it.
+        # It is found at the next tick after the heartbeat that shows it.
         self._unsaid[cell] += 1
         return self._unsaid[cell] == 1
--- a/tests/quota_model.py
+++ b/tests/quota_model.py
@@ -1,4 +1,4 @@
-"""Cells that exchange shares, step by step: the real book over stand-in stores and a bad network."""
+"""Cells that transfer amounts, step by step: the real ledger over simulated stores and a bad network."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 class Leader:
-    """One term: its book, and its durable steps in their order."""
+    """One term: its ledger, and its commits in their order."""
 
     def __init__(self, cell: ModelCell, lead_version: int) -> None:
         self.cell = cell
@@ -107,29 +107,29 @@
         done(result)
 
     def limit(self) -> int:
-        """The limit that starts are planned against."""
-        share = self.ledger.allocation(TEAM)
-        return 0 if share is None else share.accelerators.limit or 0
+        """The limit against which starts are planned."""
+        allocation = self.ledger.allocation(TEAM)
+        return 0 if allocation is None else allocation.accelerators.limit or 0
 
     def idle(self) -> int:
-        """What lies above all that may run."""
+        """The part of the limit above everything that may run."""
         return max(0, self.limit() - self.cell.running)
 
     def debit(self, peer: ModelCell, units: int) -> bool:
-        """Give up to so many units of what is idle, guaranteed ones first."""
-        share = self.ledger.allocation(TEAM)
-        if share is None or self.lost_leadership or peer.leader is None:
+        """Debit up to so many idle units, guaranteed ones first."""
+        allocation = self.ledger.allocation(TEAM)
+        if allocation is None or self.lost_leadership or peer.leader is None:
             return False
         idle = min(units, self.idle())
-        guaranteed = min(idle, share.accelerators.guaranteed)
-        part = ResourceAmount(guaranteed, min(idle - guaranteed, share.accelerators.borrowable or 0))
+        guaranteed = min(idle, allocation.accelerators.guaranteed)
+        part = ResourceAmount(guaranteed, min(idle - guaranteed, allocation.accelerators.borrowable or 0))
         amount = TeamAmount(accelerators=part)
         if amount.is_zero:
             return False
         return self.ledger.debit(peer.name, peer.incarnation, {TEAM: amount})
 
     def request(self, peer: str) -> TransferRequest:
-        """What this leader tells another cell's."""
+        """The request to another cell's leader."""
         known = self.ledger.peers.get(peer)
         return TransferRequest(
             PROTOCOL_VERSION,
@@ -142,7 +142,7 @@
         )
 
     def answer(self, request: TransferRequest) -> TransferResponse:
-        """The answer to another cell's leader, without what it wants."""
+        """The response to another cell's leader, without its unmet demand."""
         self.ledger.check_peer(request.cell, request.incarnation)
         self.ledger.acknowledge(request.cell, request.incarnation, request.applied)
         return TransferResponse(
@@ -150,7 +150,7 @@
         )
 
     def handle_response(self, reply: TransferResponse) -> None:
-        """Another cell's answer arrives."""
+        """Another cell's response arrives."""
         self.ledger.check_peer(reply.cell, reply.incarnation)
         if reply.transfer is not None:
             self.ledger.credit(reply.cell, reply.incarnation, reply.transfer)
@@ -164,7 +164,7 @@
         self.state = StateStandIn(lambda: 0.0)
         self.late: list[Callable[[], None]] = []
         self.leader: Leader | None = None
-        # Deposed, and not aware of it.
+        # Leaders that lost their leadership without noticing.
         self.former: list[Leader] = []
         self.running = 0
         self._drawn = 0
@@ -202,26 +202,26 @@
 
 
 def sum_problems(
-    books: dict[str, AllocationLedger], team: str, whole: TeamAllocation, running: dict[str, int]
+    ledgers: dict[str, AllocationLedger], team: str, total: TeamAllocation, running: dict[str, int]
 ) -> list[str]:
-    """Why durable shares and what is on its way are not what they must be, for a team's accelerators."""
+    """Why durable allocations and transfers do not add up, for a team's accelerators."""
     found = []
     guaranteed = borrowable = 0
-    for cell, book in books.items():
-        share = book.allocation(team)
-        part = share.accelerators if share is not None else ResourceAllocation(0, 0)
+    for cell, ledger in ledgers.items():
+        allocation = ledger.allocation(team)
+        part = allocation.accelerators if allocation is not None else ResourceAllocation(0, 0)
         guaranteed += part.guaranteed
         borrowable += part.borrowable or 0
         if part.guaranteed < 0 or (part.borrowable or 0) < 0:
-            found.append(f"{cell} has a negative share: {part}")
+            found.append(f"{cell} has a negative allocation: {part}")
         if (part.limit or 0) < running[cell]:
             found.append(f"{cell} runs {running[cell]} of {part.limit}")
-        for peer, record in book.peers.items():
+        for peer, record in ledger.peers.items():
             transfer = record.in_transit
-            if transfer is not None and transfer.number > books[peer].last_applied_from(cell):
+            if transfer is not None and transfer.number > ledgers[peer].last_applied_from(cell):
                 guaranteed += transfer.amounts[team].accelerators.guaranteed
                 borrowable += transfer.amounts[team].accelerators.borrowable
-    if (guaranteed, borrowable) != (whole.accelerators.guaranteed, whole.accelerators.borrowable):
+    if (guaranteed, borrowable) != (total.accelerators.guaranteed, total.accelerators.borrowable):
         found.append(f"guarantees add up to {guaranteed}, the rest to {borrowable}")
     return found
 
@@ -234,7 +234,7 @@
         self.network: list[tuple[ModelCell, TransferRequest | TransferResponse]] = []
 
     def ask(self, index: int, other: int, by_former: bool = False) -> None:
-        """A leader asks another cell's; also one that was deposed may."""
+        """A leader sends a request to another cell's; a former one may, too."""
         cell, peer = self.cells[index], self.cells[other]
         leader = cell.former[-1] if by_former and cell.former else cell.leader
         if index != other and leader is not None:
@@ -256,7 +256,7 @@
         self.network.append((back, leader.answer(message)))
 
     def settle(self) -> None:
-        """All troubles are over: new leaders exchange what there is."""
+        """All faults have ended: new leaders complete every transfer."""
         self.network.clear()
         for cell in self.cells:
             cell.elect()
@@ -273,17 +273,17 @@
 
     def problems(self) -> list[str]:
         """What must never be, by what is durable now."""
-        books = {cell.name: cell.durable().ledger for cell in self.cells}
-        found = sum_problems(books, TEAM, WHOLE, {cell.name: cell.running for cell in self.cells})
+        ledgers = {cell.name: cell.durable().ledger for cell in self.cells}
+        found = sum_problems(ledgers, TEAM, WHOLE, {cell.name: cell.running for cell in self.cells})
         for cell in self.cells:
-            share = books[cell.name].allocation(TEAM)
-            durable = 0 if share is None else share.accelerators.limit or 0
+            allocation = ledgers[cell.name].allocation(TEAM)
+            durable = 0 if allocation is None else allocation.accelerators.limit or 0
             if cell.leader is not None and cell.leader.limit() > durable:
                 found.append(f"{cell.name} plans with {cell.leader.limit()} of {durable}")
         return found
 
     def in_transit(self) -> list[str]:
-        """Transfers that are on their way, or not yet forgotten by who gave them."""
+        """Transfers in transit, or not yet forgotten at their source."""
         return [
             f"{cell.name} to {peer}"
             for cell in self.cells
@@ -292,22 +292,38 @@
         ]
 
 
+def transfer(fleet: Fleet, again: int = 0) -> None:
+    """One unit goes from the first cell to the second, and its answer arrives more than once."""
+    source, destination = fleet.cells[0].leader, fleet.cells[1].leader
+    assert source is not None
+    assert destination is not None
+    source.debit(fleet.cells[1], UNIT)
+    source.carry_out()
+    fleet.ask(1, 0)
+    fleet.deliver(0)
+    for _ in range(again):
+        fleet.deliver(0, again=True)
+        destination.carry_out()
+    fleet.deliver(0)
+    destination.carry_out()
+
+
 # -- guards taken out ----------------------------------------------------------------------------------
 
 
 def always_next(before: object, transfer: object) -> bool:
-    """Every transfer is taken for the next one."""
+    """Every transfer counts as the next one."""
     return True
 
 
 def join_at_once(
     self: AllocationLedger, raised: object, link: object, peer: object, durable: Callable[[], None]
 ) -> None:
-    """What is taken counts before it is durable."""
+    """A credit counts before it is durable."""
     durable()
 
 
 def told_at_once(self: AllocationLedger, peer: str) -> Transfer | None:
-    """A transfer is told before it is durable."""
+    """A transfer is sent before it is durable."""
     record = self.peers.get(peer)
     return record.in_transit if record is not None else None
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -166,7 +166,7 @@
 
     def _expect_share(self, cell: str, least: str, most: str) -> None:
         """The accelerators that team alpha may use there, as is durable."""
-        limit = self._several().share(int(cell))
+        limit = self._several().allocation(int(cell))
         self._expect(float(least) <= limit <= float(most), f"cell {cell} has a share of {limit:g}")
 
     def _expect_in_use(self, least: str, most: str) -> None:
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""Several cells that share a team's limit, with leaders, stores and links that fail, in virtual time."""
+"""Several cells that divide a team's limit, with leaders, stores and links that fail, in virtual time."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def _settings_alone(self: Quotas, team: str, quota: TeamQuota) -> None:
-    """Starts go by the whole limit, whatever the share is."""
+    """Starts go by the whole limit, whatever the allocation is."""
 
 
 def _nothing_kept(self: ResourceDemand, pending: int, is_stalled: bool) -> int:
--- a/tests/test_quota_status.py
+++ b/tests/test_quota_status.py
@@ -18,8 +18,8 @@
 
 
 def view(cell: str, borrowable: int, *peers: PeerView, alarms: list[str] | None = None) -> CellView:
-    share = TeamAllocation(ResourceAllocation(), ResourceAllocation(UNIT, borrowable * UNIT))
-    return CellView(cell, cell, [TeamView("alpha", share, WHOLE)], list(peers), alarms or [])
+    allocation = TeamAllocation(ResourceAllocation(), ResourceAllocation(UNIT, borrowable * UNIT))
+    return CellView(cell, cell, [TeamView("alpha", allocation, WHOLE)], list(peers), alarms or [])
 
 
 def status(own: CellView, *others: CellView) -> tuple[int, list[str], bool]:
@@ -28,11 +28,11 @@
     return found.exit_status, found.problems, found.added_up
 
 
-def test_shares_add_up_with_what_is_in_transit() -> None:
+def test_allocations_add_up_with_what_is_in_transit() -> None:
     assert status(view("east", 3), view("west", 3)) == (0, [], True)
     moving = PeerView("west", 1, 0, TRANSFER)
     assert status(view("east", 2, moving), view("west", 3)) == (0, [], True)
-    # It was applied, and the giver does not know yet.
+    # It was applied, and the source does not know yet.
     applied = PeerView("east", 0, 1)
     assert status(view("east", 2, moving), view("west", 4, applied)) == (0, [], True)
 
@@ -44,7 +44,7 @@
 
 
 def test_views_of_different_moments_are_not_added_up() -> None:
-    # The giver was heard before it gave.
+    # The source's view is from before its debit.
     applied = PeerView("east", 0, 1)
     assert status(view("east", 3), view("west", 4, applied)) == (0, [], False)
 
