--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -20,7 +20,7 @@
 from poppyhold.quota.message_checks import MessageChecks
 from poppyhold.quota.recent_peak import RecentPeak
 from poppyhold.quota.retention import RetentionTimes
-from poppyhold.scheduling.dispatch import Dispatcher
+from poppyhold.scheduling.gang_scheduler import GangScheduler
 from poppyhold.scheduling.quotas import Quotas, TeamQuota
 from quota_model import always_next, join_at_once, told_at_once
 from scenario import FOLDER, play, variants
@@ -109,7 +109,7 @@
     Guard("state_outage_in_transfer", AllocationLedger, "_commit_credits", join_at_once),
     Guard("cut_in_one_direction", AllocationLedger, "acknowledge", _unreconciled),
     Guard("share_moves", AllocationLedger, "acknowledge", _unreconciled),
-    Guard("gang_at_the_edge", Dispatcher, "_gang_within_limit", _always),
+    Guard("gang_at_the_edge", GangScheduler, "_within_limit", _always),
     Guard("steady_and_alternating", RecentPeak, "note", _nothing_of_late),
     Guard("steady_and_alternating", RetentionTimes, "seconds", _shortest_retention),
     Guard("waiting_without_room", ResourceDemand, "retained", _all_that_waits_kept),
