--- a/src/poppyhold/cluster/peer_client.py
+++ b/src/poppyhold/cluster/peer_client.py
@@ -17,7 +17,7 @@
 from poppyhold.model.job_status import TaskCounts
 from poppyhold.model.outbound import MisdirectedWorker
 from poppyhold.settings import Known, split_address
-from poppyhold.wire.frames import send_message
+from poppyhold.wire.frames import open_connection, send_message
 
 log = logging.getLogger(__name__)
 
@@ -67,8 +67,7 @@
         member, address = self._peer.member, split_address(self._peer.address)
         while not self._stop.is_set():
             try:
-                with socket.create_connection(address, timeout=self._times.timeout_s) as connection:
-                    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                with open_connection(address, self._times.timeout_s) as connection:
                     self._exchange(connection)
             except (OSError, ValueError) as error:
                 log.debug("connection to a peer lost: member=%s: %s", member, error)
--- a/src/poppyhold/quota/consistency.py
+++ b/src/poppyhold/quota/consistency.py
@@ -75,7 +75,7 @@
 def _team_problems(team: str, views: dict[str, CellView], in_transit: list[Transfer]) -> Iterator[str]:
     team_views = [view for cell in views.values() for view in cell.teams if view.team == team]
     if len(team_views) < len(views):
-        yield f"team {team}: has no share in {len(views) - len(team_views)} cells"
+        yield f"team {team}: has no allocation in {len(views) - len(team_views)} cells"
     if any(view.total != team_views[0].total for view in team_views):
         yield f"team {team}: cells began with different figures"
         return
--- a/src/poppyhold/quota/link.py
+++ b/src/poppyhold/quota/link.py
@@ -19,7 +19,7 @@
 from poppyhold.quota.messages import NotLeading, QuotaResponse, TransferRequest, TransferResponse
 from poppyhold.quota.request_board import RequestBoard
 from poppyhold.settings import split_address
-from poppyhold.wire.frames import receive_message, send_message
+from poppyhold.wire.frames import open_connection, receive_message, send_message
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +43,8 @@
     """Send one request over a new connection, and return the response.
 
     Raises:
-        OSError, ValueError, msgspec.MsgspecError: there was no response that can be read.
+        OSError: the connection failed, or there was no response in time.
+        MalformedMessageError: the response is not one of the protocol.
     """
     with socket.create_connection(split_address(address), timeout=timeout_s) as connection:
         send_message(connection, request)
@@ -89,7 +90,7 @@
                 continue
             try:
                 response = self._request(request)
-            except (OSError, ValueError, msgspec.MsgspecError, LinkError) as error:
+            except (OSError, ValueError, LinkError) as error:
                 self._note_failure(error)
                 continue
             except Exception:
@@ -129,8 +130,7 @@
     def _exchange(self, request: TransferRequest) -> QuotaResponse:
         if self._connection is None:
             address = split_address(self._cell.controllers[self._next].address)
-            self._connection = socket.create_connection(address, timeout=self._timeout_s)
-            self._connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self._connection = open_connection(address, self._timeout_s)
         send_message(self._connection, request)
         return receive_message(self._connection, _response_decoder)
 
--- a/src/poppyhold/quota/status.py
+++ b/src/poppyhold/quota/status.py
@@ -85,7 +85,7 @@
         tried.add(member)
         try:
             response = exchange(addresses[member], StatusRequest(), timeout_s)
-        except (OSError, ValueError, msgspec.MsgspecError):
+        except (OSError, ValueError):
             continue
         if isinstance(response, StatusResponse):
             return response
--- a/src/poppyhold/relay/link.py
+++ b/src/poppyhold/relay/link.py
@@ -16,7 +16,7 @@
 from poppyhold.relay.queue import HeartbeatQueue, OnResponse, Response
 from poppyhold.relay.reconnection import ReconnectionWindow
 from poppyhold.relay.timings import RelayTimings
-from poppyhold.wire.frames import receive_message, send_message, shut_down
+from poppyhold.wire.frames import open_connection, receive_message, send_message, shut_down
 from poppyhold.wire.worker_messages import Heartbeat
 
 log = logging.getLogger(__name__)
@@ -103,14 +103,11 @@
 
     def _connect(self, target: str) -> None:
         try:
-            with socket.create_connection(
-                self._addresses[target], timeout=self._timings.connect_s
-            ) as connection:
-                connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            with open_connection(self._addresses[target], self._timings.connect_s) as connection:
                 connection.settimeout(self._timings.keepalive_s + self._timings.stalled_s)
                 send_message(connection, self._hello)
                 self._serve(connection, target)
-        except (OSError, ValueError, msgspec.MsgspecError) as error:
+        except (OSError, ValueError) as error:
             log.debug("relay connection ended: leader=%s error=%r", target, str(error))
         except Exception:
             # The thread has to go on for as long as the process: the next connection starts anew.
@@ -157,7 +154,7 @@
         try:
             while True:
                 self._handle_responses(receive_message(connection, _decoder))
-        except (OSError, ValueError, msgspec.MsgspecError) as error:
+        except (OSError, ValueError) as error:
             log.debug("relayed responses ended: error=%r", str(error))
         except Exception:
             # The sending thread has to learn of the end, whatever it was: it closes the connection.
--- a/src/poppyhold/wire/frames.py
+++ b/src/poppyhold/wire/frames.py
@@ -20,6 +20,17 @@
     """What came is no message of the protocol: the connection can't go on."""
 
 
+def open_connection(address: tuple[str, int], timeout_s: float) -> socket.socket:
+    """Open a connection for frames: each message is sent at once, without waiting to be joined to others.
+
+    Raises:
+        OSError: the other side cannot be reached within the timeout, which then holds for each operation.
+    """
+    connection = socket.create_connection(address, timeout=timeout_s)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return connection
+
+
 def send_message(connection: socket.socket, message: msgspec.Struct) -> None:
     """Send one message.
 
