--- a/tests/reads_model.py
+++ b/tests/reads_model.py
@@ -69,40 +69,40 @@
         return Changes(events, upto)
 
 
-class Question(NamedTuple):
-    """A question that waits."""
+class Query(NamedTuple):
+    """A query that waits."""
 
     job_id: str
-    asked_at: int
+    queried_at: int
     number: int
 
 
 class NodeModel:
-    """A controller: the real rounds and steps, with every message of theirs in the test's hands."""
+    """A controller: the real batches and plan, with every message of theirs in the test's hands."""
 
-    def __init__(self, rounds: ReadBatches, steps: Any) -> None:
-        self.rounds, self._steps = rounds, steps
+    def __init__(self, batches: ReadBatches, plan: Any) -> None:
+        self.batches, self._steps = batches, plan
         self.view = ActiveJobsView()
-        self.waiting: list[Question] = []
-        self.begun: ReadBatch | None = None
+        self.waiting: list[Query] = []
+        self.started: ReadBatch | None = None
         self.fresh = self.view
         self.running: Generator[StoreRequest, Any, None] | None = None
         self.step: StoreRequest | None = None
         # An answer of the store that is on its way.
         self.answer: int | Page | Changes | Exception | None = None
-        # Questions whose job is not active and whose final record is to be read.
-        self.finals: list[Question] = []
+        # Queries whose job is not active and whose final record is to be read.
+        self.finals: list[Query] = []
 
     def begin(self) -> bool:
-        """Begin a round; True if it is over at once."""
-        self.begun = self.rounds.start()
+        """Begin a batch; True if it is over at once."""
+        self.started = self.batches.start()
         self.fresh = self.view.copy()
-        self.running = self._steps(self.fresh)
+        self.running = self._plan(self.fresh)
         self.step = next(self.running, None)
         return self.step is None
 
     def deliver(self) -> bool:
-        """The answer arrives; True if the round is over."""
+        """The answer arrives; True if the batch is over."""
         assert self.running is not None
         answer, self.answer = self.answer, None
         try:
@@ -120,7 +120,7 @@
 
     def __init__(self) -> None:
         self.time = 0
-        # Least state that a question which arrives now may be answered with, and the highest there can be.
+        # Least state that a query which arrives now may be answered with, and the highest there can be.
         self.told: dict[str, int] = dict.fromkeys(JOBS, UNKNOWN)
         self.possible: dict[str, int] = dict.fromkeys(JOBS, UNKNOWN)
         self._least_at: dict[str, list[tuple[int, int]]] = {job: [(0, UNKNOWN)] for job in JOBS}
@@ -132,11 +132,11 @@
             self.told[job_id] = state
             self._least_at[job_id].append((self.time, state))
 
-    def check(self, question: Question, state: int) -> None:
-        """States only rise: an order exists if no answer is below what was told before its question."""
-        least = max(value for at, value in self._least_at[question.job_id] if at <= question.asked_at)
-        assert least <= state <= self.possible[question.job_id], (question, least, state)
-        self.tell(question.job_id, state)
+    def check(self, query: Query, state: int) -> None:
+        """States only rise: an order exists if no answer is below what was told before its query."""
+        least = max(value for at, value in self._least_at[query.job_id] if at <= query.queried_at)
+        assert least <= state <= self.possible[query.job_id], (query, least, state)
+        self.tell(query.job_id, state)
 
 
 class CountingStore(Store):
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -19,47 +19,47 @@
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 from world import World
 
-PATIENCE_S = 2.5
+RESPONSE_TIMEOUT_S = 2.5
 FENCING_TOKEN = 7
 
 
 def heartbeat(machine: str = "vm-1", sequence: int = 1, **changes: Any) -> Heartbeat:
-    """A worker's report."""
+    """A worker's heartbeat."""
     plain = Heartbeat(machine, f"{machine}:1", "small", "a", False, 1, sequence, FENCING_TOKEN)
     return msgspec.structs.replace(plain, **changes)
 
 
-def over_the_wire(batch: HeartbeatBatch) -> HeartbeatBatch:
+def sent_over_the_wire(batch: HeartbeatBatch) -> HeartbeatBatch:
     """A batch as it is received."""
     return msgspec.msgpack.decode(msgspec.msgpack.encode(batch), type=HeartbeatBatch)
 
 
-class Relayed:
-    """A relay's queue, and what its workers were told."""
+class RelayQueue:
+    """A relay's queue, and the responses to its workers."""
 
     def __init__(self, most: int = 100) -> None:
-        self.queue = HeartbeatQueue(most, PATIENCE_S)
-        self.told: list[RelayedResponse | None] = []
+        self.queue = HeartbeatQueue(most, RESPONSE_TIMEOUT_S)
+        self.responses: list[RelayedResponse | None] = []
 
     def put(self, taken: Heartbeat, now: float = 0.0) -> bool:
-        """A report comes in."""
-        return self.queue.put(taken, now, self.told.append)
+        """A heartbeat arrives."""
+        return self.queue.put(taken, now, self.responses.append)
 
     def answers(
         self, *answers: RelayedResponse, now: float = 0.1, lowest_fencing_token: int = FENCING_TOKEN
     ) -> None:
-        """The leader's answers come in."""
+        """The leader's responses arrive."""
         for response in self.queue.match_responses(ResponseBatch(list(answers)), now, lowest_fencing_token):
             response.deliver()
 
 
 def answered(number: int, fencing_token: int = FENCING_TOKEN) -> RelayedResponse:
-    """The leader's answer to a report."""
+    """The leader's response to a heartbeat."""
     return RelayedResponse(number, RelayOutcome.ANSWERED, fencing_token)
 
 
-class Leader:
-    """The intake with a stand-in for the decision core."""
+class LeadingNode:
+    """The batch handler with a simulated decision core."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -67,19 +67,19 @@
         self.answer: HeartbeatResponse | None = HeartbeatResponse(FENCING_TOKEN, [])
         self.assignment = assignment(lambda: self.now)
         self.assignment.relay_connected("hive-1", "a")
-        self.intake = BatchHandler(self._answer, lambda _: self.now, self.assignment, PATIENCE_S)
+        self.handler = BatchHandler(self._answer, lambda _: self.now, self.assignment, RESPONSE_TIMEOUT_S)
         self.relay = ConnectedRelay("hive-1", "a")
 
-    def _answer(self, taken: Heartbeat, late_at: float) -> HeartbeatResponse | None:
-        if self.now >= late_at:
+    def _answer(self, taken: Heartbeat, deadline: float) -> HeartbeatResponse | None:
+        if self.now >= deadline:
             return None
         self.taken.append(taken)
         return self.answer
 
-    def handle(self, relay: Relayed) -> list[RelayedResponse]:
-        """Take what a relay has to send."""
-        batch = over_the_wire(relay.queue.next_batch(self.now, 64))
-        return self.intake.handle(self.relay, batch, self.now).responses
+    def handle(self, relay: RelayQueue) -> list[RelayedResponse]:
+        """Handle the next batch of a relay."""
+        batch = sent_over_the_wire(relay.queue.next_batch(self.now, 64))
+        return self.handler.handle(self.relay, batch, self.now).responses
 
 
 def assignment(
@@ -94,8 +94,8 @@
 MACHINES = {f"vm-{index:04d}": "abc"[index % 3] for index in range(600)}
 
 
-class Plan:
-    """An assignment whose workers do what they are told."""
+class AssignedFleet:
+    """An assignment, and workers that follow its redirects."""
 
     def __init__(self, mode: RelayMode = RelayMode.FORCED, from_workers: float = 8.0) -> None:
         self.now = 100.0
@@ -103,17 +103,17 @@
         for member, zone in ZONES.items():
             self.connect(member, zone)
         self.assignment.update_machines(set(MACHINES))
-        # Some may be sent at once.
+        # Some may be redirected at once.
         self.now += 5.0
         self.at: dict[str, str] = {}
 
     def connect(self, member: str, zone: str) -> None:
-        """A relay connects, and has measured its way."""
+        """A relay connects, and its round trip is known."""
         self.assignment.relay_connected(member, zone)
         self.assignment.note_round_trip(member, 0.01)
 
     def direct(self, machine: str, answered_ago: float = 1.0) -> str | None:
-        """A worker reports directly; where it is sent it is heard."""
+        """A worker sends a direct heartbeat; it follows a redirect."""
         relay = self.assignment.assign(machine, MACHINES[machine], self.now - answered_ago)
         if relay is not None:
             self.at[machine] = relay
@@ -121,7 +121,7 @@
         return relay
 
     def settle(self, spans: int = 200) -> None:
-        """Let every worker report, a tenth of a second at a time."""
+        """Let every worker send heartbeats, a tenth of a second at a time."""
         for _ in range(spans):
             self.now += 0.1
             for machine, zone in MACHINES.items():
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -144,7 +144,7 @@
         # The relays that are connected, and what is kept of each.
         self.relays: dict[str, ConnectedRelay] = {}
         patience_s = heartbeat_response_timeout_s(node.settings.settings.workers)
-        self.intake = BatchHandler(
+        self.batch_handler = BatchHandler(
             self.answer_heartbeat, self.controller.last_response_at, self.assignment, patience_s
         )
         self.authority.observe_watch(world.now, node.store.revision())
--- a/tests/sim_relay.py
+++ b/tests/sim_relay.py
@@ -169,7 +169,7 @@
                 # Held back in the network, or by a process that stands still.
                 self._world.after(0.1, arrive)
                 return
-            answers = term.intake.handle(state, batch, self._world.now)
+            answers = term.batch_handler.handle(state, batch, self._world.now)
             term.settle()
             back = 0.001 + self._world.link_s + self._world.batches_late_s
             self._world.after(back, lambda: self._answered(state, term, answers))
--- a/tests/test_batched_job_reads.py
+++ b/tests/test_batched_job_reads.py
@@ -16,16 +16,16 @@
 )
 
 
-def _ask_at_once(reads: BatchedJobReads, count: int) -> list[bool | str]:
+def query_at_once(reads: BatchedJobReads, count: int) -> list[bool | str]:
     answers: list[bool | str] = []
 
-    def ask(index: int) -> None:
+    def query(index: int) -> None:
         try:
             answers.append(reads.is_active(JOBS[index % 2]))
         except StoreRejectedError as error:
             answers.append(str(error))
 
-    threads = [threading.Thread(target=ask, args=(index,)) for index in range(count)]
+    threads = [threading.Thread(target=query, args=(index,)) for index in range(count)]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -33,17 +33,17 @@
     return answers
 
 
-def test_questions_that_wait_share_one_read() -> None:
+def test_queries_that_wait_share_one_read() -> None:
     store = CountingStore()
     store.gate.clear()
     reads = BatchedJobReads(store, gather_s=0.05, timeout_s=10.0)
     threading.Timer(0.3, store.gate.set).start()
-    assert _ask_at_once(reads, 60) == [True] * 60
-    # The first ones may ask alone; the rest are a few rounds of two requests, and one reading of all jobs.
+    assert query_at_once(reads, 60) == [True] * 60
+    # The first ones may ask alone; the rest are a few batches of two requests, and one reading of all jobs.
     assert len(store.requests) <= 12, store.requests
 
 
-def test_a_question_alone_is_one_request() -> None:
+def test_a_query_alone_is_one_request() -> None:
     store = CountingStore()
     reads = BatchedJobReads(store, gather_s=0.05, timeout_s=10.0)
     assert reads.is_active(JOBS[0])
@@ -51,7 +51,7 @@
     assert store.requests == ["get", "get"]
 
 
-def test_nothing_is_answered_from_memory_while_the_store_is_unsure() -> None:
+def test_nothing_is_answered_from_memory_while_the_store_rejects_requests() -> None:
     store = CountingStore()
     reads = BatchedJobReads(store, gather_s=0.0, timeout_s=10.0, min_batch_size=1)
     assert reads.is_active(JOBS[0])
@@ -62,7 +62,7 @@
     assert reads.is_active(JOBS[0])
 
 
-def test_who_waits_for_a_slow_read_is_told_to_come_back() -> None:
+def test_a_query_times_out_while_a_read_is_slow() -> None:
     store = CountingStore()
     store.gate.clear()
     reads = BatchedJobReads(store, gather_s=0.0, timeout_s=0.05, min_batch_size=1)
@@ -76,15 +76,15 @@
     runner.join(10.0)
 
 
-class StoreThatStaysBehind(CountingStore):
+class LaggingStore(CountingStore):
     """Its follows never come up to its own revision."""
 
     def revision(self) -> int:
         return super().revision() + 100
 
 
-def test_where_follows_stay_behind_each_question_asks_for_its_key() -> None:
-    store = StoreThatStaysBehind()
+def test_where_changes_lag_each_query_reads_its_own_key() -> None:
+    store = LaggingStore()
     reads = BatchedJobReads(store, gather_s=0.0, timeout_s=10.0, min_batch_size=1)
     assert reads.is_active(JOBS[0])
     assert not reads.is_active(NO_JOB)
@@ -106,12 +106,12 @@
 
 
 @pytest.mark.parametrize("min_batch_size", [1, 3])
-def test_questions_ask_the_store_no_faster_than_their_pace(min_batch_size: int) -> None:
-    store, waiting, pace = CountingStore(), VirtualCondition(), RateLimiter(5.0, burst=4.0)
-    reads = BatchedJobReads(store, 0.0, 10.0, min_batch_size, lambda: waiting.now, pace)
+def test_queries_send_requests_no_faster_than_their_rate(min_batch_size: int) -> None:
+    store, waiting, rate_limiter = CountingStore(), VirtualCondition(), RateLimiter(5.0, burst=4.0)
+    reads = BatchedJobReads(store, 0.0, 10.0, min_batch_size, lambda: waiting.now, rate_limiter)
     reads._changed = waiting
     for _ in range(200):
         reads.is_active(JOBS[0])
-    # The first read of all jobs is one request more than rounds are taken to cost.
+    # The first read of all jobs is one request more than batches are taken to cost.
     assert len(store.requests) <= 5.0 * waiting.now + 4.0 + 3.0
     assert len(store.requests) >= 200
--- a/tests/test_linearizable_reads.py
+++ b/tests/test_linearizable_reads.py
@@ -40,23 +40,23 @@
     CountingStore,
     History,
     NodeModel,
-    Question,
+    Query,
     StoreModel,
 )
 
 
 class Reads(RuleBasedStateMachine):
-    """Writes, follows, cuts and questions on several controllers, in any order."""
+    """Writes, follows, cuts and queries on several controllers, in any order."""
 
-    def rounds(self) -> ReadBatches:
+    def batches(self) -> ReadBatches:
         return ReadBatches()
 
-    steps = staticmethod(advance_view)
+    plan = staticmethod(advance_view)
 
     @initialize()
     def begin(self) -> None:
         self.store, self.history = StoreModel(), History()
-        self.nodes = [NodeModel(self.rounds(), self.steps) for _ in range(NODES)]
+        self.nodes = [NodeModel(self.batches(), self.plan) for _ in range(NODES)]
 
     @rule(job_id=st.sampled_from(JOBS), lost=st.booleans())
     def write(self, job_id: str, lost: bool) -> None:
@@ -69,10 +69,10 @@
             self.history.tell(job_id, state)
 
     @rule(job_id=st.sampled_from(JOBS), index=st.integers(0, NODES - 1))
-    def ask(self, job_id: str, index: int) -> None:
+    def query(self, job_id: str, index: int) -> None:
         node = self.nodes[index]
         self.history.time += 1
-        node.waiting.append(Question(job_id, self.history.time, node.rounds.join()))
+        node.waiting.append(Query(job_id, self.history.time, node.batches.join()))
 
     @rule(index=st.integers(0, NODES - 1), lag=st.integers(0, 3), halves=st.integers(1, 8))
     def advance(self, index: int, lag: int, halves: int) -> None:
@@ -90,7 +90,7 @@
             try:
                 over = node.deliver()
             except LaggingChangesError:
-                # Each question asks for its own key instead, which is a write's own order.
+                # Each query asks for its own key instead, which is a write's own order.
                 self._finish(node, answered=False)
                 return
             if over:
@@ -103,32 +103,32 @@
 
     @rule(index=st.integers(0, NODES - 1))
     def cut(self, index: int) -> None:
-        """A request or its answer is lost: the round fails."""
+        """A request or its answer is lost: the batch fails."""
         node = self.nodes[index]
         if node.running is not None:
             node.running.close()
             self._finish(node, answered=False)
 
     def _finish(self, node: NodeModel, answered: bool) -> None:
-        assert node.begun is not None
-        mine = [q for q in node.waiting if q.number <= node.begun.number]
-        node.waiting = [q for q in node.waiting if q.number > node.begun.number]
+        assert node.started is not None
+        mine = [q for q in node.waiting if q.number <= node.started.number]
+        node.waiting = [q for q in node.waiting if q.number > node.started.number]
         node.running, node.answer = None, None
-        node.rounds.finish()
+        node.batches.finish()
         if not answered:
             return
         node.view = node.fresh
-        for question in mine:
-            if question.job_id in node.view:
-                self.history.check(question, ACCEPTED)
+        for query in mine:
+            if query.job_id in node.view:
+                self.history.check(query, ACCEPTED)
             else:
-                node.finals.append(question)
+                node.finals.append(query)
 
     def _read_final(self, node: NodeModel) -> None:
-        """The final record of a job that was not active is read, behind the round."""
-        question = node.finals.pop(0)
-        is_over = self.store.states[question.job_id] == OVER
-        self.history.check(question, OVER if is_over else UNKNOWN)
+        """The final record of a job that was not active is read, after the batch."""
+        query = node.finals.pop(0)
+        is_over = self.store.states[query.job_id] == OVER
+        self.history.check(query, OVER if is_over else UNKNOWN)
 
     @precondition(lambda self: self.store.log)
     @rule(kept=st.integers(0, 3))
@@ -152,7 +152,7 @@
     )
 
 
-def test_no_answer_is_older_than_one_before_its_question() -> None:
+def test_no_answer_is_older_than_one_before_its_query() -> None:
     _search(Reads, 250)
 
 
@@ -160,7 +160,7 @@
 
 
 class JoinsRunningBatch(ReadBatches):
-    """A question joins the round that is under way."""
+    """A query joins the batch that is under way."""
 
     def join(self) -> int:
         number = super().join()
@@ -221,58 +221,62 @@
             view.apply(Changes([], present))
 
 
-def _ask_behind_a_write(machine: Reads, lag: int, kept: int) -> None:
+def query_after_a_write(machine: Reads, lag: int, kept: int) -> None:
     """A controller that has read all jobs is asked for one that was accepted elsewhere since.
 
     Its next follow is ``lag`` changes late, and the store has kept only its last ``kept`` changes.
     """
     machine.begin()
-    machine.ask(JOBS[1], 0)
+    machine.query(JOBS[1], 0)
     machine.advance(0, lag=0, halves=6)
     machine.write(JOBS[0], lost=False)
     machine.compact(kept)
-    machine.ask(JOBS[0], 0)
+    machine.query(JOBS[0], 0)
     machine.advance(0, lag=lag, halves=20)
 
 
-# Steps without a guard, and the late changes and changes kept that show it.
-BROKEN_STEPS = [(_without_revision, 0, 9), (_one_follow, 3, 9), (_gap_is_skipped, 0, 0)]
+# Plans without a guard, and the late changes and changes kept that show it.
+BROKEN_PLANS = [
+    pytest.param(_without_revision, 0, 9, id="without-revision"),
+    pytest.param(_one_follow, 3, 9, id="one-follow"),
+    pytest.param(_gap_is_skipped, 0, 0, id="gap-is-skipped"),
+]
 
 
-@pytest.mark.parametrize(("broken", "lag", "kept"), BROKEN_STEPS)
-def test_checker_finds_steps_without_a_guard(broken: Any, lag: int, kept: int) -> None:
+@pytest.mark.parametrize(("broken", "lag", "kept"), BROKEN_PLANS)
+def test_checker_finds_a_plan_without_a_guard(broken: Any, lag: int, kept: int) -> None:
     # A search for the sequence came out differently with what other modules were loaded: it draws constants
     # from their sources as well. These sequences are the ones that it found.
-    _ask_behind_a_write(Reads(), lag, kept)
-    machine = type("Broken", (Reads,), {"steps": staticmethod(broken)})
+    query_after_a_write(Reads(), lag, kept)
+    machine = type("Broken", (Reads,), {"plan": staticmethod(broken)})
     with pytest.raises(AssertionError):
-        _ask_behind_a_write(machine(), lag, kept)
+        query_after_a_write(machine(), lag, kept)
 
 
-def _ask_during_a_round(machine: Reads) -> None:
-    """A job is accepted at one controller while another's round has read the revision; then a question."""
+def query_during_a_batch(machine: Reads) -> None:
+    """A job is accepted at one controller while another's batch has read the revision; then a query."""
     machine.begin()
-    # A first round reads all jobs; the second finds nothing new behind its revision.
-    machine.ask(JOBS[1], 0)
+    # A first batch reads all jobs; the second finds nothing new behind its revision.
+    machine.query(JOBS[1], 0)
     machine.advance(0, lag=0, halves=6)
-    machine.ask(JOBS[1], 0)
+    machine.query(JOBS[1], 0)
     machine.advance(0, lag=0, halves=2)
     machine.write(JOBS[0], lost=False)
-    machine.ask(JOBS[0], 0)
+    machine.query(JOBS[0], 0)
     machine.advance(0, lag=0, halves=12)
 
 
-def test_a_question_does_not_join_a_running_round() -> None:
-    _ask_during_a_round(Reads())
-    broken = type("Broken", (Reads,), {"rounds": lambda self: JoinsRunningBatch()})
+def test_a_query_does_not_join_a_running_batch() -> None:
+    query_during_a_batch(Reads())
+    broken = type("Broken", (Reads,), {"batches": lambda self: JoinsRunningBatch()})
     with pytest.raises(AssertionError):
-        _ask_during_a_round(broken())
+        query_during_a_batch(broken())
 
 
-def _through_a_change_between_pages(steps: Any) -> bool:
+def _through_a_change_between_pages(plan: Any) -> bool:
     """Whether a job is active in the view that a read of two pages leaves behind."""
     view = ActiveJobsView()
-    running = steps(view)
+    running = plan(view)
     assert isinstance(next(running), ReadRevision)
     assert isinstance(running.send(1), ReadPage)
     # A job of the second page is accepted at 2 and over at 3, between the pages.
@@ -286,7 +290,7 @@
         assert _send(running, late) == Follow(2)
         assert _send(running, Changes([DeletedKey(ACTIVE_JOB_PREFIX + JOBS[1], 3)], 3)) is None
     else:
-        # The next question's round meets the late follow.
+        # The next query's batch meets the late follow.
         view.apply(Changes([Entry(ACTIVE_JOB_PREFIX + JOBS[1], {}, 2)], 2))
     return JOBS[1] in view
 
@@ -299,12 +303,12 @@
     return step
 
 
-def test_pages_that_are_no_snapshot_are_followed_to_the_newest_of_them() -> None:
+def test_pages_that_are_not_a_snapshot_are_followed_to_the_newest_of_them() -> None:
     assert not _through_a_change_between_pages(advance_view)
     assert _through_a_change_between_pages(_pages_as_snapshot)
 
 
-def test_steps_are_carried_out_one_after_the_other() -> None:
+def test_the_requests_of_a_plan_are_sent_one_after_the_other() -> None:
     store, view = CountingStore(), ActiveJobsView()
     execute(advance_view(view), store)
     assert (JOBS[0] in view, NO_JOB in view, view.revision) == (True, False, 7)
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -5,10 +5,10 @@
 from poppyhold.concurrency.rate_limiter import RateLimiter
 
 
-def test_a_pace_lets_a_burst_go_and_then_an_even_rate() -> None:
-    pace, gone = RateLimiter(2.0, burst=3.0), []
+def test_a_burst_is_allowed_and_then_an_even_rate() -> None:
+    rate_limiter, consumed_at = RateLimiter(2.0, burst=3.0), []
     for now in range(10):
-        while pace.ready_at() <= now:
-            pace.consume(1.0, now)
-            gone.append(now)
-    assert [gone.count(now) for now in range(4)] == [4, 2, 2, 2]
+        while rate_limiter.ready_at() <= now:
+            rate_limiter.consume(1.0, now)
+            consumed_at.append(now)
+    assert [consumed_at.count(now) for now in range(4)] == [4, 2, 2, 2]
--- a/tests/test_relay_assignment.py
+++ b/tests/test_relay_assignment.py
@@ -11,148 +11,150 @@
 from relay_harness import (
     MACHINES,
     ZONES,
-    Plan,
+    AssignedFleet,
     assignment,
 )
 
 
 def test_workers_are_spread_evenly_and_in_their_zone_first() -> None:
-    plan = Plan()
-    plan.settle()
-    load = Counter(plan.at.values())
-    # A few of the leader's zone may stay; nobody has more than a quarter above the even share.
-    assert len(plan.at) >= len(MACHINES) - 9
+    fleet = AssignedFleet()
+    fleet.settle()
+    load = Counter(fleet.at.values())
+    # A few of the leader's zone may stay; no relay has more than a quarter above the even share.
+    assert len(fleet.at) >= len(MACHINES) - 9
     assert max(load.values()) <= 1.25 * len(MACHINES) / len(ZONES)
-    near = sum(ZONES[relay] == MACHINES[machine] for machine, relay in plan.at.items())
-    assert near >= 0.8 * len(plan.at)
-
-
-def test_few_move_when_a_relay_goes_or_comes() -> None:
-    plan = Plan()
-    plan.settle()
-    before = dict(plan.at)
-    plan.assignment.relay_disconnected("hive-3")
-    for machine in [machine for machine, relay in plan.at.items() if relay == "hive-3"]:
-        del plan.at[machine]
-    plan.settle()
-    stayed = sum(plan.at.get(machine) == relay for machine, relay in before.items() if relay != "hive-3")
+    near = sum(ZONES[relay] == MACHINES[machine] for machine, relay in fleet.at.items())
+    assert near >= 0.8 * len(fleet.at)
+
+
+def test_few_workers_move_when_a_relay_disconnects_or_connects() -> None:
+    fleet = AssignedFleet()
+    fleet.settle()
+    before = dict(fleet.at)
+    fleet.assignment.relay_disconnected("hive-3")
+    for machine in [machine for machine, relay in fleet.at.items() if relay == "hive-3"]:
+        del fleet.at[machine]
+    fleet.settle()
+    stayed = sum(fleet.at.get(machine) == relay for machine, relay in before.items() if relay != "hive-3")
     assert stayed >= 0.95 * sum(relay != "hive-3" for relay in before.values())
-    gone = dict(plan.at)
-    plan.connect("hive-3", "b")
-    plan.settle()
-    moved = sum(plan.at.get(machine) != relay for machine, relay in gone.items())
+    gone = dict(fleet.at)
+    fleet.connect("hive-3", "b")
+    fleet.settle()
+    moved = sum(fleet.at.get(machine) != relay for machine, relay in gone.items())
     assert moved <= 1.25 * len(MACHINES) / len(ZONES)
 
 
-def test_the_same_worker_is_sent_to_the_same_relay() -> None:
-    first, second = Plan(), Plan()
+def test_a_worker_is_always_redirected_to_the_same_relay() -> None:
+    first, second = AssignedFleet(), AssignedFleet()
     machines = list(MACHINES)[:20]
     assert [first.direct(machine) for machine in machines] == [second.direct(machine) for machine in machines]
 
 
-def test_workers_are_never_sent_all_in_one_step() -> None:
-    plan = Plan()
-    sent = [machine for machine in MACHINES if plan.direct(machine) is not None]
+def test_workers_are_never_redirected_all_in_one_step() -> None:
+    fleet = AssignedFleet()
+    sent = [machine for machine in MACHINES if fleet.direct(machine) is not None]
     assert 0 < len(sent) <= len(MACHINES) / 16
-    plan.now += 1.0
-    sent = [machine for machine in MACHINES if machine not in sent and plan.direct(machine) is not None]
+    fleet.now += 1.0
+    sent = [machine for machine in MACHINES if machine not in sent and fleet.direct(machine) is not None]
     assert 0 < len(sent) <= len(MACHINES) / 10
 
 
-def test_only_who_was_answered_lately_is_sent() -> None:
-    plan = Plan()
+def test_only_recently_answered_workers_are_redirected() -> None:
+    fleet = AssignedFleet()
     machine = next(machine for machine, zone in MACHINES.items() if zone == "b")
-    assert plan.direct(machine, answered_ago=5.0) is None
-    assert plan.direct(machine, answered_ago=float("inf")) is None
-    assert plan.direct(machine, answered_ago=1.0) is not None
+    assert fleet.direct(machine, answered_ago=5.0) is None
+    assert fleet.direct(machine, answered_ago=float("inf")) is None
+    assert fleet.direct(machine, answered_ago=1.0) is not None
 
 
-@pytest.mark.parametrize("heard", [False, True], ids=["never heard there", "its answers did not arrive"])
-def test_a_worker_that_comes_back_is_answered_directly(heard: bool) -> None:
-    plan = Plan()
+@pytest.mark.parametrize(
+    "heard", [False, True], ids=["no heartbeat through it", "its responses did not arrive"]
+)
+def test_a_worker_that_returns_is_answered_directly(heard: bool) -> None:
+    fleet = AssignedFleet()
     machine = next(machine for machine, zone in MACHINES.items() if zone == "b")
     rests = []
     for _ in range(3):
-        relay = plan.assignment.assign(machine, "b", plan.now)
+        relay = fleet.assignment.assign(machine, "b", fleet.now)
         assert relay is not None
         if heard:
-            plan.assignment.note_relayed_heartbeat(machine, relay)
-        began = plan.now = plan.now + 1.0
-        while plan.assignment.assign(machine, "b", plan.now) is None:
-            plan.now += 1.0
-        plan.assignment._pending_redirects.clear()
-        rests.append(plan.now - began)
+            fleet.assignment.note_relayed_heartbeat(machine, relay)
+        began = fleet.now = fleet.now + 1.0
+        while fleet.assignment.assign(machine, "b", fleet.now) is None:
+            fleet.now += 1.0
+        fleet.assignment._pending_redirects.clear()
+        rests.append(fleet.now - began)
     assert min(rests) >= 10.0
     if not heard:
-        # Ever longer, as long as it is not heard there at all.
+        # Ever longer, as long as no heartbeat of it comes through the relay.
         assert rests[0] < rests[1] < rests[2]
 
 
-def test_a_relay_that_lets_workers_down_gets_no_more_for_a_while() -> None:
-    plan = Plan()
+def test_a_relay_from_which_workers_return_is_assigned_no_more_for_a_while() -> None:
+    fleet = AssignedFleet()
     of_zone = [machine for machine, zone in MACHINES.items() if zone == "c"]
     for machine in of_zone[:2]:
-        assert plan.assignment.assign(machine, "c", plan.now) == "hive-5"
-        plan.assignment.assign(machine, "c", plan.now)
-    assert plan.assignment.assign(of_zone[2], "c", plan.now) != "hive-5"
+        assert fleet.assignment.assign(machine, "c", fleet.now) == "hive-5"
+        fleet.assignment.assign(machine, "c", fleet.now)
+    assert fleet.assignment.assign(of_zone[2], "c", fleet.now) != "hive-5"
 
 
 def test_slow_relays_lose_their_workers() -> None:
-    plan = Plan()
-    plan.settle()
-    assert "hive-5" in plan.at.values()
+    fleet = AssignedFleet()
+    fleet.settle()
+    assert "hive-5" in fleet.at.values()
     for _ in range(200):
-        plan.assignment.note_round_trip("hive-5", 0.3)
-        plan.settle(1)
-    assert "hive-5" not in plan.at.values()
+        fleet.assignment.note_round_trip("hive-5", 0.3)
+        fleet.settle(1)
+    assert "hive-5" not in fleet.at.values()
     for member in ZONES:
-        plan.assignment.note_round_trip(member, 0.3)
-    relay = next(iter(plan.at.values()))
-    machine = next(machine for machine, there in plan.at.items() if there == relay)
-    # No other is left: the leader takes it itself.
-    assert plan.assignment.reassign(machine, MACHINES[machine], relay, plan.now) == "hive-0"
+        fleet.assignment.note_round_trip(member, 0.3)
+    relay = next(iter(fleet.at.values()))
+    machine = next(machine for machine, there in fleet.at.items() if there == relay)
+    # No other is left: the worker returns to the leader.
+    assert fleet.assignment.reassign(machine, MACHINES[machine], relay, fleet.now) == "hive-0"
 
 
-def test_relays_get_workers_once_they_know_how_long_their_way_is() -> None:
-    plan = Plan()
+def test_relays_are_assigned_workers_once_their_round_trip_is_known() -> None:
+    fleet = AssignedFleet()
     for member in list(ZONES):
-        plan.assignment.relay_disconnected(member)
+        fleet.assignment.relay_disconnected(member)
     machine = next(machine for machine, zone in MACHINES.items() if zone == "b")
-    plan.assignment.relay_connected("hive-3", "b")
-    plan.assignment.note_round_trip("hive-3", 0.0)
-    assert plan.direct(machine) is None
-    plan.assignment.note_round_trip("hive-3", 0.01)
-    assert plan.direct(machine) == "hive-3"
+    fleet.assignment.relay_connected("hive-3", "b")
+    fleet.assignment.note_round_trip("hive-3", 0.0)
+    assert fleet.direct(machine) is None
+    fleet.assignment.note_round_trip("hive-3", 0.01)
+    assert fleet.direct(machine) == "hive-3"
 
 
-def test_workers_of_the_leaders_zone_stay_if_all_relays_stand_elsewhere() -> None:
-    plan = Plan()
+def test_workers_of_the_leaders_zone_stay_if_all_relays_are_in_other_zones() -> None:
+    fleet = AssignedFleet()
     for member in ("hive-1", "hive-2"):
-        plan.assignment.relay_disconnected(member)
+        fleet.assignment.relay_disconnected(member)
     of_zone = [machine for machine, zone in MACHINES.items() if zone == "a"]
-    assert [plan.direct(machine) for machine in of_zone[:8]] == [None] * 8
+    assert [fleet.direct(machine) for machine in of_zone[:8]] == [None] * 8
     # Above the bound connections count more.
-    assert plan.direct(of_zone[8]) is not None
+    assert fleet.direct(of_zone[8]) is not None
 
 
 def test_relaying_begins_and_ends_with_the_fleets_size() -> None:
-    plan = assignment(lambda: 0.0, RelayMode.AUTO, from_workers=100.0)
+    fleet = assignment(lambda: 0.0, RelayMode.AUTO, from_workers=100.0)
     wanted = []
     for count in (99, 100, 60, 50, 49, 99):
-        plan.update_machines({f"vm-{index}" for index in range(count)})
-        wanted.append(plan.relays_wanted)
+        fleet.update_machines({f"vm-{index}" for index in range(count)})
+        wanted.append(fleet.relays_wanted)
     assert wanted == [False, True, True, True, False, False]
-    off = Plan(RelayMode.OFF)
+    off = AssignedFleet(RelayMode.OFF)
     assert not off.assignment.relays_wanted
     assert all(off.direct(machine) is None for machine in MACHINES)
 
 
-def test_the_leader_tells_relays_who_has_room() -> None:
-    plan = Plan()
+def test_the_leader_advises_relays_of_underloaded_ones() -> None:
+    fleet = AssignedFleet()
     for number in range(math.ceil(len(MACHINES) / len(ZONES))):
-        plan.assignment.note_relayed_heartbeat(f"vm-{number:04d}", "hive-1")
-    most, roomy = plan.assignment.load_advice("hive-1")
+        fleet.assignment.note_relayed_heartbeat(f"vm-{number:04d}", "hive-1")
+    most, roomy = fleet.assignment.load_advice("hive-1")
     assert most == math.ceil(1.25 * len(MACHINES) / len(ZONES))
     assert set(roomy) == set(ZONES) - {"hive-1"}
-    # With an even share it is nobody's next.
-    assert set(plan.assignment.load_advice("hive-2")[1]) == set(ZONES) - {"hive-1", "hive-2"}
+    # With an even share it is not advised.
+    assert set(fleet.assignment.load_advice("hive-2")[1]) == set(ZONES) - {"hive-1", "hive-2"}
--- a/tests/test_relay_batch_handler.py
+++ b/tests/test_relay_batch_handler.py
@@ -10,16 +10,16 @@
 from poppyhold.wire.worker_messages import Command, CommandKind, HeartbeatResponse, TaskStatus
 from relay_harness import (
     FENCING_TOKEN,
-    PATIENCE_S,
-    Leader,
-    Relayed,
+    RESPONSE_TIMEOUT_S,
+    LeadingNode,
+    RelayQueue,
     heartbeat,
 )
 from scenario import Scenario
 
 
 def test_unchanged_heartbeats_stand_for_the_last_full_one() -> None:
-    leader, relay = Leader(), Relayed()
+    leader, relay = LeadingNode(), RelayQueue()
     tasks = [TaskStatus("job-000001/0", 1, "running")]
     for sequence in (1, 2):
         relay.put(heartbeat(sequence=sequence, tasks=tasks))
@@ -27,12 +27,12 @@
     assert leader.taken == [heartbeat(sequence=1, tasks=tasks), heartbeat(sequence=2, tasks=tasks)]
 
 
-def test_a_heartbeat_for_an_unknown_state_is_asked_for_in_full() -> None:
-    leader, relay = Leader(), Relayed()
+def test_an_unchanged_heartbeat_without_its_full_one_is_requested_in_full() -> None:
+    leader, relay = LeadingNode(), RelayQueue()
     relay.put(heartbeat(sequence=1))
     leader.handle(relay)
     relay.put(heartbeat(sequence=2))
-    # A new leader, or one that took another report of the machine in full meanwhile.
+    # A new leader, or one that received another full heartbeat of the machine meanwhile.
     for state in (ConnectedRelay("hive-1", "a"), ConnectedRelay("hive-1", "a")):
         leader.relay = state
     leader.relay.cache_full(heartbeat(sequence=9, incarnation=2))
@@ -40,8 +40,8 @@
     assert [taken.sequence for taken in leader.taken] == [1]
 
 
-def test_commands_come_back_with_the_answer() -> None:
-    leader, relay = Leader(), Relayed()
+def test_commands_are_part_of_the_response() -> None:
+    leader, relay = LeadingNode(), RelayQueue()
     command = Command(CommandKind.STOP, "job-000001/0", 3, 4.0)
     leader.answer = HeartbeatResponse(FENCING_TOKEN + 1, [command])
     relay.put(heartbeat())
@@ -54,22 +54,22 @@
     )
 
 
-def test_heartbeats_that_waited_too_long_at_the_relay_are_refused() -> None:
-    leader, relay = Leader(), Relayed()
+def test_heartbeats_that_waited_too_long_at_the_relay_are_rejected() -> None:
+    leader, relay = LeadingNode(), RelayQueue()
     relay.put(heartbeat(), now=0.0)
-    leader.now = PATIENCE_S
+    leader.now = RESPONSE_TIMEOUT_S
     assert [answer.outcome for answer in leader.handle(relay)] == [RelayOutcome.REJECTED]
     assert leader.taken == []
 
 
-def test_a_leader_that_may_not_answer_refuses() -> None:
-    leader, relay = Leader(), Relayed()
+def test_a_leader_that_may_not_answer_rejects() -> None:
+    leader, relay = LeadingNode(), RelayQueue()
     leader.answer = None
     relay.put(heartbeat())
     assert [answer.outcome for answer in leader.handle(relay)] == [RelayOutcome.REJECTED]
 
 
-def test_a_relay_gives_no_answer_of_a_leader_that_was_deposed_in_between() -> None:
+def test_a_relay_drops_responses_of_a_leader_that_has_since_lost_leadership() -> None:
     scenario = Scenario("world relays=forced\nmachines small a ordinary 2\nmachines small b ordinary 2", 1)
     scenario.play()
     world = scenario.world
@@ -79,15 +79,15 @@
     term = leader.leader_term
     node = next(node for node in world.nodes if node.relay._term is term)
     worker = next(iter(world.workers.values()))
-    told: list[int] = []
-    node.relay.take(worker.heartbeat(), lambda status, body: told.append(status))
+    responses: list[int] = []
+    node.relay.take(worker.heartbeat(), lambda status, body: responses.append(status))
     batch = node.relay._queue.next_batch(world.now, 64)
     state = node.relay._state
     assert state is not None
-    answers = term.intake.handle(state, batch, world.now)
+    answers = term.batch_handler.handle(state, batch, world.now)
     assert [answer.outcome for answer in answers.responses] == [RelayOutcome.ANSWERED]
     # Another one takes the lead while the answers are on their way.
     held = world.state.keys[LEADER_KEY]
     world.state.keys[LEADER_KEY] = ({**held[0], "baton": held[0]["baton"] + 1}, *held[1:])
     node.relay._answered(state, term, answers)
-    assert told and told[0] != 200
+    assert responses and responses[0] != 200
--- a/tests/test_relay_link.py
+++ b/tests/test_relay_link.py
@@ -25,7 +25,7 @@
 from test_smoke import eventually
 
 
-class Ends:
+class RelayedConnection:
     """A relay's link and a leader's server, over loopback."""
 
     def __init__(self) -> None:
@@ -33,8 +33,8 @@
         self.frozen = threading.Event()
         self.target: str | None = "hive-0"
         self.sequences: list[int] = []
-        self.told: list[RelayedResponse | None] = []
-        self.plan = assignment(lambda: 0.0)
+        self.responses: list[RelayedResponse | None] = []
+        self.fleet = assignment(lambda: 0.0)
         self.server = self._server()
         times = RelayTimings(0.4, 0.5, 2.0)
         address = ("127.0.0.1", int(self.listener.getsockname()[1]))
@@ -53,14 +53,14 @@
 
     def _server(self) -> RelayServer:
         workers = Workers(heartbeat_interval_s=0.4, lease_s=4.0, cancel_s=12.0)
-        return RelayServer(self._post, self._answer, lambda _: 0.0, self.plan, workers)
+        return RelayServer(self._post, self._answer, lambda _: 0.0, self.fleet, workers)
 
     def _post(self, priority: int, work: Work) -> bool:
         if not self.frozen.is_set():
             work()
         return True
 
-    def _answer(self, taken: Heartbeat, late_at: float) -> HeartbeatResponse:
+    def _answer(self, taken: Heartbeat, deadline: float) -> HeartbeatResponse:
         self.sequences.append(taken.sequence)
         return HeartbeatResponse(FENCING_TOKEN, [])
 
@@ -82,8 +82,8 @@
                 return
 
     def send(self, sequence: int) -> None:
-        """A worker's report comes to the relay."""
-        assert self.link.offer(heartbeat(sequence=sequence), self.told.append)
+        """A worker's heartbeat arrives at the relay."""
+        assert self.link.offer(heartbeat(sequence=sequence), self.responses.append)
 
     def restart(self) -> None:
         """The leader's term ends, and the next one begins in the same process."""
@@ -98,58 +98,60 @@
 
 
 @pytest.fixture
-def ends() -> Iterator[Ends]:
-    both = Ends()
+def relayed() -> Iterator[RelayedConnection]:
+    both = RelayedConnection()
     yield both
     both.close()
 
 
-def test_heartbeats_are_answered_through_a_relay(ends: Ends) -> None:
-    eventually(ends.link.is_open)
+def test_heartbeats_are_answered_through_a_relay(relayed: RelayedConnection) -> None:
+    eventually(relayed.link.is_open)
     for sequence in range(1, 6):
-        ends.send(sequence)
-        eventually(lambda sequence=sequence: len(ends.told) == sequence)  # type: ignore[misc]
-    assert ends.sequences == [1, 2, 3, 4, 5]
-    assert all(answer is not None and answer.outcome is RelayOutcome.ANSWERED for answer in ends.told)
-
-
-def test_heartbeats_outlive_the_connection_and_are_sent_again(ends: Ends) -> None:
-    eventually(ends.link.is_open)
-    ends.send(1)
-    eventually(lambda: len(ends.told) == 1)
-    ends.restart()
-    ends.send(2)
-    eventually(lambda: len(ends.told) == 2)
-    assert ends.told[1] is not None and ends.told[1].outcome is RelayOutcome.ANSWERED
-
-
-def test_a_leader_that_stands_still_costs_workers_no_more_than_their_patience(ends: Ends) -> None:
-    eventually(ends.link.is_open)
-    ends.frozen.set()
-    ends.send(1)
-    eventually(lambda: ends.told == [None])
-    # The connection is given up, so that nothing more is relayed until there is an answer again.
-    eventually(lambda: not ends.link.is_open())
-    ends.frozen.clear()
-    eventually(ends.link.is_open)
-    ends.send(2)
-    eventually(lambda: len(ends.told) == 2)
-    assert ends.told[1] is not None
-
-
-def test_a_connection_that_ends_leaves_no_reader_behind(ends: Ends) -> None:
-    eventually(ends.link.is_open)
+        relayed.send(sequence)
+        eventually(lambda sequence=sequence: len(relayed.responses) == sequence)  # type: ignore[misc]
+    assert relayed.sequences == [1, 2, 3, 4, 5]
+    assert all(answer is not None and answer.outcome is RelayOutcome.ANSWERED for answer in relayed.responses)
+
+
+def test_heartbeats_survive_a_lost_connection_and_are_sent_again(relayed: RelayedConnection) -> None:
+    eventually(relayed.link.is_open)
+    relayed.send(1)
+    eventually(lambda: len(relayed.responses) == 1)
+    relayed.restart()
+    relayed.send(2)
+    eventually(lambda: len(relayed.responses) == 2)
+    assert relayed.responses[1] is not None and relayed.responses[1].outcome is RelayOutcome.ANSWERED
+
+
+def test_a_frozen_leader_delays_workers_by_no_more_than_the_response_timeout(
+    relayed: RelayedConnection,
+) -> None:
+    eventually(relayed.link.is_open)
+    relayed.frozen.set()
+    relayed.send(1)
+    eventually(lambda: relayed.responses == [None])
+    # The connection is closed, so that nothing more is relayed until there is a response again.
+    eventually(lambda: not relayed.link.is_open())
+    relayed.frozen.clear()
+    eventually(relayed.link.is_open)
+    relayed.send(2)
+    eventually(lambda: len(relayed.responses) == 2)
+    assert relayed.responses[1] is not None
+
+
+def test_a_lost_connection_leaves_no_reader_thread(relayed: RelayedConnection) -> None:
+    eventually(relayed.link.is_open)
     for _ in range(3):
-        ends.restart()
-        sequence = len(ends.told) + 1
-        ends.send(sequence)
-        eventually(lambda sequence=sequence: len(ends.told) == sequence)  # type: ignore[misc]
+        relayed.restart()
+        sequence = len(relayed.responses) + 1
+        relayed.send(sequence)
+        eventually(lambda sequence=sequence: len(relayed.responses) == sequence)  # type: ignore[misc]
     readers = [thread for thread in threading.enumerate() if thread.name == "relay answers"]
     assert len(readers) <= 1
 
 
-def test_nothing_is_relayed_without_a_leader(ends: Ends) -> None:
-    eventually(ends.link.is_open)
-    ends.target = None
-    eventually(lambda: not ends.link.is_open())
-    assert ends.told == []
+def test_nothing_is_relayed_without_a_leader(relayed: RelayedConnection) -> None:
+    eventually(relayed.link.is_open)
+    relayed.target = None
+    eventually(lambda: not relayed.link.is_open())
+    assert relayed.responses == []
--- a/tests/test_relay_options.py
+++ b/tests/test_relay_options.py
@@ -13,12 +13,12 @@
 
 
 @pytest.mark.parametrize("mode", list(RelayMode))
-def test_operators_switch_relays(mode: RelayMode) -> None:
+def test_operators_choose_the_relay_mode(mode: RelayMode) -> None:
     options = parse_options(f"relays {{ mode: {mode.value.upper()} from_share: 0.3 }}")
     assert (options.relays.mode, options.relays.from_share) == (mode, 0.3)
 
 
-def test_relays_are_automatic_without_a_word() -> None:
+def test_relays_are_automatic_by_default() -> None:
     assert load_options(None).relays.mode is RelayMode.AUTO
     assert parse_options("design { horizon_slots: 4 }").relays == Options().relays
     with pytest.raises(ConfigError):
--- a/tests/test_relay_overflow_redirect.py
+++ b/tests/test_relay_overflow_redirect.py
@@ -8,34 +8,34 @@
 from poppyhold.relay.overflow_redirect import OverflowRedirector
 
 
-def _arrive(overflow: OverflowRedirector, machines: Iterable[str]) -> dict[str, str | None]:
+def redirect_all(overflow: OverflowRedirector, machines: Iterable[str]) -> dict[str, str | None]:
     return {machine: overflow.redirect(machine) for machine in machines}
 
 
-def test_workers_beyond_a_relays_share_are_spread_over_the_others() -> None:
+def test_workers_beyond_a_relays_share_are_redirected_evenly() -> None:
     now = [0.0]
     overflow = OverflowRedirector(1100, 15.0, lambda: now[0])
     own = [f"vm-{number:06d}" for number in range(800)]
-    assert set(_arrive(overflow, own).values()) == {None}
+    assert set(redirect_all(overflow, own).values()) == {None}
     overflow.update_advice(1000, ["hive-3", "hive-4", "hive-5"])
-    # Another relay ends, and its 800 workers come here one after the other.
+    # Another relay ends, and its 800 workers come here one by one.
     came = [f"vm-{number:06d}" for number in range(1000, 1800)]
-    sent = _arrive(overflow, came)
+    sent = redirect_all(overflow, came)
     assert sum(other is None for other in sent.values()) == 200
     spread = Counter(other for other in sent.values() if other is not None)
     assert set(spread) == {"hive-3", "hive-4", "hive-5"}
     assert max(spread.values()) < 1.25 * 600 / 3
-    # Those that were here stay, and so does one that comes back.
-    assert set(_arrive(overflow, own).values()) == {None}
+    # Those that were here stay, and so does one that returns.
+    assert set(redirect_all(overflow, own).values()) == {None}
     back = next(machine for machine, other in sent.items() if other is not None)
     assert overflow.redirect(back) is None
 
 
-def test_two_relays_never_send_a_worker_to_and_fro() -> None:
+def test_two_relays_never_redirect_a_worker_to_each_other_for_ever() -> None:
     now = [0.0]
     relays = {member: OverflowRedirector(10, 15.0, lambda: now[0]) for member in ("hive-1", "hive-2")}
     for member, other in (("hive-1", "hive-2"), ("hive-2", "hive-1")):
-        _arrive(relays[member], [f"{member}-{number}" for number in range(10)])
+        redirect_all(relays[member], [f"{member}-{number}" for number in range(10)])
         relays[member].update_advice(10, [other])
     at: str | None = "hive-1"
     hops = 0
@@ -45,20 +45,20 @@
     assert hops == 3
 
 
-def test_nobody_is_sent_on_without_advice_or_behind_a_lost_connection() -> None:
+def test_nobody_is_redirected_without_advice_or_after_a_lost_connection() -> None:
     overflow = OverflowRedirector(2, 15.0, lambda: 0.0)
-    assert set(_arrive(overflow, ["vm-1", "vm-2", "vm-3", "vm-4"]).values()) == {None}
+    assert set(redirect_all(overflow, ["vm-1", "vm-2", "vm-3", "vm-4"]).values()) == {None}
     overflow.update_advice(2, ["hive-3"])
     assert overflow.redirect("vm-5") == "hive-3"
     overflow.update_advice(0, [])
     assert overflow.redirect("vm-6") is None
 
 
-def test_a_worker_that_left_makes_room() -> None:
+def test_a_worker_that_left_frees_its_place() -> None:
     now = [0.0]
     overflow = OverflowRedirector(2, 15.0, lambda: now[0])
     overflow.update_advice(2, ["hive-3"])
-    assert set(_arrive(overflow, ["vm-1", "vm-2"]).values()) == {None}
+    assert set(redirect_all(overflow, ["vm-1", "vm-2"]).values()) == {None}
     assert overflow.redirect("vm-3") == "hive-3"
     now[0] = 16.0
     assert overflow.redirect("vm-4") is None
--- a/tests/test_relay_queue.py
+++ b/tests/test_relay_queue.py
@@ -11,15 +11,15 @@
 from poppyhold.wire.worker_messages import TaskStatus
 from relay_harness import (
     FENCING_TOKEN,
-    PATIENCE_S,
-    Relayed,
+    RESPONSE_TIMEOUT_S,
+    RelayQueue,
     answered,
     heartbeat,
 )
 
 
 def test_unchanged_heartbeats_take_a_few_bytes() -> None:
-    relay = Relayed()
+    relay = RelayQueue()
     tasks = [TaskStatus(f"job-00000{index}/0", 1, "running") for index in range(8)]
     relay.put(heartbeat(sequence=1, tasks=tasks))
     assert len(relay.queue.next_batch(0.0, 64).heartbeats) == 1
@@ -42,28 +42,28 @@
     ],
     ids=str,
 )
-def test_whatever_changed_is_sent_in_full(change: dict[str, Any]) -> None:
-    relay = Relayed()
+def test_a_changed_heartbeat_is_sent_in_full(change: dict[str, Any]) -> None:
+    relay = RelayQueue()
     relay.put(heartbeat(sequence=1))
     relay.queue.next_batch(0.0, 64)
     relay.put(heartbeat(sequence=2, **change))
     assert len(relay.queue.next_batch(0.0, 64).heartbeats) == 1
 
 
-def test_a_new_connection_begins_with_full_heartbeats_and_what_was_under_way() -> None:
-    relay = Relayed()
+def test_a_new_connection_starts_with_full_heartbeats_and_those_in_flight() -> None:
+    relay = RelayQueue()
     relay.put(heartbeat(sequence=1))
     relay.queue.next_batch(0.0, 64)
     relay.put(heartbeat(sequence=2))
     relay.queue.connection_lost()
     batch = relay.queue.next_batch(0.1, 64)
-    # The first one comes in full, and the second may refer to it.
+    # The first one is sent in full, and the second may refer to it.
     assert [full.heartbeat.sequence for full in batch.heartbeats] == [1]
     assert [beat.sequence for beat in batch.unchanged] == [2]
 
 
-def test_a_heartbeat_that_the_leader_can_not_read_is_sent_in_full() -> None:
-    relay = Relayed()
+def test_a_heartbeat_unknown_to_the_leader_is_sent_again_in_full() -> None:
+    relay = RelayQueue()
     relay.put(heartbeat(sequence=1))
     relay.queue.next_batch(0.0, 64)
     relay.answers(answered(1))
@@ -72,44 +72,44 @@
     relay.answers(RelayedResponse(2, RelayOutcome.FULL_HEARTBEAT_REQUIRED))
     assert [full.heartbeat.sequence for full in relay.queue.next_batch(0.1, 64).heartbeats] == [2]
     relay.answers(answered(2))
-    assert relay.told == [answered(1), answered(2)]
+    assert relay.responses == [answered(1), answered(2)]
 
 
-def test_late_answers_are_none() -> None:
-    relay = Relayed()
+def test_late_responses_do_not_count() -> None:
+    relay = RelayQueue()
     relay.put(heartbeat(), now=0.0)
-    relay.answers(answered(1), now=PATIENCE_S + 0.01)
-    assert relay.told == [None]
+    relay.answers(answered(1), now=RESPONSE_TIMEOUT_S + 0.01)
+    assert relay.responses == [None]
 
 
-def test_answers_of_a_deposed_leader_are_none() -> None:
-    relay = Relayed()
+def test_responses_of_a_former_leader_do_not_count() -> None:
+    relay = RelayQueue()
     relay.put(heartbeat(sequence=1))
     relay.put(heartbeat(sequence=2))
     relay.answers(
         answered(1, FENCING_TOKEN), answered(2, FENCING_TOKEN + 1), lowest_fencing_token=FENCING_TOKEN + 1
     )
-    assert relay.told == [None, answered(2, FENCING_TOKEN + 1)]
+    assert relay.responses == [None, answered(2, FENCING_TOKEN + 1)]
 
 
-def test_each_heartbeat_has_one_answer_and_only_its_own() -> None:
-    relay = Relayed()
+def test_each_heartbeat_has_one_response_and_only_its_own() -> None:
+    relay = RelayQueue()
     relay.put(heartbeat())
     relay.answers(answered(2), answered(1), answered(1))
-    assert relay.told == [answered(1)]
+    assert relay.responses == [answered(1)]
     assert not len(relay.queue)
 
 
 def test_the_queue_is_bounded_in_number_and_time() -> None:
-    relay = Relayed(most=2)
+    relay = RelayQueue(most=2)
     assert [relay.put(heartbeat(f"vm-{index}"), now=float(index)) for index in range(3)] == [
         True,
         True,
         False,
     ]
-    for response in relay.queue.expire(PATIENCE_S + 0.5):
+    for response in relay.queue.expire(RESPONSE_TIMEOUT_S + 0.5):
         response.deliver()
-    assert relay.told == [None]
+    assert relay.responses == [None]
     assert relay.put(heartbeat("vm-3"), now=3.0)
-    # What was given up is not sent any more.
+    # An expired heartbeat is not sent any more.
     assert [full.heartbeat.machine for full in relay.queue.next_batch(3.0, 64).heartbeats] == ["vm-1", "vm-3"]
