--- a/tests/reads_model.py
+++ b/tests/reads_model.py
@@ -81,7 +81,7 @@
     """A controller: the real batches and plan, with every message of theirs in the test's hands."""
 
     def __init__(self, batches: ReadBatches, plan: Any) -> None:
-        self.batches, self._steps = batches, plan
+        self.batches, self._plan = batches, plan
         self.view = ActiveJobsView()
         self.waiting: list[Query] = []
         self.started: ReadBatch | None = None
