--- a/tests/test_cell_options.py
+++ b/tests/test_cell_options.py
@@ -15,7 +15,7 @@
 from scenario import FOLDER, Scenario
 
 
-def test_without_the_file_nothing_is_read_written_or_asked() -> None:
+def test_without_cells_no_quota_record_is_read_or_written() -> None:
     scenario = Scenario((FOLDER / "limit_while_unreachable.txt").read_text(), 1)
     read: list[str] = []
     state = scenario.world.state
@@ -66,7 +66,7 @@
         ("# reserve: 0", "reserve: 1.5", "cells.reserve"),
     ],
 )
-def test_a_bad_file_is_refused_with_the_field(right: str, wrong: str, field: str) -> None:
+def test_a_bad_file_is_rejected_with_the_field(right: str, wrong: str, field: str) -> None:
     text = FILE.read_text()
     assert right in text
     with pytest.raises(ConfigError) as caught:
@@ -93,19 +93,32 @@
 """
 
 
-def test_the_program_refuses_bad_input_with_status_2(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+@pytest.fixture
+def config(tmp_path: Path) -> Path:
+    """A settings file in which a guarantee is above the limit."""
+    path = tmp_path / "settings.toml"
+    path.write_text(CONFIG)
+    return path
+
+
+def test_with_cells_a_guarantee_above_the_limit_is_rejected(
+    config: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    config = tmp_path / "settings.toml"
-    config.write_text(CONFIG)
-    files = ["--config", str(config), "--options", str(FILE)]
-    assert main(["check-config", *files]) == 2
+    assert main(["check-config", "--config", str(config), "--options", str(FILE)]) == 2
     assert "settings.teams.alpha.gpus" in capsys.readouterr().err
-    # Without the file a guarantee above the limit is taken as it always was.
+
+
+def test_without_cells_a_guarantee_above_the_limit_is_accepted(config: Path) -> None:
     assert main(["check-config", "--config", str(config)]) == 0
+
+
+def test_quota_status_needs_cells(config: Path) -> None:
     assert main(["quota", "status", "--config", str(config)]) == 2
+
+
+def test_quota_status_without_a_leader_prints_one_line(
+    config: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     config.write_text(CONFIG.replace("9.0", "4.0"))
-    capsys.readouterr()
-    # Nobody leads there.
-    assert main(["quota", "status", *files]) == 1
+    assert main(["quota", "status", "--config", str(config), "--options", str(FILE)]) == 1
     assert capsys.readouterr().err.count("\n") == 1
--- a/tests/test_quota_links.py
+++ b/tests/test_quota_links.py
@@ -26,8 +26,8 @@
 REQUEST = TransferRequest(PROTOCOL_VERSION, "east", "west", "layout", "e1", "w1", 0)
 
 
-class Peer:
-    """A controller of another cell that gives the answers it is told, one to a request."""
+class ScriptedController:
+    """A controller of another cell that sends the given responses, one to a request."""
 
     def __init__(self, *answers: msgspec.Struct | bytes) -> None:
         self.answers = list(answers)
@@ -57,7 +57,7 @@
                     continue
 
 
-def links(replies: list[TransferResponse], **peers: Peer) -> CellLinks:
+def links(replies: list[TransferResponse], **peers: ScriptedController) -> CellLinks:
     controllers = tuple(CellController(member, peer.address) for member, peer in peers.items())
     made = CellLinks((Cell("west", 0.5, controllers),), replies.append, 0.05, 0.5, random.Random(1)).start()
     made.publish({"west": REQUEST})
@@ -67,7 +67,7 @@
 def test_a_link_finds_the_leader_by_any_controller() -> None:
     reply = TransferResponse("west", "w1")
     replies: list[TransferResponse] = []
-    leading, other = Peer(reply), Peer(NotLeading("two"))
+    leading, other = ScriptedController(reply), ScriptedController(NotLeading("two"))
     made = links(replies, one=other, two=leading)
     eventually(lambda: len(replies) > 2)
     made.stop()
@@ -84,11 +84,11 @@
         pytest.param(NotLeading("nobody"), id="unknown-leader"),
     ],
 )
-def test_a_bad_answer_ends_a_link_with_one_line_until_it_is_back(
+def test_a_bad_response_is_logged_once_until_the_link_is_restored(
     bad: msgspec.Struct | bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     replies: list[TransferResponse] = []
-    peer = Peer(bad, bad, bad, TransferResponse("west", "w1"))
+    peer = ScriptedController(bad, bad, bad, TransferResponse("west", "w1"))
     with caplog.at_level(logging.INFO, "poppyhold.quota.link"):
         made = links(replies, one=peer)
         eventually(lambda: bool(replies))
--- a/tests/test_quota_server.py
+++ b/tests/test_quota_server.py
@@ -15,15 +15,15 @@
     TransferRequest,
     TransferResponse,
 )
-from poppyhold.quota.server import QuotaServer
+from poppyhold.quota.server import QuotaRequestError, QuotaServer
 from poppyhold.settings import Settings, Team
 from world import World
 
 REQUEST = TransferRequest(PROTOCOL_VERSION, "east", "west", "layout", "e1", "w1", 0)
 
 
-class StandInTerm:
-    """A term that answers everything alike, or is not ready."""
+class TermStub:
+    """A term that answers every request alike, or is not ready."""
 
     def __init__(self, answer: QuotaResponse | None) -> None:
         self._answer = answer
@@ -32,7 +32,7 @@
         return self._answer
 
 
-def server(term: StandInTerm | None, leader: Leader | None = None) -> QuotaServer:
+def server(term: TermStub | None, leader: Leader | None = None) -> QuotaServer:
     cells = Cells("west", 0.5, (Cell("east", 0.5),))
     return QuotaServer(settings(), cells, lambda: term, lambda: leader)
 
@@ -41,11 +41,17 @@
     return World(1, 10.0, 30.0, [Team("alpha")]).settings
 
 
-def test_who_does_not_lead_says_who_does() -> None:
-    assert server(None).answer(REQUEST) == NotLeading("")
-    assert server(None, Leader("hive-2", 7, 1, 1)).answer(REQUEST) == NotLeading("hive-2")
-    reply = TransferResponse("west")
-    assert server(StandInTerm(reply)).answer(REQUEST) == reply
+def test_the_leader_answers() -> None:
+    response = TransferResponse("west")
+    assert server(TermStub(response)).answer(REQUEST) == response
+
+
+@pytest.mark.parametrize(
+    ("leader", "member"),
+    [pytest.param(None, "", id="unknown"), pytest.param(Leader("hive-2", 7, 1, 1), "hive-2", id="known")],
+)
+def test_a_controller_that_does_not_lead_names_the_leader(leader: Leader | None, member: str) -> None:
+    assert server(None, leader).answer(REQUEST) == NotLeading(member)
 
 
 @pytest.mark.parametrize(
@@ -53,19 +59,22 @@
     [{"version": PROTOCOL_VERSION + 1}, {"to_cell": "north"}, {"cell": "south"}],
     ids=["version", "to-cell", "cell"],
 )
-def test_what_is_not_for_us_ends_its_link_with_one_line(
+def test_a_request_for_another_cell_ends_its_link_with_one_log_line(
     changes: dict[str, object], caplog: pytest.LogCaptureFixture
 ) -> None:
-    one = server(StandInTerm(TransferResponse("west")))
+    one = server(TermStub(TransferResponse("west")))
     for _ in range(3):
-        with pytest.raises(ValueError, match=r"."):
+        with pytest.raises(QuotaRequestError, match=r"."):
             one.answer(msgspec.structs.replace(REQUEST, **changes))
     assert len(caplog.records) == 1
     assert one.answer(REQUEST) == TransferResponse("west")
 
 
-def test_a_leader_that_is_not_ready_and_a_fleet_of_one_cell_end_the_link() -> None:
-    with pytest.raises(ValueError, match="not ready"):
-        server(StandInTerm(None)).answer(REQUEST)
-    with pytest.raises(ValueError, match="one cell"):
+def test_a_leader_that_is_not_ready_ends_the_link() -> None:
+    with pytest.raises(QuotaRequestError, match="not ready"):
+        server(TermStub(None)).answer(REQUEST)
+
+
+def test_a_fleet_of_one_cell_ends_the_link() -> None:
+    with pytest.raises(QuotaRequestError, match="one cell"):
         QuotaServer(settings(), None, lambda: None, lambda: None).answer(REQUEST)
--- a/tests/test_quota_status.py
+++ b/tests/test_quota_status.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import pytest
+
 from poppyhold.quota.amounts import UNIT, ResourceAllocation, ResourceAmount, TeamAllocation, TeamAmount
 from poppyhold.quota.messages import (
     CellView,
@@ -28,13 +30,20 @@
     return found.exit_status, found.problems, found.added_up
 
 
-def test_allocations_add_up_with_what_is_in_transit() -> None:
-    assert status(view("east", 3), view("west", 3)) == (0, [], True)
-    moving = PeerView("west", 1, 0, TRANSFER)
-    assert status(view("east", 2, moving), view("west", 3)) == (0, [], True)
-    # It was applied, and the source does not know yet.
-    applied = PeerView("east", 0, 1)
-    assert status(view("east", 2, moving), view("west", 4, applied)) == (0, [], True)
+IN_TRANSIT = PeerView("west", 1, 0, TRANSFER)
+APPLIED = PeerView("east", 0, 1)
+
+
+@pytest.mark.parametrize(
+    ("east", "west"),
+    [
+        pytest.param(view("east", 3), view("west", 3), id="at-rest"),
+        pytest.param(view("east", 2, IN_TRANSIT), view("west", 3), id="in-transit"),
+        pytest.param(view("east", 2, IN_TRANSIT), view("west", 4, APPLIED), id="applied-not-acknowledged"),
+    ],
+)
+def test_allocations_and_transfers_in_transit_add_up(east: CellView, west: CellView) -> None:
+    assert status(east, west) == (0, [], True)
 
 
 def test_what_does_not_add_up_is_a_problem() -> None:
@@ -45,8 +54,7 @@
 
 def test_views_of_different_moments_are_not_added_up() -> None:
     # The source's view is from before its debit.
-    applied = PeerView("east", 0, 1)
-    assert status(view("east", 3), view("west", 4, applied)) == (0, [], False)
+    assert status(view("east", 3), view("west", 4, APPLIED)) == (0, [], False)
 
 
 def test_an_alarm_is_an_exit_status() -> None:
