--- a/src/poppyhold/scale/cells.py
+++ b/src/poppyhold/scale/cells.py
@@ -27,7 +27,8 @@
 _OUT_OF_TURN = 0.15
 # Leases within which a guarantee is met: what a cell keeps back of what it used, the move, and a start.
 _GUARANTEE_LEASES = 2.5
-_CREDITED = re.compile(r"credit: team=.* source_cell=\S+ unmet_s=([0-9.]+)")
+# The log line of a cell service that has credited a transfer.
+CREDIT_LINE = re.compile(r"credit: team=.* source_cell=\S+ unmet_s=([0-9.]+)")
 
 
 class CellsResult(msgspec.Struct, kw_only=True):
@@ -227,7 +228,7 @@
         waits = Latency()
         for log in sorted(self._folder.glob("*/*.log")):
             for line in log.read_text(encoding="utf-8", errors="replace").splitlines():
-                found = _CREDITED.search(line)
+                found = CREDIT_LINE.search(line)
                 if found is not None:
                     waits.note(float(found.group(1)))
         return waits
--- a/tests/test_cell_service.py
+++ b/tests/test_cell_service.py
@@ -17,6 +17,7 @@
 from poppyhold.quota.cells import Cell, CellController, Cells, check_cells
 from poppyhold.quota.messages import PROTOCOL_VERSION, TransferRequest, TransferResponse, UnmetDemand
 from poppyhold.quota.records import Transfer
+from poppyhold.scale.cells import CREDIT_LINE
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import Team
 from sim_node import SimLeaderTerm
@@ -242,6 +243,18 @@
     assert quota.alarms.texts() == []
 
 
+def test_the_score_of_cells_reads_credits_from_the_log(caplog: pytest.LogCaptureFixture) -> None:
+    world, quota = leading_cell()
+    one = TeamAmount(accelerators=ResourceAmount(0, UNIT))
+    with caplog.at_level(logging.INFO, "poppyhold.quota.cell_service"):
+        quota.handle_response(TransferResponse("west", "w1", Transfer(1, {"alpha": one})))
+        # Not before it is durable.
+        assert caplog.messages == []
+        world.run(world.now + 1.0)
+    assert [bool(CREDIT_LINE.search(line)) for line in caplog.messages] == [True]
+    assert "accelerators=1 cpus=0 source_cell=west" in caplog.messages[0]
+
+
 def test_the_view_follows_a_transfer_at_once() -> None:
     world, quota = leading_cell()
     view = quota.answer(request(quota)).view
