--- a/src/poppyhold/quota/alarms.py
+++ b/src/poppyhold/quota/alarms.py
@@ -11,11 +11,11 @@
 class AlarmKind(StrEnum):
     """The condition; operators and other cells see the values."""
 
-    USE_ABOVE_SHARE = "use above share"
+    USE_ABOVE_ALLOCATION = "use above share"
     UNKNOWN_RECORDS = "unknown records"
     BROKEN_SEQUENCE = "broken sequence"
-    OTHER_CELL = "other cell"
-    CELLS_DIFFER = "cells differ"
+    WRONG_CELL = "other cell"
+    LAYOUT_MISMATCH = "cells differ"
 
 
 class Alarms:
--- a/src/poppyhold/quota/amounts.py
+++ b/src/poppyhold/quota/amounts.py
@@ -55,7 +55,7 @@
         """The maximum that may be used; None: no limit."""
         return None if self.borrowable is None else self.guaranteed + self.borrowable
 
-    def has(self, amount: ResourceAmount) -> bool:
+    def covers(self, amount: ResourceAmount) -> bool:
         """Whether it can be debited by an amount."""
         if min(amount.guaranteed, amount.borrowable) < 0 or amount.guaranteed > self.guaranteed:
             return False
@@ -90,9 +90,9 @@
     cpus: ResourceAllocation = ResourceAllocation()
     accelerators: ResourceAllocation = ResourceAllocation()
 
-    def has(self, amount: TeamAmount) -> bool:
+    def covers(self, amount: TeamAmount) -> bool:
         """Whether it can be debited by an amount."""
-        return self.cpus.has(amount.cpus) and self.accelerators.has(amount.accelerators)
+        return self.cpus.covers(amount.cpus) and self.accelerators.covers(amount.accelerators)
 
     def plus(self, amount: TeamAmount) -> TeamAllocation:
         """The allocation after a credit."""
--- a/src/poppyhold/quota/cell_service.py
+++ b/src/poppyhold/quota/cell_service.py
@@ -251,7 +251,7 @@
                 for name, amount, part in zip(RESOURCES, used, parts_of(record.allocation), strict=True)
                 if part.limit is not None and to_units(amount) > part.limit
             ]
-            self.alarms.set(AlarmKind.USE_ABOVE_SHARE, team, ", ".join(above) or None)
+            self.alarms.set(AlarmKind.USE_ABOVE_ALLOCATION, team, ", ".join(above) or None)
 
     def teams_with_other_settings(self) -> list[str]:
         """Teams whose settings differ from those that their records were made from; the records hold."""
--- a/src/poppyhold/quota/ledger.py
+++ b/src/poppyhold/quota/ledger.py
@@ -173,7 +173,7 @@
         that may still run stays within the rest.
         """
         records = {team: self._records[team] for team in amounts if team in self._records}
-        covered = all(record.allocation.has(amounts[team]) for team, record in records.items())
+        covered = all(record.allocation.covers(amounts[team]) for team, record in records.items())
         if not self.can_debit(peer) or not amounts or len(records) < len(amounts) or not covered:
             return False
         self.check_peer(peer, incarnation)
--- a/src/poppyhold/quota/message_checks.py
+++ b/src/poppyhold/quota/message_checks.py
@@ -22,7 +22,7 @@
         try:
             self._ledger.check_identity()
         except WrongCellError as error:
-            self._alarms.set(AlarmKind.OTHER_CELL, self._cells.name, str(error))
+            self._alarms.set(AlarmKind.WRONG_CELL, self._cells.name, str(error))
             return True
         return False
 
@@ -30,7 +30,7 @@
         """Why a request cannot be served at all; empty if it can."""
         differ = request.layout != self._cells.layout
         text = "its operators name other cells or parts" if differ else None
-        self._alarms.set(AlarmKind.CELLS_DIFFER, request.cell, text)
+        self._alarms.set(AlarmKind.LAYOUT_MISMATCH, request.cell, text)
         if differ:
             return "the cells and their parts differ"
         if not self._ledger.incarnation or self.is_wrong_cell():
