--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -12,7 +12,7 @@
 from poppyhold.durable.keys import FENCING_TOKEN_KEY, QUOTA_PREFIX
 from poppyhold.durable.store import transaction_body
 from poppyhold.options import Options
-from poppyhold.relay.mode import RelayMode
+from poppyhold.relay.relay_mode import RelayMode
 from poppyhold.scale.jobs import submission
 from poppyhold.settings import NextState, Objective, Team
 from sim_node import SimNode
@@ -166,7 +166,7 @@
 
     def _expect_share(self, cell: str, least: str, most: str) -> None:
         """The accelerators that team alpha may use there, as is durable."""
-        limit = self._several().share(int(cell))
+        limit = self._several().allocation(int(cell))
         self._expect(float(least) <= limit <= float(most), f"cell {cell} has a share of {limit:g}")
 
     def _expect_in_use(self, least: str, most: str) -> None:
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -33,11 +33,12 @@
 from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
 from poppyhold.quota.records import PEER
-from poppyhold.reads.job_reads import JobReads
+from poppyhold.reads.batched_job_reads import BatchedJobReads
 from poppyhold.relay.assignment import Assignment
-from poppyhold.relay.intake import RelayIntake, RelayState
-from poppyhold.relay.leader import heartbeat_response_timeout_s
-from poppyhold.relay.mode import RelayMode
+from poppyhold.relay.batch_handler import BatchHandler
+from poppyhold.relay.connected_relay import ConnectedRelay
+from poppyhold.relay.relay_mode import RelayMode
+from poppyhold.relay.timings import heartbeat_response_timeout_s
 from poppyhold.scale.jobs import Data
 from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.wire.cloud_messages import ListedMachine, MachineListing, MachineType
@@ -141,9 +142,9 @@
             world.rng,
         )
         # The relays that are connected, and what is kept of each.
-        self.relays: dict[str, RelayState] = {}
+        self.relays: dict[str, ConnectedRelay] = {}
         patience_s = heartbeat_response_timeout_s(node.settings.settings.workers)
-        self.intake = RelayIntake(
+        self.batch_handler = BatchHandler(
             self.answer_heartbeat, self.controller.last_response_at, self.assignment, patience_s
         )
         self.authority.observe_watch(world.now, node.store.revision())
@@ -407,7 +408,7 @@
         self.connectivity = Connectivity(self.member, self.times.heartbeat_interval_s, lambda: self.world.now)
         builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
         # Each question is a shared read by itself: the view is what users are answered from.
-        reads = JobReads(self.store, 0.0, 1.0, fewest_shared=1, clock=lambda: self.world.now)
+        reads = BatchedJobReads(self.store, 0.0, 1.0, min_batch_size=1, clock=lambda: self.world.now)
         self.users = UserApi(
             self.settings, self.store, lambda: builds, self._count, lambda: self.world.now, reads
         )
@@ -548,7 +549,7 @@
                 leader_term.resign(f"{better} reaches more controllers")
                 return
             leader_term.controller.tick()
-            leader_term.assignment.review(leader_term.controller.ctx.fleet.machines.keys())
+            leader_term.assignment.update_machines(leader_term.controller.ctx.fleet.machines.keys())
             leader_term.settle()
         self.relay.step()
 
--- /dev/null
+++ b/tests/test_relay_link.py
@@ -0,0 +1,157 @@
+"""The relay's link and the leader's server over real connections."""
+
+from __future__ import annotations
+
+import random
+import socket
+import threading
+from collections.abc import Iterator
+
+import msgspec
+import pytest
+
+from poppyhold.concurrency.priority_queue import Work
+from poppyhold.relay.link import RelayLink
+from poppyhold.relay.messages import RelayedResponse, RelayHello, RelayOutcome
+from poppyhold.relay.server import RelayServer
+from poppyhold.relay.timings import RelayTimings
+from poppyhold.settings import Workers
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
+from relay_harness import (
+    FENCING_TOKEN,
+    assignment,
+    heartbeat,
+)
+from test_smoke import eventually
+
+
+class RelayedConnection:
+    """A relay's link and a leader's server, over loopback."""
+
+    def __init__(self) -> None:
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.frozen = threading.Event()
+        self.target: str | None = "hive-0"
+        self.sequences: list[int] = []
+        self.responses: list[RelayedResponse | None] = []
+        self.fleet = assignment(lambda: 0.0)
+        self.server = self._server()
+        times = RelayTimings(0.4, 0.5, 2.0)
+        address = ("127.0.0.1", int(self.listener.getsockname()[1]))
+        hello = RelayHello("hive-1", "a")
+        self.link = RelayLink(
+            hello,
+            {"hive-0": address},
+            lambda: self.target,
+            lambda: FENCING_TOKEN,
+            times,
+            50,
+            random.Random(1),
+        )
+        threading.Thread(target=self._accept, daemon=True).start()
+        self.link.start()
+
+    def _server(self) -> RelayServer:
+        workers = Workers(heartbeat_interval_s=0.4, lease_s=4.0, cancel_s=12.0)
+        return RelayServer(self._post, self._answer, lambda _: 0.0, self.fleet, workers)
+
+    def _post(self, priority: int, work: Work) -> bool:
+        if not self.frozen.is_set():
+            work()
+        return True
+
+    def _answer(self, taken: Heartbeat, deadline: float) -> HeartbeatResponse:
+        self.sequences.append(taken.sequence)
+        return HeartbeatResponse(FENCING_TOKEN, [])
+
+    def _accept(self) -> None:
+        while True:
+            try:
+                connection, _ = self.listener.accept()
+            except OSError:
+                return
+            threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
+
+    def _serve(self, connection: socket.socket) -> None:
+        with connection:
+            size = int.from_bytes(connection.recv(4), "big")
+            hello = msgspec.msgpack.decode(connection.recv(size), type=RelayHello)
+            try:
+                self.server.serve(connection, hello)
+            except (OSError, ValueError):
+                return
+
+    def send(self, sequence: int) -> None:
+        """A worker's heartbeat arrives at the relay."""
+        assert self.link.offer(heartbeat(sequence=sequence), self.responses.append)
+
+    def restart(self) -> None:
+        """The leader's term ends, and the next one begins in the same process."""
+        self.server.close()
+        self.server = self._server()
+
+    def close(self) -> None:
+        """End both."""
+        self.link.stop()
+        self.server.close()
+        self.listener.close()
+
+
+@pytest.fixture
+def relayed() -> Iterator[RelayedConnection]:
+    both = RelayedConnection()
+    yield both
+    both.close()
+
+
+def test_heartbeats_are_answered_through_a_relay(relayed: RelayedConnection) -> None:
+    eventually(relayed.link.is_open)
+    for sequence in range(1, 6):
+        relayed.send(sequence)
+        eventually(lambda sequence=sequence: len(relayed.responses) == sequence)  # type: ignore[misc]
+    assert relayed.sequences == [1, 2, 3, 4, 5]
+    assert all(answer is not None and answer.outcome is RelayOutcome.ANSWERED for answer in relayed.responses)
+
+
+def test_heartbeats_survive_a_lost_connection_and_are_sent_again(relayed: RelayedConnection) -> None:
+    eventually(relayed.link.is_open)
+    relayed.send(1)
+    eventually(lambda: len(relayed.responses) == 1)
+    relayed.restart()
+    relayed.send(2)
+    eventually(lambda: len(relayed.responses) == 2)
+    assert relayed.responses[1] is not None and relayed.responses[1].outcome is RelayOutcome.ANSWERED
+
+
+def test_a_frozen_leader_delays_workers_by_no_more_than_the_response_timeout(
+    relayed: RelayedConnection,
+) -> None:
+    eventually(relayed.link.is_open)
+    relayed.frozen.set()
+    relayed.send(1)
+    eventually(lambda: relayed.responses == [None])
+    # The connection is closed, so that nothing more is relayed until there is a response again.
+    eventually(lambda: not relayed.link.is_open())
+    relayed.frozen.clear()
+    eventually(relayed.link.is_open)
+    relayed.send(2)
+    eventually(lambda: len(relayed.responses) == 2)
+    assert relayed.responses[1] is not None
+
+
+def test_a_lost_connection_leaves_no_reader_thread(relayed: RelayedConnection) -> None:
+    eventually(relayed.link.is_open)
+    for _ in range(3):
+        relayed.restart()
+        sequence = len(relayed.responses) + 1
+        relayed.send(sequence)
+        eventually(lambda sequence=sequence: len(relayed.responses) == sequence)  # type: ignore[misc]
+    readers = [thread for thread in threading.enumerate() if thread.name == "relay answers"]
+    assert len(readers) <= 1
+
+
+def test_nothing_is_relayed_without_a_leader(relayed: RelayedConnection) -> None:
+    eventually(relayed.link.is_open)
+    relayed.target = None
+    eventually(lambda: not relayed.link.is_open())
+    assert relayed.responses == []
