--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -12,6 +12,7 @@
 from poppyhold.machines.provisioning import MachineKind, Provisioning
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Machine
+from poppyhold.model.outbound import MisdirectedWorker
 
 # Machines of one zone that must all be silent to take the zone for cut off; fewer may have died together.
 _MIN_MACHINES_OF_ZONE = 3
@@ -192,9 +193,11 @@
             return 0
         machines = self._ctx.fleet.machines
 
-        def newer(box: str, incarnation: int, sequence: int) -> bool:
-            machine = machines.get(box)
-            return machine is not None and (incarnation, sequence) > (machine.incarnation, machine.sequence)
+        def has_turned_away(worker: MisdirectedWorker) -> bool:
+            machine = machines.get(worker.machine)
+            if machine is None:
+                return False
+            return (worker.incarnation, worker.sequence) > (machine.incarnation, machine.sequence)
 
-        misdirected = self._ctx.outbound.misdirected_workers()
-        return max((sum(newer(*worker) for worker in there) for there in misdirected), default=0)
+        by_controller = self._ctx.outbound.misdirected_workers()
+        return max((sum(map(has_turned_away, workers)) for workers in by_controller), default=0)
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -169,12 +169,13 @@
                 + objective_s * _FAST_FETCH_WEIGHT * fetch_gb_per_s / fastest_gb_per_s
             )
         # Packing: machines that are nearly full first, so that others empty.
-        capacity = machine.capacity
         free_share = max(
             (
-                (free[i] - job.task_resources[i]) / capacity[i]
-                for i in range(3)
-                if capacity[i] > 0 and job.task_resources[i] > 0
+                (available - needed) / capacity
+                for available, needed, capacity in zip(
+                    free, job.task_resources, machine.capacity, strict=True
+                )
+                if capacity > 0 and needed > 0
             ),
             default=0.0,
         )
@@ -230,7 +231,7 @@
     def preemption_on(
         self, job: Job, machine: Machine, order: int, excess: QuotaExcess | None = None
     ) -> PreemptionOption | None:
-        """What it costs to preempt on a machine for a task of the job, if that is allowed there at all.
+        """The option to preempt on a machine for a task of the job, if that is allowed there at all.
 
         Where the team is at its limit, its own lower work has to free the ``excess``. The stops and the start
         reach the worker in one command, so the limit holds all the while.
