--- a/src/poppyhold/capacity.py
+++ b/src/poppyhold/capacity.py
@@ -9,7 +9,7 @@
 from poppyhold.node.cloud_client import LIST_PAGE_SIZE
 from poppyhold.node.cloud_dispatcher import LIST_REQUEST_SHARE
 from poppyhold.options import Options, RelayMode
-from poppyhold.relay.assignment import MOST_OF_SHARE
+from poppyhold.relay.assignment import MAX_LOAD_RATIO
 from poppyhold.settings import BASE_MB, CONNECTION_MB, MACHINE_MB, Settings
 
 # The leader's processor time, a line through two runs: cores per machine with its starts, and a constant.
@@ -58,4 +58,4 @@
     relays = controllers - 2
     if options.relays.mode is RelayMode.OFF or relays < 1:
         return machines
-    return math.ceil(min(machines, MOST_OF_SHARE * machines / relays))
+    return math.ceil(min(machines, MAX_LOAD_RATIO * machines / relays))
--- a/src/poppyhold/cluster/peer_client.py
+++ b/src/poppyhold/cluster/peer_client.py
@@ -18,7 +18,7 @@
 from poppyhold.model.job_status import TaskCounts
 from poppyhold.model.outbound import MisdirectedWorker
 from poppyhold.settings import PeerController
-from poppyhold.wire.frames import send_message
+from poppyhold.wire.frames import open_connection, send_message
 
 log = logging.getLogger(__name__)
 
@@ -68,8 +68,7 @@
         member, address = self._peer.member, split_address(self._peer.address)
         while not self._stop.is_set():
             try:
-                with socket.create_connection(address, timeout=self._times.timeout_s) as connection:
-                    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                with open_connection(address, self._times.timeout_s) as connection:
                     self._exchange(connection)
             except (OSError, ValueError) as error:
                 log.debug("connection to a peer lost: member=%s: %s", member, error)
--- a/src/poppyhold/options.py
+++ b/src/poppyhold/options.py
@@ -41,7 +41,7 @@
 
 
 class RelayMode(Enum):
-    """When controllers relay workers' heartbeats to the leader."""
+    """The operators' choice of when heartbeats are relayed."""
 
     # From a share of the limit of connections on.
     AUTO = "auto"
