--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -65,7 +65,7 @@
         self._store, self._rng = store, rng
         self._on_elected, self._on_leadership_lost = on_elected, on_leadership_lost
         self._should_yield = should_yield
-        worker_lease_s = settings.settings.workers.lease_s
+        worker_lease_s = settings.deployment.workers.lease_s
         self.lease_ttl_s = worker_lease_s * options.leadership.term_leases
         self._renewal_interval_s = self.lease_ttl_s / options.leadership.renewals
         # For so long a leader that resigned does not campaign.
--- a/src/poppyhold/cluster/peer_client.py
+++ b/src/poppyhold/cluster/peer_client.py
@@ -14,9 +14,10 @@
 from poppyhold.cluster.connectivity import Connectivity
 from poppyhold.cluster.peer_handler import PeerHandler
 from poppyhold.cluster.peer_messages import Pong, receive_opening
+from poppyhold.configuration_checks import split_address
 from poppyhold.model.job_status import TaskCounts
 from poppyhold.model.outbound import MisdirectedWorker
-from poppyhold.settings import Known, split_address
+from poppyhold.settings import PeerController
 from poppyhold.wire.frames import open_connection, send_message
 
 log = logging.getLogger(__name__)
@@ -47,7 +48,7 @@
 
     def __init__(
         self,
-        peer: Known,
+        peer: PeerController,
         times: PeerTimes,
         handler: PeerHandler,
         connectivity: Connectivity,
--- a/src/poppyhold/cluster/peer_server.py
+++ b/src/poppyhold/cluster/peer_server.py
@@ -9,9 +9,10 @@
 from poppyhold.cluster.peer_client import PeerTimes
 from poppyhold.cluster.peer_handler import PeerHandler
 from poppyhold.cluster.peer_messages import Ping, receive_opening
+from poppyhold.configuration_checks import split_address
 from poppyhold.quota.messages import QuotaRequest
 from poppyhold.relay.messages import RelayHello
-from poppyhold.settings import Settings, split_address
+from poppyhold.settings import Settings
 from poppyhold.wire.frames import send_message
 
 log = logging.getLogger(__name__)
@@ -36,9 +37,9 @@
         self._times, self._handler, self._stop = times, handler, stop
         self._idle_s = max(10 * times.timeout_s, 4 * times.interval_s)
         self._slots = threading.BoundedSemaphore(
-            _CONNECTIONS_PER_PEER * len(settings.known) + _SPARE_CONNECTIONS + most_cell_links
+            _CONNECTIONS_PER_PEER * len(settings.peers) + _SPARE_CONNECTIONS + most_cell_links
         )
-        self._listener = socket.create_server(split_address(settings.back), backlog=_BACKLOG)
+        self._listener = socket.create_server(split_address(settings.peer_listen), backlog=_BACKLOG)
         self._thread = threading.Thread(target=self._accept, name="peers", daemon=True)
 
     def start(self) -> None:
--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -8,6 +8,7 @@
 from http import HTTPStatus
 from typing import Any, NamedTuple
 
+from poppyhold.configuration_checks import split_address
 from poppyhold.durable.changes import (
     Data,
     Entry,
@@ -26,7 +27,7 @@
     WatchCompactedError,
 )
 from poppyhold.durable.keys import EMPTY_PREFIX
-from poppyhold.settings import Settings, split_address
+from poppyhold.settings import Settings
 from poppyhold.wire import field_names as names
 from poppyhold.wire.http_client import HttpClient, NoResponseError, NotSentError
 
@@ -61,11 +62,11 @@
     """
 
     def __init__(self, settings: Settings, clock: Callable[[], float] = time.monotonic) -> None:
-        host, port = split_address(settings.outside.state)
+        host, port = split_address(settings.external_services.state)
         self._client = HttpClient(host, port, most_idle=_IDLE_CONNECTIONS)
         self._clock = clock
         # A response usually takes milliseconds, now and then some hundreds.
-        self.timeout = settings.settings.workers.lease_s / 8
+        self.timeout = settings.deployment.workers.lease_s / 8
         # When the state service last responded.
         self.contact_at = float("-inf")
 
--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -123,7 +123,7 @@
                 slot.used
                 or machine.attempts
                 or not machine.is_up
-                or machine.name in self._reconciler.unreconciled
+                or machine.name in self._reconciler.lease_expiry.unreconciled
             ):
                 needed_at[machine.name] = now
                 continue
--- a/src/poppyhold/machines/consolidation.py
+++ b/src/poppyhold/machines/consolidation.py
@@ -33,7 +33,7 @@
     def consolidate(self, slots: list[CapacitySlot], now: float) -> None:
         """Choose machines to drain, and move the next replicas of those that are."""
         fleet = self._ctx.fleet
-        if self._reconciler.unreconciled or any(
+        if self._reconciler.lease_expiry.unreconciled or any(
             job.pending > 0 and job.phase is not JobPhase.FINALIZED for job in fleet.jobs.values()
         ):
             return
@@ -79,7 +79,7 @@
                     and attempt.job.is_service
                     and attempt.job.id not in moving_jobs
                 ):
-                    self._reconciler.stop(attempt, 0.0, now)
+                    self._reconciler.lifecycle.stop(attempt, 0.0, now)
                     break
 
 
--- a/src/poppyhold/machines/deletions.py
+++ b/src/poppyhold/machines/deletions.py
@@ -66,7 +66,7 @@
 
     def _on_deleted(self, machine: Machine) -> None:
         recorded = machine.record_state is not RecordState.NOT_RECORDED
-        self._reconciler.machine_deleted(machine)
+        self._reconciler.lease_expiry.machine_deleted(machine)
         self._notify_deleted(machine)
         if recorded:
             self._ctx.outbound.commit({}, [Delete(MACHINE_PREFIX + machine.name)], lambda done: None)
--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -72,22 +72,22 @@
             if machine.deleting:
                 # The cloud may not answer for long; the end of a lease is proof too.
                 if now - machine.last_heartbeat_at > self._ctx.durations.lease_s:
-                    self._reconciler.expire_leases(machine, now)
-            elif machine.is_up or machine.name in self._reconciler.unreconciled:
+                    self._reconciler.lease_expiry.expire_leases(machine, now)
+            elif machine.is_up or machine.name in self._reconciler.lease_expiry.unreconciled:
                 self._survey(machine, survey, now)
             elif self._boots.is_given_up(machine, self._provisioning.max_boot_s(machine.machine_type), now):
                 self._deletions.mark(machine, "never came up")
         self._handle_silent_machines(survey, now)
         for machine in self._ctx.fleet.machines.values():
-            is_empty = not machine.attempts and machine.name not in self._reconciler.unreconciled
+            is_empty = not machine.attempts and machine.name not in self._reconciler.lease_expiry.unreconciled
             if is_empty and (machine.quarantined or machine.draining):
                 self._deletions.mark(machine, "drained")
         self._deletions.send_request()
 
     def _silence_s(self, machine: Machine, now: float) -> float:
         """For how long a machine has been silent, as far as its heartbeats could have reached us."""
-        times, began_at = self._ctx.durations, self._reconciler.began_at
-        if machine.reconciled or machine.name not in self._reconciler.unreconciled:
+        times, began_at = self._ctx.durations, self._reconciler.lease_expiry.began_at
+        if machine.reconciled or machine.name not in self._reconciler.lease_expiry.unreconciled:
             return now - max(
                 machine.last_heartbeat_at,
                 machine.up_at,
@@ -116,14 +116,14 @@
         silence_s = self._silence_s(machine, now)
         survey.quiet += self._is_quiet(silence_s)
         if silence_s > times.silent_s / 2:
-            self._reconciler.commands.probe_silent_worker(machine, now)
+            self._reconciler.lifecycle.commands.probe_silent_worker(machine, now)
         if silence_s > times.presumed_lost_s:
             if machine.preempted_at is not None and now > machine.preempted_at - times.presumed_lost_s:
                 self._deletions.mark(machine, "preempted")
             else:
                 survey.silent.append(machine)
         if silence_s > times.lease_s:
-            self._reconciler.expire_leases(machine, now)
+            self._reconciler.lease_expiry.expire_leases(machine, now)
         if machine.errors and self._reconciler.failures.machine_at_fault(machine):
             machine.quarantined = True
 
@@ -152,7 +152,9 @@
         have expired, but machines are given up for good only a good while after that.
         """
         times = self._ctx.durations
-        silence_s = now - max(machine.last_heartbeat_at, machine.up_at, self._reconciler.began_at)
+        silence_s = now - max(
+            machine.last_heartbeat_at, machine.up_at, self._reconciler.lease_expiry.began_at
+        )
         if in_silent_zone:
             # Others in their place would be no more use there, and have to boot when the zone is back: 39
             # machines were given up 20 s before that, and their tasks waited for 50 s more. Those that are
@@ -189,7 +191,7 @@
         A copy of an old heartbeat does not count. A controller that has just begun to lead has no heartbeats
         to compare with, and gives them the time to come.
         """
-        if now - self._reconciler.began_at < self._ctx.durations.lease_s:
+        if now - self._reconciler.lease_expiry.began_at < self._ctx.durations.lease_s:
             return 0
         machines = self._ctx.fleet.machines
 
--- a/src/poppyhold/node/cloud_client.py
+++ b/src/poppyhold/node/cloud_client.py
@@ -6,9 +6,10 @@
 from http import HTTPStatus
 from typing import TypeVar
 
+from poppyhold.configuration_checks import split_address
 from poppyhold.model.outbound import Data
 from poppyhold.model.outcome import RequestOutcome
-from poppyhold.settings import Settings, split_address
+from poppyhold.settings import Settings
 from poppyhold.wire.cloud_messages import (
     DeletionRequest,
     LaunchResponse,
@@ -31,9 +32,9 @@
     """Sends requests once, without retries. Safe for several threads."""
 
     def __init__(self, settings: Settings) -> None:
-        host, port = split_address(settings.outside.cloud)
+        host, port = split_address(settings.external_services.cloud)
         self._client = HttpClient(host, port, most_idle=2)
-        self._timeout_s = settings.settings.workers.lease_s / 3
+        self._timeout_s = settings.deployment.workers.lease_s / 3
 
     def fetch_machine_types(self) -> list[MachineType] | None:
         """The machine types; None if the cloud gave no valid answer."""
--- a/src/poppyhold/node/cloud_dispatcher.py
+++ b/src/poppyhold/node/cloud_dispatcher.py
@@ -99,7 +99,7 @@
     ) -> None:
         self._client = client
         self._on_machine_types, self._on_machine_listing = on_machine_types, on_machine_listing
-        cloud = settings.settings.cloud
+        cloud = settings.deployment.cloud
         self._gap_s = 1.0 / cloud.rps
         self._list_reader = MachineListReader(client, cloud.list_lag_s, self._gap_s)
         self._machine_types_interval_s = cloud.list_lag_s * _MACHINE_TYPES_LAGS
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -54,11 +54,21 @@
         rng: random.Random,
     ) -> None:
         times = Durations(settings, options)
-        self.ctx = Context(settings, options, outbound, clock, wall, rng, fencing_token, fencing_token, times)
-        connections = settings.settings.machine_limits.connections
-        self.ctx.max_initial_probes = connections * options.relays.from_share
-        self.ctx.silent_probe_rate = connections * _SILENT_PROBE_SHARE
-        self._quotas = Quotas(settings.settings.teams)
+        connections = settings.deployment.machine_limits.connections
+        self.ctx = Context(
+            settings=settings,
+            options=options,
+            durations=times,
+            outbound=outbound,
+            clock=clock,
+            wall_clock=wall,
+            rng=rng,
+            term_fencing_token=fencing_token,
+            max_initial_probes=connections * options.relays.from_share,
+            silent_probe_rate=connections * _SILENT_PROBE_SHARE,
+            fencing_token=fencing_token,
+        )
+        self._quotas = Quotas(settings.deployment.teams)
         self.failures = Failures(times, clock, self._on_job_judged)
         self.reconciler = AttemptReconciler(
             self.ctx, self._on_task_completed, self._on_attempt_ended, self._on_task_ran, self.failures
@@ -90,7 +100,7 @@
             self.ctx,
             options.cells,
             self._quotas,
-            lambda: self.ctx.fleet.unaccounted_resources(self.reconciler.unreconciled),
+            lambda: self.ctx.fleet.unaccounted_resources(self.reconciler.lease_expiry.unreconciled),
             self.autoscaler.can_launch,
             self._on_quotas_changed,
         )
@@ -161,8 +171,8 @@
         self.failures.tick()
         self.autoscaler.watch()
         self._machines.drain_all(now)
-        self.reconciler.commands.raise_fencing_token()
-        self.reconciler.gangs.tick(now)
+        self.reconciler.lifecycle.commands.raise_fencing_token()
+        self.reconciler.lifecycle.gangs.tick(now)
         if now >= self._save_completions_at:
             interval_s = self.ctx.durations.heartbeat_interval_s
             self._save_completions_at = now + interval_s / _COMPLETION_SAVES_PER_INTERVAL
@@ -179,7 +189,7 @@
     def run_scheduling_cycle(self) -> None:
         """After a batch of events: start what may start, if a cycle is due, and send the commands."""
         self._cycle.run_if_due()
-        self.reconciler.commands.send_queued()
+        self.reconciler.lifecycle.commands.send_queued()
 
     # -- views of the state --------------------------------------------------------------------------
 
@@ -201,7 +211,7 @@
 
         Tasks of cancelled jobs that run there must be gone in time, and so must tasks that are none of ours.
         """
-        if self.reconciler.unreconciled:
+        if self.reconciler.lease_expiry.unreconciled:
             return None
         finalized = JobPhase.FINALIZED
         return [
--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -44,7 +44,7 @@
         rng: random.Random,
     ) -> None:
         """``is_unreachable`` tells whether nothing gets through to another controller."""
-        workers = settings.settings.workers
+        workers = settings.deployment.workers
         self._member, self._store, self._election = settings.member, store, election
         self._delegated_renewal, self._misdirected_workers = delegated_renewal, misdirected_workers
         self._leader_term, self._is_unreachable = leader_term, is_unreachable
@@ -53,7 +53,7 @@
         # A worker that is not told where to go tries another node a second later. Where all nodes have just
         # come back, that second decides whether leases end; an election takes far less.
         self._await_leader_s = workers.heartbeat_interval_s * _AWAIT_LEADER_INTERVALS
-        self._redirect_backoff = RedirectBackoff(workers.lease_s, settings.settings.machine_limits.machines)
+        self._redirect_backoff = RedirectBackoff(workers.lease_s, settings.deployment.machine_limits.machines)
         self.forwarder = HeartbeatForwarder(
             settings,
             lambda: election.leader,
--- a/src/poppyhold/node/job_lifecycle.py
+++ b/src/poppyhold/node/job_lifecycle.py
@@ -40,7 +40,7 @@
         self._on_active_jobs_changed = on_active_jobs_changed
         # Jobs that were finalized before we heard of them. A cancellation may overtake the submission, in our
         # own queue or because another controller told of it: the submission must not create it afterwards.
-        max_ids = int(ctx.settings.settings.machine_limits.ram_mb * _FINALIZED_IDS_PER_RAM_MB)
+        max_ids = int(ctx.settings.deployment.machine_limits.ram_mb * _FINALIZED_IDS_PER_RAM_MB)
         self._finalized_ids: BoundedDict[bool] = BoundedDict(max_ids)
 
     # -- jobs begin ----------------------------------------------------------------------------------
@@ -83,7 +83,7 @@
         """A task is done: any other attempt of it is stopped, and the job may be done as well."""
         other = job.active.get(index)
         if other is not None:
-            self._reconciler.stop(other, 0.0, self._ctx.clock())
+            self._reconciler.lifecycle.stop(other, 0.0, self._ctx.clock())
         if job.done == job.spec.tasks:
             self._finalize(job)
 
@@ -133,7 +133,7 @@
         self._admission.release_plan(job)
         now = self._ctx.clock()
         for attempt in list(job.active.values()):
-            self._reconciler.stop(attempt, 0.0, now)
+            self._reconciler.lifecycle.stop(attempt, 0.0, now)
         self._completions.remove(job)
         if job.plan_durable or job.plan_write_in_flight:
             self._admission.records.remove(job_id)
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -80,14 +80,14 @@
     def __init__(self, node: NodeContext, term: Term) -> None:
         self._node = node
         settings, options = node.settings, node.options
-        workers = settings.settings.workers
+        workers = settings.deployment.workers
         times = Durations(settings, options)
-        self.loop = DecisionLoop(settings.settings.machine_limits.max_sockets, workers.heartbeat_interval_s)
+        self.loop = DecisionLoop(settings.deployment.machine_limits.max_sockets, workers.heartbeat_interval_s)
         self._committer = Committer(node.store, settings, term.key_revision, self._on_write_rejected)
         self._commands = CommandDispatcher(settings)
-        members = [settings.member, *(known.member for known in settings.known)]
+        members = [settings.member, *(known.member for known in settings.peers)]
         self.authority = Authority(times.unconfirmed_renewal_s, members, term.began_at)
-        self.delegations = DelegationTracker(times, settings.settings.skew_ms / 1000)
+        self.delegations = DelegationTracker(times, settings.deployment.skew_ms / 1000)
         self._outbound = OutboundAdapter(
             self.loop,
             node.election,
@@ -131,13 +131,13 @@
     def _make_assignment(self, times: Durations) -> Assignment:
         """Who relays for whom, and whether relays are wanted at all."""
         settings, relays = self._node.settings, self._node.options.relays
-        connections = settings.settings.machine_limits.connections
+        connections = settings.deployment.machine_limits.connections
         return Assignment(
             relays.mode,
             connections * relays.from_share,
             connections * DIRECT_SHARE,
             settings.member,
-            settings.domain,
+            settings.zone,
             times,
             time.monotonic,
             self._node.rng,
@@ -206,7 +206,7 @@
         self._watch = Watch(
             self._node.store,
             ACTIVE_JOB_PREFIX,
-            self._node.settings.settings.workers.lease_s / 5,
+            self._node.settings.deployment.workers.lease_s / 5,
             self._on_active_jobs,
             self._on_job_change,
             on_caught_up=self.cancellations.on_caught_up,
--- a/src/poppyhold/node/machine_lifecycle.py
+++ b/src/poppyhold/node/machine_lifecycle.py
@@ -49,7 +49,7 @@
             if attempt.job.is_gang:
                 self._drain_gang(attempt, remaining_s, now)
             else:
-                self._reconciler.stop(attempt, self._grace_s(attempt), now)
+                self._reconciler.lifecycle.stop(attempt, self._grace_s(attempt), now)
 
     @staticmethod
     def _remaining_s(machine: Machine, now: float) -> float:
@@ -68,9 +68,9 @@
 
     def _drain_gang(self, attempt: Attempt, remaining_s: float, now: float) -> None:
         """Move one task of a gang that assembles; a gang that runs is stopped as a whole."""
-        gangs, job = self._reconciler.gangs, attempt.job
+        gangs, job = self._reconciler.lifecycle.gangs, attempt.job
         if gangs.state_of(job) is GangState.ASSEMBLING:
-            self._reconciler.stop(attempt, 0.0, now)
+            self._reconciler.lifecycle.stop(attempt, 0.0, now)
         else:
             # Where saving takes longer than is left, progress is lost in any case: better start again sooner.
             gangs.stop(job, now, grace_s=0.0 if remaining_s < job.spec.save_s else None)
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -150,7 +150,7 @@
         self._election.observe_fencing_token(ping.fencing_token)
         self._forwarder.note_ping(ping.fencing_token, ping.accepts_relays)
         self._delegated_renewal.observe_leader(ping.fencing_token, ping.delegation)
-        limits = self._settings.settings.machine_limits
+        limits = self._settings.deployment.machine_limits
         counts = dict(self._peer_counts)
         counts.update({job: TaskCounts(done, running) for job, done, running in ping.task_counts})
         while len(counts) > limits.ram_mb * _COUNTS_PER_RAM_MB:
@@ -210,7 +210,7 @@
         # nodes that each depose whomever they can't reach would never let one lead. So a refusal suffices
         # once in several leases, and otherwise only if workers have turned away from the leader too.
         now = time.monotonic()
-        lease_s = self._settings.settings.workers.lease_s
+        lease_s = self._settings.deployment.workers.lease_s
         quiet_s = now - self._deposed_at
         workers_left = len(self._misdirected_workers.recent()) > 1
         if quiet_s > _REFUSAL_SUFFICES_LEASES * lease_s or (quiet_s > lease_s and workers_left):
--- a/src/poppyhold/node/readiness.py
+++ b/src/poppyhold/node/readiness.py
@@ -30,7 +30,7 @@
     ) -> None:
         self._member, self._store, self._catalog = settings.member, store, catalog
         self._peer_views, self._leader_term = peer_views, leader_term
-        self._behind_s = settings.settings.workers.lease_s * _BEHIND_RATIO
+        self._behind_s = settings.deployment.workers.lease_s * _BEHIND_RATIO
         self._started_at = time.monotonic()
 
     def contact_at(self) -> float:
--- a/src/poppyhold/node/scheduling_cycle.py
+++ b/src/poppyhold/node/scheduling_cycle.py
@@ -50,7 +50,7 @@
             self._quotas.mark_guaranteed(
                 job for job in ctx.fleet.jobs.values() if job.phase is not JobPhase.FINALIZED
             )
-        self._dispatcher.dispatch(self._reconciler.all_reconciled())
+        self._dispatcher.dispatch(self._reconciler.lease_expiry.all_reconciled())
         ended_at = ctx.clock()
         interval_s = ctx.durations.heartbeat_interval_s
         rest_s = max(_REST_RATIO * (ended_at - began_at), interval_s / _SHORTEST_REST_DIVISOR)
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -10,6 +10,7 @@
 from poppyhold.cluster.election import Election, Term
 from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
 from poppyhold.cluster.peers import Peers
+from poppyhold.configuration_checks import split_address
 from poppyhold.durable.store import Store
 from poppyhold.model.context import ImageHints
 from poppyhold.model.durations import Durations
@@ -24,7 +25,7 @@
 from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
 from poppyhold.quota.server import QuotaServer
-from poppyhold.settings import Settings, split_address
+from poppyhold.settings import Settings
 from poppyhold.wire.http_server import HttpResponse, HttpServer
 
 # More misdirected workers would not fit into a message between controllers.
@@ -36,13 +37,13 @@
 
     def __init__(self, settings: Settings, options: Options) -> None:
         self.settings, self.options = settings, options
-        workers, limits = settings.settings.workers, settings.settings.machine_limits
+        workers, limits = settings.deployment.workers, settings.deployment.machine_limits
         self.rng = random.Random()
         # The external systems, and what is read of them.
         self.store = Store(settings)
         self.cloud = CloudClient(settings)
         self.catalog = MachineCatalog(
-            self.store, self.cloud, settings.settings.state.lowest.value_bytes, self.rng
+            self.store, self.cloud, settings.deployment.state.lowest.value_bytes, self.rng
         )
         self.users = UserApi(settings, self.store, lambda: self.catalog.types, self._task_counts)
         # The current term, and who leads.
@@ -54,7 +55,7 @@
         )
         # Heartbeats, whoever leads.
         delegated_renewal = DelegatedRenewals(
-            Durations(settings, options), settings.settings.skew_ms / 1000, time.monotonic, time.time
+            Durations(settings, options), settings.deployment.skew_ms / 1000, time.monotonic, time.time
         )
         misdirected_workers = MisdirectedWorkers(
             min(limits.machines, _MAX_MISDIRECTED_WORKERS), workers.lease_s / 2
--- a/src/poppyhold/node/state_loader.py
+++ b/src/poppyhold/node/state_loader.py
@@ -41,7 +41,7 @@
             self._autoscaler.load_launch(name, data)
         self._load_jobs(snapshot)
         for machine in self._ctx.fleet.machines.values():
-            self._reconciler.commands.request_heartbeat(machine, now)
+            self._reconciler.lifecycle.commands.request_heartbeat(machine, now)
 
     def _load_machine(self, name: str, data: Data, now: float) -> None:
         """A machine that may hold tasks of earlier terms."""
@@ -52,7 +52,7 @@
         machine.images.update(self._ctx.image_hints.get(name, ()))
         machine.record_state, machine.is_up = RecordState.DURABLE, True
         self._ctx.fleet.machines[name] = machine
-        self._reconciler.unreconciled.add(name)
+        self._reconciler.lease_expiry.unreconciled.add(name)
 
     def _load_jobs(self, snapshot: Snapshot) -> None:
         jobs = self._ctx.fleet.jobs
--- a/src/poppyhold/node/user_api.py
+++ b/src/poppyhold/node/user_api.py
@@ -54,7 +54,7 @@
 
 def _query_rate_limiter(deployment: Deployment) -> RateLimiter:
     """How fast one controller may ask the state service for its users' queries."""
-    per_second = deployment.state.lowest.rps * _QUERIES_SHARE / deployment.count
+    per_second = deployment.state.lowest.rps * _QUERIES_SHARE / deployment.controllers
     return RateLimiter(per_second, burst=per_second * _GATHER_RATIO * 2)
 
 
@@ -71,7 +71,7 @@
         reads: BatchedJobReads | None = None,
     ) -> None:
         """``task_counts`` tells a job's done and running tasks; ``reads`` whether it is active."""
-        limits = settings.settings
+        limits = settings.deployment
         self._store, self._machine_types, self._clock = store, machine_types, clock
         self._retry_after_s = max(1, round(limits.workers.heartbeat_interval_s))
         self._reads = reads or BatchedJobReads(
--- a/src/poppyhold/quota/apportionment.py
+++ b/src/poppyhold/quota/apportionment.py
@@ -5,8 +5,9 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
+from poppyhold.configuration_checks import ConfigError
 from poppyhold.quota.amounts import UNIT, ResourceAllocation, TeamAllocation, to_units
-from poppyhold.settings import ConfigError, Settings, Team
+from poppyhold.settings import Settings, Team
 
 
 class InitialAllocation(NamedTuple):
@@ -24,7 +25,7 @@
     """
     return TeamAllocation(
         _total(f"settings.teams.{team.name}.cpus", team.cpus, team.cpus_max),
-        _total(f"settings.teams.{team.name}.gpus", team.gpus, team.gpus_max),
+        _total(f"settings.teams.{team.name}.gpus", team.accelerators, team.accelerators_max),
     )
 
 
@@ -38,7 +39,7 @@
 
 def check_limits(settings: Settings) -> None:
     """Raise `ConfigError` if a team's limit and guarantee cannot be divided among cells."""
-    for team in settings.settings.teams:
+    for team in settings.deployment.teams:
         total_allocation(team)
 
 
--- a/src/poppyhold/quota/cell_service.py
+++ b/src/poppyhold/quota/cell_service.py
@@ -16,6 +16,7 @@
 from poppyhold.model.context import Context
 from poppyhold.model.outbound import CommitPriority
 from poppyhold.model.resources import Resources
+from poppyhold.options import Cells
 from poppyhold.quota.alarms import AlarmKind, Alarms
 from poppyhold.quota.amounts import TeamAmount, from_units, to_units
 from poppyhold.quota.apportionment import (
@@ -26,7 +27,6 @@
     total_allocation,
 )
 from poppyhold.quota.cell_view import CellViewBuilder
-from poppyhold.quota.cells import Cells
 from poppyhold.quota.consistency import RESOURCES, parts_of
 from poppyhold.quota.demand import TeamDemand
 from poppyhold.quota.demand_monitor import DemandMonitor
@@ -77,7 +77,7 @@
         self._ctx, self._cells, self._quotas, self._on_changed = ctx, cells, quotas, on_changed
         self._totals = {
             team.name: total
-            for team in ctx.settings.settings.teams
+            for team in ctx.settings.deployment.teams
             if has_quota(total := total_allocation(team))
         }
         weights = cells.weights
@@ -100,7 +100,7 @@
         retention_s = ctx.durations.lease_s * cells.keep_leases
         self._retention = RetentionTimes(retention_s)
         self._monitor = DemandMonitor(ctx, retention_s, self._retention, unaccounted_resources, can_launch)
-        limits = ctx.settings.settings.state.lowest
+        limits = ctx.settings.deployment.state.lowest
         self._max_teams_per_commit = max(1, limits.txn_ops // 2)
         self._rate_limiter = RateLimiter(limits.write_rps * cells.moves_share, burst=1.0)
         self._demands: dict[str, TeamDemand] = {}
--- a/src/poppyhold/quota/endpoint.py
+++ b/src/poppyhold/quota/endpoint.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 
 from poppyhold.concurrency.priority_queue import SUBMISSIONS, Work
+from poppyhold.options import Cells
 from poppyhold.quota.cell_service import CellQuotaService, QuotaHealth
-from poppyhold.quota.cells import Cells
 from poppyhold.quota.link import CellLinks
 from poppyhold.quota.messages import (
     QuotaRequest,
@@ -39,7 +39,7 @@
     ) -> None:
         """``post`` queues work of a priority for the decision thread; False: it takes none."""
         self._quota, self._post = quota, post
-        workers = settings.settings.workers
+        workers = settings.deployment.workers
         self._links = CellLinks(
             cells.others,
             self._on_response,
--- a/src/poppyhold/quota/free_capacity.py
+++ b/src/poppyhold/quota/free_capacity.py
@@ -47,7 +47,7 @@
 
     def _count(self, job: Job) -> int:
         """Tasks for which existing machines have free capacity, a bounded number."""
-        count, max_count = 0, self._ctx.settings.settings.machine_limits.machines
+        count, max_count = 0, self._ctx.settings.deployment.machine_limits.machines
         for machine in self._ctx.fleet.machines.values():
             unavailable = machine.quarantined or machine.draining or machine.deleting
             if unavailable or machine.preempted_at is not None or not may_use(job, machine):
--- a/src/poppyhold/quota/link.py
+++ b/src/poppyhold/quota/link.py
@@ -15,10 +15,10 @@
 
 import msgspec
 
-from poppyhold.quota.cells import Cell
+from poppyhold.configuration_checks import split_address
+from poppyhold.options import Cell
 from poppyhold.quota.messages import NotLeading, QuotaResponse, TransferRequest, TransferResponse
 from poppyhold.quota.request_board import RequestBoard
-from poppyhold.settings import split_address
 from poppyhold.wire.frames import open_connection, receive_message, send_message
 
 log = logging.getLogger(__name__)
--- a/src/poppyhold/quota/message_checks.py
+++ b/src/poppyhold/quota/message_checks.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
+from poppyhold.options import Cells
 from poppyhold.quota.alarms import AlarmKind, Alarms
-from poppyhold.quota.cells import Cells
 from poppyhold.quota.errors import QuotaProtocolError, UnknownIncarnationError, WrongCellError
 from poppyhold.quota.ledger import AllocationLedger
 from poppyhold.quota.messages import TransferRequest
--- a/src/poppyhold/quota/server.py
+++ b/src/poppyhold/quota/server.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from poppyhold.cluster.known_leader import Leader
-from poppyhold.quota.cells import Cells
+from poppyhold.options import Cells
 from poppyhold.quota.messages import (
     PROTOCOL_VERSION,
     NotLeading,
@@ -48,7 +48,7 @@
     ) -> None:
         self._settings, self._cells = settings, cells
         self._leading_term, self._leader = leading_term, leader
-        self._timeout_s = settings.settings.workers.lease_s / _TIMEOUT_LEASE_DIVISOR
+        self._timeout_s = settings.deployment.workers.lease_s / _TIMEOUT_LEASE_DIVISOR
         # Why each cell's last request was rejected: logged once, not with each retry.
         self._last_rejections: dict[str, str] = {}
 
--- a/src/poppyhold/quota/status.py
+++ b/src/poppyhold/quota/status.py
@@ -73,11 +73,11 @@
     Raises:
         NoLeaderError: it was not found.
     """
-    addresses = {known.member: known.address for known in settings.known}
-    addresses[settings.member] = settings.back
-    timeout_s = settings.settings.workers.lease_s / 4
+    addresses = {known.member: known.address for known in settings.peers}
+    addresses[settings.member] = settings.peer_listen
+    timeout_s = settings.deployment.workers.lease_s / 4
     tried: set[str] = set()
-    candidates = [settings.member, *(known.member for known in settings.known)]
+    candidates = [settings.member, *(known.member for known in settings.peers)]
     while candidates:
         member = candidates.pop(0)
         if member in tried or member not in addresses:
--- a/src/poppyhold/relay/assignment.py
+++ b/src/poppyhold/relay/assignment.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from poppyhold.model.durations import Durations
+from poppyhold.options import RelayMode
 from poppyhold.relay.health import RelayHealth
 from poppyhold.relay.redirect_budget import RedirectBudget
-from poppyhold.relay.relay_mode import RelayMode
 from poppyhold.relay.rendezvous import rendezvous_weight
 
 # No relay is assigned more than this times its even share of the workers.
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -8,11 +8,12 @@
 from http import HTTPStatus
 
 from poppyhold.cluster.known_leader import Leader
+from poppyhold.configuration_checks import split_address
 from poppyhold.relay.link import RelayLink
 from poppyhold.relay.messages import RelayedResponse, RelayHello, RelayOutcome
 from poppyhold.relay.overflow_redirect import OverflowRedirector
 from poppyhold.relay.timings import RelayTimings, heartbeat_response_timeout_s
-from poppyhold.settings import Settings, split_address
+from poppyhold.settings import Settings
 from poppyhold.wire.http_server import DeferredResponse, HttpResponse, http_response
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, Redirect
 
@@ -38,18 +39,18 @@
         """
         self._leader, self._is_leading = leader, is_leading
         self._answer_without_leader, self._redirect_to_leader = answer_without_leader, redirect_to_leader
-        workers = settings.settings.workers
+        workers = settings.deployment.workers
         self._lease_s = workers.lease_s
         # When a leader last asked for heartbeats to be relayed.
         self._wanted_at = float("-inf")
         self._highest_fencing_token = 0
-        connections = settings.settings.machine_limits.connections
+        connections = settings.deployment.machine_limits.connections
         self._overflow = OverflowRedirector(
             int(connections * _WORKERS_SHARE), workers.lease_s, time.monotonic
         )
         self._link = RelayLink(
-            RelayHello(settings.member, settings.domain),
-            {known.member: split_address(known.address) for known in settings.known},
+            RelayHello(settings.member, settings.zone),
+            {known.member: split_address(known.address) for known in settings.peers},
             self._target,
             self._highest_seen_fencing_token,
             RelayTimings(
--- a/src/poppyhold/relay/server.py
+++ b/src/poppyhold/relay/server.py
@@ -21,7 +21,7 @@
     ResponseBatch,
 )
 from poppyhold.relay.timings import heartbeat_response_timeout_s
-from poppyhold.settings import Workers
+from poppyhold.settings import WorkerTimings
 from poppyhold.wire.frames import receive_message, shut_down, try_send_message
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
@@ -37,7 +37,7 @@
         answer: Callable[[Heartbeat, float], HeartbeatResponse | None],
         answered_at: Callable[[str], float],
         assignment: Assignment,
-        workers: Workers,
+        workers: WorkerTimings,
     ) -> None:
         """``post`` queues work for the decision thread; False if it takes no more."""
         self._post, self._assignment = post, assignment
--- a/src/poppyhold/relay/timings.py
+++ b/src/poppyhold/relay/timings.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from poppyhold.settings import Workers
+from poppyhold.settings import WorkerTimings
 
 # A worker waits so long for the response to a heartbeat.
 _WORKER_TIMEOUT_S = 4.0
 
 
-def heartbeat_response_timeout_s(workers: Workers) -> float:
+def heartbeat_response_timeout_s(workers: WorkerTimings) -> float:
     """After so long a heartbeat is not answered any more: its worker times out soon, or has done so."""
     return min(workers.heartbeat_interval_s * 2.5, _WORKER_TIMEOUT_S * 0.75)
 
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -31,7 +31,7 @@
     ) -> None:
         self._ctx, self._reconciler, self._admission = ctx, reconciler, admission
         cost = PreemptionCost(ctx, admission.estimates)
-        self.placement = Placement(_wait_objectives(ctx.settings.settings.objectives), cost.seconds)
+        self.placement = Placement(_wait_objectives(ctx.settings.deployment.objectives), cost.seconds)
         self._gang_placement = GangPlacement(self.placement)
         self._relocation = Relocation(
             admission.pricing.weights, ctx.durations, self.placement.meets_objective, ctx.clock
@@ -41,7 +41,9 @@
         self._tasks = TaskScheduler(
             ctx, quotas, admission.bookings, self.placement, self._relocation, starter
         )
-        self._gangs = GangScheduler(ctx, reconciler.gangs, quotas, self._gang_placement, self._order, starter)
+        self._gangs = GangScheduler(
+            ctx, reconciler.lifecycle.gangs, quotas, self._gang_placement, self._order, starter
+        )
         self._planned_capacity, self._unplanned_capacity = CapacityViews(), CapacityViews()
         # Jobs that cycles which ran out of time came to.
         self._visited: set[str] = set()
@@ -89,7 +91,7 @@
         reliable_machines = [
             machine for machine in machines if machine.unreliable_until <= now and not is_suspect(machine)
         ]
-        unaccounted = ctx.fleet.unaccounted_resources(self._reconciler.unreconciled)
+        unaccounted = ctx.fleet.unaccounted_resources(self._reconciler.lease_expiry.unreconciled)
         cycle = CycleState(machines, reliable_machines, unaccounted)
         self.placement.begin_cycle(machines, [job for job in ctx.fleet.jobs.values() if job.active])
         self._gang_placement.begin_cycle(ctx.fleet.jobs.values())
--- a/src/poppyhold/scheduling/gang_scheduler.py
+++ b/src/poppyhold/scheduling/gang_scheduler.py
@@ -74,7 +74,7 @@
         Reserved without end, it would let a gang that nothing can serve block all others.
         """
         waited_s = self._order.passed_over_s(job, self._ctx.clock())
-        reservation_s = self._ctx.settings.settings.workers.gang_wait_s
+        reservation_s = self._ctx.settings.deployment.workers.gang_wait_s
         # Intervals with the reservation and without it alternate.
         if int(waited_s / reservation_s) % 2:
             return
--- a/src/poppyhold/scheduling/plan_records.py
+++ b/src/poppyhold/scheduling/plan_records.py
@@ -26,7 +26,7 @@
 
     def __init__(self, ctx: Context, quotas: Quotas, on_ended: Callable[[Job], None]) -> None:
         self._ctx, self._quotas, self._on_ended = ctx, quotas, on_ended
-        self._max_record_bytes = ctx.settings.settings.state.lowest.value_bytes
+        self._max_record_bytes = ctx.settings.deployment.state.lowest.value_bytes
 
     def write(self, job: Job) -> None:
         """Make durable that tasks of the job may start from now on."""
--- a/src/poppyhold/scheduling/task_starter.py
+++ b/src/poppyhold/scheduling/task_starter.py
@@ -21,7 +21,7 @@
         """Start a task, unless gangs among its victims have to save their checkpoints first."""
         if self._await_gangs(job, choice):
             return
-        attempt = self._reconciler.start(job, index, choice.machine, choice.victims)
+        attempt = self._reconciler.lifecycle.start(job, index, choice.machine, choice.victims)
         self._placement.record_preemptions(choice)
         self._bookings.use(job, choice.machine.name)
         self._bookings.book_attempt(attempt)
@@ -33,7 +33,7 @@
             return False
         now = self._ctx.clock()
         for gang in gangs.values():
-            self._reconciler.gangs.stop(gang, now)
+            self._reconciler.lifecycle.gangs.stop(gang, now)
         saving_s = max(gang.spec.save_s for gang in gangs.values())
         job.may_preempt_at = now + saving_s + 2 * self._ctx.durations.heartbeat_interval_s
         return True
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -12,10 +12,10 @@
 from poppyhold.cluster.peer_messages import Opening
 from poppyhold.durable.changes import Entry
 from poppyhold.durable.keys import QUOTA_PREFIX
-from poppyhold.options import Options
+from poppyhold.options import Cell, CellController, Cells, Options
+from poppyhold.options_file import check_cells
 from poppyhold.quota.amounts import UNIT, to_units
 from poppyhold.quota.apportionment import total_allocation
-from poppyhold.quota.cells import Cell, CellController, Cells, check_cells
 from poppyhold.quota.ledger import AllocationLedger
 from poppyhold.quota.messages import QuotaResponse, TransferRequest, TransferResponse
 from quota_model import sum_problems
@@ -63,7 +63,7 @@
         self.cell_is_lost = False
         self._unsaid: Counter[int] = Counter()
         self._check_at = 0.0
-        team = next(team for team in self.worlds[0].settings.settings.teams if team.name == TEAM)
+        team = next(team for team in self.worlds[0].settings.deployment.teams if team.name == TEAM)
         self._whole = total_allocation(team)
 
     @property
@@ -208,7 +208,7 @@
         leader = self.worlds[cell].leader()
         term = leader.leader_term if leader is not None else None
         quota = term.controller.quota if term is not None else None
-        if term is None or quota is None or term.controller.reconciler.unreconciled:
+        if term is None or quota is None or term.controller.reconciler.lease_expiry.unreconciled:
             return True
         if any("use above share" in alarm for alarm in quota.alarms.texts()):
             return True
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -9,13 +9,12 @@
 import msgspec
 
 from poppyhold.model.durations import Durations
-from poppyhold.options import Options
+from poppyhold.options import Options, RelayMode
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.batch_handler import BatchHandler
 from poppyhold.relay.connected_relay import ConnectedRelay
 from poppyhold.relay.messages import HeartbeatBatch, RelayedResponse, RelayOutcome, ResponseBatch
 from poppyhold.relay.queue import HeartbeatQueue
-from poppyhold.relay.relay_mode import RelayMode
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 from world import World
 
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -31,13 +31,12 @@
 from poppyhold.node.controller import Controller
 from poppyhold.node.leader_term import DIRECT_SHARE
 from poppyhold.node.user_api import UserApi
-from poppyhold.options import Options
+from poppyhold.options import Options, RelayMode
 from poppyhold.quota.records import PEER
 from poppyhold.reads.batched_job_reads import BatchedJobReads
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.batch_handler import BatchHandler
 from poppyhold.relay.connected_relay import ConnectedRelay
-from poppyhold.relay.relay_mode import RelayMode
 from poppyhold.relay.timings import heartbeat_response_timeout_s
 from poppyhold.scale.jobs import Data
 from poppyhold.scale.state_standin import StateStandIn
@@ -134,7 +133,7 @@
         self.assignment = Assignment(
             world.relays if node.relays else RelayMode.OFF,
             world.relays_from,
-            node.settings.settings.machine_limits.connections * DIRECT_SHARE,
+            node.settings.deployment.machine_limits.connections * DIRECT_SHARE,
             node.member,
             node.zone,
             node.times,
@@ -143,7 +142,7 @@
         )
         # The relays that are connected, and what is kept of each.
         self.relays: dict[str, ConnectedRelay] = {}
-        patience_s = heartbeat_response_timeout_s(node.settings.settings.workers)
+        patience_s = heartbeat_response_timeout_s(node.settings.deployment.workers)
         self.batch_handler = BatchHandler(
             self.answer_heartbeat, self.controller.last_response_at, self.assignment, patience_s
         )
@@ -318,7 +317,7 @@
         self.fencing_token = baton
 
     def resign(self, why: str) -> None:
-        self.node.resting_until = self.world.now + self.world.settings.settings.workers.lease_s
+        self.node.resting_until = self.world.now + self.world.settings.deployment.workers.lease_s
         if not self.world.state.down and not self.node.refused:
             self.world.state.end(self.lease_id)
         self.node.step_down()
@@ -327,7 +326,7 @@
         self.node.users.job_states.finals.put(job_id, FinalState(status, chores))
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
-        since = self.world.now - self.world.settings.settings.workers.lease_s / 2
+        since = self.world.now - self.world.settings.deployment.workers.lease_s / 2
         return [
             [worker for at, worker in node.misdirected_workers.values() if at > since]
             for node in self.world.nodes
@@ -402,7 +401,7 @@
         self.delegated_renewal = DelegatedRenewals(
             self.times, 0.0, lambda: self.world.now, lambda: self.world.now
         )
-        self._redirect_backoff = RedirectBackoff(self.settings.settings.workers.lease_s, 1000)
+        self._redirect_backoff = RedirectBackoff(self.settings.deployment.workers.lease_s, 1000)
         self._leader_since = self.world.now
         self._leader_fencing_token = 0
         self.connectivity = Connectivity(self.member, self.times.heartbeat_interval_s, lambda: self.world.now)
@@ -417,10 +416,10 @@
         """From its next process on it is the version before: no limits to come, and no relays."""
         self.relays = False
         deployment = msgspec.structs.replace(
-            self.world.settings.settings,
-            state=msgspec.structs.replace(self.settings.settings.state, next=None),
+            self.world.settings.deployment,
+            state=msgspec.structs.replace(self.settings.deployment.state, announced=None),
         )
-        self.settings = msgspec.structs.replace(self.world.settings, settings=deployment)
+        self.settings = msgspec.structs.replace(self.world.settings, deployment=deployment)
 
     def _count(self, job_id: str) -> TaskCounts | None:
         return self.leader_term.controller.task_counts().get(job_id) if self.leader_term else None
--- a/tests/test_apportionment.py
+++ b/tests/test_apportionment.py
@@ -6,6 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from poppyhold.configuration_checks import ConfigError
 from poppyhold.quota.amounts import UNIT, ResourceAllocation, ResourceAmount, TeamAllocation
 from poppyhold.quota.apportionment import (
     apportion,
@@ -14,7 +15,7 @@
     total_allocation,
 )
 from poppyhold.scheduling.quotas import Quotas, TeamQuota
-from poppyhold.settings import ConfigError, Team
+from poppyhold.settings import Team
 
 WEIGHTS = st.dictionaries(st.sampled_from("abcde"), st.integers(1, 10**9), min_size=1)
 
@@ -45,10 +46,10 @@
 
 
 def test_no_limit_and_a_zero_allocation_differ() -> None:
-    quotas = Quotas([Team("free"), Team("bound", gpus=2, gpus_max=4)])
+    quotas = Quotas([Team("free"), Team("bound", accelerators=2, accelerators_max=4)])
     task = (1.0, 1.0, 1.0)
     assert quotas.allows("free", (100.0, 100.0), task)
-    total = total_allocation(Team("bound", gpus=2, gpus_max=4))
+    total = total_allocation(Team("bound", accelerators=2, accelerators_max=4))
     quotas.set("bound", total.zeroed().quota(total))
     assert not quotas.allows("bound", (0.0, 0.0), task)
     assert not quotas.has_guarantee("bound")
@@ -65,7 +66,7 @@
 
 def test_a_guarantee_above_the_limit_is_refused() -> None:
     with pytest.raises(ConfigError, match=r"settings\.teams\.alpha\.gpus"):
-        total_allocation(Team("alpha", gpus=5, gpus_max=4))
+        total_allocation(Team("alpha", accelerators=5, accelerators_max=4))
 
 
 def test_a_reserve_is_whole_units_of_the_initial_allocation() -> None:
--- a/tests/test_cell_options.py
+++ b/tests/test_cell_options.py
@@ -7,11 +7,11 @@
 import pytest
 
 from poppyhold.cli import main
+from poppyhold.configuration_checks import ConfigError
 from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.durable.snapshot import SnapshotReader
-from poppyhold.options import Options, parse_options
-from poppyhold.quota.cells import Cells
-from poppyhold.settings import ConfigError
+from poppyhold.options import Cells, Options
+from poppyhold.options_file import parse_options
 from scenario import FOLDER, Scenario
 
 
--- a/tests/test_cell_service.py
+++ b/tests/test_cell_service.py
@@ -11,10 +11,10 @@
 from poppyhold.durable.changes import Entry
 from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.model.resources import NO_RESOURCES
-from poppyhold.options import Options
+from poppyhold.options import Cell, CellController, Cells, Options
+from poppyhold.options_file import check_cells
 from poppyhold.quota.amounts import UNIT, ResourceAllocation, ResourceAmount, TeamAllocation, TeamAmount
 from poppyhold.quota.cell_service import CellQuotaService
-from poppyhold.quota.cells import Cell, CellController, Cells, check_cells
 from poppyhold.quota.messages import PROTOCOL_VERSION, TransferRequest, TransferResponse, UnmetDemand
 from poppyhold.quota.records import Transfer
 from poppyhold.scale.cells import CREDIT_LINE
@@ -25,7 +25,7 @@
 
 CONTROLLERS = (CellController("hive-0", "127.0.0.1:1"),)
 # Initially each cell has two guaranteed accelerators of the team's limit, and four above them.
-TEAMS = [Team("alpha", gpus=4, gpus_max=12)]
+TEAMS = [Team("alpha", accelerators=4, accelerators_max=12)]
 
 
 def new_cell(reserve: float = 0.0, teams: list[Team] | None = None) -> World:
@@ -115,7 +115,7 @@
 
 def test_as_many_teams_as_fit_a_transaction_are_debited_guaranteed_demand_first() -> None:
     names = [f"team-{number:02d}" for number in range(12)]
-    world, quota = leading_cell(teams=[Team(name, gpus=4, gpus_max=12) for name in names])
+    world, quota = leading_cell(teams=[Team(name, accelerators=4, accelerators_max=12) for name in names])
     unmet = [UnmetDemand(name, accelerators_limit=UNIT) for name in names[:-1]]
     unmet.append(UnmetDemand(names[-1], accelerators_guaranteed=UNIT, accelerators_limit=UNIT))
     transfer = transferred(world, quota, *unmet)
--- a/tests/test_completions.py
+++ b/tests/test_completions.py
@@ -13,11 +13,11 @@
 from poppyhold.execution.completions import Completions, encode_bits
 from poppyhold.model.entities import TASK_DONE, Job, JobPhase, make_job
 from poppyhold.scale.jobs import submission, wire
-from poppyhold.settings import NextState, State
+from poppyhold.settings import AnnouncedStateLimits, StateLimits
 from poppyhold.wire.user_messages import parse_submission
 
 # Records of 256 tasks now; after the change those of more than 192 don't fit, and go to ones of 64.
-LIMITS = State(value_kb=0.25, txn_ops=2, next=NextState(value_kb=0.0625))
+LIMITS = StateLimits(value_kb=0.25, txn_ops=2, announced=AnnouncedStateLimits(value_kb=0.0625))
 JOB = "job-000001"
 
 
@@ -29,11 +29,11 @@
 class Records:
     """The records of a job, and the transactions that are asked for."""
 
-    def __init__(self, job: Job, limits: State = LIMITS) -> None:
+    def __init__(self, job: Job, limits: StateLimits = LIMITS) -> None:
         self.job = job
         self.commits: list[tuple[dict[str, int], Sequence[Write], Callable[[bool], None]]] = []
         ctx: Any = SimpleNamespace(
-            settings=SimpleNamespace(settings=SimpleNamespace(state=limits)),
+            settings=SimpleNamespace(deployment=SimpleNamespace(state=limits)),
             fleet=SimpleNamespace(jobs={job.id: job}),
             outbound=SimpleNamespace(commit=lambda *commit: self.commits.append(commit)),
         )
@@ -62,7 +62,7 @@
     assert sorted(each for keys in records.save() for each in keys) == sorted(
         [key(COMPLETION_RANGES_PREFIX, 0), key(COMPLETION_RANGES_PREFIX, 1), key(COMPLETIONS_PREFIX, 1)]
     )
-    same = Records(some_job(356), State(value_kb=0.25))
+    same = Records(some_job(356), StateLimits(value_kb=0.25))
     same.complete(0, 70, 300)
     assert sorted(each for keys in same.save() for each in keys) == [
         key(COMPLETIONS_PREFIX, 0),
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -19,7 +19,7 @@
     gang = {"shape": "group", "chores": 3, "bundle": "img-9", "sizeGb": 40.0, "guessS": 20.0}
     world.submit(submission("job-000002", gang))
     world.run(world.now + 1.0)
-    return world, leader_term.controller.reconciler.gangs, "job-000002"
+    return world, leader_term.controller.reconciler.lifecycle.gangs, "job-000002"
 
 
 def job_of(world: World, job_id: str) -> Job:
@@ -71,7 +71,7 @@
     job = job_of(world, job_id)
     world.run(world.now + 12.0)
     gangs.stop(job, world.now)
-    grace = job.spec.save_s + world.settings.settings.workers.gang_peer_s
+    grace = job.spec.save_s + world.settings.deployment.workers.gang_peer_s
     assert {attempt.stopping_at for attempt in job.active.values()} == {world.now}
     assert all(attempt.grace_s >= grace for attempt in job.active.values())
     # A task that is seen to save shows a new leader that the stop has begun, and changes nothing here.
@@ -105,7 +105,7 @@
     @property
     def grace_s(self) -> float:
         """The time to save, and to wait for the others."""
-        workers = self.world.settings.settings.workers
+        workers = self.world.settings.deployment.workers
         return self.job.spec.save_s + workers.gang_peer_s + workers.heartbeat_interval_s
 
     def observe(self, index: int, status: TaskState) -> None:
@@ -217,7 +217,7 @@
 
 
 def test_an_attempt_is_abandoned_so_long_after_its_first_task_began_to_wait(assembling: Assembling) -> None:
-    wait_s = assembling.world.settings.settings.workers.gang_wait_s
+    wait_s = assembling.world.settings.deployment.workers.gang_wait_s
     third = assembling.job.active[2]
     # All three were put on the same machine.
     third.machine = msgspec.structs.replace(third.machine, name="vm-late")
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -16,6 +16,7 @@
 from poppyhold.execution.failures import Failures
 from poppyhold.execution.gangs import Gangs, GangState
 from poppyhold.execution.heartbeat_commands import HeartbeatCommands
+from poppyhold.execution.lease_expiry import LeaseExpiry
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.boot_tracker import BootTracker
 from poppyhold.machines.launches import Launches
@@ -144,7 +145,7 @@
     Guard("gang_not_starved", GangScheduler, "_reserve_for", _never),
     Guard("gang_team_limit", GangScheduler, "_reserve_for", _never),
     Guard("gang_half_sent", Gangs, "adopt", _never),
-    Guard("gang_half_heard", AttemptReconciler, "all_reconciled", _always),
+    Guard("gang_half_heard", LeaseExpiry, "all_reconciled", _always),
     Guard("gang_short_notice", MachineLifecycle, "_drain_gang", _never),
     Guard("gang_leader_crash_in_stop", Gangs, "stop", _kill),
     Guard("gang_cancelled_at_once", JobLifecycle, "handle_finalized", _never),
@@ -244,7 +245,7 @@
 GUARDS += [
     Guard("relay_batches_twice_and_late", AttemptReconciler, "_is_newer", _always),
     Guard("relay_cut_while_cancelled", Controller, "excluded_machines", _nobody),
-    Guard("relay_gang", AttemptReconciler, "all_reconciled", _always),
+    Guard("relay_gang", LeaseExpiry, "all_reconciled", _always),
 ]
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -15,6 +15,7 @@
 from poppyhold.cluster.lease_delegation import DelegationTracker
 from poppyhold.cluster.peer_messages import Opening, Ping, Pong, receive_opening
 from poppyhold.cluster.peers import Peers
+from poppyhold.configuration_checks import split_address
 from poppyhold.model.context import ImageHints
 from poppyhold.model.job_status import TaskCounts
 from poppyhold.node.service import Node
@@ -23,7 +24,7 @@
 from poppyhold.relay.messages import RelayHello
 from poppyhold.scale.controllers import free_port
 from poppyhold.scale.jobs import submission, wire
-from poppyhold.settings import Known, Outside, Team, split_address
+from poppyhold.settings import ExternalServices, PeerController, Team
 from poppyhold.wire.codec import encode
 from poppyhold.wire.frames import send_message
 from poppyhold.wire.http_server import HttpResponse, http_response
@@ -211,8 +212,8 @@
     impostor = Impostor(["pong", "hive-9", *PONG[2:]], {"a": 1}, ["pong", "hive-1"], PING, PONG)
     settings = msgspec.structs.replace(
         World(1, 10.0, 30.0, [Team("alpha")]).settings,
-        back=f"127.0.0.1:{free_port()}",
-        known=[Known("hive-1", "a", f"127.0.0.1:{impostor.listener.getsockname()[1]}")],
+        peer_listen=f"127.0.0.1:{free_port()}",
+        peers=[PeerController("hive-1", "a", f"127.0.0.1:{impostor.listener.getsockname()[1]}")],
     )
     handler = Handler()
     peers = Peers(settings, handler)
@@ -245,9 +246,11 @@
     settings = msgspec.structs.replace(
         World(1, 10.0, 30.0, [Team("alpha")]).settings,
         client_listen=f"127.0.0.1:{free_port()}",
-        back=f"127.0.0.1:{free_port()}",
-        outside=Outside(cloud=f"127.0.0.1:{world.ports[1]}", state=f"127.0.0.1:{world.ports[0]}"),
-        known=[],
+        peer_listen=f"127.0.0.1:{free_port()}",
+        external_services=ExternalServices(
+            cloud=f"127.0.0.1:{world.ports[1]}", state=f"127.0.0.1:{world.ports[0]}"
+        ),
+        peers=[],
     )
     node = Node(settings, Options())
     stop = threading.Event()
@@ -289,12 +292,12 @@
 )
 def test_a_bad_message_ends_its_connection_and_no_other(data: bytes, waits_for_more: bool) -> None:
     settings = msgspec.structs.replace(
-        World(1, 10.0, 30.0, []).settings, back=f"127.0.0.1:{free_port()}", known=[]
+        World(1, 10.0, 30.0, []).settings, peer_listen=f"127.0.0.1:{free_port()}", peers=[]
     )
     handler = Handler()
     peers = Peers(settings, handler)
     peers.start()
-    address = split_address(settings.back)
+    address = split_address(settings.peer_listen)
     try:
         with socket.create_connection(address, 5.0) as good, socket.create_connection(address, 5.0) as bad:
             bad.sendall(data)
--- a/tests/test_quota_links.py
+++ b/tests/test_quota_links.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from poppyhold.quota.cells import Cell, CellController
+from poppyhold.options import Cell, CellController
 from poppyhold.quota.link import CellLinks
 from poppyhold.quota.messages import (
     PROTOCOL_VERSION,
--- a/tests/test_quota_server.py
+++ b/tests/test_quota_server.py
@@ -6,7 +6,7 @@
 import pytest
 
 from poppyhold.cluster.known_leader import Leader
-from poppyhold.quota.cells import Cell, Cells
+from poppyhold.options import Cell, Cells
 from poppyhold.quota.messages import (
     PROTOCOL_VERSION,
     NotLeading,
--- a/tests/test_reconciliation_proofs.py
+++ b/tests/test_reconciliation_proofs.py
@@ -141,7 +141,7 @@
     after_s = max(harness.ctx.durations.lease_s / 2, 4 * heartbeat_interval_s)
     assert not harness.reconciler._ignores_responses(harness.machine, 100.0)
     assert not harness.reconciler._ignores_responses(harness.machine, 200.0)
-    harness.reconciler.unreconciled.add(harness.machine.name)
+    harness.reconciler.lease_expiry.unreconciled.add(harness.machine.name)
     assert not harness.reconciler._ignores_responses(harness.machine, 300.0)
     assert not harness.reconciler._ignores_responses(harness.machine, 300.0 + after_s)
     assert harness.reconciler._ignores_responses(harness.machine, 300.1 + after_s)
@@ -152,7 +152,7 @@
 
 def test_a_response_of_a_deleted_machine_shows_nothing(harness: ReconciliationHarness) -> None:
     heartbeat = harness.heartbeat()
-    harness.reconciler.machine_deleted(harness.machine)
+    harness.reconciler.lease_expiry.machine_deleted(harness.machine)
     harness.reconciler._handle_command_response(harness.machine, [], RequestOutcome.OK, heartbeat)
     assert harness.job.active == {}
     assert not harness.machine.attempts
@@ -264,7 +264,7 @@
     """Whether the machine's attempts are ended."""
     harness.term.leadership_confirmed_at = lambda: confirmed_at  # type: ignore[method-assign]
     harness.term.delegated_leases_expire_at = lambda: delegated_leases_expire_at  # type: ignore[method-assign]
-    harness.reconciler.expire_leases(harness.machine, now)
+    harness.reconciler.lease_expiry.expire_leases(harness.machine, now)
     return not harness.machine.attempts
 
 
@@ -272,15 +272,15 @@
     harness: ReconciliationHarness,
 ) -> None:
     over_s = harness.ctx.durations.lease_expired_s
-    harness.reconciler.unreconciled.add(harness.machine.name)
+    harness.reconciler.lease_expiry.unreconciled.add(harness.machine.name)
     harness.machine.last_response_at = 1000.0
     assert not expire(harness, 1000.0 + over_s, 2000.0)
     # Somebody else may have led since we were confirmed last.
     assert not expire(harness, 1001.0 + over_s, 1000.0 + over_s)
     assert not expire(harness, 1001.0 + over_s, 2000.0, delegated_leases_expire_at=1005.0)
-    assert harness.reconciler.unreconciled
+    assert harness.reconciler.lease_expiry.unreconciled
     assert expire(harness, 1006.0 + over_s, 2000.0, delegated_leases_expire_at=1005.0)
-    assert not harness.reconciler.unreconciled
+    assert not harness.reconciler.lease_expiry.unreconciled
 
 
 def test_a_lease_that_we_renewed_counts_though_no_delegate_renewed_one(
@@ -297,7 +297,7 @@
 ) -> None:
     durations = harness.ctx.durations
     harness.machine.reconciled = False
-    harness.reconciler.began_at = 1000.0
+    harness.reconciler.lease_expiry.began_at = 1000.0
     harness.machine.last_response_at = 900.0
     others_until = 1000.0 + durations.predecessors_expired_s
     assert not expire(harness, others_until, 9000.0)
@@ -313,7 +313,7 @@
 def test_one_request_at_a_time_goes_to_a_machine_with_so_many_commands(
     harness: ReconciliationHarness,
 ) -> None:
-    commands = harness.reconciler.commands
+    commands = harness.reconciler.lifecycle.commands
     commands.enqueue(harness.machine, *(Command(CommandKind.STOP, f"job-000009/{n}", 1) for n in range(250)))
     harness.machine.command_in_flight = True
     commands.send_queued()
@@ -331,18 +331,18 @@
 
 
 def test_no_command_is_sent_to_a_deleted_machine(harness: ReconciliationHarness) -> None:
-    harness.reconciler.commands.enqueue(harness.machine, Command(CommandKind.STOP, TASK, 1))
-    harness.reconciler.machine_deleted(harness.machine)
-    harness.reconciler.commands.send_queued()
+    harness.reconciler.lifecycle.commands.enqueue(harness.machine, Command(CommandKind.STOP, TASK, 1))
+    harness.reconciler.lease_expiry.machine_deleted(harness.machine)
+    harness.reconciler.lifecycle.commands.send_queued()
     assert harness.sent == []
 
 
 def test_a_queued_start_of_a_stopped_attempt_is_discarded(harness: ReconciliationHarness) -> None:
     harness.started(stopping_at=harness.world.now)
-    harness.reconciler.commands.enqueue(
+    harness.reconciler.lifecycle.commands.enqueue(
         harness.machine, Command(CommandKind.START, TASK, harness.attempt.number)
     )
-    harness.reconciler.commands.send_queued()
+    harness.reconciler.lifecycle.commands.send_queued()
     assert [body["orders"] for body in harness.sent] == [[]]
     assert harness.job.active == {}
 
@@ -357,17 +357,17 @@
     harness.machine.next_probe_at = 0.0
     usual = getattr(harness.machine, field)
     setattr(harness.machine, field, value)
-    harness.reconciler.commands._probe(harness.machine, harness.world.now)
-    harness.reconciler.commands.probe_silent_worker(harness.machine, harness.world.now)
+    harness.reconciler.lifecycle.commands._probe(harness.machine, harness.world.now)
+    harness.reconciler.lifecycle.commands.probe_silent_worker(harness.machine, harness.world.now)
     assert harness.sent == []
     setattr(harness.machine, field, usual)
-    harness.reconciler.commands._probe(harness.machine, harness.world.now)
+    harness.reconciler.lifecycle.commands._probe(harness.machine, harness.world.now)
     assert len(harness.sent) == 1
     assert harness.machine.next_probe_at == harness.world.now + harness.ctx.durations.heartbeat_interval_s
 
 
 def test_a_worker_that_cannot_be_probed_uses_no_probe_credit(harness: ReconciliationHarness) -> None:
-    harness.ctx.silent_probe_rate = 1.0
+    harness.ctx.silent_probe_rate = 1.0  # type: ignore[misc]
     commands = DirectCommands(harness.ctx, lambda attempt: None, lambda *answered: None)
     for field, value in (("next_probe_at", 1e9), ("command_in_flight", True)):
         harness.machine.command_in_flight, harness.machine.next_probe_at = False, 0.0
@@ -384,7 +384,7 @@
 
 
 def test_in_a_very_large_fleet_no_heartbeats_are_requested_at_first(harness: ReconciliationHarness) -> None:
-    harness.ctx.max_initial_probes = 0.0
+    harness.ctx.max_initial_probes = 0.0  # type: ignore[misc]
     commands = DirectCommands(harness.ctx, lambda attempt: None, lambda *answered: None)
     harness.machine.next_probe_at = 0.0
     commands.request_heartbeat(
@@ -416,7 +416,7 @@
         0.0,
     )
     harness.machine.last_heartbeat_at = harness.world.now - silent_s
-    harness.reconciler.commands._probe(harness.machine, harness.world.now)
+    harness.reconciler.lifecycle.commands._probe(harness.machine, harness.world.now)
     assert harness.slow_lane == [slow_lane]
     assert harness.sent[0]["shift"] == sent_incarnation
 
@@ -432,8 +432,8 @@
         assert [write.key for write in writes] == [FENCING_TOKEN_KEY]
         commits.append(on_committed)
 
-    harness.ctx.outbound = SimpleNamespace(commit=commit, fencing_token_raised=raised.append)
-    commands = harness.reconciler.commands
+    harness.ctx.outbound = SimpleNamespace(commit=commit, fencing_token_raised=raised.append)  # type: ignore[misc]
+    commands = harness.reconciler.lifecycle.commands
     harness.started(void_at_fencing_token=None)
     commands.raise_fencing_token()
     harness.started(void_at_fencing_token=fencing_token)
--- a/tests/test_relay_assignment.py
+++ b/tests/test_relay_assignment.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from poppyhold.relay.relay_mode import RelayMode
+from poppyhold.options import RelayMode
 from relay_harness import (
     MACHINES,
     ZONES,
--- a/tests/test_relay_link.py
+++ b/tests/test_relay_link.py
@@ -15,7 +15,7 @@
 from poppyhold.relay.messages import RelayedResponse, RelayHello, RelayOutcome
 from poppyhold.relay.server import RelayServer
 from poppyhold.relay.timings import RelayTimings
-from poppyhold.settings import Workers
+from poppyhold.settings import WorkerTimings
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 from relay_harness import (
     FENCING_TOKEN,
@@ -52,7 +52,7 @@
         self.link.start()
 
     def _server(self) -> RelayServer:
-        workers = Workers(heartbeat_interval_s=0.4, lease_s=4.0, cancel_s=12.0)
+        workers = WorkerTimings(heartbeat_interval_s=0.4, lease_s=4.0, cancel_s=12.0)
         return RelayServer(self._post, self._answer, lambda _: 0.0, self.fleet, workers)
 
     def _post(self, priority: int, work: Work) -> bool:
--- a/tests/test_relay_options.py
+++ b/tests/test_relay_options.py
@@ -6,10 +6,10 @@
 import pytest
 
 from poppyhold.cluster.peer_messages import Ping, Pong
-from poppyhold.options import Options, load_options, parse_options
+from poppyhold.configuration_checks import ConfigError
+from poppyhold.options import Options, RelayMode
+from poppyhold.options_file import load_options, parse_options
 from poppyhold.relay.messages import RelayHello
-from poppyhold.relay.relay_mode import RelayMode
-from poppyhold.settings import ConfigError
 
 
 @pytest.mark.parametrize("mode", list(RelayMode))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -129,7 +129,7 @@
     committer.stop()
     assert len(pauses) == 12
     assert pauses[1] == 2 * pauses[0]
-    assert pauses[-1] == settings.settings.workers.heartbeat_interval_s / 8
+    assert pauses[-1] == settings.deployment.workers.heartbeat_interval_s / 8
 
 
 def test_transactions_keep_to_the_rate_of_writes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -155,7 +155,7 @@
         assert left.acquire(timeout=20.0)
     committer.stop()
     # A burst goes out at once, and the last transaction when those before it have been paid for.
-    state = settings.settings.state
+    state = settings.deployment.state
     assert now[0] >= (changes - 2 * state.txn_ops) / (state.write_rps / 1.5)
 
 
@@ -427,7 +427,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Six one-task jobs a second of a guest team kept plans of critical replicas back for a minute.
-    world = World(1, 10.0, 30.0, [Team("alpha", gpus=8), Team("gamma")])
+    world = World(1, 10.0, 30.0, [Team("alpha", accelerators=8), Team("gamma")])
     ranks: dict[str, CommitPriority] = {}
     inner = SimLeaderTerm.commit
 
