--- a/src/poppyhold/machines/capacity_index.py
+++ b/src/poppyhold/machines/capacity_index.py
@@ -63,17 +63,33 @@
     return _Preference(not slot.spot, not slot.used, is_empty)
 
 
+def _order(candidate: _Candidate) -> tuple[_Preference, int]:
+    return candidate.preference, candidate.number
+
+
 class _Candidates(msgspec.Struct, eq=False):
     """The slots for demands of one key, in the order in which they are to be used."""
 
     demand: Demand
     ordered: list[_Candidate]
+    # Of the slots that came into use during the decision, those that are in their new place here.
+    reordered: int
+
+    def reorder(self, newly_used: list[tuple[int, CapacitySlot]]) -> None:
+        """Move the slots that came into use since the last time to their new place."""
+        for number, slot in newly_used[self.reordered :]:
+            before = _preference(slot)._replace(unused=True)
+            place = bisect.bisect_left(self.ordered, (before, number), key=_order)
+            if place < len(self.ordered) and self.ordered[place].slot is slot:
+                del self.ordered[place]
+                bisect.insort(self.ordered, _Candidate(_preference(slot), number, slot), key=_order)
+        self.reordered = len(newly_used)
 
     def add(self, number: int, slot: CapacitySlot) -> None:
         """Take a slot in, if it serves such demands."""
         if fits(self.demand.need, slot.free) and allowed(self.demand, slot):
             candidate = _Candidate(_preference(slot), number, slot)
-            bisect.insort(self.ordered, candidate, key=lambda entry: entry[:2])
+            bisect.insort(self.ordered, candidate, key=_order)
 
 
 class CapacityIndex:
@@ -86,12 +102,14 @@
     def __init__(self, slots: Iterable[CapacitySlot]) -> None:
         self.slots = list(slots)
         self._candidates: dict[_DemandKey, _Candidates] = {}
+        # Slots that came into use during the decision, and their numbers, in that order.
+        self._newly_used: list[tuple[int, CapacitySlot]] = []
 
     def add(self, slot: CapacitySlot) -> None:
         """Add a machine that is about to be launched."""
         self.slots.append(slot)
         for candidates in self._candidates.values():
-            candidates.add(len(self.slots), slot)
+            candidates.add(len(self.slots) - 1, slot)
 
     def serve(self, demand: Demand, use: Callable[[CapacitySlot], bool]) -> None:
         """Offer the slots for a demand, best first, until ``use`` says that it wants no more."""
@@ -99,11 +117,15 @@
         candidates = self._candidates.get(key)
         if candidates is None:
             candidates = self._candidates[key] = self._collect(demand)
+        candidates.reorder(self._newly_used)
         kept: list[_Candidate] = []
         offered = 0
         for candidate in candidates.ordered:
             offered += 1
+            was_used = candidate.slot.used
             wants_more = use(candidate.slot)
+            if candidate.slot.used and not was_used:
+                self._newly_used.append((candidate.number, candidate.slot))
             if fits(demand.need, candidate.slot.free):
                 kept.append(candidate)
             if not wants_more:
@@ -116,5 +138,5 @@
             for number, slot in enumerate(self.slots)
             if fits(demand.need, slot.free) and allowed(demand, slot)
         ]
-        found.sort(key=lambda entry: entry[:2])
-        return _Candidates(demand, found)
+        found.sort(key=_order)
+        return _Candidates(demand, found, len(self._newly_used))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,7 +14,7 @@
 
 import msgspec
 import pytest
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
 from poppyhold.capacity import shortfalls
@@ -406,6 +406,7 @@
     st.lists(st.tuples(st.integers(0, 16), st.booleans()), max_size=12),
     st.lists(st.tuples(st.integers(1, 8), st.integers(1, 9), st.sampled_from([None, "a", "b"])), max_size=12),
 )
+@example([(2, True), (3, True)], [(1, 1, "b"), (1, 1, None), (1, 1, "a"), (1, 1, None)])
 def test_spaces_serve_demands_as_a_look_at_each_would(
     spaces: list[tuple[int, bool]], demands: list[tuple[int, int, str | None]]
 ) -> None:
