--- a/src/poppyhold/execution/machine_records.py
+++ b/src/poppyhold/execution/machine_records.py
@@ -9,10 +9,13 @@
 from poppyhold.model.entities import Machine, RecordState
 from poppyhold.model.outbound import CommitPriority
 
+# Bound once, as every heartbeat comes here: reading a member from its enum takes as long as the call.
+_NOT_RECORDED = RecordState.NOT_RECORDED
+
 
 def request_machine_record(ctx: Context, machine: Machine) -> None:
     """Make a machine's record durable, unless it is, or is being written, or the machine is being deleted."""
-    if machine.record_state is not RecordState.NOT_RECORDED or machine.deleting:
+    if machine.record_state is not _NOT_RECORDED or machine.deleting:
         return
     machine.record_state = RecordState.REQUESTED
 
--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -32,6 +32,8 @@
         self.lifecycle = AttemptLifecycle(ctx, self._handle_command_response, on_attempt_terminated)
         self.lease_expiry = LeaseExpiry(ctx, self.lifecycle)
         self._task_observer = TaskObserver(ctx, self.lifecycle, failures, on_task_completed, on_run_completed)
+        # Called for every task of every heartbeat, hence bound once.
+        self._observe_task = self._task_observer.observe_task
         self._heartbeat_commands = HeartbeatCommands(ctx)
 
     # -- heartbeats ------------------------------------------------------------------------------
@@ -122,13 +124,12 @@
             machine.notice_at = now
             ctx.scheduling_needed = True
         present: set[str] = set()
-        observe_task = self._task_observer.observe_task
         for task in heartbeat.tasks:
             if task.status == TaskState.EXITED:
                 self._task_observer.handle_exit(machine, task, now)
             else:
                 present.add(task.task)
-                observe_task(machine, task, now)
+                self._observe_task(machine, task, now)
         for attempt in list(machine.attempts.values()):
             if attempt.name not in present and self._absence_proves_termination(
                 attempt, heartbeat, is_answered
