--- a/src/poppyhold/cluster/delegated_renewals.py
+++ b/src/poppyhold/cluster/delegated_renewals.py
@@ -47,36 +47,58 @@
         ``store_contact_at`` is when the state service last responded to us, ``known_fencing_token`` that of
         the leader's key, and ``leader_unreachable`` whether nothing of ours gets through to the leader.
         """
-        delegation, now = self._delegation, self._clock()
-        renewal_after_s = self._durations.delegated_renewal_after_s
-        if delegation is None or now - self._leader_heard_at <= renewal_after_s:
-            return None
-        if now - store_contact_at <= renewal_after_s and not (
-            self._is_partition(delegation, known_fencing_token) and leader_unreachable
+        delegation = self._delegation
+        if delegation is None or not self._is_due(
+            delegation, heartbeat, store_contact_at, known_fencing_token, leader_unreachable
         ):
-            log.debug("lease not renewed, the state service names the leader: machine=%s", heartbeat.machine)
             return None
         # A delayed message may come late: its own time of day tells how old it is.
         expires_at_wall = delegation.known_until_wall + self._durations.unconfirmed_renewal_s
         if self._wall_clock() + 2 * self._skew_s > expires_at_wall:
             return None
-        if (
-            heartbeat.fencing_token != delegation.fencing_token
-            or known_fencing_token > delegation.fencing_token
-            or heartbeat.machine in delegation.excluded_machines
-        ):
-            log.debug(
-                "lease not renewed: machine=%s fencing_token=%d delegated_fencing_token=%d",
-                heartbeat.machine,
-                heartbeat.fencing_token,
-                delegation.fencing_token,
-            )
+        if not self._covers(delegation, heartbeat, known_fencing_token):
             return None
         if not self._renewing:
             self._renewing = True
             log.info("renewing leases in the leader's name: fencing_token=%d", delegation.fencing_token)
         return delegation.fencing_token
 
+    def _is_due(
+        self,
+        delegation: LeaseDelegation,
+        heartbeat: Heartbeat,
+        store_contact_at: float,
+        known_fencing_token: int,
+        leader_unreachable: bool,
+    ) -> bool:
+        """Whether the leader was not heard for long enough, and the worker may not reach it either."""
+        now, renewal_after_s = self._clock(), self._durations.delegated_renewal_after_s
+        if now - self._leader_heard_at <= renewal_after_s:
+            return False
+        if now - store_contact_at <= renewal_after_s and not (
+            self._is_partition(delegation, known_fencing_token) and leader_unreachable
+        ):
+            log.debug("lease not renewed, the state service names the leader: machine=%s", heartbeat.machine)
+            return False
+        return True
+
+    @staticmethod
+    def _covers(delegation: LeaseDelegation, heartbeat: Heartbeat, known_fencing_token: int) -> bool:
+        """Whether the delegation is for this worker's lease, and no later leader is known."""
+        if (
+            heartbeat.fencing_token == delegation.fencing_token
+            and known_fencing_token <= delegation.fencing_token
+            and heartbeat.machine not in delegation.excluded_machines
+        ):
+            return True
+        log.debug(
+            "lease not renewed: machine=%s fencing_token=%d delegated_fencing_token=%d",
+            heartbeat.machine,
+            heartbeat.fencing_token,
+            delegation.fencing_token,
+        )
+        return False
+
     @staticmethod
     def _is_partition(delegation: LeaseDelegation, known_fencing_token: int) -> bool:
         """Whether the leader still leads though it is not heard: its workers here may not reach it either.
--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -65,13 +65,13 @@
         self._client = HttpClient(host, port, most_idle=_IDLE_CONNECTIONS)
         self._clock = clock
         # A response usually takes milliseconds, now and then some hundreds.
-        self.timeout = settings.settings.workers.lease_s / 8
+        self.timeout_s = settings.settings.workers.lease_s / 8
         # When the state service last responded.
         self.contact_at = float("-inf")
 
-    def _call(self, method: str, path: str, body: Data | None, timeout: float) -> tuple[int, Data]:
+    def _call(self, method: str, path: str, body: Data | None, timeout_s: float) -> tuple[int, Data]:
         try:
-            status, data = self._client.request(method, path, body, timeout=timeout)
+            status, data = self._client.request(method, path, body, timeout_s=timeout_s)
         except NotSentError as error:
             raise StoreRejectedError(f"{method} {path}: not sent: {error}") from error
         except NoResponseError as error:
@@ -86,7 +86,7 @@
     def get(self, key: str) -> Entry | None:
         """Read a key; None if it does not exist."""
         path = f"/kv/{key}"
-        status, data = self._call("GET", path, None, self.timeout)
+        status, data = self._call("GET", path, None, self.timeout_s)
         if status == HTTPStatus.NOT_FOUND:
             return None
         _check_ok(status, data, path)
@@ -96,7 +96,7 @@
         """Read the keys with a prefix that follow a key; the first ones follow the empty string."""
         since = f"&since={after}" if after else ""
         path = f"/kv?prefix={prefix}{since}&most={most}"
-        status, data = self._call("GET", path, None, self.timeout * 2)
+        status, data = self._call("GET", path, None, self.timeout_s * 2)
         _check_ok(status, data, path)
         entries = [decode_entry(entry) for entry in data["entries"]]
         return Page(entries, bool(data.get("more")) and bool(entries), data[names.REVISION])
@@ -118,7 +118,7 @@
             LeaseExpiredError: the lease of a write has expired; nothing was written.
             InvalidRequestError: the transaction will never be carried out.
         """
-        status, data = self._call("POST", "/commit", transaction_body(conditions, writes), self.timeout)
+        status, data = self._call("POST", "/commit", transaction_body(conditions, writes), self.timeout_s)
         if status == HTTPStatus.OK:
             return int(data[names.REVISION])
         if status == HTTPStatus.CONFLICT:
@@ -130,25 +130,25 @@
     def lease(self, ttl_s: float) -> int:
         """Get a lease with a time to live, and return its ID."""
         body = {names.LEASE_MS: max(_SHORTEST_LEASE_MS, int(ttl_s * 1000))}
-        status, data = self._call("POST", "/leases", body, self.timeout)
+        status, data = self._call("POST", "/leases", body, self.timeout_s)
         _check_ok(status, data, "/leases")
         return int(data[names.LEASE_ID])
 
-    def renew_lease(self, lease_id: int, timeout: float) -> None:
+    def renew_lease(self, lease_id: int, timeout_s: float) -> None:
         """Renew a lease for its time to live.
 
         Raises:
             LeaseExpiredError: it has expired already.
         """
         path = f"/leases/{lease_id}/extend"
-        status, data = self._call("POST", path, {}, timeout)
+        status, data = self._call("POST", path, {}, timeout_s)
         if status == HTTPStatus.NOT_FOUND:
             raise LeaseExpiredError(lease_id)
         _check_ok(status, data, path)
 
     def revoke_lease(self, lease_id: int) -> None:
         """End a lease at once, and delete the keys on it."""
-        self._call("DELETE", f"/leases/{lease_id}", None, self.timeout)
+        self._call("DELETE", f"/leases/{lease_id}", None, self.timeout_s)
 
     def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
         """Wait for changes after revision ``since``, for ``hold_s`` seconds at the most.
@@ -157,7 +157,7 @@
             WatchCompactedError: the state service no longer has all of them.
         """
         path = f"/follow?prefix={prefix}&since={since}&holdMs={int(hold_s * 1000)}"
-        status, data = self._call("GET", path, None, hold_s + self.timeout)
+        status, data = self._call("GET", path, None, hold_s + self.timeout_s)
         if status == HTTPStatus.GONE:
             raise WatchCompactedError(prefix, since)
         _check_ok(status, data, path)
--- a/src/poppyhold/node/cloud_client.py
+++ b/src/poppyhold/node/cloud_client.py
@@ -47,7 +47,7 @@
 
     def _get(self, path: str, kind: type[T]) -> T | None:
         try:
-            status, data = self._client.request("GET", path, timeout=self._timeout_s)
+            status, data = self._client.request("GET", path, timeout_s=self._timeout_s)
             return convert(data, kind) if status == HTTPStatus.OK else None
         except (NotSentError, NoResponseError, MalformedError) as error:
             log.debug("cloud request failed path=%s error=%s", path, error)
@@ -56,7 +56,7 @@
     def launch_machines(self, body: Data) -> tuple[RequestOutcome, list[str]]:
         """Launch machines; their names if the outcome is OK. An UNKNOWN request may still be carried out."""
         try:
-            status, data = self._client.request("POST", "/machines", body, timeout=self._timeout_s)
+            status, data = self._client.request("POST", "/machines", body, timeout_s=self._timeout_s)
             if status == HTTPStatus.OK:
                 return RequestOutcome.OK, convert(data, LaunchResponse).machines
         except (NotSentError, NoResponseError, MalformedError) as error:
@@ -71,7 +71,7 @@
         """Delete machines; if True is returned, they do not exist any more."""
         try:
             status, _ = self._client.request(
-                "POST", "/machines/delete", DeletionRequest(names).body(), timeout=self._timeout_s
+                "POST", "/machines/delete", DeletionRequest(names).body(), timeout_s=self._timeout_s
             )
             return status == HTTPStatus.OK
         except (NotSentError, NoResponseError) as error:
--- a/src/poppyhold/node/command_dispatcher.py
+++ b/src/poppyhold/node/command_dispatcher.py
@@ -120,7 +120,7 @@
         # connection look alike, and a lost command has to be waited out.
         client = HttpClient(host, port, most_idle=0)
         try:
-            status, data = client.request("POST", "/do", body, timeout=self._timeout_s)
+            status, data = client.request("POST", "/do", body, timeout_s=self._timeout_s)
         except NotSentError as error:
             log.debug("command not sent endpoint=%s error=%s", endpoint, error)
             return RequestOutcome.NOT_SENT, None
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -232,7 +232,7 @@
                 return reader.read()
             except (StoreRejectedError, OutcomeUnknownError) as error:
                 log.debug("snapshot read failed error=%s", error)
-                time.sleep(self._node.store.timeout / 4)
+                time.sleep(self._node.store.timeout_s / 4)
         return Snapshot()
 
     def _tick(self) -> None:
--- a/src/poppyhold/node/machine_catalog.py
+++ b/src/poppyhold/node/machine_catalog.py
@@ -34,7 +34,7 @@
 
     def await_machine_types(self, stop: threading.Event) -> None:
         """Ask the state service and the cloud in turn until machine types are known, or ``stop`` is set."""
-        pause_s = self._store.timeout / 4
+        pause_s = self._store.timeout_s / 4
         while not self.types and not stop.is_set():
             try:
                 stored = read_machine_types(self._store)
--- a/src/poppyhold/wire/http_client.py
+++ b/src/poppyhold/wire/http_client.py
@@ -76,9 +76,9 @@
         self.close()
 
     def request(
-        self, method: str, path: str, body: dict[str, Any] | None = None, *, timeout: float
+        self, method: str, path: str, body: dict[str, Any] | None = None, *, timeout_s: float
     ) -> tuple[int, dict[str, Any]]:
-        """Send one request and wait for its response, at most ``timeout`` seconds in all.
+        """Send one request and wait for its response, at most ``timeout_s`` seconds in all.
 
         Returns:
             The status and the decoded body.
@@ -87,9 +87,9 @@
             NotSentError: the server could not be connected to.
             NoResponseError: the connection broke, the response was malformed, or none came in time.
         """
-        deadline = time.monotonic() + timeout
+        deadline = time.monotonic() + timeout_s
         payload = encode(body) if body is not None else b""
-        connection = self._take_idle() or self._connect(timeout)
+        connection = self._take_idle() or self._connect(timeout_s)
         try:
             connection.settimeout(max(_SHORTEST_TIMEOUT_S, deadline - time.monotonic()))
             connection.sendall(self._head(method, path, payload) + payload)
--- a/tests/quota_model.py
+++ b/tests/quota_model.py
@@ -40,7 +40,7 @@
     def __init__(self, state: StateStandIn, late: list[Callable[[], None]]) -> None:
         self._state, self._late = state, late
         self.outcome = Outcome.ANSWERED
-        self.timeout = 1.0
+        self.timeout_s = 1.0
         self.contact_at = 0.0
 
     def get(self, key: str) -> Entry | None:
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -58,7 +58,7 @@
 
     def __init__(self, node: SimNode) -> None:
         self._node = node
-        self.timeout = 1.0
+        self.timeout_s = 1.0
         self.contact_at = float("-inf")
 
     def _state(self) -> StateStandIn:
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -36,7 +36,7 @@
         self.granted.append(lease_id)
         return lease_id
 
-    def renew_lease(self, lease_id: int, timeout: float) -> None:
+    def renew_lease(self, lease_id: int, timeout_s: float) -> None:
         if self.error is not None:
             raise self.error
         self.renewed.append(lease_id)
@@ -307,8 +307,8 @@
     asked = candidate.now
     renew_lease = candidate.store.renew_lease
 
-    def slow(lease_id: int, timeout: float) -> None:
-        renew_lease(lease_id, timeout)
+    def slow(lease_id: int, timeout_s: float) -> None:
+        renew_lease(lease_id, timeout_s)
         candidate.now += 0.2
 
     candidate.store.renew_lease = slow  # type: ignore[method-assign]
@@ -336,7 +336,7 @@
     candidate.now += candidate.election.lease_ttl_s / 2
     asked = candidate.now
 
-    def renew_lease(lease_id: int, timeout: float) -> None:
+    def renew_lease(lease_id: int, timeout_s: float) -> None:
         if change == "raised":
             candidate.election.record_fencing_token(9)
             return
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -109,7 +109,7 @@
             body, sent_at, shift = self.worker.heartbeat(), time.monotonic(), self.worker.incarnation
         try:
             status, answer = HttpClient("127.0.0.1", port, most_idle=0).request(
-                "POST", "/hello", body, timeout=4.0
+                "POST", "/hello", body, timeout_s=4.0
             )
         except (NotSentError, NoResponseError):
             return
@@ -162,7 +162,7 @@
     def ask(self, method: str, path: str, body: Data | None = None) -> tuple[int, Data]:
         """One request of a user."""
         try:
-            return self.client.request(method, path, body, timeout=5.0)
+            return self.client.request(method, path, body, timeout_s=5.0)
         except (NotSentError, NoResponseError):
             return 0, {}
 
@@ -247,8 +247,8 @@
             garbage.sendall(b"\x00\xff nonsense\r\n\r\n")
             garbage.recv(100)
         client = HttpClient("127.0.0.1", server.server_port)
-        assert client.request("GET", "/fail", timeout=5.0)[0] == 503
-        assert client.request("POST", "/fine", {"a": 1}, timeout=5.0)[0] == 200
+        assert client.request("GET", "/fail", timeout_s=5.0)[0] == 503
+        assert client.request("POST", "/fine", {"a": 1}, timeout_s=5.0)[0] == 200
         silent.close()
         client.close()
     finally:
@@ -262,16 +262,16 @@
     clients = [HttpClient("127.0.0.1", server.server_port) for _ in range(4)]
     silent: list[socket.socket] = []
     try:
-        assert clients[0].request("POST", "/hello", {}, timeout=5.0)[0] == 200
+        assert clients[0].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
         for _ in range(20):
             silent.append(socket.create_connection(("127.0.0.1", server.server_port)))
         # The worker's connection was the oldest, and is there still: it is used again, not opened anew.
-        assert clients[0].request("POST", "/hello", {}, timeout=5.0)[0] == 200
-        assert clients[1].request("POST", "/hello", {}, timeout=5.0)[0] == 200
-        assert clients[2].request("POST", "/hello", {}, timeout=5.0)[0] == 200
+        assert clients[0].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
+        assert clients[1].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
+        assert clients[2].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
         # Three workers fill it: nobody is turned out for a fourth.
         with pytest.raises((NoResponseError, NotSentError)):
-            clients[3].request("GET", "/ready", timeout=5.0)
+            clients[3].request("GET", "/ready", timeout_s=5.0)
     finally:
         for held in silent:
             held.close()
@@ -288,9 +288,9 @@
     clients = [HttpClient("127.0.0.1", server.server_port) for _ in range(2)]
     try:
         # It was a worker's, but its zone was cut off, and it has come back over another one.
-        assert clients[0].request("POST", "/hello", {}, timeout=5.0)[0] == 200
+        assert clients[0].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
         time.sleep(0.3)
-        assert clients[1].request("POST", "/hello", {}, timeout=5.0)[0] == 200
+        assert clients[1].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
     finally:
         for client in clients:
             client.close()
@@ -314,7 +314,7 @@
     try:
         for _ in range(2):
             for number, client in enumerate(clients):
-                status, body = client.request("POST", "/hello", {"box": number}, timeout=PATIENCE_S)
+                status, body = client.request("POST", "/hello", {"box": number}, timeout_s=PATIENCE_S)
                 assert (status, body) == (200, {"of": number})
         assert workers <= threading.active_count() - before <= workers + 10
     finally:
