--- a/src/poppyhold/machines/machine_list.py
+++ b/src/poppyhold/machines/machine_list.py
@@ -14,15 +14,15 @@
 
 
 class MachineList:
-    """Keeps the fleet's machines in step with the lists."""
+    """Reconciles the fleet's machines with the cloud's lists."""
 
     def __init__(self, ctx: Context, deletions: Deletions) -> None:
         self._ctx, self._deletions = ctx, deletions
 
-    def take(self, listing: MachineListing) -> None:
-        """Take what a list shows. That a machine is missing from it proves nothing.
+    def apply(self, listing: MachineListing) -> None:
+        """Apply a list. That a machine is missing from it proves nothing.
 
-        It tells of the time when its first page was asked for: of what came since it knows nothing.
+        It is of the time when its first page was asked for, and does not show what came since.
         """
         ctx = self._ctx
         now = ctx.clock()
@@ -33,18 +33,18 @@
         present = set()
         for entry in listing.machines:
             present.add(entry.name)
-            self._take_entry(entry, listing.began_at, now)
+            self._apply_entry(entry, listing.began_at, now)
         for machine in list(ctx.fleet.machines.values()):
             seen_at = max(machine.known_since, machine.listed_at, machine.last_heartbeat_at)
             unseen_s = listing.began_at - seen_at
             if machine.name not in present and not machine.deleting and unseen_s > LAGS_MISSING * lag:
-                self._not_listed(machine)
+                self._handle_missing(machine)
 
-    def _take_entry(self, entry: ListedMachine, listed_at: float, now: float) -> None:
-        """A machine is on the list."""
+    def _apply_entry(self, entry: ListedMachine, listed_at: float, now: float) -> None:
+        """Apply one entry of a list."""
         machine = self._ctx.fleet.machines.get(entry.name)
         if machine is None:
-            machine = self._found(entry, now)
+            machine = self._add_unknown(entry, now)
             if machine is None:
                 return
         else:
@@ -56,8 +56,8 @@
         elif not machine.is_up:
             machine.known_since = min(machine.known_since, now - entry.age_s)
 
-    def _found(self, entry: ListedMachine, now: float) -> Machine | None:
-        """A machine that we did not know: a late hire, or one of an earlier leader."""
+    def _add_unknown(self, entry: ListedMachine, now: float) -> Machine | None:
+        """Add a machine that we did not know: of a launch that came late, or of an earlier leader."""
         ctx = self._ctx
         machine_type = ctx.machine_types.get(entry.machine_type)
         if machine_type is None or entry.name in ctx.deleted_at:
@@ -67,13 +67,13 @@
         ctx.scheduling_needed = True
         return machine
 
-    def _not_listed(self, machine: Machine) -> None:
-        """A machine that should be listed is not: an earlier leader returned it, most likely.
+    def _handle_missing(self, machine: Machine) -> None:
+        """A machine that should be listed is not: an earlier leader deleted it, most likely.
 
-        If it never was up it holds no tasks, and if it does come up after all its reports bring it back.
-        Otherwise that it is missing proves nothing; that it is deleted does. Until then what it may hold is
-        charged to every team, and tasks of older jobs wait, up to the certain end of its last lease, with
-        each leader anew.
+        If it never was up it holds no tasks, and if it does come up after all its heartbeats bring it back.
+        Otherwise that it is missing proves nothing; that it is deleted does. Until then what it may hold
+        counts against every team, and tasks of older jobs wait, up to the certain expiry of its last lease,
+        with each leader anew.
         """
         if machine.is_up:
             self._deletions.mark(machine, "not listed")
--- a/src/poppyhold/node/machine_lifecycle.py
+++ b/src/poppyhold/node/machine_lifecycle.py
@@ -25,20 +25,20 @@
         """Offer a machine to the scheduler if it may take tasks, as its last heartbeat shows."""
         usable = machine.is_up and machine.reconciled and not (machine.quarantined or machine.deleting)
         if usable and machine.preempted_at is None:
-            self._admission.machine_up(machine)
+            self._admission.add_machine(machine)
         else:
-            self._admission.machine_out(machine)
+            self._admission.remove_machine(machine)
 
     def handle_removed(self, machine: Machine) -> None:
         """A machine does not exist any more."""
-        self._admission.machine_out(machine)
+        self._admission.remove_machine(machine)
 
     def drain_all(self, now: float) -> None:
         """Move work off every machine that got a preemption notice or is quarantined."""
         for machine in self._ctx.fleet.machines.values():
             if (machine.preempted_at is None and not machine.quarantined) or machine.deleting:
                 continue
-            self._admission.machine_out(machine)
+            self._admission.remove_machine(machine)
             self._drain(machine, now)
 
     def _drain(self, machine: Machine, now: float) -> None:
@@ -84,7 +84,7 @@
             # The machine is at fault: whatever runs there had better start again elsewhere.
             return True
         elapsed_s = now - attempt.running_at if attempt.running_at is not None else 0.0
-        needed_s = max(0.0, self._admission.estimates.seconds(job) - elapsed_s)
+        needed_s = max(0.0, self._admission.estimates.estimate_s(job) - elapsed_s)
         if needed_s < remaining_s:
             return False
         if job.spec.checkpoint_s > 0:
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -1,4 +1,4 @@
-"""A controller node of the simulated deployment: the real decision core and users' edge, without threads."""
+"""A controller node of the simulated deployment: the real decision core and user API, without threads."""
 
 from __future__ import annotations
 
@@ -33,11 +33,12 @@
 from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
 from poppyhold.quota.records import PEER
-from poppyhold.reads.job_reads import JobReads
+from poppyhold.reads.batched_job_reads import BatchedJobReads
 from poppyhold.relay.assignment import Assignment
-from poppyhold.relay.intake import RelayIntake, RelayState
-from poppyhold.relay.leader import heartbeat_response_timeout_s
-from poppyhold.relay.mode import RelayMode
+from poppyhold.relay.batch_handler import BatchHandler
+from poppyhold.relay.connected_relay import ConnectedRelay
+from poppyhold.relay.relay_mode import RelayMode
+from poppyhold.relay.timings import heartbeat_response_timeout_s
 from poppyhold.scale.jobs import Data
 from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.wire.cloud_messages import ListedMachine, MachineListing, MachineType
@@ -105,7 +106,7 @@
 
 
 class SimLeaderTerm:
-    """The edges of one term, with latencies, losses and late deliveries."""
+    """One term of leading: the core's outbound port, with latencies, losses and late deliveries."""
 
     def __init__(self, node: SimNode, baton: int, stamp: int, permit: int) -> None:
         self.node, self.world = node, node.world
@@ -128,8 +129,8 @@
         dispatcher = self.controller.dispatcher
         self._count_calls("passes", dispatcher, "dispatch")
         self._count_calls("plans", self.controller.admission.planner, "plan")
-        self._count_calls("searches", dispatcher.placement, "free")
-        self._count_calls("searches", dispatcher.placement, "preemptible")
+        self._count_calls("searches", dispatcher.placement, "ranking")
+        self._count_calls("searches", dispatcher.placement, "preemptions")
         self.assignment = Assignment(
             world.relays if node.relays else RelayMode.OFF,
             world.relays_from,
@@ -141,9 +142,9 @@
             world.rng,
         )
         # The relays that are connected, and what is kept of each.
-        self.relays: dict[str, RelayState] = {}
+        self.relays: dict[str, ConnectedRelay] = {}
         patience_s = heartbeat_response_timeout_s(node.settings.settings.workers)
-        self.intake = RelayIntake(
+        self.batch_handler = BatchHandler(
             self.answer_heartbeat, self.controller.last_response_at, self.assignment, patience_s
         )
         self.authority.observe_watch(world.now, node.store.revision())
@@ -204,7 +205,7 @@
         self.world.after(delay, run)
 
     def settle(self) -> None:
-        """As the decision thread does: when a pass must wait, it wakes up for it."""
+        """As the decision thread does: when a scheduling cycle must wait, it wakes up for it."""
         if not self.alive or not self.node.alive or self.node.frozen:
             return
         self.controller.run_scheduling_cycle()
@@ -337,7 +338,7 @@
         ]
 
     def answer_heartbeat(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
-        """The answer to a report that a relay passed on."""
+        """The answer to a heartbeat that a relay forwarded."""
         now = self.world.now
         if not self.alive or now >= late_at or not self.authority.may_renew_leases(now, self.confirmed):
             return None
@@ -407,7 +408,7 @@
         self.connectivity = Connectivity(self.member, self.times.heartbeat_interval_s, lambda: self.world.now)
         builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
         # Each question is a shared read by itself: the view is what users are answered from.
-        reads = JobReads(self.store, 0.0, 1.0, fewest_shared=1, clock=lambda: self.world.now)
+        reads = BatchedJobReads(self.store, 0.0, 1.0, min_batch_size=1, clock=lambda: self.world.now)
         self.users = UserApi(
             self.settings, self.store, lambda: builds, self._count, lambda: self.world.now, reads
         )
@@ -472,7 +473,7 @@
         return 200, answer.body()
 
     def relays_heartbeats(self) -> bool:
-        """Whether a report is relayed that comes now."""
+        """Whether a heartbeat that comes now is relayed."""
         return self.leader_term is None and self.relay.is_open()
 
     def receive_heartbeat(self, body: Data, respond: Callable[[int, Data], None], wait_s: float) -> None:
@@ -548,7 +549,7 @@
                 leader_term.resign(f"{better} reaches more controllers")
                 return
             leader_term.controller.tick()
-            leader_term.assignment.review(leader_term.controller.ctx.fleet.machines.keys())
+            leader_term.assignment.update_machines(leader_term.controller.ctx.fleet.machines.keys())
             leader_term.settle()
         self.relay.step()
 
@@ -630,7 +631,7 @@
             other.tell(leader_term)
 
     def tell(self, leader: SimLeaderTerm) -> None:
-        """Tell a leader which cancellations were told here, as peers' messages do."""
+        """Tell a leader which cancellations were confirmed here, as peers' messages do."""
         self.users.cancellations.acknowledge(leader.authority.acted_on_revision)
         named, bound = self.users.cancellations.report(self.first_revision)
         for job_id, _ in named:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -29,8 +29,8 @@
 from poppyhold.durable.snapshot import SnapshotReader
 from poppyhold.durable.store import Page, Store
 from poppyhold.execution.direct_commands import DirectCommands
-from poppyhold.machines.space import Demand, Space
-from poppyhold.machines.space_index import SpaceIndex
+from poppyhold.machines.capacity_index import CapacityIndex
+from poppyhold.machines.supply_and_demand import CapacitySlot, Demand
 from poppyhold.model.entities import Job, Machine, make_job
 from poppyhold.model.resources import add_scaled, fits, max_copies
 from poppyhold.node.cloud_dispatcher import CloudDispatcher, MachineListReader
@@ -347,16 +347,16 @@
         return machine.free[0] if machine.free[0] >= need else None
 
     view = FreeCapacityView()
-    view.begin([machines[index] for index in sorted(present)], {})
+    view.begin_cycle([machines[index] for index in sorted(present)], {})
     ranking = Ranking(view, score)
     for index, used, comes in changes:
         machines[index].set_used((float(used), 0.0, 0.0))
         if comes:
             present.add(index)
-            view.changed(machines[index])
+            view.refresh_machine(machines[index])
         else:
             present.discard(index)
-        view.begin([machines[index] for index in sorted(present)], {})
+        view.begin_cycle([machines[index] for index in sorted(present)], {})
         ranking.update()
         fitting = [machines[i] for i in present if machines[i].free[0] >= need and machines[i].zone == "a"]
         expected = min(((m.free[0], m.number) for m in fitting), default=None)
@@ -367,13 +367,13 @@
 def test_a_ranking_without_looking_at_changes_goes_wrong() -> None:
     machine = _machine("vm-000001", "a", 0.0)
     view = FreeCapacityView()
-    view.begin([machine], {})
+    view.begin_cycle([machine], {})
     ranking = Ranking(view, lambda m: m.free[0] if m.free[0] >= 4 else None)
     ranking.update()
     machine.set_used((16.0, 0.0, 0.0))
     # Its guard: a machine that something starts on is reported to the view.
     assert ranking.best({"a"}, set()) is not None
-    view.changed(machine)
+    view.refresh_machine(machine)
     ranking.update()
     assert ranking.best({"a"}, set()) is None
 
@@ -384,16 +384,16 @@
         ledger.add_machine(f"vm-{number:06d}", (16.0, 2.0, 64.0), "ab"[number % 2], "large", False)
     for step in range(200):
         name = f"vm-{rng.randrange(60):06d}"
-        slot = ledger.first + rng.randrange(4)
+        slot = ledger.current_slot + rng.randrange(4)
         ledger.book(name, (1.0, 0.0, 1.0), slot, rng.choice([None, slot + 1]), rng.choice([1.0, -1.0]))
         if step % 20 == 0:
-            ledger.roll(ledger.first + 1)
+            ledger.advance_to(ledger.current_slot + 1)
         if step % 33 == 0:
-            ledger.drop_machine(name)
+            ledger.remove_machine(name)
         by_kind: dict[Any, set[str]] = {}
-        for held, row in ledger.rows.items():
-            by_kind.setdefault(row.kind(), set()).add(held)
-        assert {row.kind(): set(names) for row, names in ledger.groups()} == by_kind
+        for held, row in ledger.machines.items():
+            by_kind.setdefault(row.equivalence_key(), set()).add(held)
+        assert {row.equivalence_key(): set(names) for row, names in ledger.groups()} == by_kind
 
 
 @settings(max_examples=150, derandomize=True, deadline=None, database=None)
@@ -404,14 +404,14 @@
 def test_spaces_serve_demands_as_a_look_at_each_would(
     spaces: list[tuple[int, bool]], demands: list[tuple[int, int, str | None]]
 ) -> None:
-    def built() -> list[Space]:
+    def built() -> list[CapacitySlot]:
         return [
-            Space(None, LARGE, "ab"[index % 2], spot, (float(free), 2.0, 64.0))
+            CapacitySlot(None, LARGE, "ab"[index % 2], spot, (float(free), 2.0, 64.0))
             for index, (free, spot) in enumerate(spaces)
         ]
 
     indexed, plain = built(), built()
-    index = SpaceIndex(indexed)
+    index = CapacityIndex(indexed)
     for cpus, tasks, zone in demands:
         job = _job(1, float(cpus), 0.0, paddock=zone, loaners=True)
         demand = Demand(job.spec, job.task_resources, tasks, {})
@@ -420,10 +420,10 @@
     assert sorted(space.free for space in indexed) == sorted(space.free for space in plain)
 
 
-def _serve(index: SpaceIndex, demand: Demand) -> int:
+def _serve(index: CapacityIndex, demand: Demand) -> int:
     left = demand.tasks
 
-    def use(space: Space) -> bool:
+    def use(space: CapacitySlot) -> bool:
         nonlocal left
         take = max_copies(demand.need, space.free, left)
         space.free = add_scaled(space.free, demand.need, -take)
@@ -435,7 +435,7 @@
     return left
 
 
-def _serve_plainly(spaces: list[Space], demand: Demand) -> int:
+def _serve_plainly(spaces: list[CapacitySlot], demand: Demand) -> int:
     left = demand.tasks
     for space in sorted(spaces, key=lambda space: (not space.spot, not space.used)):
         if not left:
