--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -9,22 +9,20 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from poppyhold.cluster.known_leader import KnownLeader, Leader
-from poppyhold.durable.changes import Entry, WatchEvent, put_record
+from poppyhold.cluster.known_leader import KnownLeader
+from poppyhold.cluster.leader_key import Leader, claim_leadership, decode_leader
+from poppyhold.durable.changes import Entry, WatchEvent
 from poppyhold.durable.errors import (
     ConditionFailedError,
     LeaseExpiredError,
     OutcomeUnknownError,
     StoreRejectedError,
 )
-from poppyhold.durable.keys import FENCING_TOKEN_KEY, LEADER_KEY, LEADER_PREFIX
-from poppyhold.durable.records import FencingTokenRecord, LeaderRecord
+from poppyhold.durable.keys import LEADER_KEY, LEADER_PREFIX
 from poppyhold.durable.store import Store
 from poppyhold.durable.watch import Watch
 from poppyhold.options import Options
 from poppyhold.settings import Settings
-from poppyhold.wire import field_names as names
-from poppyhold.wire.codec import convert
 
 log = logging.getLogger(__name__)
 
@@ -187,10 +185,7 @@
 
     def _observe_key(self, entry: Entry | None) -> None:
         """The leader's key was read, or is gone. What is older than our own term says nothing new."""
-        leader = None
-        if entry is not None:
-            record = convert(entry.data, LeaderRecord)
-            leader = Leader(record.member, record.fencing_token, record.lease_id, entry.revision)
+        leader = decode_leader(entry) if entry is not None else None
         term = self.term
         if term is not None and (leader is None or leader.key_revision > term.key_revision):
             self.known_leader.observe(leader)
@@ -259,28 +254,13 @@
         return self._renewal_interval_s * self._rng.uniform(*_CAMPAIGN_PAUSE_RATIOS)
 
     def _claim_leadership(self, lease_id: int, asked_at: float) -> None:
-        """Write the leader's key and the next fencing token, if nobody else does."""
-        held = self._store.get(FENCING_TOKEN_KEY)
-        fencing_token = (convert(held.data, FencingTokenRecord).fencing_token if held else 0) + 1
-        claim = LeaderRecord(self._member, fencing_token, lease_id)
-        conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.revision if held else 0}
-        writes = [
-            put_record(LEADER_KEY, claim, lease_id),
-            put_record(FENCING_TOKEN_KEY, FencingTokenRecord(fencing_token)),
-        ]
-        try:
-            key_revision = self._store.commit(conditions, writes)
-        except OutcomeUnknownError:
-            # Perhaps it was carried out: the key itself tells. The lease is ours alone.
-            entry = self._store.get(LEADER_KEY)
-            if entry is None or entry.data.get(names.LEASE_ID) != lease_id:
-                raise
-            key_revision = entry.revision
-        term = Term(fencing_token, key_revision, lease_id, time.monotonic())
+        """Try to become the leader with a lease that was asked for at that moment."""
+        leader = claim_leadership(self._store, self._member, lease_id)
+        term = Term(leader.fencing_token, leader.key_revision, lease_id, time.monotonic())
         with self._lock:
-            self.known_leader.set_ourselves(Leader(self._member, fencing_token, lease_id, key_revision))
+            self.known_leader.set_ourselves(leader)
             self.term = term
             self.confirmed_at = asked_at
-        log.info("elected: fencing_token=%d", fencing_token)
+        log.info("elected: fencing_token=%d", term.fencing_token)
         self._on_elected(term)
         self.known_leader.announce()
--- a/src/poppyhold/cluster/known_leader.py
+++ b/src/poppyhold/cluster/known_leader.py
@@ -4,17 +4,8 @@
 
 import threading
 import time
-from typing import NamedTuple
 
-
-class Leader(NamedTuple):
-    """The leader's key as last seen."""
-
-    member: str
-    fencing_token: int
-    lease_id: int
-    # Revision of the last change of the key.
-    key_revision: int
+from poppyhold.cluster.leader_key import Leader
 
 
 class KnownLeader:
--- /dev/null
+++ b/src/poppyhold/cluster/leader_key.py
@@ -0,0 +1,55 @@
+"""The leader's key in the state service: reading it, and the claim of a candidate."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from poppyhold.durable.changes import Entry, put_record
+from poppyhold.durable.errors import OutcomeUnknownError
+from poppyhold.durable.keys import FENCING_TOKEN_KEY, LEADER_KEY
+from poppyhold.durable.records import FencingTokenRecord, LeaderRecord
+from poppyhold.durable.store import Store
+from poppyhold.wire import field_names as names
+from poppyhold.wire.codec import convert
+
+
+class Leader(NamedTuple):
+    """The leader's key as last seen."""
+
+    member: str
+    fencing_token: int
+    lease_id: int
+    # Revision of the last change of the key.
+    key_revision: int
+
+
+def decode_leader(entry: Entry) -> Leader:
+    """The leader that its key names."""
+    record = convert(entry.data, LeaderRecord)
+    return Leader(record.member, record.fencing_token, record.lease_id, entry.revision)
+
+
+def claim_leadership(store: Store, member: str, lease_id: int) -> Leader:
+    """Write the leader's key, on a lease, and the next fencing token, if nobody else leads.
+
+    Raises:
+        ConditionFailedError: another candidate was first.
+        OutcomeUnknownError: it may yet be carried out, and only as long as the lease lives.
+        StoreRejectedError, LeaseExpiredError: it was not carried out.
+    """
+    held = store.get(FENCING_TOKEN_KEY)
+    fencing_token = (convert(held.data, FencingTokenRecord).fencing_token if held else 0) + 1
+    conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.revision if held else 0}
+    writes = [
+        put_record(LEADER_KEY, LeaderRecord(member, fencing_token, lease_id), lease_id),
+        put_record(FENCING_TOKEN_KEY, FencingTokenRecord(fencing_token)),
+    ]
+    try:
+        key_revision = store.commit(conditions, writes)
+    except OutcomeUnknownError:
+        # Perhaps it was carried out: the key itself tells. The lease is ours alone.
+        entry = store.get(LEADER_KEY)
+        if entry is None or entry.data.get(names.LEASE_ID) != lease_id:
+            raise
+        key_revision = entry.revision
+    return Leader(member, fencing_token, lease_id, key_revision)
--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -9,7 +9,7 @@
 
 from poppyhold.cluster.delegated_renewals import DelegatedRenewals
 from poppyhold.cluster.election import Election
-from poppyhold.cluster.known_leader import Leader
+from poppyhold.cluster.leader_key import Leader
 from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.durable.store import Store
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -9,7 +9,7 @@
 from poppyhold.cluster.cancellations import Cancellation
 from poppyhold.cluster.delegated_renewals import DelegatedRenewals
 from poppyhold.cluster.election import Election
-from poppyhold.cluster.known_leader import Leader
+from poppyhold.cluster.leader_key import Leader
 from poppyhold.cluster.lease_delegation import DelegationTracker
 from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
 from poppyhold.cluster.peer_messages import Ping, Pong
--- a/src/poppyhold/quota/ledger.py
+++ b/src/poppyhold/quota/ledger.py
@@ -2,7 +2,7 @@
 
 No I/O and no clock: commits go out through ``commit`` and return through its callback, on the same thread.
 One commit is in progress at a time, and one with an unknown outcome is repeated by the committer under a new
-fence until it certainly was carried out (`durable.committer.FencedWriter`). Starts are never planned against
+fence until it certainly was carried out (`durable.fenced_writer`). Starts are never planned against
 more than what is durable:
 
 - a debit lowers the allocation in force before its write is sent;
--- a/src/poppyhold/quota/server.py
+++ b/src/poppyhold/quota/server.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from poppyhold.cluster.known_leader import Leader
+from poppyhold.cluster.leader_key import Leader
 from poppyhold.quota.cells import Cells
 from poppyhold.quota.messages import (
     PROTOCOL_VERSION,
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from poppyhold.cluster.known_leader import Leader
+from poppyhold.cluster.leader_key import Leader
 from poppyhold.relay.link import RelayLink
 from poppyhold.relay.messages import RelayedResponse, RelayHello, RelayOutcome
 from poppyhold.relay.overflow_redirect import OverflowRedirector
--- a/tests/quota_model.py
+++ b/tests/quota_model.py
@@ -6,8 +6,8 @@
 from enum import Enum
 
 from poppyhold.durable.changes import Entry, Put, Write
-from poppyhold.durable.committer import FencedWriter
 from poppyhold.durable.errors import ConditionFailedError, OutcomeUnknownError, StoreRejectedError
+from poppyhold.durable.fenced_writer import FencedWriter
 from poppyhold.durable.keys import LEADER_KEY, QUOTA_PREFIX
 from poppyhold.durable.store import Store, transaction_body
 from poppyhold.quota.amounts import UNIT, ResourceAllocation, ResourceAmount, TeamAllocation, TeamAmount
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -14,13 +14,13 @@
 from poppyhold.cluster.lease_delegation import DelegationTracker, LeaseDelegation
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.durable.changes import Entry, Put, Write, decode_entry, decode_event
-from poppyhold.durable.committer import FencedWriter
 from poppyhold.durable.errors import (
     ConditionFailedError,
     OutcomeUnknownError,
     StoreRejectedError,
     WatchCompactedError,
 )
+from poppyhold.durable.fenced_writer import FencedWriter
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FENCING_TOKEN_KEY, LEADER_KEY
 from poppyhold.durable.snapshot import SnapshotReader
 from poppyhold.durable.store import Changes, Page, Store, transaction_body
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -8,7 +8,7 @@
 
 from guards import Guard, found_without
 from poppyhold.durable.changes import Write
-from poppyhold.durable.committer import FencedWriter
+from poppyhold.durable.fenced_writer import FencedWriter
 from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.model.fleet import Fleet
 from poppyhold.model.resources import NO_RESOURCES, Resources
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -7,7 +7,7 @@
 import pytest
 
 from poppyhold.cluster.election import Election, Term
-from poppyhold.cluster.known_leader import Leader
+from poppyhold.cluster.leader_key import Leader
 from poppyhold.durable.changes import Delete, DeletedKey, Entry, Put, WatchEvent
 from poppyhold.durable.errors import LeaseExpiredError, StoreRejectedError
 from poppyhold.durable.keys import FENCING_TOKEN_KEY, LEADER_KEY
--- a/tests/test_ledger_search.py
+++ b/tests/test_ledger_search.py
@@ -11,7 +11,7 @@
 
 from guards import take_out
 from poppyhold.durable.changes import Write
-from poppyhold.durable.committer import FencedWriter
+from poppyhold.durable.fenced_writer import FencedWriter
 from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.quota.amounts import UNIT
 from poppyhold.quota.errors import QuotaProtocolError
--- a/tests/test_quota_server.py
+++ b/tests/test_quota_server.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from poppyhold.cluster.known_leader import Leader
+from poppyhold.cluster.leader_key import Leader
 from poppyhold.quota.cells import Cell, Cells
 from poppyhold.quota.messages import (
     PROTOCOL_VERSION,
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,7 +12,7 @@
 import pytest
 
 from poppyhold.durable.changes import Entry, Put, Write
-from poppyhold.durable.committer import Committer, CommitUnit, FencedWriter
+from poppyhold.durable.committer import Committer, CommitUnit
 from poppyhold.durable.errors import (
     ConditionFailedError,
     InvalidRequestError,
@@ -20,6 +20,7 @@
     OutcomeUnknownError,
     StoreRejectedError,
 )
+from poppyhold.durable.fenced_writer import FencedWriter
 from poppyhold.durable.keys import (
     FENCING_TOKEN_KEY,
     LAUNCH_PREFIX,
