--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -132,7 +132,7 @@
                 return
             self.term = None
             self.confirmed_at = float("-inf")
-        log.info("stepped down: fencing_token=%d reason=%s", term.fencing_token, reason)
+        log.info("stepped down: fencing_token=%d reason=%r", term.fencing_token, reason)
         self._on_leadership_lost()
         self._wake.set()
 
