--- a/src/poppyhold/execution/lease_expiry.py
+++ b/src/poppyhold/execution/lease_expiry.py
@@ -18,13 +18,13 @@
         self._ctx, self._lifecycle = ctx, lifecycle
         # When the term began.
         self.began_at = ctx.clock()
-        # Machines that may hold tasks of earlier terms, and have neither reported in this one nor been proven
+        # Machines that may hold tasks of earlier terms, and have neither been reconciled in this one nor proven
         # empty.
         self.unreconciled: set[str] = set()
         self._all_reconciled_logged = False
 
     def all_reconciled(self) -> bool:
-        """Whether every machine that may hold tasks of earlier terms has reported or is proven empty."""
+        """Whether every machine that may hold tasks of earlier terms is reconciled or proven empty."""
         if self.unreconciled:
             return False
         if not self._all_reconciled_logged:
