--- a/src/poppyhold/execution/lease_expiry.py
+++ b/src/poppyhold/execution/lease_expiry.py
@@ -18,7 +18,8 @@
         self._ctx, self._lifecycle = ctx, lifecycle
         # When the term began.
         self.began_at = ctx.clock()
-        # Machines that may hold tasks of earlier terms, and are neither reconciled in this one nor proven empty.
+        # Machines that may hold tasks of earlier terms, and are neither reconciled in this one nor proven
+        # empty.
         self.unreconciled: set[str] = set()
         self._all_reconciled_logged = False
 
