--- a/src/poppyhold/cluster/cancellations.py
+++ b/src/poppyhold/cluster/cancellations.py
@@ -13,7 +13,7 @@
     revision: int
 
 
-class CancellationReport(NamedTuple):
+class CancellationSummary(NamedTuple):
     """What a controller tells the leader of the cancellations that it confirmed to users."""
 
     listed: list[Cancellation]
@@ -57,7 +57,7 @@
     def _unlist(self, job_id: str) -> None:
         self._unlisted_revision = max(self._unlisted_revision, self._listed.pop(job_id))
 
-    def report(self, first_revision: int) -> CancellationReport:
+    def summarize(self, first_revision: int) -> CancellationSummary:
         """The cancellations that are listed, and a bound of all others.
 
         ``first_revision`` is the first revision that this process saw: what one before it confirmed came
@@ -66,4 +66,4 @@
         with self._lock:
             listed = [Cancellation(job_id, revision) for job_id, revision in self._listed.items()]
             bound = max(self._unlisted_revision, first_revision) if first_revision >= 0 else -1
-            return CancellationReport(listed, bound)
+            return CancellationSummary(listed, bound)
--- a/src/poppyhold/cluster/connectivity.py
+++ b/src/poppyhold/cluster/connectivity.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 
-class _PeerReport(NamedTuple):
+class _PeerReachability(NamedTuple):
     """Which controllers a peer reached when it last responded."""
 
     received_at: float
@@ -25,7 +25,7 @@
         self._member, self._fresh_s, self._clock = member, fresh_s, clock
         self._began_at = clock()
         # The last response of each peer whose connection has not broken since.
-        self._reports: dict[str, _PeerReport] = {}
+        self._reachability: dict[str, _PeerReachability] = {}
         # When each peer responded last, also those whose connection broke.
         self._responded_at: dict[str, float] = {}
         # Peers that gave no sign at all, not even a refusal.
@@ -34,13 +34,13 @@
     def record_response(self, member: str, reachable_peers: Iterable[str]) -> None:
         """A peer responded, and listed the controllers that it reaches itself."""
         now = self._clock()
-        self._reports[member] = _PeerReport(now, frozenset(reachable_peers))
+        self._reachability[member] = _PeerReachability(now, frozenset(reachable_peers))
         self._responded_at[member] = now
         self._unreachable.discard(member)
 
     def connection_lost(self, member: str, timed_out: bool) -> None:
         """The connection to a peer broke; a time-out says that nothing gets through."""
-        self._reports.pop(member, None)
+        self._reachability.pop(member, None)
         if timed_out:
             self._unreachable.add(member)
         else:
@@ -53,17 +53,21 @@
     def reachable_peers(self) -> list[str]:
         """Peers that responded lately."""
         oldest = self._clock() - self._fresh_s
-        return [member for member, report in list(self._reports.items()) if report.received_at >= oldest]
+        return [
+            member
+            for member, reachability in list(self._reachability.items())
+            if reachability.received_at >= oldest
+        ]
 
     def better_connected_peer(self, unreachable_s: float = 0.0) -> str | None:
         """A peer that reaches us, all that we reach, and others that we have not reached for so long."""
         reached = set(self.reachable_peers())
         since = self._clock() - unreachable_s
         for member in sorted(reached):
-            report = self._reports.get(member)
-            if report is None or self._member not in report.reachable_peers:
+            reachability = self._reachability.get(member)
+            if reachability is None or self._member not in reachability.reachable_peers:
                 continue
-            others = report.reachable_peers - {self._member}
+            others = reachability.reachable_peers - {self._member}
             missed = {other for other in others - reached if self._last_response_at(other) <= since}
             if reached - {member} <= others and missed:
                 return member
--- a/src/poppyhold/execution/task_observation.py
+++ b/src/poppyhold/execution/task_observation.py
@@ -134,7 +134,7 @@
         )
         if task.cause == ExitCause.ERROR:
             self._failures.task_failed(attempt, now)
-        elif task.cause in (ExitCause.NO_ROOM, ExitCause.BUSY):
+        elif task.cause in (ExitCause.INSUFFICIENT_RESOURCES, ExitCause.BUSY):
             machine.unschedulable_until = now + 2 * self._ctx.durations.heartbeat_interval_s
         elif task.cause == ExitCause.UNKNOWN_TASK:
             job.retry_at = now + self._ctx.durations.heartbeat_interval_s
--- a/src/poppyhold/node/cancellation_tracker.py
+++ b/src/poppyhold/node/cancellation_tracker.py
@@ -59,7 +59,7 @@
         """Act on what this node confirmed: the state service may not tell us of it when it refuses us."""
         asked_at = time.monotonic()
         self._own_cancellations.acknowledge(self._authority.acted_on_revision)
-        listed, bound = self._own_cancellations.report(self._first_revision())
+        listed, bound = self._own_cancellations.summarize(self._first_revision())
         self._apply(self._member, listed, bound, asked_at)
 
     def _apply(self, member: str, cancelled: Iterable[Cancellation], bound: int, asked_at: float) -> None:
--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -91,14 +91,14 @@
         """Renew the lease as the leader's delegate; None if we may not."""
         if heartbeat.fencing_token:
             leader = self._election.leader
-            renewed_token = self._delegated_renewal.renewal_fencing_token(
+            renewed_fencing_token = self._delegated_renewal.renewal_fencing_token(
                 heartbeat,
                 self._store.contact_at,
                 leader.fencing_token if leader else 0,
                 leader is not None and self._is_unreachable(leader.member),
             )
-            if renewed_token is not None:
-                return http_response(HTTPStatus.OK, HeartbeatResponse(renewed_token).body())
+            if renewed_fencing_token is not None:
+                return http_response(HTTPStatus.OK, HeartbeatResponse(renewed_fencing_token).body())
             # A new machine's worker begins with any node; one that has a token has left its leader.
             self._misdirected_workers.record(heartbeat)
         return None
--- a/src/poppyhold/node/job_states.py
+++ b/src/poppyhold/node/job_states.py
@@ -9,6 +9,7 @@
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX, FINAL_JOB_PREFIX
 from poppyhold.durable.store import Store
 from poppyhold.model.job_status import FinalState, JobStatus, TaskCounts
+from poppyhold.wire import field_names
 
 # Accepted jobs that are remembered, as a share of the final states that are.
 _ACCEPTED_DIVISOR = 10
@@ -73,10 +74,10 @@
         self.note_accepted(job_id)
         done, running = self._task_counts(job_id) or TaskCounts(0, 0)
         status = JobStatus.RUNNING if running else JobStatus.PENDING
-        return {"nameId": job_id, "status": status, "done": done, "running": running}
+        return {field_names.NAME: job_id, "status": status, "done": done, "running": running}
 
     @staticmethod
     def final_state(job_id: str, final: FinalState) -> dict[str, object]:
         """What the user of a finalized job is told."""
         done = final.tasks if final.status == JobStatus.DONE else 0
-        return {"nameId": job_id, "status": final.status, "done": done, "running": 0}
+        return {field_names.NAME: job_id, "status": final.status, "done": done, "running": 0}
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -58,7 +58,7 @@
         self._peer_counts: dict[str, TaskCounts] = {}
         self.peer_image_hints: ImageHints = {}
         # When we last deposed a leader that refused connections.
-        self._deposed_at = float("-inf")
+        self._lease_expired_at = float("-inf")
         # A leader whose process answered, and did not lead.
         self._idle_leader: Leader | None = None
         self._quota_server = quota_server
@@ -117,7 +117,7 @@
 
     def _confirmed_cancellations(self) -> tuple[list[Cancellation], int]:
         """Cancellations that we confirmed to users, as `Cancellations.report` says."""
-        return self._users.cancellations.report(self._election.watch.first_revision)
+        return self._users.cancellations.summarize(self._election.watch.first_revision)
 
     def handle_ping(self, ping: Ping) -> Pong:
         """Learn from another controller's ping, and answer it."""
@@ -211,10 +211,10 @@
         # once in several leases, and otherwise only if workers have turned away from the leader too.
         now = time.monotonic()
         lease_s = self._settings.deployment.workers.lease_s
-        quiet_s = now - self._deposed_at
+        quiet_s = now - self._lease_expired_at
         workers_left = len(self._misdirected_workers.recent()) > 1
         if quiet_s > _REFUSAL_SUFFICES_LEASES * lease_s or (quiet_s > lease_s and workers_left):
-            self._deposed_at = now
+            self._lease_expired_at = now
             self._election.expire_lease(leader)
 
     # -- relays --------------------------------------------------------------------------------------
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -51,7 +51,13 @@
         self._leader_term_lock = threading.Lock()
         self._stop = threading.Event()
         self.election = Election(
-            settings, options, self.store, self._on_elected, self._on_deposed, self._should_yield, self.rng
+            settings,
+            options,
+            self.store,
+            self._on_elected,
+            self._on_leadership_lost,
+            self._should_yield,
+            self.rng,
         )
         # Heartbeats, whoever leads.
         delegated_renewal = DelegatedRenewals(
@@ -127,7 +133,7 @@
                 self._leader_term.stop()
             self._leader_term = LeaderTerm(self, term)
 
-    def _on_deposed(self) -> None:
+    def _on_leadership_lost(self) -> None:
         with self._leader_term_lock:
             leader_term, self._leader_term = self._leader_term, None
             if leader_term is not None:
--- a/src/poppyhold/node/submission_policy.py
+++ b/src/poppyhold/node/submission_policy.py
@@ -11,6 +11,7 @@
 from poppyhold.model.constraints import allowed_machine_types
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import Deployment
+from poppyhold.wire import field_names
 from poppyhold.wire.cloud_messages import MachineType
 from poppyhold.wire.user_messages import Submission
 
@@ -38,7 +39,7 @@
         """What is stored of a submission; a list of machine types too long for it keeps those that exist."""
         data: Data = {"spec": msgspec.to_builtins(spec), "at": time.time()}
         if spec.machine_types is not None and not self.can_store(data):
-            data["spec"]["builds"] = sorted(machine_types.keys() & set(spec.machine_types))
+            data["spec"][field_names.MACHINE_TYPES] = sorted(machine_types.keys() & set(spec.machine_types))
         return data
 
     def can_store(self, data: Data) -> bool:
--- a/src/poppyhold/node/user_api.py
+++ b/src/poppyhold/node/user_api.py
@@ -26,6 +26,7 @@
 from poppyhold.node.submission_policy import SubmissionPolicy
 from poppyhold.reads.batched_job_reads import BatchedJobReads
 from poppyhold.settings import Deployment, Settings
+from poppyhold.wire import field_names
 from poppyhold.wire.cloud_messages import MachineType
 from poppyhold.wire.codec import MalformedError, decode
 from poppyhold.wire.http_server import HttpResponse, http_response
@@ -152,7 +153,9 @@
                 look_up_first = True
             else:
                 self.job_states.note_accepted(spec.name)
-                return http_response(HTTPStatus.CREATED, {"nameId": spec.name, "status": JobStatus.PENDING})
+                return http_response(
+                    HTTPStatus.CREATED, {field_names.NAME: spec.name, "status": JobStatus.PENDING}
+                )
         return self._try_later()
 
     # -- queries -------------------------------------------------------------------------------------
@@ -191,14 +194,14 @@
         for _ in self._attempts():
             final = self.job_states.finals.get(job_id)
             if final is not None:
-                return http_response(HTTPStatus.OK, {"nameId": job_id, "status": final.status})
+                return http_response(HTTPStatus.OK, {field_names.NAME: job_id, "status": final.status})
             entry = self._store.get(ACTIVE_JOB_PREFIX + job_id)
             if entry is None:
                 if self.job_states.look_up(job_id) is None:
                     return _unknown_job()
                 continue
             try:
-                tasks = entry.data["spec"]["chores"]
+                tasks = entry.data["spec"][field_names.TASKS]
                 revision = self._store.commit(
                     {ACTIVE_JOB_PREFIX + job_id: entry.revision},
                     final_writes(job_id, JobStatus.CANCELLED, tasks),
@@ -207,7 +210,7 @@
                 # The job changed, or may have been cancelled by this attempt: look again.
                 continue
             self.job_states.keep_final(job_id, FinalState(JobStatus.CANCELLED, tasks), revision)
-            return http_response(HTTPStatus.OK, {"nameId": job_id, "status": JobStatus.CANCELLED})
+            return http_response(HTTPStatus.OK, {field_names.NAME: job_id, "status": JobStatus.CANCELLED})
         return self._try_later()
 
     # -- limits and retries --------------------------------------------------------------------------
--- a/src/poppyhold/scale/cell_checks.py
+++ b/src/poppyhold/scale/cell_checks.py
@@ -177,8 +177,8 @@
         """Tasks that wait in a cell whose machines have room for one, by team."""
         waiting: Counter[str] = Counter()
         for run in self._runs:
-            room = max((worker.room(_ONE, 1) for worker in run.fleet.standins()), default=0)
-            if room:
+            free_copies = max((worker.free_copies(_ONE, 1) for worker in run.fleet.standins()), default=0)
+            if free_copies:
                 waiting.update(_unstarted(run.checks))
         return waiting
 
--- a/src/poppyhold/scale/cloud_standin.py
+++ b/src/poppyhold/scale/cloud_standin.py
@@ -43,10 +43,10 @@
             return 200, {"boxes": self.launches[body["hire"]]}
         key = (body["build"], body["paddock"], body["loaners"])
         held = sum(1 for m in self.machines.values() if (m["build"], m["paddock"], m["loaners"]) == key)
-        room = min(body["number"], self.capacity.get(key, 0) - held)
-        if room <= 0:
+        available = min(body["number"], self.capacity.get(key, 0) - held)
+        if available <= 0:
             return 503, {"error": "no capacity"}
-        names = [self.add(*key) for _ in range(room)]
+        names = [self.add(*key) for _ in range(available)]
         self.launches[body["hire"]] = names
         return 200, {"boxes": names}
 
--- a/src/poppyhold/scale/worker_standin.py
+++ b/src/poppyhold/scale/worker_standin.py
@@ -95,39 +95,39 @@
             return True
         now = self._clock()
         changed = False
-        for name, chore in self.tasks.items():
-            if chore["until"] is None or now < chore["until"]:
+        for name, task in self.tasks.items():
+            if task["until"] is None or now < task["until"]:
                 continue
             changed = True
-            if chore["status"] == "pulling":
-                self._fetched(name, chore, now)
-            elif chore["status"] == "waiting":
-                chore.update(status="ended", cause="alone", until=None)
-            elif chore["status"] == "running" and chore.get("fails"):
-                chore.update(status="ended", cause="error", until=None)
-            elif chore["status"] == "running":
-                chore.update(status="ended", cause="done", until=None)
+            if task["status"] == "pulling":
+                self._fetched(name, task, now)
+            elif task["status"] == "waiting":
+                task.update(status="ended", cause="alone", until=None)
+            elif task["status"] == "running" and task.get("fails"):
+                task.update(status="ended", cause="error", until=None)
+            elif task["status"] == "running":
+                task.update(status="ended", cause="done", until=None)
                 self._on_done(name)
-            elif chore["status"] == "flushing":
-                chore.update(status="ended", cause="stopped", until=None)
+            elif task["status"] == "flushing":
+                task.update(status="ended", cause="stopped", until=None)
         return changed
 
-    def _fetched(self, name: str, chore: Data, now: float) -> None:
+    def _fetched(self, name: str, task: Data, now: float) -> None:
         """A task has its image."""
-        job = chore["job"]
+        job = task["job"]
         self.images.add(job["bundle"])
         fails = self.faulty or job.get("mistake")
         if fails and job["shape"] == "group":
-            chore.update(status="ended", cause="error", until=None)
+            task.update(status="ended", cause="error", until=None)
             return
         if job["shape"] == "group":
             # The rest is played by `gang_standin`, but for the end of its patience.
-            chore.update(status="waiting", until=now + self._gang_wait_s)
+            task.update(status="waiting", until=now + self._gang_wait_s)
         else:
-            chore["status"] = "running"
-            chore["until"] = None if job["shape"] == "service" else now + job["runs"]
+            task["status"] = "running"
+            task["until"] = None if job["shape"] == "service" else now + job["runs"]
         if fails:
-            chore.update(until=now + _FAILURE_AFTER_S, fails=True)
+            task.update(until=now + _FAILURE_AFTER_S, fails=True)
         self._on_start(self, name)
 
     def answered(self, body: Data, sent_at: float, shift: int) -> None:
@@ -169,22 +169,22 @@
     def _run(self, name: str, number: int, held: Data | None, now: float) -> None:
         if held is not None and held["try"] == number:
             return
-        chore: Data = {"try": number, "status": "ended", "until": None}
+        task: Data = {"try": number, "status": "ended", "until": None}
         job = self._describe(name)
         if held is not None:
             return
-        self.tasks[name] = chore
+        self.tasks[name] = task
         if job is None:
-            chore["cause"] = "no_such"
+            task["cause"] = "no_such"
             return
-        chore["job"] = job
-        if self.room(job, 1) < 1:
-            chore["cause"] = "no_room"
+        task["job"] = job
+        if self.free_copies(job, 1) < 1:
+            task["cause"] = "no_room"
             return
         fetch = 0.0 if job["bundle"] in self.images else job["sizeGb"] / self.machine_type["pullGbPerS"]
-        chore.update(status="pulling", until=now + fetch)
+        task.update(status="pulling", until=now + fetch)
 
-    def room(self, job: Data, most: int) -> int:
+    def free_copies(self, job: Data, most: int) -> int:
         """How many more tasks of a job there is room for, up to ``most``."""
         for amount in ("cpus", "accelerators", "memGb"):
             used = sum(c["job"][amount] for c in self.tasks.values() if c["status"] != "ended" and "job" in c)
--- a/src/poppyhold/wire/worker_messages.py
+++ b/src/poppyhold/wire/worker_messages.py
@@ -41,7 +41,7 @@
     DONE = "done"
     STOPPED = "stopped"
     ERROR = "error"
-    NO_ROOM = "no_room"
+    INSUFFICIENT_RESOURCES = "no_room"
     BUSY = "busy"
     UNKNOWN_TASK = "no_such"
     PEER_LOST = "mates_gone"
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -632,7 +632,7 @@
     def tell(self, leader: SimLeaderTerm) -> None:
         """Tell a leader which cancellations were confirmed here, as peers' messages do."""
         self.users.cancellations.acknowledge(leader.authority.acted_on_revision)
-        named, bound = self.users.cancellations.report(self.first_revision)
+        named, bound = self.users.cancellations.summarize(self.first_revision)
         for job_id, _ in named:
             leader.controller.handle_job_removed(ACTIVE_JOB_PREFIX + job_id)
         leader.authority.observe_peer(self.member, self.world.now, bound)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -51,7 +51,7 @@
         (ExitCause.GANG_INCOMPLETE, GangState.FAILED),
         (ExitCause.ERROR, GangState.FAILED),
         # These tasks are replaced in the same attempt.
-        (ExitCause.NO_ROOM, GangState.ASSEMBLING),
+        (ExitCause.INSUFFICIENT_RESOURCES, GangState.ASSEMBLING),
         (ExitCause.BUSY, GangState.ASSEMBLING),
         (ExitCause.STOPPED, GangState.ASSEMBLING),
     ],
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -137,7 +137,7 @@
     status, body, _ = node.users.abort("job-000002")
     assert (status, body["status"]) == (200, "cancelled")
     # Named to the leader by the revision that it has, though its own commit never told it.
-    named, _ = node.users.cancellations.report(0)
+    named, _ = node.users.cancellations.summarize(0)
     assert named == [("job-000002", world.state.keys[FINAL_JOB_PREFIX + "job-000002"][1])]
     # The leader's writes: the last completion is told as done, a plan and the token are simply there.
     third = submission("job-000003", {"chores": 1, "guessS": 2.0, "sizeGb": 0.1})
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -125,18 +125,18 @@
 
 def test_unlisted_cancellations_bound_what_a_leader_knows() -> None:
     confirmed = Cancellations(2)
-    assert confirmed.report(-1) == ([], -1)
-    assert confirmed.report(5) == ([], 5)
+    assert confirmed.summarize(-1) == ([], -1)
+    assert confirmed.summarize(5) == ([], 5)
     confirmed.add("job-000001", 10)
     confirmed.add("job-000002", 11)
-    assert confirmed.report(5) == ([("job-000001", 10), ("job-000002", 11)], 5)
+    assert confirmed.summarize(5) == ([("job-000001", 10), ("job-000002", 11)], 5)
     # One too many: the oldest counts by its revision alone.
     confirmed.add("job-000003", 12)
-    assert confirmed.report(5) == ([("job-000002", 11), ("job-000003", 12)], 10)
+    assert confirmed.summarize(5) == ([("job-000002", 11), ("job-000003", 12)], 10)
     confirmed.acknowledge(11)
-    assert confirmed.report(5) == ([("job-000003", 12)], 11)
+    assert confirmed.summarize(5) == ([("job-000003", 12)], 11)
     # A process that has seen no revision can't know what the one before it confirmed.
-    assert confirmed.report(-1) == ([("job-000003", 12)], -1)
+    assert confirmed.summarize(-1) == ([("job-000003", 12)], -1)
 
 
 def test_watermark_is_the_earliest_request_to_any_controller() -> None:
@@ -169,17 +169,17 @@
     confirmed = Cancellations(1)
     confirmed.add("job-000001", 12)
     confirmed.add("job-000002", 10)
-    assert confirmed.report(0) == ([("job-000002", 10)], 12)
+    assert confirmed.summarize(0) == ([("job-000002", 10)], 12)
     # What that covers need not be listed, and displaces nothing else.
     confirmed.add("job-000003", 11)
-    assert confirmed.report(0) == ([("job-000002", 10)], 12)
+    assert confirmed.summarize(0) == ([("job-000002", 10)], 12)
     confirmed.add("job-000004", 13)
-    assert confirmed.report(0) == ([("job-000004", 13)], 12)
+    assert confirmed.summarize(0) == ([("job-000004", 13)], 12)
     acted_on = Cancellations(5)
     acted_on.add("job-000001", 12)
     acted_on.add("job-000002", 10)
     acted_on.acknowledge(12)
-    assert acted_on.report(0) == ([], 12)
+    assert acted_on.summarize(0) == ([], 12)
 
 
 class Impostor:
--- a/tests/world.py
+++ b/tests/world.py
@@ -556,7 +556,7 @@
         rooms: Counter[str] = Counter()
         for worker in self.workers.values():
             if self._allowed(worker, job) and worker.notice_s is None and not worker.faulty:
-                rooms[worker.zone if job["samePlace"] else "any"] += worker.room(job, tasks)
+                rooms[worker.zone if job["samePlace"] else "any"] += worker.free_copies(job, tasks)
         return max(rooms.values(), default=0) >= tasks
 
     def _check(self) -> None:
