--- a/src/poppyhold/cluster/known_leader.py
+++ b/src/poppyhold/cluster/known_leader.py
@@ -32,7 +32,7 @@
                 self._changed.notify_all()
 
     def set_ourselves(self, leader: Leader) -> None:
-        """This controller was elected. `announce` wakes up the threads that wait, once it can serve."""
+        """Note our own election. `announce` wakes up the threads that wait, once we can serve."""
         self.leader = leader
 
     def announce(self) -> None:
--- a/src/poppyhold/cluster/leader_key.py
+++ b/src/poppyhold/cluster/leader_key.py
@@ -36,6 +36,7 @@
         ConditionFailedError: another candidate was first.
         OutcomeUnknownError: it may yet be carried out, and only as long as the lease lives.
         StoreRejectedError, LeaseExpiredError: it was not carried out.
+
     """
     held = store.get(FENCING_TOKEN_KEY)
     fencing_token = (convert(held.data, FencingTokenRecord).fencing_token if held else 0) + 1
--- a/src/poppyhold/cluster/peer_handler.py
+++ b/src/poppyhold/cluster/peer_handler.py
@@ -45,4 +45,5 @@
 
         Raises:
             ValueError: there is no answer, and the connection must end.
+
         """
--- a/src/poppyhold/cluster/peer_messages.py
+++ b/src/poppyhold/cluster/peer_messages.py
@@ -82,5 +82,6 @@
     Raises:
         ValueError: it is malformed, and the connection must end.
         OSError: the connection broke, or nothing came in time.
+
     """
     return receive_message(connection, _opening_decoder)
--- a/src/poppyhold/cluster/peer_server.py
+++ b/src/poppyhold/cluster/peer_server.py
@@ -91,5 +91,6 @@
         elif isinstance(message, Ping):
             send_message(connection, self._handler.handle_ping(message))
         else:
-            raise ValueError(f"not an opening: {type(message).__name__}")
+            # What was received is malformed, which is no fault of the caller's types.
+            raise ValueError(f"not an opening: {type(message).__name__}")  # noqa: TRY004
         return True
--- a/src/poppyhold/configuration_checks.py
+++ b/src/poppyhold/configuration_checks.py
@@ -18,6 +18,7 @@
 
     Raises:
         ConfigError: names the field.
+
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= _HIGHEST_PORT:
@@ -30,6 +31,7 @@
 
     Raises:
         ConfigError: names the field and the name.
+
     """
     twice = next((name for name, times in Counter(names).items() if times > 1), None)
     if twice is not None:
@@ -41,6 +43,7 @@
 
     Raises:
         ConfigError: names the field.
+
     """
     if not 0 < value < math.inf:
         raise ConfigError(f"{field}: must be above 0")
@@ -51,6 +54,7 @@
 
     Raises:
         ConfigError: names the field.
+
     """
     if not 0 <= value < math.inf:
         raise ConfigError(f"{field}: must not be below 0")
--- a/src/poppyhold/durable/fenced_writer.py
+++ b/src/poppyhold/durable/fenced_writer.py
@@ -36,6 +36,7 @@
                 somebody else leads.
             StoreRejectedError: it was not carried out, and may be repeated.
             OutcomeUnknownError: it may have been carried out.
+
         """
         if self._fence_revision is None or self._outcome_unknown:
             self._raise_fence()
@@ -61,13 +62,14 @@
             fence = put_record(WRITE_FENCE_KEY, WriteFenceRecord(self._fence_revision))
             try:
                 self._fence_revision = self._store.commit(conditions, [fence])
-                self._outcome_unknown = False
-                return
             except ConditionFailedError as error:
                 if LEADER_KEY in error.failed_keys:
                     raise
                 # An earlier try of this very step, whose outcome was unknown, was carried out: that has the
                 # same effect.
+            else:
+                self._outcome_unknown = False
+                return
         entry = self._store.get(WRITE_FENCE_KEY)
         self._fence_revision = entry.revision if entry is not None else 0
         self._outcome_unknown = False
--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -118,6 +118,7 @@
             ConditionFailedError: a condition did not hold; nothing was written.
             LeaseExpiredError: the lease of a write has expired; nothing was written.
             InvalidRequestError: the transaction will never be carried out.
+
         """
         status, data = self._call("POST", "/commit", transaction_body(conditions, writes), self.timeout_s)
         if status == HTTPStatus.OK:
@@ -140,6 +141,7 @@
 
         Raises:
             LeaseExpiredError: it has expired already.
+
         """
         path = f"/leases/{lease_id}/extend"
         status, data = self._call("POST", path, {}, timeout_s)
@@ -156,6 +158,7 @@
 
         Raises:
             WatchCompactedError: the state service no longer has all of them.
+
         """
         path = f"/follow?prefix={prefix}&since={since}&holdMs={int(hold_s * 1000)}"
         status, data = self._call("GET", path, None, hold_s + self.timeout_s)
--- a/src/poppyhold/execution/attempt_lifecycle.py
+++ b/src/poppyhold/execution/attempt_lifecycle.py
@@ -31,6 +31,7 @@
             ctx: What the parts of the core share.
             on_command_response: Called with the outcome of each request to a worker.
             on_attempt_terminated: Called before an attempt that is proven to be over is removed.
+
         """
         self._ctx, self._on_attempt_terminated = ctx, on_attempt_terminated
         self.gangs = Gangs(ctx, self.stop)
@@ -75,6 +76,7 @@
             grace_s: Time that its task has to save.
             now: The moment.
             direct: Whether to send the command at once; it goes with responses to heartbeats in any case.
+
         """
         if attempt.stopping_at is None:
             attempt.stopping_at = now
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -39,6 +39,7 @@
             ctx: What the parts of the core share.
             on_start_discarded: Called with an attempt whose start waited here and won't be sent any more.
             on_response: Called with the outcome of each request.
+
         """
         self._ctx, self._on_start_discarded, self._on_response = ctx, on_start_discarded, on_response
         # Whether a higher fencing token is being made durable.
--- a/src/poppyhold/execution/task_observation.py
+++ b/src/poppyhold/execution/task_observation.py
@@ -34,6 +34,7 @@
             failures: Judges the tasks that ended with an error.
             on_task_completed: Called with a job and an index once that task is known to be completed.
             on_run_completed: Called with an attempt that completed, before it is removed, and the moment.
+
         """
         self._ctx, self._lifecycle, self._failures = ctx, lifecycle, failures
         self._on_task_completed, self._on_run_completed = on_task_completed, on_run_completed
--- a/src/poppyhold/model/outbound.py
+++ b/src/poppyhold/model/outbound.py
@@ -52,6 +52,7 @@
             writes: What to write.
             on_committed: Called with whether the writes are durable.
             priority: What goes first where several commits wait.
+
         """
 
     def send_commands(
--- a/src/poppyhold/node/cloud_client.py
+++ b/src/poppyhold/node/cloud_client.py
@@ -74,7 +74,7 @@
             status, _ = self._client.request(
                 "POST", "/machines/delete", DeletionRequest(names).body(), timeout_s=self._timeout_s
             )
-            return status == HTTPStatus.OK
         except (NotSentError, NoResponseError) as error:
             log.debug("deletion request failed error=%s", error)
             return False
+        return status == HTTPStatus.OK
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -93,7 +93,7 @@
         self._save_completions_at = 0.0
 
     def _make_quota(self, options: Options) -> CellQuotaService | None:
-        """This cell's allocations of the teams' limits; None where the fleet is one cell."""
+        """The cell's allocations of the teams' limits; None where the fleet is one cell."""
         if options.cells is None:
             return None
         return CellQuotaService(
--- a/src/poppyhold/node/decision_loop.py
+++ b/src/poppyhold/node/decision_loop.py
@@ -46,6 +46,7 @@
             scheduling_due_at: the moment for which the thread wakes up even if no event comes, or None.
             run_scheduling_cycle: called when no event waits.
             publish: called after each event, for what other threads read.
+
         """
         self._prepare, self._tick = prepare, tick
         self._scheduling_due_at, self._run_scheduling_cycle = scheduling_due_at, run_scheduling_cycle
--- a/src/poppyhold/options.py
+++ b/src/poppyhold/options.py
@@ -78,7 +78,7 @@
 
 
 class Cells(msgspec.Struct, frozen=True):
-    """This cell and the others, which share the teams' limits."""
+    """The cell of this controller and the others, which share the teams' limits."""
 
     name: str
     part: float
--- a/src/poppyhold/options_file.py
+++ b/src/poppyhold/options_file.py
@@ -48,6 +48,7 @@
 
     Raises:
         ConfigError: names the field.
+
     """
     if all(not line.strip() or line.lstrip().startswith("#") for line in text.splitlines()):
         # Nothing is set. A controller that restarts is waited for, and loading protobuf takes a good
@@ -103,6 +104,7 @@
 
     Raises:
         ConfigError: names the file and the field.
+
     """
     if path is None:
         return Options()
@@ -119,6 +121,7 @@
 
     Raises:
         ConfigError: names the field.
+
     """
     names = [cells.name, *(cell.name for cell in cells.others)]
     for field, name in zip(["cells.name", *["cells.others.name"] * len(cells.others)], names, strict=True):
--- a/src/poppyhold/quota/amounts.py
+++ b/src/poppyhold/quota/amounts.py
@@ -34,7 +34,7 @@
         return self.guaranteed + self.borrowable
 
     def capped_at(self, maximum: ResourceAmount) -> ResourceAmount:
-        """This amount, limited by another one in both parts."""
+        """The smaller of both amounts, part by part."""
         return ResourceAmount(
             min(self.guaranteed, maximum.guaranteed), min(self.borrowable, maximum.borrowable)
         )
--- a/src/poppyhold/quota/apportionment.py
+++ b/src/poppyhold/quota/apportionment.py
@@ -22,6 +22,7 @@
 
     Raises:
         ConfigError: a guarantee is above the limit.
+
     """
     return TeamAllocation(
         _total(f"settings.teams.{team.name}.cpus", team.cpus, team.cpus_max),
--- a/src/poppyhold/quota/cell_view.py
+++ b/src/poppyhold/quota/cell_view.py
@@ -1,4 +1,4 @@
-"""This cell as other cells and operators see it."""
+"""A cell as other cells and operators see it."""
 
 from __future__ import annotations
 
--- a/src/poppyhold/quota/ledger.py
+++ b/src/poppyhold/quota/ledger.py
@@ -199,6 +199,7 @@
 
         Raises:
             QuotaProtocolError: it cannot have applied so many, or has other records than before.
+
         """
         known = self._peers.get(peer)
         if known is None:
@@ -224,6 +225,7 @@
 
         Raises:
             QuotaProtocolError: an earlier transfer is missing, or the cell has other records than before.
+
         """
         known = self._peers.get(peer)
         self.check_peer(peer, incarnation)
--- a/src/poppyhold/quota/link.py
+++ b/src/poppyhold/quota/link.py
@@ -45,6 +45,7 @@
     Raises:
         OSError: the connection failed, or there was no response in time.
         MalformedMessageError: the response is not one of the protocol.
+
     """
     with socket.create_connection(split_address(address), timeout=timeout_s) as connection:
         send_message(connection, request)
--- a/src/poppyhold/quota/server.py
+++ b/src/poppyhold/quota/server.py
@@ -62,6 +62,7 @@
 
         Raises:
             QuotaRequestError: there is none, and the connection has to end.
+
         """
         if self._cells is None:
             raise QuotaRequestError("this fleet has one cell")
--- a/src/poppyhold/quota/status.py
+++ b/src/poppyhold/quota/status.py
@@ -72,6 +72,7 @@
 
     Raises:
         NoLeaderError: it was not found.
+
     """
     addresses = {known.member: known.address for known in settings.peers}
     addresses[settings.member] = settings.peer_listen
--- a/src/poppyhold/reads/batched_job_reads.py
+++ b/src/poppyhold/reads/batched_job_reads.py
@@ -72,6 +72,7 @@
         Raises:
             StoreRejectedError: the state service did not respond in time. Nothing is answered from memory
                 then: another controller may have told something newer.
+
         """
         outcome = self._await_batch()
         if outcome is BatchOutcome.CURRENT:
--- a/src/poppyhold/reads/read_index.py
+++ b/src/poppyhold/reads/read_index.py
@@ -65,6 +65,7 @@
 
     Raises:
         LaggingChangesError: the changes do not reach the revision within the most follows of an attempt.
+
     """
     present = yield ReadRevision()
     assert isinstance(present, int)
--- a/src/poppyhold/scale/async_http.py
+++ b/src/poppyhold/scale/async_http.py
@@ -93,6 +93,7 @@
 
         Raises:
             NoAnswerError: there was none within ``timeout_s`` seconds.
+
         """
         try:
             async with asyncio.timeout(timeout_s):
--- a/src/poppyhold/scale/cell_plot.py
+++ b/src/poppyhold/scale/cell_plot.py
@@ -21,6 +21,7 @@
     Raises:
         OSError: the file can't be written.
         ValueError: its name says no format that is known.
+
     """
     count = len(result.cells)
     figure = Figure(figsize=(_WIDTH_IN, _HEIGHT_OF_A_CELL_IN * count + 1), layout="constrained")
--- a/src/poppyhold/scale/profile.py
+++ b/src/poppyhold/scale/profile.py
@@ -148,6 +148,7 @@
 
     Raises:
         ProfileError: it can't be read, or a field is missing, unknown or out of bounds.
+
     """
     path = PROFILES / f"{name_or_path}.toml"
     if not path.exists():
--- a/src/poppyhold/settings_file.py
+++ b/src/poppyhold/settings_file.py
@@ -49,6 +49,7 @@
 
     Raises:
         ConfigError: names the file and the field.
+
     """
     try:
         settings = msgspec.convert(tomllib.loads(Path(path).read_text(encoding="utf-8")), Settings)
--- a/src/poppyhold/wire/codec.py
+++ b/src/poppyhold/wire/codec.py
@@ -35,6 +35,7 @@
 
     Raises:
         MalformedError: it is not CBOR, or no map.
+
     """
     try:
         value = cbor2.loads(body)
@@ -50,6 +51,7 @@
 
     Raises:
         MalformedError: a field is missing, or has another type.
+
     """
     try:
         return msgspec.convert(value, kind)
--- a/src/poppyhold/wire/frames.py
+++ b/src/poppyhold/wire/frames.py
@@ -25,6 +25,7 @@
 
     Raises:
         OSError: the other side cannot be reached within the timeout, which then holds for each operation.
+
     """
     connection = socket.create_connection(address, timeout=timeout_s)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -36,6 +37,7 @@
 
     Raises:
         OSError: the connection broke, or the message was not taken in time.
+
     """
     connection.sendall(_encode(message))
 
@@ -61,6 +63,7 @@
     Raises:
         MalformedMessageError: it is too large or none of the decoder's types.
         OSError: the connection broke, or nothing came in time.
+
     """
     size = _LENGTH.unpack(_receive_bytes(connection, _LENGTH.size))[0]
     if size > _LARGEST_BYTES:
--- a/src/poppyhold/wire/http_client.py
+++ b/src/poppyhold/wire/http_client.py
@@ -86,6 +86,7 @@
         Raises:
             NotSentError: the server could not be connected to.
             NoResponseError: the connection broke, the response was malformed, or none came in time.
+
         """
         deadline = time.monotonic() + timeout_s
         payload = encode(body) if body is not None else b""
--- a/src/poppyhold/wire/http_server.py
+++ b/src/poppyhold/wire/http_server.py
@@ -162,7 +162,7 @@
             head += "Connection: close\r\n"
         return head.encode("latin-1") + b"\r\n" + payload
 
-    def log_message(self, format: str, *args: Any) -> None:
+    def log_message(self, format: str, *args: Any) -> None:  # noqa: A002 (the base class names it so)
         log.debug("client=%s: %s", self.address_string(), format % args)
 
     def address_string(self) -> str:
@@ -232,7 +232,8 @@
 
     def handle_error(self, request: Any, client_address: Any) -> None:
         """Log what ended a connection; its client may have sent anything."""
-        log.debug("connection ended: client=%s", client_address, exc_info=True)
+        # The server calls this in its handler of the exception.
+        log.debug("connection ended: client=%s", client_address, exc_info=True)  # noqa: LOG014
 
     def close_all(self) -> None:
         """Stop accepting and end every connection."""
--- a/src/poppyhold/wire/worker_messages.py
+++ b/src/poppyhold/wire/worker_messages.py
@@ -117,6 +117,7 @@
 
     Raises:
         MalformedError: it is not of the protocol's form, or a number is out of range.
+
     """
     heartbeat = convert(value, Heartbeat)
     if heartbeat.incarnation < 1 or heartbeat.sequence < 0 or heartbeat.fencing_token < 0:
--- a/tests/mix.py
+++ b/tests/mix.py
@@ -269,8 +269,10 @@
     rng = random.Random(seed)
     cancel_s = rng.choice([22, 22, 30, 45])
     lines = [
-        f"world limit={rng.choice([8, 10, 14])} lease_s=10 cancel_s={cancel_s} zones={','.join(zones)} "
-        f"relays={relays} guests=gamma",
+        (
+            f"world limit={rng.choice([8, 10, 14])} lease_s=10 cancel_s={cancel_s} zones={','.join(zones)} "
+            f"relays={relays} guests=gamma"
+        ),
         *(f"machines small {zone} ordinary {rng.randrange(2, 4)}" for zone in zones),
     ]
     lines += [
--- a/tests/test_cell_service.py
+++ b/tests/test_cell_service.py
@@ -43,7 +43,8 @@
 
 def term_of(world: World) -> SimLeaderTerm:
     leader = world.leader()
-    assert leader is not None and leader.leader_term is not None
+    assert leader is not None
+    assert leader.leader_term is not None
     return leader.leader_term
 
 
@@ -148,10 +149,12 @@
         term_of(world), "commit", lambda conditions, writes, done, priority: commits.append(done)
     )
     before = quota.answer(request(quota, applied=1)).view
-    assert before is not None and before.peers[0].in_transit is not None
+    assert before is not None
+    assert before.peers[0].in_transit is not None
     commits[0](True)
     after = quota.answer(request(quota, applied=1)).view
-    assert after is not None and after.peers[0].in_transit is None
+    assert after is not None
+    assert after.peers[0].in_transit is None
     quota.tick()
     assert quota.answer(request(quota, applied=1)).view is not after
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -25,7 +25,8 @@
 def job_of(world: World, job_id: str) -> Job:
     """The leader's picture of a job."""
     leader = world.leader()
-    assert leader is not None and leader.leader_term is not None
+    assert leader is not None
+    assert leader.leader_term is not None
     return leader.leader_term.controller.ctx.fleet.jobs[job_id]
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -51,8 +51,8 @@
     assert destination is not None
     with pytest.raises(UnknownIncarnationError):
         source.ledger.acknowledge("north", "north-2", 1)
+    amount = TeamAmount(accelerators=ResourceAmount(1, 0))
     with pytest.raises(UnknownIncarnationError):
-        amount = TeamAmount(accelerators=ResourceAmount(1, 0))
         destination.ledger.credit("east", "east-2", Transfer(2, {TEAM: amount}))
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -86,8 +86,9 @@
     threading.Thread(target=server.serve_forever, daemon=True).start()
     clients: list[socket.socket] = []
     try:
-        for _ in range(wanted):
-            clients.append(socket.create_connection(("127.0.0.1", server.server_port), timeout=30.0))
+        clients.extend(
+            socket.create_connection(("127.0.0.1", server.server_port), timeout=30.0) for _ in range(wanted)
+        )
         # Each is still there once the last has come.
         for client in clients:
             client.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -61,11 +61,9 @@
     # No order but stops, nothing adopted, not heard, and what it holds still counts as unknown.
     assert answer is not None
     assert answer.body() == {"baton": leader_term.fencing_token, "orders": []}
-    assert (
-        not machine.reconciled
-        and not machine.attempts
-        and attempts.lease_expiry.unreconciled == {"vm-000001"}
-    )
+    assert not machine.reconciled
+    assert not machine.attempts
+    assert attempts.lease_expiry.unreconciled == {"vm-000001"}
     assert not attempts.lease_expiry.all_reconciled()
     # Nor does a node that may stand in for this leader take it.
     other = next(node for node in world.nodes if node.alive and node.leader_term is None)
@@ -197,7 +195,8 @@
     """Every slot is taken, and nobody may wait for one."""
 
     def acquire(self, blocking: bool = True, timeout: float | None = None) -> bool:
-        assert not blocking and timeout is None, "a user is kept waiting"
+        assert not blocking, "a user is kept waiting"
+        assert timeout is None, "a user is kept waiting"
         return False
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -119,7 +119,8 @@
 
 @pytest.mark.parametrize("message", [[], ["pong"], [*PONG[:5], "x", 3], ["pang", 1], {"a": 1}], ids=str)
 def test_malformed_messages_are_refused(message: list[Any]) -> None:
-    with pytest.raises(ValueError):
+    # Of all kinds that the codec raises for a malformed message.
+    with pytest.raises(ValueError):  # noqa: PT011
         over_a_connection(message)
 
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -92,8 +92,10 @@
     ledger.book("m0", (4.0, 1.0, 10.0), 0, 1, 3)
     low = planner.plan(make_job(submission(rank="best_effort", chores=1), 1, 0.0), 1, 60.0, 0.0)
     high = planner.plan(make_job(submission(rank="critical", chores=1), 1, 0.0), 1, 60.0, 0.0)
-    assert low is not None and low.payoff < 0
-    assert high is not None and high.payoff > 0
+    assert low is not None
+    assert low.payoff < 0
+    assert high is not None
+    assert high.payoff > 0
     ledger.book("m0", (4.0, 1.0, 10.0), 0, 1, 1)
     assert planner.plan(make_job(submission(rank="critical", chores=1), 1, 0.0), 1, 60.0, 0.0) is None
 
@@ -122,7 +124,8 @@
         fleet.add_worker(fleet.cloud.add("large", "a", False, "running"))
     fleet.run(3.0)
     leader = fleet.leader()
-    assert leader is not None and leader.leader_term is not None
+    assert leader is not None
+    assert leader.leader_term is not None
     dispatcher = leader.leader_term.controller.dispatcher
     ticking = itertools.count(fleet.now, 0.02)
     started: list[str] = []
--- a/tests/test_program_forms.py
+++ b/tests/test_program_forms.py
@@ -309,7 +309,8 @@
         ("POST", "/api/jobs/job-999999/abort"),
     ):
         refused, answer = program.ask(method, path, {"nameId": 1})
-        assert refused in (400, 404) and answer.keys() == {"error"}
+        assert refused in (400, 404)
+        assert answer.keys() == {"error"}
     assert program.tell("cell: elsewhere", ["share?"]) == ["elsewhere", "hive-1"]
 
 
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -19,7 +19,8 @@
     world.submit(submission("job-000001", {"shape": "service", "chores": 1, "rank": "critical"}))
     world.run(6.0)
     leader = world.leader()
-    assert leader is not None and leader.leader_term is not None
+    assert leader is not None
+    assert leader.leader_term is not None
     assert world.workers["vm-000001"].on_machine() == ["job-000001/0"]
     return world, leader.leader_term
 
@@ -68,4 +69,5 @@
     )
     machine.command_in_flight = False
     controller.reconciler.lifecycle.commands.send_queued()
-    assert sent and sent[0]["orders"] == []
+    assert sent
+    assert sent[0]["orders"] == []
--- a/tests/test_reconciliation_proofs.py
+++ b/tests/test_reconciliation_proofs.py
@@ -202,7 +202,8 @@
     assert (harness.job.active.get(0) is attempt) is stays
     assert attempt.void_at_fencing_token == (harness.ctx.fencing_token + 1 if voided_by_next_token else None)
     assert (harness.machine.unreliable_until > harness.world.now) is unreliable
-    assert not attempt.start_in_flight and not harness.machine.command_in_flight
+    assert not attempt.start_in_flight
+    assert not harness.machine.command_in_flight
 
 
 def test_an_outcome_is_that_of_the_attempt_that_was_sent(harness: ReconciliationHarness) -> None:
--- a/tests/test_relay_batch_handler.py
+++ b/tests/test_relay_batch_handler.py
@@ -75,7 +75,8 @@
     world = scenario.world
     world.run(10.0)
     leader = world.leader()
-    assert leader is not None and leader.leader_term is not None
+    assert leader is not None
+    assert leader.leader_term is not None
     term = leader.leader_term
     node = next(node for node in world.nodes if node.relay._term is term)
     worker = next(iter(world.workers.values()))
@@ -90,4 +91,5 @@
     held = world.state.keys[LEADER_KEY]
     world.state.keys[LEADER_KEY] = ({**held[0], "baton": held[0]["baton"] + 1}, *held[1:])
     node.relay._answered(state, term, answers)
-    assert responses and responses[0] != 200
+    assert responses
+    assert responses[0] != 200
--- a/tests/test_relay_link.py
+++ b/tests/test_relay_link.py
@@ -120,7 +120,8 @@
     relayed.restart()
     relayed.send(2)
     eventually(lambda: len(relayed.responses) == 2)
-    assert relayed.responses[1] is not None and relayed.responses[1].outcome is RelayOutcome.ANSWERED
+    assert relayed.responses[1] is not None
+    assert relayed.responses[1].outcome is RelayOutcome.ANSWERED
 
 
 def test_a_frozen_leader_delays_workers_by_no_more_than_the_response_timeout(
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -43,7 +43,8 @@
     written = tmp_path / "result.json"
     assert main(["small", "--json", str(written)]) == 0
     result = msgspec.json.decode(written.read_bytes())
-    assert result["broken_count"] == 0 and result["stopped"] is None
+    assert result["broken_count"] == 0
+    assert result["stopped"] is None
     assert result["workers_up"] == result["profile"]["workers"]
     assert sum(controller["led"] for controller in result["controllers"]) > 1
     assert result["latencies"]["report"]["count"] > result["workers_up"]
@@ -82,7 +83,8 @@
         load_profile(str(bad))
     assert main([str(bad)]) == 2
     error = capsys.readouterr().err
-    assert error.count("\n") == 1 and named in error
+    assert error.count("\n") == 1
+    assert named in error
 
 
 def test_a_run_stops_at_its_bound_of_time(tmp_path: Path) -> None:
@@ -275,11 +277,13 @@
     forward, backward = asyncio.run(links())
     network.cut([there, back])
     network.cut([there])
-    assert not (forward.asking.is_set() or backward.asking.is_set())
+    assert not forward.asking.is_set()
+    assert not backward.asking.is_set()
     network.heal([there, back])
     assert backward.asking.is_set()
     # What is sent that way is also the answers to the other cell's questions.
-    assert not (forward.asking.is_set() or backward.answering.is_set())
+    assert not forward.asking.is_set()
+    assert not backward.answering.is_set()
     assert not network.is_whole
     network.heal([there])
     assert forward.asking.is_set()
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -264,8 +264,7 @@
     silent: list[socket.socket] = []
     try:
         assert clients[0].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
-        for _ in range(20):
-            silent.append(socket.create_connection(("127.0.0.1", server.server_port)))
+        silent.extend(socket.create_connection(("127.0.0.1", server.server_port)) for _ in range(20))
         # The worker's connection was the oldest, and is there still: it is used again, not opened anew.
         assert clients[0].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
         assert clients[1].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -84,9 +84,10 @@
     for _ in range(10):
         try:
             writer.commit({}, [Put(key, {"v": value})])
-            return
         except (StoreRejectedError, OutcomeUnknownError):
             continue
+        else:
+            return
     raise AssertionError("never certain")
 
 
