--- a/src/poppyhold/scale/__main__.py
+++ b/src/poppyhold/scale/__main__.py
@@ -69,7 +69,7 @@
 
 
 def _write_plot(result: CellsResult, path: Path) -> None:
-    # Loaded behind the run, whose memory is measured.
+    # Loaded after the run, whose memory is measured.
     from poppyhold.scale.cell_plot import plot_cells
 
     plot_cells(result, path)
--- a/src/poppyhold/scale/async_http.py
+++ b/src/poppyhold/scale/async_http.py
@@ -24,7 +24,7 @@
 
 
 async def _read_message(reader: asyncio.StreamReader) -> tuple[str, bytes, bool, int]:
-    """First line, body, whether the connection ends behind it, and the bytes that were read."""
+    """First line, body, whether the connection ends after it, and the bytes that were read."""
     head = await reader.readuntil(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     length, closes = 0, False
--- a/src/poppyhold/scale/cell_checks.py
+++ b/src/poppyhold/scale/cell_checks.py
@@ -174,7 +174,7 @@
                 )
 
     def _waiting(self) -> Counter[str]:
-        """Tasks that wait in a cell whose machines have room for one, by team."""
+        """Tasks that wait in a cell on whose machines one fits, by team."""
         waiting: Counter[str] = Counter()
         for run in self._runs:
             free_copies = max((worker.free_copies(_ONE, 1) for worker in run.fleet.standins()), default=0)
--- a/src/poppyhold/scale/cell_links.py
+++ b/src/poppyhold/scale/cell_links.py
@@ -15,7 +15,7 @@
 class CuttableLink(Link):
     """What the controllers of one cell send to a controller of another goes through here.
 
-    A cut holds what is sent; when it is over, connections that it held up end, as they do behind a real one.
+    A cut holds what is sent; when it is over, connections that it held up end, as they do after a real one.
     """
 
     def __init__(self, target: int) -> None:
--- a/src/poppyhold/scale/controllers.py
+++ b/src/poppyhold/scale/controllers.py
@@ -60,7 +60,7 @@
             self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
 
     def close(self) -> None:
-        """Refuse connections; those that stand end with the process behind them."""
+        """Refuse connections; open ones end with the process that serves them."""
         if self._server is not None:
             self._server.close()
             self._server = None
--- a/src/poppyhold/scale/profile.py
+++ b/src/poppyhold/scale/profile.py
@@ -80,7 +80,7 @@
     name: str
     workers: int
     controllers: int = 6
-    # Whether controllers relay reports; `auto` is what they do without a word.
+    # Whether controllers relay heartbeats; `auto` is what they do without a word.
     relays: Literal["auto", "off", "forced"] = "auto"
     zones: list[str] = msgspec.field(default_factory=lambda: ["a", "b", "c"])
     teams: int = 4
@@ -102,7 +102,7 @@
     heartbeat_interval_s: float = msgspec.field(name="report_s", default=2.5)
     lease_s: float = 15.25
     cancel_s: float = 45.25
-    # The load starts; measured from behind it.
+    # From the start of the load until the measured time.
     warm_up_s: float = 60.0
     measured_s: float = 120.0
     # Bounds of the run itself: its time, and its share of the machine's memory.
--- a/src/poppyhold/scale/result.py
+++ b/src/poppyhold/scale/result.py
@@ -28,7 +28,7 @@
     at_s: float
     # Workers that restarted, or the controller that was killed.
     what: str
-    # From the kill until another controller held the lead, and until it answered a report.
+    # From the kill until another controller held the lead, and until it answered a heartbeat.
     without_leader_s: float | None = None
     without_answers_s: float | None = None
 
--- a/src/poppyhold/scale/run.py
+++ b/src/poppyhold/scale/run.py
@@ -1,4 +1,4 @@
-"""One scale run from its start to its result; everything that it started is ended behind it."""
+"""One scale run from its start to its result; everything that it started is ended after it."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         self._processors = psutil.cpu_times()
         self._bytes_before = 0
         self._background: set[asyncio.Task[None]] = set()
-        # Called behind each start of a task: what must hold over several cells is checked then.
+        # Called after each start of a task: what must hold over several cells is checked then.
         self.on_started: Callable[[], None] = lambda: None
         self.controllers: Controllers
         self.fleet: Fleet
--- a/src/poppyhold/scale/state_standin.py
+++ b/src/poppyhold/scale/state_standin.py
@@ -28,7 +28,7 @@
         self.log: list[tuple[int, Data]] = []
         self.down = False
         self._permit = 0
-        # Changes that a watch may be behind.
+        # How many changes a watch may lag.
         self.changes_kept = _MAX_KEPT_CHANGES
 
     def end_outage(self) -> None:
@@ -119,11 +119,11 @@
         return 200, {"ledger": self.ledger}
 
     def is_too_old(self, since: int) -> bool:
-        """Whether changes behind a revision are not kept any more."""
+        """Whether changes after a revision are not kept any more."""
         return len(self.log) > self.changes_kept and since < self.log[-self.changes_kept - 1][0]
 
     def changes(self, prefix: str, since: int) -> list[Data]:
-        """Changes behind a revision."""
+        """Changes after a revision."""
         self.expire()
         first = bisect_right(self.log, since, key=lambda change: change[0])
         return [
--- a/src/poppyhold/scale/worker_standin.py
+++ b/src/poppyhold/scale/worker_standin.py
@@ -41,7 +41,7 @@
         self.faulty = False
 
     def heartbeat(self) -> Data:
-        """A report of now."""
+        """The heartbeat of this moment."""
         self.sequence += 1
         return {
             "box": self.name,
@@ -90,7 +90,7 @@
         self.answered_sent_at = self._clock()
 
     def step(self) -> bool:
-        """Let time pass; True if something is worth a report."""
+        """Let time pass; True if something is worth a heartbeat."""
         if self.expire():
             return True
         now = self._clock()
@@ -131,7 +131,7 @@
         self._on_start(self, name)
 
     def answered(self, body: Data, sent_at: float, shift: int) -> None:
-        """The answer to a report came."""
+        """The response to a heartbeat came."""
         if shift != self.incarnation or body.get("baton", 0) < self.fencing_token:
             return
         self.fencing_token = body["baton"]
@@ -185,7 +185,7 @@
         task.update(status="pulling", until=now + fetch)
 
     def free_copies(self, job: Data, most: int) -> int:
-        """How many more tasks of a job there is room for, up to ``most``."""
+        """How many more tasks of a job fit, up to ``most``."""
         for amount in ("cpus", "accelerators", "memGb"):
             used = sum(c["job"][amount] for c in self.tasks.values() if c["status"] != "ended" and "job" in c)
             if job[amount] > 0:
