--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -131,7 +131,7 @@
     Guard("limit_and_cancelled", Fleet, "unaccounted_resources", _no_room),
     Guard("mute_machines_and_copies", MachineMonitor, "_count_turned_away", _all_of_them),
     Guard("deaf_machine", AttemptReconciler, "_ignores_responses", _never),
-    Guard("gap", Cancellations, "report", _told_nothing),
+    Guard("gap", Cancellations, "summarize", _told_nothing),
     Guard("gap", Authority, "observe_peer", _never),
     Guard("gap_unnamed", Authority, "observe_peer", _learned_all),
     Guard("gangs_compete", GangPlacement, "choose", _one_by_one),
