--- a/src/poppyhold/quota/__init__.py
+++ b/src/poppyhold/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Shares of teams' limits and guarantees, held by several cells and moved between them (docs/quota.md)."""
+"""Allocations of teams' limits and guarantees that move between cells (docs/quota.md)."""
