--- a/src/poppyhold/quota/cell_view.py
+++ b/src/poppyhold/quota/cell_view.py
@@ -5,6 +5,7 @@
 from collections.abc import Mapping
 
 from poppyhold.model.fleet import Fleet
+from poppyhold.model.resources import ACCELERATORS, CPUS
 from poppyhold.quota.alarms import Alarms
 from poppyhold.quota.amounts import TeamAmount, to_units
 from poppyhold.quota.demand import TeamDemand
@@ -53,8 +54,8 @@
             team,
             record.allocation,
             record.total,
-            to_units(used[0]),
-            to_units(used[1]),
+            to_units(used[CPUS]),
+            to_units(used[ACCELERATORS]),
             spare.cpus,
             spare.accelerators,
         )
--- a/src/poppyhold/scheduling/planner.py
+++ b/src/poppyhold/scheduling/planner.py
@@ -9,7 +9,7 @@
 
 from poppyhold.model.constraints import zone_limit
 from poppyhold.model.entities import Job
-from poppyhold.model.resources import Resources, max_copies
+from poppyhold.model.resources import ACCELERATORS, CPUS, MEMORY_GB, Resources, max_copies
 from poppyhold.scheduling.ledger import EVERY_SLOT, Ledger, MachineBookings, MachineGroup
 from poppyhold.scheduling.pricing import Pricing, machine_shares, price_of
 
@@ -132,7 +132,7 @@
         """
         need = job.task_resources
         if slot_share != 1.0:
-            need = (need[0] * slot_share, need[1] * slot_share, need[2] * slot_share)
+            need = (need[CPUS] * slot_share, need[ACCELERATORS] * slot_share, need[MEMORY_GB] * slot_share)
         group_offers: list[_GroupOffer] = []
         for group in groups:
             max_tasks, cost = self._capacity_on(group.bookings, need, first, last, tasks)
--- a/src/poppyhold/scheduling/pricing.py
+++ b/src/poppyhold/scheduling/pricing.py
@@ -46,6 +46,7 @@
 
 def price_of(need: Resources, unit_prices: Resources) -> float:
     """Price of what one task takes in one slot, at these prices of a unit of each resource."""
+    # Literal indices, as in `model.resources.fits`: the planner asks for every machine and slot.
     return need[0] * unit_prices[0] + need[1] * unit_prices[1] + need[2] * unit_prices[2]
 
 
