--- a/src/poppyhold/scheduling/free_capacity.py
+++ b/src/poppyhold/scheduling/free_capacity.py
@@ -17,6 +17,8 @@
 
 # Rankings that are kept; each holds an entry for every machine on which its kind of job fits.
 _MAX_RANKINGS = 32
+# The change log keeps so many entries for each machine.
+_LOG_ENTRIES_PER_MACHINE = 4
 
 # The score of a machine for any job of a kind, lower is better; None if no task fits.
 Score = Callable[[Machine], float | None]
@@ -52,7 +54,7 @@
             del self._observed[name]
             self._change_log.append(name)
         self.refresh_all()
-        excess = len(self._change_log) - 4 * len(self.machines)
+        excess = len(self._change_log) - _LOG_ENTRIES_PER_MACHINE * len(self.machines)
         if excess > 0:
             del self._change_log[:excess]
             self._dropped_from_log += excess
@@ -133,11 +135,24 @@
         )
 
 
+class _RankingKey(NamedTuple):
+    """What decides scores: jobs with equal keys share a ranking of a view."""
+
+    view: int
+    task_resources: Resources
+    image: str
+    image_gb: float
+    job_class: str
+    machine_types: tuple[str, ...] | None
+    zone: str | None
+    spot: bool
+
+
 class RankingCache:
     """The rankings that were used last."""
 
     def __init__(self) -> None:
-        self._rankings: OrderedDict[tuple[object, ...], Ranking] = OrderedDict()
+        self._rankings: OrderedDict[_RankingKey, Ranking] = OrderedDict()
 
     def clear(self) -> None:
         """Drop all rankings: scores are no longer what they were."""
@@ -147,7 +162,7 @@
         """The up-to-date ranking for jobs like this one."""
         spec = job.spec
         machine_types = None if spec.machine_types is None else tuple(spec.machine_types)
-        kind = (
+        key = _RankingKey(
             id(view),
             job.task_resources,
             spec.image,
@@ -157,11 +172,11 @@
             spec.zone,
             spec.spot,
         )
-        ranking = self._rankings.get(kind)
+        ranking = self._rankings.get(key)
         if ranking is None:
-            ranking = self._rankings[kind] = Ranking(view, score)
+            ranking = self._rankings[key] = Ranking(view, score)
             if len(self._rankings) > _MAX_RANKINGS:
                 self._rankings.popitem(last=False)
-        self._rankings.move_to_end(kind)
+        self._rankings.move_to_end(key)
         ranking.update()
         return ranking
