--- a/src/poppyhold/machines/consolidation.py
+++ b/src/poppyhold/machines/consolidation.py
@@ -57,7 +57,7 @@
         for machine in Consolidation(max_draining, is_settled).choose(slots, is_schedulable):
             machine.draining = True
             log.info(
-                "draining machine machine=%s replicas=%d reason=underused",
+                "draining machine: machine=%s replicas=%d reason=underused",
                 machine.name,
                 len(machine.attempts),
             )
--- a/src/poppyhold/machines/deletions.py
+++ b/src/poppyhold/machines/deletions.py
@@ -39,7 +39,7 @@
         """Ask the cloud to delete what is marked."""
         for reason, names in self._unlogged.items():
             log.info(
-                "deleting machines count=%d reason=%r machines=%s",
+                "deleting machines: count=%d reason=%r machines=%s",
                 len(names),
                 reason,
                 ",".join(names[:_MAX_NAMES_LOGGED]),
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -81,7 +81,7 @@
         name = f"r-{self._ctx.next_unique_number()}"
         launch = Launch(name, spec.machine_type, spec.zone, spec.spot, spec.number, in_flight=True)
         log.info(
-            "launch requested launch=%s machine_type=%s zone=%s spot=%s count=%d",
+            "launch requested: launch=%s machine_type=%s zone=%s spot=%s count=%d",
             name,
             spec.machine_type,
             spec.zone,
@@ -123,7 +123,7 @@
 
     def _handle_response(self, launch: Launch, outcome: RequestOutcome, names: list[str]) -> None:
         now = self._ctx.clock()
-        log.info("launch answered launch=%s outcome=%s machines=%d", launch.name, outcome.value, len(names))
+        log.info("launch answered: launch=%s outcome=%s machines=%d", launch.name, outcome.value, len(names))
         if outcome == RequestOutcome.OK:
             launch.machines = names
             self._ctx.outbound.commit(
--- a/src/poppyhold/node/cloud_client.py
+++ b/src/poppyhold/node/cloud_client.py
@@ -51,7 +51,7 @@
             status, data = self._client.request("GET", path, timeout_s=self._timeout_s)
             return convert(data, kind) if status == HTTPStatus.OK else None
         except (NotSentError, NoResponseError, MalformedError) as error:
-            log.debug("cloud request failed path=%s error=%s", path, error)
+            log.debug("cloud request failed: path=%s error=%s", path, error)
             return None
 
     def launch_machines(self, body: Data) -> tuple[RequestOutcome, list[str]]:
@@ -61,7 +61,7 @@
             if status == HTTPStatus.OK:
                 return RequestOutcome.OK, convert(data, LaunchResponse).machines
         except (NotSentError, NoResponseError, MalformedError) as error:
-            log.debug("launch request failed error=%s", error)
+            log.debug("launch request failed: error=%s", error)
             return RequestOutcome.UNKNOWN, []
         no_capacity = status == HTTPStatus.SERVICE_UNAVAILABLE and data.get("error") == "no capacity"
         if no_capacity or status == HTTPStatus.BAD_REQUEST:
@@ -75,6 +75,6 @@
                 "POST", "/machines/delete", DeletionRequest(names).body(), timeout_s=self._timeout_s
             )
         except (NotSentError, NoResponseError) as error:
-            log.debug("deletion request failed error=%s", error)
+            log.debug("deletion request failed: error=%s", error)
             return False
         return status == HTTPStatus.OK
--- a/src/poppyhold/node/command_dispatcher.py
+++ b/src/poppyhold/node/command_dispatcher.py
@@ -109,7 +109,7 @@
             on_response(*self._post(endpoint, body))
         except Exception:
             # The top of a sender thread: the core must hear of the command, and the thread must go on.
-            log.exception("command failed endpoint=%s", endpoint)
+            log.exception("command failed: endpoint=%s", endpoint)
             on_response(RequestOutcome.UNKNOWN, None)
 
     def _post(self, endpoint: str, body: Data) -> tuple[RequestOutcome, Heartbeat | None]:
@@ -123,16 +123,16 @@
         try:
             status, data = client.request("POST", "/do", body, timeout_s=self._timeout_s)
         except NotSentError as error:
-            log.debug("command not sent endpoint=%s error=%s", endpoint, error)
+            log.debug("command not sent: endpoint=%s error=%s", endpoint, error)
             return RequestOutcome.NOT_SENT, None
         except NoResponseError as error:
-            log.debug("command not answered endpoint=%s error=%s", endpoint, error)
+            log.debug("command not answered: endpoint=%s error=%s", endpoint, error)
             return RequestOutcome.UNKNOWN, None
         if status not in (HTTPStatus.OK, HTTPStatus.CONFLICT):
             return RequestOutcome.REJECTED, None
         try:
             heartbeat = parse_heartbeat(data)
         except MalformedError as error:
-            log.debug("command answered with a malformed heartbeat endpoint=%s error=%s", endpoint, error)
+            log.debug("command answered with a malformed heartbeat: endpoint=%s error=%s", endpoint, error)
             heartbeat = None
         return (RequestOutcome.OK if status == HTTPStatus.OK else RequestOutcome.REJECTED), heartbeat
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -213,7 +213,7 @@
         ).start()
         self.relays.update_machines(self.controller.ctx.fleet.machines.keys())
         log.info(
-            "leader ready jobs=%d machines=%d read_s=%.1f prepare_s=%.1f",
+            "leader ready: jobs=%d machines=%d read_s=%.1f prepare_s=%.1f",
             len(snapshot.active),
             len(snapshot.machines),
             read_at - began_at,
@@ -231,7 +231,7 @@
             try:
                 return reader.read()
             except (StoreRejectedError, OutcomeUnknownError) as error:
-                log.debug("snapshot read failed error=%s", error)
+                log.debug("snapshot read failed: error=%s", error)
                 time.sleep(self._node.store.timeout_s / 4)
         return Snapshot()
 
--- a/src/poppyhold/node/machine_catalog.py
+++ b/src/poppyhold/node/machine_catalog.py
@@ -42,7 +42,7 @@
                     self.learn(stored)
                     return
             except (StoreRejectedError, OutcomeUnknownError, MalformedError) as error:
-                log.debug("machine types not read error=%s", error)
+                log.debug("machine types not read: error=%s", error)
             machine_types = self._cloud.fetch_machine_types()
             if machine_types:
                 self.learn(machine_types)
@@ -66,4 +66,4 @@
                 self._store.commit({}, [write])
             self._published = shapes
         except (StoreRejectedError, OutcomeUnknownError, ConditionFailedError, LeaseExpiredError) as error:
-            log.debug("machine types not stored error=%s", error)
+            log.debug("machine types not stored: error=%s", error)
--- a/src/poppyhold/node/user_api.py
+++ b/src/poppyhold/node/user_api.py
@@ -146,7 +146,7 @@
                 # It may have gone through: the next attempt will tell.
                 continue
             except InvalidRequestError as error:
-                log.warning("submission refused job=%s error=%s", spec.name, error)
+                log.warning("submission refused: job=%s error=%s", spec.name, error)
                 return self._reject_too_long(spec)
             except ConditionFailedError:
                 # It exists, perhaps by our own attempt before: its user is told of its present state.
@@ -233,7 +233,7 @@
         try:
             return work()
         except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError) as error:
-            log.debug("user request failed error=%s", error)
+            log.debug("user request failed: error=%s", error)
             return self._try_later()
 
     def _try_later(self, status: HTTPStatus = HTTPStatus.SERVICE_UNAVAILABLE) -> HttpResponse:
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -92,7 +92,7 @@
         self.records.write(job)
         spec = job.spec
         log.debug(
-            "job submitted job=%s class=%s tasks=%d admitted=%s",
+            "job submitted: job=%s class=%s tasks=%d admitted=%s",
             job.id,
             spec.job_class,
             spec.tasks,
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -101,7 +101,7 @@
         for move in moves:
             _reserve(reserved, move)
             log.debug(
-                "replica relocated task=%s from=%s to=%s", move.attempt.name, machine.name, move.target.name
+                "replica relocated: task=%s from=%s to=%s", move.attempt.name, machine.name, move.target.name
             )
         self._moves += moves
         self._moved_at.extend([self._clock()] * len(moves))
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -25,10 +25,10 @@
     return world, leader.leader_term
 
 
-def test_start_that_waited_through_the_end_of_a_incarnation_is_not_sent() -> None:
-    # Seen on a day of the hunt: the worker's lease ended while a start waited for the answer to the
+def test_start_that_waited_through_the_end_of_an_incarnation_is_not_sent() -> None:
+    # Seen on a drawn day: the worker's lease expired while a start waited for the response to the
     # command before it. The task was started elsewhere, and then the old start was sent as well, under the
-    # new session, and carried out.
+    # new incarnation, and executed.
     world, leader_term = leading_world()
     controller = leader_term.controller
     machine = controller.ctx.fleet.machines["vm-000001"]
