--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -8,6 +8,7 @@
 from http import HTTPStatus
 from typing import Any, NamedTuple
 
+from poppyhold.configuration_checks import split_address
 from poppyhold.durable.changes import (
     Data,
     Entry,
@@ -26,9 +27,9 @@
     WatchCompactedError,
 )
 from poppyhold.durable.keys import EMPTY_PREFIX
-from poppyhold.settings import Settings, split_address
+from poppyhold.settings import Settings
 from poppyhold.wire import field_names as names
-from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
+from poppyhold.wire.http_client import HttpClient, NoResponseError, NotSentError
 
 # Entries of a page, at the most.
 _PAGE_ENTRIES = 1000
@@ -61,11 +62,11 @@
     """
 
     def __init__(self, settings: Settings, clock: Callable[[], float] = time.monotonic) -> None:
-        host, port = split_address(settings.outside.state)
-        self._client = Client(host, port, keep=_IDLE_CONNECTIONS)
+        host, port = split_address(settings.external_services.state)
+        self._client = HttpClient(host, port, most_idle=_IDLE_CONNECTIONS)
         self._clock = clock
         # A response usually takes milliseconds, now and then some hundreds.
-        self.timeout = settings.settings.workers.lease_s / 8
+        self.timeout = settings.deployment.workers.lease_s / 8
         # When the state service last responded.
         self.contact_at = float("-inf")
 
@@ -74,7 +75,7 @@
             status, data = self._client.request(method, path, body, timeout=timeout)
         except NotSentError as error:
             raise StoreRejectedError(f"{method} {path}: not sent: {error}") from error
-        except NoAnswerError as error:
+        except NoResponseError as error:
             raise OutcomeUnknownError(f"{method} {path}: no response: {error}") from error
         if status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
             raise StoreRejectedError(f"{method} {path}: status {status}")
--- a/src/poppyhold/machines/space.py
+++ b/src/poppyhold/machines/supply_and_demand.py
@@ -1,4 +1,4 @@
-"""What needs room, and the room that there is: the two sides of renting machines."""
+"""Demand for capacity, and the capacity that there is or will be: the two sides of scaling out."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class Demand(msgspec.Struct, eq=False):
-    """Tasks of one shape that need room."""
+    """Tasks of one shape that need capacity."""
 
     spec: Submission
     need: Resources
     tasks: int
     zones: dict[str, int]
-    forecast: bool = False
+    is_forecast: bool = False
     # The only zone that may be used, where all tasks have to be in one.
-    home: str | None = None
+    required_zone: str | None = None
 
 
-class Space(msgspec.Struct, eq=False):
-    """Free room of one machine that is held or coming."""
+class CapacitySlot(msgspec.Struct, eq=False):
+    """Free capacity of one machine that is held or expected; one that has no name yet has no machine."""
 
     machine: Machine | None
     machine_type: MachineType
@@ -33,9 +33,9 @@
     used: bool = False
 
 
-def space_of(machine: Machine) -> Space:
-    """The free room of a machine we hold."""
-    return Space(
+def slot_of(machine: Machine) -> CapacitySlot:
+    """The free capacity of a machine we hold."""
+    return CapacitySlot(
         machine, machine.machine_type, machine.zone, machine.spot, machine.free, bool(machine.attempts)
     )
 
--- a/src/poppyhold/node/command_dispatcher.py
+++ b/src/poppyhold/node/command_dispatcher.py
@@ -8,11 +8,12 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
+from poppyhold.configuration_checks import ConfigError, split_address
 from poppyhold.model.outbound import Data
 from poppyhold.model.outcome import RequestOutcome
-from poppyhold.settings import ConfigError, Settings, split_address
+from poppyhold.settings import Settings
 from poppyhold.wire.codec import MalformedError
-from poppyhold.wire.http_client import Client, NoAnswerError, NotSentError
+from poppyhold.wire.http_client import HttpClient, NoResponseError, NotSentError
 from poppyhold.wire.worker_messages import Heartbeat, parse_heartbeat
 
 log = logging.getLogger(__name__)
@@ -83,9 +84,9 @@
     """Sends commands to workers; those to workers that may not answer go through a pool of their own."""
 
     def __init__(self, settings: Settings) -> None:
-        workers = settings.settings.workers
+        workers = settings.deployment.workers
         self._timeout_s = workers.heartbeat_interval_s * _TIMEOUT_INTERVALS
-        threads = settings.settings.machine_limits.threads
+        threads = settings.deployment.machine_limits.threads
         idle_s = workers.lease_s
         self._fast_pool = SenderPool(
             max(_MIN_POOL_THREADS, threads // _FAST_POOL_DIVISOR), idle_s, self._send
@@ -118,13 +119,13 @@
             return RequestOutcome.NOT_SENT, None
         # A new connection each time: on one that was kept open, a lost command and a closed
         # connection look alike, and a lost command has to be waited out.
-        client = Client(host, port, keep=0)
+        client = HttpClient(host, port, most_idle=0)
         try:
             status, data = client.request("POST", "/do", body, timeout=self._timeout_s)
         except NotSentError as error:
             log.debug("command not sent endpoint=%s error=%s", endpoint, error)
             return RequestOutcome.NOT_SENT, None
-        except NoAnswerError as error:
+        except NoResponseError as error:
             log.debug("command not answered endpoint=%s error=%s", endpoint, error)
             return RequestOutcome.UNKNOWN, None
         if status not in (HTTPStatus.OK, HTTPStatus.CONFLICT):
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -22,7 +22,7 @@
 from poppyhold.node.scheduling_cycle import SchedulingCycle
 from poppyhold.node.state_loader import StateLoader
 from poppyhold.options import Options
-from poppyhold.quota.cell_quota import CellQuota
+from poppyhold.quota.cell_service import CellQuotaService
 from poppyhold.scheduling.admission import Admission
 from poppyhold.scheduling.dispatch import Dispatcher
 from poppyhold.scheduling.quotas import Quotas
@@ -54,11 +54,21 @@
         rng: random.Random,
     ) -> None:
         times = Durations(settings, options)
-        self.ctx = Context(settings, options, outbound, clock, wall, rng, fencing_token, fencing_token, times)
-        connections = settings.settings.machine_limits.connections
-        self.ctx.max_initial_probes = connections * options.relays.from_share
-        self.ctx.silent_probe_rate = connections * _SILENT_PROBE_SHARE
-        self._quotas = Quotas(settings.settings.teams)
+        connections = settings.deployment.machine_limits.connections
+        self.ctx = Context(
+            settings=settings,
+            options=options,
+            durations=times,
+            outbound=outbound,
+            clock=clock,
+            wall_clock=wall,
+            rng=rng,
+            term_fencing_token=fencing_token,
+            max_initial_probes=connections * options.relays.from_share,
+            silent_probe_rate=connections * _SILENT_PROBE_SHARE,
+            fencing_token=fencing_token,
+        )
+        self._quotas = Quotas(settings.deployment.teams)
         self.failures = Failures(times, clock, self._on_job_judged)
         self.reconciler = AttemptReconciler(
             self.ctx, self._on_task_completed, self._on_attempt_ended, self._on_task_ran, self.failures
@@ -66,6 +76,8 @@
         self.admission = Admission(self.ctx, self._quotas, self._on_job_found_finalized)
         self.dispatcher = Dispatcher(self.ctx, self.reconciler, self._quotas, self.admission)
         self._machines = MachineLifecycle(self.ctx, self.admission, self.reconciler)
+        # Called for every heartbeat, hence bound once.
+        self._update_availability = self._machines.update_availability
         self.autoscaler = Autoscaler(self.ctx, self.reconciler, self._quotas, self._machines.handle_removed)
         self.completions = Completions(self.ctx)
         self._cycle = SchedulingCycle(self.ctx, self._quotas, self.dispatcher, self.reconciler)
@@ -80,16 +92,16 @@
         self.quota = self._make_quota(options)
         self._save_completions_at = 0.0
 
-    def _make_quota(self, options: Options) -> CellQuota | None:
+    def _make_quota(self, options: Options) -> CellQuotaService | None:
         """This cell's allocations of the teams' limits; None where the fleet is one cell."""
         if options.cells is None:
             return None
-        return CellQuota(
+        return CellQuotaService(
             self.ctx,
             options.cells,
             self._quotas,
-            lambda: self.ctx.fleet.unaccounted_resources(self.reconciler.unreconciled),
-            self.autoscaler.can_rent,
+            lambda: self.ctx.fleet.unaccounted_resources(self.reconciler.lease_expiry.unreconciled),
+            self.autoscaler.can_launch,
             self._on_quotas_changed,
         )
 
@@ -128,7 +140,7 @@
         response = self.reconciler.handle_heartbeat(heartbeat)
         machine = self.ctx.fleet.machines.get(heartbeat.machine)
         if machine is not None:
-            self._machines.update_availability(machine)
+            self._update_availability(machine)
         return response
 
     def handle_job_accepted(self, entry: Entry) -> None:
@@ -150,17 +162,17 @@
 
     def handle_machine_listing(self, listing: MachineListing) -> None:
         """The cloud listed its machines."""
-        self.autoscaler.listed(listing)
+        self.autoscaler.handle_listing(listing)
 
     def tick(self) -> None:
         """Do what depends on time alone."""
         now = self.ctx.clock()
-        self.admission.roll()
+        self.admission.advance_slot()
         self.failures.tick()
         self.autoscaler.watch()
         self._machines.drain_all(now)
-        self.reconciler.commands.raise_fencing_token()
-        self.reconciler.gangs.tick(now)
+        self.reconciler.lifecycle.commands.raise_fencing_token()
+        self.reconciler.lifecycle.gangs.tick(now)
         if now >= self._save_completions_at:
             interval_s = self.ctx.durations.heartbeat_interval_s
             self._save_completions_at = now + interval_s / _COMPLETION_SAVES_PER_INTERVAL
@@ -177,7 +189,7 @@
     def run_scheduling_cycle(self) -> None:
         """After a batch of events: start what may start, if a cycle is due, and send the commands."""
         self._cycle.run_if_due()
-        self.reconciler.commands.send_queued()
+        self.reconciler.lifecycle.commands.send_queued()
 
     # -- views of the state --------------------------------------------------------------------------
 
@@ -199,7 +211,7 @@
 
         Tasks of cancelled jobs that run there must be gone in time, and so must tasks that are none of ours.
         """
-        if self.reconciler.unreconciled:
+        if self.reconciler.lease_expiry.unreconciled:
             return None
         finalized = JobPhase.FINALIZED
         return [
@@ -222,7 +234,7 @@
     # Each of these is given to a part that is made before the part that it calls.
 
     def _on_job_judged(self, job: Job) -> None:
-        self.admission.judged(job)
+        self.admission.fault_changed(job)
 
     def _on_task_completed(self, job: Job, index: int) -> None:
         self._jobs.handle_task_completed(job, index)
--- a/src/poppyhold/node/heartbeat_endpoint.py
+++ b/src/poppyhold/node/heartbeat_endpoint.py
@@ -11,8 +11,8 @@
 from poppyhold.node.controller import Controller
 from poppyhold.node.decision_loop import DecisionLoop
 from poppyhold.relay.assignment import Assignment
-from poppyhold.wire.http import Answer, Deferred, answer
-from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
+from poppyhold.wire.http_server import DeferredResponse, HttpResponse, http_response
+from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, Redirect
 
 
 class HeartbeatEndpoint:
@@ -24,7 +24,7 @@
         controller: Controller,
         assignment: Assignment,
         may_renew_leases: Callable[[], bool],
-        rejection: Callable[[], Answer],
+        rejection: Callable[[], HttpResponse],
     ) -> None:
         """``rejection`` is the answer to a heartbeat that the leader can't answer."""
         self._loop, self._controller, self._assignment = loop, controller, assignment
@@ -35,7 +35,7 @@
         """The state is rebuilt: heartbeats can be answered from now on."""
         self._ready.set()
 
-    def handle(self, heartbeat: Heartbeat, timeout_s: float) -> Deferred | None:
+    def handle(self, heartbeat: Heartbeat, timeout_s: float) -> DeferredResponse | None:
         """Have a direct heartbeat answered by the decision thread; None if the term is not ready in time."""
         # A worker that is rejected comes back a second later, when its lease may be over: while the fleet's
         # state is read it had better wait.
@@ -44,7 +44,7 @@
         # Nobody waits for the answer after this: work on it would only hold up the heartbeats that follow.
         late_at = time.monotonic() + timeout_s
 
-        def defer(send: Callable[[Answer], None]) -> None:
+        def defer(send: Callable[[HttpResponse], None]) -> None:
             def work() -> None:
                 result = self._rejection()
                 try:
@@ -57,15 +57,15 @@
 
         return defer
 
-    def _answer_directly(self, heartbeat: Heartbeat, late_at: float) -> Answer | None:
+    def _answer_directly(self, heartbeat: Heartbeat, late_at: float) -> HttpResponse | None:
         """The answer to a direct heartbeat, which may be the name of a relay; None: no lease is renewed."""
         relay = self._assignment.assign(
             heartbeat.machine, heartbeat.zone, self._controller.last_response_at(heartbeat.machine)
         )
         if relay is not None:
-            return answer(HTTPStatus.MISDIRECTED_REQUEST, {"foreman": relay})
+            return http_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect(relay).body())
         response = self.answer(heartbeat, late_at)
-        return answer(HTTPStatus.OK, response.body()) if response is not None else None
+        return http_response(HTTPStatus.OK, response.body()) if response is not None else None
 
     def answer(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
         """On the decision thread: answer a heartbeat, whichever way it came; None if it can't be answered.
--- a/src/poppyhold/node/machine_lifecycle.py
+++ b/src/poppyhold/node/machine_lifecycle.py
@@ -25,20 +25,20 @@
         """Offer a machine to the scheduler if it may take tasks, as its last heartbeat shows."""
         usable = machine.is_up and machine.reconciled and not (machine.quarantined or machine.deleting)
         if usable and machine.preempted_at is None:
-            self._admission.machine_up(machine)
+            self._admission.add_machine(machine)
         else:
-            self._admission.machine_out(machine)
+            self._admission.remove_machine(machine)
 
     def handle_removed(self, machine: Machine) -> None:
         """A machine does not exist any more."""
-        self._admission.machine_out(machine)
+        self._admission.remove_machine(machine)
 
     def drain_all(self, now: float) -> None:
         """Move work off every machine that got a preemption notice or is quarantined."""
         for machine in self._ctx.fleet.machines.values():
             if (machine.preempted_at is None and not machine.quarantined) or machine.deleting:
                 continue
-            self._admission.machine_out(machine)
+            self._admission.remove_machine(machine)
             self._drain(machine, now)
 
     def _drain(self, machine: Machine, now: float) -> None:
@@ -49,7 +49,7 @@
             if attempt.job.is_gang:
                 self._drain_gang(attempt, remaining_s, now)
             else:
-                self._reconciler.stop(attempt, self._grace_s(attempt), now)
+                self._reconciler.lifecycle.stop(attempt, self._grace_s(attempt), now)
 
     @staticmethod
     def _remaining_s(machine: Machine, now: float) -> float:
@@ -68,9 +68,9 @@
 
     def _drain_gang(self, attempt: Attempt, remaining_s: float, now: float) -> None:
         """Move one task of a gang that assembles; a gang that runs is stopped as a whole."""
-        gangs, job = self._reconciler.gangs, attempt.job
+        gangs, job = self._reconciler.lifecycle.gangs, attempt.job
         if gangs.state_of(job) is GangState.ASSEMBLING:
-            self._reconciler.stop(attempt, 0.0, now)
+            self._reconciler.lifecycle.stop(attempt, 0.0, now)
         else:
             # Where saving takes longer than is left, progress is lost in any case: better start again sooner.
             gangs.stop(job, now, grace_s=0.0 if remaining_s < job.spec.save_s else None)
@@ -84,7 +84,7 @@
             # The machine is at fault: whatever runs there had better start again elsewhere.
             return True
         elapsed_s = now - attempt.running_at if attempt.running_at is not None else 0.0
-        needed_s = max(0.0, self._admission.estimates.seconds(job) - elapsed_s)
+        needed_s = max(0.0, self._admission.estimates.estimate_s(job) - elapsed_s)
         if needed_s < remaining_s:
             return False
         if job.spec.checkpoint_s > 0:
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -10,6 +10,7 @@
 from poppyhold.cluster.election import Election, Term
 from poppyhold.cluster.misdirected_workers import MisdirectedWorkers
 from poppyhold.cluster.peers import Peers
+from poppyhold.configuration_checks import split_address
 from poppyhold.durable.store import Store
 from poppyhold.model.context import ImageHints
 from poppyhold.model.durations import Durations
@@ -24,8 +25,8 @@
 from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options
 from poppyhold.quota.server import QuotaServer
-from poppyhold.settings import Settings, split_address
-from poppyhold.wire.http import Answer, Server
+from poppyhold.settings import Settings
+from poppyhold.wire.http_server import HttpResponse, HttpServer
 
 # More misdirected workers would not fit into a message between controllers.
 _MAX_MISDIRECTED_WORKERS = 20_000
@@ -36,22 +37,25 @@
 
     def __init__(self, settings: Settings, options: Options) -> None:
         self.settings, self.options = settings, options
-        workers, limits = settings.settings.workers, settings.settings.machine_limits
+        workers, limits = settings.deployment.workers, settings.deployment.machine_limits
         self.rng = random.Random()
+        # The external systems, and what is read of them.
         self.store = Store(settings)
         self.cloud = CloudClient(settings)
         self.catalog = MachineCatalog(
-            self.store, self.cloud, settings.settings.state.lowest.value_bytes, self.rng
+            self.store, self.cloud, settings.deployment.state.lowest.value_bytes, self.rng
         )
         self.users = UserApi(settings, self.store, lambda: self.catalog.types, self._task_counts)
+        # The current term, and who leads.
         self._leader_term: LeaderTerm | None = None
         self._leader_term_lock = threading.Lock()
         self._stop = threading.Event()
         self.election = Election(
             settings, options, self.store, self._on_elected, self._on_deposed, self._should_yield, self.rng
         )
+        # Heartbeats, whoever leads.
         delegated_renewal = DelegatedRenewals(
-            Durations(settings, options), settings.settings.skew_ms / 1000, time.monotonic, time.time
+            Durations(settings, options), settings.deployment.skew_ms / 1000, time.monotonic, time.time
         )
         misdirected_workers = MisdirectedWorkers(
             min(limits.machines, _MAX_MISDIRECTED_WORKERS), workers.lease_s / 2
@@ -66,6 +70,7 @@
             self._is_unreachable,
             self.rng,
         )
+        # Peers, and the HTTP server.
         readiness = ReadinessCheck(
             settings, self.store, self.catalog, lambda: self.peers.views, self._current_term
         )
@@ -82,7 +87,7 @@
             readiness.contact_at,
         )
         self.peers: Peers = self._membership.peers
-        self.server = Server(
+        self.server = HttpServer(
             split_address(settings.client_listen),
             RequestRouter(self.users, self._heartbeats.handle, readiness.check).route,
             limits.connections,
@@ -135,7 +140,7 @@
         """The machines' images, as the last leader told them."""
         return self._membership.peer_image_hints
 
-    def reject_heartbeat(self) -> Answer:
+    def reject_heartbeat(self) -> HttpResponse:
         """The answer to a heartbeat that the leader can't answer."""
         return self._heartbeats.reject()
 
--- a/src/poppyhold/node/state_loader.py
+++ b/src/poppyhold/node/state_loader.py
@@ -41,7 +41,7 @@
             self._autoscaler.load_launch(name, data)
         self._load_jobs(snapshot)
         for machine in self._ctx.fleet.machines.values():
-            self._reconciler.commands.request_heartbeat(machine, now)
+            self._reconciler.lifecycle.commands.request_heartbeat(machine, now)
 
     def _load_machine(self, name: str, data: Data, now: float) -> None:
         """A machine that may hold tasks of earlier terms."""
@@ -52,18 +52,18 @@
         machine.images.update(self._ctx.image_hints.get(name, ()))
         machine.record_state, machine.is_up = RecordState.DURABLE, True
         self._ctx.fleet.machines[name] = machine
-        self._reconciler.unreconciled.add(name)
+        self._reconciler.lease_expiry.unreconciled.add(name)
 
     def _load_jobs(self, snapshot: Snapshot) -> None:
         jobs = self._ctx.fleet.jobs
         for entry in snapshot.active:
             job = self._jobs.create(entry)
             if job is not None and job.id in snapshot.plans:
-                self._admission.load(job, snapshot.plans[job.id])
+                self._admission.records.load(job, snapshot.plans[job.id])
                 self._failures.load(job)
         for job_id in snapshot.plans.keys() - jobs.keys():
             # The job was finalized before its plan was removed.
-            self._admission.remove_plan(job_id)
+            self._admission.records.remove(job_id)
         for prefix, records in snapshot.done.items():
             self._completions.load(prefix, records)
         for job in sorted(jobs.values(), key=lambda job: job.submitted_at):
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -9,14 +9,15 @@
 
 import msgspec
 
-from poppyhold.cluster.peers import Opening
+from poppyhold.cluster.peer_messages import Opening
 from poppyhold.durable.changes import Entry
 from poppyhold.durable.keys import QUOTA_PREFIX
-from poppyhold.options import Options
-from poppyhold.quota.amounts import UNIT, to_units, whole_share
-from poppyhold.quota.cells import Cell, CellController, Cells, check_cells
-from poppyhold.quota.messages import Answer, ShareReply, ShareRequest
-from poppyhold.quota.share_book import ShareBook
+from poppyhold.options import Cell, CellController, Cells, Options
+from poppyhold.options_file import check_cells
+from poppyhold.quota.amounts import UNIT, to_units
+from poppyhold.quota.apportionment import total_allocation
+from poppyhold.quota.ledger import AllocationLedger
+from poppyhold.quota.messages import QuotaResponse, TransferRequest, TransferResponse
 from quota_model import sum_problems
 from sim_node import STEP_S, SimLeaderTerm
 
@@ -30,7 +31,7 @@
 _CHECK_S = 0.5
 
 _opening_decoder: msgspec.msgpack.Decoder[Opening] = msgspec.msgpack.Decoder(Opening)
-_answer_decoder: msgspec.msgpack.Decoder[Answer] = msgspec.msgpack.Decoder(Answer)
+_answer_decoder: msgspec.msgpack.Decoder[QuotaResponse] = msgspec.msgpack.Decoder(QuotaResponse)
 
 
 class CellsWorld:
@@ -56,14 +57,14 @@
         # Ways between cells that are cut, each in one direction.
         self.cuts: set[tuple[int, int]] = set()
         self.twice_share = self.lost_share = self.late_share = 0.0
-        # Cells whose controllers once ran without the file: there the share may be exceeded, not unnoticed.
+        # Cells whose controllers once ran without the file: their use may exceed it, not unnoticed.
         self.without_file: set[int] = set()
-        # A cell was restored from nothing: until all shares are made anew, they don't add up.
+        # A cell was restored from nothing: until all allocations are created anew, they don't add up.
         self.cell_is_lost = False
         self._unsaid: Counter[int] = Counter()
         self._check_at = 0.0
-        team = next(team for team in self.worlds[0].settings.settings.teams if team.name == TEAM)
-        self._whole = whole_share(team)
+        team = next(team for team in self.worlds[0].settings.deployment.teams if team.name == TEAM)
+        self._whole = total_allocation(team)
 
     @property
     def now(self) -> float:
@@ -93,7 +94,7 @@
             request = quota.requests().get(name)
             if other == index or request is None or self.now < term.asks_at.get(other, 0.0):
                 continue
-            term.asks_at[other] = self.now + (_WANTING_S if request.wants else _IDLE_S)
+            term.asks_at[other] = self.now + (_WANTING_S if request.unmet_demands else _IDLE_S)
             data = msgspec.msgpack.encode(request)
             self._send(index, other, lambda data=data, other=other: self._arrive(index, term, other, data))  # type: ignore[misc]
 
@@ -115,7 +116,7 @@
             if node.leader_term is not None and node.alive and not node.frozen
         ]
         request = _opening_decoder.decode(data)
-        assert isinstance(request, ShareRequest)
+        assert isinstance(request, TransferRequest)
         if not terms:
             return
         term = self._rng.choice(terms)
@@ -131,25 +132,27 @@
         quota = term.controller.quota
         if not term.alive or not term.node.alive or term.node.frozen or quota is None:
             return
-        assert isinstance(reply, ShareReply)
-        quota.replied(reply)
+        assert isinstance(reply, TransferResponse)
+        quota.handle_response(reply)
         if reply.in_progress:
             term.asks_at[other] = self.now + _IN_PROGRESS_S
         term.settle()
 
     # -- what there is ---------------------------------------------------------------------------------
 
-    def _book(self, world: World) -> ShareBook:
-        """What is durable of a cell's shares."""
-        book = ShareBook("", str, lambda conditions, writes, done: None, lambda team: None, lambda why: None)
+    def _ledger(self, world: World) -> AllocationLedger:
+        """A cell's durable allocations."""
+        ledger = AllocationLedger(
+            "", str, lambda conditions, writes, done: None, lambda team: None, lambda why: None
+        )
         entries = world.state.scan(QUOTA_PREFIX, "", 1000)[1]["entries"]
-        book.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
-        return book
+        ledger.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
+        return ledger
 
-    def share(self, cell: int) -> float:
+    def allocation(self, cell: int) -> float:
         """The limit of the team's accelerators in a cell."""
-        share = self._book(self.worlds[cell]).share(TEAM)
-        return 0.0 if share is None else (share.accelerators.limit or 0) / UNIT
+        allocation = self._ledger(self.worlds[cell]).allocation(TEAM)
+        return 0.0 if allocation is None else (allocation.accelerators.limit or 0) / UNIT
 
     def used(self) -> float:
         """Accelerators that the team uses in all cells."""
@@ -161,17 +164,17 @@
         return float(sum(job["accelerators"] for job in jobs if job["crew"] == TEAM))
 
     def in_transit(self) -> list[str]:
-        """Transfers that who gave them has not forgotten."""
+        """Transfers not yet forgotten at their source."""
         return [
             f"{name} to {peer}"
             for name, world in zip(self._names, self.worlds, strict=True)
-            for peer, record in self._book(world).peers.items()
+            for peer, record in self._ledger(world).peers.items()
             if record.in_transit is not None
         ]
 
     def moves(self) -> int:
-        """Transfers that were begun in all cells."""
-        return sum(record.sent for world in self.worlds for record in self._book(world).peers.values())
+        """Transfers that were started in all cells."""
+        return sum(record.sent for world in self.worlds for record in self._ledger(world).peers.values())
 
     def alarms(self, cell: int) -> list[str]:
         """What stands at the cell's leader."""
@@ -190,25 +193,25 @@
         if self.now < self._check_at:
             return
         self._check_at = self.now + _CHECK_S
-        books = {name: self._book(world) for name, world in zip(self._names, self.worlds, strict=True)}
-        if self.cell_is_lost or any(book.share(TEAM) is None for book in books.values()):
+        ledgers = {name: self._ledger(world) for name, world in zip(self._names, self.worlds, strict=True)}
+        if self.cell_is_lost or any(ledger.allocation(TEAM) is None for ledger in ledgers.values()):
             return
         running = {
             name: 0 if index in self.without_file and self._says_so(index) else to_units(self._used(world))
             for index, (name, world) in enumerate(zip(self._names, self.worlds, strict=True))
         }
-        for problem in sum_problems(books, TEAM, self._whole, running):
-            self.broken.append(f"shares: {problem} at {self.now:.1f}")
+        for problem in sum_problems(ledgers, TEAM, self._whole, running):
+            self.broken.append(f"allocations: {problem} at {self.now:.1f}")
 
     def _says_so(self, cell: int) -> bool:
-        """Whether more in use than the share is named there, or nobody with the file leads who could."""
+        """Whether an alarm tells of use above the allocation, or no leader with options could raise it."""
         leader = self.worlds[cell].leader()
         term = leader.leader_term if leader is not None else None
         quota = term.controller.quota if term is not None else None
-        if term is None or quota is None or term.controller.reconciler.unreconciled:
+        if term is None or quota is None or term.controller.reconciler.lease_expiry.unreconciled:
             return True
         if any("use above share" in alarm for alarm in quota.alarms.texts()):
             return True
-        # It is found at the next tick behind the report that shows it.
+        # It is found at the next tick after the heartbeat that shows it.
         self._unsaid[cell] += 1
         return self._unsaid[cell] == 1
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,13 +14,15 @@
 
 import msgspec
 import pytest
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
 from poppyhold.capacity import shortfalls
 from poppyhold.cli import main
 from poppyhold.cluster.change_feed import ChangeFeed
-from poppyhold.cluster.peers import _MOST_COUNTS, _MOST_IMAGES, Ping, receive_opening
+from poppyhold.cluster.peer_client import _MOST_COUNTS, _MOST_IMAGES
+from poppyhold.cluster.peer_messages import Ping, receive_opening
+from poppyhold.configuration_checks import ConfigError
 from poppyhold.durable.changes import Entry
 from poppyhold.durable.errors import StoreRejectedError
 from poppyhold.durable.keys import MACHINE_PREFIX
@@ -28,22 +30,22 @@
 from poppyhold.durable.snapshot import SnapshotReader
 from poppyhold.durable.store import Page, Store
 from poppyhold.execution.direct_commands import DirectCommands
-from poppyhold.machines.space import Demand, Space
-from poppyhold.machines.space_index import SpaceIndex
+from poppyhold.machines.capacity_index import CapacityIndex
+from poppyhold.machines.supply_and_demand import CapacitySlot, Demand
 from poppyhold.model.entities import Job, Machine, make_job
 from poppyhold.model.resources import add_scaled, fits, max_copies
 from poppyhold.node.cloud_dispatcher import CloudDispatcher, MachineListReader
-from poppyhold.options import parse_options
+from poppyhold.options_file import parse_options
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.scheduling.free_capacity import FreeCapacityView, Ranking
 from poppyhold.scheduling.ledger import Ledger
 from poppyhold.scheduling.quotas import Quotas
-from poppyhold.settings import ConfigError, MachineLimits, Team
+from poppyhold.settings import MachineLimits, Team
 from poppyhold.settings import Settings as Deployed
 from poppyhold.wire.cloud_messages import ListedMachine, MachineType
 from poppyhold.wire.cloud_messages import MachineListPage as ListPage
-from poppyhold.wire.frames import send
-from poppyhold.wire.http import Server, answer
+from poppyhold.wire.frames import send_message
+from poppyhold.wire.http_server import HttpServer, http_response
 from poppyhold.wire.user_messages import parse_submission
 from world import World
 
@@ -80,7 +82,7 @@
     # Both ends are in this process.
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 2 * wanted + 200)), hard))
-    server = Server(("127.0.0.1", 0), lambda method, path, body: answer(200), limit)
+    server = HttpServer(("127.0.0.1", 0), lambda method, path, body: http_response(200), limit)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     clients: list[socket.socket] = []
     try:
@@ -132,7 +134,7 @@
 
 def with_receiver(near: socket.socket, far: socket.socket, ping: Ping) -> None:
     """Send a message through a socket pair, and check that it arrives."""
-    sender = threading.Thread(target=send, args=(near, ping))
+    sender = threading.Thread(target=send_message, args=(near, ping))
     sender.start()
     received = receive_opening(far)
     sender.join(10.0)
@@ -241,9 +243,9 @@
 def test_deletions_and_launches_go_between_the_pages_of_a_list() -> None:
     cloud: Any = ListingCloud()
     deployed = World(1, 10.0, 30.0, []).settings
-    limits = msgspec.structs.replace(deployed.settings.cloud, rps=20.0, list_lag_s=0.2)
+    limits = msgspec.structs.replace(deployed.deployment.cloud, rps=20.0, list_lag_s=0.2)
     deployed = msgspec.structs.replace(
-        deployed, settings=msgspec.structs.replace(deployed.settings, cloud=limits)
+        deployed, deployment=msgspec.structs.replace(deployed.deployment, cloud=limits)
     )
     listings: list[Any] = []
     thread = CloudDispatcher(deployed, cloud, lambda types: None, listings.append)
@@ -272,8 +274,10 @@
 
 def _deployed(**limits: Any) -> Deployed:
     settings_ = World(1, 15.0, 45.0, []).settings
-    deployment = msgspec.structs.replace(settings_.settings, count=6, machine_limits=MachineLimits(**limits))
-    return msgspec.structs.replace(settings_, settings=deployment)
+    deployment = msgspec.structs.replace(
+        settings_.deployment, controllers=6, machine_limits=MachineLimits(**limits)
+    )
+    return msgspec.structs.replace(settings_, deployment=deployment)
 
 
 def test_what_cannot_carry_the_configured_size_is_named() -> None:
@@ -288,8 +292,10 @@
     ]
     assert all("(fleet.machines: 4000)" in line for line in lines)
     enough = _deployed(core_share=0.8, ram_mb=326.0, max_sockets=1850)
-    faster = msgspec.structs.replace(enough.settings.state, write_rps=200.0)
-    enough = msgspec.structs.replace(enough, settings=msgspec.structs.replace(enough.settings, state=faster))
+    faster = msgspec.structs.replace(enough.deployment.state, write_rps=200.0)
+    enough = msgspec.structs.replace(
+        enough, deployment=msgspec.structs.replace(enough.deployment, state=faster)
+    )
     assert shortfalls(enough, options) == []
     without_relays = parse_options("fleet { machines: 4000 } relays { mode: OFF }")
     assert "connections of 4000 needed" in shortfalls(enough, without_relays)[0]
@@ -346,16 +352,16 @@
         return machine.free[0] if machine.free[0] >= need else None
 
     view = FreeCapacityView()
-    view.begin([machines[index] for index in sorted(present)], {})
+    view.begin_cycle([machines[index] for index in sorted(present)], {})
     ranking = Ranking(view, score)
     for index, used, comes in changes:
         machines[index].set_used((float(used), 0.0, 0.0))
         if comes:
             present.add(index)
-            view.changed(machines[index])
+            view.refresh_machine(machines[index])
         else:
             present.discard(index)
-        view.begin([machines[index] for index in sorted(present)], {})
+        view.begin_cycle([machines[index] for index in sorted(present)], {})
         ranking.update()
         fitting = [machines[i] for i in present if machines[i].free[0] >= need and machines[i].zone == "a"]
         expected = min(((m.free[0], m.number) for m in fitting), default=None)
@@ -366,13 +372,13 @@
 def test_a_ranking_without_looking_at_changes_goes_wrong() -> None:
     machine = _machine("vm-000001", "a", 0.0)
     view = FreeCapacityView()
-    view.begin([machine], {})
+    view.begin_cycle([machine], {})
     ranking = Ranking(view, lambda m: m.free[0] if m.free[0] >= 4 else None)
     ranking.update()
     machine.set_used((16.0, 0.0, 0.0))
     # Its guard: a machine that something starts on is reported to the view.
     assert ranking.best({"a"}, set()) is not None
-    view.changed(machine)
+    view.refresh_machine(machine)
     ranking.update()
     assert ranking.best({"a"}, set()) is None
 
@@ -383,16 +389,16 @@
         ledger.add_machine(f"vm-{number:06d}", (16.0, 2.0, 64.0), "ab"[number % 2], "large", False)
     for step in range(200):
         name = f"vm-{rng.randrange(60):06d}"
-        slot = ledger.first + rng.randrange(4)
+        slot = ledger.current_slot + rng.randrange(4)
         ledger.book(name, (1.0, 0.0, 1.0), slot, rng.choice([None, slot + 1]), rng.choice([1.0, -1.0]))
         if step % 20 == 0:
-            ledger.roll(ledger.first + 1)
+            ledger.advance_to(ledger.current_slot + 1)
         if step % 33 == 0:
-            ledger.drop_machine(name)
+            ledger.remove_machine(name)
         by_kind: dict[Any, set[str]] = {}
-        for held, row in ledger.rows.items():
-            by_kind.setdefault(row.kind(), set()).add(held)
-        assert {row.kind(): set(names) for row, names in ledger.groups()} == by_kind
+        for held, row in ledger.machines.items():
+            by_kind.setdefault(row.equivalence_key(), set()).add(held)
+        assert {row.equivalence_key(): set(names) for row, names in ledger.groups()} == by_kind
 
 
 @settings(max_examples=150, derandomize=True, deadline=None, database=None)
@@ -400,17 +406,18 @@
     st.lists(st.tuples(st.integers(0, 16), st.booleans()), max_size=12),
     st.lists(st.tuples(st.integers(1, 8), st.integers(1, 9), st.sampled_from([None, "a", "b"])), max_size=12),
 )
+@example([(2, True), (3, True)], [(1, 1, "b"), (1, 1, None), (1, 1, "a"), (1, 1, None)])
 def test_spaces_serve_demands_as_a_look_at_each_would(
     spaces: list[tuple[int, bool]], demands: list[tuple[int, int, str | None]]
 ) -> None:
-    def built() -> list[Space]:
+    def built() -> list[CapacitySlot]:
         return [
-            Space(None, LARGE, "ab"[index % 2], spot, (float(free), 2.0, 64.0))
+            CapacitySlot(None, LARGE, "ab"[index % 2], spot, (float(free), 2.0, 64.0))
             for index, (free, spot) in enumerate(spaces)
         ]
 
     indexed, plain = built(), built()
-    index = SpaceIndex(indexed)
+    index = CapacityIndex(indexed)
     for cpus, tasks, zone in demands:
         job = _job(1, float(cpus), 0.0, paddock=zone, loaners=True)
         demand = Demand(job.spec, job.task_resources, tasks, {})
@@ -419,10 +426,10 @@
     assert sorted(space.free for space in indexed) == sorted(space.free for space in plain)
 
 
-def _serve(index: SpaceIndex, demand: Demand) -> int:
+def _serve(index: CapacityIndex, demand: Demand) -> int:
     left = demand.tasks
 
-    def use(space: Space) -> bool:
+    def use(space: CapacitySlot) -> bool:
         nonlocal left
         take = max_copies(demand.need, space.free, left)
         space.free = add_scaled(space.free, demand.need, -take)
@@ -434,7 +441,7 @@
     return left
 
 
-def _serve_plainly(spaces: list[Space], demand: Demand) -> int:
+def _serve_plainly(spaces: list[CapacitySlot], demand: Demand) -> int:
     left = demand.tasks
     for space in sorted(spaces, key=lambda space: (not space.spot, not space.used)):
         if not left:
@@ -449,7 +456,7 @@
 
 
 def test_a_limit_on_what_a_task_does_not_need_keeps_nothing_from_starting() -> None:
-    quotas = Quotas([Team("alpha", cpus_max=64.0, gpus_max=8.0)])
+    quotas = Quotas([Team("alpha", cpus_max=64.0, accelerators_max=8.0)])
     # Machines that were not heard yet may hold more than the limit.
     assert quotas.allows("alpha", (0.0, 4000.0), (1.0, 0.0, 1.0))
     assert not quotas.allows("alpha", (0.0, 4000.0), (1.0, 1.0, 1.0))
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -19,7 +19,7 @@
 from poppyhold.wire.worker_messages import parse_heartbeat
 from sim_node import SimLeaderTerm
 from test_reconciliation import leading_world
-from test_store import Fickle
+from test_store import UnreliableStore
 from world import World
 
 
@@ -55,14 +55,18 @@
     old = world.workers["vm-000001"].heartbeat()
     leader_term = next_leader(world)
     attempts = leader_term.controller.reconciler
-    assert attempts.unreconciled == {"vm-000001"}
+    assert attempts.lease_expiry.unreconciled == {"vm-000001"}
     answer = leader_term.controller.handle_heartbeat(parse_heartbeat(old))
     machine = leader_term.controller.ctx.fleet.machines["vm-000001"]
     # No order but stops, nothing adopted, not heard, and what it holds still counts as unknown.
     assert answer is not None
     assert answer.body() == {"baton": leader_term.fencing_token, "orders": []}
-    assert not machine.reconciled and not machine.attempts and attempts.unreconciled == {"vm-000001"}
-    assert not attempts.all_reconciled()
+    assert (
+        not machine.reconciled
+        and not machine.attempts
+        and attempts.lease_expiry.unreconciled == {"vm-000001"}
+    )
+    assert not attempts.lease_expiry.all_reconciled()
     # Nor does a node that may stand in for this leader take it.
     other = next(node for node in world.nodes if node.alive and node.leader_term is None)
     other.delegated_renewal.observe_leader(
@@ -145,14 +149,14 @@
     assert world.broken == []
 
 
-def candidate(store: Fickle, won: list[Term]) -> Election:
+def candidate(store: UnreliableStore, won: list[Term]) -> Election:
     """A node that stands for the lead."""
     world = World(1, 10.0, 30.0, [Team("alpha")])
     return Election(world.settings, Options(), store, won.append, lambda: None, lambda: False, world.rng)
 
 
 def test_election_whose_answer_is_lost_is_won() -> None:
-    store = Fickle("lost")
+    store = UnreliableStore("lost")
     won: list[Term] = []
     permit = store.state.lease(2500)[1]["permit"]
     candidate(store, won)._claim_leadership(permit, 0.0)
@@ -161,7 +165,7 @@
 
 
 def test_claim_that_is_carried_out_late_takes_the_lead_from_nobody() -> None:
-    store = Fickle("late")
+    store = UnreliableStore("late")
     won: list[Term] = []
     first, second = (store.state.lease(2500)[1]["permit"] for _ in range(2))
     with pytest.raises(OutcomeUnknownError):
--- a/tests/wire_kinds.py
+++ b/tests/wire_kinds.py
@@ -12,49 +12,79 @@
 
 from msgspec import inspect
 
-from poppyhold.cluster.peers import Ping, Pong
-from poppyhold.durable.records import CompletionsRecord, LaunchRecord, MachineRecord, PlanRecord
-from poppyhold.quota.messages import NotLeading, ShareReply, ShareRequest, StatusReply, StatusRequest
-from poppyhold.quota.records import IdentityRecord, PeerRecord, ShareRecord
+from poppyhold.cluster.peer_messages import Ping, Pong
+from poppyhold.durable.records import (
+    CompletionsRecord,
+    FencingTokenRecord,
+    FinalRecord,
+    LaunchRecord,
+    LeaderRecord,
+    MachineRecord,
+    PlanRecord,
+    WriteFenceRecord,
+)
+from poppyhold.quota.messages import (
+    NotLeading,
+    StatusRequest,
+    StatusResponse,
+    TransferRequest,
+    TransferResponse,
+)
+from poppyhold.quota.records import AllocationRecord, IdentityRecord, PeerRecord
 from poppyhold.quota.status import QuotaStatus
-from poppyhold.relay.messages import AnswerBatch, HeartbeatBatch, Outcome, RelayHello
+from poppyhold.relay.messages import HeartbeatBatch, RelayHello, RelayOutcome, ResponseBatch
 from poppyhold.scale.cells import CellsResult
 from poppyhold.scale.profile import Profile
 from poppyhold.scale.result import Result
 from poppyhold.settings import Settings
-from poppyhold.wire.cloud_messages import LaunchRequest, LaunchResponse, MachineListPage, MachineTypes
+from poppyhold.wire.cloud_messages import (
+    DeletionRequest,
+    LaunchRequest,
+    LaunchResponse,
+    MachineListPage,
+    MachineTypes,
+)
 from poppyhold.wire.user_messages import PriorityName, Submission
 from poppyhold.wire.worker_messages import (
     Command,
     CommandKind,
+    DirectCommandsRequest,
     ExitCause,
     Heartbeat,
     HeartbeatResponse,
+    Redirect,
     TaskState,
 )
 
 # Maps: values of the state service, bodies of the outside protocols, files that are read, and JSON output.
 MAPS: dict[str, Any] = {
     "ph/a/JOB, spec": Submission,
+    "ph/b": FencingTokenRecord,
+    "ph/c": WriteFenceRecord,
     "ph/d/JOB/N": CompletionsRecord,
     "ph/e/JOB/N": CompletionsRecord,
+    "ph/f/JOB": FinalRecord,
     "ph/h/HIRE": LaunchRecord,
+    "ph/l/lead": LeaderRecord,
     "ph/m/MACHINE": MachineRecord,
     "ph/p/JOB": PlanRecord,
     "ph/q/c/CELL": PeerRecord,
     "ph/q/i": IdentityRecord,
-    "ph/q/s/TEAM": ShareRecord,
+    "ph/q/s/TEAM": AllocationRecord,
     "ph/t": MachineTypes,
     "ph/t/N": MachineTypes,
     "POST /api/jobs": Submission,
     "POST /hello": Heartbeat,
     "POST /hello, answer": HeartbeatResponse,
+    "POST /hello, answer of another one": Redirect,
+    "POST /do": DirectCommandsRequest,
     "POST /do, order": Command,
     "POST /do, answer": Heartbeat,
     "GET /machine_types, answer": MachineTypes,
     "GET /machines, answer": MachineListPage,
     "POST /machines": LaunchRequest,
     "POST /machines, answer": LaunchResponse,
+    "POST /machines/delete": DeletionRequest,
     "settings file": Settings,
     "scale profile": Profile,
     "scale --json": Result,
@@ -68,12 +98,12 @@
     "pong": Pong,
     "relay": RelayHello,
     "reports": HeartbeatBatch,
-    "answers": AnswerBatch,
-    "share": ShareRequest,
-    "shared": ShareReply,
+    "answers": ResponseBatch,
+    "share": TransferRequest,
+    "shared": TransferResponse,
     "elsewhere": NotLeading,
     "share?": StatusRequest,
-    "share!": StatusReply,
+    "share!": StatusResponse,
 }
 
 # Words and numbers with a fixed meaning.
@@ -81,7 +111,7 @@
     "task status": TaskState,
     "task cause": ExitCause,
     "order verb": CommandKind,
-    "relayed answer": Outcome,
+    "relayed answer": RelayOutcome,
     "rank": PriorityName,
 }
 
