--- a/src/poppyhold/execution/task_observation.py
+++ b/src/poppyhold/execution/task_observation.py
@@ -34,6 +34,7 @@
             failures: Judges the tasks that ended with an error.
             on_task_completed: Called with a job and an index once that task is known to be completed.
             on_run_completed: Called with an attempt that completed, before it is removed, and the moment.
+
         """
         self._ctx, self._lifecycle, self._failures = ctx, lifecycle, failures
         self._on_task_completed, self._on_run_completed = on_task_completed, on_run_completed
@@ -134,7 +135,7 @@
         )
         if task.cause == ExitCause.ERROR:
             self._failures.task_failed(attempt, now)
-        elif task.cause in (ExitCause.NO_ROOM, ExitCause.BUSY):
+        elif task.cause in (ExitCause.INSUFFICIENT_RESOURCES, ExitCause.BUSY):
             machine.unschedulable_until = now + 2 * self._ctx.durations.heartbeat_interval_s
         elif task.cause == ExitCause.UNKNOWN_TASK:
             job.retry_at = now + self._ctx.durations.heartbeat_interval_s
--- a/src/poppyhold/wire/worker_messages.py
+++ b/src/poppyhold/wire/worker_messages.py
@@ -41,7 +41,7 @@
     DONE = "done"
     STOPPED = "stopped"
     ERROR = "error"
-    NO_ROOM = "no_room"
+    INSUFFICIENT_RESOURCES = "no_room"
     BUSY = "busy"
     UNKNOWN_TASK = "no_such"
     PEER_LOST = "mates_gone"
@@ -117,6 +117,7 @@
 
     Raises:
         MalformedError: it is not of the protocol's form, or a number is out of range.
+
     """
     heartbeat = convert(value, Heartbeat)
     if heartbeat.incarnation < 1 or heartbeat.sequence < 0 or heartbeat.fencing_token < 0:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -25,7 +25,8 @@
 def job_of(world: World, job_id: str) -> Job:
     """The leader's picture of a job."""
     leader = world.leader()
-    assert leader is not None and leader.leader_term is not None
+    assert leader is not None
+    assert leader.leader_term is not None
     return leader.leader_term.controller.ctx.fleet.jobs[job_id]
 
 
@@ -51,7 +52,7 @@
         (ExitCause.GANG_INCOMPLETE, GangState.FAILED),
         (ExitCause.ERROR, GangState.FAILED),
         # These tasks are replaced in the same attempt.
-        (ExitCause.NO_ROOM, GangState.ASSEMBLING),
+        (ExitCause.INSUFFICIENT_RESOURCES, GangState.ASSEMBLING),
         (ExitCause.BUSY, GangState.ASSEMBLING),
         (ExitCause.STOPPED, GangState.ASSEMBLING),
     ],
