--- a/src/poppyhold/cluster/cancellations.py
+++ b/src/poppyhold/cluster/cancellations.py
@@ -29,9 +29,9 @@
     leases in time.
     """
 
-    def __init__(self, most: int) -> None:
-        """``most`` cancellations are listed."""
-        self._most = most
+    def __init__(self, max_listed: int) -> None:
+        """``max_listed`` cancellations are listed."""
+        self._max_listed = max_listed
         # Revisions by job, oldest first.
         self._listed: dict[str, int] = {}
         # Highest revision of those that were confirmed and are no longer listed.
@@ -44,7 +44,7 @@
             if revision <= self._unlisted_revision:
                 return
             self._listed[job_id] = revision
-            while len(self._listed) > self._most:
+            while len(self._listed) > self._max_listed:
                 self._unlist(next(iter(self._listed)))
 
     def acknowledge(self, acted_on_revision: int) -> None:
--- a/src/poppyhold/cluster/change_feed.py
+++ b/src/poppyhold/cluster/change_feed.py
@@ -11,9 +11,9 @@
 class ChangeFeed(Generic[V]):
     """Follows a map of values by name for one receiver. Names that are gone are not sent."""
 
-    def __init__(self, most: int) -> None:
-        """At most ``most`` entries are sent at a time."""
-        self._most = most
+    def __init__(self, max_entries: int) -> None:
+        """At most ``max_entries`` entries are sent at a time."""
+        self._max_entries = max_entries
         self._sent: dict[str, V] = {}
         # Whether the last batch may have left something out.
         self.has_more = False
@@ -21,8 +21,8 @@
     def next_batch(self, values: dict[str, V]) -> list[tuple[str, V]]:
         """The next of the entries that differ from what was sent."""
         changed = (entry for entry in values.items() if self._sent.get(entry[0]) != entry[1])
-        batch = list(islice(changed, self._most))
-        self.has_more = len(batch) == self._most
+        batch = list(islice(changed, self._max_entries))
+        self.has_more = len(batch) == self._max_entries
         for name in self._sent.keys() - values.keys():
             del self._sent[name]
         self._sent.update(batch)
--- a/src/poppyhold/cluster/misdirected_workers.py
+++ b/src/poppyhold/cluster/misdirected_workers.py
@@ -11,8 +11,8 @@
 class MisdirectedWorkers:
     """Remembers the last of them, up to a number; the leader gets them with the responses to its pings."""
 
-    def __init__(self, most: int, recent_s: float) -> None:
-        self._most, self._recent_s = most, recent_s
+    def __init__(self, max_workers: int, recent_s: float) -> None:
+        self._max_workers, self._recent_s = max_workers, recent_s
         # By machine, the longest silent first.
         self._received: dict[str, tuple[float, MisdirectedWorker]] = {}
 
@@ -21,7 +21,7 @@
         self._received.pop(heartbeat.machine, None)
         worker = MisdirectedWorker(heartbeat.machine, heartbeat.incarnation, heartbeat.sequence)
         self._received[heartbeat.machine] = time.monotonic(), worker
-        if len(self._received) > self._most:
+        if len(self._received) > self._max_workers:
             self._received.pop(next(iter(self._received)), None)
 
     def recent(self) -> list[MisdirectedWorker]:
--- a/src/poppyhold/cluster/peer_client.py
+++ b/src/poppyhold/cluster/peer_client.py
@@ -25,7 +25,7 @@
 # Entries of a ping, at the most: a message may be no larger than `frames` lets through, and a first one to a
 # controller that has just begun names every job and every machine. What is left goes with the next pings,
 # which then are sent so many times as fast.
-_MOST_COUNTS, _MOST_IMAGES, _BATCHES_PER_INTERVAL = 4000, 1000, 8
+_MAX_TASK_COUNTS, _MAX_IMAGE_HINTS, _BATCHES_PER_INTERVAL = 4000, 1000, 8
 
 
 class PeerTimes(NamedTuple):
@@ -82,8 +82,8 @@
 
     def _exchange(self, connection: socket.socket) -> None:
         """Send pings and take their responses, until the connection breaks."""
-        counts: ChangeFeed[TaskCounts] = ChangeFeed(_MOST_COUNTS)
-        images: ChangeFeed[tuple[tuple[str, float], ...]] = ChangeFeed(_MOST_IMAGES)
+        counts: ChangeFeed[TaskCounts] = ChangeFeed(_MAX_TASK_COUNTS)
+        images: ChangeFeed[tuple[tuple[str, float], ...]] = ChangeFeed(_MAX_IMAGE_HINTS)
         interval_s = self._times.interval_s
         while not self._stop.is_set():
             changed_counts = [
--- a/src/poppyhold/cluster/peers.py
+++ b/src/poppyhold/cluster/peers.py
@@ -15,15 +15,15 @@
 class Peers:
     """Pings every other controller, and responds to those that ping this one."""
 
-    def __init__(self, settings: Settings, handler: PeerHandler, most_cell_links: int = 0) -> None:
-        """``most_cell_links`` connections may come from other cells' leaders and operators."""
+    def __init__(self, settings: Settings, handler: PeerHandler, max_cell_links: int = 0) -> None:
+        """``max_cell_links`` connections may come from other cells' leaders and operators."""
         workers = settings.deployment.workers
         times = PeerTimes(workers.heartbeat_interval_s / 2, workers.lease_s / 10)
         # A link is taken for broken when two pings in a row got no response.
         fresh_s = 2 * (times.interval_s + times.timeout_s)
         self.connectivity = Connectivity(settings.member, fresh_s, time.monotonic)
         self._stop = threading.Event()
-        self._server = PeerServer(settings, times, handler, most_cell_links, self._stop)
+        self._server = PeerServer(settings, times, handler, max_cell_links, self._stop)
         self._clients = {
             peer.member: PeerClient(peer, times, handler, self.connectivity, self._stop)
             for peer in settings.peers
--- a/src/poppyhold/cluster/redirect_backoff.py
+++ b/src/poppyhold/cluster/redirect_backoff.py
@@ -22,11 +22,11 @@
     redirected at once.
     """
 
-    def __init__(self, lease_s: float, most_workers: int) -> None:
-        """At most ``most_workers`` workers that waited are remembered."""
+    def __init__(self, lease_s: float, max_workers: int) -> None:
+        """At most ``max_workers`` workers that waited are remembered."""
         self._lease_s = lease_s
         self._wait_s, self._discovery_s = lease_s * _WAIT_RATIO, lease_s * _DISCOVERY_RATIO
-        self._waited_at: BoundedDict[float] = BoundedDict(most_workers)
+        self._waited_at: BoundedDict[float] = BoundedDict(max_workers)
 
     def wait_s(self, heartbeat: Heartbeat, leader_fencing_token: int, led_s: float, now: float) -> float:
         """How long to wait; not at all for workers that may not have found this leader yet.
--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -27,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 # Units of a transaction, at the most: one whose condition fails makes all of them be committed one by one.
-_MOST_UNITS = 8
+_MAX_UNITS = 8
 # The state service allows so many conditions for each write of a transaction.
 _CONDITIONS_PER_WRITE = 4
 # Conditions of every transaction of a leader: on its key and on its write fence.
@@ -56,10 +56,10 @@
         self._writer = FencedWriter(store, leader_key_revision)
         self._on_leadership_lost = on_leadership_lost
         limits = settings.deployment.state.lowest
-        self._most_writes = limits.txn_ops
+        self._max_writes = limits.txn_ops
         # Two thirds of the writes: the rest is for the users' nodes and the election. A burst of a third of a
         # second's worth goes out at once.
-        self._pace = RateLimiter(limits.write_rps / 1.5, burst=self._most_writes / 2)
+        self._pace = RateLimiter(limits.write_rps / 1.5, burst=self._max_writes / 2)
         self._retry_pause_s = 2 / limits.rps
         self._longest_pause_s = max(self._retry_pause_s, settings.deployment.workers.heartbeat_interval_s / 8)
         # By priority, and each in the order of submission, lest the oldest starve in a burst.
@@ -101,9 +101,9 @@
                 conditions += len(unit.conditions)
                 unit_keys = {write.key for write in unit.writes}
                 if units and (
-                    writes > self._most_writes
-                    or conditions + _LEADER_CONDITIONS > _CONDITIONS_PER_WRITE * self._most_writes
-                    or len(units) >= _MOST_UNITS
+                    writes > self._max_writes
+                    or conditions + _LEADER_CONDITIONS > _CONDITIONS_PER_WRITE * self._max_writes
+                    or len(units) >= _MAX_UNITS
                     # The protocol does not say in which order a transaction writes the same key twice.
                     or not keys.isdisjoint(unit_keys)
                 ):
--- a/src/poppyhold/durable/machine_types.py
+++ b/src/poppyhold/durable/machine_types.py
@@ -14,12 +14,12 @@
 from poppyhold.wire.codec import convert
 
 
-def machine_type_writes(machine_types: Iterable[MachineType], most_bytes: int) -> list[Put]:
+def machine_type_writes(machine_types: Iterable[MachineType], max_bytes: int) -> list[Put]:
     """The writes that make machine types durable: as many in the first record as fit, the rest in more."""
     batches: list[list[MachineType]] = []
     batch: list[MachineType] = []
     for machine_type in machine_types:
-        if batch and _record_bytes([*batch, machine_type]) > most_bytes:
+        if batch and _record_bytes([*batch, machine_type]) > max_bytes:
             batches.append(batch)
             batch = []
         batch.append(machine_type)
--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -32,9 +32,9 @@
 from poppyhold.wire.http_client import HttpClient, NoResponseError, NotSentError
 
 # Entries of a page, at the most.
-_PAGE_ENTRIES = 1000
+_MAX_PAGE_ENTRIES = 1000
 # The shortest lease that the state service grants.
-_SHORTEST_LEASE_MS = 100
+_MIN_LEASE_MS = 100
 # Connections that are kept open between requests.
 _IDLE_CONNECTIONS = 8
 
@@ -93,10 +93,10 @@
         _check_ok(status, data, path)
         return Entry(key, data["data"], data[names.KEY_REVISION])
 
-    def page(self, prefix: str, after: str, most: int = _PAGE_ENTRIES) -> Page:
+    def page(self, prefix: str, after: str, max_entries: int = _MAX_PAGE_ENTRIES) -> Page:
         """Read the keys with a prefix that follow a key; the first ones follow the empty string."""
         since = f"&since={after}" if after else ""
-        path = f"/kv?prefix={prefix}{since}&most={most}"
+        path = f"/kv?prefix={prefix}{since}&most={max_entries}"
         status, data = self._call("GET", path, None, self.timeout_s * 2)
         _check_ok(status, data, path)
         entries = [decode_entry(entry) for entry in data["entries"]]
@@ -107,7 +107,7 @@
 
         A list of keys tells it, as PROTOCOL says; the response for a key that exists tells only that key's.
         """
-        return self.page(EMPTY_PREFIX, "", most=1).revision
+        return self.page(EMPTY_PREFIX, "", max_entries=1).revision
 
     def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
         """Carry out a transaction and return its revision.
@@ -131,7 +131,7 @@
 
     def lease(self, ttl_s: float) -> int:
         """Get a lease with a time to live, and return its ID."""
-        body = {names.LEASE_MS: max(_SHORTEST_LEASE_MS, int(ttl_s * 1000))}
+        body = {names.LEASE_MS: max(_MIN_LEASE_MS, int(ttl_s * 1000))}
         status, data = self._call("POST", "/leases", body, self.timeout_s)
         _check_ok(status, data, "/leases")
         return int(data[names.LEASE_ID])
--- a/tests/reads_model.py
+++ b/tests/reads_model.py
@@ -164,7 +164,7 @@
         self._request("revision")
         return 7
 
-    def page(self, prefix: str, after: str, most: int = 1000) -> Page:
+    def page(self, prefix: str, after: str, max_entries: int = 1000) -> Page:
         self._request("page")
         return Page(
             [Entry(ACTIVE_JOB_PREFIX + JOBS[0], {}, 1), Entry(ACTIVE_JOB_PREFIX + JOBS[1], {}, 1)], False, 7
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -72,8 +72,8 @@
         status, body = self._state().get(key)
         return Entry(key, body["data"], body["stamp"]) if status == 200 else None
 
-    def page(self, prefix: str, after: str, most: int = 1000) -> Page:
-        _, body = self._state().scan(prefix, after, most)
+    def page(self, prefix: str, after: str, max_entries: int = 1000) -> Page:
+        _, body = self._state().scan(prefix, after, max_entries)
         entries = [decode_entry(entry) for entry in body["entries"]]
         return Page(entries, body["more"], body["ledger"])
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -20,7 +20,7 @@
 from poppyhold.capacity import shortfalls
 from poppyhold.cli import main
 from poppyhold.cluster.change_feed import ChangeFeed
-from poppyhold.cluster.peer_client import _MOST_COUNTS, _MOST_IMAGES
+from poppyhold.cluster.peer_client import _MAX_IMAGE_HINTS, _MAX_TASK_COUNTS
 from poppyhold.cluster.peer_messages import Ping, receive_opening
 from poppyhold.configuration_checks import ConfigError
 from poppyhold.durable.changes import Entry
@@ -109,8 +109,8 @@
         for number in range(MACHINES)
     }
     counts = {f"job-{number:06d}": (number, number) for number in range(26_000)}
-    image_feed: ChangeFeed[Any] = ChangeFeed(_MOST_IMAGES)
-    count_feed: ChangeFeed[Any] = ChangeFeed(_MOST_COUNTS)
+    image_feed: ChangeFeed[Any] = ChangeFeed(_MAX_IMAGE_HINTS)
+    count_feed: ChangeFeed[Any] = ChangeFeed(_MAX_TASK_COUNTS)
     told_images: dict[str, Any] = {}
     told_counts: dict[str, Any] = {}
     near, far = socket.socketpair()
@@ -152,7 +152,7 @@
         self._failing = failing
         self.pages = 0
 
-    def page(self, prefix: str, after: str, most: int = 1000) -> Page:
+    def page(self, prefix: str, after: str, max_entries: int = 1000) -> Page:
         self.pages += 1
         if self.pages in self._failing:
             raise StoreRejectedError("429")
@@ -162,8 +162,8 @@
             else []
         )
         later = [name for name in names if name > after]
-        entries = [Entry(name, {"e": "", "b": {}, "z": "a", "s": False}, 7) for name in later[:most]]
-        return Page(entries, len(later) > most, 100 + self.pages)
+        entries = [Entry(name, {"e": "", "b": {}, "z": "a", "s": False}, 7) for name in later[:max_entries]]
+        return Page(entries, len(later) > max_entries, 100 + self.pages)
 
 
 def test_a_page_that_fails_is_asked_for_again_and_no_other() -> None:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -27,7 +27,7 @@
         self.asked_from: list[int] = []
         self.stop: Callable[[], None] = lambda: None
 
-    def page(self, prefix: str, after: str, most: int = 1000) -> Page:
+    def page(self, prefix: str, after: str, max_entries: int = 1000) -> Page:
         self.pages += 1
         return Page([Entry(f"{PREFIX}old", {"page": self.pages}, 5)], False, 10 * self.pages)
 
@@ -131,9 +131,9 @@
     made = watch(store, heard)
     read = store.page
 
-    def page(prefix: str, after: str, most: int = 1000) -> Page:
+    def page(prefix: str, after: str, max_entries: int = 1000) -> Page:
         made.stop()
-        return read(prefix, after, most)
+        return read(prefix, after, max_entries)
 
     store.page = page  # type: ignore[method-assign]
     made._run()
