--- a/src/poppyhold/cluster/authority.py
+++ b/src/poppyhold/cluster/authority.py
@@ -21,11 +21,11 @@
         self._peer_watermarks = {member: float("-inf") for member in members}
         # Every change before this moment, and up to this revision, has been acted on.
         self.watch_caught_up_at = began_at
-        self.acted_on_revision = -1
+        self.applied_revision = -1
 
     def observe_watch(self, asked_at: float, revision: int) -> None:
         """All changes that the state service knew of when it was asked are acted on."""
-        self.watch_caught_up_at, self.acted_on_revision = asked_at, revision
+        self.watch_caught_up_at, self.applied_revision = asked_at, revision
 
     def observe_peer(self, member: str, asked_at: float, bound: int) -> None:
         """The cancellations that a controller listed are acted on; all others it confirmed came by ``bound``.
@@ -33,7 +33,7 @@
         The moment of the request counts: between its response and now the controller may have confirmed more.
         A bound of -1 says that the controller can't know.
         """
-        if 0 <= bound <= self.acted_on_revision:
+        if 0 <= bound <= self.applied_revision:
             self._peer_watermarks[member] = max(asked_at, self._peer_watermarks[member])
 
     def cancellations_known_until(self, confirmed_at: float) -> float:
--- a/src/poppyhold/cluster/cancellations.py
+++ b/src/poppyhold/cluster/cancellations.py
@@ -47,11 +47,11 @@
             while len(self._listed) > self._max_listed:
                 self._unlist(next(iter(self._listed)))
 
-    def acknowledge(self, acted_on_revision: int) -> None:
+    def acknowledge(self, applied_revision: int) -> None:
         """A leader has acted on every change up to this revision: no need to list those."""
         with self._lock:
-            acted_on = [job_id for job_id, revision in self._listed.items() if revision <= acted_on_revision]
-            for job_id in acted_on:
+            applied = [job_id for job_id, revision in self._listed.items() if revision <= applied_revision]
+            for job_id in applied:
                 self._unlist(job_id)
 
     def _unlist(self, job_id: str) -> None:
--- a/src/poppyhold/cluster/peer_messages.py
+++ b/src/poppyhold/cluster/peer_messages.py
@@ -46,7 +46,7 @@
     # What a leader grants those who may have to renew leases for it.
     delegation: LeaseDelegation | None = None
     # Revision up to which a leader has acted on every cancellation; -1: it does not lead, or does not say.
-    acted_on_revision: int = -1
+    applied_revision: int = -1
     # Whether a leader accepts heartbeats that others relay to it. A version before this field never does.
     accepts_relays: bool = False
 
--- a/src/poppyhold/node/cancellation_tracker.py
+++ b/src/poppyhold/node/cancellation_tracker.py
@@ -58,7 +58,7 @@
     def apply_own_cancellations(self) -> None:
         """Act on what this node confirmed: the state service may not tell us of it when it refuses us."""
         asked_at = time.monotonic()
-        self._own_cancellations.acknowledge(self._authority.acted_on_revision)
+        self._own_cancellations.acknowledge(self._authority.applied_revision)
         listed, bound = self._own_cancellations.summarize(self._first_revision())
         self._apply(self._member, listed, bound, asked_at)
 
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -100,7 +100,7 @@
         delegation = (
             leader_term.cancellations.delegation if leader_term is not None and leader_term.alive else None
         )
-        known = leader_term.authority.acted_on_revision if leader_term is not None else -1
+        known = leader_term.authority.applied_revision if leader_term is not None else -1
         listed, bound = self._confirmed_cancellations()
         confirmed = bound if bound < 0 else max([bound, *(revision for _, revision in listed)])
         return Ping(
@@ -111,7 +111,7 @@
             confirmed,
             workers,
             delegation=delegation,
-            acted_on_revision=known,
+            applied_revision=known,
             accepts_relays=leader_term is not None and self._takes_relays(leader_term),
         )
 
@@ -127,8 +127,8 @@
         listed: list[Cancellation] = []
         unlisted_revision: int | None = None
         misdirected = self._misdirected_workers.recent() if ping.leading else []
-        if ping.leading and ping.acted_on_revision >= 0:
-            self._users.cancellations.acknowledge(ping.acted_on_revision)
+        if ping.leading and ping.applied_revision >= 0:
+            self._users.cancellations.acknowledge(ping.applied_revision)
             # Read after `us`: what is confirmed in between is listed as well.
             listed, unlisted_revision = self._confirmed_cancellations()
         return Pong(
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -563,7 +563,7 @@
             self.step_down()
             return
         leader_term.confirmed = asked
-        for event in world.state.changes(ACTIVE_JOB_PREFIX, leader_term.authority.acted_on_revision):
+        for event in world.state.changes(ACTIVE_JOB_PREFIX, leader_term.authority.applied_revision):
             change = decode_event(event)
             if isinstance(change, Entry):
                 leader_term.controller.handle_job_accepted(change)
@@ -631,7 +631,7 @@
 
     def tell(self, leader: SimLeaderTerm) -> None:
         """Tell a leader which cancellations were confirmed here, as peers' messages do."""
-        self.users.cancellations.acknowledge(leader.authority.acted_on_revision)
+        self.users.cancellations.acknowledge(leader.authority.applied_revision)
         named, bound = self.users.cancellations.summarize(self.first_revision)
         for job_id, _ in named:
             leader.controller.handle_job_removed(ACTIVE_JOB_PREFIX + job_id)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -95,7 +95,7 @@
     assert newer.reachable_peers == ["hive-2"]
     ping = over_a_connection(PING)
     assert isinstance(ping, Ping)
-    assert ping.acted_on_revision == -1
+    assert ping.applied_revision == -1
     # A version that says nothing of relays never takes reports from them.
     assert not ping.accepts_relays
     assert isinstance(over_a_connection([*PING, [], [], None, 39, True, "a further field"]), Ping)
