--- a/src/poppyhold/cluster/authority.py
+++ b/src/poppyhold/cluster/authority.py
@@ -36,7 +36,7 @@
         if 0 <= bound <= self.applied_revision:
             self._peer_watermarks[member] = max(asked_at, self._peer_watermarks[member])
 
-    def cancellations_known_until(self, confirmed_at: float) -> float:
+    def cancellation_watermark(self, confirmed_at: float) -> float:
         """The watermark: every cancellation that was confirmed before this moment is acted on.
 
         ``confirmed_at`` is when our leadership was last confirmed. The next leader relies on our renewals to
@@ -47,4 +47,4 @@
 
     def may_renew_leases(self, now: float, confirmed_at: float) -> bool:
         """Whether a worker's lease may be renewed."""
-        return now <= self.cancellations_known_until(confirmed_at) + self._unconfirmed_renewal_s
+        return now <= self.cancellation_watermark(confirmed_at) + self._unconfirmed_renewal_s
--- a/src/poppyhold/cluster/peer_client.py
+++ b/src/poppyhold/cluster/peer_client.py
@@ -13,7 +13,7 @@
 from poppyhold.cluster.change_feed import ChangeFeed
 from poppyhold.cluster.connectivity import Connectivity
 from poppyhold.cluster.peer_handler import PeerHandler
-from poppyhold.cluster.peer_messages import Pong, receive_opening
+from poppyhold.cluster.peer_messages import Pong, receive_peer_message
 from poppyhold.configuration_checks import split_address
 from poppyhold.model.job_status import TaskCounts
 from poppyhold.model.outbound import MisdirectedWorker
@@ -87,9 +87,10 @@
         interval_s = self._times.interval_s
         while not self._stop.is_set():
             changed_counts = [
-                (job_id, *count) for job_id, count in counts.next_batch(self._handler.led_task_counts())
+                (job_id, *count)
+                for job_id, count in counts.next_batch(self._handler.task_counts_if_leading())
             ]
-            changed_images = images.next_batch(self._handler.led_image_hints())
+            changed_images = images.next_batch(self._handler.image_hints_if_leading())
             asked_at = time.monotonic()
             tracker = self._handler.delegation_tracker()
             if tracker is not None:
@@ -108,7 +109,7 @@
             self._stop.wait(interval_s / _BATCHES_PER_INTERVAL if has_more else interval_s)
 
     def _receive_pong(self, connection: socket.socket) -> Pong:
-        message = receive_opening(connection)
+        message = receive_peer_message(connection)
         if not isinstance(message, Pong) or message.member != self._peer.member:
             # What a leader may do depends on who responded.
             raise ValueError(f"not a response of {self._peer.member}")
--- a/src/poppyhold/cluster/peer_handler.py
+++ b/src/poppyhold/cluster/peer_handler.py
@@ -19,10 +19,10 @@
     def compose_ping(self) -> Ping:
         """What we are and know; the links add what changed of task counts and image hints."""
 
-    def led_task_counts(self) -> dict[str, TaskCounts]:
+    def task_counts_if_leading(self) -> dict[str, TaskCounts]:
         """Completed and running tasks by job, if we lead."""
 
-    def led_image_hints(self) -> ImageHints:
+    def image_hints_if_leading(self) -> ImageHints:
         """The machines' images, if we lead."""
 
     def delegation_tracker(self) -> DelegationTracker | None:
@@ -40,7 +40,7 @@
     def serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
         """Serve a relay on its connection, until either ends."""
 
-    def answer_cell(self, request: QuotaRequest) -> QuotaResponse:
+    def handle_quota_request(self, request: QuotaRequest) -> QuotaResponse:
         """Answer another cell's leader or an operator.
 
         Raises:
--- a/src/poppyhold/cluster/peer_messages.py
+++ b/src/poppyhold/cluster/peer_messages.py
@@ -72,11 +72,11 @@
 
 Message = Ping | Pong
 # What may come first on a connection from another controller.
-Opening = Message | RelayHello | QuotaRequest
-_opening_decoder: msgspec.msgpack.Decoder[Opening] = msgspec.msgpack.Decoder(Opening)
+PeerMessage = Message | RelayHello | QuotaRequest
+_peer_message_decoder: msgspec.msgpack.Decoder[PeerMessage] = msgspec.msgpack.Decoder(PeerMessage)
 
 
-def receive_opening(connection: socket.socket) -> Opening:
+def receive_peer_message(connection: socket.socket) -> PeerMessage:
     """Receive one message.
 
     Raises:
@@ -84,4 +84,4 @@
         OSError: the connection broke, or nothing came in time.
 
     """
-    return receive_message(connection, _opening_decoder)
+    return receive_message(connection, _peer_message_decoder)
--- a/src/poppyhold/cluster/peer_server.py
+++ b/src/poppyhold/cluster/peer_server.py
@@ -8,7 +8,7 @@
 
 from poppyhold.cluster.peer_client import PeerTimes
 from poppyhold.cluster.peer_handler import PeerHandler
-from poppyhold.cluster.peer_messages import Ping, receive_opening
+from poppyhold.cluster.peer_messages import Ping, receive_peer_message
 from poppyhold.configuration_checks import split_address
 from poppyhold.quota.messages import QuotaRequest
 from poppyhold.relay.messages import RelayHello
@@ -81,13 +81,13 @@
 
     def _serve_message(self, connection: socket.socket) -> bool:
         """Serve the next message; whether the connection goes on."""
-        message = receive_opening(connection)
+        message = receive_peer_message(connection)
         if isinstance(message, RelayHello):
             # It is a relay's from now on, to its end.
             self._handler.serve_relay(connection, message)
             return False
         if isinstance(message, QuotaRequest):
-            send_message(connection, self._handler.answer_cell(message))
+            send_message(connection, self._handler.handle_quota_request(message))
         elif isinstance(message, Ping):
             send_message(connection, self._handler.handle_ping(message))
         else:
--- a/src/poppyhold/cluster/redirect_backoff.py
+++ b/src/poppyhold/cluster/redirect_backoff.py
@@ -28,13 +28,13 @@
         self._wait_s, self._discovery_s = lease_s * _WAIT_RATIO, lease_s * _DISCOVERY_RATIO
         self._waited_at: BoundedDict[float] = BoundedDict(max_workers)
 
-    def wait_s(self, heartbeat: Heartbeat, leader_fencing_token: int, led_s: float, now: float) -> float:
+    def wait_s(self, heartbeat: Heartbeat, leader_fencing_token: int, leading_s: float, now: float) -> float:
         """How long to wait; not at all for workers that may not have found this leader yet.
 
         After a failover they have its fencing token from its direct commands before they send it heartbeats.
-        ``led_s`` is for how long it has led.
+        ``leading_s`` is for how long it has led.
         """
-        if heartbeat.fencing_token < leader_fencing_token or led_s <= self._discovery_s:
+        if heartbeat.fencing_token < leader_fencing_token or leading_s <= self._discovery_s:
             return 0.0
         waited_at = self._waited_at.get(heartbeat.machine)
         if waited_at is not None and now - waited_at < self._lease_s:
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -76,12 +76,12 @@
 
     # -- what we tell --------------------------------------------------------------------------------
 
-    def led_task_counts(self) -> dict[str, TaskCounts]:
+    def task_counts_if_leading(self) -> dict[str, TaskCounts]:
         """The counts of our jobs' tasks, if we lead; they go with our pings."""
         leader_term = self._leader_term()
         return leader_term.task_counts if leader_term is not None else {}
 
-    def led_image_hints(self) -> ImageHints:
+    def image_hints_if_leading(self) -> ImageHints:
         """The images of our machines, if we lead; they go with our pings."""
         leader_term = self._leader_term()
         return leader_term.image_hints if leader_term is not None else {}
@@ -232,6 +232,6 @@
 
     # -- other cells ---------------------------------------------------------------------------------
 
-    def answer_cell(self, request: QuotaRequest) -> QuotaResponse:
+    def handle_quota_request(self, request: QuotaRequest) -> QuotaResponse:
         """Answer another cell's leader or an operator, as `QuotaServer` does."""
         return self._quota_server.answer(request)
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from poppyhold.cluster.peer_messages import Opening
+from poppyhold.cluster.peer_messages import PeerMessage
 from poppyhold.durable.changes import Entry
 from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.options import Cell, CellController, Cells, Options
@@ -30,7 +30,7 @@
 _IDLE_S, _WANTING_S, _IN_PROGRESS_S = 1.0, 0.25, 0.05
 _CHECK_S = 0.5
 
-_opening_decoder: msgspec.msgpack.Decoder[Opening] = msgspec.msgpack.Decoder(Opening)
+_peer_message_decoder: msgspec.msgpack.Decoder[PeerMessage] = msgspec.msgpack.Decoder(PeerMessage)
 _answer_decoder: msgspec.msgpack.Decoder[QuotaResponse] = msgspec.msgpack.Decoder(QuotaResponse)
 
 
@@ -115,7 +115,7 @@
             for node in self.worlds[other].nodes
             if node.leader_term is not None and node.alive and not node.frozen
         ]
-        request = _opening_decoder.decode(data)
+        request = _peer_message_decoder.decode(data)
         assert isinstance(request, TransferRequest)
         if not terms:
             return
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -194,7 +194,7 @@
 
 
 def _behind_a_change_too(
-    self: RedirectBackoff, heartbeat: Heartbeat, leader_fencing_token: int, led_s: float, now: float
+    self: RedirectBackoff, heartbeat: Heartbeat, leader_fencing_token: int, leading_s: float, now: float
 ) -> float:
     """Workers wait wherever they have the leader's token, though they may be on their way to it."""
     return self._wait_s if heartbeat.fencing_token >= leader_fencing_token else 0.0
@@ -207,11 +207,13 @@
 
 
 def _again_and_again(
-    self: RedirectBackoff, heartbeat: Heartbeat, leader_fencing_token: int, led_s: float, now: float
+    self: RedirectBackoff, heartbeat: Heartbeat, leader_fencing_token: int, leading_s: float, now: float
 ) -> float:
     """Workers wait each time that they come."""
     return (
-        self._wait_s if heartbeat.fencing_token >= leader_fencing_token and led_s > self._discovery_s else 0.0
+        self._wait_s
+        if heartbeat.fencing_token >= leader_fencing_token and leading_s > self._discovery_s
+        else 0.0
     )
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,7 +21,7 @@
 from poppyhold.cli import main
 from poppyhold.cluster.change_feed import ChangeFeed
 from poppyhold.cluster.peer_client import _MAX_IMAGE_HINTS, _MAX_TASK_COUNTS
-from poppyhold.cluster.peer_messages import Ping, receive_opening
+from poppyhold.cluster.peer_messages import Ping, receive_peer_message
 from poppyhold.configuration_checks import ConfigError
 from poppyhold.durable.changes import Entry
 from poppyhold.durable.errors import StoreRejectedError
@@ -137,7 +137,7 @@
     """Send a message through a socket pair, and check that it arrives."""
     sender = threading.Thread(target=send_message, args=(near, ping))
     sender.start()
-    received = receive_opening(far)
+    received = receive_peer_message(far)
     sender.join(10.0)
     assert received == ping
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,7 +13,7 @@
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.cancellations import Cancellation, Cancellations
 from poppyhold.cluster.lease_delegation import DelegationTracker
-from poppyhold.cluster.peer_messages import Opening, Ping, Pong, receive_opening
+from poppyhold.cluster.peer_messages import PeerMessage, Ping, Pong, receive_peer_message
 from poppyhold.cluster.peers import Peers
 from poppyhold.configuration_checks import split_address
 from poppyhold.model.context import ImageHints
@@ -47,10 +47,10 @@
     def compose_ping(self) -> Ping:
         return self.ping
 
-    def led_task_counts(self) -> dict[str, TaskCounts]:
+    def task_counts_if_leading(self) -> dict[str, TaskCounts]:
         return {}
 
-    def led_image_hints(self) -> ImageHints:
+    def image_hints_if_leading(self) -> ImageHints:
         return {}
 
     def delegation_tracker(self) -> DelegationTracker | None:
@@ -68,17 +68,17 @@
     def serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
         pass
 
-    def answer_cell(self, request: QuotaRequest) -> QuotaResponse:
+    def handle_quota_request(self, request: QuotaRequest) -> QuotaResponse:
         raise ValueError("this fleet has one cell")
 
 
-def over_a_connection(message: list[Any]) -> Opening:
+def over_a_connection(message: list[Any]) -> PeerMessage:
     """What is received of a message that another version sent."""
     ours, theirs = socket.socketpair()
     with ours, theirs:
         body = msgspec.msgpack.encode(message)
         theirs.sendall(len(body).to_bytes(4, "big") + body)
-        return receive_opening(ours)
+        return receive_peer_message(ours)
 
 
 def test_messages_of_other_versions_are_taken() -> None:
@@ -144,9 +144,9 @@
     authority = Authority(20.0, ["a", "b"], began_at=0.0)
     authority.observe_watch(1.0, 10)
     authority.observe_peer("a", 30.0, 10)
-    assert authority.cancellations_known_until(50.0) == 1.0
+    assert authority.cancellation_watermark(50.0) == 1.0
     authority.observe_peer("b", 25.0, 9)
-    assert authority.cancellations_known_until(50.0) == 25.0
+    assert authority.cancellation_watermark(50.0) == 25.0
     # It confirmed something that was not acted on, or can't know: the moment stays where it was.
     authority.observe_peer("b", 40.0, 11)
     authority.observe_peer("b", 41.0, -1)
@@ -163,7 +163,7 @@
     authority.observe_watch(1.0, 10)
     authority.observe_peer("a", 50.0, 10)
     authority.observe_peer("a", 40.0, 10)
-    assert authority.cancellations_known_until(1.0) == 50.0
+    assert authority.cancellation_watermark(1.0) == 50.0
 
 
 def test_cancellations_that_come_out_of_order_count_by_the_highest_revision() -> None:
@@ -200,7 +200,7 @@
                 return
             with connection:
                 try:
-                    receive_opening(connection)
+                    receive_peer_message(connection)
                     body = msgspec.msgpack.encode(self._answers[self.asked % len(self._answers)])
                     self.asked += 1
                     connection.sendall(len(body).to_bytes(4, "big") + body)
@@ -309,6 +309,6 @@
             with contextlib.suppress(ConnectionResetError):
                 assert bad.recv(1) == b""
             send_message(good, Ping("hive-1", 0, False, 0.0, -1, 0))
-            assert receive_opening(good) == handler.pong
+            assert receive_peer_message(good) == handler.pong
     finally:
         peers.stop()
