--- a/src/poppyhold/scheduling/gang_placement.py
+++ b/src/poppyhold/scheduling/gang_placement.py
@@ -31,15 +31,15 @@
 class GangCandidate(msgspec.Struct, frozen=True):
     """Machines for every task, in the order of the starts, and what speaks against them."""
 
-    uses_accelerator_companions: bool
+    strands_accelerators: bool
     machines: list[Machine]
 
     def sort_key(self) -> tuple[bool, int]:
         """Candidates with the lower key are preferred."""
-        return self.uses_accelerator_companions, len({machine.name for machine in self.machines})
+        return self.strands_accelerators, len({machine.name for machine in self.machines})
 
 
-def accelerator_companions(jobs: Iterable[Job]) -> Resources:
+def host_resources_per_accelerator(jobs: Iterable[Job]) -> Resources:
     """The most of each resource that a task takes beside one accelerator, among these jobs."""
     cpus = memory = 0.0
     for job in jobs:
@@ -74,11 +74,11 @@
         self._placement = placement
         self._jobs: Iterable[Job] = ()
         # What goes with an accelerator, once a gang of this cycle asks for it.
-        self._companions: Resources | None = None
+        self._per_accelerator: Resources | None = None
 
     def begin_cycle(self, jobs: Iterable[Job]) -> None:
         """Begin a scheduling cycle; what is kept free for accelerators goes by the jobs that there are."""
-        self._jobs, self._companions = jobs, None
+        self._jobs, self._per_accelerator = jobs, None
 
     def choose(
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
@@ -92,7 +92,7 @@
                 found.append(candidate)
         return min(found, key=GangCandidate.sort_key).machines if found else None
 
-    def preempt_for(
+    def choose_with_preemption(
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
     ) -> list[Choice] | None:
         """A machine for each pending task, with preemption for all of them at the least loss."""
@@ -161,9 +161,9 @@
         if not job.spec.one_zone:
             yield machines
             return
-        held = {zone for zone, count in job.active_by_zone.items() if count > 0}
-        zones = held or {machine.zone for machine in machines}
-        if len(held) > 1:
+        occupied = {zone for zone, count in job.active_by_zone.items() if count > 0}
+        zones = occupied or {machine.zone for machine in machines}
+        if len(occupied) > 1:
             return
         for zone in sorted(zones):
             yield [machine for machine in machines if machine.zone == zone]
@@ -172,26 +172,34 @@
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
     ) -> GangCandidate | None:
         # What accelerators need beside them comes second: without it they would stand idle.
-        for keeps_companions in (True, False) if job.task_resources[ACCELERATORS] <= 0 else (False,):
-            chosen = self._fill(job, self._options(job, machines, reserved, keeps_companions))
+        for keeps_accelerators_usable in (True, False) if job.task_resources[ACCELERATORS] <= 0 else (False,):
+            chosen = self._fill(job, self._options(job, machines, reserved, keeps_accelerators_usable))
             if chosen is not None:
-                return GangCandidate(not keeps_companions and job.task_resources[ACCELERATORS] <= 0, chosen)
+                return GangCandidate(
+                    not keeps_accelerators_usable and job.task_resources[ACCELERATORS] <= 0, chosen
+                )
         return None
 
-    def _accelerator_companions(self) -> Resources:
-        if self._companions is None:
-            self._companions = accelerator_companions(self._jobs)
-        return self._companions
+    def _host_resources_per_accelerator(self) -> Resources:
+        if self._per_accelerator is None:
+            self._per_accelerator = host_resources_per_accelerator(self._jobs)
+        return self._per_accelerator
 
     def _options(
-        self, job: Job, machines: list[Machine], reserved: dict[str, Resources], keeps_companions: bool
+        self,
+        job: Job,
+        machines: list[Machine],
+        reserved: dict[str, Resources],
+        keeps_accelerators_usable: bool,
     ) -> list[GangOption]:
         options: list[GangOption] = []
-        companions = self._accelerator_companions() if keeps_companions else NO_RESOURCES
+        per_accelerator = (
+            self._host_resources_per_accelerator() if keeps_accelerators_usable else NO_RESOURCES
+        )
         for machine in machines:
             free = machine.free_after_reservations(reserved)
-            if keeps_companions:
-                free = add_scaled(free, companions, -max(0.0, free[ACCELERATORS]))
+            if keeps_accelerators_usable:
+                free = add_scaled(free, per_accelerator, -max(0.0, free[ACCELERATORS]))
             count = max_copies(job.task_resources, free, job.pending)
             if count:
                 options.append(GangOption(count, machine))
--- a/src/poppyhold/scheduling/gang_scheduler.py
+++ b/src/poppyhold/scheduling/gang_scheduler.py
@@ -58,7 +58,7 @@
             return [Choice(machine) for machine in chosen]
         if job.failures.at_fault:
             return None
-        return self._placement.preempt_for(job, cycle.reliable_machines, reserved)
+        return self._placement.choose_with_preemption(job, cycle.reliable_machines, reserved)
 
     def _within_limit(self, cycle: CycleState, job: Job) -> bool:
         """Whether all pending tasks together stay within the team's limit."""
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -140,7 +140,7 @@
     Guard("gang_gives_up_its_room", Gangs, "abandon", _never),
     Guard("gang_alone", Gangs, "_avoid_late_machines", _never),
     Guard("gang_recall", Gangs, "stop", _kill),
-    Guard("gang_preempts", GangPlacement, "preempt_for", _never),
+    Guard("gang_preempts", GangPlacement, "choose_with_preemption", _never),
     Guard("gang_preempted", TaskStarter, "_await_gangs", _never),
     Guard("gang_not_starved", GangScheduler, "_reserve_for", _never),
     Guard("gang_team_limit", GangScheduler, "_reserve_for", _never),
