--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -132,7 +132,7 @@
         if job.is_gang:
             # One that has waited long goes first like one with a plan.
             is_planned = job.admitted and self._admission.startable_by_plan(job) >= job.pending
-            if is_planned or self._order.has_waited_long(job, now):
+            if is_planned or self._order.is_starved(job, now):
                 self._gangs.start_gang(cycle, job, cycle.reserved)
         elif job.admitted:
             self._tasks.start_tasks(cycle, job, self._admission.startable_by_plan(job), cycle.reserved)
--- a/src/poppyhold/scheduling/gang_scheduler.py
+++ b/src/poppyhold/scheduling/gang_scheduler.py
@@ -43,7 +43,7 @@
                     cycle.capacity.refresh_machine(choice.machine)
         elif self._gangs.state_of(job) is GangState.ASSEMBLING:
             self._gangs.abandon(job, "no capacity for a replacement", self._ctx.clock())
-        elif self._order.has_waited_long(job, self._ctx.clock()) and not job.failures.at_fault:
+        elif self._order.is_starved(job, self._ctx.clock()) and not job.failures.at_fault:
             self._reserve_for(cycle, job, within_limit)
 
     def _choices(self, cycle: CycleState, job: Job, reserved: dict[str, Resources]) -> list[Choice] | None:
@@ -73,10 +73,10 @@
         Smaller jobs would take each part that is released, and the gang would never find enough at once.
         Reserved without end, it would let a gang that nothing can serve block all others.
         """
-        waited_s = self._order.passed_over_s(job, self._ctx.clock())
+        starved_s = self._order.starved_s(job, self._ctx.clock())
         reservation_s = self._ctx.settings.deployment.workers.gang_wait_s
         # Intervals with the reservation and without it alternate.
-        if int(waited_s / reservation_s) % 2:
+        if int(starved_s / reservation_s) % 2:
             return
         if not within_limit:
             cycle.reserved_teams.add(job.spec.team)
--- a/src/poppyhold/scheduling/job_order.py
+++ b/src/poppyhold/scheduling/job_order.py
@@ -11,15 +11,15 @@
 
 # Leases after which a job that has not begun is no longer passed over for more valuable ones. With twice as
 # many, large arrays of a small fleet under overload began four minutes and more after their submission.
-_MAX_PASSED_OVER_LEASES = 6
+_STARVATION_THRESHOLD_LEASES = 6
 
 
 class _Urgency(IntEnum):
     """Among jobs of one priority and guarantee, those of a lower value go first."""
 
-    WAITED_LONG = 0
-    CAN_MEET_DEADLINE = 1
-    TOO_LATE = 2
+    STARVED = 0
+    MEETS_DEADLINE = 1
+    MISSES_DEADLINE = 2
 
 
 class _OrderKey(NamedTuple):
@@ -27,7 +27,7 @@
     beyond_guarantee: bool
     urgency: _Urgency
     # Seconds of work that are left, times the accelerators or else the cpus that they take.
-    work: float
+    remaining_work: float
     submitted_at: float
     id: str
 
@@ -36,20 +36,20 @@
     """Orders jobs by priority, guarantee, and then by what their value does while they wait."""
 
     def __init__(self, durations: Durations, estimates: Estimates) -> None:
-        self._max_passed_over_s = durations.lease_s * _MAX_PASSED_OVER_LEASES
+        self._starvation_threshold_s = durations.lease_s * _STARVATION_THRESHOLD_LEASES
         self._estimates = estimates
 
     def sort(self, jobs: list[Job], now: float) -> None:
         """Sort jobs that wait, the most urgent first."""
         jobs.sort(key=lambda job: self._key(job, now))
 
-    def has_waited_long(self, job: Job, now: float) -> bool:
+    def is_starved(self, job: Job, now: float) -> bool:
         """Whether a job that has not begun is no longer passed over for others."""
-        return not job.active and not job.done and self.passed_over_s(job, now) > 0
+        return not job.active and not job.done and self.starved_s(job, now) > 0
 
-    def passed_over_s(self, job: Job, now: float) -> float:
+    def starved_s(self, job: Job, now: float) -> float:
         """Seconds that a job has waited beyond the time for which others may pass it."""
-        return now - job.submitted_at - self._max_passed_over_s
+        return now - job.submitted_at - self._starvation_threshold_s
 
     def _key(self, job: Job, now: float) -> _OrderKey:
         """A job that can still meet its deadline loses value by waiting; one that can't has lost it already.
@@ -59,15 +59,19 @@
         goes first all the same, so that none starves.
         """
         if job.is_service:
-            return self._key_with(job, _Urgency.CAN_MEET_DEADLINE, 0.0)
-        if self.has_waited_long(job, now):
+            return self._key_with(job, _Urgency.MEETS_DEADLINE, 0.0)
+        if self.is_starved(job, now):
             # By arrival: by least work, the largest of them would again come last.
-            return self._key_with(job, _Urgency.WAITED_LONG, 0.0)
+            return self._key_with(job, _Urgency.STARVED, 0.0)
         remaining_s = max(0.0, self._estimates.estimate_s(job) - job.saved_s())
         in_time = job.due_at is None or now + remaining_s <= job.due_at
-        work = remaining_s * job.pending * (job.spec.accelerators or job.spec.cpus)
-        return self._key_with(job, _Urgency.CAN_MEET_DEADLINE if in_time else _Urgency.TOO_LATE, work)
+        remaining_work = remaining_s * job.pending * (job.spec.accelerators or job.spec.cpus)
+        return self._key_with(
+            job, _Urgency.MEETS_DEADLINE if in_time else _Urgency.MISSES_DEADLINE, remaining_work
+        )
 
     @staticmethod
-    def _key_with(job: Job, urgency: _Urgency, work: float) -> _OrderKey:
-        return _OrderKey(job.priority, not job.within_guarantee, urgency, work, job.submitted_at, job.id)
+    def _key_with(job: Job, urgency: _Urgency, remaining_work: float) -> _OrderKey:
+        return _OrderKey(
+            job.priority, not job.within_guarantee, urgency, remaining_work, job.submitted_at, job.id
+        )
