--- a/src/poppyhold/scheduling/bookings.py
+++ b/src/poppyhold/scheduling/bookings.py
@@ -49,19 +49,19 @@
         attempt.booked = True
         estimate_s = self._estimates.estimate_s(attempt.job)
         attempt.booked_until = self._ledger.current_slot + self._planner.span_slots(estimate_s) - 1
-        self._change_attempt(attempt, 1.0)
+        self._adjust_attempt(attempt, 1.0)
 
     def release_attempt(self, attempt: Attempt) -> None:
         """Release what an attempt has booked."""
         if not attempt.booked or attempt.machine.name not in self._ledger.machines:
             return
         attempt.booked = False
-        self._change_attempt(attempt, -1.0)
+        self._adjust_attempt(attempt, -1.0)
 
-    def _change_attempt(self, attempt: Attempt, times: float) -> None:
+    def _adjust_attempt(self, attempt: Attempt, factor: float) -> None:
         job = attempt.job
         last = None if job.is_service else attempt.booked_until
-        self._ledger.book(attempt.machine.name, job.task_resources, self._ledger.current_slot, last, times)
+        self._ledger.book(attempt.machine.name, job.task_resources, self._ledger.current_slot, last, factor)
 
     # -- plans ---------------------------------------------------------------------------------------
 
@@ -69,17 +69,17 @@
         """Book the starts of a job's plan."""
         for slot, machines in plan.starts.items():
             job.booked[slot] = dict(machines)
-            for name, number in machines.items():
-                self._change_plan(job, name, slot, number)
+            for name, count in machines.items():
+                self._adjust_starts(job, name, slot, count)
 
     def release_plan(self, job: Job) -> None:
         """Release the starts of a job's plan that were not made."""
         for slot, machines in job.booked.items():
-            for name, number in machines.items():
-                self._change_plan(job, name, slot, -number)
+            for name, count in machines.items():
+                self._adjust_starts(job, name, slot, -count)
         job.booked = {}
 
-    def use(self, job: Job, machine: str) -> None:
+    def consume_start(self, job: Job, machine: str) -> None:
         """Use up one booked start of a job: one on the machine if there is any, else the earliest."""
         for slot in sorted(job.booked):
             machines = job.booked[slot]
@@ -87,7 +87,7 @@
                 del job.booked[slot]
                 continue
             name = machine if machine in machines else next(iter(machines))
-            self._change_plan(job, name, slot, -1)
+            self._adjust_starts(job, name, slot, -1)
             machines[name] -= 1
             if not machines[name]:
                 del machines[name]
@@ -95,13 +95,13 @@
                 del job.booked[slot]
             return
 
-    def _change_plan(self, job: Job, name: str, slot: int, number: int) -> None:
-        """Book starts on a machine in a slot, or release them where ``number`` is negative."""
+    def _adjust_starts(self, job: Job, name: str, slot: int, count: int) -> None:
+        """Book starts on a machine in a slot, or release them where ``count`` is negative."""
         if job.is_service:
-            self._ledger.book(name, job.task_resources, slot, None, number)
+            self._ledger.book(name, job.task_resources, slot, None, count)
         else:
             span = self._planner.span_slots(self._planned_estimate_s(job))
-            self._ledger.book(name, job.task_resources, slot, slot + span - 1, number)
+            self._ledger.book(name, job.task_resources, slot, slot + span - 1, count)
 
     def _planned_estimate_s(self, job: Job) -> float:
         # What was booked must be released alike, though the bias that is learned moves on.
@@ -115,10 +115,10 @@
         """Move to a new slot: starts that were not made and tasks that overrun carry over to it."""
         late = self._release_late_starts(slot)
         self._ledger.advance_to(slot)
-        for job, name, number in late:
+        for job, name, count in late:
             machines = job.booked.setdefault(slot, {})
-            machines[name] = machines.get(name, 0) + number
-            self._change_plan(job, name, slot, number)
+            machines[name] = machines.get(name, 0) + count
+            self._adjust_starts(job, name, slot, count)
         self._extend_attempts(slot)
 
     def _release_late_starts(self, slot: int) -> list[tuple[Job, str, int]]:
@@ -126,9 +126,9 @@
         late: list[tuple[Job, str, int]] = []
         for job in self._fleet.jobs.values():
             for old_slot in [booked for booked in job.booked if booked < slot]:
-                for name, number in job.booked.pop(old_slot).items():
-                    self._change_plan(job, name, old_slot, -number)
-                    late.append((job, name, number))
+                for name, count in job.booked.pop(old_slot).items():
+                    self._adjust_starts(job, name, old_slot, -count)
+                    late.append((job, name, count))
         return late
 
     def _extend_attempts(self, slot: int) -> None:
@@ -154,14 +154,14 @@
         for job in self._fleet.jobs.values():
             if job.phase is JobPhase.FINALIZED:
                 continue
-            for name, number in job.booked.get(self._ledger.current_slot, {}).items():
-                reserved[name] = add_scaled(reserved.get(name, NO_RESOURCES), job.task_resources, number)
+            for name, count in job.booked.get(self._ledger.current_slot, {}).items():
+                reserved[name] = add_scaled(reserved.get(name, NO_RESOURCES), job.task_resources, count)
         return reserved
 
-    def without_own(self, reserved: dict[str, Resources], job: Job) -> dict[str, Resources]:
+    def reserved_by_others(self, reserved: dict[str, Resources], job: Job) -> dict[str, Resources]:
         """What is reserved, without what the job itself has booked now."""
         others = dict(reserved)
-        for name, number in job.booked.get(self._ledger.current_slot, {}).items():
+        for name, count in job.booked.get(self._ledger.current_slot, {}).items():
             if name in others:
-                others[name] = add_scaled(others[name], job.task_resources, -number)
+                others[name] = add_scaled(others[name], job.task_resources, -count)
         return others
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -141,7 +141,7 @@
         """Start on capacity that no other job's plan books now."""
         bookings = self._admission.bookings
         has_own_booking = bool(bookings.machines_booked_now(job))
-        beside = bookings.without_own(reserved, job) if has_own_booking else reserved
+        beside = bookings.reserved_by_others(reserved, job) if has_own_booking else reserved
         if job.is_gang:
             self._gangs.start_gang(cycle, job, beside)
         else:
--- a/src/poppyhold/scheduling/ledger.py
+++ b/src/poppyhold/scheduling/ledger.py
@@ -78,14 +78,14 @@
             )
         return found
 
-    def book(self, slot: int, need: Resources, times: float) -> None:
+    def book(self, slot: int, need: Resources, factor: float) -> None:
         """Book in one slot, or in all."""
         self._equivalence_key = None
         if slot == EVERY_SLOT:
-            self.every_slot = add_scaled(self.every_slot, need, times)
+            self.every_slot = add_scaled(self.every_slot, need, factor)
             self._free_and_prices.clear()
             return
-        booked = add_scaled(self.slots.get(slot, NO_RESOURCES), need, times)
+        booked = add_scaled(self.slots.get(slot, NO_RESOURCES), need, factor)
         if all(abs(amount) < _ROUNDING for amount in booked):
             self.slots.pop(slot, None)
         else:
@@ -170,15 +170,15 @@
         self.machines.pop(name, None)
         self._changed_names[name] = None
 
-    def book(self, name: str, need: Resources, first: int, last: int | None, times: float) -> None:
-        """Book (or, with negative ``times``, release) slots ``first`` to ``last``; None: every slot."""
+    def book(self, name: str, need: Resources, first: int, last: int | None, factor: float) -> None:
+        """Book (or, with negative ``factor``, release) slots ``first`` to ``last``; None: every slot."""
         bookings = self.machines.get(name)
         if bookings is None:
             return
         self._changed_names[name] = None
         if last is None:
-            bookings.book(EVERY_SLOT, need, times)
+            bookings.book(EVERY_SLOT, need, factor)
             return
         end = self.current_slot + self.horizon_slots - 1
         for slot in range(max(first, self.current_slot), min(last, end) + 1):
-            bookings.book(slot, need, times)
+            bookings.book(slot, need, factor)
--- a/src/poppyhold/scheduling/task_starter.py
+++ b/src/poppyhold/scheduling/task_starter.py
@@ -23,7 +23,7 @@
             return
         attempt = self._reconciler.lifecycle.start(job, index, choice.machine, choice.victims)
         self._placement.record_preemptions(choice)
-        self._bookings.use(job, choice.machine.name)
+        self._bookings.consume_start(job, choice.machine.name)
         self._bookings.book_attempt(attempt)
 
     def _await_gangs(self, job: Job, choice: Choice) -> bool:
