--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -33,7 +33,7 @@
         self.records = PlanRecords(ctx, quotas, on_ended)
         self._ledger.current_slot = self._slot_now()
         self._capacity_released = True
-        self._reconsider_at = 0.0
+        self._next_replan_at = 0.0
 
     def _slot_now(self) -> int:
         return int(self._ctx.wall_clock() / self._ctx.durations.slot_s)
@@ -119,16 +119,16 @@
         planned = sum(sum(zones.values()) for slot, zones in job.plan.items() if slot <= current_slot)
         return planned - job.done - len(job.active)
 
-    def reconsider(self, waiting: list[Job], now: float) -> None:
+    def replan_waiting(self, waiting: list[Job], now: float) -> None:
         """Plan jobs that wait again after capacity was released, the most valuable first.
 
         Capacity is released with every task that ends, and a plan is the dearest of our computations: what
         was released between two heartbeats of a worker is looked at together.
         """
-        if not self._capacity_released or now < self._reconsider_at:
+        if not self._capacity_released or now < self._next_replan_at:
             return
         self._capacity_released = False
-        self._reconsider_at = now + self._ctx.durations.heartbeat_interval_s
+        self._next_replan_at = now + self._ctx.durations.heartbeat_interval_s
         for job in waiting[: self._max_plans]:
             if not job.booked and self._try_admit(job):
                 self.records.write(job)
--- a/src/poppyhold/scheduling/cycle_state.py
+++ b/src/poppyhold/scheduling/cycle_state.py
@@ -103,7 +103,7 @@
         """The views that starts go by at present."""
         return self._capacity
 
-    def schedule_on(self, capacity: CapacityViews, reserved: dict[str, Resources]) -> None:
+    def switch_capacity(self, capacity: CapacityViews, reserved: dict[str, Resources]) -> None:
         """From now on, starts go by what is free after these reservations."""
         capacity.begin(self.machines, self.reliable_machines, reserved)
         self._capacity = capacity
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -20,7 +20,7 @@
 from poppyhold.settings import Objective
 
 # Each half of a cycle, planned starts and unplanned ones, may take this part of a heartbeat interval.
-_BUDGET_HEARTBEATS = 1 / 16
+_HALF_CYCLE_BUDGET_HEARTBEATS = 1 / 16
 
 
 class Dispatcher:
@@ -46,14 +46,14 @@
         )
         self._planned_capacity, self._unplanned_capacity = CapacityViews(), CapacityViews()
         # Jobs that cycles which ran out of time came to.
-        self._visited: set[str] = set()
+        self._visited_job_ids: set[str] = set()
 
     def dispatch(self, all_reconciled: bool) -> None:
         """Start what may start now."""
         now = self._ctx.clock()
         jobs = self._ready_jobs(all_reconciled, now)
         waiting = [job for job in jobs if not (job.admitted or job.failures.at_fault)]
-        self._admission.reconsider(waiting, now)
+        self._admission.replan_waiting(waiting, now)
         if not jobs:
             return
         cycle = self._begin_cycle(now)
@@ -104,28 +104,28 @@
         A backlog that meets a thousand empty machines takes seconds: heartbeats must not wait for it. The
         next cycle goes on with the jobs that this one did not come to.
         """
-        return self._ctx.clock() + self._ctx.durations.heartbeat_interval_s * _BUDGET_HEARTBEATS
+        return self._ctx.clock() + self._ctx.durations.heartbeat_interval_s * _HALF_CYCLE_BUDGET_HEARTBEATS
 
     def _start_all_planned(self, cycle: CycleState, jobs: list[Job], now: float) -> None:
-        cycle.schedule_on(self._planned_capacity, cycle.reserved)
+        cycle.switch_capacity(self._planned_capacity, cycle.reserved)
         deadline = self._deadline()
-        jobs.sort(key=lambda job: job.id in self._visited)
+        jobs.sort(key=lambda job: job.id in self._visited_job_ids)
         for job in jobs:
             if self._ctx.clock() <= deadline:
                 self._start_planned(cycle, job, now)
 
     def _start_all_unplanned(self, cycle: CycleState, jobs: list[Job]) -> None:
         reserved = self._reserved(cycle)
-        cycle.schedule_on(self._unplanned_capacity, reserved)
+        cycle.switch_capacity(self._unplanned_capacity, reserved)
         deadline = self._deadline()
         for job in jobs:
             if self._ctx.clock() > deadline:
                 self._ctx.scheduling_needed = True
                 return
-            self._visited.add(job.id)
+            self._visited_job_ids.add(job.id)
             if job.pending > 0:
                 self._start_unplanned(cycle, job, reserved)
-        self._visited.clear()
+        self._visited_job_ids.clear()
 
     def _start_planned(self, cycle: CycleState, job: Job, now: float) -> None:
         """Start what the job's plan lets start by now."""
@@ -141,11 +141,11 @@
         """Start on capacity that no other job's plan books now."""
         bookings = self._admission.bookings
         has_own_booking = bool(bookings.machines_booked_now(job))
-        beside = bookings.reserved_by_others(reserved, job) if has_own_booking else reserved
+        reserved_by_others = bookings.reserved_by_others(reserved, job) if has_own_booking else reserved
         if job.is_gang:
-            self._gangs.start_gang(cycle, job, beside)
+            self._gangs.start_gang(cycle, job, reserved_by_others)
         else:
-            self._tasks.start_tasks(cycle, job, job.pending, beside, has_own_booking)
+            self._tasks.start_tasks(cycle, job, job.pending, reserved_by_others, has_own_booking)
 
     def _reserved(self, cycle: CycleState) -> dict[str, Resources]:
         """What plans book now and have not used yet, and what is reserved for gangs and replicas."""
