--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -8,7 +8,7 @@
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Attempt, Job, JobPhase, Machine
 from poppyhold.scheduling.bookings import Bookings
-from poppyhold.scheduling.estimates import Estimates
+from poppyhold.scheduling.estimates import RunTimeEstimates
 from poppyhold.scheduling.ledger import Ledger
 from poppyhold.scheduling.plan_records import PlanRecords
 from poppyhold.scheduling.planner import Planner
@@ -28,7 +28,7 @@
         self._ledger = Ledger(design.horizon_slots)
         self.pricing = Pricing(design)
         self.planner = Planner(self.pricing, self._ledger, ctx.durations.slot_s, design.work_units)
-        self.estimates = Estimates()
+        self.estimates = RunTimeEstimates()
         self.bookings = Bookings(ctx.fleet, self._ledger, self.planner, self.estimates)
         self.records = PlanRecords(ctx, quotas, on_ended)
         self._ledger.current_slot = self._slot_now()
--- a/src/poppyhold/scheduling/bookings.py
+++ b/src/poppyhold/scheduling/bookings.py
@@ -5,7 +5,7 @@
 from poppyhold.model.entities import Attempt, Job, JobPhase, Machine
 from poppyhold.model.fleet import Fleet
 from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled
-from poppyhold.scheduling.estimates import Estimates
+from poppyhold.scheduling.estimates import RunTimeEstimates
 from poppyhold.scheduling.ledger import Ledger
 from poppyhold.scheduling.planner import Plan, Planner
 
@@ -13,7 +13,7 @@
 class Bookings:
     """Books what plans and attempts take, and releases it again."""
 
-    def __init__(self, fleet: Fleet, ledger: Ledger, planner: Planner, estimates: Estimates) -> None:
+    def __init__(self, fleet: Fleet, ledger: Ledger, planner: Planner, estimates: RunTimeEstimates) -> None:
         self._fleet, self._ledger, self._planner, self._estimates = fleet, ledger, planner, estimates
 
     # -- machines ------------------------------------------------------------------------------------
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -31,7 +31,7 @@
     ) -> None:
         self._ctx, self._reconciler, self._admission = ctx, reconciler, admission
         cost = PreemptionCost(ctx, admission.estimates)
-        self.placement = Placement(_wait_objectives(ctx.settings.deployment.objectives), cost.seconds)
+        self.placement = Placement(_wait_objectives(ctx.settings.deployment.objectives), cost.cost_s)
         self._gang_placement = GangPlacement(self.placement)
         self._relocation = Relocation(
             admission.pricing.weights, ctx.durations, self.placement.meets_objective, ctx.clock
--- a/src/poppyhold/scheduling/estimates.py
+++ b/src/poppyhold/scheduling/estimates.py
@@ -8,9 +8,9 @@
 from poppyhold.model.entities import Job
 
 # The mean moves by one part in so many with each run, once it has seen as many.
-_MAX_RUNS_OF_MEAN = 20
+_MAX_AVERAGED_RUNS = 20
 # So many runs give the mean half of its weight.
-_RUNS_OF_HALF_CONFIDENCE = 4.0
+_HALF_CONFIDENCE_RUNS = 4.0
 _MIN_ESTIMATE_S = 0.1
 
 
@@ -24,7 +24,7 @@
 _NO_BIAS = _ClassBias(0.0, 0)
 
 
-class Estimates:
+class RunTimeEstimates:
     """Corrects owners' estimates by how far off those of their class were."""
 
     def __init__(self) -> None:
@@ -36,11 +36,11 @@
             return
         mean, runs = self._bias_by_class.get(job.spec.job_class, _NO_BIAS)
         ratio = math.log(ran_s / job.spec.estimate_s)
-        step = 1.0 / min(runs + 1, _MAX_RUNS_OF_MEAN)
+        step = 1.0 / min(runs + 1, _MAX_AVERAGED_RUNS)
         self._bias_by_class[job.spec.job_class] = _ClassBias(mean + step * (ratio - mean), runs + 1)
 
     def estimate_s(self, job: Job) -> float:
         """The seconds to plan with for a task of the job."""
         mean, runs = self._bias_by_class.get(job.spec.job_class, _NO_BIAS)
-        confidence = runs / (runs + _RUNS_OF_HALF_CONFIDENCE)
+        confidence = runs / (runs + _HALF_CONFIDENCE_RUNS)
         return max(_MIN_ESTIMATE_S, job.spec.estimate_s * math.exp(mean * confidence))
--- a/src/poppyhold/scheduling/job_order.py
+++ b/src/poppyhold/scheduling/job_order.py
@@ -7,7 +7,7 @@
 
 from poppyhold.model.durations import Durations
 from poppyhold.model.entities import Job
-from poppyhold.scheduling.estimates import Estimates
+from poppyhold.scheduling.estimates import RunTimeEstimates
 
 # Leases after which a job that has not begun is no longer passed over for more valuable ones. With twice as
 # many, large arrays of a small fleet under overload began four minutes and more after their submission.
@@ -35,7 +35,7 @@
 class JobOrder:
     """Orders jobs by priority, guarantee, and then by what their value does while they wait."""
 
-    def __init__(self, durations: Durations, estimates: Estimates) -> None:
+    def __init__(self, durations: Durations, estimates: RunTimeEstimates) -> None:
         self._starvation_threshold_s = durations.lease_s * _STARVATION_THRESHOLD_LEASES
         self._estimates = estimates
 
--- a/src/poppyhold/scheduling/preemption_cost.py
+++ b/src/poppyhold/scheduling/preemption_cost.py
@@ -4,16 +4,16 @@
 
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Attempt
-from poppyhold.scheduling.estimates import Estimates
+from poppyhold.scheduling.estimates import RunTimeEstimates
 
 
 class PreemptionCost:
     """Seconds that are lost with an attempt: of its work, and of the wait for what takes its place."""
 
-    def __init__(self, ctx: Context, estimates: Estimates) -> None:
+    def __init__(self, ctx: Context, estimates: RunTimeEstimates) -> None:
         self._ctx, self._estimates = ctx, estimates
 
-    def seconds(self, victim: Attempt) -> float:
+    def cost_s(self, victim: Attempt) -> float:
         """The cost of preempting an attempt now."""
         job, boot_s = victim.job, victim.machine.machine_type.boot_s
         if job.is_service:
@@ -47,6 +47,6 @@
             return ran_s * job.spec.tasks
         silent_s = self._ctx.durations.silent_s
         # It saves a checkpoint only if all of its machines can be told in time.
-        reachable = all(now - mate.machine.last_heartbeat_at <= silent_s for mate in job.active.values())
+        reachable = all(now - member.machine.last_heartbeat_at <= silent_s for member in job.active.values())
         lost_s = min(ran_s, job.spec.save_s) if reachable else ran_s % job.spec.checkpoint_s
         return lost_s * job.spec.tasks
