--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -25,20 +25,20 @@
 from poppyhold.wire.worker_messages import BEFORE_IMAGE, STOPPABLE
 
 # Fetches take a third longer at times, as PROTOCOL says.
-_FETCH_SPREAD = 4 / 3
+_MAX_FETCH_SLOWDOWN = 4 / 3
 # A rate for machines whose type gives none.
 _MIN_FETCH_GB_PER_S = 1e-3
 
 # Weights of a score, in seconds: of a wait for the image that is short enough; of fetching fast, as a part of
 # what users expect; and parts of a boot time for what stays free, for a spot task on an ordinary machine, for
 # another replica of the job on the machine.
-_WAIT_IN_TIME_WEIGHT = 0.3
+_IN_TIME_WAIT_WEIGHT = 0.3
 _FAST_FETCH_WEIGHT = 0.2
-_FREE_WEIGHT = 0.02
-_SPOT_TASK_WEIGHT = 0.2
-_REPLICA_WEIGHT = 0.05
+_FREE_SHARE_WEIGHT = 0.02
+_SPOT_TASK_ON_REGULAR_WEIGHT = 0.2
+_COLOCATED_REPLICA_WEIGHT = 0.05
 # Weights of the cost of a preemption: of each second that is lost, and seconds for each victim.
-_LOSS_WEIGHT = 0.05
+_LOST_SECONDS_WEIGHT = 0.05
 _VICTIM_COST_S = 0.5
 
 
@@ -53,7 +53,7 @@
     """A choice that preempts, what it costs, and its machine's place in the order of the machines."""
 
     cost: float
-    order: int
+    machine_index: int
     choice: Choice
 
 
@@ -76,7 +76,9 @@
 
 def zone_allows(job: Job, zone: str) -> bool:
     """Whether one more task of the job may be in the zone, given all that may be on a machine."""
-    if job.spec.one_zone and any(count > 0 and held != zone for held, count in job.active_by_zone.items()):
+    if job.spec.one_zone and any(
+        count > 0 and occupied != zone for occupied, count in job.active_by_zone.items()
+    ):
         return False
     return job.active_by_zone.get(zone, 0) < zone_limit(job.spec)
 
@@ -152,7 +154,7 @@
 
     def meets_objective(self, job: Job, wait_s: float) -> bool:
         """Whether a task that waits so long for its image starts within what its users expect."""
-        return wait_s * _FETCH_SPREAD <= self._objectives_s.get(job.spec.job_class, math.inf)
+        return wait_s * _MAX_FETCH_SLOWDOWN <= self._objectives_s.get(job.spec.job_class, math.inf)
 
     def _shared_score(self, job: Job, machine: Machine, free: Resources) -> float:
         """Seconds that a placement costs any job alike: waits, and parts of a boot time. Lower is better."""
@@ -165,7 +167,7 @@
             fetch_gb_per_s = machine.machine_type.fetch_gb_per_s
             fastest_gb_per_s = max(self._fastest_fetch_gb_per_s, _MIN_FETCH_GB_PER_S)
             score = (
-                score * _WAIT_IN_TIME_WEIGHT
+                score * _IN_TIME_WAIT_WEIGHT
                 + objective_s * _FAST_FETCH_WEIGHT * fetch_gb_per_s / fastest_gb_per_s
             )
         # Packing: machines that are nearly full first, so that others empty.
@@ -179,14 +181,14 @@
             ),
             default=0.0,
         )
-        score += free_share * boot_s * _FREE_WEIGHT
+        score += free_share * boot_s * _FREE_SHARE_WEIGHT
         # Work that may run on spot machines leaves the ordinary ones to work that may not.
         if job.spec.spot and not machine.spot:
-            score += boot_s * _SPOT_TASK_WEIGHT
+            score += boot_s * _SPOT_TASK_ON_REGULAR_WEIGHT
         return score
 
     @staticmethod
-    def machines_scored_per_job(job: Job) -> set[str]:
+    def machines_with_own_score(job: Job) -> set[str]:
         """Machines whose score is another for this very job than for others like it."""
         if job.is_service and job.spec.tasks > 1:
             return job.failed_machines | {attempt.machine.name for attempt in job.active.values()}
@@ -201,7 +203,7 @@
         if job.is_service and job.spec.tasks > 1:
             score += (
                 boot_s
-                * _REPLICA_WEIGHT
+                * _COLOCATED_REPLICA_WEIGHT
                 * sum(1 for attempt in machine.attempts.values() if attempt.job is job)
             )
         return score
@@ -229,7 +231,7 @@
         )
 
     def preemption_on(
-        self, job: Job, machine: Machine, order: int, excess: QuotaExcess | None = None
+        self, job: Job, machine: Machine, machine_index: int, excess: QuotaExcess | None = None
     ) -> PreemptionOption | None:
         """The option to preempt on a machine for a task of the job, if that is allowed there at all.
 
@@ -243,8 +245,8 @@
         if victims is None:
             return None
         lost_s = sum(self._preemption_cost_s(victim) for victim in victims)
-        cost = image_wait_s(machine, job) + lost_s * _LOSS_WEIGHT + len(victims) * _VICTIM_COST_S
-        return PreemptionOption(cost, order, Choice(machine, victims))
+        cost = image_wait_s(machine, job) + lost_s * _LOST_SECONDS_WEIGHT + len(victims) * _VICTIM_COST_S
+        return PreemptionOption(cost, machine_index, Choice(machine, victims))
 
     def preemptions(
         self, job: Job, machines: Iterable[Machine], excess: QuotaExcess | None = None
@@ -252,8 +254,8 @@
         """Machines where preemption lets a task of the job start, least cost first."""
         found = []
         if self._preemptible_by_machine(job):
-            for order, machine in enumerate(machines):
-                option = self.preemption_on(job, machine, order, excess)
+            for machine_index, machine in enumerate(machines):
+                option = self.preemption_on(job, machine, machine_index, excess)
                 if option is not None:
                     found.append(option)
         found.sort(key=lambda entry: entry[:2])
@@ -268,10 +270,10 @@
             for attempt in self._preemptible_by_machine(job).get(machine.name, ())
             if not attempt.job.is_gang
         ]
-        found.sort(key=self._least_cost_first)
+        found.sort(key=self._victim_order)
         return found
 
-    def _least_cost_first(self, attempt: Attempt) -> tuple[int, float, float]:
+    def _victim_order(self, attempt: Attempt) -> tuple[int, float, float]:
         return -attempt.job.priority, self._preemption_cost_s(attempt), -attempt.sent_at
 
     def preemption_cost_s(self, attempt: Attempt) -> float:
@@ -327,12 +329,12 @@
             for attempt in candidates
             if attempt.stopping_at is None and (excess is None or attempt.job.spec.team == job.spec.team)
         ]
-        most = free
+        max_free = free
         for attempt in stoppable:
-            most = add_scaled(most, attempt.job.task_resources)
-        if not fits(job.task_resources, most):
+            max_free = add_scaled(max_free, attempt.job.task_resources)
+        if not fits(job.task_resources, max_free):
             return None
-        stoppable.sort(key=self._least_cost_first)
+        stoppable.sort(key=self._victim_order)
         chosen: list[Attempt] = []
         cpus, accelerators = excess or (0.0, 0.0)
         for attempt in stoppable:
--- a/src/poppyhold/scheduling/search.py
+++ b/src/poppyhold/scheduling/search.py
@@ -40,13 +40,13 @@
         """The best machine on which a task fits now, beside what is reserved."""
         open_zones = self._open_zones()
         # Machines that count differently for this job than for others like it are left out of the ranking.
-        scored_per_job = self._placement.machines_scored_per_job(self._job) | self._booked
+        own_score_machines = self._placement.machines_with_own_score(self._job) | self._booked
         if self._ranking is None:
             self._ranking = self._placement.ranking(self._job, self._view)
         else:
             self._ranking.update()
-        best = self._ranking.best(open_zones, scored_per_job)
-        for name in scored_per_job:
+        best = self._ranking.best(open_zones, own_score_machines)
+        for name in own_score_machines:
             ranked = self._scored_for_job(name, open_zones)
             if ranked is not None and (best is None or ranked < best):
                 best = ranked
@@ -82,8 +82,8 @@
             (i for i, option in enumerate(self._preemptions) if option.choice.machine is machine), None
         )
         if index is not None:
-            order = self._preemptions.pop(index).order
-            option = self._placement.preemption_on(self._job, machine, order)
+            machine_index = self._preemptions.pop(index).machine_index
+            option = self._placement.preemption_on(self._job, machine, machine_index)
             if option is not None:
                 bisect.insort(self._preemptions, option, key=lambda entry: entry[:2])
 
