--- a/src/poppyhold/scheduling/ledger.py
+++ b/src/poppyhold/scheduling/ledger.py
@@ -11,7 +11,7 @@
 EVERY_SLOT = -1
 
 # Below this an amount is what rounding leaves of a booking that was released.
-_ROUNDING = 1e-9
+_ROUNDING_TOLERANCE = 1e-9
 
 
 class EquivalenceKey(NamedTuple):
@@ -86,7 +86,7 @@
             self._free_and_prices.clear()
             return
         booked = add_scaled(self.slots.get(slot, NO_RESOURCES), need, factor)
-        if all(abs(amount) < _ROUNDING for amount in booked):
+        if all(abs(amount) < _ROUNDING_TOLERANCE for amount in booked):
             self.slots.pop(slot, None)
         else:
             self.slots[slot] = booked
@@ -139,14 +139,14 @@
     def _regroup(self, name: str) -> None:
         bookings = self.machines.get(name)
         key = bookings.equivalence_key() if bookings is not None else None
-        before = self._key_by_name.get(name)
-        if key == before:
+        previous_key = self._key_by_name.get(name)
+        if key == previous_key:
             return
-        if before is not None:
-            equivalent = self._names_by_key[before]
+        if previous_key is not None:
+            equivalent = self._names_by_key[previous_key]
             del equivalent[name], self._key_by_name[name]
             if not equivalent:
-                del self._names_by_key[before]
+                del self._names_by_key[previous_key]
         if key is not None:
             self._names_by_key.setdefault(key, {})[name] = None
             self._key_by_name[name] = key
--- a/src/poppyhold/scheduling/planner.py
+++ b/src/poppyhold/scheduling/planner.py
@@ -13,11 +13,11 @@
 from poppyhold.scheduling.ledger import EVERY_SLOT, Ledger, MachineBookings, MachineGroup
 from poppyhold.scheduling.pricing import Pricing, machine_shares, price_of
 
-INFINITE = float("inf")
+INFINITE_COST = float("inf")
 # The least part of a slot that a task counts for.
-_MIN_SLOT_SHARE = 0.01
+_MIN_SLOT_FRACTION = 0.01
 # A span that ends less than this beyond a slot's end does not touch the next one.
-_ROUNDING_SLOTS = 1e-9
+_ROUNDING_TOLERANCE_SLOTS = 1e-9
 
 
 class Plan(msgspec.Struct, eq=False):
@@ -55,11 +55,11 @@
     group: MachineGroup
 
 
-class _Units(NamedTuple):
+class _WorkUnits(NamedTuple):
     """The tasks of a job in units that the dynamic program counts; the last one may not be full."""
 
     tasks: int
-    tasks_each: int
+    tasks_per_unit: int
     total: int
 
 
@@ -71,21 +71,21 @@
 
     def span_slots(self, estimate_s: float) -> int:
         """Slots that a task with this estimate touches when it starts at a slot's begin."""
-        return max(1, math.ceil(estimate_s / self._slot_s - _ROUNDING_SLOTS))
+        return max(1, math.ceil(estimate_s / self._slot_s - _ROUNDING_TOLERANCE_SLOTS))
 
     def plan(self, job: Job, tasks: int, estimate_s: float, now: float) -> Plan | None:
         """The plan with the highest payoff, or None if the job does not fit at all."""
         groups = self._groups(job)
         if not groups or tasks <= 0:
             return None
-        shares = max(machine_shares(job.task_resources, group.bookings.capacity) for group in groups)
+        shares_per_task = max(machine_shares(job.task_resources, group.bookings.capacity) for group in groups)
         best: Plan | None = None
         for zone in self._candidate_zones(job, groups):
             in_zone = [group for group in groups if zone is None or group.bookings.zone == zone]
             found = (
-                self._plan_service(job, tasks, in_zone, shares)
+                self._plan_service(job, tasks, in_zone, shares_per_task)
                 if job.is_service
-                else self._plan_array(job, tasks, estimate_s, now, in_zone, shares)
+                else self._plan_array(job, tasks, estimate_s, now, in_zone, shares_per_task)
             )
             if found is not None and (best is None or found.payoff > best.payoff):
                 best = found
@@ -111,9 +111,9 @@
         """The zones that are planned on one by one; None: all of them together."""
         if not job.spec.one_zone:
             return [None]
-        held = [zone for zone, count in job.active_by_zone.items() if count > 0]
+        occupied = [zone for zone, count in job.active_by_zone.items() if count > 0]
         zones: list[str | None] = []
-        zones += held or sorted({group.bookings.zone for group in groups})
+        zones += occupied or sorted({group.bookings.zone for group in groups})
         return zones
 
     def offers(
@@ -123,16 +123,20 @@
         first: int,
         last: int,
         tasks: int,
-        slot_share: float = 1.0,
+        slot_fraction: float = 1.0,
     ) -> list[Offer]:
         """Offers for tasks that hold all the slots from ``first`` to ``last``, cheapest first.
 
-        ``slot_share`` is the part of a slot that a task takes, where several fit one after another. What a
+        ``slot_fraction`` is the part of a slot that a task takes, where several fit one after another. What a
         zone offers beyond all the tasks is left out.
         """
         need = job.task_resources
-        if slot_share != 1.0:
-            need = (need[CPUS] * slot_share, need[ACCELERATORS] * slot_share, need[MEMORY_GB] * slot_share)
+        if slot_fraction != 1.0:
+            need = (
+                need[CPUS] * slot_fraction,
+                need[ACCELERATORS] * slot_fraction,
+                need[MEMORY_GB] * slot_fraction,
+            )
         group_offers: list[_GroupOffer] = []
         for group in groups:
             max_tasks, cost = self._capacity_on(group.bookings, need, first, last, tasks)
@@ -189,7 +193,9 @@
 
     # -- services ------------------------------------------------------------------------------------
 
-    def _plan_service(self, job: Job, tasks: int, groups: list[MachineGroup], shares: float) -> Plan | None:
+    def _plan_service(
+        self, job: Job, tasks: int, groups: list[MachineGroup], shares_per_task: float
+    ) -> Plan | None:
         """Replicas that all start now, and hold every slot of the horizon."""
         first, horizon = self._ledger.current_slot, self._ledger.horizon_slots
         offers = self.offers(job, groups, first, first + horizon - 1, tasks)
@@ -198,7 +204,7 @@
             return None
         cost_by_machine = {offer.machine: offer.cost for offer in offers}
         cost = sum(cost_by_machine[name] * count for name, count in chosen.items())
-        value = self._pricing.weights[job.priority] * shares * tasks * horizon
+        value = self._pricing.weights[job.priority] * shares_per_task * tasks * horizon
         return Plan(value - cost, {first: chosen})
 
     # -- arrays and gangs ----------------------------------------------------------------------------
@@ -210,26 +216,28 @@
         estimate_s: float,
         now: float,
         groups: list[MachineGroup],
-        shares: float,
+        shares_per_task: float,
     ) -> Plan | None:
         """The best end slot, by a dynamic program over the slots and the units that start in each."""
         span = self.span_slots(estimate_s)
-        slot_share = min(1.0, max(estimate_s / self._slot_s, _MIN_SLOT_SHARE)) if span == 1 else 1.0
+        slot_fraction = min(1.0, max(estimate_s / self._slot_s, _MIN_SLOT_FRACTION)) if span == 1 else 1.0
         units = self._units(job, tasks)
-        offers = self._offers_by_slot(job, groups, span, tasks, slot_share)
+        offers = self._offers_by_slot(job, groups, span, tasks, slot_fraction)
         costs_by_slot = [self._unit_costs(job, offered, units) for offered in offers]
         # cheapest[n]: least cost of starting n units up to the slot looked at; choices recover them.
-        cheapest = [0.0] + [INFINITE] * units.total
+        cheapest = [0.0] + [INFINITE_COST] * units.total
         choices: list[list[int]] = []
-        best_payoff, best_end = -INFINITE, -1
+        best_payoff, best_end = -INFINITE_COST, -1
         for offset, unit_costs in enumerate(costs_by_slot):
             cheapest, choice = self._add_slot(cheapest, unit_costs)
             choices.append(choice)
-            if cheapest[units.total] < INFINITE and choice[units.total]:
-                end_at = now + (offset + max(slot_share, span)) * self._slot_s
+            if cheapest[units.total] < INFINITE_COST and choice[units.total]:
+                end_at = now + (offset + max(slot_fraction, span)) * self._slot_s
                 if offset == 0:
                     end_at = now + estimate_s
-                value = self._pricing.value(job, shares * tasks * span * slot_share, end_at, self._slot_s)
+                value = self._pricing.value(
+                    job, shares_per_task * tasks * span * slot_fraction, end_at, self._slot_s
+                )
                 payoff = value - cheapest[units.total]
                 if payoff > best_payoff:
                     best_payoff, best_end = payoff, offset
@@ -237,13 +245,13 @@
             return None
         return Plan(best_payoff, self._starts(job, offers, choices[: best_end + 1], units))
 
-    def _units(self, job: Job, tasks: int) -> _Units:
+    def _units(self, job: Job, tasks: int) -> _WorkUnits:
         # A gang is one unit of work: it starts whole in a slot.
         per_unit = tasks if job.is_gang else max(1, math.ceil(tasks / self._max_units))
-        return _Units(tasks, per_unit, math.ceil(tasks / per_unit))
+        return _WorkUnits(tasks, per_unit, math.ceil(tasks / per_unit))
 
     def _offers_by_slot(
-        self, job: Job, groups: list[MachineGroup], span: int, tasks: int, slot_share: float
+        self, job: Job, groups: list[MachineGroup], span: int, tasks: int, slot_fraction: float
     ) -> list[list[Offer]]:
         """The offers for tasks that start in each slot of the horizon.
 
@@ -252,19 +260,19 @@
         first, horizon = self._ledger.current_slot, self._ledger.horizon_slots
         end = first + horizon - 1
         return [
-            self.offers(job, groups, slot, min(slot + span - 1, end), tasks, slot_share)
+            self.offers(job, groups, slot, min(slot + span - 1, end), tasks, slot_fraction)
             for slot in range(first, first + horizon)
         ]
 
-    def _unit_costs(self, job: Job, offers: list[Offer], units: _Units) -> list[float]:
+    def _unit_costs(self, job: Job, offers: list[Offer], units: _WorkUnits) -> list[float]:
         """Cost of starting 0, 1, ... units in a slot; infinite where they don't fit."""
-        costs = [0.0] + [INFINITE] * units.total
+        costs = [0.0] + [INFINITE_COST] * units.total
         cost_by_machine = {offer.machine: offer.cost for offer in offers}
         total, placed, unit = 0.0, 0, 1
         for name, chosen in self.fill(job, offers, units.tasks).items():
             remaining = chosen
             while remaining and unit <= units.total:
-                goal = min(unit * units.tasks_each, units.tasks)
+                goal = min(unit * units.tasks_per_unit, units.tasks)
                 count = min(remaining, goal - placed)
                 total += count * cost_by_machine[name]
                 placed += count
@@ -277,30 +285,30 @@
     @staticmethod
     def _add_slot(cheapest: list[float], unit_costs: list[float]) -> tuple[list[float], list[int]]:
         """One more slot of the dynamic program: the least cost of each amount, and how much starts here."""
-        following = list(cheapest)
+        updated = list(cheapest)
         choice = [0] * len(cheapest)
         for done in range(1, len(cheapest)):
-            for here in range(1, done + 1):
-                cost = unit_costs[here]
-                if cost == INFINITE:
+            for units_here in range(1, done + 1):
+                cost = unit_costs[units_here]
+                if cost == INFINITE_COST:
                     break
-                total = cheapest[done - here] + cost
-                if total < following[done]:
-                    following[done], choice[done] = total, here
-        return following, choice
+                total = cheapest[done - units_here] + cost
+                if total < updated[done]:
+                    updated[done], choice[done] = total, units_here
+        return updated, choice
 
     def _starts(
-        self, job: Job, offers: list[list[Offer]], choices: list[list[int]], units: _Units
+        self, job: Job, offers: list[list[Offer]], choices: list[list[int]], units: _WorkUnits
     ) -> dict[int, dict[str, int]]:
         """Tasks by slot and machine, from how many units the dynamic program chose in each slot."""
         starts: dict[int, dict[str, int]] = {}
         remaining = units.total
         for offset in range(len(choices) - 1, -1, -1):
-            here = choices[offset][remaining]
-            if here:
-                count = min(here * units.tasks_each, units.tasks)
+            units_here = choices[offset][remaining]
+            if units_here:
+                count = min(units_here * units.tasks_per_unit, units.tasks)
                 starts[self._ledger.current_slot + offset] = self.fill(job, offers[offset], count)
-                remaining -= here
+                remaining -= units_here
         self._trim_excess(starts, units.tasks)
         return starts
 
