--- a/src/poppyhold/scheduling/pricing.py
+++ b/src/poppyhold/scheduling/pricing.py
@@ -17,22 +17,22 @@
             design.weight_standard,
             design.weight_best_effort,
         )
-        self.lowest = min(self.weights) * design.lowest_price
-        self.highest = max(self.weights)
-        self._ratio = self.highest / self.lowest
+        self.min_price = min(self.weights) * design.lowest_price
+        self.max_price = max(self.weights)
+        self._ratio = self.max_price / self.min_price
         self._late_value = design.late_value
 
     def price(self, booked: float, capacity: float) -> float:
         """Price of one machine's share of a resource in a slot, L when free and U when full."""
         if capacity <= 0:
-            return self.highest
-        return float(self.lowest * self._ratio ** min(1.0, max(0.0, booked / capacity)))
+            return self.max_price
+        return float(self.min_price * self._ratio ** min(1.0, max(0.0, booked / capacity)))
 
     def unit_prices(self, booked: Resources, capacity: Resources) -> Resources:
         """Prices of a unit of each resource of a machine in a slot."""
         cpus, accelerators, memory = (
-            self.price(used, all_) / all_ if all_ > 0 else 0.0
-            for used, all_ in zip(booked, capacity, strict=True)
+            self.price(used, total) / total if total > 0 else 0.0
+            for used, total in zip(booked, capacity, strict=True)
         )
         return cpus, accelerators, memory
 
@@ -52,4 +52,6 @@
 
 def machine_shares(need: Resources, capacity: Resources) -> float:
     """Machine shares of one task, summed over resources."""
-    return sum(want / all_ for want, all_ in zip(need, capacity, strict=True) if want > 0 and all_ > 0)
+    return sum(
+        needed / total for needed, total in zip(need, capacity, strict=True) if needed > 0 and total > 0
+    )
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -125,11 +125,11 @@
             machine
             for machine in machines
             if all(
-                left > EPSILON
-                for left, all_ in zip(
+                free > EPSILON
+                for free, total in zip(
                     machine.free_after_reservations(reserved), machine.capacity, strict=True
                 )
-                if all_ > 0
+                if total > 0
             )
         )
         return list(itertools.islice(with_free_capacity, _MAX_TARGETS))
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -82,9 +82,9 @@
 
 def test_price_runs_from_lowest_to_highest() -> None:
     pricing = Pricing(Design())
-    assert pricing.price(0.0, 8.0) == pytest.approx(pricing.lowest)
-    assert pricing.price(8.0, 8.0) == pytest.approx(pricing.highest)
-    assert pricing.price(4.0, 8.0) == pytest.approx((pricing.lowest * pricing.highest) ** 0.5)
+    assert pricing.price(0.0, 8.0) == pytest.approx(pricing.min_price)
+    assert pricing.price(8.0, 8.0) == pytest.approx(pricing.max_price)
+    assert pricing.price(4.0, 8.0) == pytest.approx((pricing.min_price * pricing.max_price) ** 0.5)
 
 
 def test_full_machines_admit_nothing_and_half_full_ones_only_what_is_worth_it() -> None:
