--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -40,7 +40,7 @@
     cost: float
 
 
-class _Clearing(NamedTuple):
+class _RelocationPlan(NamedTuple):
     """The moves that let one task start on a machine, and what they cost together."""
 
     cost: float
@@ -66,36 +66,40 @@
         self._moves: list[Move] = []
         # When replicas moved within the last lease.
         self._moved_at: deque[float] = deque()
-        self._searches_left = 0
+        self._remaining_searches = 0
         self._infeasible: set[tuple[str, Resources, int]] = set()
 
     def begin_cycle(self, reserved: dict[str, Resources]) -> None:
         """Begin a scheduling cycle: reserve capacity for replicas that have not left their machines yet."""
-        self._moves = [move for move in self._moves if _on_its_machine(move.attempt)]
+        self._moves = [move for move in self._moves if _may_still_run(move.attempt)]
         for move in self._moves:
             _reserve(reserved, move)
-        self._searches_left = _MAX_SEARCHES
+        self._remaining_searches = _MAX_SEARCHES
         self._infeasible.clear()
 
     def relocate_for(
         self, job: Job, wait_s: float, machines: list[Machine], reserved: dict[str, Resources]
     ) -> Choice | None:
         """A machine with the job's image and the replicas that move away, if that costs less than waiting."""
-        kind = (job.spec.image, job.task_resources, job.priority)
-        if self._searches_left <= 0 or kind in self._infeasible or self._moves_left(machines) <= 0:
+        search_key = (job.spec.image, job.task_resources, job.priority)
+        if (
+            self._remaining_searches <= 0
+            or search_key in self._infeasible
+            or self._remaining_moves(machines) <= 0
+        ):
             return None
-        self._searches_left -= 1
+        self._remaining_searches -= 1
         targets = self._targets(machines, reserved)
-        best: _Clearing | None = None
+        best: _RelocationPlan | None = None
         for machine in machines:
-            if not self._may_take(job, machine):
+            if not self._could_start_on(job, machine):
                 continue
             moves = self._moves_from(job, machine, targets, reserved)
             cost = sum(move.cost for move in moves)
             if moves and (best is None or cost < best.cost):
-                best = _Clearing(cost, machine, moves)
+                best = _RelocationPlan(cost, machine, moves)
         if best is None or best.cost >= wait_s * self._weights[job.priority]:
-            self._infeasible.add(kind)
+            self._infeasible.add(search_key)
             return None
         _, machine, moves = best
         for move in moves:
@@ -107,14 +111,14 @@
         self._moved_at.extend([self._clock()] * len(moves))
         return Choice(machine, [move.attempt for move in moves])
 
-    def _moves_left(self, machines: list[Machine]) -> int:
+    def _remaining_moves(self, machines: list[Machine]) -> int:
         """How many replicas may still move within this lease."""
         while self._moved_at and self._moved_at[0] < self._clock() - self._lease_s:
             self._moved_at.popleft()
         return max(1, len(machines) // _MACHINES_PER_MOVE) - len(self._moved_at)
 
     @staticmethod
-    def _may_take(job: Job, machine: Machine) -> bool:
+    def _could_start_on(job: Job, machine: Machine) -> bool:
         """Whether a task of the job could start at once, if the machine had free capacity."""
         return job.spec.image in machine.images and may_use(job, machine) and zone_allows(job, machine.zone)
 
@@ -138,7 +142,7 @@
         self, job: Job, machine: Machine, targets: list[Machine], reserved: dict[str, Resources]
     ) -> list[Move]:
         """The replicas whose moves let one task start on a machine; none if that can't be."""
-        taken = dict(reserved)
+        reserved_after_moves = dict(reserved)
         free = machine.free_after_reservations(reserved)
         options = [
             move
@@ -150,11 +154,11 @@
         chosen: list[Move] = []
         for option in options:
             # What others found free may be taken by an earlier one of these.
-            move = self._best_move(job, option.attempt, targets, taken) if chosen else option
+            move = self._best_move(job, option.attempt, targets, reserved_after_moves) if chosen else option
             if move is None:
                 continue
             chosen.append(move)
-            _reserve(taken, move)
+            _reserve(reserved_after_moves, move)
             free = add_scaled(free, move.attempt.job.task_resources)
             if fits(job.task_resources, free):
                 return chosen
@@ -162,12 +166,12 @@
 
     def _may_move(self, job: Job, attempt: Attempt) -> bool:
         """Whether a replica may move for the job. A start that is stopped soon is of no use to its user."""
-        other = attempt.job
+        replica_job = attempt.job
         return (
-            other.is_service
-            and other is not job
-            and other.phase is not JobPhase.FINALIZED
-            and other.priority >= job.priority
+            replica_job.is_service
+            and replica_job is not job
+            and replica_job.phase is not JobPhase.FINALIZED
+            and replica_job.priority >= job.priority
             and attempt.status == TaskState.RUNNING
             and attempt.stopping_at is None
             and attempt.running_at is not None
@@ -178,32 +182,32 @@
         self, job: Job, attempt: Attempt, targets: list[Machine], reserved: dict[str, Resources]
     ) -> Move | None:
         """The best next machine of a replica. One of the same priority only moves to where its image is."""
-        other = attempt.job
+        replica_job = attempt.job
         best_target: Machine | None = None
         best_wait_s = math.inf
         for target in targets:
-            if target is attempt.machine or not may_use(other, target):
+            if target is attempt.machine or not may_use(replica_job, target):
                 continue
-            if target.zone != attempt.machine.zone and not zone_allows(other, target.zone):
+            if target.zone != attempt.machine.zone and not zone_allows(replica_job, target.zone):
                 continue
-            if not fits(other.task_resources, target.free_after_reservations(reserved)):
+            if not fits(replica_job.task_resources, target.free_after_reservations(reserved)):
                 continue
-            wait_s = image_wait_s(target, other)
-            if not self._may_move_to(other, wait_s, other.priority == job.priority):
+            wait_s = image_wait_s(target, replica_job)
+            if not self._may_move_to(replica_job, wait_s, replica_job.priority == job.priority):
                 continue
             if best_target is None or wait_s < best_wait_s:
                 best_target, best_wait_s = target, wait_s
         if best_target is None:
             return None
-        cost = (best_wait_s + self._restart_s) * self._weights[other.priority]
+        cost = (best_wait_s + self._restart_s) * self._weights[replica_job.priority]
         return Move(attempt, best_target, cost)
 
-    def _may_move_to(self, job: Job, wait_s: float, for_an_equal: bool) -> bool:
+    def _may_move_to(self, job: Job, wait_s: float, equal_priority: bool) -> bool:
         """Whether a replica may wait so long on its next machine: for one of the same priority not at all."""
-        return wait_s <= 0 if for_an_equal else self._meets_objective(job, wait_s)
+        return wait_s <= 0 if equal_priority else self._meets_objective(job, wait_s)
 
 
-def _on_its_machine(attempt: Attempt) -> bool:
+def _may_still_run(attempt: Attempt) -> bool:
     """Whether an attempt is not proven to be terminated."""
     return attempt.machine.attempts.get(attempt.name) is attempt
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -158,7 +158,7 @@
     Guard("zone_cut_keeps_machines", FleetSurvey, "silent_zones", _no_zones),
     Guard("zone_cut_keeps_machines", MachineMonitor, "_block_launches_in", _never),
     Guard("image_holders_make_room", Relocation, "relocate_for", _never),
-    Guard("image_holders_one_at_a_time", Relocation, "_moves_left", _plenty),
+    Guard("image_holders_one_at_a_time", Relocation, "_remaining_moves", _plenty),
     Guard("image_holders_keep_equals", Relocation, "_may_move_to", _always),
 ]
 
