--- a/src/poppyhold/node/submission_policy.py
+++ b/src/poppyhold/node/submission_policy.py
@@ -29,7 +29,7 @@
             return "unknown team"
         # The tasks of an array may run one after the other.
         tasks = 1 if spec.shape == "array" else spec.tasks
-        if not self._quotas.ever_fits(spec.team, (spec.cpus, spec.accelerators, spec.memory_gb), tasks):
+        if not self._quotas.fits_limit(spec.team, (spec.cpus, spec.accelerators, spec.memory_gb), tasks):
             return "above the team's limit"
         if machine_types and not allowed_machine_types(spec, machine_types.values()):
             return "fits no machine type"
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -21,7 +21,7 @@
 class Admission:
     """Plans jobs on priced capacity, and plans them again as capacity is released."""
 
-    def __init__(self, ctx: Context, quotas: Quotas, on_ended: Callable[[Job], None]) -> None:
+    def __init__(self, ctx: Context, quotas: Quotas, on_found_finalized: Callable[[Job], None]) -> None:
         self._ctx = ctx
         design = ctx.options.design
         self._max_plans = design.work_units
@@ -30,7 +30,7 @@
         self.planner = Planner(self.pricing, self._ledger, ctx.durations.slot_s, design.work_units)
         self.estimates = RunTimeEstimates()
         self.bookings = Bookings(ctx.fleet, self._ledger, self.planner, self.estimates)
-        self.records = PlanRecords(ctx, quotas, on_ended)
+        self.records = PlanRecords(ctx, quotas, on_found_finalized)
         self._ledger.current_slot = self._slot_now()
         self._capacity_released = True
         self._next_replan_at = 0.0
--- a/src/poppyhold/scheduling/free_capacity.py
+++ b/src/poppyhold/scheduling/free_capacity.py
@@ -21,7 +21,7 @@
 _LOG_ENTRIES_PER_MACHINE = 4
 
 # The score of a machine for any job of a kind, lower is better; None if no task fits.
-Score = Callable[[Machine], float | None]
+ScoreFunction = Callable[[Machine], float | None]
 
 
 class RankedMachine(NamedTuple):
@@ -90,7 +90,7 @@
 class Ranking:
     """The machines of a view on which a task of one kind of job fits, best first."""
 
-    def __init__(self, view: FreeCapacityView, score: Score) -> None:
+    def __init__(self, view: FreeCapacityView, score: ScoreFunction) -> None:
         self._view, self._score = view, score
         self._log_position = -1
         self._ranked: list[RankedMachine] = []
@@ -104,7 +104,7 @@
             self._score_all()
             return
         for name in changes:
-            self._score_again(name)
+            self._rescore(name)
 
     def _score_all(self) -> None:
         scores = ((self._score(machine), machine) for machine in self._view.machines.values())
@@ -113,10 +113,10 @@
         )
         self._ranked_by_name = {ranked.machine.name: ranked for ranked in self._ranked}
 
-    def _score_again(self, name: str) -> None:
-        before = self._ranked_by_name.pop(name, None)
-        if before is not None:
-            del self._ranked[bisect.bisect_left(self._ranked, before)]
+    def _rescore(self, name: str) -> None:
+        previous = self._ranked_by_name.pop(name, None)
+        if previous is not None:
+            del self._ranked[bisect.bisect_left(self._ranked, previous)]
         machine = self._view.machines.get(name)
         score = self._score(machine) if machine is not None else None
         if machine is not None and score is not None:
@@ -158,7 +158,7 @@
         """Drop all rankings: scores are no longer what they were."""
         self._rankings.clear()
 
-    def ranking(self, view: FreeCapacityView, job: Job, score: Score) -> Ranking:
+    def ranking(self, view: FreeCapacityView, job: Job, score: ScoreFunction) -> Ranking:
         """The up-to-date ranking for jobs like this one."""
         spec = job.spec
         machine_types = None if spec.machine_types is None else tuple(spec.machine_types)
--- a/src/poppyhold/scheduling/plan_records.py
+++ b/src/poppyhold/scheduling/plan_records.py
@@ -18,14 +18,14 @@
 from poppyhold.wire.user_messages import PRIORITIES
 
 # Jobs of this priority and above it are urgent.
-_LEAST_URGENT = PRIORITIES.index("high")
+_LOWEST_URGENT_PRIORITY = PRIORITIES.index("high")
 
 
 class PlanRecords:
     """Makes plans durable, and takes those that earlier leaders made durable."""
 
-    def __init__(self, ctx: Context, quotas: Quotas, on_ended: Callable[[Job], None]) -> None:
-        self._ctx, self._quotas, self._on_ended = ctx, quotas, on_ended
+    def __init__(self, ctx: Context, quotas: Quotas, on_found_finalized: Callable[[Job], None]) -> None:
+        self._ctx, self._quotas, self._on_found_finalized = ctx, quotas, on_found_finalized
         self._max_record_bytes = ctx.settings.deployment.state.lowest.value_bytes
 
     def write(self, job: Job) -> None:
@@ -35,14 +35,14 @@
         job.plan_write_in_flight = True
         data = self._record(job)
 
-        def on_committed(done: bool) -> None:
+        def on_committed(committed: bool) -> None:
             job.plan_write_in_flight = False
-            if done:
+            if committed:
                 job.plan_durable = True
                 self._ctx.scheduling_needed = True
             else:
                 # Its record is gone: the job is finalized, and the news of that came before its own.
-                self._on_ended(job)
+                self._on_found_finalized(job)
 
         conditions = {ACTIVE_JOB_PREFIX + job.id: job.version}
         self._ctx.outbound.commit(
@@ -60,7 +60,7 @@
 
     def remove(self, job_id: str) -> None:
         """Remove the plan of a finalized job, when nobody waits for changes."""
-        self._ctx.outbound.commit({}, [Delete(PLAN_PREFIX + job_id)], lambda done: None)
+        self._ctx.outbound.commit({}, [Delete(PLAN_PREFIX + job_id)], lambda committed: None)
 
     def commit_priority(self, job: Job) -> CommitPriority:
         """The priority of a change of a job that somebody waits for."""
@@ -74,7 +74,7 @@
         priority = self.commit_priority(job)
         return (
             CommitPriority.URGENT
-            if priority is CommitPriority.AWAITED and job.priority <= _LEAST_URGENT
+            if priority is CommitPriority.AWAITED and job.priority <= _LOWEST_URGENT_PRIORITY
             else priority
         )
 
--- a/src/poppyhold/scheduling/quotas.py
+++ b/src/poppyhold/scheduling/quotas.py
@@ -88,7 +88,7 @@
         quota = self._teams.get(team)
         return quota is not None and quota.has_guarantee
 
-    def ever_fits(self, team: str, need: Resources, tasks: int) -> bool:
+    def fits_limit(self, team: str, need: Resources, tasks: int) -> bool:
         """Whether so many tasks stay within the team's limit."""
         quota = self._teams[team]
         return (
--- a/src/poppyhold/scheduling/task_scheduler.py
+++ b/src/poppyhold/scheduling/task_scheduler.py
@@ -99,9 +99,9 @@
         wait_s = image_wait_s(choice.machine, job)
         if self._placement.meets_objective(job, wait_s):
             return choice
-        return self._choose_sooner(cycle, job, search, wait_s, reserved) or choice
+        return self._choose_with_earlier_start(cycle, job, search, wait_s, reserved) or choice
 
-    def _choose_sooner(
+    def _choose_with_earlier_start(
         self,
         cycle: CycleState,
         job: Job,
--- a/src/poppyhold/scheduling/task_starter.py
+++ b/src/poppyhold/scheduling/task_starter.py
@@ -19,14 +19,14 @@
 
     def start(self, job: Job, index: int, choice: Choice) -> None:
         """Start a task, unless gangs among its victims have to save their checkpoints first."""
-        if self._await_gangs(job, choice):
+        if self._stop_gangs_first(job, choice):
             return
         attempt = self._reconciler.lifecycle.start(job, index, choice.machine, choice.victims)
         self._placement.record_preemptions(choice)
         self._bookings.consume_start(job, choice.machine.name)
         self._bookings.book_attempt(attempt)
 
-    def _await_gangs(self, job: Job, choice: Choice) -> bool:
+    def _stop_gangs_first(self, job: Job, choice: Choice) -> bool:
         """Whether a start has to wait for gangs among its victims, which are stopped whole and save first."""
         gangs = {victim.job.id: victim.job for victim in choice.victims if victim.job.is_gang}
         if not gangs:
@@ -34,6 +34,6 @@
         now = self._ctx.clock()
         for gang in gangs.values():
             self._reconciler.lifecycle.gangs.stop(gang, now)
-        saving_s = max(gang.spec.save_s for gang in gangs.values())
-        job.may_preempt_at = now + saving_s + 2 * self._ctx.durations.heartbeat_interval_s
+        save_s = max(gang.spec.save_s for gang in gangs.values())
+        job.may_preempt_at = now + save_s + 2 * self._ctx.durations.heartbeat_interval_s
         return True
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -141,7 +141,7 @@
     Guard("gang_alone", Gangs, "_avoid_late_machines", _never),
     Guard("gang_recall", Gangs, "stop", _kill),
     Guard("gang_preempts", GangPlacement, "choose_with_preemption", _never),
-    Guard("gang_preempted", TaskStarter, "_await_gangs", _never),
+    Guard("gang_preempted", TaskStarter, "_stop_gangs_first", _never),
     Guard("gang_not_starved", GangScheduler, "_reserve_for", _never),
     Guard("gang_team_limit", GangScheduler, "_reserve_for", _never),
     Guard("gang_half_sent", Gangs, "adopt", _never),
