--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from poppyhold.execution.attempt_lifecycle import AttemptLifecycle
-from poppyhold.execution.failures import Failures
+from poppyhold.execution.failures import FailureTracker
 from poppyhold.execution.heartbeat_commands import HeartbeatCommands
 from poppyhold.execution.lease_expiry import LeaseExpiry
 from poppyhold.execution.machine_records import request_machine_record
@@ -25,7 +25,7 @@
         on_task_completed: Callable[[Job, int], None],
         on_attempt_terminated: Callable[[Attempt], None],
         on_run_completed: Callable[[Attempt, float], None],
-        failures: Failures,
+        failures: FailureTracker,
     ) -> None:
         self._ctx = ctx
         self.failures = failures
--- a/src/poppyhold/execution/task_observation.py
+++ b/src/poppyhold/execution/task_observation.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from poppyhold.execution.attempt_lifecycle import AttemptLifecycle
-from poppyhold.execution.failures import Failures
+from poppyhold.execution.failures import FailureTracker
 from poppyhold.model.context import Context
 from poppyhold.model.entities import TASK_DONE, Attempt, Job, JobPhase, Machine
 from poppyhold.wire.task_names import split_task
@@ -22,7 +22,7 @@
         self,
         ctx: Context,
         lifecycle: AttemptLifecycle,
-        failures: Failures,
+        failures: FailureTracker,
         on_task_completed: Callable[[Job, int], None],
         on_run_completed: Callable[[Attempt, float], None],
     ) -> None:
--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -95,12 +95,12 @@
     # on, since the job was shown to be sound.
     rounds: int = 0
     machines: set[str] = msgspec.field(default_factory=set)
-    last_at: float = float("-inf")
+    last_failed_at: float = float("-inf")
     # The longest that a failed task ran.
-    lasted_s: float = 0.0
+    longest_run_s: float = 0.0
     # It fails on every machine, as far as one can tell; and when it was last shown to be sound.
     at_fault: bool = False
-    sound_at: float = float("-inf")
+    last_healthy_at: float = float("-inf")
 
 
 class Job(msgspec.Struct, eq=False):
@@ -203,7 +203,7 @@
         record = self.failures
         if not record.rounds or self.done or self.is_gang:
             return most
-        probes = sum(attempt.sent_at >= record.last_at for attempt in self.active.values())
+        probes = sum(attempt.sent_at >= record.last_failed_at for attempt in self.active.values())
         return min(most, max(0, 1 - probes))
 
     def complete(self, index: int) -> bool:
@@ -231,14 +231,14 @@
     occurred_at: float
 
     @property
-    def job_is_sound(self) -> bool:
+    def job_is_healthy(self) -> bool:
         """Whether the job has run elsewhere, so that the error was the machine's."""
-        return self.job.done > 0 or self.job.failures.sound_at > self.occurred_at
+        return self.job.done > 0 or self.job.failures.last_healthy_at > self.occurred_at
 
     @property
-    def may_be_the_machine(self) -> bool:
+    def machine_may_be_at_fault(self) -> bool:
         """Whether the machine may be at fault. For a job that ended without success it can't be told."""
-        return self.job_is_sound or not (self.job.phase is JobPhase.FINALIZED or self.job.failures.at_fault)
+        return self.job_is_healthy or not (self.job.phase is JobPhase.FINALIZED or self.job.failures.at_fault)
 
 
 # Machines in the order in which they became known.
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -9,7 +9,7 @@
 from poppyhold.durable.keys import ACTIVE_JOB_PREFIX
 from poppyhold.durable.snapshot import Snapshot
 from poppyhold.execution.completions import Completions
-from poppyhold.execution.failures import Failures
+from poppyhold.execution.failures import FailureTracker
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.autoscaler import Autoscaler
 from poppyhold.model.context import Context, ImageHints
@@ -69,7 +69,7 @@
             fencing_token=fencing_token,
         )
         self._quotas = Quotas(settings.deployment.teams)
-        self.failures = Failures(times, clock, self._on_job_judged)
+        self.failures = FailureTracker(times, clock, self._on_job_judged)
         self.reconciler = AttemptReconciler(
             self.ctx, self._on_task_completed, self._on_attempt_ended, self._on_task_ran, self.failures
         )
--- a/src/poppyhold/node/state_loader.py
+++ b/src/poppyhold/node/state_loader.py
@@ -6,7 +6,7 @@
 from poppyhold.durable.records import MachineRecord
 from poppyhold.durable.snapshot import Snapshot
 from poppyhold.execution.completions import Completions
-from poppyhold.execution.failures import Failures
+from poppyhold.execution.failures import FailureTracker
 from poppyhold.execution.reconciliation import AttemptReconciler
 from poppyhold.machines.autoscaler import Autoscaler
 from poppyhold.model.context import Context
@@ -27,7 +27,7 @@
         reconciler: AttemptReconciler,
         autoscaler: Autoscaler,
         completions: Completions,
-        failures: Failures,
+        failures: FailureTracker,
     ) -> None:
         self._ctx, self._jobs, self._admission = ctx, jobs, admission
         self._reconciler, self._autoscaler = reconciler, autoscaler
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -13,7 +13,7 @@
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.execution.completions import Completions
 from poppyhold.execution.direct_commands import DirectCommands
-from poppyhold.execution.failures import Failures
+from poppyhold.execution.failures import FailureTracker
 from poppyhold.execution.gangs import Gangs, GangState
 from poppyhold.execution.heartbeat_commands import HeartbeatCommands
 from poppyhold.execution.lease_expiry import LeaseExpiry
@@ -163,7 +163,7 @@
 ]
 
 
-def _two_errors(self: Failures, machine: Machine) -> bool:
+def _two_errors(self: FailureTracker, machine: Machine) -> bool:
     """Any two jobs that fail on a machine are enough."""
     return len(machine.errors) > 1
 
@@ -178,12 +178,12 @@
 
 # Jobs with a mistake, machines at fault, and guests.
 GUARDS += [
-    Guard("mistakes_on_one_machine", Failures, "machine_at_fault", _two_errors),
+    Guard("mistakes_on_one_machine", FailureTracker, "machine_at_fault", _two_errors),
     Guard("mistake_in_a_wide_job", Job, "startable", _all_at_once),
-    Guard("mistake_in_a_wide_job", Failures, "load", _never),
-    Guard("gang_with_a_mistake", Failures, "_fails_everywhere", _never),
-    Guard("faulty_machine_among_mistakes", Failures, "machine_at_fault", _never),
-    Guard("sound_job_on_a_faulty_machine", Failures, "_mark_sound", _never),
+    Guard("mistake_in_a_wide_job", FailureTracker, "load", _never),
+    Guard("gang_with_a_mistake", FailureTracker, "_fails_everywhere", _never),
+    Guard("faulty_machine_among_mistakes", FailureTracker, "machine_at_fault", _never),
+    Guard("sound_job_on_a_faulty_machine", FailureTracker, "_mark_healthy", _never),
     Guard("guests", Quotas, "within_guarantee", _guests_alone),
 ]
 
