--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -99,7 +99,7 @@
             if job is None:
                 self._ctx.outbound.commit({}, [Delete(prefix + name)], _ignore_outcome)
                 continue
-            job.done_records.add(prefix + name)
+            job.completion_record_keys.add(prefix + name)
             record = msgspec.convert(data, CompletionsRecord)
             for offset in decode_bits(record.bits):
                 job.complete(int(number) * size + offset)
@@ -116,7 +116,7 @@
         indices = set(job.undurable_completions)
         records = self._layout.records(job, indices)
         job.completions_save_in_flight = True
-        job.done_records |= records.keys()
+        job.completion_record_keys |= records.keys()
         writes = [Put(key, data) for key, data in records.items()]
         batches = [writes[i : i + self._most_changes] for i in range(0, len(writes), self._most_changes)]
         on_committed = self._on_batch_committed(job, indices, len(batches))
@@ -139,6 +139,6 @@
 
     def remove(self, job: Job) -> None:
         """Remove the records of a finalized job."""
-        writes = [Delete(key) for key in sorted(job.done_records)]
+        writes = [Delete(key) for key in sorted(job.completion_record_keys)]
         for first in range(0, len(writes), self._most_changes):
             self._ctx.outbound.commit({}, writes[first : first + self._most_changes], _ignore_outcome)
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -44,9 +44,9 @@
         self._ctx, self._on_start_discarded, self._on_response = ctx, on_start_discarded, on_response
         # Whether a higher fencing token is being made durable.
         self._raise_in_flight = False
-        self._began_at = ctx.clock()
+        self._term_began_at = ctx.clock()
         # A token bucket: how many silent workers may be asked now, and when that was counted.
-        self._probe_credit, self._probe_credit_at = ctx.silent_probe_rate, self._began_at
+        self._probe_credit, self._probe_credit_at = ctx.silent_probes_per_interval, self._term_began_at
         # Machines with commands to be sent. A walk over all machines after every heartbeat took a tenth of
         # the decision thread's time at 650 of them.
         self._outbox: dict[str, Machine] = {}
@@ -79,7 +79,7 @@
         ctx = self._ctx
         if (
             len(ctx.fleet.machines) <= ctx.max_initial_probes
-            or now - self._began_at > _INITIAL_PROBE_INTERVALS * ctx.durations.heartbeat_interval_s
+            or now - self._term_began_at > _INITIAL_PROBE_INTERVALS * ctx.durations.heartbeat_interval_s
         ):
             self._probe(machine, now)
 
@@ -90,7 +90,7 @@
         workers looked silent to it, and asking each of them anew in every interval kept it from their
         heartbeats.
         """
-        rate = self._ctx.silent_probe_rate
+        rate = self._ctx.silent_probes_per_interval
         self._probe_credit = min(
             rate,
             self._probe_credit
--- a/src/poppyhold/execution/lease_expiry.py
+++ b/src/poppyhold/execution/lease_expiry.py
@@ -17,7 +17,7 @@
     def __init__(self, ctx: Context, lifecycle: AttemptLifecycle) -> None:
         self._ctx, self._lifecycle = ctx, lifecycle
         # When the term began.
-        self.began_at = ctx.clock()
+        self.term_began_at = ctx.clock()
         # Machines that may hold tasks of earlier terms, and are neither reconciled in this one nor proven
         # empty.
         self.unreconciled: set[str] = set()
@@ -29,7 +29,7 @@
             return False
         if not self._all_reconciled_logged:
             self._all_reconciled_logged = True
-            log.info("all machines reconciled: after_s=%.1f", self._ctx.clock() - self.began_at)
+            log.info("all machines reconciled: after_s=%.1f", self._ctx.clock() - self.term_began_at)
         return True
 
     def expire_leases(self, machine: Machine, now: float) -> None:
@@ -43,7 +43,7 @@
         else:
             # Before our term others renewed its lease, for as long as they could at the most.
             bound = max(
-                self.began_at + durations.predecessors_expired_s,
+                self.term_began_at + durations.predecessors_expired_s,
                 machine.last_response_at + durations.lease_expired_s,
             )
         if now <= bound or self._ctx.outbound.leadership_confirmed_at() <= bound:
--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -121,7 +121,7 @@
             ctx.scheduling_needed = True
         if heartbeat.notice_s is not None and machine.preempted_at is None:
             machine.preempted_at = now + heartbeat.notice_s
-            machine.notice_at = now
+            machine.preemption_notice_at = now
             ctx.scheduling_needed = True
         present: set[str] = set()
         for task in heartbeat.tasks:
--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -86,7 +86,7 @@
 
     def _silence_s(self, machine: Machine, now: float) -> float:
         """For how long a machine has been silent, as far as its heartbeats could have reached us."""
-        times, began_at = self._ctx.durations, self._reconciler.lease_expiry.began_at
+        times, began_at = self._ctx.durations, self._reconciler.lease_expiry.term_began_at
         if machine.reconciled or machine.name not in self._reconciler.lease_expiry.unreconciled:
             return now - max(
                 machine.last_heartbeat_at,
@@ -153,7 +153,7 @@
         """
         times = self._ctx.durations
         silence_s = now - max(
-            machine.last_heartbeat_at, machine.up_at, self._reconciler.lease_expiry.began_at
+            machine.last_heartbeat_at, machine.up_at, self._reconciler.lease_expiry.term_began_at
         )
         if in_silent_zone:
             # Others in their place would be no more use there, and have to boot when the zone is back: 39
@@ -191,7 +191,7 @@
         A copy of an old heartbeat does not count. A controller that has just begun to lead has no heartbeats
         to compare with, and gives them the time to come.
         """
-        if now - self._reconciler.lease_expiry.began_at < self._ctx.durations.lease_s:
+        if now - self._reconciler.lease_expiry.term_began_at < self._ctx.durations.lease_s:
             return 0
         machines = self._ctx.fleet.machines
 
--- a/src/poppyhold/model/context.py
+++ b/src/poppyhold/model/context.py
@@ -41,7 +41,7 @@
     # Up to this many machines are asked for heartbeats at one moment as a term begins.
     max_initial_probes: Final[float] = math.inf
     # This many silent workers are asked for heartbeats within one interval.
-    silent_probe_rate: Final[float] = 1e9
+    silent_probes_per_interval: Final[float] = 1e9
 
     # -- state of the term -----------------------------------------------------------------------
 
--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -141,7 +141,7 @@
     # Whether records of its completed tasks are being written.
     completions_save_in_flight: bool = False
     # Keys of the records that hold its completed tasks.
-    done_records: set[str] = msgspec.field(default_factory=set)
+    completion_record_keys: set[str] = msgspec.field(default_factory=set)
     failures: JobFailures = msgspec.field(default_factory=JobFailures)
     # Machines that its tasks should avoid.
     failed_machines: set[str] = msgspec.field(default_factory=set)
@@ -195,16 +195,16 @@
             self.next_index += 1
         return self.next_index if self.next_index < self.spec.tasks else None
 
-    def startable(self, most: int) -> int:
-        """Return how many of up to ``most`` tasks may be started now: one at a time after a failure.
+    def startable(self, limit: int) -> int:
+        """Return how many of up to ``limit`` tasks may be started now: one at a time after a failure.
 
         Tasks that were started before the failure, and go on, may still show that the job is sound.
         """
         record = self.failures
         if not record.rounds or self.done or self.is_gang:
-            return most
+            return limit
         probes = sum(attempt.sent_at >= record.last_failed_at for attempt in self.active.values())
-        return min(most, max(0, 1 - probes))
+        return min(limit, max(0, 1 - probes))
 
     def complete(self, index: int) -> bool:
         """Note that a task is completed; return whether that is new. A gang's tasks complete together."""
@@ -242,7 +242,7 @@
 
 
 # Machines in the order in which they became known.
-_numbers = itertools.count()
+_machine_numbers = itertools.count()
 
 
 class Machine(msgspec.Struct, eq=False):
@@ -272,7 +272,7 @@
     first_heartbeat_at: float | None = None
     # When the cloud takes it back, and when the notice of that came.
     preempted_at: float | None = None
-    notice_at: float | None = None
+    preemption_notice_at: float | None = None
     # At fault: it is emptied and deleted.
     quarantined: bool = False
     # Being emptied to scale in: its replicas move one by one.
@@ -290,7 +290,7 @@
     used: Resources = NO_RESOURCES
     free: Resources = NO_RESOURCES
     # Orders machines that are alike: the one that was known first goes first.
-    number: int = msgspec.field(default_factory=lambda: next(_numbers))
+    number: int = msgspec.field(default_factory=lambda: next(_machine_numbers))
     # Rises whenever what it holds, or what of it waits for an image, changes.
     version: int = 0
     images: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
--- a/src/poppyhold/model/resources.py
+++ b/src/poppyhold/model/resources.py
@@ -26,12 +26,12 @@
     return need[0] <= free[0] + EPSILON and need[1] <= free[1] + EPSILON and need[2] <= free[2] + EPSILON
 
 
-def max_copies(need: Resources, free: Resources, most: int) -> int:
-    """How many times ``need`` fits into ``free``, at most ``most``."""
+def max_copies(need: Resources, free: Resources, limit: int) -> int:
+    """How many times ``need`` fits into ``free``, at most ``limit``."""
     for needed, available in zip(need, free, strict=True):
         if needed > 0 and available != math.inf:
-            most = min(most, int((available + EPSILON) / needed))
-    return max(0, most)
+            limit = min(limit, int((available + EPSILON) / needed))
+    return max(0, limit)
 
 
 def add_scaled(base: Resources, addend: Resources, factor: float = 1.0) -> Resources:
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -65,7 +65,7 @@
             rng=rng,
             term_fencing_token=fencing_token,
             max_initial_probes=connections * options.relays.from_share,
-            silent_probe_rate=connections * _SILENT_PROBE_SHARE,
+            silent_probes_per_interval=connections * _SILENT_PROBE_SHARE,
             fencing_token=fencing_token,
         )
         self._quotas = Quotas(settings.deployment.teams)
--- a/src/poppyhold/node/machine_lifecycle.py
+++ b/src/poppyhold/node/machine_lifecycle.py
@@ -54,10 +54,10 @@
     @staticmethod
     def _remaining_s(machine: Machine, now: float) -> float:
         """How long the machine can be counted on; infinite where there is no notice."""
-        if machine.preempted_at is None or machine.notice_at is None:
+        if machine.preempted_at is None or machine.preemption_notice_at is None:
             return math.inf
-        notice_s = machine.preempted_at - machine.notice_at
-        return notice_s * _USABLE_NOTICE_RATIO - (now - machine.notice_at)
+        notice_s = machine.preempted_at - machine.preemption_notice_at
+        return notice_s * _USABLE_NOTICE_RATIO - (now - machine.preemption_notice_at)
 
     def _grace_s(self, attempt: Attempt) -> float:
         """How long a task that is moved may take to save a checkpoint."""
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -481,7 +481,7 @@
         outbound=SimpleNamespace(send_commands=send_commands),
         fencing_token=1,
         max_initial_probes=2000.0,
-        silent_probe_rate=100.0,
+        silent_probes_per_interval=100.0,
     )
     commands = DirectCommands(ctx, lambda attempt: None, lambda *answered: None)
     for machine in machines.values():
--- a/tests/test_reconciliation_proofs.py
+++ b/tests/test_reconciliation_proofs.py
@@ -298,7 +298,7 @@
 ) -> None:
     durations = harness.ctx.durations
     harness.machine.reconciled = False
-    harness.reconciler.lease_expiry.began_at = 1000.0
+    harness.reconciler.lease_expiry.term_began_at = 1000.0
     harness.machine.last_response_at = 900.0
     others_until = 1000.0 + durations.predecessors_expired_s
     assert not expire(harness, others_until, 9000.0)
@@ -368,7 +368,7 @@
 
 
 def test_a_worker_that_cannot_be_probed_uses_no_probe_credit(harness: ReconciliationHarness) -> None:
-    harness.ctx.silent_probe_rate = 1.0  # type: ignore[misc]
+    harness.ctx.silent_probes_per_interval = 1.0  # type: ignore[misc]
     commands = DirectCommands(harness.ctx, lambda attempt: None, lambda *answered: None)
     for field, value in (("next_probe_at", 1e9), ("command_in_flight", True)):
         harness.machine.command_in_flight, harness.machine.next_probe_at = False, 0.0
