--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -16,14 +16,14 @@
 # Tasks that a hexadecimal digit stands for.
 _TASKS_PER_DIGIT = 4
 # Tasks of a range at the least, however small the values may be.
-_LEAST_RANGE = 64
+_MIN_RANGE_SIZE = 64
 # Bytes of a record beside its digits, at the most.
-_FRAME_BYTES = 16
+_MAX_RECORD_OVERHEAD_BYTES = 16
 
 
 def _range_size(value_bytes: int) -> int:
     """Tasks of a record: one digit, for four tasks, in each four bytes of the largest value."""
-    return max(_LEAST_RANGE, value_bytes // _TASKS_PER_DIGIT * _TASKS_PER_DIGIT)
+    return max(_MIN_RANGE_SIZE, value_bytes // _TASKS_PER_DIGIT * _TASKS_PER_DIGIT)
 
 
 def encode_bits(states: bytearray) -> str:
@@ -48,7 +48,7 @@
     """Take no notice: what is left of a finalized job the next leader removes as it loads the records."""
 
 
-class Layout:
+class RecordLayout:
     """Decides which record holds which tasks.
 
     Every version numbers the records under `ph/d/` by the value size that applies now. Where such a record
@@ -58,8 +58,8 @@
 
     def __init__(self, limits: StateLimits) -> None:
         self._largest_bytes = limits.lowest.value_bytes
-        self.coarse = _range_size(limits.value_bytes)
-        self.fine = _range_size(self._largest_bytes)
+        self.range_size = _range_size(limits.value_bytes)
+        self.reduced_range_size = _range_size(self._largest_bytes)
 
     def records(self, job: Job, indices: Iterable[int]) -> dict[str, Data]:
         """Return the records, by key, that these tasks belong to, as they have to be now."""
@@ -72,13 +72,17 @@
         return found
 
     def _place(self, job: Job, index: int) -> tuple[str, int, int]:
-        number = index // self.coarse
-        first = number * self.coarse
-        tasks = min(self.coarse, job.spec.tasks - first)
-        if tasks // _TASKS_PER_DIGIT + _FRAME_BYTES <= self._largest_bytes:
-            return f"{COMPLETIONS_PREFIX}{job.id}/{number}", first, self.coarse
-        number = index // self.fine
-        return f"{COMPLETION_RANGES_PREFIX}{job.id}/{number}", number * self.fine, self.fine
+        number = index // self.range_size
+        first = number * self.range_size
+        tasks = min(self.range_size, job.spec.tasks - first)
+        if tasks // _TASKS_PER_DIGIT + _MAX_RECORD_OVERHEAD_BYTES <= self._largest_bytes:
+            return f"{COMPLETIONS_PREFIX}{job.id}/{number}", first, self.range_size
+        number = index // self.reduced_range_size
+        return (
+            f"{COMPLETION_RANGES_PREFIX}{job.id}/{number}",
+            number * self.reduced_range_size,
+            self.reduced_range_size,
+        )
 
 
 class Completions:
@@ -87,12 +91,12 @@
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
         limits = ctx.settings.deployment.state
-        self._layout = Layout(limits)
-        self._most_changes = limits.lowest.txn_ops
+        self._layout = RecordLayout(limits)
+        self._max_txn_ops = limits.lowest.txn_ops
 
     def load(self, prefix: str, records: dict[str, Data]) -> None:
         """Load the records that earlier leaders made durable; those of finalized jobs are removed."""
-        size = self._layout.coarse if prefix == COMPLETIONS_PREFIX else self._layout.fine
+        size = self._layout.range_size if prefix == COMPLETIONS_PREFIX else self._layout.reduced_range_size
         for name, data in records.items():
             job_id, _, number = name.rpartition("/")
             job = self._ctx.fleet.jobs.get(job_id)
@@ -118,7 +122,7 @@
         job.completions_save_in_flight = True
         job.completion_record_keys |= records.keys()
         writes = [Put(key, data) for key, data in records.items()]
-        batches = [writes[i : i + self._most_changes] for i in range(0, len(writes), self._most_changes)]
+        batches = [writes[i : i + self._max_txn_ops] for i in range(0, len(writes), self._max_txn_ops)]
         on_committed = self._on_batch_committed(job, indices, len(batches))
         for batch in batches:
             self._ctx.outbound.commit({ACTIVE_JOB_PREFIX + job.id: job.version}, batch, on_committed)
@@ -140,5 +144,5 @@
     def remove(self, job: Job) -> None:
         """Remove the records of a finalized job."""
         writes = [Delete(key) for key in sorted(job.completion_record_keys)]
-        for first in range(0, len(writes), self._most_changes):
-            self._ctx.outbound.commit({}, writes[first : first + self._most_changes], _ignore_outcome)
+        for first in range(0, len(writes), self._max_txn_ops):
+            self._ctx.outbound.commit({}, writes[first : first + self._max_txn_ops], _ignore_outcome)
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -18,7 +18,7 @@
 
 
 # Commands in one request to a worker.
-_MOST_COMMANDS = 200
+_MAX_COMMANDS_PER_REQUEST = 200
 # For this many heartbeat intervals after a term began, its workers are asked for heartbeats only where there
 # are few of them.
 _INITIAL_PROBE_INTERVALS = 1.5
@@ -43,7 +43,7 @@
         """
         self._ctx, self._on_start_discarded, self._on_response = ctx, on_start_discarded, on_response
         # Whether a higher fencing token is being made durable.
-        self._raise_in_flight = False
+        self._fencing_token_write_in_flight = False
         self._term_began_at = ctx.clock()
         # A token bucket: how many silent workers may be asked now, and when that was counted.
         self._probe_credit, self._probe_credit_at = ctx.silent_probes_per_interval, self._term_began_at
@@ -62,8 +62,8 @@
             if machine.command_in_flight:
                 continue
             commands, machine.queued_commands = (
-                machine.queued_commands[:_MOST_COMMANDS],
-                machine.queued_commands[_MOST_COMMANDS:],
+                machine.queued_commands[:_MAX_COMMANDS_PER_REQUEST],
+                machine.queued_commands[_MAX_COMMANDS_PER_REQUEST:],
             )
             if not machine.queued_commands:
                 del self._outbox[machine.name]
@@ -157,7 +157,7 @@
         Commands with the old token are void once a worker has seen the new one.
         """
         ctx = self._ctx
-        if self._raise_in_flight:
+        if self._fencing_token_write_in_flight:
             return
         wanted = max(
             (
@@ -169,11 +169,11 @@
         )
         if wanted <= ctx.fencing_token:
             return
-        self._raise_in_flight = True
+        self._fencing_token_write_in_flight = True
         fencing_token = ctx.fencing_token + 1
 
         def on_committed(done: bool) -> None:
-            self._raise_in_flight = False
+            self._fencing_token_write_in_flight = False
             if done:
                 ctx.fencing_token = fencing_token
                 ctx.outbound.fencing_token_raised(fencing_token)
--- a/src/poppyhold/execution/gangs.py
+++ b/src/poppyhold/execution/gangs.py
@@ -93,9 +93,9 @@
             )
             self._fail(gang, "two attempts", now)
             return
-        self.task_reported(attempt, now)
+        self.task_status_changed(attempt, now)
 
-    def task_reported(self, attempt: Attempt, now: float) -> None:
+    def task_status_changed(self, attempt: Attempt, now: float) -> None:
         """Handle a task whose status changed, as its worker's heartbeat says."""
         gang = self._gangs.get(attempt.job.id)
         if gang is None:
--- a/src/poppyhold/execution/task_observation.py
+++ b/src/poppyhold/execution/task_observation.py
@@ -64,7 +64,7 @@
                 now - attempt.sent_at,
             )
         if attempt.job.is_gang:
-            self._lifecycle.gangs.task_reported(attempt, now)
+            self._lifecycle.gangs.task_status_changed(attempt, now)
 
     @staticmethod
     def _update_status(attempt: Attempt, status: str, now: float) -> None:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -78,7 +78,7 @@
     # A task that is seen to save shows a new leader that the stop has begun, and changes nothing here.
     first = job.active[0]
     first.status = TaskState.SAVING
-    gangs.task_reported(first, world.now)
+    gangs.task_status_changed(first, world.now)
     assert gangs.state_of(job) is GangState.STOPPING
 
 
@@ -112,7 +112,7 @@
     def observe(self, index: int, status: TaskState) -> None:
         """A heartbeat shows a task's new state."""
         self.job.active[index].status = status
-        self.gangs.task_reported(self.job.active[index], self.now)
+        self.gangs.task_status_changed(self.job.active[index], self.now)
 
     def lose(self, index: int) -> None:
         """A task is proven to have terminated."""
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -17,7 +17,7 @@
     MORE_MACHINE_TYPES_PREFIX,
 )
 from poppyhold.durable.machine_types import machine_type_writes
-from poppyhold.execution.completions import Layout, decode_bits
+from poppyhold.execution.completions import RecordLayout, decode_bits
 from poppyhold.model.entities import make_job
 from poppyhold.options_file import load_options, parse_options
 from poppyhold.scale.jobs import build_data as world_build
@@ -128,9 +128,9 @@
 @pytest.mark.parametrize(("value_kb", "next_kb"), [(8.0, None), (8.0, 2.0), (16.0, 2.0)])
 def test_completions_of_the_largest_job_fit_their_records(value_kb: float, next_kb: float | None) -> None:
     job = make_job(parse_submission(wire(chores=100_000)), 1, 0.0)
-    layout = Layout(StateLimits(value_kb=value_kb, announced=AnnouncedStateLimits(value_kb=next_kb)))
-    sizes = {COMPLETIONS_PREFIX: layout.coarse, COMPLETION_RANGES_PREFIX: layout.fine}
-    size = layout.coarse
+    layout = RecordLayout(StateLimits(value_kb=value_kb, announced=AnnouncedStateLimits(value_kb=next_kb)))
+    sizes = {COMPLETIONS_PREFIX: layout.range_size, COMPLETION_RANGES_PREFIX: layout.reduced_range_size}
+    size = layout.range_size
     done = [0, 1, size - 1, size, 54_321, 99_999]
     for index in done:
         job.complete(index)
