--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -182,5 +182,5 @@
             {},
             [put_record(FENCING_TOKEN_KEY, FencingTokenRecord(fencing_token))],
             on_committed,
-            CommitPriority.SOONEST,
+            CommitPriority.HIGHEST,
         )
--- a/src/poppyhold/execution/machine_records.py
+++ b/src/poppyhold/execution/machine_records.py
@@ -26,4 +26,4 @@
     record = MachineRecord(machine.endpoint, machine.machine_type, machine.zone, machine.spot)
     write = put_record(MACHINE_PREFIX + machine.name, record)
     # Nothing starts on the machine before: a plan's record is of no use to a leader that does not know of it.
-    ctx.outbound.commit({}, [write], on_committed, CommitPriority.SOONEST)
+    ctx.outbound.commit({}, [write], on_committed, CommitPriority.HIGHEST)
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -99,7 +99,7 @@
         # Machines boot for longer than anything else takes: after the plans of a first backlog the first
         # requests of a fleet that began small waited for eleven seconds.
         self._ctx.outbound.commit(
-            {}, [Put(LAUNCH_PREFIX + name, self._record(launch))], on_committed, CommitPriority.SOONEST
+            {}, [Put(LAUNCH_PREFIX + name, self._record(launch))], on_committed, CommitPriority.HIGHEST
         )
 
     def _record(self, launch: Launch) -> Data:
--- a/src/poppyhold/model/durations.py
+++ b/src/poppyhold/model/durations.py
@@ -8,9 +8,9 @@
 from poppyhold.settings import Settings
 
 # Clocks drift apart by 0.05%: two of them by 0.1%.
-_DRIFT: Final = 1.001
+_CLOCK_DRIFT_FACTOR: Final = 1.001
 # The same where a lease is subtracted from ``cancel_s``, which another clock measures.
-_DRIFT_TWICE: Final = 1.002
+_DOUBLE_CLOCK_DRIFT_FACTOR: Final = 1.002
 # Heartbeat intervals beyond a lease after which it has certainly expired.
 _EXPIRY_MARGIN_INTERVALS: Final = 0.25
 # Leases of silence after which a machine is presumed lost.
@@ -36,7 +36,7 @@
         self.cancel_s = workers.cancel_s
         # A lease has certainly expired this long after it was renewed, whatever the clocks' drift.
         self.lease_expired_s = (
-            workers.lease_s * _DRIFT + workers.heartbeat_interval_s * _EXPIRY_MARGIN_INTERVALS
+            workers.lease_s * _CLOCK_DRIFT_FACTOR + workers.heartbeat_interval_s * _EXPIRY_MARGIN_INTERVALS
         )
         # A worker that has been silent for so long gets no new tasks.
         self.silent_s = workers.heartbeat_interval_s * options.leadership.silent_reports
@@ -47,7 +47,7 @@
         # side.
         self.unconfirmed_renewal_s = (
             workers.cancel_s
-            - workers.lease_s * _DRIFT_TWICE
+            - workers.lease_s * _DOUBLE_CLOCK_DRIFT_FACTOR
             - workers.heartbeat_interval_s * _RENEWAL_MARGIN_INTERVALS
         )
         # A delegate that hears neither the leader nor the state service for so long renews leases.
@@ -56,7 +56,8 @@
         )
         # So long after our term began, no response of an earlier leader can keep a task alive any more.
         self.predecessors_expired_s = (
-            workers.cancel_s * _DRIFT + workers.heartbeat_interval_s * _PREDECESSOR_MARGIN_INTERVALS
+            workers.cancel_s * _CLOCK_DRIFT_FACTOR
+            + workers.heartbeat_interval_s * _PREDECESSOR_MARGIN_INTERVALS
         )
         # A slot of the plan.
         self.slot_s = workers.lease_s * options.design.slot_leases
--- a/src/poppyhold/model/outbound.py
+++ b/src/poppyhold/model/outbound.py
@@ -17,12 +17,12 @@
     """Order of the leader's commits; those of one priority go in the order of their requests."""
 
     # What begins the longest waits, or holds up everything else: launches, fencing tokens, machines' records.
-    SOONEST = 0
+    HIGHEST = 0
     # Plans of urgent jobs. A swarm of short jobs needs more changes than the state service takes, and the
     # plans of critical replicas waited for a minute until its plans were written.
     URGENT = 1
     # What else somebody waits for: plans and ends of jobs; those of teams without a guarantee come later.
-    AWAITED = 2
+    NORMAL = 2
     UNGUARANTEED = 3
     BACKGROUND = 4
 
--- a/src/poppyhold/quota/cell_service.py
+++ b/src/poppyhold/quota/cell_service.py
@@ -128,7 +128,7 @@
             # Other cells wait for the acknowledgement.
             self._prepare_requests()
 
-        self._ctx.outbound.commit(conditions, writes, on_committed, CommitPriority.AWAITED)
+        self._ctx.outbound.commit(conditions, writes, on_committed, CommitPriority.NORMAL)
 
     def _apply_allocation(self, team: str) -> None:
         """Plan starts against a team's allocation from now on."""
--- a/src/poppyhold/scheduling/plan_records.py
+++ b/src/poppyhold/scheduling/plan_records.py
@@ -65,7 +65,7 @@
     def commit_priority(self, job: Job) -> CommitPriority:
         """The priority of a change of a job that somebody waits for."""
         return (
-            CommitPriority.AWAITED
+            CommitPriority.NORMAL
             if self._quotas.has_guarantee(job.spec.team)
             else CommitPriority.UNGUARANTEED
         )
@@ -74,7 +74,7 @@
         priority = self.commit_priority(job)
         return (
             CommitPriority.URGENT
-            if priority is CommitPriority.AWAITED and job.priority <= _LEAST_URGENT
+            if priority is CommitPriority.NORMAL and job.priority <= _LEAST_URGENT
             else priority
         )
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -411,12 +411,12 @@
     def submit(key: str, priority: CommitPriority) -> None:
         committer.submit(CommitUnit({}, [Put(key, {})], lambda result: left.release()), priority)
 
-    submit(f"{PLAN_PREFIX}first", CommitPriority.AWAITED)
+    submit(f"{PLAN_PREFIX}first", CommitPriority.NORMAL)
     assert store.reached.wait(60.0)
     submit("records", CommitPriority.BACKGROUND)
     for number in range(20):
-        submit(f"{PLAN_PREFIX}{number:02d}", CommitPriority.AWAITED)
-    submit(f"{LAUNCH_PREFIX}r-1", CommitPriority.SOONEST)
+        submit(f"{PLAN_PREFIX}{number:02d}", CommitPriority.NORMAL)
+    submit(f"{LAUNCH_PREFIX}r-1", CommitPriority.HIGHEST)
     store.go_on.set()
     for _ in range(23):
         assert left.acquire(timeout=60.0)
@@ -458,7 +458,7 @@
     world.run(8.0)
     assert [ranks[PLAN_PREFIX + job_id] for job_id in jobs] == [
         CommitPriority.UNGUARANTEED,
-        CommitPriority.AWAITED,
+        CommitPriority.NORMAL,
         CommitPriority.URGENT,
         CommitPriority.UNGUARANTEED,
     ]
