--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from poppyhold.execution.attempt_lifecycle import AttemptLifecycle
-from poppyhold.execution.failures import Failures
+from poppyhold.execution.failures import FailureTracker
 from poppyhold.execution.heartbeat_commands import HeartbeatCommands
 from poppyhold.execution.lease_expiry import LeaseExpiry
 from poppyhold.execution.machine_records import request_machine_record
@@ -25,7 +25,7 @@
         on_task_completed: Callable[[Job, int], None],
         on_attempt_terminated: Callable[[Attempt], None],
         on_run_completed: Callable[[Attempt, float], None],
-        failures: Failures,
+        failures: FailureTracker,
     ) -> None:
         self._ctx = ctx
         self.failures = failures
@@ -121,7 +121,7 @@
             ctx.scheduling_needed = True
         if heartbeat.notice_s is not None and machine.preempted_at is None:
             machine.preempted_at = now + heartbeat.notice_s
-            machine.notice_at = now
+            machine.preemption_notice_at = now
             ctx.scheduling_needed = True
         present: set[str] = set()
         for task in heartbeat.tasks:
