--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -13,7 +13,7 @@
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.execution.completions import Completions
 from poppyhold.execution.direct_commands import DirectCommands
-from poppyhold.execution.failures import Failures
+from poppyhold.execution.failures import FailureTracker
 from poppyhold.execution.gangs import Gangs, GangState
 from poppyhold.execution.heartbeat_commands import HeartbeatCommands
 from poppyhold.execution.lease_expiry import LeaseExpiry
@@ -140,8 +140,8 @@
     Guard("gang_gives_up_its_room", Gangs, "abandon", _never),
     Guard("gang_alone", Gangs, "_avoid_late_machines", _never),
     Guard("gang_recall", Gangs, "stop", _kill),
-    Guard("gang_preempts", GangPlacement, "preempt_for", _never),
-    Guard("gang_preempted", TaskStarter, "_await_gangs", _never),
+    Guard("gang_preempts", GangPlacement, "choose_with_preemption", _never),
+    Guard("gang_preempted", TaskStarter, "_stop_gangs_first", _never),
     Guard("gang_not_starved", GangScheduler, "_reserve_for", _never),
     Guard("gang_team_limit", GangScheduler, "_reserve_for", _never),
     Guard("gang_half_sent", Gangs, "adopt", _never),
@@ -158,12 +158,12 @@
     Guard("zone_cut_keeps_machines", FleetSurvey, "silent_zones", _no_zones),
     Guard("zone_cut_keeps_machines", MachineMonitor, "_block_launches_in", _never),
     Guard("image_holders_make_room", Relocation, "relocate_for", _never),
-    Guard("image_holders_one_at_a_time", Relocation, "_moves_left", _plenty),
+    Guard("image_holders_one_at_a_time", Relocation, "_remaining_moves", _plenty),
     Guard("image_holders_keep_equals", Relocation, "_may_move_to", _always),
 ]
 
 
-def _two_errors(self: Failures, machine: Machine) -> bool:
+def _two_errors(self: FailureTracker, machine: Machine) -> bool:
     """Any two jobs that fail on a machine are enough."""
     return len(machine.errors) > 1
 
@@ -178,12 +178,12 @@
 
 # Jobs with a mistake, machines at fault, and guests.
 GUARDS += [
-    Guard("mistakes_on_one_machine", Failures, "machine_at_fault", _two_errors),
+    Guard("mistakes_on_one_machine", FailureTracker, "machine_at_fault", _two_errors),
     Guard("mistake_in_a_wide_job", Job, "startable", _all_at_once),
-    Guard("mistake_in_a_wide_job", Failures, "load", _never),
-    Guard("gang_with_a_mistake", Failures, "_fails_everywhere", _never),
-    Guard("faulty_machine_among_mistakes", Failures, "machine_at_fault", _never),
-    Guard("sound_job_on_a_faulty_machine", Failures, "_mark_sound", _never),
+    Guard("mistake_in_a_wide_job", FailureTracker, "load", _never),
+    Guard("gang_with_a_mistake", FailureTracker, "_fails_everywhere", _never),
+    Guard("faulty_machine_among_mistakes", FailureTracker, "machine_at_fault", _never),
+    Guard("sound_job_on_a_faulty_machine", FailureTracker, "_mark_healthy", _never),
     Guard("guests", Quotas, "within_guarantee", _guests_alone),
 ]
 
