--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -246,7 +246,7 @@
         if now - self.known_leader.vacant_since < self.lease_ttl_s and self._should_yield():
             return self._renewal_interval_s / 2
         try:
-            lease_id = self._store.lease(self.lease_ttl_s)
+            lease_id = self._store.grant_lease(self.lease_ttl_s)
             asked_at = time.monotonic()
             self._claim_leadership(lease_id, asked_at)
         except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError, ConditionFailedError) as error:
--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -129,7 +129,7 @@
             raise LeaseExpiredError
         raise InvalidRequestError(f"/commit: status {status}: {data}")
 
-    def lease(self, ttl_s: float) -> int:
+    def grant_lease(self, ttl_s: float) -> int:
         """Get a lease with a time to live, and return its ID."""
         body = {names.LEASE_MS: max(_MIN_LEASE_MS, int(ttl_s * 1000))}
         status, data = self._call("POST", "/leases", body, self.timeout_s)
@@ -153,15 +153,15 @@
         """End a lease at once, and delete the keys on it."""
         self._call("DELETE", f"/leases/{lease_id}", None, self.timeout_s)
 
-    def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
-        """Wait for changes after revision ``since``, for ``hold_s`` seconds at the most.
+    def poll_changes(self, prefix: str, since: int, poll_timeout_s: float) -> Changes:
+        """Wait for changes after revision ``since``, for ``poll_timeout_s`` seconds at the most.
 
         Raises:
             WatchCompactedError: the state service no longer has all of them.
 
         """
-        path = f"/follow?prefix={prefix}&since={since}&holdMs={int(hold_s * 1000)}"
-        status, data = self._call("GET", path, None, hold_s + self.timeout_s)
+        path = f"/follow?prefix={prefix}&since={since}&holdMs={int(poll_timeout_s * 1000)}"
+        status, data = self._call("GET", path, None, poll_timeout_s + self.timeout_s)
         if status == HTTPStatus.GONE:
             raise WatchCompactedError(prefix, since)
         _check_ok(status, data, path)
--- a/src/poppyhold/durable/watch.py
+++ b/src/poppyhold/durable/watch.py
@@ -29,13 +29,13 @@
         self,
         store: Store,
         prefix: str,
-        hold_s: float,
+        poll_timeout_s: float,
         on_snapshot: Callable[[list[Entry]], None],
         on_change: Callable[[WatchEvent], None],
         clock: Callable[[], float] = time.monotonic,
         on_caught_up: Callable[[float, int], None] | None = None,
     ) -> None:
-        self._store, self._prefix, self._hold_s = store, prefix, hold_s
+        self._store, self._prefix, self._poll_timeout_s = store, prefix, poll_timeout_s
         self._on_snapshot, self._on_change, self._clock = on_snapshot, on_change, clock
         self._on_caught_up = on_caught_up
         self._stop = threading.Event()
@@ -59,7 +59,7 @@
         while not self._stop.is_set():
             asked_at = self._clock()
             try:
-                revision = self._read() if revision < 0 else self._follow(revision)
+                revision = self._read() if revision < 0 else self._poll(revision)
                 if self._stop.is_set():
                     return
                 if self.first_revision < 0:
@@ -71,12 +71,12 @@
                 revision = _UNREAD
             except (StoreRejectedError, OutcomeUnknownError) as error:
                 log.debug("watch to be retried: prefix=%s revision=%d: %s", self._prefix, revision, error)
-                self._stop.wait(self._hold_s / 10)
+                self._stop.wait(self._poll_timeout_s / 10)
             except Exception:
                 # Thread boundary: a watch that ended would leave the node blind, so it begins anew.
                 log.exception("watch failed and begins anew: prefix=%s", self._prefix)
                 revision = _UNREAD
-                self._stop.wait(self._hold_s / 10)
+                self._stop.wait(self._poll_timeout_s / 10)
 
     def _read(self) -> int:
         """Read all keys, and hand them on; the revision as of which they were read."""
@@ -87,9 +87,9 @@
             self._on_snapshot(entries)
         return revision
 
-    def _follow(self, since: int) -> int:
+    def _poll(self, since: int) -> int:
         """Wait for changes, and hand them on in order; the revision that they go up to."""
-        changes = self._store.follow(self._prefix, since, self._hold_s)
+        changes = self._store.poll_changes(self._prefix, since, self._poll_timeout_s)
         for event in changes.events:
             if self._stop.is_set():
                 break
--- a/src/poppyhold/reads/read_index.py
+++ b/src/poppyhold/reads/read_index.py
@@ -49,7 +49,7 @@
 
     def execute(self, store: Store) -> Changes:
         """Send the request to the state service."""
-        return store.follow(ACTIVE_JOB_PREFIX, self.since, 0.0)
+        return store.poll_changes(ACTIVE_JOB_PREFIX, self.since, 0.0)
 
 
 StoreRequest = ReadRevision | ReadPage | Follow
@@ -60,8 +60,8 @@
     """Advance the view to the store's revision as of the first request or later.
 
     That revision comes from a read which starts after the queries that it answers: whatever any controller
-    told before them was durable by then, so its revision is no higher. `follow` alone would suffice if its
-    revision were sure to be the present one; PROTOCOL says only that it contains every change up to there.
+    told before them was durable by then, so its revision is no higher. `poll_changes` alone would suffice if
+    its revision were sure to be the present one; PROTOCOL says only that it contains every change up to there.
 
     Raises:
         LaggingChangesError: the changes do not reach the revision within the most follows of an attempt.
--- a/tests/reads_model.py
+++ b/tests/reads_model.py
@@ -170,6 +170,6 @@
             [Entry(ACTIVE_JOB_PREFIX + JOBS[0], {}, 1), Entry(ACTIVE_JOB_PREFIX + JOBS[1], {}, 1)], False, 7
         )
 
-    def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
+    def poll_changes(self, prefix: str, since: int, poll_timeout_s: float) -> Changes:
         self._request("follow")
         return Changes([], 7)
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -77,7 +77,7 @@
         entries = [decode_entry(entry) for entry in body["entries"]]
         return Page(entries, body["more"], body["ledger"])
 
-    def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
+    def poll_changes(self, prefix: str, since: int, poll_timeout_s: float) -> Changes:
         state = self._state()
         if state.is_too_old(since):
             raise WatchCompactedError(prefix, since)
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -31,7 +31,7 @@
         self.revoked: list[int] = []
         self.error: Exception | None = None
 
-    def lease(self, ttl_s: float) -> int:
+    def grant_lease(self, ttl_s: float) -> int:
         lease_id = int(self.state.lease(int(ttl_s * 1000))[1]["permit"])
         self.granted.append(lease_id)
         return lease_id
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -31,7 +31,7 @@
         self.pages += 1
         return Page([Entry(f"{PREFIX}old", {"page": self.pages}, 5)], False, 10 * self.pages)
 
-    def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
+    def poll_changes(self, prefix: str, since: int, poll_timeout_s: float) -> Changes:
         self.asked_from.append(since)
         if not self.answers:
             self.stop()
