--- a/src/poppyhold/durable/snapshot.py
+++ b/src/poppyhold/durable/snapshot.py
@@ -33,17 +33,17 @@
 
     def __init__(
         self,
-        active: Iterable[Entry] = (),
+        active_jobs: Iterable[Entry] = (),
         plans: dict[str, Data] | None = None,
-        done: dict[str, dict[str, Data]] | None = None,
+        completions: dict[str, dict[str, Data]] | None = None,
         launches: dict[str, Data] | None = None,
         machines: dict[str, Data] | None = None,
         quota: Iterable[Entry] = (),
     ) -> None:
-        self.active = list(active)
+        self.active_jobs = list(active_jobs)
         self.plans = plans or {}
         # Records of completions, by their prefix.
-        self.done = done or {}
+        self.completions = completions or {}
         self.launches = launches or {}
         self.machines = machines or {}
         self.quota = list(quota)
@@ -67,9 +67,11 @@
             reader.read()
         quota = self._readers.get(QUOTA_PREFIX)
         return Snapshot(
-            active=self._readers[ACTIVE_JOB_PREFIX].entries,
+            active_jobs=self._readers[ACTIVE_JOB_PREFIX].entries,
             plans=self._records(PLAN_PREFIX),
-            done={prefix: self._records(prefix) for prefix in (COMPLETIONS_PREFIX, COMPLETION_RANGES_PREFIX)},
+            completions={
+                prefix: self._records(prefix) for prefix in (COMPLETIONS_PREFIX, COMPLETION_RANGES_PREFIX)
+            },
             launches=self._records(LAUNCH_PREFIX),
             machines=self._records(MACHINE_PREFIX),
             quota=quota.entries if quota is not None else (),
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -214,7 +214,7 @@
         self.relays.update_machines(self.controller.ctx.fleet.machines.keys())
         log.info(
             "leader ready: jobs=%d machines=%d read_s=%.1f prepare_s=%.1f",
-            len(snapshot.active),
+            len(snapshot.active_jobs),
             len(snapshot.machines),
             read_at - began_at,
             time.monotonic() - read_at,
--- a/src/poppyhold/node/state_loader.py
+++ b/src/poppyhold/node/state_loader.py
@@ -56,7 +56,7 @@
 
     def _load_jobs(self, snapshot: Snapshot) -> None:
         jobs = self._ctx.fleet.jobs
-        for entry in snapshot.active:
+        for entry in snapshot.active_jobs:
             job = self._jobs.create(entry)
             if job is not None and job.id in snapshot.plans:
                 self._admission.records.load(job, snapshot.plans[job.id])
@@ -64,7 +64,7 @@
         for job_id in snapshot.plans.keys() - jobs.keys():
             # The job was finalized before its plan was removed.
             self._admission.records.remove(job_id)
-        for prefix, records in snapshot.done.items():
+        for prefix, records in snapshot.completions.items():
             self._completions.load(prefix, records)
         for job in sorted(jobs.values(), key=lambda job: job.submitted_at):
             self._jobs.resume(job)
