--- a/src/poppyhold/execution/failures.py
+++ b/src/poppyhold/execution/failures.py
@@ -48,8 +48,8 @@
     def task_failed(self, attempt: Attempt, now: float) -> None:
         """Handle a task that ended with an error."""
         job, machine = attempt.job, attempt.machine
-        machine.errors[job.id] = TaskError(job, now)
-        job.failed_machines.add(machine.name)
+        machine.task_errors[job.id] = TaskError(job, now)
+        job.avoided_machines.add(machine.name)
         record = job.failures
         if attempt.running_at is not None:
             record.longest_run_s = max(record.longest_run_s, now - attempt.running_at)
@@ -84,7 +84,7 @@
 
         Its job is sound, and so is its machine if the task was started after the last error there.
         """
-        errors = attempt.machine.errors
+        errors = attempt.machine.task_errors
         if errors and attempt.sent_at > max(error.occurred_at for error in errors.values()):
             errors.clear()
         if attempt.job.id in self._suspected:
@@ -126,7 +126,7 @@
         """
         healthy = unproven = 0
         settled_at = self._clock() - self._durations.cancel_s
-        for error in machine.errors.values():
+        for error in machine.task_errors.values():
             healthy += error.job_is_healthy
             unproven += error.machine_may_be_at_fault and error.occurred_at < settled_at
         return healthy >= _MIN_HEALTHY_JOBS or healthy + unproven >= _MIN_UNPROVEN_JOBS
@@ -135,5 +135,6 @@
         """Whether a machine should be used last, until it is clear what is at fault."""
         recent = self._clock() - self._durations.cancel_s
         return any(
-            error.machine_may_be_at_fault and error.occurred_at > recent for error in machine.errors.values()
+            error.machine_may_be_at_fault and error.occurred_at > recent
+            for error in machine.task_errors.values()
         )
--- a/src/poppyhold/execution/gangs.py
+++ b/src/poppyhold/execution/gangs.py
@@ -163,7 +163,7 @@
         """Count machines whose tasks kept the others waiting as failed for this gang."""
         for attempt in gang.job.active.values():
             if attempt.status in BEFORE_IMAGE:
-                gang.job.failed_machines.add(attempt.machine.name)
+                gang.job.avoided_machines.add(attempt.machine.name)
 
     def _grace_s(self, job: Job) -> float:
         """Time for a task to save and to wait for the others, which may be told a moment later."""
--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -87,10 +87,10 @@
         """
         if machine.name not in self.lease_expiry.unreconciled:
             return False
-        if machine.first_heartbeat_at is None:
-            machine.first_heartbeat_at = now
+        if machine.first_outdated_heartbeat_at is None:
+            machine.first_outdated_heartbeat_at = now
         # A worker waits four seconds for a response that is lost, and a second to the next try.
-        return now - machine.first_heartbeat_at > max(
+        return now - machine.first_outdated_heartbeat_at > max(
             self._ctx.durations.lease_s / 2, 4 * self._ctx.durations.heartbeat_interval_s
         )
 
--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -124,7 +124,7 @@
                 survey.silent.append(machine)
         if silence_s > times.lease_s:
             self._reconciler.lease_expiry.expire_leases(machine, now)
-        if machine.errors and self._reconciler.failures.machine_at_fault(machine):
+        if machine.task_errors and self._reconciler.failures.machine_at_fault(machine):
             machine.quarantined = True
 
     def _handle_silent_machines(self, survey: FleetSurvey, now: float) -> None:
--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -124,7 +124,7 @@
     next_index: int = 0
     requeued: list[int] = msgspec.field(default_factory=list)
     # Seconds of work that tasks have saved in checkpoints, as far as we saw them run.
-    progress: dict[int, float] = msgspec.field(default_factory=dict)
+    saved_work_s: dict[int, float] = msgspec.field(default_factory=dict)
     admitted: bool = False
     # Whether no controller can have started a task of it before our term.
     never_started: bool = True
@@ -135,7 +135,7 @@
     # Planned starts: slot -> zone -> tasks, and what they book in the ledger: slot -> machine -> tasks.
     plan: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
     booked: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
-    planned_s: float = 0.0
+    planned_task_s: float = 0.0
     within_guarantee: bool = False
     phase: JobPhase = JobPhase.ACTIVE
     # Whether records of its completed tasks are being written.
@@ -144,10 +144,10 @@
     completion_record_keys: set[str] = msgspec.field(default_factory=set)
     failures: JobFailures = msgspec.field(default_factory=JobFailures)
     # Machines that its tasks should avoid.
-    failed_machines: set[str] = msgspec.field(default_factory=set)
+    avoided_machines: set[str] = msgspec.field(default_factory=set)
     retry_at: float = 0.0
     # Before this moment it preempts nothing more: gangs that it preempted are saving.
-    may_preempt_at: float = 0.0
+    preemption_allowed_at: float = 0.0
     # How many of its attempts may run in each zone.
     active_by_zone: dict[str, int] = msgspec.field(default_factory=dict)
 
@@ -176,14 +176,14 @@
         """The number of tasks that run, for display."""
         return sum(1 for attempt in self.active.values() if attempt.status in IN_PROGRESS)
 
-    def saved_s(self) -> float:
+    def min_saved_work_s(self) -> float:
         """Return the seconds of work that every pending task has saved: only the rest is still to be done."""
-        if not self.progress:
+        if not self.saved_work_s:
             return 0.0
         waiting = {index for index in self.requeued if self.states[index] == TASK_PENDING}
         if not waiting or len(waiting) < self.pending:
             return 0.0
-        return min(self.progress.get(index, 0.0) for index in waiting)
+        return min(self.saved_work_s.get(index, 0.0) for index in waiting)
 
     def next_pending(self) -> int | None:
         """Return the pending task to start next: the lowest that was active before, else the lowest."""
@@ -269,7 +269,7 @@
     # When its worker was last answered.
     last_response_at: float = float("-inf")
     # When its first heartbeat came in this term, still with the token of an earlier one.
-    first_heartbeat_at: float | None = None
+    first_outdated_heartbeat_at: float | None = None
     # When the cloud takes it back, and when the notice of that came.
     preempted_at: float | None = None
     preemption_notice_at: float | None = None
@@ -297,7 +297,7 @@
     # Commands to be sent to the worker directly.
     queued_commands: list[Command] = msgspec.field(default_factory=list)
     # Errors on it by job, since a task that was started after all earlier ones completed.
-    errors: dict[str, TaskError] = msgspec.field(default_factory=dict)
+    task_errors: dict[str, TaskError] = msgspec.field(default_factory=dict)
     # Tasks on it that we know no attempt of: they are stopped, and nothing starts beside them.
     unknown_tasks: set[str] = msgspec.field(default_factory=set)
     # Until then nothing starts on it.
--- a/src/poppyhold/model/outbound.py
+++ b/src/poppyhold/model/outbound.py
@@ -80,7 +80,7 @@
     def fencing_token_raised(self, fencing_token: int) -> None:
         """Note that our fencing token was raised."""
 
-    def resign(self, why: str) -> None:
+    def resign(self, reason: str) -> None:
         """Give up leadership, so that another controller leads."""
 
     def job_finalized(self, job_id: str, status: str, tasks: int) -> None:
--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -97,10 +97,10 @@
         """See `OutboundPort`."""
         self._election.record_fencing_token(fencing_token)
 
-    def resign(self, why: str) -> None:
+    def resign(self, reason: str) -> None:
         """See `OutboundPort`."""
         # The request that gives the lease up must not hold up the decision thread.
-        threading.Thread(target=self._election.resign, args=(why,), daemon=True).start()
+        threading.Thread(target=self._election.resign, args=(reason,), daemon=True).start()
 
     def job_finalized(self, job_id: str, status: str, tasks: int) -> None:
         """See `OutboundPort`."""
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -55,7 +55,7 @@
         if job.spec.checkpoint_s > 0 and attempt.running_at is not None:
             ran_s = self._ctx.clock() - attempt.running_at
             saved_s = ran_s // job.spec.checkpoint_s * job.spec.checkpoint_s
-            job.progress[attempt.index] = job.progress.get(attempt.index, 0.0) + saved_s
+            job.saved_work_s[attempt.index] = job.saved_work_s.get(attempt.index, 0.0) + saved_s
         self.bookings.release_attempt(attempt)
         self._capacity_released = True
 
@@ -107,7 +107,7 @@
         plan = self.planner.plan(job, tasks, estimate_s, self._ctx.clock())
         if plan is None or plan.payoff <= 0:
             return False
-        job.planned_s = estimate_s
+        job.planned_task_s = estimate_s
         job.admitted = True
         job.plan = plan.tasks_by_zone(self._ledger)
         self.bookings.book_plan(job, plan)
--- a/src/poppyhold/scheduling/bookings.py
+++ b/src/poppyhold/scheduling/bookings.py
@@ -105,9 +105,9 @@
 
     def _planned_estimate_s(self, job: Job) -> float:
         # What was booked must be released alike, though the bias that is learned moves on.
-        if job.planned_s <= 0:
-            job.planned_s = self._estimates.estimate_s(job)
-        return job.planned_s
+        if job.planned_task_s <= 0:
+            job.planned_task_s = self._estimates.estimate_s(job)
+        return job.planned_task_s
 
     # -- slots ---------------------------------------------------------------------------------------
 
--- a/src/poppyhold/scheduling/gang_placement.py
+++ b/src/poppyhold/scheduling/gang_placement.py
@@ -224,7 +224,7 @@
         wait_s = image_wait_s(machine, job)
         fits_all = count >= remaining
         return (
-            machine.name in job.failed_machines,
+            machine.name in job.avoided_machines,
             not self._placement.meets_objective(job, wait_s),
             not fits_all,
             machine.spot,
--- a/src/poppyhold/scheduling/job_order.py
+++ b/src/poppyhold/scheduling/job_order.py
@@ -63,7 +63,7 @@
         if self.has_waited_long(job, now):
             # By arrival: by least work, the largest of them would again come last.
             return self._key_with(job, _Urgency.WAITED_LONG, 0.0)
-        remaining_s = max(0.0, self._estimates.estimate_s(job) - job.saved_s())
+        remaining_s = max(0.0, self._estimates.estimate_s(job) - job.min_saved_work_s())
         in_time = job.due_at is None or now + remaining_s <= job.due_at
         work = remaining_s * job.pending * (job.spec.accelerators or job.spec.cpus)
         return self._key_with(job, _Urgency.CAN_MEET_DEADLINE if in_time else _Urgency.TOO_LATE, work)
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -189,14 +189,14 @@
     def machines_scored_per_job(job: Job) -> set[str]:
         """Machines whose score is another for this very job than for others like it."""
         if job.is_service and job.spec.tasks > 1:
-            return job.failed_machines | {attempt.machine.name for attempt in job.active.values()}
-        return job.failed_machines
+            return job.avoided_machines | {attempt.machine.name for attempt in job.active.values()}
+        return job.avoided_machines
 
     @staticmethod
     def _job_score(job: Job, machine: Machine) -> float:
         """What a placement costs this very job beyond others like it."""
         boot_s = machine.machine_type.boot_s
-        score = boot_s if machine.name in job.failed_machines else 0.0
+        score = boot_s if machine.name in job.avoided_machines else 0.0
         # Replicas on one machine are lost together.
         if job.is_service and job.spec.tasks > 1:
             score += (
--- a/src/poppyhold/scheduling/preemption_cost.py
+++ b/src/poppyhold/scheduling/preemption_cost.py
@@ -30,7 +30,7 @@
             # A task that a stop would make late is stopped last; one that is late anyway has nothing more to
             # lose.
             remaining_s = max(
-                0.0, self._estimates.estimate_s(job) - job.progress.get(victim.index, 0.0) - ran_s
+                0.0, self._estimates.estimate_s(job) - job.saved_work_s.get(victim.index, 0.0) - ran_s
             )
             slack_s = job.due_at - now - remaining_s
             if 0 <= slack_s < lost_s + self._ctx.durations.lease_s:
--- a/src/poppyhold/scheduling/task_scheduler.py
+++ b/src/poppyhold/scheduling/task_scheduler.py
@@ -92,7 +92,7 @@
     ) -> Choice | None:
         """The best machine with free capacity; else, or where its image would come too late, preemption."""
         choice = search.best()
-        if self._ctx.clock() < job.may_preempt_at or job.failures.at_fault:
+        if self._ctx.clock() < job.preemption_allowed_at or job.failures.at_fault:
             return choice
         if choice is None:
             return search.best_preemption()
--- a/src/poppyhold/scheduling/task_starter.py
+++ b/src/poppyhold/scheduling/task_starter.py
@@ -35,5 +35,5 @@
         for gang in gangs.values():
             self._reconciler.lifecycle.gangs.stop(gang, now)
         saving_s = max(gang.spec.save_s for gang in gangs.values())
-        job.may_preempt_at = now + saving_s + 2 * self._ctx.durations.heartbeat_interval_s
+        job.preemption_allowed_at = now + saving_s + 2 * self._ctx.durations.heartbeat_interval_s
         return True
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -316,7 +316,7 @@
     def fencing_token_raised(self, baton: int) -> None:
         self.fencing_token = baton
 
-    def resign(self, why: str) -> None:
+    def resign(self, reason: str) -> None:
         self.node.resting_until = self.world.now + self.world.settings.deployment.workers.lease_s
         if not self.world.state.down and not self.node.refused:
             self.world.state.end(self.lease_id)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -176,7 +176,7 @@
     assert assembling.state() is GangState.FAILED
     # Its other ends are held against no machine.
     assembling.gangs.task_exited(assembling.job.active[1], ExitCause.GANG_INCOMPLETE, assembling.now)
-    assert assembling.job.failed_machines == set()
+    assert assembling.job.avoided_machines == set()
 
 
 def test_an_end_while_all_are_stopped_fails_nothing(assembling: Assembling) -> None:
@@ -195,7 +195,7 @@
     # All three were put on the same machine.
     third.machine = msgspec.structs.replace(third.machine, name="vm-late")
     assembling.gangs.task_exited(first, cause, assembling.now)
-    assert assembling.job.failed_machines == ({"vm-late"} if cause is ExitCause.GANG_INCOMPLETE else set())
+    assert assembling.job.avoided_machines == ({"vm-late"} if cause is ExitCause.GANG_INCOMPLETE else set())
 
 
 def test_only_a_running_gang_fails_without_one_of_its_tasks(assembling: Assembling) -> None:
@@ -231,7 +231,7 @@
     assert assembling.state() is GangState.ASSEMBLING
     assembling.gangs.tick(since + wait_s + 0.1)
     assert assembling.state() is GangState.FAILED
-    assert assembling.job.failed_machines == {"vm-late"}
+    assert assembling.job.avoided_machines == {"vm-late"}
 
 
 def test_a_gang_that_runs_is_not_abandoned(assembling: Assembling) -> None:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -165,7 +165,7 @@
 
 def _two_errors(self: FailureTracker, machine: Machine) -> bool:
     """Any two jobs that fail on a machine are enough."""
-    return len(machine.errors) > 1
+    return len(machine.task_errors) > 1
 
 
 def _guests_alone(self: Quotas, team: str, cpus: float, gpus: float) -> bool:
