--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -8,7 +8,7 @@
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Attempt, Job, JobPhase, Machine
 from poppyhold.scheduling.bookings import Bookings
-from poppyhold.scheduling.estimates import Estimates
+from poppyhold.scheduling.estimates import RunTimeEstimates
 from poppyhold.scheduling.ledger import Ledger
 from poppyhold.scheduling.plan_records import PlanRecords
 from poppyhold.scheduling.planner import Planner
@@ -21,19 +21,19 @@
 class Admission:
     """Plans jobs on priced capacity, and plans them again as capacity is released."""
 
-    def __init__(self, ctx: Context, quotas: Quotas, on_ended: Callable[[Job], None]) -> None:
+    def __init__(self, ctx: Context, quotas: Quotas, on_found_finalized: Callable[[Job], None]) -> None:
         self._ctx = ctx
         design = ctx.options.design
         self._max_plans = design.work_units
         self._ledger = Ledger(design.horizon_slots)
         self.pricing = Pricing(design)
         self.planner = Planner(self.pricing, self._ledger, ctx.durations.slot_s, design.work_units)
-        self.estimates = Estimates()
+        self.estimates = RunTimeEstimates()
         self.bookings = Bookings(ctx.fleet, self._ledger, self.planner, self.estimates)
-        self.records = PlanRecords(ctx, quotas, on_ended)
+        self.records = PlanRecords(ctx, quotas, on_found_finalized)
         self._ledger.current_slot = self._slot_now()
         self._capacity_released = True
-        self._reconsider_at = 0.0
+        self._next_replan_at = 0.0
 
     def _slot_now(self) -> int:
         return int(self._ctx.wall_clock() / self._ctx.durations.slot_s)
@@ -119,16 +119,16 @@
         planned = sum(sum(zones.values()) for slot, zones in job.plan.items() if slot <= current_slot)
         return planned - job.done - len(job.active)
 
-    def reconsider(self, waiting: list[Job], now: float) -> None:
+    def replan_waiting(self, waiting: list[Job], now: float) -> None:
         """Plan jobs that wait again after capacity was released, the most valuable first.
 
         Capacity is released with every task that ends, and a plan is the dearest of our computations: what
         was released between two heartbeats of a worker is looked at together.
         """
-        if not self._capacity_released or now < self._reconsider_at:
+        if not self._capacity_released or now < self._next_replan_at:
             return
         self._capacity_released = False
-        self._reconsider_at = now + self._ctx.durations.heartbeat_interval_s
+        self._next_replan_at = now + self._ctx.durations.heartbeat_interval_s
         for job in waiting[: self._max_plans]:
             if not job.booked and self._try_admit(job):
                 self.records.write(job)
--- a/src/poppyhold/scheduling/ledger.py
+++ b/src/poppyhold/scheduling/ledger.py
@@ -11,7 +11,7 @@
 EVERY_SLOT = -1
 
 # Below this an amount is what rounding leaves of a booking that was released.
-_ROUNDING = 1e-9
+_ROUNDING_TOLERANCE = 1e-9
 
 
 class EquivalenceKey(NamedTuple):
@@ -78,15 +78,15 @@
             )
         return found
 
-    def book(self, slot: int, need: Resources, times: float) -> None:
+    def book(self, slot: int, need: Resources, factor: float) -> None:
         """Book in one slot, or in all."""
         self._equivalence_key = None
         if slot == EVERY_SLOT:
-            self.every_slot = add_scaled(self.every_slot, need, times)
+            self.every_slot = add_scaled(self.every_slot, need, factor)
             self._free_and_prices.clear()
             return
-        booked = add_scaled(self.slots.get(slot, NO_RESOURCES), need, times)
-        if all(abs(amount) < _ROUNDING for amount in booked):
+        booked = add_scaled(self.slots.get(slot, NO_RESOURCES), need, factor)
+        if all(abs(amount) < _ROUNDING_TOLERANCE for amount in booked):
             self.slots.pop(slot, None)
         else:
             self.slots[slot] = booked
@@ -139,14 +139,14 @@
     def _regroup(self, name: str) -> None:
         bookings = self.machines.get(name)
         key = bookings.equivalence_key() if bookings is not None else None
-        before = self._key_by_name.get(name)
-        if key == before:
+        previous_key = self._key_by_name.get(name)
+        if key == previous_key:
             return
-        if before is not None:
-            equivalent = self._names_by_key[before]
+        if previous_key is not None:
+            equivalent = self._names_by_key[previous_key]
             del equivalent[name], self._key_by_name[name]
             if not equivalent:
-                del self._names_by_key[before]
+                del self._names_by_key[previous_key]
         if key is not None:
             self._names_by_key.setdefault(key, {})[name] = None
             self._key_by_name[name] = key
@@ -170,15 +170,15 @@
         self.machines.pop(name, None)
         self._changed_names[name] = None
 
-    def book(self, name: str, need: Resources, first: int, last: int | None, times: float) -> None:
-        """Book (or, with negative ``times``, release) slots ``first`` to ``last``; None: every slot."""
+    def book(self, name: str, need: Resources, first: int, last: int | None, factor: float) -> None:
+        """Book (or, with negative ``factor``, release) slots ``first`` to ``last``; None: every slot."""
         bookings = self.machines.get(name)
         if bookings is None:
             return
         self._changed_names[name] = None
         if last is None:
-            bookings.book(EVERY_SLOT, need, times)
+            bookings.book(EVERY_SLOT, need, factor)
             return
         end = self.current_slot + self.horizon_slots - 1
         for slot in range(max(first, self.current_slot), min(last, end) + 1):
-            bookings.book(slot, need, times)
+            bookings.book(slot, need, factor)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -140,8 +140,8 @@
     Guard("gang_gives_up_its_room", Gangs, "abandon", _never),
     Guard("gang_alone", Gangs, "_avoid_late_machines", _never),
     Guard("gang_recall", Gangs, "stop", _kill),
-    Guard("gang_preempts", GangPlacement, "preempt_for", _never),
-    Guard("gang_preempted", TaskStarter, "_await_gangs", _never),
+    Guard("gang_preempts", GangPlacement, "choose_with_preemption", _never),
+    Guard("gang_preempted", TaskStarter, "_stop_gangs_first", _never),
     Guard("gang_not_starved", GangScheduler, "_reserve_for", _never),
     Guard("gang_team_limit", GangScheduler, "_reserve_for", _never),
     Guard("gang_half_sent", Gangs, "adopt", _never),
@@ -158,7 +158,7 @@
     Guard("zone_cut_keeps_machines", FleetSurvey, "silent_zones", _no_zones),
     Guard("zone_cut_keeps_machines", MachineMonitor, "_block_launches_in", _never),
     Guard("image_holders_make_room", Relocation, "relocate_for", _never),
-    Guard("image_holders_one_at_a_time", Relocation, "_moves_left", _plenty),
+    Guard("image_holders_one_at_a_time", Relocation, "_remaining_moves", _plenty),
     Guard("image_holders_keep_equals", Relocation, "_may_move_to", _always),
 ]
 
