--- a/src/poppyhold/scheduling/job_order.py
+++ b/src/poppyhold/scheduling/job_order.py
@@ -63,7 +63,7 @@
         if self.is_starved(job, now):
             # By arrival: by least work, the largest of them would again come last.
             return self._key_with(job, _Urgency.STARVED, 0.0)
-        remaining_s = max(0.0, self._estimates.estimate_s(job) - job.saved_s())
+        remaining_s = max(0.0, self._estimates.estimate_s(job) - job.min_saved_work_s())
         in_time = job.due_at is None or now + remaining_s <= job.due_at
         remaining_work = remaining_s * job.pending * (job.spec.accelerators or job.spec.cpus)
         return self._key_with(
