--- a/src/poppyhold/reads/read_index.py
+++ b/src/poppyhold/reads/read_index.py
@@ -61,7 +61,8 @@
 
     That revision comes from a read which starts after the queries that it answers: whatever any controller
     told before them was durable by then, so its revision is no higher. `poll_changes` alone would suffice if
-    its revision were sure to be the present one; PROTOCOL says only that it contains every change up to there.
+    its revision were sure to be the present one; PROTOCOL says only that it contains every change up to
+    there.
 
     Raises:
         LaggingChangesError: the changes do not reach the revision within the most follows of an attempt.
