--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -104,7 +104,7 @@
 
     def job_finalized(self, job_id: str, status: str, tasks: int) -> None:
         """See `OutboundPort`."""
-        self._users.job_states.finals.put(job_id, FinalState(status, tasks))
+        self._users.job_states.final_states.put(job_id, FinalState(status, tasks))
 
     # -- questions -----------------------------------------------------------------------------------
 
--- a/src/poppyhold/node/user_api.py
+++ b/src/poppyhold/node/user_api.py
@@ -48,7 +48,7 @@
 # More cancellations than this would not fit into a message between controllers.
 _MAX_NAMED_CANCELLATIONS = 10_000
 # Final states that are remembered, for each MB of memory that the controller may take.
-_FINALS_PER_RAM_MB = 100
+_FINAL_STATES_PER_RAM_MB = 100
 # Requests that may use the state service at once: at least so many.
 _MIN_SLOTS = 8
 
@@ -87,7 +87,10 @@
             min(int(limits.state.write_rps * limits.workers.cancel_s), _MAX_NAMED_CANCELLATIONS)
         )
         self.job_states = JobStates(
-            store, self.cancellations, task_counts, int(limits.machine_limits.ram_mb * _FINALS_PER_RAM_MB)
+            store,
+            self.cancellations,
+            task_counts,
+            int(limits.machine_limits.ram_mb * _FINAL_STATES_PER_RAM_MB),
         )
         # More at once than this would only wait for the state service's limit.
         self._slots = threading.BoundedSemaphore(max(_MIN_SLOTS, int(limits.state.rps / 2)))
@@ -107,7 +110,7 @@
         reason = self._policy.why_infeasible(spec, machine_types)
         if reason is not None or not machine_types:
             # A repeat of an accepted job is answered with its state, whatever we think of it now.
-            known = self.job_states.look_up(spec.name)
+            known = self.job_states.read_status(spec.name)
             if known is not None:
                 return http_response(HTTPStatus.OK, known)
             if reason is None:
@@ -123,7 +126,7 @@
 
         An earlier version may have stored it, under larger limits.
         """
-        known = self.job_states.look_up(spec.name)
+        known = self.job_states.read_status(spec.name)
         if known is not None:
             return http_response(HTTPStatus.OK, known)
         return http_response(HTTPStatus.BAD_REQUEST, {"error": "too long"})
@@ -131,10 +134,10 @@
     def _store_submission(self, spec: Submission, data: Data) -> HttpResponse:
         # A condition that fails counts against the limit of changes like a change: users that repeat what is
         # known to be accepted must not eat up what decisions need.
-        look_up_first = self.job_states.may_be_known(spec.name)
+        read_status_first = self.job_states.probably_accepted(spec.name)
         for _ in self._attempts():
-            if look_up_first or self.job_states.finals.get(spec.name) is not None:
-                known = self.job_states.look_up(spec.name)
+            if read_status_first or self.job_states.final_states.get(spec.name) is not None:
+                known = self.job_states.read_status(spec.name)
                 if known is not None:
                     return http_response(HTTPStatus.OK, known)
             try:
@@ -150,9 +153,9 @@
                 return self._reject_too_long(spec)
             except ConditionFailedError:
                 # It exists, perhaps by our own attempt before: its user is told of its present state.
-                look_up_first = True
+                read_status_first = True
             else:
-                self.job_states.note_accepted(spec.name)
+                self.job_states.record_accepted(spec.name)
                 return http_response(
                     HTTPStatus.CREATED, {field_names.NAME: spec.name, "status": JobStatus.PENDING}
                 )
@@ -164,23 +167,23 @@
         """GET /api/jobs/{id}."""
         if not JOB_ID.match(job_id):
             return _unknown_job()
-        final = self.job_states.finals.get(job_id)
+        final = self.job_states.final_states.get(job_id)
         if final is not None:
-            return http_response(HTTPStatus.OK, self.job_states.final_state(job_id, final))
+            return http_response(HTTPStatus.OK, self.job_states.describe_final(job_id, final))
         # A shared read takes no slot: it costs the state service the same for any number of queries.
         return self._or_try_later(lambda: self._poll(job_id))
 
     def _poll(self, job_id: str) -> HttpResponse:
         # In this order: a job moves from the active ones to the final ones, and never back.
         if self._reads.is_active(job_id):
-            return http_response(HTTPStatus.OK, self.job_states.active_state(job_id))
+            return http_response(HTTPStatus.OK, self.job_states.describe_active(job_id))
         return self._with_slot(lambda: self._poll_final(job_id))
 
     def _poll_final(self, job_id: str) -> HttpResponse:
         final = self.job_states.read_final(job_id)
         if final is None:
             return _unknown_job()
-        return http_response(HTTPStatus.OK, self.job_states.final_state(job_id, final))
+        return http_response(HTTPStatus.OK, self.job_states.describe_final(job_id, final))
 
     # -- cancellations -------------------------------------------------------------------------------
 
@@ -192,12 +195,12 @@
 
     def _abort(self, job_id: str) -> HttpResponse:
         for _ in self._attempts():
-            final = self.job_states.finals.get(job_id)
+            final = self.job_states.final_states.get(job_id)
             if final is not None:
                 return http_response(HTTPStatus.OK, {field_names.NAME: job_id, "status": final.status})
             entry = self._store.get(ACTIVE_JOB_PREFIX + job_id)
             if entry is None:
-                if self.job_states.look_up(job_id) is None:
+                if self.job_states.read_status(job_id) is None:
                     return _unknown_job()
                 continue
             try:
@@ -209,7 +212,7 @@
             except (ConditionFailedError, OutcomeUnknownError):
                 # The job changed, or may have been cancelled by this attempt: look again.
                 continue
-            self.job_states.keep_final(job_id, FinalState(JobStatus.CANCELLED, tasks), revision)
+            self.job_states.record_final(job_id, FinalState(JobStatus.CANCELLED, tasks), revision)
             return http_response(HTTPStatus.OK, {field_names.NAME: job_id, "status": JobStatus.CANCELLED})
         return self._try_later()
 
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -323,7 +323,7 @@
         self.node.step_down()
 
     def job_finalized(self, job_id: str, status: str, chores: int) -> None:
-        self.node.users.job_states.finals.put(job_id, FinalState(status, chores))
+        self.node.users.job_states.final_states.put(job_id, FinalState(status, chores))
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
         since = self.world.now - self.world.settings.deployment.workers.lease_s / 2
