--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -263,8 +263,8 @@
         self.cancellations.on_peer_response(pong, asked_at)
 
     def _on_machine_types(self, machine_types: list[MachineType]) -> None:
-        self._node.catalog.learn(machine_types)
-        self._node.catalog.publish()
+        self._node.catalog.update(machine_types)
+        self._node.catalog.persist()
         self.loop.post(DECISIONS, lambda: self.controller.handle_machine_types(machine_types))
 
     def _on_machine_listing(self, listing: MachineListing) -> None:
--- a/src/poppyhold/node/machine_catalog.py
+++ b/src/poppyhold/node/machine_catalog.py
@@ -30,7 +30,7 @@
         self._max_value_bytes = max_value_bytes
         self.types: dict[str, MachineType] = {}
         # What was last made durable of each type; prices are not.
-        self._published: object = None
+        self._persisted: object = None
 
     def await_machine_types(self, stop: threading.Event) -> None:
         """Ask the state service and the cloud in turn until machine types are known, or ``stop`` is set."""
@@ -39,31 +39,31 @@
             try:
                 stored = read_machine_types(self._store)
                 if stored is not None:
-                    self.learn(stored)
+                    self.update(stored)
                     return
             except (StoreRejectedError, OutcomeUnknownError, MalformedError) as error:
                 log.debug("machine types not read: error=%s", error)
             machine_types = self._cloud.fetch_machine_types()
             if machine_types:
-                self.learn(machine_types)
+                self.update(machine_types)
                 return
             stop.wait(self._rng.uniform(pause_s, pause_s * 3))
 
-    def learn(self, machine_types: Iterable[MachineType]) -> None:
+    def update(self, machine_types: Iterable[MachineType]) -> None:
         """Keep machine types, with their current prices."""
         self.types = {**self.types, **{machine_type.name: machine_type for machine_type in machine_types}}
 
-    def publish(self) -> None:
+    def persist(self) -> None:
         """Make the types durable if they have changed, for nodes that start while the cloud is away."""
-        shapes = [
+        persistent_fields = [
             (each.name, each.cpus, each.accelerators, each.memory_gb, tuple(each.zones))
             for each in self.types.values()
         ]
-        if shapes == self._published:
+        if persistent_fields == self._persisted:
             return
         try:
             for write in machine_type_writes(self.types.values(), self._max_value_bytes):
                 self._store.commit({}, [write])
-            self._published = shapes
+            self._persisted = persistent_fields
         except (StoreRejectedError, OutcomeUnknownError, ConditionFailedError, LeaseExpiredError) as error:
             log.debug("machine types not stored: error=%s", error)
