--- a/src/poppyhold/node/heartbeat_endpoint.py
+++ b/src/poppyhold/node/heartbeat_endpoint.py
@@ -24,14 +24,14 @@
         controller: Controller,
         assignment: Assignment,
         may_renew_leases: Callable[[], bool],
-        rejection: Callable[[], HttpResponse],
+        make_rejection: Callable[[], HttpResponse],
     ) -> None:
-        """``rejection`` is the answer to a heartbeat that the leader can't answer."""
+        """``make_rejection`` returns the answer to a heartbeat that the leader can't answer."""
         self._loop, self._controller, self._assignment = loop, controller, assignment
-        self._may_renew_leases, self._rejection = may_renew_leases, rejection
+        self._may_renew_leases, self._make_rejection = may_renew_leases, make_rejection
         self._ready = threading.Event()
 
-    def open(self) -> None:
+    def mark_ready(self) -> None:
         """The state is rebuilt: heartbeats can be answered from now on."""
         self._ready.set()
 
@@ -42,36 +42,36 @@
         if not self._ready.wait(timeout_s):
             return None
         # Nobody waits for the answer after this: work on it would only hold up the heartbeats that follow.
-        late_at = time.monotonic() + timeout_s
+        deadline = time.monotonic() + timeout_s
 
         def defer(send: Callable[[HttpResponse], None]) -> None:
             def work() -> None:
-                result = self._rejection()
+                result = self._make_rejection()
                 try:
-                    result = self._answer_directly(heartbeat, late_at) or result
+                    result = self._answer_direct_heartbeat(heartbeat, deadline) or result
                 finally:
                     send(result)
 
             if not self._loop.post(HEARTBEATS, work):
-                send(self._rejection())
+                send(self._make_rejection())
 
         return defer
 
-    def _answer_directly(self, heartbeat: Heartbeat, late_at: float) -> HttpResponse | None:
+    def _answer_direct_heartbeat(self, heartbeat: Heartbeat, deadline: float) -> HttpResponse | None:
         """The answer to a direct heartbeat, which may be the name of a relay; None: no lease is renewed."""
         relay = self._assignment.assign(
             heartbeat.machine, heartbeat.zone, self._controller.last_response_at(heartbeat.machine)
         )
         if relay is not None:
             return http_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect(relay).body())
-        response = self.answer(heartbeat, late_at)
+        response = self.answer(heartbeat, deadline)
         return http_response(HTTPStatus.OK, response.body()) if response is not None else None
 
-    def answer(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
+    def answer(self, heartbeat: Heartbeat, deadline: float) -> HeartbeatResponse | None:
         """On the decision thread: answer a heartbeat, whichever way it came; None if it can't be answered.
 
-        After ``late_at`` nobody waits for the answer.
+        After ``deadline`` nobody waits for the answer.
         """
-        if not self._loop.alive or time.monotonic() >= late_at or not self._may_renew_leases():
+        if not self._loop.alive or time.monotonic() >= deadline or not self._may_renew_leases():
             return None
         return self._controller.handle_heartbeat(heartbeat)
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -219,7 +219,7 @@
             read_at - began_at,
             time.monotonic() - read_at,
         )
-        self.heartbeats.open()
+        self.heartbeats.mark_ready()
         if self.quota_endpoint is not None:
             self.quota_endpoint.start()
         return True
