--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -29,7 +29,7 @@
 # Jobs whose counts are kept of the leader's, for each MB of memory that the controller may take.
 _COUNTS_PER_RAM_MB = 100
 # A refused connection to the leader deposes it by itself once in so many leases.
-_REFUSAL_SUFFICES_LEASES = 6
+_REFUSAL_INTERVAL_LEASES = 6
 
 
 class Membership:
@@ -46,21 +46,21 @@
         misdirected_workers: MisdirectedWorkers,
         quota_server: QuotaServer,
         leader_term: Callable[[], LeaderTerm | None],
-        state_contact_at: Callable[[], float],
+        store_contact_at: Callable[[], float],
     ) -> None:
-        """``state_contact_at`` is when the state service last answered us."""
+        """``store_contact_at`` is when the state service last answered this node."""
         self._settings, self._election, self._users = settings, election, users
         self._forwarder, self._delegated_renewal = forwarder, delegated_renewal
         self._misdirected_workers = misdirected_workers
-        self._leader_term, self._state_contact_at = leader_term, state_contact_at
-        self._better_leader_after_s = Durations(settings, options).delegated_renewal_after_s
+        self._leader_term, self._store_contact_at = leader_term, store_contact_at
+        self._better_connected_after_s = Durations(settings, options).delegated_renewal_after_s
         # The leader's counts of tasks, and its machines' images.
         self._peer_counts: dict[str, TaskCounts] = {}
         self.peer_image_hints: ImageHints = {}
         # When we last deposed a leader that refused connections.
         self._lease_expired_at = float("-inf")
         # A leader whose process answered, and did not lead.
-        self._idle_leader: Leader | None = None
+        self._suspected_leader: Leader | None = None
         self._quota_server = quota_server
         self.peers = Peers(settings, self, quota_server.max_connections)
 
@@ -94,13 +94,13 @@
     def compose_ping(self) -> Ping:
         """What this controller is and knows, without the entries that each peer gets in pieces."""
         term = self._election.term
-        state_age_s = time.monotonic() - self._state_contact_at()
+        state_age_s = time.monotonic() - self._store_contact_at()
         workers = len(self._misdirected_workers.recent())
         leader_term = self._leader_term()
         delegation = (
             leader_term.cancellations.delegation if leader_term is not None and leader_term.alive else None
         )
-        known = leader_term.authority.acted_on_revision if leader_term is not None else -1
+        acted_on_revision = leader_term.authority.acted_on_revision if leader_term is not None else -1
         listed, bound = self._confirmed_cancellations()
         confirmed = bound if bound < 0 else max([bound, *(revision for _, revision in listed)])
         return Ping(
@@ -111,8 +111,8 @@
             confirmed,
             workers,
             delegation=delegation,
-            acted_on_revision=known,
-            accepts_relays=leader_term is not None and self._takes_relays(leader_term),
+            acted_on_revision=acted_on_revision,
+            accepts_relays=leader_term is not None and self._accepts_relays(leader_term),
         )
 
     def _confirmed_cancellations(self) -> tuple[list[Cancellation], int]:
@@ -122,22 +122,22 @@
     def handle_ping(self, ping: Ping) -> Pong:
         """Learn from another controller's ping, and answer it."""
         if ping.leading:
-            self._learn_from_leader(ping)
-        us = self.compose_ping()
+            self._apply_leader_ping(ping)
+        own = self.compose_ping()
         listed: list[Cancellation] = []
         unlisted_revision: int | None = None
         misdirected = self._misdirected_workers.recent() if ping.leading else []
         if ping.leading and ping.acted_on_revision >= 0:
             self._users.cancellations.acknowledge(ping.acted_on_revision)
-            # Read after `us`: what is confirmed in between is listed as well.
+            # Read after `own`: what is confirmed in between is listed as well.
             listed, unlisted_revision = self._confirmed_cancellations()
         return Pong(
-            us.member,
-            us.fencing_token,
-            us.leading,
-            us.state_age_s,
-            us.confirmed_revision,
-            us.workers,
+            own.member,
+            own.fencing_token,
+            own.leading,
+            own.state_age_s,
+            own.confirmed_revision,
+            own.workers,
             listed,
             unlisted_revision,
             misdirected,
@@ -146,7 +146,7 @@
 
     # -- what we learn -------------------------------------------------------------------------------
 
-    def _learn_from_leader(self, ping: Ping) -> None:
+    def _apply_leader_ping(self, ping: Ping) -> None:
         self._election.observe_fencing_token(ping.fencing_token)
         self._forwarder.note_ping(ping.fencing_token, ping.accepts_relays)
         self._delegated_renewal.observe_leader(ping.fencing_token, ping.delegation)
@@ -172,30 +172,30 @@
         leader_term = self._leader_term()
         if leader_term is not None:
             leader_term.on_peer_response(pong, asked_at)
-            self._hand_over_if_better_connected_peer()
-        self._check_idle_leader(pong)
+            self._transfer_to_better_connected_peer()
+        self._check_stale_leader_key(pong)
 
     # -- who leads -----------------------------------------------------------------------------------
 
-    def _check_idle_leader(self, pong: Pong) -> None:
+    def _check_stale_leader_key(self, pong: Pong) -> None:
         """Depose a leader whose process runs and leads nothing: the key is that of a process before it."""
         leader = self._election.leader
         if leader is None or leader.member != pong.member or pong.fencing_token:
             return
-        if self._idle_leader == leader:
+        if self._suspected_leader == leader:
             # Told twice, so it is not that the answer and the election crossed.
-            self._idle_leader = None
+            self._suspected_leader = None
             self._election.expire_lease(leader)
         else:
-            self._idle_leader = leader
+            self._suspected_leader = leader
 
-    def _hand_over_if_better_connected_peer(self) -> None:
+    def _transfer_to_better_connected_peer(self) -> None:
         """Let a controller lead that reaches more of the others than we do.
 
         Two zones that cannot reach each other while both reach a third: a leader in one of the two lost all
         tasks of the other one to their leases, and could not tell for half a minute what still ran there.
         """
-        better = self.peers.connectivity.better_connected_peer(self._better_leader_after_s)
+        better = self.peers.connectivity.better_connected_peer(self._better_connected_after_s)
         view = self.peers.views.get(better) if better is not None else None
         # The next leader must be able to lead: it heard from the state service lately.
         if view is not None and time.monotonic() - view.store_contact_at < self._election.lease_ttl_s:
@@ -211,15 +211,15 @@
         # once in several leases, and otherwise only if workers have turned away from the leader too.
         now = time.monotonic()
         lease_s = self._settings.deployment.workers.lease_s
-        quiet_s = now - self._lease_expired_at
+        since_last_s = now - self._lease_expired_at
         workers_left = len(self._misdirected_workers.recent()) > 1
-        if quiet_s > _REFUSAL_SUFFICES_LEASES * lease_s or (quiet_s > lease_s and workers_left):
+        if since_last_s > _REFUSAL_INTERVAL_LEASES * lease_s or (since_last_s > lease_s and workers_left):
             self._lease_expired_at = now
             self._election.expire_lease(leader)
 
     # -- relays --------------------------------------------------------------------------------------
 
-    def _takes_relays(self, leader_term: LeaderTerm) -> bool:
+    def _accepts_relays(self, leader_term: LeaderTerm) -> bool:
         """Whether a term takes relays; before it knows how many machines there are, as the last one."""
         relays = leader_term.relays
         return relays.relays_wanted or (not relays.knows_machines and self._forwarder.is_wanted())
@@ -227,7 +227,7 @@
     def serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
         """Serve a relay's connection for as long as it lasts, if our term takes relays."""
         leader_term = self._leader_term()
-        if leader_term is not None and self._takes_relays(leader_term):
+        if leader_term is not None and self._accepts_relays(leader_term):
             leader_term.relays.serve(connection, hello)
 
     # -- other cells ---------------------------------------------------------------------------------
--- a/src/poppyhold/node/readiness.py
+++ b/src/poppyhold/node/readiness.py
@@ -14,7 +14,7 @@
 from poppyhold.wire.http_server import HttpResponse, http_response
 
 # A node is not ready if a peer heard from the state service later than it did by this share of a lease.
-_BEHIND_RATIO = 0.35
+_MAX_LAG_RATIO = 0.35
 
 
 class ReadinessCheck:
@@ -30,16 +30,16 @@
     ) -> None:
         self._member, self._store, self._catalog = settings.member, store, catalog
         self._peer_views, self._leader_term = peer_views, leader_term
-        self._behind_s = settings.deployment.workers.lease_s * _BEHIND_RATIO
+        self._max_lag_s = settings.deployment.workers.lease_s * _MAX_LAG_RATIO
         self._started_at = time.monotonic()
 
-    def contact_at(self) -> float:
+    def store_contact_at(self) -> float:
         """When the state service last answered us; when we started, if it has not yet."""
         return max(self._store.contact_at, self._started_at)
 
     def check(self) -> HttpResponse:
         """200 if users may be sent here, else 503; a leader tells the state of its quota allocations."""
-        if not self._catalog.types or self._is_behind():
+        if not self._catalog.types or self._lags_behind_peers():
             return http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not ready"}, Retry_After="1")
         body: dict[str, object] = {"member": self._member}
         leader_term = self._leader_term()
@@ -48,14 +48,14 @@
             body["shares"] = endpoint.health._asdict()
         return http_response(HTTPStatus.OK, body)
 
-    def _is_behind(self) -> bool:
+    def _lags_behind_peers(self) -> bool:
         """Whether we alone have lost the state service.
 
         In an outage every node is as good as another, and none may say otherwise: balancers are slow to take
         a node back. Nodes hear from the state service at different moments, so only a clear lead of a peer
         counts.
         """
-        contact_at = self.contact_at()
+        own_contact_at = self.store_contact_at()
         return any(
-            view.store_contact_at - contact_at > self._behind_s for view in self._peer_views().values()
+            view.store_contact_at - own_contact_at > self._max_lag_s for view in self._peer_views().values()
         )
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -90,7 +90,7 @@
             misdirected_workers,
             QuotaServer(settings, options.cells, self._current_term, lambda: self.election.leader),
             self._current_term,
-            readiness.contact_at,
+            readiness.store_contact_at,
         )
         self.peers: Peers = self._membership.peers
         self.server = HttpServer(
