--- a/src/poppyhold/node/cloud_dispatcher.py
+++ b/src/poppyhold/node/cloud_dispatcher.py
@@ -21,7 +21,7 @@
 LIST_REQUEST_SHARE = 0.5
 # A list is read twice within the time by which it may lag, the machine types once in four of those times.
 _LISTS_PER_LAG = 2
-_MACHINE_TYPES_LAGS = 4
+_LAGS_PER_MACHINE_TYPES_READ = 4
 # Requests that were not sent for a while may be made up for in bursts of one second's worth: half of what the
 # cloud takes.
 _BURST_S = 1.0
@@ -51,12 +51,12 @@
     some clouds take, and deletions waited for them.
     """
 
-    def __init__(self, client: CloudClient, lag_s: float, gap_s: float) -> None:
-        """``gap_s`` is the time between two requests at the cloud's rate."""
-        self._client, self._gap_s = client, gap_s
+    def __init__(self, client: CloudClient, lag_s: float, request_interval_s: float) -> None:
+        """``request_interval_s`` is the time between two requests at the cloud's rate."""
+        self._client, self._request_interval_s = client, request_interval_s
         self._min_interval_s = lag_s / _LISTS_PER_LAG
-        self._began_at = 0.0
-        self._pages = 0
+        self._list_started_at = 0.0
+        self._pages_read = 0
         self._machines: list[ListedMachine] = []
         # When the next page, or the first one of the next list, is due.
         self.due_at = time.monotonic()
@@ -64,27 +64,27 @@
     def read_next_page(self) -> MachineListing | None:
         """Read the next page; returns the list once it is whole."""
         now = time.monotonic()
-        if not self._pages:
-            self._began_at = now
+        if not self._pages_read:
+            self._list_started_at = now
         page = self._client.fetch_machine_page(self._machines[-1].name if self._machines else "")
         if page is None:
             # A list that can't be read whole is read anew: nobody knows how old its first pages would become.
-            self._start_over()
+            self._schedule_next_list()
             return None
-        self._pages += 1
+        self._pages_read += 1
         self._machines += page.machines
         if page.more and page.machines:
-            self.due_at = now + self._gap_s / LIST_REQUEST_SHARE
+            self.due_at = now + self._request_interval_s / LIST_REQUEST_SHARE
             return None
-        listing = MachineListing(self._machines, self._began_at)
-        self._start_over()
+        listing = MachineListing(self._machines, self._list_started_at)
+        self._schedule_next_list()
         return listing
 
-    def _start_over(self) -> None:
+    def _schedule_next_list(self) -> None:
         """The next list is due half a lag after this one began, or later if its pages take longer."""
-        pages_s = self._pages * self._gap_s / LIST_REQUEST_SHARE
-        self.due_at = self._began_at + max(self._min_interval_s, pages_s)
-        self._pages, self._machines = 0, []
+        pages_s = self._pages_read * self._request_interval_s / LIST_REQUEST_SHARE
+        self.due_at = self._list_started_at + max(self._min_interval_s, pages_s)
+        self._pages_read, self._machines = 0, []
 
 
 class CloudDispatcher:
@@ -100,9 +100,9 @@
         self._client = client
         self._on_machine_types, self._on_machine_listing = on_machine_types, on_machine_listing
         cloud = settings.deployment.cloud
-        self._gap_s = 1.0 / cloud.rps
-        self._list_reader = MachineListReader(client, cloud.list_lag_s, self._gap_s)
-        self._machine_types_interval_s = cloud.list_lag_s * _MACHINE_TYPES_LAGS
+        self._request_interval_s = 1.0 / cloud.rps
+        self._list_reader = MachineListReader(client, cloud.list_lag_s, self._request_interval_s)
+        self._machine_types_interval_s = cloud.list_lag_s * _LAGS_PER_MACHINE_TYPES_READ
         self._deletions: deque[_Deletion] = deque()
         self._launches: deque[_Launch] = deque()
         self._wake = threading.Condition()
@@ -129,18 +129,18 @@
             self._wake.notify()
 
     def _run(self) -> None:
-        machine_types_at = credit_at = time.monotonic()
+        machine_types_at = next_request_at = time.monotonic()
         while not self._stopped:
-            self._await_work(min(self._list_reader.due_at, machine_types_at))
+            self._await_request(min(self._list_reader.due_at, machine_types_at))
             if self._stopped:
                 return
             now = time.monotonic()
-            credit_at = max(credit_at + self._gap_s, now - _BURST_S)
-            if credit_at > now:
-                time.sleep(credit_at - now)
+            next_request_at = max(next_request_at + self._request_interval_s, now - _BURST_S)
+            if next_request_at > now:
+                time.sleep(next_request_at - now)
             try:
                 if self._deletions or self._launches:
-                    self._send_change()
+                    self._send_mutation()
                 elif time.monotonic() >= self._list_reader.due_at:
                     self._read_machine_list()
                 else:
@@ -150,7 +150,7 @@
                 # The top of the thread: without it no machine would be launched or deleted in this term.
                 log.exception("cloud request failed")
 
-    def _await_work(self, until: float) -> None:
+    def _await_request(self, until: float) -> None:
         """Wait for a change that is asked for, or for the time of the next read."""
         with self._wake:
             while not (self._deletions or self._launches or self._stopped):
@@ -159,7 +159,7 @@
                     return
                 self._wake.wait(remaining_s)
 
-    def _send_change(self) -> None:
+    def _send_mutation(self) -> None:
         """Send a deletion, or else a launch."""
         if self._deletions:
             deletion = self._deletions.popleft()
--- a/src/poppyhold/node/command_dispatcher.py
+++ b/src/poppyhold/node/command_dispatcher.py
@@ -63,7 +63,7 @@
             self._queue.clear()
             self._wake.notify_all()
 
-    def _take(self) -> tuple[str, Data, ResponseCallback] | None:
+    def _next_command(self) -> tuple[str, Data, ResponseCallback] | None:
         """The next command; None if the thread is to end."""
         with self._wake:
             if not self._queue and not self._stopped:
@@ -76,7 +76,7 @@
             return None
 
     def _run(self) -> None:
-        while (command := self._take()) is not None:
+        while (command := self._next_command()) is not None:
             self._send(*command)
 
 
--- a/src/poppyhold/node/decision_loop.py
+++ b/src/poppyhold/node/decision_loop.py
@@ -14,7 +14,7 @@
 # Ticks within a heartbeat interval.
 _TICKS_PER_INTERVAL = 4
 # The thread's naps between events, as a divisor of the heartbeat interval.
-_NAPS_PER_INTERVAL = 100
+_PAUSES_PER_INTERVAL = 100
 
 
 class DecisionLoop:
@@ -27,7 +27,7 @@
     def __init__(self, max_waiting_heartbeats: int, heartbeat_interval_s: float) -> None:
         # Whether the term still leads. Nothing is posted, answered or sent once it is False.
         self.alive = True
-        self._queue = PriorityQueue(max_waiting_heartbeats, heartbeat_interval_s / _NAPS_PER_INTERVAL)
+        self._queue = PriorityQueue(max_waiting_heartbeats, heartbeat_interval_s / _PAUSES_PER_INTERVAL)
         self._tick_s = heartbeat_interval_s / _TICKS_PER_INTERVAL
 
     def start(
@@ -68,9 +68,9 @@
 
     def _run(self) -> None:
         if self._prepare():
-            self._decide()
+            self._process_events()
 
-    def _decide(self) -> None:
+    def _process_events(self) -> None:
         """Take events by priority until the term is over."""
         tick_at = time.monotonic()
         while self.alive:
--- a/src/poppyhold/node/scheduling_cycle.py
+++ b/src/poppyhold/node/scheduling_cycle.py
@@ -9,10 +9,10 @@
 from poppyhold.scheduling.quotas import Quotas
 
 # A cycle is followed by a rest of so many times its own duration: cycles take a seventh of the time at most.
-_REST_RATIO = 6
+_PAUSE_RATIO = 6
 # Bounds of that rest: the heartbeat interval divided by these.
-_SHORTEST_REST_DIVISOR = 25
-_LONGEST_REST_DIVISOR = 2
+_MIN_PAUSE_DIVISOR = 25
+_MAX_PAUSE_DIVISOR = 2
 
 
 class SchedulingCycle:
@@ -28,7 +28,7 @@
         self._ctx, self._quotas = ctx, quotas
         self._dispatcher, self._reconciler = dispatcher, reconciler
         self._guarantees_stale = True
-        self._not_before = float("-inf")
+        self._next_cycle_at = float("-inf")
 
     def mark_guarantees_stale(self) -> None:
         """Which jobs are guaranteed is found out anew in the next cycle."""
@@ -36,13 +36,17 @@
 
     def due_at(self) -> float | None:
         """The moment from which on the next cycle may run; None if nothing is to be scheduled."""
-        return self._not_before if self._ctx.scheduling_needed else None
+        return self._next_cycle_at if self._ctx.scheduling_needed else None
 
     def run_if_due(self) -> None:
         """Start what may start, if something has changed and the rest after the last cycle is over."""
         ctx = self._ctx
-        began_at = ctx.clock()
-        if not ctx.scheduling_needed or began_at < self._not_before or not ctx.outbound.may_start_tasks():
+        started_at = ctx.clock()
+        if (
+            not ctx.scheduling_needed
+            or started_at < self._next_cycle_at
+            or not ctx.outbound.may_start_tasks()
+        ):
             return
         ctx.scheduling_needed = False
         if self._guarantees_stale:
@@ -53,5 +57,5 @@
         self._dispatcher.dispatch(self._reconciler.lease_expiry.all_reconciled())
         ended_at = ctx.clock()
         interval_s = ctx.durations.heartbeat_interval_s
-        rest_s = max(_REST_RATIO * (ended_at - began_at), interval_s / _SHORTEST_REST_DIVISOR)
-        self._not_before = ended_at + min(rest_s, interval_s / _LONGEST_REST_DIVISOR)
+        pause_s = max(_PAUSE_RATIO * (ended_at - started_at), interval_s / _MIN_PAUSE_DIVISOR)
+        self._next_cycle_at = ended_at + min(pause_s, interval_s / _MAX_PAUSE_DIVISOR)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -230,7 +230,7 @@
 
 def test_a_long_list_is_as_old_as_its_first_page_and_the_next_one_waits_as_long() -> None:
     cloud: Any = ListingCloud()
-    reader = MachineListReader(cloud, lag_s=0.01, gap_s=0.02)
+    reader = MachineListReader(cloud, lag_s=0.01, request_interval_s=0.02)
     before = time.monotonic()
     listing = None
     while listing is None:
