--- a/src/poppyhold/node/cancellation_tracker.py
+++ b/src/poppyhold/node/cancellation_tracker.py
@@ -43,37 +43,39 @@
         """Whether workers may be given another lease."""
         return self._authority.may_renew_leases(time.monotonic(), self._leadership_confirmed_at())
 
-    def on_caught_up(self, asked_at: float, revision: int) -> None:
+    def on_caught_up(self, requested_at: float, revision: int) -> None:
         """The watch has delivered every change up to a revision."""
         # Queued after the changes that it stands for.
-        self._loop.post(DECISIONS, lambda: self._authority.observe_watch(asked_at, revision))
+        self._loop.post(DECISIONS, lambda: self._authority.observe_watch(requested_at, revision))
 
-    def on_peer_response(self, pong: Pong, asked_at: float) -> None:
+    def on_peer_response(self, pong: Pong, requested_at: float) -> None:
         """Another controller told which cancellations it confirmed to users."""
         self._loop.post(
             DECISIONS,
-            lambda: self._apply(pong.member, pong.cancellations, pong.cancellations_bound, asked_at),
+            lambda: self._apply(pong.member, pong.cancellations, pong.cancellations_bound, requested_at),
         )
 
     def apply_own_cancellations(self) -> None:
         """Act on what this node confirmed: the state service may not tell us of it when it refuses us."""
-        asked_at = time.monotonic()
+        requested_at = time.monotonic()
         self._own_cancellations.acknowledge(self._authority.acted_on_revision)
         listed, bound = self._own_cancellations.summarize(self._first_revision())
-        self._apply(self._member, listed, bound, asked_at)
+        self._apply(self._member, listed, bound, requested_at)
 
-    def _apply(self, member: str, cancelled: Iterable[Cancellation], bound: int, asked_at: float) -> None:
+    def _apply(self, member: str, cancelled: Iterable[Cancellation], bound: int, requested_at: float) -> None:
         """Stop the jobs whose cancellation a controller confirmed: it is durable, seen here or not."""
         for job_id, _ in cancelled:
             self._controller.handle_job_removed(ACTIVE_JOB_PREFIX + job_id)
-        self._authority.observe_peer(member, asked_at, bound)
+        self._authority.observe_peer(member, requested_at, bound)
 
     def update_delegation(self) -> None:
         """Note what the other controllers may count on, should they lose us."""
-        sure_at = min(self._authority.watch_caught_up_at, self._leadership_confirmed_at())
+        confirmed_at = min(self._authority.watch_caught_up_at, self._leadership_confirmed_at())
         excluded_machines = self._controller.excluded_machines()
-        if excluded_machines is None or sure_at == float("-inf"):
+        if excluded_machines is None or confirmed_at == float("-inf"):
             self.delegation = None
             return
-        known_wall = time.time() - (time.monotonic() - sure_at)
-        self.delegation = LeaseDelegation(self._controller.ctx.fencing_token, known_wall, excluded_machines)
+        confirmed_wall_time = time.time() - (time.monotonic() - confirmed_at)
+        self.delegation = LeaseDelegation(
+            self._controller.ctx.fencing_token, confirmed_wall_time, excluded_machines
+        )
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -50,18 +50,18 @@
         outbound: OutboundPort,
         fencing_token: int,
         clock: Callable[[], float],
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        times = Durations(settings, options)
+        durations = Durations(settings, options)
         connections = settings.deployment.machine_limits.connections
         self.ctx = Context(
             settings=settings,
             options=options,
-            durations=times,
+            durations=durations,
             outbound=outbound,
             clock=clock,
-            wall_clock=wall,
+            wall_clock=wall_clock,
             rng=rng,
             term_fencing_token=fencing_token,
             max_initial_probes=connections * options.relays.from_share,
@@ -69,7 +69,7 @@
             fencing_token=fencing_token,
         )
         self._quotas = Quotas(settings.deployment.teams)
-        self.failures = Failures(times, clock, self._on_job_judged)
+        self.failures = Failures(durations, clock, self._on_fault_changed)
         self.reconciler = AttemptReconciler(
             self.ctx, self._on_task_completed, self._on_attempt_ended, self._on_task_ran, self.failures
         )
@@ -233,7 +233,7 @@
 
     # Each of these is given to a part that is made before the part that it calls.
 
-    def _on_job_judged(self, job: Job) -> None:
+    def _on_fault_changed(self, job: Job) -> None:
         self.admission.fault_changed(job)
 
     def _on_task_completed(self, job: Job, index: int) -> None:
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -56,7 +56,7 @@
     rng: random.Random
     store: Store
     cloud: CloudClient
-    users: UserApi
+    user_api: UserApi
     election: Election
     peers: Peers
     catalog: MachineCatalog
@@ -81,13 +81,13 @@
         self._node = node
         settings, options = node.settings, node.options
         workers = settings.deployment.workers
-        times = Durations(settings, options)
+        durations = Durations(settings, options)
         self.loop = DecisionLoop(settings.deployment.machine_limits.max_sockets, workers.heartbeat_interval_s)
         self._committer = Committer(node.store, settings, term.key_revision, self._on_write_rejected)
         self._commands = CommandDispatcher(settings)
         members = [settings.member, *(known.member for known in settings.peers)]
-        self.authority = Authority(times.unconfirmed_renewal_s, members, term.began_at)
-        self.delegations = DelegationTracker(times, settings.deployment.skew_ms / 1000)
+        self.authority = Authority(durations.unconfirmed_renewal_s, members, term.began_at)
+        self.delegations = DelegationTracker(durations, settings.deployment.skew_ms / 1000)
         self._outbound = OutboundAdapter(
             self.loop,
             node.election,
@@ -95,7 +95,7 @@
             self.delegations,
             self._committer,
             self._commands,
-            node.users,
+            node.user_api,
             node.peers,
         )
         self.controller = Controller(
@@ -106,11 +106,11 @@
             self.loop,
             self.controller,
             self.authority,
-            node.users.cancellations,
+            node.user_api.cancellations,
             lambda: node.election.watch.first_revision,
             self._outbound.leadership_confirmed_at,
         )
-        assignment = self._make_assignment(times)
+        assignment = self._make_assignment(durations)
         self.heartbeats = HeartbeatEndpoint(
             self.loop,
             self.controller,
@@ -128,7 +128,7 @@
         self.image_hints: ImageHints = {}
         self._start_loop()
 
-    def _make_assignment(self, times: Durations) -> Assignment:
+    def _make_assignment(self, durations: Durations) -> Assignment:
         """Who relays for whom, and whether relays are wanted at all."""
         settings, relays = self._node.settings, self._node.options.relays
         connections = settings.deployment.machine_limits.connections
@@ -138,7 +138,7 @@
             connections * DIRECT_SHARE,
             settings.member,
             settings.zone,
-            times,
+            durations,
             time.monotonic,
             self._node.rng,
         )
@@ -186,7 +186,7 @@
 
     def _prepare(self) -> bool:
         """Rebuild the state, and start what brings news of it; False if the term is over."""
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         try:
             snapshot = self._read_snapshot()
         except Exception:
@@ -216,7 +216,7 @@
             "leader ready: jobs=%d machines=%d read_s=%.1f prepare_s=%.1f",
             len(snapshot.active),
             len(snapshot.machines),
-            read_at - began_at,
+            read_at - started_at,
             time.monotonic() - read_at,
         )
         self.heartbeats.mark_ready()
@@ -258,9 +258,9 @@
             # A cancellation is not a submission: it is acted on with the decisions.
             self.loop.post(DECISIONS, lambda: self.controller.handle_job_removed(change.key))
 
-    def on_peer_response(self, pong: Pong, asked_at: float) -> None:
+    def on_peer_response(self, pong: Pong, requested_at: float) -> None:
         """Another controller answered our ping."""
-        self.cancellations.on_peer_response(pong, asked_at)
+        self.cancellations.on_peer_response(pong, requested_at)
 
     def _on_machine_types(self, machine_types: list[MachineType]) -> None:
         self._node.catalog.update(machine_types)
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -40,7 +40,7 @@
         settings: Settings,
         options: Options,
         election: Election,
-        users: UserApi,
+        user_api: UserApi,
         forwarder: HeartbeatForwarder,
         delegated_renewal: DelegatedRenewals,
         misdirected_workers: MisdirectedWorkers,
@@ -49,7 +49,7 @@
         store_contact_at: Callable[[], float],
     ) -> None:
         """``store_contact_at`` is when the state service last answered this node."""
-        self._settings, self._election, self._users = settings, election, users
+        self._settings, self._election, self._user_api = settings, election, user_api
         self._forwarder, self._delegated_renewal = forwarder, delegated_renewal
         self._misdirected_workers = misdirected_workers
         self._leader_term, self._store_contact_at = leader_term, store_contact_at
@@ -117,7 +117,7 @@
 
     def _confirmed_cancellations(self) -> tuple[list[Cancellation], int]:
         """Cancellations that we confirmed to users, as `Cancellations.report` says."""
-        return self._users.cancellations.summarize(self._election.watch.first_revision)
+        return self._user_api.cancellations.summarize(self._election.watch.first_revision)
 
     def handle_ping(self, ping: Ping) -> Pong:
         """Learn from another controller's ping, and answer it."""
@@ -128,7 +128,7 @@
         unlisted_revision: int | None = None
         misdirected = self._misdirected_workers.recent() if ping.leading else []
         if ping.leading and ping.acted_on_revision >= 0:
-            self._users.cancellations.acknowledge(ping.acted_on_revision)
+            self._user_api.cancellations.acknowledge(ping.acted_on_revision)
             # Read after `own`: what is confirmed in between is listed as well.
             listed, unlisted_revision = self._confirmed_cancellations()
         return Pong(
@@ -162,8 +162,8 @@
         while len(self.peer_image_hints) > limits.machines:
             self.peer_image_hints.pop(next(iter(self.peer_image_hints)))
 
-    def handle_pong(self, pong: Pong, asked_at: float) -> None:
-        """Learn from the answer to our ping, which was sent at ``asked_at``."""
+    def handle_pong(self, pong: Pong, requested_at: float) -> None:
+        """Learn from the answer to our ping, which was sent at ``requested_at``."""
         if pong.leading:
             self._election.observe_fencing_token(pong.fencing_token)
             return
@@ -171,7 +171,7 @@
         # its term.
         leader_term = self._leader_term()
         if leader_term is not None:
-            leader_term.on_peer_response(pong, asked_at)
+            leader_term.on_peer_response(pong, requested_at)
             self._transfer_to_better_connected_peer()
         self._check_stale_leader_key(pong)
 
--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -34,12 +34,12 @@
         delegations: DelegationTracker,
         committer: Committer,
         commands: CommandDispatcher,
-        users: UserApi,
+        user_api: UserApi,
         peers: Peers,
     ) -> None:
         self._loop, self._election, self._authority = loop, election, authority
         self._delegations, self._committer, self._commands = delegations, committer, commands
-        self._users, self._peers = users, peers
+        self._user_api, self._peers = user_api, peers
         # Set once the state is rebuilt. Before that no machine is launched or deleted.
         self.cloud: CloudDispatcher | None = None
 
@@ -104,7 +104,7 @@
 
     def job_finalized(self, job_id: str, status: str, tasks: int) -> None:
         """See `OutboundPort`."""
-        self._users.job_states.final_states.put(job_id, FinalState(status, tasks))
+        self._user_api.job_states.final_states.put(job_id, FinalState(status, tasks))
 
     # -- questions -----------------------------------------------------------------------------------
 
--- a/src/poppyhold/node/request_router.py
+++ b/src/poppyhold/node/request_router.py
@@ -16,11 +16,11 @@
 
     def __init__(
         self,
-        users: UserApi,
+        user_api: UserApi,
         handle_heartbeat: Callable[[bytes], HttpResponse | DeferredResponse],
         check_readiness: Callable[[], HttpResponse],
     ) -> None:
-        self._users = users
+        self._user_api = user_api
         self._handle_heartbeat, self._check_readiness = handle_heartbeat, check_readiness
 
     def route(self, method: str, path: str, body: bytes) -> HttpResponse | DeferredResponse:
@@ -31,7 +31,7 @@
         if path == "/ready":
             return self._check_readiness() if method == "GET" else _method_not_allowed("GET")
         if path == JOBS_PATH:
-            return self._users.submit(body) if method == "POST" else _method_not_allowed("POST")
+            return self._user_api.submit(body) if method == "POST" else _method_not_allowed("POST")
         if path.startswith(JOBS_PATH + "/"):
             return self._route_job(method, path.removeprefix(JOBS_PATH + "/"))
         return _no_such_path()
@@ -39,9 +39,9 @@
     def _route_job(self, method: str, path: str) -> HttpResponse:
         job_id, _, action = path.partition("/")
         if not action:
-            return self._users.poll(job_id) if method == "GET" else _method_not_allowed("GET")
+            return self._user_api.poll(job_id) if method == "GET" else _method_not_allowed("GET")
         if action == "abort":
-            return self._users.abort(job_id) if method == "POST" else _method_not_allowed("POST")
+            return self._user_api.abort(job_id) if method == "POST" else _method_not_allowed("POST")
         return _no_such_path()
 
 
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -45,7 +45,7 @@
         self.catalog = MachineCatalog(
             self.store, self.cloud, settings.deployment.state.lowest.value_bytes, self.rng
         )
-        self.users = UserApi(settings, self.store, lambda: self.catalog.types, self._task_counts)
+        self.user_api = UserApi(settings, self.store, lambda: self.catalog.types, self._task_counts)
         # The current term, and who leads.
         self._leader_term: LeaderTerm | None = None
         self._leader_term_lock = threading.Lock()
@@ -84,7 +84,7 @@
             settings,
             options,
             self.election,
-            self.users,
+            self.user_api,
             self._heartbeats.forwarder,
             delegated_renewal,
             misdirected_workers,
@@ -95,7 +95,7 @@
         self.peers: Peers = self._membership.peers
         self.server = HttpServer(
             split_address(settings.client_listen),
-            RequestRouter(self.users, self._heartbeats.handle, readiness.check).route,
+            RequestRouter(self.user_api, self._heartbeats.handle, readiness.check).route,
             limits.connections,
             # A worker that has been silent for a lease reports somewhere else, or over a new connection.
             workers.lease_s,
--- a/src/poppyhold/node/submission_policy.py
+++ b/src/poppyhold/node/submission_policy.py
@@ -23,7 +23,7 @@
         self._quotas = Quotas(deployment.teams)
         self._max_record_bytes = deployment.state.lowest.value_bytes
 
-    def why_infeasible(self, spec: Submission, machine_types: dict[str, MachineType]) -> str | None:
+    def infeasible_reason(self, spec: Submission, machine_types: dict[str, MachineType]) -> str | None:
         """Why a job can never run, or None if it may."""
         if not self._quotas.is_known(spec.team):
             return "unknown team"
@@ -35,7 +35,7 @@
             return "fits no machine type"
         return None
 
-    def record(self, spec: Submission, machine_types: dict[str, MachineType]) -> Data:
+    def make_record(self, spec: Submission, machine_types: dict[str, MachineType]) -> Data:
         """What is stored of a submission; a list of machine types too long for it keeps those that exist."""
         data: Data = {"spec": msgspec.to_builtins(spec), "at": time.time()}
         if spec.machine_types is not None and not self.can_store(data):
--- a/src/poppyhold/node/user_api.py
+++ b/src/poppyhold/node/user_api.py
@@ -37,26 +37,26 @@
 
 _MAX_ATTEMPTS = 3
 # Users wait five seconds for an answer: no attempt begins later than this, as one takes up to two of them.
-_LAST_ATTEMPT_S = 2.0
+_LAST_ATTEMPT_START_S = 2.0
 # Users wait two seconds for the answer to a query.
 _QUERY_TIMEOUT_S = 1.5
 # Queries that come within this share of a heartbeat interval are answered together.
-_GATHER_RATIO = 0.05
+_BATCH_WINDOW_RATIO = 0.05
 # Share of the state service's requests that all controllers together spend on queries. Without a bound five
 # controllers took twice what it allows, and submissions, decisions and renewals were refused beside them.
-_QUERIES_SHARE = 0.4
+_QUERY_REQUEST_SHARE = 0.4
 # More cancellations than this would not fit into a message between controllers.
-_MAX_NAMED_CANCELLATIONS = 10_000
+_MAX_LISTED_CANCELLATIONS = 10_000
 # Final states that are remembered, for each MB of memory that the controller may take.
 _FINAL_STATES_PER_RAM_MB = 100
 # Requests that may use the state service at once: at least so many.
-_MIN_SLOTS = 8
+_MIN_STORE_SLOTS = 8
 
 
 def _query_rate_limiter(deployment: Deployment) -> RateLimiter:
     """How fast one controller may ask the state service for its users' queries."""
-    per_second = deployment.state.lowest.rps * _QUERIES_SHARE / deployment.controllers
-    return RateLimiter(per_second, burst=per_second * _GATHER_RATIO * 2)
+    per_second = deployment.state.lowest.rps * _QUERY_REQUEST_SHARE / deployment.controllers
+    return RateLimiter(per_second, burst=per_second * _BATCH_WINDOW_RATIO * 2)
 
 
 class UserApi:
@@ -77,14 +77,14 @@
         self._retry_after_s = max(1, round(limits.workers.heartbeat_interval_s))
         self._reads = reads or BatchedJobReads(
             store,
-            limits.workers.heartbeat_interval_s * _GATHER_RATIO,
+            limits.workers.heartbeat_interval_s * _BATCH_WINDOW_RATIO,
             _QUERY_TIMEOUT_S,
             rate_limiter=_query_rate_limiter(limits),
         )
         self._policy = SubmissionPolicy(limits)
         # As many are named as the state service can take within the time that each of them has.
         self.cancellations = Cancellations(
-            min(int(limits.state.write_rps * limits.workers.cancel_s), _MAX_NAMED_CANCELLATIONS)
+            min(int(limits.state.write_rps * limits.workers.cancel_s), _MAX_LISTED_CANCELLATIONS)
         )
         self.job_states = JobStates(
             store,
@@ -93,7 +93,7 @@
             int(limits.machine_limits.ram_mb * _FINAL_STATES_PER_RAM_MB),
         )
         # More at once than this would only wait for the state service's limit.
-        self._slots = threading.BoundedSemaphore(max(_MIN_SLOTS, int(limits.state.rps / 2)))
+        self._slots = threading.BoundedSemaphore(max(_MIN_STORE_SLOTS, int(limits.state.rps / 2)))
 
     # -- submissions ---------------------------------------------------------------------------------
 
@@ -107,7 +107,7 @@
 
     def _submit(self, spec: Submission) -> HttpResponse:
         machine_types = self._machine_types()
-        reason = self._policy.why_infeasible(spec, machine_types)
+        reason = self._policy.infeasible_reason(spec, machine_types)
         if reason is not None or not machine_types:
             # A repeat of an accepted job is answered with its state, whatever we think of it now.
             known = self.job_states.read_status(spec.name)
@@ -116,7 +116,7 @@
             if reason is None:
                 return self._try_later()
             return http_response(HTTPStatus.UNPROCESSABLE_ENTITY, {"error": reason})
-        data = self._policy.record(spec, machine_types)
+        data = self._policy.make_record(spec, machine_types)
         if not self._policy.can_store(data):
             return self._reject_too_long(spec)
         return self._store_submission(spec, data)
@@ -221,7 +221,7 @@
     def _attempts(self) -> Iterator[int]:
         """A few attempts, none of which begins when its user may be gone before it ends."""
         began_at = self._clock()
-        return (number for number in range(_MAX_ATTEMPTS) if self._clock() - began_at < _LAST_ATTEMPT_S)
+        return (number for number in range(_MAX_ATTEMPTS) if self._clock() - began_at < _LAST_ATTEMPT_START_S)
 
     def _with_slot(self, work: Callable[[], HttpResponse]) -> HttpResponse:
         # What can't be taken is answered at once, with a time to come back: nobody waits for a slot.
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -268,10 +268,10 @@
             job = submission(job_id, {"shape": "service", "chores": 1, "rank": "critical", "sizeGb": 0.1})
             world.jobs[job_id] = job
             body = encode(wire(job))
-            eventually(lambda body=body: node.users.submit(body)[0] in (200, 201))  # type: ignore[misc]
+            eventually(lambda body=body: node.user_api.submit(body)[0] in (200, 201))  # type: ignore[misc]
         eventually(lambda: len(world.worker.on_machine()) == 2)
         world.blind = True
-        eventually(lambda: node.users.abort("job-000001")[0] == 200)
+        eventually(lambda: node.user_api.abort("job-000001")[0] == 200)
         world.down = True
         eventually(lambda: world.worker.on_machine() == ["job-000002/0"])
         # It was stopped; had the lease ended instead, the other one would be gone as well.
