--- a/src/poppyhold/node/__init__.py
+++ b/src/poppyhold/node/__init__.py
@@ -1,1 +1,1 @@
-"""One controller: its threads, its interfaces to users, workers, peers and cloud, and its decision core."""
+"""One controller node: its threads, its interfaces to users, workers, peers and cloud, its decision core."""
--- a/src/poppyhold/node/cancellation_tracker.py
+++ b/src/poppyhold/node/cancellation_tracker.py
@@ -1,4 +1,4 @@
-"""What the leader knows of confirmed cancellations, and the leases that it may renew or delegate by that."""
+"""Confirmed cancellations that the leader has applied, and the leases that it may renew or delegate."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class CancellationTracker:
-    """Acts on cancellations that controllers confirmed to users, even if the state service does not tell.
+    """Applies cancellations that controllers confirmed to users, even without the state service.
 
-    A lease may be renewed only as long as no confirmed cancellation can be unknown to the leader; `Authority`
-    says how long that is.
+    The leader may renew a lease only while it must know every confirmed cancellation; `Authority` computes
+    that period.
     """
 
     def __init__(
@@ -32,44 +32,44 @@
         first_revision: Callable[[], int],
         leadership_confirmed_at: Callable[[], float],
     ) -> None:
-        """``first_revision`` is the first revision of the state service that this process saw, or -1."""
+        """``first_revision`` returns the first store revision that this process read, or -1."""
         self._member, self._loop, self._controller = member, loop, controller
         self._authority, self._own_cancellations = authority, own_cancellations
         self._first_revision, self._leadership_confirmed_at = first_revision, leadership_confirmed_at
-        # What other controllers may renew in our name; None as long as nothing can be said.
+        # Leases that other controllers may renew for this leader; None if it can grant no delegation.
         self.delegation: LeaseDelegation | None = None
 
     def may_renew_leases(self) -> bool:
-        """Whether workers may be given another lease."""
+        """Whether the leader may renew workers' leases now."""
         return self._authority.may_renew_leases(time.monotonic(), self._leadership_confirmed_at())
 
     def on_caught_up(self, requested_at: float, revision: int) -> None:
-        """The watch has delivered every change up to a revision."""
-        # Queued after the changes that it stands for.
+        """Handle that the watch has delivered every change up to ``revision``."""
+        # Queued behind the changes up to this revision.
         self._loop.post(DECISIONS, lambda: self._authority.observe_watch(requested_at, revision))
 
     def on_peer_response(self, pong: Pong, requested_at: float) -> None:
-        """Another controller told which cancellations it confirmed to users."""
+        """Apply the cancellations that another controller confirmed to users."""
         self._loop.post(
             DECISIONS,
             lambda: self._apply(pong.member, pong.cancellations, pong.cancellations_bound, requested_at),
         )
 
     def apply_own_cancellations(self) -> None:
-        """Act on what this node confirmed: the state service may not tell us of it when it refuses us."""
+        """Apply this node's own cancellations: the watch lacks them while the state service rejects it."""
         requested_at = time.monotonic()
         self._own_cancellations.acknowledge(self._authority.acted_on_revision)
         listed, bound = self._own_cancellations.summarize(self._first_revision())
         self._apply(self._member, listed, bound, requested_at)
 
     def _apply(self, member: str, cancelled: Iterable[Cancellation], bound: int, requested_at: float) -> None:
-        """Stop the jobs whose cancellation a controller confirmed: it is durable, seen here or not."""
+        """Stop the cancelled jobs: each cancellation is durable, delivered by the watch or not."""
         for job_id, _ in cancelled:
             self._controller.handle_job_removed(ACTIVE_JOB_PREFIX + job_id)
         self._authority.observe_peer(member, requested_at, bound)
 
     def update_delegation(self) -> None:
-        """Note what the other controllers may count on, should they lose us."""
+        """Update the delegation that other controllers use when they can't reach this leader."""
         confirmed_at = min(self._authority.watch_caught_up_at, self._leadership_confirmed_at())
         excluded_machines = self._controller.excluded_machines()
         if excluded_machines is None or confirmed_at == float("-inf"):
--- a/src/poppyhold/node/cloud_client.py
+++ b/src/poppyhold/node/cloud_client.py
@@ -1,4 +1,4 @@
-"""The client of the cloud's interface: typed requests, each sent once."""
+"""Client of the cloud's HTTP interface: typed requests, each sent once."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 log = logging.getLogger(__name__)
 
-# The most machines on a page of the list.
+# Maximum number of machines on a page of the machine list.
 LIST_PAGE_SIZE = 500
 
 T = TypeVar("T")
 
 
 class CloudClient:
-    """Sends requests once, without retries. Safe for several threads."""
+    """Sends each request once, without retries. Thread-safe."""
 
     def __init__(self, settings: Settings) -> None:
         host, port = split_address(settings.external_services.cloud)
@@ -37,12 +37,12 @@
         self._timeout_s = settings.deployment.workers.lease_s / 3
 
     def fetch_machine_types(self) -> list[MachineType] | None:
-        """The machine types; None if the cloud gave no valid answer."""
+        """Return the machine types; None without a valid response."""
         answer = self._get("/machine_types", MachineTypes)
         return answer.machine_types if answer is not None else None
 
     def fetch_machine_page(self, since: str) -> MachineListPage | None:
-        """One page of the list of machines, after the name ``since``; None if there was no valid answer."""
+        """Return the page of the machine list after the name ``since``; None without a valid response."""
         after = f"since={since}&" if since else ""
         return self._get(f"/machines?{after}most={LIST_PAGE_SIZE}", MachineListPage)
 
@@ -51,17 +51,17 @@
             status, data = self._client.request("GET", path, timeout_s=self._timeout_s)
             return convert(data, kind) if status == HTTPStatus.OK else None
         except (NotSentError, NoResponseError, MalformedError) as error:
-            log.debug("cloud request failed: path=%s error=%s", path, error)
+            log.debug("cloud read failed: path=%s error=%s", path, error)
             return None
 
     def launch_machines(self, body: Data) -> tuple[RequestOutcome, list[str]]:
-        """Launch machines; their names if the outcome is OK. An UNKNOWN request may still be carried out."""
+        """Launch machines; returns their names if the outcome is OK. UNKNOWN requests may still be executed."""
         try:
             status, data = self._client.request("POST", "/machines", body, timeout_s=self._timeout_s)
             if status == HTTPStatus.OK:
                 return RequestOutcome.OK, convert(data, LaunchResponse).machines
         except (NotSentError, NoResponseError, MalformedError) as error:
-            log.debug("launch request failed: error=%s", error)
+            log.debug("launch request failed, outcome unknown: error=%s", error)
             return RequestOutcome.UNKNOWN, []
         no_capacity = status == HTTPStatus.SERVICE_UNAVAILABLE and data.get("error") == "no capacity"
         if no_capacity or status == HTTPStatus.BAD_REQUEST:
@@ -69,12 +69,12 @@
         return RequestOutcome.UNKNOWN, []
 
     def delete_machines(self, names: list[str]) -> bool:
-        """Delete machines; if True is returned, they do not exist any more."""
+        """Delete machines; returns True if the cloud confirmed that they no longer exist."""
         try:
             status, _ = self._client.request(
                 "POST", "/machines/delete", DeletionRequest(names).body(), timeout_s=self._timeout_s
             )
         except (NotSentError, NoResponseError) as error:
-            log.debug("deletion request failed: error=%s", error)
+            log.debug("deletion request failed: machines=%d error=%s", len(names), error)
             return False
         return status == HTTPStatus.OK
--- a/src/poppyhold/node/cloud_dispatcher.py
+++ b/src/poppyhold/node/cloud_dispatcher.py
@@ -1,4 +1,4 @@
-"""The leader's requests to the cloud: one thread, within the cloud's rate."""
+"""The leader's requests to the cloud: sent by one thread, within the cloud's rate limit."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 log = logging.getLogger(__name__)
 
-# Share of the cloud's requests that lists may take: deletions and launches need the rest.
+# Share of the cloud's request rate for reading machine lists; the rest is for deletions and launches.
 LIST_REQUEST_SHARE = 0.5
-# A list is read twice within the time by which it may lag, the machine types once in four of those times.
+# The machine list is read twice per maximum list lag, the machine types once per four lags.
 _LISTS_PER_LAG = 2
 _LAGS_PER_MACHINE_TYPES_READ = 4
-# Requests that were not sent for a while may be made up for in bursts of one second's worth: half of what the
-# cloud takes.
+# After an idle period, up to one second's worth of requests may be sent at once: half of the burst that the
+# cloud accepts.
 _BURST_S = 1.0
 
 LaunchCallback = Callable[[RequestOutcome, list[str]], None]
@@ -31,44 +31,44 @@
 
 
 class _Launch(NamedTuple):
-    """A launch request that waits."""
+    """A queued launch request."""
 
     body: Data
     on_response: LaunchCallback
 
 
 class _Deletion(NamedTuple):
-    """A deletion request that waits."""
+    """A queued deletion request."""
 
     names: list[str]
     on_response: DeletionCallback
 
 
 class MachineListReader:
-    """Reads the list of machines a page at a time, so that other requests go in between.
+    """Reads the machine list one page at a time, so that other requests can be sent between pages.
 
-    A fleet of 4,000 machines is eight pages: read in one go each half lag they were all the requests that
-    some clouds take, and deletions waited for them.
+    A fleet of 4,000 machines takes eight pages. Read without interruption every half lag, they use up the
+    whole request rate of some clouds and delay deletions.
     """
 
     def __init__(self, client: CloudClient, lag_s: float, request_interval_s: float) -> None:
-        """``request_interval_s`` is the time between two requests at the cloud's rate."""
+        """``request_interval_s`` is the time between two requests at the cloud's rate limit."""
         self._client, self._request_interval_s = client, request_interval_s
         self._min_interval_s = lag_s / _LISTS_PER_LAG
         self._list_started_at = 0.0
         self._pages_read = 0
         self._machines: list[ListedMachine] = []
-        # When the next page, or the first one of the next list, is due.
+        # When the next page, or the first page of the next list, is due.
         self.due_at = time.monotonic()
 
     def read_next_page(self) -> MachineListing | None:
-        """Read the next page; returns the list once it is whole."""
+        """Read the next page; returns the machine list after its last page, else None."""
         now = time.monotonic()
         if not self._pages_read:
             self._list_started_at = now
         page = self._client.fetch_machine_page(self._machines[-1].name if self._machines else "")
         if page is None:
-            # A list that can't be read whole is read anew: nobody knows how old its first pages would become.
+            # A failed page restarts the whole list: the age of the pages already read would be unbounded.
             self._schedule_next_list()
             return None
         self._pages_read += 1
@@ -81,14 +81,14 @@
         return listing
 
     def _schedule_next_list(self) -> None:
-        """The next list is due half a lag after this one began, or later if its pages take longer."""
+        """Schedule the next list half a lag after the start of this one, or later if its pages need it."""
         pages_s = self._pages_read * self._request_interval_s / LIST_REQUEST_SHARE
         self.due_at = self._list_started_at + max(self._min_interval_s, pages_s)
         self._pages_read, self._machines = 0, []
 
 
 class CloudDispatcher:
-    """Sends the leader's requests: deletions before launches before reads."""
+    """Sends the leader's requests in priority order: deletions, launches, reads."""
 
     def __init__(
         self,
@@ -111,19 +111,19 @@
         self._thread.start()
 
     def delete(self, names: list[str], on_response: DeletionCallback) -> None:
-        """Queue a deletion."""
+        """Queue the deletion of machines."""
         with self._wake:
             self._deletions.append(_Deletion(names, on_response))
             self._wake.notify()
 
     def launch(self, body: Data, on_response: LaunchCallback) -> None:
-        """Queue a launch."""
+        """Queue a launch request."""
         with self._wake:
             self._launches.append(_Launch(body, on_response))
             self._wake.notify()
 
     def stop(self) -> None:
-        """End the thread after the request that it is in."""
+        """Stop the thread after its current request."""
         with self._wake:
             self._stopped = True
             self._wake.notify()
@@ -147,11 +147,11 @@
                     machine_types_at = time.monotonic() + self._machine_types_interval_s
                     self._read_machine_types()
             except Exception:
-                # The top of the thread: without it no machine would be launched or deleted in this term.
-                log.exception("cloud request failed")
+                # Without this thread no machine would be launched or deleted for the rest of the term.
+                log.exception("cloud request or its callback failed, continuing with the next request")
 
     def _await_request(self, until: float) -> None:
-        """Wait for a change that is asked for, or for the time of the next read."""
+        """Wait until a deletion or launch is queued, a read is due at ``until``, or the thread is stopped."""
         with self._wake:
             while not (self._deletions or self._launches or self._stopped):
                 remaining_s = until - time.monotonic()
@@ -160,7 +160,7 @@
                 self._wake.wait(remaining_s)
 
     def _send_mutation(self) -> None:
-        """Send a deletion, or else a launch."""
+        """Send the oldest queued deletion, or the oldest launch if there is no deletion."""
         if self._deletions:
             deletion = self._deletions.popleft()
             deletion.on_response(self._client.delete_machines(deletion.names))
--- a/src/poppyhold/node/command_dispatcher.py
+++ b/src/poppyhold/node/command_dispatcher.py
@@ -1,4 +1,4 @@
-"""The leader's commands to workers: POST /do, each sent once."""
+"""The leader's commands to workers: POST /do requests, each sent once."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 ResponseCallback = Callable[[RequestOutcome, Heartbeat | None], None]
 
-# A worker that does not answer within so many heartbeat intervals may still get the command later.
+# Command timeout in heartbeat intervals; a worker may still receive a command that timed out.
 _TIMEOUT_INTERVALS = 1.5
-# Threads of the two pools: at least so many, and the controller's threads divided by these.
+# Maximum threads of a pool: the controller's thread limit divided by the pool's divisor, at least the minimum.
 _MIN_POOL_THREADS = 4
 _FAST_POOL_DIVISOR, _SLOW_POOL_DIVISOR = 20, 10
 
 
 class SenderPool:
-    """Threads that send commands. The pool grows by need, and threads that stay idle end.
+    """Threads that send commands: added on demand up to a limit, and ended when idle.
 
-    Commands wait for one another only as long as all threads are busy. Each machine that does not answer
-    holds a thread until its time is up. With a fixed few threads, 300 silent machines of a zone that is cut
-    off kept the commands to all others waiting for minutes.
+    A command waits only while all threads are busy. Each unresponsive machine occupies a thread until the
+    timeout. A small fixed pool let 300 unreachable machines of a partitioned zone delay the commands to all
+    other machines by minutes.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self._stopped = False
 
     def submit(self, endpoint: str, body: Data, on_response: ResponseCallback) -> None:
-        """Queue a command; a thread is added if none is free for it."""
+        """Queue a command, and add a thread if none is idle and the limit allows it."""
         with self._wake:
             if self._stopped:
                 return
@@ -57,14 +57,14 @@
         threading.Thread(target=self._run, name="sender", daemon=True).start()
 
     def stop(self) -> None:
-        """Drop what is queued, and end each thread after the command that it is sending."""
+        """Drop queued commands, and end each thread after its current command."""
         with self._wake:
             self._stopped = True
             self._queue.clear()
             self._wake.notify_all()
 
     def _next_command(self) -> tuple[str, Data, ResponseCallback] | None:
-        """The next command; None if the thread is to end."""
+        """Return the next command; None if the thread must end, idle for too long or stopped."""
         with self._wake:
             if not self._queue and not self._stopped:
                 self._idle += 1
@@ -81,7 +81,7 @@
 
 
 class CommandDispatcher:
-    """Sends commands to workers; those to workers that may not answer go through a pool of their own."""
+    """Sends commands to workers; those to possibly unresponsive workers use a separate pool."""
 
     def __init__(self, settings: Settings) -> None:
         workers = settings.deployment.workers
@@ -96,11 +96,11 @@
         )
 
     def send(self, endpoint: str, body: Data, on_response: ResponseCallback, slow_lane: bool) -> None:
-        """Queue a command. Those of the slow lane do not hold up the others."""
+        """Queue a command. Commands of the slow lane do not delay the others."""
         (self._slow_pool if slow_lane else self._fast_pool).submit(endpoint, body, on_response)
 
     def stop(self) -> None:
-        """End the threads."""
+        """Stop both pools."""
         self._fast_pool.stop()
         self._slow_pool.stop()
 
@@ -108,8 +108,8 @@
         try:
             on_response(*self._post(endpoint, body))
         except Exception:
-            # The top of a sender thread: the core must hear of the command, and the thread must go on.
-            log.exception("command failed: endpoint=%s", endpoint)
+            # The core needs an outcome for every command, and the sender thread must continue.
+            log.exception("command or its callback failed, outcome unknown: endpoint=%s", endpoint)
             on_response(RequestOutcome.UNKNOWN, None)
 
     def _post(self, endpoint: str, body: Data) -> tuple[RequestOutcome, Heartbeat | None]:
@@ -117,8 +117,8 @@
             host, port = split_address(endpoint)
         except ConfigError:
             return RequestOutcome.NOT_SENT, None
-        # A new connection each time: on one that was kept open, a lost command and a closed
-        # connection look alike, and a lost command has to be waited out.
+        # A new connection per command: on a reused one, a lost command can't be told from a closed
+        # connection, and the outcome of a lost command stays unknown until its timeout.
         client = HttpClient(host, port, most_idle=0)
         try:
             status, data = client.request("POST", "/do", body, timeout_s=self._timeout_s)
