--- a/src/poppyhold/execution/task_observation.py
+++ b/src/poppyhold/execution/task_observation.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from poppyhold.execution.attempt_lifecycle import AttemptLifecycle
-from poppyhold.execution.failures import Failures
+from poppyhold.execution.failures import FailureTracker
 from poppyhold.model.context import Context
 from poppyhold.model.entities import TASK_DONE, Attempt, Job, JobPhase, Machine
 from poppyhold.wire.task_names import split_task
@@ -22,7 +22,7 @@
         self,
         ctx: Context,
         lifecycle: AttemptLifecycle,
-        failures: Failures,
+        failures: FailureTracker,
         on_task_completed: Callable[[Job, int], None],
         on_run_completed: Callable[[Attempt, float], None],
     ) -> None:
@@ -64,7 +64,7 @@
                 now - attempt.sent_at,
             )
         if attempt.job.is_gang:
-            self._lifecycle.gangs.task_reported(attempt, now)
+            self._lifecycle.gangs.task_status_changed(attempt, now)
 
     @staticmethod
     def _update_status(attempt: Attempt, status: str, now: float) -> None:
