--- a/src/poppyhold/node/command_dispatcher.py
+++ b/src/poppyhold/node/command_dispatcher.py
@@ -22,7 +22,7 @@
 
 # Command timeout in heartbeat intervals; a worker may still receive a command that timed out.
 _TIMEOUT_INTERVALS = 1.5
-# Maximum threads of a pool: the controller's thread limit divided by the pool's divisor, at least the minimum.
+# Maximum threads of a pool: the controller's thread limit divided by its divisor, at least the minimum.
 _MIN_POOL_THREADS = 4
 _FAST_POOL_DIVISOR, _SLOW_POOL_DIVISOR = 20, 10
 
