--- a/src/poppyhold/scheduling/task_scheduler.py
+++ b/src/poppyhold/scheduling/task_scheduler.py
@@ -92,16 +92,16 @@
     ) -> Choice | None:
         """The best machine with free capacity; else, or where its image would come too late, preemption."""
         choice = search.best()
-        if self._ctx.clock() < job.may_preempt_at or job.failures.at_fault:
+        if self._ctx.clock() < job.preemption_allowed_at or job.failures.at_fault:
             return choice
         if choice is None:
             return search.best_preemption()
         wait_s = image_wait_s(choice.machine, job)
         if self._placement.meets_objective(job, wait_s):
             return choice
-        return self._choose_sooner(cycle, job, search, wait_s, reserved) or choice
+        return self._choose_with_earlier_start(cycle, job, search, wait_s, reserved) or choice
 
-    def _choose_sooner(
+    def _choose_with_earlier_start(
         self,
         cycle: CycleState,
         job: Job,
