--- a/src/poppyhold/scheduling/__init__.py
+++ b/src/poppyhold/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Which task starts when and where: admission by OASiS, placement, dispatch."""
+"""Scheduling: admission of jobs by OASiS, placement of their tasks, and dispatch."""
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Admission: OASiS on the ordinary path. Jobs are planned on priced capacity, and plans are made durable."""
+"""Admission control by OASiS: jobs are planned on priced capacity, and their plans are made durable."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Admission:
-    """Plans jobs on priced capacity, and plans them again as capacity is released."""
+    """Plans jobs on priced capacity, and plans waiting jobs again when capacity is released."""
 
     def __init__(self, ctx: Context, quotas: Quotas, on_found_finalized: Callable[[Job], None]) -> None:
         self._ctx = ctx
@@ -38,19 +38,17 @@
     def _slot_now(self) -> int:
         return int(self._ctx.wall_clock() / self._ctx.durations.slot_s)
 
-    # -- the ledger follows the fleet ----------------------------------------------------------------
-
     def add_machine(self, machine: Machine) -> None:
-        """Let plans use a machine."""
+        """Make a machine available to plans."""
         if self.bookings.add_machine(machine):
             self._capacity_released = True
 
     def remove_machine(self, machine: Machine) -> None:
-        """Let plans use a machine no more."""
+        """Withdraw a machine from plans."""
         self.bookings.remove_machine(machine)
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """Release what an attempt booked, and count what it saved for the next one of its task."""
+        """Release an attempt's booking, and credit its checkpointed work to the next attempt of the task."""
         job = attempt.job
         if job.spec.checkpoint_s > 0 and attempt.running_at is not None:
             ran_s = self._ctx.clock() - attempt.running_at
@@ -60,14 +58,14 @@
         self._capacity_released = True
 
     def release_plan(self, job: Job) -> None:
-        """Release what the plan of a job books: it is finalized, or at fault."""
+        """Release the bookings of a job's plan, once the job is finalized or at fault."""
         self.bookings.release_plan(job)
         self._capacity_released = True
 
     def fault_changed(self, job: Job) -> None:
-        """A job was found to be at fault, or sound after all: keep that for the next leader.
+        """Record for the next leader that a job was found to be at fault, or no longer is.
 
-        One at fault gives up what it has booked, and starts on capacity that nobody else wants.
+        A job at fault loses its plan and its bookings, and starts only on capacity that no plan books.
         """
         if job.failures.at_fault:
             self.release_plan(job)
@@ -76,7 +74,7 @@
             self.records.write(job)
 
     def advance_slot(self) -> None:
-        """Move to the slot of now, if that is a new one."""
+        """Advance the ledger to the current slot, if a new one has begun."""
         slot = self._slot_now()
         if slot <= self._ledger.current_slot:
             return
@@ -84,10 +82,8 @@
         self._capacity_released = True
         self._ctx.scheduling_needed = True
 
-    # -- admission -----------------------------------------------------------------------------------
-
     def submit(self, job: Job) -> None:
-        """Admit a new job if its value exceeds the price of its capacity; else it waits."""
+        """Admit a new job if its value exceeds the price of its capacity; otherwise it waits."""
         self._try_admit(job)
         self.records.write(job)
         spec = job.spec
@@ -114,16 +110,16 @@
         return True
 
     def startable_by_plan(self, job: Job) -> int:
-        """How many more tasks the plan lets start by now; a plan never stops what runs."""
+        """Return how many more tasks the plan lets start by now; a negative count stops no task."""
         current_slot = self._ledger.current_slot
         planned = sum(sum(zones.values()) for slot, zones in job.plan.items() if slot <= current_slot)
         return planned - job.done - len(job.active)
 
     def replan_waiting(self, waiting: list[Job], now: float) -> None:
-        """Plan jobs that wait again after capacity was released, the most valuable first.
+        """Plan waiting jobs again after capacity was released, in the order given.
 
-        Capacity is released with every task that ends, and a plan is the dearest of our computations: what
-        was released between two heartbeats of a worker is looked at together.
+        Every task that ends releases capacity, and planning is the scheduler's most expensive computation,
+        so jobs are planned again at most once per heartbeat interval.
         """
         if not self._capacity_released or now < self._next_replan_at:
             return
--- a/src/poppyhold/scheduling/bookings.py
+++ b/src/poppyhold/scheduling/bookings.py
@@ -1,4 +1,4 @@
-"""Bookings of plans and of running tasks in the ledger."""
+"""Bookings of planned starts and of running attempts in the ledger."""
 
 from __future__ import annotations
 
@@ -11,15 +11,13 @@
 
 
 class Bookings:
-    """Books what plans and attempts take, and releases it again."""
+    """Books and releases the resources of plans and attempts."""
 
     def __init__(self, fleet: Fleet, ledger: Ledger, planner: Planner, estimates: RunTimeEstimates) -> None:
         self._fleet, self._ledger, self._planner, self._estimates = fleet, ledger, planner, estimates
 
-    # -- machines ------------------------------------------------------------------------------------
-
     def add_machine(self, machine: Machine) -> bool:
-        """Let plans use a machine, and book what runs there; returns whether it is new to plans."""
+        """Make a machine available to plans and book its attempts; return whether it is new to the ledger."""
         is_new = machine.name not in self._ledger.machines
         if is_new:
             self._ledger.add_machine(
@@ -30,7 +28,7 @@
         return is_new
 
     def remove_machine(self, machine: Machine) -> None:
-        """Let plans use a machine no more; what is booked there is dropped."""
+        """Withdraw a machine from plans, and drop the bookings on it."""
         if machine.name not in self._ledger.machines:
             return
         self._ledger.remove_machine(machine.name)
@@ -40,10 +38,8 @@
             for machines in job.booked.values():
                 machines.pop(machine.name, None)
 
-    # -- attempts ------------------------------------------------------------------------------------
-
     def book_attempt(self, attempt: Attempt) -> None:
-        """Book what an attempt takes from now on, for as long as it is estimated to run."""
+        """Book an attempt's resources from the current slot on, for its estimated run time."""
         if attempt.booked or attempt.machine.name not in self._ledger.machines:
             return
         attempt.booked = True
@@ -52,7 +48,7 @@
         self._adjust_attempt(attempt, 1.0)
 
     def release_attempt(self, attempt: Attempt) -> None:
-        """Release what an attempt has booked."""
+        """Release the booking of an attempt."""
         if not attempt.booked or attempt.machine.name not in self._ledger.machines:
             return
         attempt.booked = False
@@ -63,24 +59,22 @@
         last = None if job.is_service else attempt.booked_until
         self._ledger.book(attempt.machine.name, job.task_resources, self._ledger.current_slot, last, factor)
 
-    # -- plans ---------------------------------------------------------------------------------------
-
     def book_plan(self, job: Job, plan: Plan) -> None:
-        """Book the starts of a job's plan."""
+        """Book the planned starts of a job."""
         for slot, machines in plan.starts.items():
             job.booked[slot] = dict(machines)
             for name, count in machines.items():
                 self._adjust_starts(job, name, slot, count)
 
     def release_plan(self, job: Job) -> None:
-        """Release the starts of a job's plan that were not made."""
+        """Release the planned starts of a job that have not been used."""
         for slot, machines in job.booked.items():
             for name, count in machines.items():
                 self._adjust_starts(job, name, slot, -count)
         job.booked = {}
 
     def consume_start(self, job: Job, machine: str) -> None:
-        """Use up one booked start of a job: one on the machine if there is any, else the earliest."""
+        """Release one booked start: in the earliest slot with any, on this machine if it is booked there."""
         for slot in sorted(job.booked):
             machines = job.booked[slot]
             if not machines:
@@ -96,7 +90,7 @@
             return
 
     def _adjust_starts(self, job: Job, name: str, slot: int, count: int) -> None:
-        """Book starts on a machine in a slot, or release them where ``count`` is negative."""
+        """Book starts on a machine in a slot; a negative ``count`` releases them."""
         if job.is_service:
             self._ledger.book(name, job.task_resources, slot, None, count)
         else:
@@ -104,15 +98,13 @@
             self._ledger.book(name, job.task_resources, slot, slot + span - 1, count)
 
     def _planned_estimate_s(self, job: Job) -> float:
-        # What was booked must be released alike, though the bias that is learned moves on.
+        # A release must use the estimate of its booking, although estimates change as runs are recorded.
         if job.planned_s <= 0:
             job.planned_s = self._estimates.estimate_s(job)
         return job.planned_s
 
-    # -- slots ---------------------------------------------------------------------------------------
-
     def advance_to(self, slot: int) -> None:
-        """Move to a new slot: starts that were not made and tasks that overrun carry over to it."""
+        """Advance to a slot; unused starts and attempts that outrun their estimate are booked in it."""
         late = self._release_late_starts(slot)
         self._ledger.advance_to(slot)
         for job, name, count in late:
@@ -122,7 +114,7 @@
         self._extend_attempts(slot)
 
     def _release_late_starts(self, slot: int) -> list[tuple[Job, str, int]]:
-        """Release the starts before a slot; returns how many of which job were booked on which machine."""
+        """Release the unused starts before a slot, and return them as (job, machine name, count)."""
         late: list[tuple[Job, str, int]] = []
         for job in self._fleet.jobs.values():
             for old_slot in [booked for booked in job.booked if booked < slot]:
@@ -132,9 +124,9 @@
         return late
 
     def _extend_attempts(self, slot: int) -> None:
-        """Book a slot for tasks that outrun their estimates.
+        """Book a slot for attempts that outrun their estimates.
 
-        Objection in DESIGN: without this, the resources of such a task look free, and cheap.
+        Otherwise the resources of such an attempt would count as free and be priced too low.
         """
         for machine in self._fleet.machines.values():
             for attempt in machine.attempts.values():
@@ -142,14 +134,12 @@
                     attempt.booked_until = slot
                     self._ledger.book(machine.name, attempt.job.task_resources, slot, slot, 1.0)
 
-    # -- what plans book now -------------------------------------------------------------------------
-
     def machines_booked_now(self, job: Job) -> set[str]:
-        """Machines on which the job's plan books starts in the current slot."""
+        """Return the names of the machines on which the job's plan books starts in the current slot."""
         return set(job.booked.get(self._ledger.current_slot, ()))
 
     def booked_now(self) -> dict[str, Resources]:
-        """Resources by machine that plans book in the current slot and have not used yet."""
+        """Return by machine the resources of unused starts that plans book in the current slot."""
         reserved: dict[str, Resources] = {}
         for job in self._fleet.jobs.values():
             if job.phase is JobPhase.FINALIZED:
@@ -159,7 +149,7 @@
         return reserved
 
     def reserved_by_others(self, reserved: dict[str, Resources], job: Job) -> dict[str, Resources]:
-        """What is reserved, without what the job itself has booked now."""
+        """Return the reservations without those of the job itself in the current slot."""
         others = dict(reserved)
         for name, count in job.booked.get(self._ledger.current_slot, {}).items():
             if name in others:
--- a/src/poppyhold/scheduling/cycle_state.py
+++ b/src/poppyhold/scheduling/cycle_state.py
@@ -1,4 +1,4 @@
-"""One scheduling cycle: the machines that tasks may start on, and what the cycle has found out so far."""
+"""State of one scheduling cycle: schedulable machines, reservations and infeasible requests."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class SchedulingKey(NamedTuple):
-    """All that decides whether a machine is found for a task of a job, zones aside.
+    """Everything but zones that decides whether a machine is found for a task of a job.
 
-    Jobs with equal keys are equivalent: what one of them can't get, none of them gets in the same cycle.
+    Jobs with equal keys are equivalent: if one of them is infeasible in a cycle, all of them are.
     """
 
     task_resources: Resources
@@ -27,9 +27,9 @@
 
 
 class CapacityViews:
-    """Free capacity on the reliable machines, and on all machines where some are not reliable.
+    """Free capacity on the reliable machines, and on all machines if some are unreliable.
 
-    The views are kept from one cycle to the next, as the rankings that are made from them.
+    The views are kept between cycles, as are the rankings computed from them.
     """
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
     def begin(
         self, machines: list[Machine], reliable_machines: list[Machine], reserved: dict[str, Resources]
     ) -> None:
-        """Begin a cycle, or the part of one that leaves more capacity reserved."""
+        """Begin a cycle, or the second half of one with other reservations."""
         self.reliable.begin_cycle(reliable_machines, reserved)
         self.views = [self.reliable]
         if len(reliable_machines) < len(machines):
@@ -47,44 +47,44 @@
             self.views.append(self._all)
 
     def refresh_all(self) -> None:
-        """Look at every machine again after more was reserved."""
+        """Check every machine for changes after reservations were added."""
         for view in self.views:
             view.refresh_all()
 
     def refresh_machine(self, machine: Machine) -> None:
-        """Look at a machine again after a task was started on it."""
+        """Check a machine for changes after a task was started on it."""
         for view in self.views:
             view.refresh_machine(machine)
 
 
 class CycleState:
-    """What one cycle over the jobs that wait goes by. Free capacity only shrinks during a cycle.
+    """Machines, reservations and results of one cycle. Free capacity only shrinks during a cycle.
 
-    So once no machine is found for a task, equivalent ones are not searched for again. Without this, a full
-    fleet of 200 machines was searched for every waiting task at every event, and heartbeats were answered so
-    late that leases expired.
+    So once no machine is found for a task, equivalent tasks are not searched for again. Searching a full
+    fleet of 200 machines for every waiting task at every event delayed heartbeat responses until leases
+    expired.
     """
 
     def __init__(
         self, machines: list[Machine], reliable_machines: list[Machine], unaccounted: Resources
     ) -> None:
         self.machines = machines
-        # Those that received our commands lately, and are not suspected to be at fault.
+        # Machines that recently received their commands and are not suspected of causing failures.
         self.reliable_machines = reliable_machines
-        # What may be in use on machines whose tasks are not known.
+        # Resources that may be in use on machines whose tasks are not known.
         self.unaccounted = unaccounted
         self.zones = {machine.zone for machine in machines}
         # Scheduling keys for which no machine was found.
         self.infeasible: set[SchedulingKey] = set()
-        # Teams whose remaining quota is reserved for a gang that has waited long.
+        # Teams whose remaining quota is reserved for a starved gang.
         self.reserved_teams: set[str] = set()
-        # Resources by machine that are reserved for such gangs, and for replicas that move.
+        # Resources by machine that are reserved for starved gangs and relocating replicas.
         self.reserved: dict[str, Resources] = {}
         self._capacity = CapacityViews()
 
     @staticmethod
     def scheduling_key(job: Job, at_limit: bool, has_reservations: bool) -> SchedulingKey:
-        """The key of a job whose team is ``at_limit`` or not, with or without capacity that is reserved."""
+        """Return the key of a job; ``at_limit``: one more task would exceed the limit of its team."""
         spec = job.spec
         return SchedulingKey(
             job.task_resources,
@@ -100,20 +100,20 @@
 
     @property
     def capacity(self) -> CapacityViews:
-        """The views that starts go by at present."""
+        """The capacity views that are in use."""
         return self._capacity
 
     def switch_capacity(self, capacity: CapacityViews, reserved: dict[str, Resources]) -> None:
-        """From now on, starts go by what is free after these reservations."""
+        """Use these views from now on, with these reservations."""
         capacity.begin(self.machines, self.reliable_machines, reserved)
         self._capacity = capacity
 
     def in_use(self, used: list[float] | None) -> tuple[float, float]:
-        """What counts against the limit of a team that uses this: that, and what is not known."""
+        """Return the CPUs and accelerators that count against a team's limit: used and unaccounted ones."""
         cpus, accelerators = used or (0.0, 0.0)
         return cpus + self.unaccounted[CPUS], accelerators + self.unaccounted[ACCELERATORS]
 
 
 def reserve(reserved: dict[str, Resources], machine: str, resources: Resources) -> None:
-    """Reserve more of a machine."""
+    """Add resources to the reservation on a machine."""
     reserved[machine] = add_scaled(reserved.get(machine, NO_RESOURCES), resources)
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: every start of a task goes through a scheduling cycle over the jobs that wait."""
+"""Dispatch: scheduling cycles over the waiting jobs, in which every task is started."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from poppyhold.scheduling.task_starter import TaskStarter
 from poppyhold.settings import Objective
 
-# Each half of a cycle, planned starts and unplanned ones, may take this part of a heartbeat interval.
+# Time limit in heartbeat intervals of each half of a cycle: planned starts, then unplanned ones.
 _HALF_CYCLE_BUDGET_HEARTBEATS = 1 / 16
 
 
 class Dispatcher:
-    """Runs scheduling cycles: starts what plans allow, and then what fits beside them."""
+    """Runs scheduling cycles: first starts planned tasks, then those that fit on unbooked capacity."""
 
     def __init__(
         self, ctx: Context, reconciler: AttemptReconciler, quotas: Quotas, admission: Admission
@@ -45,11 +45,11 @@
             ctx, reconciler.lifecycle.gangs, quotas, self._gang_placement, self._order, starter
         )
         self._planned_capacity, self._unplanned_capacity = CapacityViews(), CapacityViews()
-        # Jobs that cycles which ran out of time came to.
+        # Jobs that were visited since a cycle last visited all jobs in time.
         self._visited_job_ids: set[str] = set()
 
     def dispatch(self, all_reconciled: bool) -> None:
-        """Start what may start now."""
+        """Run one scheduling cycle: start every task that may start now."""
         now = self._ctx.clock()
         jobs = self._ready_jobs(all_reconciled, now)
         waiting = [job for job in jobs if not (job.admitted or job.failures.at_fault)]
@@ -63,7 +63,7 @@
         self._start_all_unplanned(cycle, jobs)
 
     def _ready_jobs(self, all_reconciled: bool, now: float) -> list[Job]:
-        """Jobs with tasks that may start now, the most urgent first."""
+        """Return the jobs with tasks that may start now, the most urgent first."""
         jobs = [
             job
             for job in self._ctx.fleet.jobs.values()
@@ -71,14 +71,14 @@
             and job.phase is JobPhase.ACTIVE
             and job.retry_at <= now
             and job.plan_durable
-            # An older job's tasks may run on a machine that is not reconciled yet.
+            # Tasks of a job that an earlier leader started may run on a machine that is not reconciled yet.
             and (job.never_started or all_reconciled)
         ]
         self._order.sort(jobs, now)
         return jobs
 
     def _begin_cycle(self, now: float) -> CycleState | None:
-        """A cycle over the machines that tasks may start on; None if there are none."""
+        """Return the state of a new cycle over the schedulable machines, or None if there are none."""
         ctx = self._ctx
         machines = [
             machine
@@ -99,10 +99,10 @@
         return cycle
 
     def _deadline(self) -> float:
-        """When a half of a cycle that begins now has to end.
+        """Return when a half of a cycle that begins now has to end.
 
-        A backlog that meets a thousand empty machines takes seconds: heartbeats must not wait for it. The
-        next cycle goes on with the jobs that this one did not come to.
+        Scheduling a backlog on a thousand empty machines takes seconds, which would delay heartbeat
+        responses. The next cycle continues with the jobs that this one did not visit.
         """
         return self._ctx.clock() + self._ctx.durations.heartbeat_interval_s * _HALF_CYCLE_BUDGET_HEARTBEATS
 
@@ -128,9 +128,9 @@
         self._visited_job_ids.clear()
 
     def _start_planned(self, cycle: CycleState, job: Job, now: float) -> None:
-        """Start what the job's plan lets start by now."""
+        """Start the tasks that the job's plan lets start by now."""
         if job.is_gang:
-            # One that has waited long goes first like one with a plan.
+            # A starved gang is treated like a planned one.
             is_planned = job.admitted and self._admission.startable_by_plan(job) >= job.pending
             if is_planned or self._order.is_starved(job, now):
                 self._gangs.start_gang(cycle, job, cycle.reserved)
@@ -138,7 +138,7 @@
             self._tasks.start_tasks(cycle, job, self._admission.startable_by_plan(job), cycle.reserved)
 
     def _start_unplanned(self, cycle: CycleState, job: Job, reserved: dict[str, Resources]) -> None:
-        """Start on capacity that no other job's plan books now."""
+        """Start tasks on capacity that no other job's plan books in the current slot."""
         bookings = self._admission.bookings
         has_own_booking = bool(bookings.machines_booked_now(job))
         reserved_by_others = bookings.reserved_by_others(reserved, job) if has_own_booking else reserved
@@ -148,7 +148,7 @@
             self._tasks.start_tasks(cycle, job, job.pending, reserved_by_others, has_own_booking)
 
     def _reserved(self, cycle: CycleState) -> dict[str, Resources]:
-        """What plans book now and have not used yet, and what is reserved for gangs and replicas."""
+        """Return the unused bookings of the current slot, with the reservations for gangs and replicas."""
         reserved = self._admission.bookings.booked_now()
         for name, resources in cycle.reserved.items():
             reserve(reserved, name, resources)
@@ -156,7 +156,7 @@
 
 
 def _wait_objectives(objectives: list[Objective]) -> dict[str, float]:
-    """What users expect of a class: seconds within which its tasks should have started."""
+    """Return by job class the seconds within which its tasks should start."""
     return {
         objective.job_class: objective.within_s
         for objective in objectives
