--- a/src/poppyhold/scheduling/estimates.py
+++ b/src/poppyhold/scheduling/estimates.py
@@ -1,4 +1,4 @@
-"""How long tasks run: the owners' estimates, corrected by what was seen of their class."""
+"""Estimates of task run times: submitted estimates, corrected by the observed bias of their job class."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 from poppyhold.model.entities import Job
 
-# The mean moves by one part in so many with each run, once it has seen as many.
+# From this many runs on, each run has a weight of 1 / this in the moving mean.
 _MAX_AVERAGED_RUNS = 20
-# So many runs give the mean half of its weight.
+# Runs after which the correction is applied at half of its full weight.
 _HALF_CONFIDENCE_RUNS = 4.0
 _MIN_ESTIMATE_S = 0.1
 
 
 class _ClassBias(NamedTuple):
-    """A moving mean of the logarithm of actual run time to estimate, and how many runs it has seen."""
+    """A moving mean of log(actual run time / estimate), and the number of runs in it."""
 
     mean: float
     runs: int
@@ -25,13 +25,13 @@
 
 
 class RunTimeEstimates:
-    """Corrects owners' estimates by how far off those of their class were."""
+    """Corrects submitted estimates by the observed bias of their job class."""
 
     def __init__(self) -> None:
         self._bias_by_class: dict[str, _ClassBias] = {}
 
     def record_run(self, job: Job, ran_s: float) -> None:
-        """Learn from a task of the job that ran this long from its start to its end."""
+        """Update the bias of the job's class with a task's run time from its start to its end."""
         if job.spec.estimate_s <= 0 or ran_s <= 0:
             return
         mean, runs = self._bias_by_class.get(job.spec.job_class, _NO_BIAS)
@@ -40,7 +40,7 @@
         self._bias_by_class[job.spec.job_class] = _ClassBias(mean + step * (ratio - mean), runs + 1)
 
     def estimate_s(self, job: Job) -> float:
-        """The seconds to plan with for a task of the job."""
+        """Return the corrected estimate in seconds for a task of the job."""
         mean, runs = self._bias_by_class.get(job.spec.job_class, _NO_BIAS)
         confidence = runs / (runs + _HALF_CONFIDENCE_RUNS)
         return max(_MIN_ESTIMATE_S, job.spec.estimate_s * math.exp(mean * confidence))
--- a/src/poppyhold/scheduling/free_capacity.py
+++ b/src/poppyhold/scheduling/free_capacity.py
@@ -1,8 +1,8 @@
-"""Machines with free capacity, ranked by kind of job and kept from one scheduling cycle to the next.
+"""Machines with free capacity, ranked for each kind of job; rankings are kept between scheduling cycles.
 
-Each job that waited once looked at every machine in every cycle. With 4,000 machines that had free capacity a
-search took 30 ms, so that a cycle came to ten jobs and the fleet started nine tasks a second. Jobs alike now
-share a ranking, and of it only the machines whose free capacity has changed are looked at again.
+Equivalent jobs share a ranking, and only machines whose free capacity has changed are scored again. Scoring
+every machine for each waiting job took 30 ms a job with 4,000 machines that had free capacity, so that a
+cycle reached ten jobs and the fleet started nine tasks a second.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from poppyhold.model.entities import Job, Machine
 from poppyhold.model.resources import Resources
 
-# Rankings that are kept; each holds an entry for every machine on which its kind of job fits.
+# Maximum number of cached rankings; each has an entry for every machine on which its kind of job fits.
 _MAX_RANKINGS = 32
-# The change log keeps so many entries for each machine.
+# Maximum length of the change log, in entries per machine.
 _LOG_ENTRIES_PER_MACHINE = 4
 
-# The score of a machine for any job of a kind, lower is better; None if no task fits.
+# Returns the score of a machine for a kind of job, lower is better; None if no task fits.
 ScoreFunction = Callable[[Machine], float | None]
 
 
 class RankedMachine(NamedTuple):
-    """A machine with its score, and with its number, which tells equals apart."""
+    """A machine with its score; its number breaks ties."""
 
     score: float
     number: int
@@ -33,20 +33,20 @@
 
 
 class FreeCapacityView:
-    """The machines of a cycle, what is reserved on them, and a log of whose free capacity changed."""
+    """The machines of a cycle, the reservations on them, and a log of changes to their free capacity."""
 
     def __init__(self) -> None:
         self.machines: dict[str, Machine] = {}
         self.reserved: dict[str, Resources] = {}
         self.zones: set[str] = set()
-        # The machine's version and what is reserved on it, as they were looked at last.
+        # By machine name: its version and the reservation on it when they were last checked.
         self._observed: dict[str, tuple[int, Resources | None]] = {}
-        # Names of machines in the order in which they changed; how many were dropped from its beginning.
+        # Names of machines in the order of their changes, and the number of entries dropped from the start.
         self._change_log: list[str] = []
         self._dropped_from_log = 0
 
     def begin_cycle(self, machines: Iterable[Machine], reserved: dict[str, Resources]) -> None:
-        """Begin a scheduling cycle, or a part of one, over these machines."""
+        """Begin a scheduling cycle, or a half of one, over these machines."""
         self.machines = {machine.name: machine for machine in machines}
         self.zones = {machine.zone for machine in self.machines.values()}
         self.reserved = reserved
@@ -60,12 +60,12 @@
             self._dropped_from_log += excess
 
     def refresh_all(self) -> None:
-        """Look at every machine again after more was reserved, or less."""
+        """Check every machine for changes after reservations changed."""
         for machine in self.machines.values():
             self._observe(machine)
 
     def refresh_machine(self, machine: Machine) -> None:
-        """Look at a machine again whose free capacity may have changed."""
+        """Check a machine for changes to its free capacity."""
         if machine.name in self.machines:
             self._observe(machine)
 
@@ -77,18 +77,18 @@
 
     @property
     def log_position(self) -> int:
-        """The present end of the change log."""
+        """The position after the last entry of the change log."""
         return self._dropped_from_log + len(self._change_log)
 
     def changed_since(self, position: int) -> set[str] | None:
-        """Names of the machines that changed after a position; None if the log does not go back so far."""
+        """Return the names of machines that changed since a position; None if the log no longer covers it."""
         if position < self._dropped_from_log:
             return None
         return set(self._change_log[position - self._dropped_from_log :])
 
 
 class Ranking:
-    """The machines of a view on which a task of one kind of job fits, best first."""
+    """The machines of a view on which a task of one kind of job fits, ordered by score."""
 
     def __init__(self, view: FreeCapacityView, score: ScoreFunction) -> None:
         self._view, self._score = view, score
@@ -97,7 +97,7 @@
         self._ranked_by_name: dict[str, RankedMachine] = {}
 
     def update(self) -> None:
-        """Score the machines again that changed since the last time, or all of them if that is not known."""
+        """Rescore the machines that changed since the last update, or all if the log no longer covers it."""
         changes = self._view.changed_since(self._log_position)
         self._log_position = self._view.log_position
         if changes is None:
@@ -124,7 +124,7 @@
             bisect.insort(self._ranked, ranked)
 
     def best(self, zones: Set[str], excluded: Set[str]) -> RankedMachine | None:
-        """The best machine in these zones that is not excluded."""
+        """Return the best machine in these zones that is not excluded, if any."""
         return next(
             (
                 ranked
@@ -136,7 +136,7 @@
 
 
 class _RankingKey(NamedTuple):
-    """What decides scores: jobs with equal keys share a ranking of a view."""
+    """Everything that decides scores: jobs with equal keys share a ranking of a view."""
 
     view: int
     task_resources: Resources
@@ -149,17 +149,17 @@
 
 
 class RankingCache:
-    """The rankings that were used last."""
+    """The most recently used rankings."""
 
     def __init__(self) -> None:
         self._rankings: OrderedDict[_RankingKey, Ranking] = OrderedDict()
 
     def clear(self) -> None:
-        """Drop all rankings: scores are no longer what they were."""
+        """Drop all rankings, after a change that affects every score."""
         self._rankings.clear()
 
     def ranking(self, view: FreeCapacityView, job: Job, score: ScoreFunction) -> Ranking:
-        """The up-to-date ranking for jobs like this one."""
+        """Return the up-to-date ranking for the job and its equivalents."""
         spec = job.spec
         machine_types = None if spec.machine_types is None else tuple(spec.machine_types)
         key = _RankingKey(
--- a/src/poppyhold/scheduling/gang_placement.py
+++ b/src/poppyhold/scheduling/gang_placement.py
@@ -1,4 +1,4 @@
-"""Machines for all tasks of a gang at once: few of them, with the image, in one zone where that is asked."""
+"""Placement of all tasks of a gang at once: on few machines, with the image, in one zone if requested."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 
 
 class GangOption(NamedTuple):
-    """A machine, and how many tasks of a gang fit on it."""
+    """A machine, and the number of a gang's tasks that fit on it."""
 
     tasks: int
     machine: Machine
 
 
 class GangCandidate(msgspec.Struct, frozen=True):
-    """Machines for every task, in the order of the starts, and what speaks against them."""
+    """A machine for every task, in the order of the starts, with what decides the preference."""
 
     strands_accelerators: bool
     machines: list[Machine]
 
     def sort_key(self) -> tuple[bool, int]:
-        """Candidates with the lower key are preferred."""
+        """Return the key by which candidates compare: lower is preferred."""
         return self.strands_accelerators, len({machine.name for machine in self.machines})
 
 
 def host_resources_per_accelerator(jobs: Iterable[Job]) -> Resources:
-    """The most of each resource that a task takes beside one accelerator, among these jobs."""
+    """Return the most CPUs and memory per accelerator that a task of these jobs takes."""
     cpus = memory = 0.0
     for job in jobs:
         accelerators = job.task_resources[ACCELERATORS]
@@ -51,17 +51,17 @@
 
 
 class GangPreemption(msgspec.Struct, eq=False):
-    """How many tasks fit on a machine once these attempts are stopped."""
+    """The number of tasks that fit on a machine once the victims are stopped."""
 
     machine: Machine
     count: int
     victims: list[Attempt]
-    # Seconds that are lost by the stops, for each task that starts.
+    # Seconds lost by stopping the victims, per started task.
     cost_s: float
 
 
 class _PreemptionPlan(NamedTuple):
-    """Machines for all pending tasks of a gang, and the seconds that the preemptions for them cost."""
+    """Machines for all pending tasks of a gang, and the cost in seconds of the preemptions for them."""
 
     cost_s: float
     choices: list[Choice]
@@ -73,17 +73,17 @@
     def __init__(self, placement: Placement) -> None:
         self._placement = placement
         self._jobs: Iterable[Job] = ()
-        # What goes with an accelerator, once a gang of this cycle asks for it.
+        # CPUs and memory per accelerator, computed when a gang of this cycle first needs them.
         self._per_accelerator: Resources | None = None
 
     def begin_cycle(self, jobs: Iterable[Job]) -> None:
-        """Begin a scheduling cycle; what is kept free for accelerators goes by the jobs that there are."""
+        """Begin a scheduling cycle; these jobs decide how much is kept free beside accelerators."""
         self._jobs, self._per_accelerator = jobs, None
 
     def choose(
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
     ) -> list[Machine] | None:
-        """A machine for each pending task, or None if they don't all fit now."""
+        """Return a machine for each pending task, or None if they don't all fit now."""
         usable = [machine for machine in machines if may_use(job, machine)]
         found: list[GangCandidate] = []
         for group in self._zone_groups(job, usable):
@@ -95,7 +95,7 @@
     def choose_with_preemption(
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
     ) -> list[Choice] | None:
-        """A machine for each pending task, with preemption for all of them at the least loss."""
+        """Return machines and victims for all pending tasks at the least cost; None if infeasible."""
         usable = [machine for machine in machines if may_use(job, machine)]
         found: list[_PreemptionPlan] = []
         for group in self._zone_groups(job, usable):
@@ -109,7 +109,7 @@
     def _preemption_on(
         self, job: Job, machine: Machine, reserved: dict[str, Resources], max_tasks: int
     ) -> GangPreemption | None:
-        """Preemption for up to so many tasks, with no more stops than that takes; None if no task fits."""
+        """Return preemption for up to ``max_tasks``, without needless victims; None if no task fits."""
         free = machine.free_after_reservations(reserved)
         count = max_copies(job.task_resources, free, max_tasks)
         victims: list[Attempt] = []
@@ -131,7 +131,7 @@
     def _cheapest_preemptions(
         self, job: Job, preemptions: list[GangPreemption], reserved: dict[str, Resources]
     ) -> _PreemptionPlan | None:
-        """Preemptions for all pending tasks, the cheapest for each task first; None if they don't suffice."""
+        """Return preemptions for all pending tasks, lowest cost per task first; None if too few tasks fit."""
         remaining = job.pending
         total_cost_s = 0.0
         chosen: list[Choice] = []
@@ -148,7 +148,7 @@
             if needed is None:
                 continue
             zones[machine.zone] = zones.get(machine.zone, 0) + count
-            # All stops come before the first start on the machine.
+            # All victims on a machine are stopped before the first start there.
             chosen.append(Choice(machine, needed.victims))
             chosen += [Choice(machine) for _ in range(count - 1)]
             total_cost_s += needed.cost_s * count
@@ -157,7 +157,7 @@
 
     @staticmethod
     def _zone_groups(job: Job, machines: list[Machine]) -> Iterator[list[Machine]]:
-        """The sets of machines that the gang may be spread over."""
+        """Yield the sets of machines that the gang may be spread over."""
         if not job.spec.one_zone:
             yield machines
             return
@@ -171,7 +171,7 @@
     def _choose_among(
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
     ) -> GangCandidate | None:
-        # What accelerators need beside them comes second: without it they would stand idle.
+        # CPUs and memory beside free accelerators are used last: accelerators are unusable without them.
         for keeps_accelerators_usable in (True, False) if job.task_resources[ACCELERATORS] <= 0 else (False,):
             chosen = self._fill(job, self._options(job, machines, reserved, keeps_accelerators_usable))
             if chosen is not None:
@@ -227,7 +227,7 @@
         return min(options, key=lambda option: self._option_key(job, option, remaining))
 
     def _option_key(self, job: Job, option: GangOption, remaining: int) -> tuple[object, ...]:
-        """Machines that fit all tasks that remain come first, or else those that fit the most of them."""
+        """Return the sort key of an option: first those that fit all remaining tasks, then the most."""
         count, machine = option
         wait_s = image_wait_s(machine, job)
         fits_all = count >= remaining
--- a/src/poppyhold/scheduling/gang_scheduler.py
+++ b/src/poppyhold/scheduling/gang_scheduler.py
@@ -1,4 +1,4 @@
-"""Gangs in a scheduling cycle: all pending tasks of one start in one step, or none of them."""
+"""Scheduling of gangs: all pending tasks of a gang start in one step, or none of them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class GangScheduler:
-    """Starts gangs, and reserves capacity for those that have waited long."""
+    """Starts gangs, and reserves capacity for starved ones."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._placement, self._order, self._starter = placement, order, starter
 
     def start_gang(self, cycle: CycleState, job: Job, reserved: dict[str, Resources]) -> None:
-        """Start all pending tasks of a gang, if they fit beside what is reserved."""
+        """Start all pending tasks of a gang if they fit beside the reservations."""
         if not self._gangs.may_start(job):
             return
         within_limit = self._within_limit(cycle, job)
@@ -47,9 +47,9 @@
             self._reserve_for(cycle, job, within_limit)
 
     def _choices(self, cycle: CycleState, job: Job, reserved: dict[str, Resources]) -> list[Choice] | None:
-        """A machine for each pending task, if need be among those that are not reliable.
+        """Return a machine for each pending task, if necessary also among unreliable machines.
 
-        Where they don't all fit, lower work is preempted: for all of them, or none is stopped.
+        If they don't all fit, the choice preempts lower-priority work for all of them, or is None.
         """
         chosen = self._placement.choose(job, cycle.reliable_machines, reserved)
         if chosen is None and len(cycle.reliable_machines) < len(cycle.machines):
@@ -61,17 +61,17 @@
         return self._placement.choose_with_preemption(job, cycle.reliable_machines, reserved)
 
     def _within_limit(self, cycle: CycleState, job: Job) -> bool:
-        """Whether all pending tasks together stay within the team's limit."""
+        """Return whether all pending tasks together stay within the team's limit."""
         in_use = cycle.in_use(self._ctx.fleet.used_by_team.get(job.spec.team))
         return self._quotas.allows(
             job.spec.team, in_use, add_scaled(NO_RESOURCES, job.task_resources, job.pending)
         )
 
     def _reserve_for(self, cycle: CycleState, job: Job, within_limit: bool) -> None:
-        """Reserve what is released for a gang that has waited long, for a while at a time.
+        """Reserve free capacity for a starved gang during alternating intervals.
 
-        Smaller jobs would take each part that is released, and the gang would never find enough at once.
-        Reserved without end, it would let a gang that nothing can serve block all others.
+        Without it smaller jobs would take all released capacity, so that the gang would never find enough
+        at once. With a permanent reservation an infeasible gang would block all other jobs.
         """
         starved_s = self._order.starved_s(job, self._ctx.clock())
         reservation_s = self._ctx.settings.deployment.workers.gang_wait_s
--- a/src/poppyhold/scheduling/job_order.py
+++ b/src/poppyhold/scheduling/job_order.py
@@ -1,4 +1,4 @@
-"""The order in which a scheduling cycle comes to the jobs that wait."""
+"""The order in which a scheduling cycle visits waiting jobs."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from poppyhold.model.entities import Job
 from poppyhold.scheduling.estimates import RunTimeEstimates
 
-# Leases after which a job that has not begun is no longer passed over for more valuable ones. With twice as
-# many, large arrays of a small fleet under overload began four minutes and more after their submission.
+# Leases after submission from which a job that has not started is starved, and precedes more valuable ones.
+# With twice as many, large arrays on an overloaded small fleet started four minutes or more after submission.
 _STARVATION_THRESHOLD_LEASES = 6
 
 
 class _Urgency(IntEnum):
-    """Among jobs of one priority and guarantee, those of a lower value go first."""
+    """Class of a job among those of equal priority and guarantee; lower values go first."""
 
     STARVED = 0
     MEETS_DEADLINE = 1
@@ -26,42 +26,42 @@
     priority: int
     beyond_guarantee: bool
     urgency: _Urgency
-    # Seconds of work that are left, times the accelerators or else the cpus that they take.
+    # Remaining run time in seconds, times the accelerators or else the CPUs of all pending tasks.
     remaining_work: float
     submitted_at: float
     id: str
 
 
 class JobOrder:
-    """Orders jobs by priority, guarantee, and then by what their value does while they wait."""
+    """Orders jobs by priority, guarantee, and then by starvation, deadline and remaining work."""
 
     def __init__(self, durations: Durations, estimates: RunTimeEstimates) -> None:
         self._starvation_threshold_s = durations.lease_s * _STARVATION_THRESHOLD_LEASES
         self._estimates = estimates
 
     def sort(self, jobs: list[Job], now: float) -> None:
-        """Sort jobs that wait, the most urgent first."""
+        """Sort waiting jobs in place, the most urgent first."""
         jobs.sort(key=lambda job: self._key(job, now))
 
     def is_starved(self, job: Job, now: float) -> bool:
-        """Whether a job that has not begun is no longer passed over for others."""
+        """Return whether a job has not started within the starvation threshold."""
         return not job.active and not job.done and self.starved_s(job, now) > 0
 
     def starved_s(self, job: Job, now: float) -> float:
-        """Seconds that a job has waited beyond the time for which others may pass it."""
+        """Return the seconds that a job has waited beyond the starvation threshold; negative before it."""
         return now - job.submitted_at - self._starvation_threshold_s
 
     def _key(self, job: Job, now: float) -> _OrderKey:
-        """A job that can still meet its deadline loses value by waiting; one that can't has lost it already.
+        """Return the sort key: starved jobs first, then jobs that can still meet their deadline.
 
-        Among those alike, the one with the least work left goes first: under overload that serves the most
-        of them, where the most urgent first makes all of them late. One that has waited too long to begin
-        goes first all the same, so that none starves.
+        A job that can't meet it has lost its value already, so waiting costs it nothing more. Within a class
+        the least remaining work goes first: under overload that completes the most jobs in time, whereas
+        earliest deadline first makes all of them late.
         """
         if job.is_service:
             return self._key_with(job, _Urgency.MEETS_DEADLINE, 0.0)
         if self.is_starved(job, now):
-            # By arrival: by least work, the largest of them would again come last.
+            # Starved jobs go in order of submission: by least work the largest of them would stay last.
             return self._key_with(job, _Urgency.STARVED, 0.0)
         remaining_s = max(0.0, self._estimates.estimate_s(job) - job.saved_s())
         in_time = job.due_at is None or now + remaining_s <= job.due_at
--- a/src/poppyhold/scheduling/ledger.py
+++ b/src/poppyhold/scheduling/ledger.py
@@ -1,4 +1,4 @@
-"""Booked resources g[h][r](t): per machine h, resource r and future slot t."""
+"""Booked resources g[h][r](t) per machine h, resource r and future slot t."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled
 
-# In place of a slot: every slot without bookings of its own.
+# Stands for every slot: a booking of services, or a slot that has no bookings of its own.
 EVERY_SLOT = -1
 
-# Below this an amount is what rounding leaves of a booking that was released.
+# Amounts below this are rounding errors left by released bookings.
 _ROUNDING_TOLERANCE = 1e-9
 
 
 class EquivalenceKey(NamedTuple):
-    """What decides prices and free capacity: machines with equal keys are alike to every plan."""
+    """Everything that decides prices and free capacity: machines with equal keys are equivalent."""
 
     zone: str
     machine_type: str
@@ -26,14 +26,14 @@
 
 
 class FreeAndPrices(NamedTuple):
-    """What is free on a machine in a slot, and the price of a unit of each resource."""
+    """Free resources of a machine in a slot, and the unit price of each resource."""
 
     free: Resources
     unit_prices: Resources
 
 
 class MachineBookings:
-    """One machine's bookings: by slot, and those that hold in every slot (services)."""
+    """Bookings of one machine: by slot, and in every slot (services)."""
 
     __slots__ = (
         "_equivalence_key",
@@ -50,12 +50,12 @@
         self.capacity, self.zone, self.machine_type, self.spot = capacity, zone, machine_type, spot
         self.slots: dict[int, Resources] = {}
         self.every_slot = NO_RESOURCES
-        # By slot, until the next booking there.
+        # Cache by slot, invalidated by the next booking there.
         self._free_and_prices: dict[int, FreeAndPrices] = {}
         self._equivalence_key: EquivalenceKey | None = None
 
     def equivalence_key(self) -> EquivalenceKey:
-        """The key of this machine with its present bookings."""
+        """Return the key of this machine with its current bookings."""
         if self._equivalence_key is None:
             slots = tuple(sorted(self.slots.items()))
             self._equivalence_key = EquivalenceKey(
@@ -66,9 +66,9 @@
     def free_and_prices(
         self, slot: int, unit_prices: Callable[[Resources, Resources], Resources]
     ) -> FreeAndPrices:
-        """What is free, and its prices, in a slot or in those with no bookings of their own.
+        """Return free resources and prices in a slot, or (``EVERY_SLOT``) in slots with no own bookings.
 
-        Every plan looks at every slot of every machine; between two bookings both stay the same.
+        They are cached until the next booking, since every plan reads every slot of every machine.
         """
         found = self._free_and_prices.get(slot)
         if found is None:
@@ -79,7 +79,7 @@
         return found
 
     def book(self, slot: int, need: Resources, factor: float) -> None:
-        """Book in one slot, or in all."""
+        """Add ``factor`` times the resources to one slot, or to every slot."""
         self._equivalence_key = None
         if slot == EVERY_SLOT:
             self.every_slot = add_scaled(self.every_slot, need, factor)
@@ -93,42 +93,42 @@
         self._free_and_prices.pop(slot, None)
 
     def drop_before(self, first: int) -> None:
-        """Forget the slots before one."""
+        """Drop the bookings of slots before ``first``."""
         self._equivalence_key = None
         for old in [slot for slot in self.slots if slot < first]:
             del self.slots[old]
             self._free_and_prices.pop(old, None)
 
     def booked(self, slot: int) -> Resources:
-        """What is booked in a slot."""
+        """Return the resources that are booked in a slot."""
         own = self.slots.get(slot)
         return self.every_slot if own is None else add_scaled(self.every_slot, own)
 
 
 class MachineGroup(NamedTuple):
-    """Equivalent machines: the bookings of one, which stand for those of all, and their names."""
+    """Equivalent machines: their names, and the bookings of one, which equal those of the others."""
 
     bookings: MachineBookings
     names: list[str]
 
 
 class Ledger:
-    """The bookings of all machines that can be planned on."""
+    """The bookings of all machines that are available to plans."""
 
     def __init__(self, horizon_slots: int) -> None:
         self.horizon_slots = horizon_slots
         self.current_slot = 0
         self.machines: dict[str, MachineBookings] = {}
-        # Names of the machines of each key, and the key of each machine; those that changed since.
+        # Machine names by equivalence key and the reverse, as of the last regrouping; names changed since.
         self._names_by_key: dict[EquivalenceKey, dict[str, None]] = {}
         self._key_by_name: dict[str, EquivalenceKey] = {}
         self._changed_names: dict[str, None] = {}
 
     def groups(self) -> Iterator[MachineGroup]:
-        """All machines, equivalent ones together.
+        """Yield all machines in groups of equivalent ones.
 
-        Only what was booked since the last call is looked at: with a look at every machine, plans for the
-        thousand jobs of an earlier leader kept a new one of 4,000 machines from all else for seconds.
+        Only machines whose bookings changed since the last call are regrouped: regrouping all of 4,000
+        machines for each plan blocked a new leader with a thousand waiting jobs for seconds.
         """
         for name in self._changed_names:
             self._regroup(name)
@@ -152,7 +152,7 @@
             self._key_by_name[name] = key
 
     def advance_to(self, slot: int) -> None:
-        """Move to a new current slot; what was booked before it is dropped."""
+        """Advance the current slot, and drop the bookings of earlier slots."""
         if slot <= self.current_slot:
             return
         self.current_slot = slot
@@ -161,17 +161,17 @@
         self._changed_names.update(dict.fromkeys(self.machines))
 
     def add_machine(self, name: str, capacity: Resources, zone: str, machine_type: str, spot: bool) -> None:
-        """Add a machine without bookings."""
+        """Add a machine with no bookings."""
         self.machines.setdefault(name, MachineBookings(capacity, zone, machine_type, spot))
         self._changed_names[name] = None
 
     def remove_machine(self, name: str) -> None:
-        """Remove a machine, with its bookings."""
+        """Remove a machine and its bookings."""
         self.machines.pop(name, None)
         self._changed_names[name] = None
 
     def book(self, name: str, need: Resources, first: int, last: int | None, factor: float) -> None:
-        """Book (or, with negative ``factor``, release) slots ``first`` to ``last``; None: every slot."""
+        """Book slots ``first`` to ``last``, or every slot if None; a negative ``factor`` releases."""
         bookings = self.machines.get(name)
         if bookings is None:
             return
