--- a/src/poppyhold/scheduling/bookings.py
+++ b/src/poppyhold/scheduling/bookings.py
@@ -99,9 +99,9 @@
 
     def _planned_estimate_s(self, job: Job) -> float:
         # A release must use the estimate of its booking, although estimates change as runs are recorded.
-        if job.planned_s <= 0:
-            job.planned_s = self._estimates.estimate_s(job)
-        return job.planned_s
+        if job.planned_task_s <= 0:
+            job.planned_task_s = self._estimates.estimate_s(job)
+        return job.planned_task_s
 
     def advance_to(self, slot: int) -> None:
         """Advance to a slot; unused starts and attempts that outrun their estimate are booked in it."""
