--- a/src/poppyhold/cluster/authority.py
+++ b/src/poppyhold/cluster/authority.py
@@ -23,18 +23,18 @@
         self.watch_caught_up_at = began_at
         self.applied_revision = -1
 
-    def observe_watch(self, asked_at: float, revision: int) -> None:
+    def observe_watch(self, requested_at: float, revision: int) -> None:
         """All changes that the state service knew of when it was asked are acted on."""
-        self.watch_caught_up_at, self.applied_revision = asked_at, revision
+        self.watch_caught_up_at, self.applied_revision = requested_at, revision
 
-    def observe_peer(self, member: str, asked_at: float, bound: int) -> None:
+    def observe_peer(self, member: str, requested_at: float, bound: int) -> None:
         """The cancellations that a controller listed are acted on; all others it confirmed came by ``bound``.
 
         The moment of the request counts: between its response and now the controller may have confirmed more.
         A bound of -1 says that the controller can't know.
         """
         if 0 <= bound <= self.applied_revision:
-            self._peer_watermarks[member] = max(asked_at, self._peer_watermarks[member])
+            self._peer_watermarks[member] = max(requested_at, self._peer_watermarks[member])
 
     def cancellation_watermark(self, confirmed_at: float) -> float:
         """The watermark: every cancellation that was confirmed before this moment is acted on.
--- a/src/poppyhold/cluster/delegated_renewals.py
+++ b/src/poppyhold/cluster/delegated_renewals.py
@@ -25,14 +25,14 @@
         self._durations, self._skew_s = durations, skew_s
         self._clock, self._wall_clock = clock, wall_clock
         self._delegation: LeaseDelegation | None = None
-        self._leader_heard_at = float("-inf")
+        self._last_ping_at = float("-inf")
         # Whether leases are being renewed, so that the first renewal alone is logged.
         self._renewing = False
 
     def observe_leader(self, fencing_token: int, delegation: LeaseDelegation | None) -> None:
         """A leader's ping came. One that can't delegate anything yet, as after a failover, revokes it all."""
         if self._delegation is None or fencing_token >= self._delegation.fencing_token:
-            self._delegation, self._leader_heard_at = delegation, self._clock()
+            self._delegation, self._last_ping_at = delegation, self._clock()
             self._renewing = False
 
     def renewal_fencing_token(
@@ -73,7 +73,7 @@
     ) -> bool:
         """Whether the leader was not heard for long enough, and the worker may not reach it either."""
         now, renewal_after_s = self._clock(), self._durations.delegated_renewal_after_s
-        if now - self._leader_heard_at <= renewal_after_s:
+        if now - self._last_ping_at <= renewal_after_s:
             return False
         if now - store_contact_at <= renewal_after_s and not (
             self._is_partition(delegation, known_fencing_token) and leader_unreachable
--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -67,14 +67,14 @@
         self.lease_ttl_s = worker_lease_s * options.leadership.term_leases
         self._renewal_interval_s = self.lease_ttl_s / options.leadership.renewals
         # For so long a leader that resigned does not campaign.
-        self._stand_back_s = worker_lease_s
-        self._standing_back_until = 0.0
+        self._campaign_backoff_s = worker_lease_s
+        self._campaign_backoff_until = 0.0
         self._lock = threading.Lock()
         self._wake = threading.Event()
         self._stopped = False
         self.known_leader = KnownLeader()
         # Before the key was read nobody knows whether there is a leader.
-        self._snapshot_seen = False
+        self._leader_key_read = False
         self.term: Term | None = None
         # The term was certainly ours at this moment.
         self.confirmed_at = float("-inf")
@@ -101,7 +101,7 @@
 
     def resign(self, reason: str) -> None:
         """Give up the term, for another controller to lead, and don't campaign for a lease."""
-        self._standing_back_until = time.monotonic() + self._stand_back_s
+        self._campaign_backoff_until = time.monotonic() + self._campaign_backoff_s
         term = self.term
         self.step_down(reason)
         if term is not None:
@@ -121,7 +121,7 @@
         except (StoreRejectedError, OutcomeUnknownError) as error:
             log.debug("leadership not transferred: lease=%d: %s", term.lease_id, error)
             return
-        self._standing_back_until = time.monotonic() + self._stand_back_s
+        self._campaign_backoff_until = time.monotonic() + self._campaign_backoff_s
         self.step_down(reason)
 
     def step_down(self, reason: str) -> None:
@@ -158,7 +158,7 @@
         This is safe even if the process is not gone: every durable step of a leader is conditional on its
         key, and workers follow the highest fencing token.
         """
-        if self.leader == leader and time.monotonic() >= self._standing_back_until:
+        if self.leader == leader and time.monotonic() >= self._campaign_backoff_until:
             log.info("ending the lease of a leader that is gone: member=%s", leader.member)
             self._revoke_lease(leader.lease_id)
 
@@ -172,7 +172,7 @@
     # -- the leader's key ----------------------------------------------------------------------------
 
     def _on_snapshot(self, entries: list[Entry]) -> None:
-        self._snapshot_seen = True
+        self._leader_key_read = True
         self._observe_key(next((entry for entry in entries if entry.key == LEADER_KEY), None))
 
     def _on_change(self, change: WatchEvent) -> None:
@@ -212,9 +212,9 @@
         term = self.term
         if term is None:
             return 0.0
-        asked_at = time.monotonic()
-        if asked_at - self.confirmed_at < self._renewal_interval_s * 0.9:
-            return self._renewal_interval_s - (asked_at - self.confirmed_at)
+        requested_at = time.monotonic()
+        if requested_at - self.confirmed_at < self._renewal_interval_s * 0.9:
+            return self._renewal_interval_s - (requested_at - self.confirmed_at)
         try:
             self._store.renew_lease(term.lease_id, self._renewal_interval_s * 2)
         except LeaseExpiredError:
@@ -226,15 +226,15 @@
             log.debug("lease not renewed: lease=%d: %s", term.lease_id, error)
             return self._renewal_interval_s / 2
         if self.term is term or (self.term is not None and self.term.lease_id == term.lease_id):
-            self.confirmed_at = asked_at
+            self.confirmed_at = requested_at
         return self._renewal_interval_s
 
     def _campaign(self) -> float:
         """Try to get elected if nobody leads; how long to pause."""
         now = time.monotonic()
-        if now < self._standing_back_until:
-            return self._standing_back_until - now
-        if not self._snapshot_seen:
+        if now < self._campaign_backoff_until:
+            return self._campaign_backoff_until - now
+        if not self._leader_key_read:
             return self._renewal_interval_s / 4
         leader = self.leader
         if leader is not None:
@@ -247,20 +247,20 @@
             return self._renewal_interval_s / 2
         try:
             lease_id = self._store.grant_lease(self.lease_ttl_s)
-            asked_at = time.monotonic()
-            self._claim_leadership(lease_id, asked_at)
+            requested_at = time.monotonic()
+            self._claim_leadership(lease_id, requested_at)
         except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError, ConditionFailedError) as error:
             log.debug("not elected: %s", error)
         return self._renewal_interval_s * self._rng.uniform(*_CAMPAIGN_PAUSE_RATIOS)
 
-    def _claim_leadership(self, lease_id: int, asked_at: float) -> None:
+    def _claim_leadership(self, lease_id: int, requested_at: float) -> None:
         """Try to become the leader with a lease that was asked for at that moment."""
         leader = claim_leadership(self._store, self._member, lease_id)
         term = Term(leader.fencing_token, leader.key_revision, lease_id, time.monotonic())
         with self._lock:
-            self.known_leader.set_ourselves(leader)
+            self.known_leader.record_own_election(leader)
             self.term = term
-            self.confirmed_at = asked_at
+            self.confirmed_at = requested_at
         log.info("elected: fencing_token=%d", term.fencing_token)
         self._on_elected(term)
         self.known_leader.announce()
--- a/src/poppyhold/cluster/known_leader.py
+++ b/src/poppyhold/cluster/known_leader.py
@@ -31,7 +31,7 @@
             if leader is not None:
                 self._changed.notify_all()
 
-    def set_ourselves(self, leader: Leader) -> None:
+    def record_own_election(self, leader: Leader) -> None:
         """Note our own election. `announce` wakes up the threads that wait, once we can serve."""
         self.leader = leader
 
--- a/src/poppyhold/cluster/lease_delegation.py
+++ b/src/poppyhold/cluster/lease_delegation.py
@@ -34,7 +34,7 @@
         self._durations = durations
         # A grant is used no longer than this after it was sent: both ends' times of day may be off, and ours
         # moves on between composing and sending.
-        self._longest_grant_s = durations.unconfirmed_renewal_s * 1.001 + 4 * skew_s
+        self._max_grant_s = durations.unconfirmed_renewal_s * 1.001 + 4 * skew_s
         # By controller: when it was granted a delegation last; when it last certainly renewed nothing; and
         # the bound on its renewals up to its last response.
         self._granted_at: dict[str, float] = {}
@@ -66,4 +66,4 @@
         renewed_until = self._renewed_until.get(member, float("-inf"))
         if now - self._idle_at[member] <= self._durations.delegated_renewal_after_s:
             return renewed_until
-        return max(renewed_until, min(now, self._granted_at[member] + self._longest_grant_s))
+        return max(renewed_until, min(now, self._granted_at[member] + self._max_grant_s))
--- a/src/poppyhold/cluster/peer_client.py
+++ b/src/poppyhold/cluster/peer_client.py
@@ -91,20 +91,20 @@
                 for job_id, count in counts.next_batch(self._handler.task_counts_if_leading())
             ]
             changed_images = images.next_batch(self._handler.image_hints_if_leading())
-            asked_at = time.monotonic()
+            requested_at = time.monotonic()
             tracker = self._handler.delegation_tracker()
             if tracker is not None:
-                tracker.record_grant(self._peer.member, asked_at)
+                tracker.record_grant(self._peer.member, requested_at)
             ping = msgspec.structs.replace(
                 self._handler.compose_ping(), task_counts=changed_counts, image_hints=changed_images
             )
             send_message(connection, ping)
             pong = self._receive_pong(connection)
-            self.view = PeerView(asked_at - pong.state_age_s, pong.misdirected_workers)
+            self.view = PeerView(requested_at - pong.state_age_s, pong.misdirected_workers)
             self._connectivity.record_response(self._peer.member, pong.reachable_peers)
             if tracker is not None:
-                tracker.record_response(self._peer.member, asked_at)
-            self._handler.handle_pong(pong, asked_at)
+                tracker.record_response(self._peer.member, requested_at)
+            self._handler.handle_pong(pong, requested_at)
             has_more = counts.has_more or images.has_more
             self._stop.wait(interval_s / _BATCHES_PER_INTERVAL if has_more else interval_s)
 
--- a/src/poppyhold/cluster/peer_handler.py
+++ b/src/poppyhold/cluster/peer_handler.py
@@ -31,8 +31,8 @@
     def handle_ping(self, ping: Ping) -> Pong:
         """Take what another controller says, and respond."""
 
-    def handle_pong(self, pong: Pong, asked_at: float) -> None:
-        """Take the response of another controller to a ping of ours; ``asked_at`` is when that was sent."""
+    def handle_pong(self, pong: Pong, requested_at: float) -> None:
+        """Handle the response of another controller to a ping that was sent at ``requested_at``."""
 
     def on_connection_refused(self, member: str) -> None:
         """Another controller's process does not listen."""
--- a/src/poppyhold/concurrency/priority_queue.py
+++ b/src/poppyhold/concurrency/priority_queue.py
@@ -20,13 +20,13 @@
     events come each second, waking it for every one costs more than what it then does.
     """
 
-    def __init__(self, max_heartbeats: int, nap_s: float) -> None:
+    def __init__(self, max_heartbeats: int, coalescing_s: float) -> None:
         """Above ``max_heartbeats`` that wait, further heartbeats are refused; other work never is."""
-        self._max_heartbeats, self._nap_s = max_heartbeats, nap_s
+        self._max_heartbeats, self._coalescing_s = max_heartbeats, coalescing_s
         self._queues: tuple[deque[Work], ...] = (deque(), deque(), deque())
         self._wake = threading.Condition(threading.Lock())
         self._waiting = self._closed = False
-        self._napped = True
+        self._coalesced = True
 
     def put(self, priority: int, work: Work) -> bool:
         """Queue work; False if the queue is closed, or if it is a heartbeat and too many of them wait."""
@@ -43,11 +43,11 @@
     def get(self, timeout_s: float) -> Work | None:
         """The next work, or None when the time is up."""
         work = self._next()
-        if work is None and not self._napped:
-            self._napped = True
-            nap_s = min(self._nap_s, timeout_s)
-            time.sleep(nap_s)
-            timeout_s -= nap_s
+        if work is None and not self._coalesced:
+            self._coalesced = True
+            coalescing_s = min(self._coalescing_s, timeout_s)
+            time.sleep(coalescing_s)
+            timeout_s -= coalescing_s
             work = self._next()
         if work is None and timeout_s > 0:
             with self._wake:
@@ -57,7 +57,7 @@
                     self._waiting = False
             work = self._next()
         if work is not None:
-            self._napped = False
+            self._coalesced = False
         return work
 
     def _next(self) -> Work | None:
--- a/src/poppyhold/concurrency/rate_limiter.py
+++ b/src/poppyhold/concurrency/rate_limiter.py
@@ -13,12 +13,12 @@
         self._interval_s = 1.0 / per_second
         self._burst_s = burst * self._interval_s
         # The theoretical arrival time: when all units would be consumed, had they come at an even rate.
-        self._consumed_until = float("-inf")
+        self._theoretical_arrival_at = float("-inf")
 
     def ready_at(self) -> float:
         """The moment from which on the next units may be consumed."""
-        return self._consumed_until - self._burst_s
+        return self._theoretical_arrival_at - self._burst_s
 
     def consume(self, units: float, now: float) -> None:
         """Note that so many units are consumed now."""
-        self._consumed_until = max(self._consumed_until, now) + units * self._interval_s
+        self._theoretical_arrival_at = max(self._theoretical_arrival_at, now) + units * self._interval_s
--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -59,9 +59,11 @@
         self._max_writes = limits.txn_ops
         # Two thirds of the writes: the rest is for the users' nodes and the election. A burst of a third of a
         # second's worth goes out at once.
-        self._pace = RateLimiter(limits.write_rps / 1.5, burst=self._max_writes / 2)
+        self._rate_limiter = RateLimiter(limits.write_rps / 1.5, burst=self._max_writes / 2)
         self._retry_pause_s = 2 / limits.rps
-        self._longest_pause_s = max(self._retry_pause_s, settings.deployment.workers.heartbeat_interval_s / 8)
+        self._max_retry_pause_s = max(
+            self._retry_pause_s, settings.deployment.workers.heartbeat_interval_s / 8
+        )
         # By priority, and each in the order of submission, lest the oldest starve in a burst.
         self._queues: dict[CommitPriority, deque[CommitUnit]] = {
             priority: deque() for priority in CommitPriority
@@ -115,10 +117,10 @@
     def _run(self) -> None:
         while not self._stopped:
             units = self._next_batch()
-            wait_s = self._pace.ready_at() - time.monotonic()
+            wait_s = self._rate_limiter.ready_at() - time.monotonic()
             if wait_s > 0:
                 time.sleep(wait_s)
-            self._pace.consume(sum(len(unit.writes) for unit in units), time.monotonic())
+            self._rate_limiter.consume(sum(len(unit.writes) for unit in units), time.monotonic())
             self._commit(units)
 
     def _commit(self, units: list[CommitUnit]) -> None:
@@ -144,7 +146,7 @@
                 # At the same pace all through an outage, this alone took half of the requests that the state
                 # service allows, from renewals and users as well.
                 time.sleep(pause_s)
-                pause_s = min(2 * pause_s, self._longest_pause_s)
+                pause_s = min(2 * pause_s, self._max_retry_pause_s)
                 continue
             else:
                 for unit in units:
@@ -168,7 +170,7 @@
             return
         # It can't be dropped: whoever waits for it relies on whether it is durable. But nothing else may wait
         # for it, so it goes to the end of the queue.
-        time.sleep(self._longest_pause_s)
+        time.sleep(self._max_retry_pause_s)
         self.submit(units[0])
 
     def _commit_separately(self, units: list[CommitUnit]) -> None:
--- a/src/poppyhold/durable/fenced_writer.py
+++ b/src/poppyhold/durable/fenced_writer.py
@@ -39,7 +39,7 @@
 
         """
         if self._fence_revision is None or self._outcome_unknown:
-            self._raise_fence()
+            self._advance_fence()
         leader_conditions = {
             LEADER_KEY: self._leader_key_revision,
             WRITE_FENCE_KEY: self._fence_revision or 0,
@@ -56,7 +56,7 @@
                 raise StoreRejectedError("the write fence has changed") from error
             raise
 
-    def _raise_fence(self) -> None:
+    def _advance_fence(self) -> None:
         if self._outcome_unknown and self._fence_revision is not None:
             conditions = {LEADER_KEY: self._leader_key_revision, WRITE_FENCE_KEY: self._fence_revision}
             fence = put_record(WRITE_FENCE_KEY, WriteFenceRecord(self._fence_revision))
--- a/src/poppyhold/durable/watch.py
+++ b/src/poppyhold/durable/watch.py
@@ -57,7 +57,7 @@
     def _run(self) -> None:
         revision = _UNREAD
         while not self._stop.is_set():
-            asked_at = self._clock()
+            requested_at = self._clock()
             try:
                 revision = self._read() if revision < 0 else self._poll(revision)
                 if self._stop.is_set():
@@ -65,7 +65,7 @@
                 if self.first_revision < 0:
                     self.first_revision = revision
                 if self._on_caught_up is not None:
-                    self._on_caught_up(asked_at, revision)
+                    self._on_caught_up(requested_at, revision)
             except WatchCompactedError as error:
                 log.debug("watch begins anew: prefix=%s: %s", self._prefix, error)
                 revision = _UNREAD
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -59,7 +59,7 @@
     def handle_ping(self, ping: Ping) -> Pong:
         return self.pong
 
-    def handle_pong(self, pong: Pong, asked_at: float) -> None:
+    def handle_pong(self, pong: Pong, requested_at: float) -> None:
         self.taken.append(pong)
 
     def on_connection_refused(self, member: str) -> None:
