--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Which machine a task starts on, and what has to be preempted for it."""
+"""Placement: the machine on which a task starts, and the attempts that are preempted for it."""
 
 from __future__ import annotations
 
@@ -24,33 +24,34 @@
 from poppyhold.scheduling.quotas import QuotaExcess
 from poppyhold.wire.worker_messages import BEFORE_IMAGE, STOPPABLE
 
-# Fetches take a third longer at times, as PROTOCOL says.
+# An image fetch may take up to a third longer than its nominal time.
 _MAX_FETCH_SLOWDOWN = 4 / 3
-# A rate for machines whose type gives none.
+# Lower bound of fetch rates, for machine types that give none.
 _MIN_FETCH_GB_PER_S = 1e-3
 
-# Weights of a score, in seconds: of a wait for the image that is short enough; of fetching fast, as a part of
-# what users expect; and parts of a boot time for what stays free, for a spot task on an ordinary machine, for
-# another replica of the job on the machine.
+# Weights of scores. Of the seconds of an image wait that meets the objective:
 _IN_TIME_WAIT_WEIGHT = 0.3
+# Of the machine's fetch rate relative to the fastest, in parts of the objective:
 _FAST_FETCH_WEIGHT = 0.2
+# In boot times: of the share of capacity that stays free; for a spot task on a regular machine; for each
+# replica of the job that is on the machine already.
 _FREE_SHARE_WEIGHT = 0.02
 _SPOT_TASK_ON_REGULAR_WEIGHT = 0.2
 _COLOCATED_REPLICA_WEIGHT = 0.05
-# Weights of the cost of a preemption: of each second that is lost, and seconds for each victim.
+# Cost of a preemption: weight of each lost second, and seconds for each victim.
 _LOST_SECONDS_WEIGHT = 0.05
 _VICTIM_COST_S = 0.5
 
 
 class Choice(msgspec.Struct, eq=False):
-    """A machine for a task, with the attempts that must be stopped first."""
+    """A machine for a task, and the attempts that must be stopped first."""
 
     machine: Machine
     victims: list[Attempt] = msgspec.field(default_factory=list)
 
 
 class PreemptionOption(NamedTuple):
-    """A choice that preempts, what it costs, and its machine's place in the order of the machines."""
+    """A choice that preempts, with its cost and the index of its machine, which breaks ties."""
 
     cost: float
     machine_index: int
@@ -58,14 +59,14 @@
 
 
 class _CachedVictims(NamedTuple):
-    """The victims on a machine for a kind of job, as long as the machine's version stays the same."""
+    """The victims on a machine for a kind of job, valid for one version of the machine."""
 
     machine_version: int
     victims: list[Attempt] | None
 
 
 def may_use(job: Job, machine: Machine) -> bool:
-    """Whether the job's own terms allow the machine, other tasks aside."""
+    """Return whether the job's machine type, zone and spot constraints allow the machine."""
     spec = job.spec
     return (
         (spec.machine_types is None or machine.machine_type.name in spec.machine_types)
@@ -75,7 +76,7 @@
 
 
 def zone_allows(job: Job, zone: str) -> bool:
-    """Whether one more task of the job may be in the zone, given all that may be on a machine."""
+    """Return whether the job's zone constraints allow one more task in the zone beside its active ones."""
     if job.spec.one_zone and any(
         count > 0 and occupied != zone for occupied, count in job.active_by_zone.items()
     ):
@@ -84,12 +85,12 @@
 
 
 def copies_that_fit(job: Job, machine: Machine, reserved: dict[str, Resources]) -> int:
-    """How many of the job's pending tasks fit on a machine now, beside what is reserved."""
+    """Return how many of the job's pending tasks fit on a machine beside the reservations."""
     return max_copies(job.task_resources, machine.free_after_reservations(reserved), job.pending)
 
 
 def in_best_zone(job: Job, machines: Collection[Machine], reserved: dict[str, Resources]) -> list[Machine]:
-    """The machines of the zone that fits most tasks, for a job that has to stay in one."""
+    """Return the machines of the zone that fits the most tasks of the job."""
     counts: dict[str, int] = {}
     for machine in machines:
         if may_use(job, machine):
@@ -99,42 +100,42 @@
 
 
 def image_wait_s(machine: Machine, job: Job) -> float:
-    """Seconds until the machine has the job's image, as far as we can know."""
+    """Return the estimated seconds until the machine has the job's image."""
     image = job.spec.image
     if image in machine.images:
         return 0.0
     rate_gb_per_s = max(machine.machine_type.fetch_gb_per_s, _MIN_FETCH_GB_PER_S)
-    # Sizes of the images that the machine fetches, by name.
+    # Sizes in GB of the images that the machine fetches, by name.
     fetching: dict[str, float] = {}
     for attempt in machine.attempts.values():
         if attempt.status in BEFORE_IMAGE and attempt.job.spec.image not in machine.images:
             fetching[attempt.job.spec.image] = attempt.job.spec.image_gb
     has_begun = image in fetching
     fetching[image] = job.spec.image_gb
-    # Fetches share the rate; one that has begun is on average half done.
+    # Concurrent fetches share the rate; one in progress is on average half done.
     return sum(fetching.values()) / rate_gb_per_s * (0.5 if has_begun else 1.0)
 
 
 class Placement:
-    """Scores machines by the wait for their image, then by how tasks pack; and chooses whom to preempt."""
+    """Scores machines by image wait and packing, and chooses the victims of preemptions."""
 
     def __init__(self, objectives_s: dict[str, float], preemption_cost_s: Callable[[Attempt], float]) -> None:
-        # Within how many seconds the tasks of a class should have started.
+        # Seconds within which tasks should start, by job class.
         self._objectives_s = objectives_s
         self._fastest_fetch_gb_per_s = 0.0
-        # Seconds of work, or of waiting, that are lost with an attempt.
+        # Returns the seconds of work, or of waiting, that are lost if an attempt is preempted.
         self._preemption_cost_s = preemption_cost_s
-        # What jobs may preempt, by machine, for each team, priority and guarantee.
+        # Preemptible attempts by machine name, for each team, priority and guarantee.
         self._preemptible_cache: dict[tuple[str, int, bool], dict[str, list[Attempt]]] = {}
-        # For each kind of job and machine.
+        # By kind of job and machine name.
         self._victims_cache: dict[tuple[object, ...], _CachedVictims] = {}
-        # What preemptions of this cycle will have freed before anything else that it starts there.
+        # Resources by machine that preemptions of this cycle free before its later starts there.
         self._freed_by_preemption: dict[str, Resources] = {}
         self._active_jobs: list[Job] = []
         self._rankings = RankingCache()
 
     def begin_cycle(self, machines: list[Machine], active_jobs: list[Job]) -> None:
-        """Begin a scheduling cycle on these machines, with these jobs on them."""
+        """Begin a scheduling cycle on these machines; ``active_jobs`` have attempts on machines."""
         self._active_jobs = active_jobs
         fastest = max((machine.machine_type.fetch_gb_per_s for machine in machines), default=0.0)
         if fastest != self._fastest_fetch_gb_per_s:
@@ -145,7 +146,7 @@
         self._freed_by_preemption.clear()
 
     def record_preemptions(self, choice: Choice) -> None:
-        """Note that a choice was carried out: its stops come before any later start on the machine."""
+        """Record the resources that the victims of a choice free before any later start on the machine."""
         name = choice.machine.name
         for victim in choice.victims:
             self._freed_by_preemption[name] = add_scaled(
@@ -153,24 +154,24 @@
             )
 
     def meets_objective(self, job: Job, wait_s: float) -> bool:
-        """Whether a task that waits so long for its image starts within what its users expect."""
+        """Return whether a task that waits ``wait_s`` for its image starts within its class's objective."""
         return wait_s * _MAX_FETCH_SLOWDOWN <= self._objectives_s.get(job.spec.job_class, math.inf)
 
     def _shared_score(self, job: Job, machine: Machine, free: Resources) -> float:
-        """Seconds that a placement costs any job alike: waits, and parts of a boot time. Lower is better."""
+        """Return the part of a score, in seconds, that equivalent jobs share; lower is better."""
         boot_s = machine.machine_type.boot_s
         score = image_wait_s(machine, job)
         objective_s = self._objectives_s.get(job.spec.job_class)
         if objective_s is not None and self.meets_objective(job, score):
-            # Soon enough is as good as at once. Machines that fetch fast are left to images that need it:
-            # once they were full of small ones, every large image took twice as long as is expected.
+            # Waits within the objective count less. Machines with fast fetches are left to large images: when
+            # small images filled those machines, every large one took twice as long as its objective allows.
             fetch_gb_per_s = machine.machine_type.fetch_gb_per_s
             fastest_gb_per_s = max(self._fastest_fetch_gb_per_s, _MIN_FETCH_GB_PER_S)
             score = (
                 score * _IN_TIME_WAIT_WEIGHT
                 + objective_s * _FAST_FETCH_WEIGHT * fetch_gb_per_s / fastest_gb_per_s
             )
-        # Packing: machines that are nearly full first, so that others empty.
+        # Bin packing: nearly full machines are preferred, so that others become empty.
         free_share = max(
             (
                 (available - needed) / capacity
@@ -182,24 +183,24 @@
             default=0.0,
         )
         score += free_share * boot_s * _FREE_SHARE_WEIGHT
-        # Work that may run on spot machines leaves the ordinary ones to work that may not.
+        # Spot tasks leave regular machines to tasks that can't run on spot machines.
         if job.spec.spot and not machine.spot:
             score += boot_s * _SPOT_TASK_ON_REGULAR_WEIGHT
         return score
 
     @staticmethod
     def machines_with_own_score(job: Job) -> set[str]:
-        """Machines whose score is another for this very job than for others like it."""
+        """Return the names of machines whose score for this job differs from that of equivalent jobs."""
         if job.is_service and job.spec.tasks > 1:
             return job.avoided_machines | {attempt.machine.name for attempt in job.active.values()}
         return job.avoided_machines
 
     @staticmethod
     def _job_score(job: Job, machine: Machine) -> float:
-        """What a placement costs this very job beyond others like it."""
+        """Return the part of a score that applies to this job but not to equivalent ones."""
         boot_s = machine.machine_type.boot_s
         score = boot_s if machine.name in job.avoided_machines else 0.0
-        # Replicas on one machine are lost together.
+        # Colocated replicas are lost together.
         if job.is_service and job.spec.tasks > 1:
             score += (
                 boot_s
@@ -209,15 +210,15 @@
         return score
 
     def score_if_fits(self, job: Job, machine: Machine, reserved: dict[str, Resources]) -> float | None:
-        """The score of a machine for this very job; None if a task does not fit beside what is reserved."""
+        """Return the full score of a machine for the job; None if no task fits beside the reservations."""
         score = self._shared_score_if_fits(job, machine, reserved)
         return None if score is None else score + self._job_score(job, machine)
 
     def _shared_score_if_fits(
         self, job: Job, machine: Machine, reserved: dict[str, Resources]
     ) -> float | None:
-        """The same for any job like this one, without what its own tasks and failures make of it."""
-        # The bulk of all machines is full: they cost three comparisons each.
+        """Return the score that equivalent jobs share; None if no task fits beside the reservations."""
+        # Most machines are full, and are excluded by three comparisons each.
         free, need = machine.free, job.task_resources
         if not fits(need, free) or not may_use(job, machine):
             return None
@@ -225,7 +226,7 @@
         return self._shared_score(job, machine, free) if fits(need, free) else None
 
     def ranking(self, job: Job, view: FreeCapacityView) -> Ranking:
-        """Machines on which a task of the job, or of any like it, fits now; best first."""
+        """Return the machines on which a task of the job or of an equivalent one fits, best first."""
         return self._rankings.ranking(
             view, job, lambda machine: self._shared_score_if_fits(job, machine, view.reserved)
         )
@@ -233,10 +234,10 @@
     def preemption_on(
         self, job: Job, machine: Machine, machine_index: int, excess: QuotaExcess | None = None
     ) -> PreemptionOption | None:
-        """The option to preempt on a machine for a task of the job, if that is allowed there at all.
+        """Return the option to preempt on a machine for a task of the job, or None.
 
-        Where the team is at its limit, its own lower work has to free the ``excess``. The stops and the start
-        reach the worker in one command, so the limit holds all the while.
+        If the team is at its limit, its own lower-priority work must free the ``excess``. One command carries
+        the stops and the start to the worker, so the limit holds throughout.
         """
         candidates = self._preemptible_by_machine(job).get(machine.name)
         if candidates is None or not may_use(job, machine):
@@ -251,7 +252,7 @@
     def preemptions(
         self, job: Job, machines: Iterable[Machine], excess: QuotaExcess | None = None
     ) -> list[PreemptionOption]:
-        """Machines where preemption lets a task of the job start, least cost first."""
+        """Return the options to preempt for a task of the job, least cost first."""
         found = []
         if self._preemptible_by_machine(job):
             for machine_index, machine in enumerate(machines):
@@ -262,7 +263,7 @@
         return found
 
     def preemptible_on(self, job: Job, machine: Machine) -> list[Attempt]:
-        """What the job may preempt on a machine where nothing was stopped in this cycle, least loss first."""
+        """Return preemptible attempts on a machine, in victim order; none if this cycle preempted there."""
         if machine.name in self._freed_by_preemption or not may_use(job, machine):
             return []
         found = [
@@ -277,11 +278,11 @@
         return -attempt.job.priority, self._preemption_cost_s(attempt), -attempt.sent_at
 
     def preemption_cost_s(self, attempt: Attempt) -> float:
-        """Seconds of work, or of waiting, that are lost with an attempt."""
+        """Return the seconds of work, or of waiting, that are lost if an attempt is preempted."""
         return self._preemption_cost_s(attempt)
 
     def _preemptible_by_machine(self, job: Job) -> dict[str, list[Attempt]]:
-        """What the job may preempt, by machine. Within a cycle it only gets less."""
+        """Return by machine name what the job may preempt; it only shrinks during a cycle."""
         key = (job.spec.team, job.priority, job.within_guarantee)
         found = self._preemptible_cache.get(key)
         if found is None:
@@ -298,10 +299,10 @@
     def _cached_victims(
         self, job: Job, machine: Machine, candidates: list[Attempt], excess: QuotaExcess | None
     ) -> list[Attempt] | None:
-        """The victims on a machine; jobs alike share them as long as nothing starts there.
+        """Return the victims on a machine; equivalent jobs share them until the machine's version changes.
 
-        Every waiting job once chose them anew on every machine for each of its tasks: at 650 machines a cycle
-        after a burst took seconds.
+        Choosing them again on every machine for each task of each waiting job made a cycle take seconds
+        after a burst of jobs with 650 machines.
         """
         if excess is not None:
             return self._choose_victims(job, machine, candidates, excess)
@@ -315,12 +316,12 @@
     def _choose_victims(
         self, job: Job, machine: Machine, candidates: list[Attempt], excess: QuotaExcess | None
     ) -> list[Attempt] | None:
-        """The attempts to stop, least loss first; None if that would not do, or is not needed."""
+        """Return the attempts to stop, in victim order; None if preemption is insufficient or not needed."""
         free = machine.free
         if excess is None and fits(job.task_resources, free):
             return None
-        # A second start beside an earlier one's victims: were what they free not counted, it would take as
-        # many victims again, and a third one more than that.
+        # What earlier preemptions of this cycle free counts as free; otherwise each further start on the
+        # machine would stop more victims than it needs.
         free = add_scaled(free, self._freed_by_preemption.get(machine.name, NO_RESOURCES))
         if excess is None and fits(job.task_resources, free):
             return []
@@ -352,6 +353,6 @@
     def _may_preempt(job: Job, other: Job) -> bool:
         if other.spec.team == job.spec.team or other.within_guarantee == job.within_guarantee:
             return other.priority > job.priority
-        # Between teams the guarantee goes before priority. Were it not so both ways, two jobs could
-        # preempt one another for ever: one by its priority, the other by its guarantee.
+        # Between teams the guarantee precedes priority, in both directions. Otherwise two jobs could preempt
+        # each other forever: one by its priority, the other by its guarantee.
         return job.within_guarantee
--- a/src/poppyhold/scheduling/plan_records.py
+++ b/src/poppyhold/scheduling/plan_records.py
@@ -1,4 +1,4 @@
-"""Durable records of plans: counts of tasks by slot and zone that may start."""
+"""Durable records of plans: the number of tasks that may start by slot and zone."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from poppyhold.wire.codec import convert
 from poppyhold.wire.user_messages import PRIORITIES
 
-# Jobs of this priority and above it are urgent.
+# Plans of jobs of this priority or higher are committed as urgent.
 _LOWEST_URGENT_PRIORITY = PRIORITIES.index("high")
 
 
 class PlanRecords:
-    """Makes plans durable, and takes those that earlier leaders made durable."""
+    """Writes plan records, and loads those that earlier leaders wrote."""
 
     def __init__(self, ctx: Context, quotas: Quotas, on_found_finalized: Callable[[Job], None]) -> None:
         self._ctx, self._quotas, self._on_found_finalized = ctx, quotas, on_found_finalized
         self._max_record_bytes = ctx.settings.deployment.state.lowest.value_bytes
 
     def write(self, job: Job) -> None:
-        """Make durable that tasks of the job may start from now on."""
+        """Write the job's plan record; its tasks may start once a record is durable."""
         if job.plan_write_in_flight:
             return
         job.plan_write_in_flight = True
@@ -41,7 +41,7 @@
                 job.plan_durable = True
                 self._ctx.scheduling_needed = True
             else:
-                # Its record is gone: the job is finalized, and the news of that came before its own.
+                # The job's record is gone: it was finalized, and the notification has not arrived yet.
                 self._on_found_finalized(job)
 
         conditions = {ACTIVE_JOB_PREFIX + job.id: job.version}
@@ -50,7 +50,7 @@
         )
 
     def load(self, job: Job, data: Data) -> None:
-        """Take a plan that an earlier leader made durable."""
+        """Load the plan record that an earlier leader wrote for the job."""
         job.never_started = False
         job.plan_durable = True
         record = convert(data, PlanRecord)
@@ -59,11 +59,11 @@
         job.failures.at_fault = record.at_fault
 
     def remove(self, job_id: str) -> None:
-        """Remove the plan of a finalized job, when nobody waits for changes."""
+        """Remove the plan record of a finalized job at the lowest commit priority."""
         self._ctx.outbound.commit({}, [Delete(PLAN_PREFIX + job_id)], lambda committed: None)
 
     def commit_priority(self, job: Job) -> CommitPriority:
-        """The priority of a change of a job that somebody waits for."""
+        """Return the commit priority of a change to the job that a user waits for."""
         return (
             CommitPriority.NORMAL
             if self._quotas.has_guarantee(job.spec.team)
@@ -79,9 +79,9 @@
         )
 
     def _record(self, job: Job) -> Data:
-        """The durable form of a plan; one that does not fit loses its last slots.
+        """Return the plan record; its last slots are dropped until it fits the size limit.
 
-        What is left out starts later, on capacity that no plan books.
+        Tasks of dropped slots start later, on capacity that no plan books.
         """
         slots = sorted(job.plan)
         while True:
--- a/src/poppyhold/scheduling/planner.py
+++ b/src/poppyhold/scheduling/planner.py
@@ -1,4 +1,4 @@
-"""The best plan of a job: a DP over slots per end slot, and a greedy fill of each (OASiS, Alg. 2)."""
+"""Planning of a job: a dynamic program over slots, and a greedy fill of each slot (OASiS, Alg. 2)."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from poppyhold.scheduling.pricing import Pricing, machine_shares, price_of
 
 INFINITE_COST = float("inf")
-# The least part of a slot that a task counts for.
+# Lower bound of the fraction of a slot that a task takes.
 _MIN_SLOT_FRACTION = 0.01
-# A span that ends less than this beyond a slot's end does not touch the next one.
+# A span that ends within this much after a slot's end does not touch the next slot.
 _ROUNDING_TOLERANCE_SLOTS = 1e-9
 
 
 class Plan(msgspec.Struct, eq=False):
-    """Tasks per slot and machine, with the payoff of booking them."""
+    """Task starts by slot and machine, and the payoff of the plan."""
 
     payoff: float
     starts: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
 
     def tasks_by_zone(self, ledger: Ledger) -> dict[int, dict[str, int]]:
-        """Task counts per slot and zone: what is durable of a plan."""
+        """Return task counts by slot and zone, the durable part of a plan."""
         result: dict[int, dict[str, int]] = {}
         for slot, machines in self.starts.items():
             counts = result.setdefault(slot, {})
@@ -38,7 +38,7 @@
 
 
 class Offer(msgspec.Struct, frozen=True):
-    """Capacity for up to ``max_tasks`` tasks on a machine, at a price for each."""
+    """Capacity for up to ``max_tasks`` tasks on a machine, at a cost per task."""
 
     cost: float
     machine: str
@@ -47,7 +47,7 @@
 
 
 class _GroupOffer(NamedTuple):
-    """Capacity for up to ``max_tasks`` tasks on each machine of a group, at a price for each."""
+    """Capacity for up to ``max_tasks`` tasks on each machine of a group, at a cost per task."""
 
     cost: float
     first_machine: str
@@ -56,7 +56,7 @@
 
 
 class _WorkUnits(NamedTuple):
-    """The tasks of a job in units that the dynamic program counts; the last one may not be full."""
+    """The tasks of a job divided into work units for the dynamic program; the last may be partial."""
 
     tasks: int
     tasks_per_unit: int
@@ -64,17 +64,17 @@
 
 
 class Planner:
-    """Computes plans against a ledger; it changes nothing."""
+    """Computes plans from a ledger without changing it."""
 
     def __init__(self, pricing: Pricing, ledger: Ledger, slot_s: float, max_units: int) -> None:
         self._pricing, self._ledger, self._slot_s, self._max_units = pricing, ledger, slot_s, max_units
 
     def span_slots(self, estimate_s: float) -> int:
-        """Slots that a task with this estimate touches when it starts at a slot's begin."""
+        """Return the number of slots of a task with this estimate that starts at the start of a slot."""
         return max(1, math.ceil(estimate_s / self._slot_s - _ROUNDING_TOLERANCE_SLOTS))
 
     def plan(self, job: Job, tasks: int, estimate_s: float, now: float) -> Plan | None:
-        """The plan with the highest payoff, or None if the job does not fit at all."""
+        """Return the plan with the highest payoff, or None if the job does not fit at all."""
         groups = self._groups(job)
         if not groups or tasks <= 0:
             return None
@@ -92,10 +92,10 @@
         return best
 
     def _groups(self, job: Job) -> list[MachineGroup]:
-        """The machines that a job may use, equivalent ones together.
+        """Return the machines that a job may use, in groups of equivalent ones.
 
-        Most of a large fleet is full or empty in few ways: with a price for each machine and slot, a plan
-        for 650 machines took 13 ms.
+        Most machines of a large fleet are equivalent, and pricing each of 650 machines in each slot took
+        13 ms per plan.
         """
         return [group for group in self._ledger.groups() if self._may_use(job, group.bookings)]
 
@@ -108,7 +108,7 @@
         )
 
     def _candidate_zones(self, job: Job, groups: list[MachineGroup]) -> list[str | None]:
-        """The zones that are planned on one by one; None: all of them together."""
+        """Return the zones to plan on one at a time; None stands for all zones together."""
         if not job.spec.one_zone:
             return [None]
         occupied = [zone for zone, count in job.active_by_zone.items() if count > 0]
@@ -125,10 +125,10 @@
         tasks: int,
         slot_fraction: float = 1.0,
     ) -> list[Offer]:
-        """Offers for tasks that hold all the slots from ``first`` to ``last``, cheapest first.
+        """Return offers for tasks that take the slots ``first`` to ``last``, cheapest first.
 
-        ``slot_fraction`` is the part of a slot that a task takes, where several fit one after another. What a
-        zone offers beyond all the tasks is left out.
+        ``slot_fraction`` is the part of a slot that a task takes if several run in it one after another.
+        Offers of a zone that already offers capacity for all ``tasks`` are omitted.
         """
         need = job.task_resources
         if slot_fraction != 1.0:
@@ -157,7 +157,7 @@
     def _capacity_on(
         self, machine: MachineBookings, need: Resources, first: int, last: int, tasks: int
     ) -> tuple[int, float]:
-        """How many tasks fit on a machine in all of the slots, and the price of one."""
+        """Return how many tasks fit on a machine in all of the slots, and the cost of one."""
         max_tasks, cost = tasks, 0.0
         own_slots: list[int] = []
         if machine.slots:
@@ -168,7 +168,7 @@
             if not max_tasks:
                 return 0, 0.0
             cost += price_of(need, prices)
-        # The other slots hold nothing but what is booked in every slot.
+        # The other slots have only the bookings of every slot.
         other_slots = last - first + 1 - len(own_slots)
         if other_slots:
             free, prices = machine.free_and_prices(EVERY_SLOT, self._pricing.unit_prices)
@@ -177,7 +177,7 @@
         return max_tasks, cost
 
     def fill(self, job: Job, offers: list[Offer], tasks: int) -> dict[str, int]:
-        """Greedy fill, cheapest first, within what one zone may hold; may be less than asked."""
+        """Return task counts by machine, filled greedily within the zone limit; maybe less than ``tasks``."""
         limit = zone_limit(job.spec)
         tasks_by_zone = dict(job.active_by_zone)
         tasks_by_machine: dict[str, int] = {}
@@ -191,12 +191,10 @@
                 tasks -= count
         return tasks_by_machine
 
-    # -- services ------------------------------------------------------------------------------------
-
     def _plan_service(
         self, job: Job, tasks: int, groups: list[MachineGroup], shares_per_task: float
     ) -> Plan | None:
-        """Replicas that all start now, and hold every slot of the horizon."""
+        """Return the plan that starts all replicas in the current slot and books the whole horizon."""
         first, horizon = self._ledger.current_slot, self._ledger.horizon_slots
         offers = self.offers(job, groups, first, first + horizon - 1, tasks)
         chosen = self.fill(job, offers, tasks)
@@ -207,8 +205,6 @@
         value = self._pricing.weights[job.priority] * shares_per_task * tasks * horizon
         return Plan(value - cost, {first: chosen})
 
-    # -- arrays and gangs ----------------------------------------------------------------------------
-
     def _plan_array(
         self,
         job: Job,
@@ -218,13 +214,13 @@
         groups: list[MachineGroup],
         shares_per_task: float,
     ) -> Plan | None:
-        """The best end slot, by a dynamic program over the slots and the units that start in each."""
+        """Return the best plan, by a dynamic program over slots and the work units that start in each."""
         span = self.span_slots(estimate_s)
         slot_fraction = min(1.0, max(estimate_s / self._slot_s, _MIN_SLOT_FRACTION)) if span == 1 else 1.0
         units = self._units(job, tasks)
         offers = self._offers_by_slot(job, groups, span, tasks, slot_fraction)
         costs_by_slot = [self._unit_costs(job, offered, units) for offered in offers]
-        # cheapest[n]: least cost of starting n units up to the slot looked at; choices recover them.
+        # cheapest[n]: least cost of starting n units in the slots so far; choices recover the plan.
         cheapest = [0.0] + [INFINITE_COST] * units.total
         choices: list[list[int]] = []
         best_payoff, best_end = -INFINITE_COST, -1
@@ -246,16 +242,16 @@
         return Plan(best_payoff, self._starts(job, offers, choices[: best_end + 1], units))
 
     def _units(self, job: Job, tasks: int) -> _WorkUnits:
-        # A gang is one unit of work: it starts whole in a slot.
+        # A gang is a single work unit, since all its tasks start in one slot.
         per_unit = tasks if job.is_gang else max(1, math.ceil(tasks / self._max_units))
         return _WorkUnits(tasks, per_unit, math.ceil(tasks / per_unit))
 
     def _offers_by_slot(
         self, job: Job, groups: list[MachineGroup], span: int, tasks: int, slot_fraction: float
     ) -> list[list[Offer]]:
-        """The offers for tasks that start in each slot of the horizon.
+        """Return the offers for tasks that start in each slot of the horizon.
 
-        What lies beyond the horizon is carried forward: the last slots take a cut-off span.
+        Spans are cut off at the end of the horizon, and their rest is not priced.
         """
         first, horizon = self._ledger.current_slot, self._ledger.horizon_slots
         end = first + horizon - 1
@@ -265,7 +261,7 @@
         ]
 
     def _unit_costs(self, job: Job, offers: list[Offer], units: _WorkUnits) -> list[float]:
-        """Cost of starting 0, 1, ... units in a slot; infinite where they don't fit."""
+        """Return the cost of starting 0, 1, ... units in a slot; infinite where they don't fit."""
         costs = [0.0] + [INFINITE_COST] * units.total
         cost_by_machine = {offer.machine: offer.cost for offer in offers}
         total, placed, unit = 0.0, 0, 1
@@ -284,7 +280,7 @@
 
     @staticmethod
     def _add_slot(cheapest: list[float], unit_costs: list[float]) -> tuple[list[float], list[int]]:
-        """One more slot of the dynamic program: the least cost of each amount, and how much starts here."""
+        """Add a slot to the dynamic program; return least costs by unit count, and units started in it."""
         updated = list(cheapest)
         choice = [0] * len(cheapest)
         for done in range(1, len(cheapest)):
@@ -300,7 +296,7 @@
     def _starts(
         self, job: Job, offers: list[list[Offer]], choices: list[list[int]], units: _WorkUnits
     ) -> dict[int, dict[str, int]]:
-        """Tasks by slot and machine, from how many units the dynamic program chose in each slot."""
+        """Return tasks by slot and machine from the unit counts that the dynamic program chose."""
         starts: dict[int, dict[str, int]] = {}
         remaining = units.total
         for offset in range(len(choices) - 1, -1, -1):
@@ -314,7 +310,7 @@
 
     @staticmethod
     def _trim_excess(starts: dict[int, dict[str, int]], tasks: int) -> None:
-        """Whole units may add up to more than the tasks: take the excess from the last slot."""
+        """Remove the tasks by which whole work units exceed the job, from the last slots first."""
         excess = sum(sum(machines.values()) for machines in starts.values()) - tasks
         for slot in sorted(starts, reverse=True):
             for name in list(starts[slot]):
--- a/src/poppyhold/scheduling/preemption_cost.py
+++ b/src/poppyhold/scheduling/preemption_cost.py
@@ -1,4 +1,4 @@
-"""What is lost when an attempt is preempted."""
+"""The cost of preempting an attempt."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class PreemptionCost:
-    """Seconds that are lost with an attempt: of its work, and of the wait for what takes its place."""
+    """Computes the seconds of work, and of waiting for a replacement, that a preemption loses."""
 
     def __init__(self, ctx: Context, estimates: RunTimeEstimates) -> None:
         self._ctx, self._estimates = ctx, estimates
 
     def cost_s(self, victim: Attempt) -> float:
-        """The cost of preempting an attempt now."""
+        """Return the cost in seconds of preempting an attempt now."""
         job, boot_s = victim.job, victim.machine.machine_type.boot_s
         if job.is_service:
-            # Somebody waits for a replica all the time; an array's task only at its end.
+            # Users need a replica all the time, but a task of an array only at its end.
             return boot_s
         if job.is_gang:
             return boot_s + self._gang_cost_s(victim)
@@ -27,8 +27,8 @@
         ran_s = now - victim.running_at
         lost_s = ran_s % job.spec.checkpoint_s if job.spec.checkpoint_s > 0 else ran_s
         if job.due_at is not None:
-            # A task that a stop would make late is stopped last; one that is late anyway has nothing more to
-            # lose.
+            # A task that would miss its deadline because of the preemption costs more. One that misses it
+            # anyway loses nothing more.
             remaining_s = max(
                 0.0, self._estimates.estimate_s(job) - job.saved_work_s.get(victim.index, 0.0) - ran_s
             )
@@ -38,7 +38,7 @@
         return lost_s
 
     def _gang_cost_s(self, victim: Attempt) -> float:
-        """Seconds of work that all tasks of a gang lose with one of them."""
+        """Return the seconds of work that all tasks of a gang lose if one of them is preempted."""
         job, now = victim.job, self._ctx.clock()
         if victim.running_at is None:
             return 0.0
@@ -46,7 +46,7 @@
         if job.spec.checkpoint_s <= 0:
             return ran_s * job.spec.tasks
         silent_s = self._ctx.durations.silent_s
-        # It saves a checkpoint only if all of its machines can be told in time.
+        # A gang saves a checkpoint before it stops only if all of its machines are reachable.
         reachable = all(now - member.machine.last_heartbeat_at <= silent_s for member in job.active.values())
         lost_s = min(ran_s, job.spec.save_s) if reachable else ran_s % job.spec.checkpoint_s
         return lost_s * job.spec.tasks
--- a/src/poppyhold/scheduling/pricing.py
+++ b/src/poppyhold/scheduling/pricing.py
@@ -1,4 +1,4 @@
-"""Prices of booked capacity, and what a job is worth (OASiS, section IV-B, as DESIGN adapts it)."""
+"""Prices of booked capacity, and values of jobs (adapted from OASiS, section IV-B)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Pricing:
-    """Price functions P(g) = L * (U / L) ** (g / c), and values f(end - arrival)."""
+    """Prices P(g) = L * (U / L) ** (g / c) for g booked of capacity c, and values of jobs by their end."""
 
     def __init__(self, design: Design) -> None:
         self.weights = (
@@ -23,13 +23,13 @@
         self._late_value = design.late_value
 
     def price(self, booked: float, capacity: float) -> float:
-        """Price of one machine's share of a resource in a slot, L when free and U when full."""
+        """Return the price of a machine's whole capacity of a resource in a slot: L if free, U if full."""
         if capacity <= 0:
             return self.max_price
         return float(self.min_price * self._ratio ** min(1.0, max(0.0, booked / capacity)))
 
     def unit_prices(self, booked: Resources, capacity: Resources) -> Resources:
-        """Prices of a unit of each resource of a machine in a slot."""
+        """Return the unit price of each resource of a machine in a slot."""
         cpus, accelerators, memory = (
             self.price(used, total) / total if total > 0 else 0.0
             for used, total in zip(booked, capacity, strict=True)
@@ -37,7 +37,7 @@
         return cpus, accelerators, memory
 
     def value(self, job: Job, shares: float, end_at: float, slot_s: float) -> float:
-        """Value of ``shares`` machine shares booked for a job that ends then."""
+        """Return the value of ``shares`` machine shares for a job that ends at ``end_at``, less if late."""
         value = self.weights[job.priority] * shares
         if job.due_at is not None and end_at > job.due_at:
             value *= self._late_value ** ((end_at - job.due_at) / slot_s)
@@ -45,13 +45,13 @@
 
 
 def price_of(need: Resources, unit_prices: Resources) -> float:
-    """Price of what one task takes in one slot, at these prices of a unit of each resource."""
-    # Literal indices, as in `model.resources.fits`: the planner asks for every machine and slot.
+    """Return the price of one task in one slot at these unit prices."""
+    # Literal indices for speed, as in `model.resources.fits`: called for every machine and slot.
     return need[0] * unit_prices[0] + need[1] * unit_prices[1] + need[2] * unit_prices[2]
 
 
 def machine_shares(need: Resources, capacity: Resources) -> float:
-    """Machine shares of one task, summed over resources."""
+    """Return the shares of a machine's capacity that one task takes, summed over resources."""
     return sum(
         needed / total for needed, total in zip(need, capacity, strict=True) if needed > 0 and total > 0
     )
--- a/src/poppyhold/scheduling/quotas.py
+++ b/src/poppyhold/scheduling/quotas.py
@@ -1,4 +1,4 @@
-"""The teams' limits and guarantees that starts are planned against."""
+"""Quotas of teams: limits and guarantees that scheduling enforces."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class TeamQuota(msgspec.Struct, frozen=True):
-    """What one team may use, in CPUs and accelerators.
+    """Limits and guarantees of one team in CPUs and accelerators.
 
-    A limit of ``math.inf`` is none at all, and one of 0 lets nothing start. A guarantee of None says nothing
-    of that resource, and one of 0 covers nothing of it.
+    A limit of ``math.inf`` means unlimited, and one of 0 lets nothing start. A guarantee of None leaves the
+    resource unrestricted, and one of 0 covers none of it.
     """
 
     cpus_guaranteed: float | None = None
@@ -27,7 +27,7 @@
 
     @classmethod
     def from_settings(cls, team: Team) -> TeamQuota:
-        """The quota that the platform's settings give a team; there 0 means none."""
+        """Return a team's quota from the platform's settings, where 0 stands for no limit or guarantee."""
         return cls(
             team.cpus or None,
             team.cpus_max or math.inf,
@@ -41,8 +41,8 @@
         return bool(self.cpus_guaranteed or self.accelerators_guaranteed)
 
     def covers(self, cpus: float, accelerators: float) -> bool:
-        """Whether an amount fits into what the team is guaranteed."""
-        # A guarantee of accelerators alone covers work that needs none of them.
+        """Return whether an amount is within the team's guarantee."""
+        # A guarantee of accelerators alone also covers work that needs no accelerators.
         return (
             self.has_guarantee
             and (accelerators > 0 or cpus > 0)
@@ -56,14 +56,14 @@
 
 
 class QuotaExcess(NamedTuple):
-    """By how much one more task would go beyond a team's limit."""
+    """Amounts by which one more task would exceed a team's limit."""
 
     cpus: float
     accelerators: float
 
 
 class RemainingQuota(NamedTuple):
-    """What a team's limit leaves beside what the team uses."""
+    """The part of a team's limit that is not in use."""
 
     cpus: float
     accelerators: float
@@ -76,11 +76,11 @@
         self._teams = {team.name: TeamQuota.from_settings(team) for team in teams}
 
     def set(self, team: str, quota: TeamQuota) -> None:
-        """Let another quota hold for a team."""
+        """Replace the quota of a team."""
         self._teams[team] = quota
 
     def is_known(self, team: str) -> bool:
-        """Whether the team exists."""
+        """Return whether the team exists."""
         return team in self._teams
 
     def has_guarantee(self, team: str) -> bool:
@@ -89,7 +89,7 @@
         return quota is not None and quota.has_guarantee
 
     def fits_limit(self, team: str, need: Resources, tasks: int) -> bool:
-        """Whether so many tasks stay within the team's limit."""
+        """Return whether ``tasks`` tasks fit the limit of a team that uses nothing else."""
         quota = self._teams[team]
         return (
             need[CPUS] * tasks <= quota.cpus_limit + EPSILON
@@ -97,11 +97,11 @@
         )
 
     def allows(self, team: str, used: tuple[float, float], need: Resources) -> bool:
-        """Whether one more task stays within the team's limit.
+        """Return whether one more task stays within the team's limit.
 
-        A task takes nothing of a resource that it does not need, whatever else may be in use of it: after a
-        change of leader all accelerators of machines that are not reconciled yet count for every team, and
-        urgent work that needs none waited until the last of 4,000 machines was reconciled.
+        Resources that the task does not need are not checked. After a change of leader, accelerators of
+        unreconciled machines count against every team, and urgent work that needs none would wait until the
+        last of 4,000 machines is reconciled.
         """
         quota = self._teams.get(team)
         if quota is None:
@@ -115,14 +115,14 @@
         )
 
     def remaining(self, team: str, used: list[float]) -> RemainingQuota:
-        """What the team's limit leaves beside what is used."""
+        """Return the part of the team's limit beyond ``used``."""
         quota = self._teams.get(team)
         if quota is None:
             return RemainingQuota(0.0, 0.0)
         return RemainingQuota(quota.cpus_limit - used[CPUS], quota.accelerators_limit - used[ACCELERATORS])
 
     def excess(self, team: str, used: tuple[float, float], need: Resources) -> QuotaExcess:
-        """By how much one more task would go beyond the team's limit."""
+        """Return the amounts by which one more task would exceed the team's limit."""
         quota = self._teams[team]
         return QuotaExcess(
             max(0.0, used[CPUS] + need[CPUS] - quota.cpus_limit) if need[CPUS] > 0 else 0.0,
@@ -132,15 +132,15 @@
         )
 
     def within_guarantee(self, team: str, cpus: float, accelerators: float) -> bool:
-        """Whether an amount fits into what the team is guaranteed."""
+        """Return whether an amount is within the team's guarantee."""
         quota = self._teams.get(team)
         return quota is not None and quota.covers(cpus, accelerators)
 
     def mark_guaranteed(self, jobs: Iterable[Job]) -> None:
-        """Mark the jobs that fit into their team's guarantee, highest priority and earliest first.
+        """Mark the jobs within their team's guarantee, in order of priority, submission time and id.
 
-        Once one does not fit, none after it is marked: so within a team no job of a lower priority is
-        guaranteed what one of a higher priority is not, and preemption has no cycles.
+        Once a job of a team does not fit, no later one is marked. So within a team no job is guaranteed while
+        one of higher priority is not, and preemption has no cycles.
         """
         sums: dict[str, list[float]] = {}
         full: set[str] = set()
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -1,8 +1,8 @@
-"""Relocating running replicas from where an image is, for a task that would wait for its fetch.
+"""Relocation of replicas away from machines with an image, for a task that would wait for its fetch.
 
-Machines that hold the image of a small class fill up with replicas that stay for long, while others that
-would have to fetch it first have free capacity. A replica that another machine can take at once, or whose
-class may wait for a fetch, gives up its place to a task whose class may not.
+Machines that have the image of a small job class fill up with long-running replicas, while machines that
+would have to fetch it have free capacity. A replica is moved if another machine can run it at once, or if its
+own objective allows the wait for a fetch, in favour of a task whose objective does not.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 
 log = logging.getLogger(__name__)
 
-# For each so many machines one replica may move within a lease: many at a time would be an outage to users.
+# One replica per this many machines may move within a lease: many moves at once would be an outage for users.
 _MACHINES_PER_MOVE = 16
-# Searches in one cycle, and machines that are looked at as a replica's next one: heartbeats must not wait.
+# Limits per cycle on searches, and on target machines per search, so that heartbeats are not delayed.
 _MAX_SEARCHES = 8
 _MAX_TARGETS = 32
 
 
 class Move(msgspec.Struct, eq=False):
-    """A replica that leaves its machine, the one where capacity is reserved for it, and the move's cost."""
+    """The move of a replica to a target machine, on which capacity is reserved for it, with its cost."""
 
     attempt: Attempt
     target: Machine
@@ -41,7 +41,7 @@
 
 
 class _RelocationPlan(NamedTuple):
-    """The moves that let one task start on a machine, and what they cost together."""
+    """The moves that let one task start on a machine, and their total cost."""
 
     cost: float
     machine: Machine
@@ -49,7 +49,7 @@
 
 
 class Relocation:
-    """Finds replicas to move, and reserves capacity for them until their old attempts are terminated."""
+    """Chooses replicas to move, and reserves capacity for them until their old attempts are terminated."""
 
     def __init__(
         self,
@@ -58,19 +58,19 @@
         meets_objective: Callable[[Job, float], bool],
         clock: Callable[[], float],
     ) -> None:
-        # A second of a replica's time is worth the weight of its priority.
+        # Weight by priority of each second that a replica is down or a task waits.
         self._weights = weights
         self._restart_s, self._min_running_s = durations.heartbeat_interval_s, durations.cancel_s
         self._lease_s = durations.lease_s
         self._meets_objective, self._clock = meets_objective, clock
         self._moves: list[Move] = []
-        # When replicas moved within the last lease.
+        # Times of the moves within the last lease.
         self._moved_at: deque[float] = deque()
         self._remaining_searches = 0
         self._infeasible: set[tuple[str, Resources, int]] = set()
 
     def begin_cycle(self, reserved: dict[str, Resources]) -> None:
-        """Begin a scheduling cycle: reserve capacity for replicas that have not left their machines yet."""
+        """Begin a scheduling cycle: reserve target capacity for replicas whose old attempts may still run."""
         self._moves = [move for move in self._moves if _may_still_run(move.attempt)]
         for move in self._moves:
             _reserve(reserved, move)
@@ -80,7 +80,7 @@
     def relocate_for(
         self, job: Job, wait_s: float, machines: list[Machine], reserved: dict[str, Resources]
     ) -> Choice | None:
-        """A machine with the job's image and the replicas that move away, if that costs less than waiting."""
+        """Return a machine with the job's image and the replicas to move from it, if cheaper than waiting."""
         search_key = (job.spec.image, job.task_resources, job.priority)
         if (
             self._remaining_searches <= 0
@@ -112,19 +112,19 @@
         return Choice(machine, [move.attempt for move in moves])
 
     def _remaining_moves(self, machines: list[Machine]) -> int:
-        """How many replicas may still move within this lease."""
+        """Return how many more replicas may move within this lease."""
         while self._moved_at and self._moved_at[0] < self._clock() - self._lease_s:
             self._moved_at.popleft()
         return max(1, len(machines) // _MACHINES_PER_MOVE) - len(self._moved_at)
 
     @staticmethod
     def _could_start_on(job: Job, machine: Machine) -> bool:
-        """Whether a task of the job could start at once, if the machine had free capacity."""
+        """Return whether a task of the job could start at once if the machine had free capacity."""
         return job.spec.image in machine.images and may_use(job, machine) and zone_allows(job, machine.zone)
 
     @staticmethod
     def _targets(machines: Iterable[Machine], reserved: dict[str, Resources]) -> list[Machine]:
-        """Machines on which some of each resource is free."""
+        """Return up to ``_MAX_TARGETS`` machines on which some of each resource is free."""
         with_free_capacity = (
             machine
             for machine in machines
@@ -141,7 +141,7 @@
     def _moves_from(
         self, job: Job, machine: Machine, targets: list[Machine], reserved: dict[str, Resources]
     ) -> list[Move]:
-        """The replicas whose moves let one task start on a machine; none if that can't be."""
+        """Return the moves that let one task start on a machine; empty if that is infeasible."""
         reserved_after_moves = dict(reserved)
         free = machine.free_after_reservations(reserved)
         options = [
@@ -153,7 +153,7 @@
         options.sort(key=lambda move: (move.cost, -move.attempt.sent_at))
         chosen: list[Move] = []
         for option in options:
-            # What others found free may be taken by an earlier one of these.
+            # An earlier chosen move may have reserved the target's capacity.
             move = self._best_move(job, option.attempt, targets, reserved_after_moves) if chosen else option
             if move is None:
                 continue
@@ -165,7 +165,7 @@
         return []
 
     def _may_move(self, job: Job, attempt: Attempt) -> bool:
-        """Whether a replica may move for the job. A start that is stopped soon is of no use to its user."""
+        """Return whether a replica may move for the job; a run that is stopped early is of no use."""
         replica_job = attempt.job
         return (
             replica_job.is_service
@@ -181,7 +181,7 @@
     def _best_move(
         self, job: Job, attempt: Attempt, targets: list[Machine], reserved: dict[str, Resources]
     ) -> Move | None:
-        """The best next machine of a replica. One of the same priority only moves to where its image is."""
+        """Return the move with the shortest image wait; at equal priority the target must have the image."""
         replica_job = attempt.job
         best_target: Machine | None = None
         best_wait_s = math.inf
@@ -203,15 +203,15 @@
         return Move(attempt, best_target, cost)
 
     def _may_move_to(self, job: Job, wait_s: float, equal_priority: bool) -> bool:
-        """Whether a replica may wait so long on its next machine: for one of the same priority not at all."""
+        """Return whether a replica may wait ``wait_s`` for its image; not at all for an equal priority."""
         return wait_s <= 0 if equal_priority else self._meets_objective(job, wait_s)
 
 
 def _may_still_run(attempt: Attempt) -> bool:
-    """Whether an attempt is not proven to be terminated."""
+    """Return whether an attempt is not proven to be terminated."""
     return attempt.machine.attempts.get(attempt.name) is attempt
 
 
 def _reserve(reserved: dict[str, Resources], move: Move) -> None:
-    """Reserve what a replica takes on its next machine."""
+    """Reserve a replica's resources on the target machine."""
     reserve(reserved, move.target.name, move.attempt.job.task_resources)
--- a/src/poppyhold/scheduling/search.py
+++ b/src/poppyhold/scheduling/search.py
@@ -1,4 +1,4 @@
-"""Machines for the tasks of one job in a scheduling cycle."""
+"""Search for machines for the tasks of one job in a scheduling cycle."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class PlacementSearch:
-    """Searches the machines of one view; after a start only its machine is looked at again."""
+    """Searches the machines of one view; after a start, only its machine is evaluated again."""
 
     def __init__(
         self,
@@ -30,16 +30,16 @@
         booked: Set[str],
         zones: Set[str],
     ) -> None:
-        """``reserved`` differs from the view's own only on machines that the job itself has ``booked``."""
+        """``reserved`` differs from that of the view only on machines that the job has ``booked``."""
         self._placement, self._job, self._view, self._reserved = placement, job, view, reserved
         self._booked, self._zones = booked, zones
         self._ranking: Ranking | None = None
         self._preemptions: list[PreemptionOption] | None = None
 
     def best(self) -> Choice | None:
-        """The best machine on which a task fits now, beside what is reserved."""
+        """Return the best machine on which a task fits beside the reservations, if any."""
         open_zones = self._open_zones()
-        # Machines that count differently for this job than for others like it are left out of the ranking.
+        # Machines whose score differs from that for equivalent jobs are excluded from the shared ranking.
         own_score_machines = self._placement.machines_with_own_score(self._job) | self._booked
         if self._ranking is None:
             self._ranking = self._placement.ranking(self._job, self._view)
@@ -53,7 +53,7 @@
         return Choice(best.machine) if best is not None else None
 
     def _scored_for_job(self, name: str, open_zones: Set[str]) -> RankedMachine | None:
-        """A machine with its score for this very job; None if no task fits there."""
+        """Return a machine with its full score for the job; None if no task fits there."""
         machine = self._view.machines.get(name)
         if machine is None or machine.zone not in open_zones or not may_use(self._job, machine):
             return None
@@ -61,7 +61,7 @@
         return RankedMachine(score, machine.number, machine) if score is not None else None
 
     def best_preemption(self, in_time_only: bool = False) -> Choice | None:
-        """The machine where preemption costs least; ``in_time_only``: and where the image comes in time."""
+        """Return the cheapest preemption; ``in_time_only``: where the image wait meets the objective."""
         if self._preemptions is None:
             self._preemptions = self._placement.preemptions(self._job, self._view.machines.values())
         open_zones = self._open_zones()
@@ -75,7 +75,7 @@
         return None
 
     def refresh_machine(self, machine: Machine) -> None:
-        """Look at a machine again on which something was started."""
+        """Update the preemption option of a machine on which a task was started."""
         if self._preemptions is None:
             return
         index = next(
--- a/src/poppyhold/scheduling/task_scheduler.py
+++ b/src/poppyhold/scheduling/task_scheduler.py
@@ -1,4 +1,4 @@
-"""Tasks in a scheduling cycle that start one by one: those of arrays and services."""
+"""Scheduling of the tasks of arrays and services, which start one by one."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class TaskScheduler:
-    """Starts tasks of a job, each on the machine that suits it best at that moment."""
+    """Starts tasks of a job, each on the best machine at that time."""
 
     def __init__(
         self,
@@ -37,10 +37,9 @@
         reserved: dict[str, Resources],
         has_own_booking: bool = False,
     ) -> None:
-        """Start up to so many tasks beside what is reserved.
+        """Start up to ``max_tasks`` tasks beside the reservations.
 
-        ``has_own_booking``: ``reserved`` leaves out what the job itself has booked; else it is the same for
-        all jobs.
+        ``has_own_booking``: ``reserved`` omits the job's own bookings; otherwise it is the same for all jobs.
         """
         team = job.spec.team
         if team in cycle.reserved_teams:
@@ -52,7 +51,7 @@
                 return
             in_use = cycle.in_use(self._ctx.fleet.used_by_team.get(team))
             at_limit = not self._quotas.allows(team, in_use, job.task_resources)
-            # Capacity that the job itself has booked is free for it alone; at the limit none of it counts.
+            # The job's own booked capacity is free to no equivalent job; it is not used at the team's limit.
             is_equivalent = at_limit or not has_own_booking
             key = cycle.scheduling_key(job, at_limit, bool(reserved) and not at_limit)
             if is_equivalent and key in cycle.infeasible:
@@ -77,7 +76,7 @@
     def _searches(
         self, cycle: CycleState, job: Job, reserved: dict[str, Resources], has_own_booking: bool
     ) -> list[PlacementSearch]:
-        """Where to look for machines, in this order."""
+        """Return the searches to try, in this order."""
         own_booking = self._bookings.machines_booked_now(job) if has_own_booking else set()
         searches = []
         for view in cycle.capacity.views:
@@ -90,7 +89,7 @@
     def _choose(
         self, cycle: CycleState, job: Job, search: PlacementSearch, reserved: dict[str, Resources]
     ) -> Choice | None:
-        """The best machine with free capacity; else, or where its image would come too late, preemption."""
+        """Return the best free machine; if there is none, or its image wait is too long, try preemption."""
         choice = search.best()
         if self._ctx.clock() < job.preemption_allowed_at or job.failures.at_fault:
             return choice
@@ -109,7 +108,7 @@
         wait_s: float,
         reserved: dict[str, Resources],
     ) -> Choice | None:
-        """A machine that has the image, if preemption there loses less than the wait elsewhere."""
+        """Return a preemption or relocation that costs less than the wait for the image, if any."""
         preemption = search.best_preemption(in_time_only=True)
         if preemption is not None and not any(victim.job.is_service for victim in preemption.victims):
             saved_s = wait_s - image_wait_s(preemption.machine, job)
@@ -117,12 +116,12 @@
                 return preemption
         relocation = self._relocation.relocate_for(job, wait_s, cycle.reliable_machines, reserved)
         if relocation is not None:
-            # Capacity was reserved for the replicas that move.
+            # Capacity was reserved for the replicas that are moved.
             cycle.capacity.refresh_all()
         return relocation
 
     def _choose_at_limit(self, cycle: CycleState, job: Job, in_use: tuple[float, float]) -> Choice | None:
-        """At its team's limit, a job may still take the place of lower work of the team."""
+        """Return a preemption of lower-priority work of the job's team, which is at its limit."""
         if job.failures.at_fault:
             return None
         team = job.spec.team
@@ -130,7 +129,7 @@
             if other.spec.team == team and any(
                 attempt.stopping_at is not None for attempt in other.active.values()
             ):
-                # One at a time: what is being stopped still counts, and would be made up for twice.
+                # One preemption at a time: stopping attempts still count, so the excess would be freed twice.
                 return None
         excess = self._quotas.excess(team, in_use, job.task_resources)
         preemptions = self._placement.preemptions(job, cycle.reliable_machines, excess)
--- a/src/poppyhold/scheduling/task_starter.py
+++ b/src/poppyhold/scheduling/task_starter.py
@@ -1,4 +1,4 @@
-"""Carrying out the choice of a machine for a task: stops of its victims, the start, and its booking."""
+"""Execution of a placement choice: stops the victims, starts the task and books it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TaskStarter:
-    """Starts tasks on the machines that were chosen for them."""
+    """Starts tasks on their chosen machines."""
 
     def __init__(
         self, ctx: Context, reconciler: AttemptReconciler, bookings: Bookings, placement: Placement
@@ -18,7 +18,7 @@
         self._ctx, self._reconciler, self._bookings, self._placement = ctx, reconciler, bookings, placement
 
     def start(self, job: Job, index: int, choice: Choice) -> None:
-        """Start a task, unless gangs among its victims have to save their checkpoints first."""
+        """Start a task, unless gangs among its victims must save their checkpoints first."""
         if self._stop_gangs_first(job, choice):
             return
         attempt = self._reconciler.lifecycle.start(job, index, choice.machine, choice.victims)
@@ -27,7 +27,7 @@
         self._bookings.book_attempt(attempt)
 
     def _stop_gangs_first(self, job: Job, choice: Choice) -> bool:
-        """Whether a start has to wait for gangs among its victims, which are stopped whole and save first."""
+        """Stop gangs among the victims, which save checkpoints first; return whether the start must wait."""
         gangs = {victim.job.id: victim.job for victim in choice.victims if victim.job.is_gang}
         if not gangs:
             return False
