--- a/src/poppyhold/concurrency/__init__.py
+++ b/src/poppyhold/concurrency/__init__.py
@@ -1,1 +1,1 @@
-"""Bounded structures that threads share."""
+"""Bounded queues and dictionaries, and a rate limiter."""
--- a/src/poppyhold/concurrency/bounded_dict.py
+++ b/src/poppyhold/concurrency/bounded_dict.py
@@ -1,4 +1,4 @@
-"""A dictionary of bounded size that forgets its oldest entries."""
+"""A dictionary of bounded size that evicts its oldest entries."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class BoundedDict(Generic[V]):
-    """Entries by name; beyond ``max_entries`` the oldest one is forgotten. Safe for several threads."""
+    """Entries by name; beyond ``max_entries`` the oldest one is evicted. Thread-safe."""
 
     def __init__(self, max_entries: int) -> None:
         self._max_entries = max(1, max_entries)
@@ -17,14 +17,14 @@
         self._lock = threading.Lock()
 
     def put(self, name: str, value: V) -> None:
-        """Keep an entry."""
+        """Add or replace an entry."""
         with self._lock:
             self._entries[name] = value
             if len(self._entries) > self._max_entries:
                 del self._entries[next(iter(self._entries))]
 
     def get(self, name: str) -> V | None:
-        """An entry, if it is still kept."""
+        """An entry; None if it was evicted or never added."""
         with self._lock:
             return self._entries.get(name)
 
--- a/src/poppyhold/concurrency/priority_queue.py
+++ b/src/poppyhold/concurrency/priority_queue.py
@@ -9,19 +9,19 @@
 
 Work = Callable[[], None]
 
-# What the decision thread does first, in the order that the operators ask for.
+# Priorities, in the order that operators require.
 HEARTBEATS, DECISIONS, SUBMISSIONS = 0, 1, 2
 
 
 class PriorityQueue:
-    """Work for one thread, lowest number first, and in order within a priority.
+    """Work for one thread, lowest number first, and FIFO within a priority.
 
-    After some work the thread naps for a moment instead of being woken for the next: where hundreds of
-    events come each second, waking it for every one costs more than what it then does.
+    After some work the thread pauses briefly instead of being woken for the next: at hundreds of events per
+    second, a wake-up for each costs more than the work itself.
     """
 
     def __init__(self, max_heartbeats: int, coalescing_s: float) -> None:
-        """Above ``max_heartbeats`` that wait, further heartbeats are refused; other work never is."""
+        """Above ``max_heartbeats`` queued heartbeats, further ones are rejected; other work never is."""
         self._max_heartbeats, self._coalescing_s = max_heartbeats, coalescing_s
         self._queues: tuple[deque[Work], ...] = (deque(), deque(), deque())
         self._wake = threading.Condition(threading.Lock())
@@ -29,7 +29,7 @@
         self._coalesced = True
 
     def put(self, priority: int, work: Work) -> bool:
-        """Queue work; False if the queue is closed, or if it is a heartbeat and too many of them wait."""
+        """Queue work; False if the queue is closed, or if it is a heartbeat and too many are queued."""
         with self._wake:
             if self._closed or (
                 priority == HEARTBEATS and len(self._queues[priority]) >= self._max_heartbeats
@@ -41,7 +41,7 @@
         return True
 
     def get(self, timeout_s: float) -> Work | None:
-        """The next work, or None when the time is up."""
+        """The next work, or None after ``timeout_s``."""
         work = self._next()
         if work is None and not self._coalesced:
             self._coalesced = True
@@ -65,7 +65,7 @@
             return next((queue.popleft() for queue in self._queues if queue), None)
 
     def close(self) -> list[Work]:
-        """Take nothing more, and drop what waits; returns the heartbeats, as workers wait for them."""
+        """Accept no more work and drop the queue; returns its heartbeats, as workers wait for responses."""
         with self._wake:
             self._closed = True
             heartbeats = list(self._queues[HEARTBEATS])
