--- a/src/poppyhold/durable/changes.py
+++ b/src/poppyhold/durable/changes.py
@@ -13,7 +13,7 @@
 
 
 class Put(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A write that sets a key. On a lease the key is deleted when the lease ends."""
+    """A write that sets a key. A key on a lease is deleted when the lease ends."""
 
     key: str = msgspec.field(name=names.PUT_KEY)
     data: Data
@@ -38,34 +38,34 @@
 
 
 class DeletedKey(NamedTuple):
-    """A key that was deleted, and the revision of that."""
+    """A deleted key, and the revision of its deletion."""
 
     key: str
     revision: int
 
 
-# What a watch tells of a key: that it was set, or that it was deleted.
+# An event of a watch: a key was set or deleted.
 WatchEvent = Entry | DeletedKey
 
 
 def put_record(key: str, record: msgspec.Struct, lease_id: int | None = None) -> Put:
-    """Build the write that sets a key to a record, in the form in which it is stored."""
+    """Build the write that sets a key to a record, in its stored form."""
     return Put(key, msgspec.to_builtins(record), lease_id)
 
 
 def encode_writes(writes: Iterable[Write]) -> list[Data]:
-    """Encode the writes of a transaction as they are sent."""
+    """Encode the writes of a transaction for the state service."""
     encoded: list[Data] = msgspec.to_builtins(list(writes))
     return encoded
 
 
 def decode_event(event: Data) -> WatchEvent:
-    """Decode a watch event as the state service sends it."""
+    """Decode a watch event of the state service."""
     if names.PUT_KEY in event:
         return Entry(event[names.PUT_KEY], event["data"], event[names.KEY_REVISION])
     return DeletedKey(event[names.DELETED_KEY], event[names.KEY_REVISION])
 
 
 def decode_entry(entry: Data) -> Entry:
-    """Decode an entry of a page as the state service sends it."""
+    """Decode an entry of a page of the state service."""
     return Entry(entry["key"], entry["data"], entry[names.KEY_REVISION])
--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -1,4 +1,4 @@
-"""The leader's group commit: durable steps, many to a transaction, each conditional on its leadership."""
+"""The leader's group commit: many durable steps to a transaction, each conditional on its leadership."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 log = logging.getLogger(__name__)
 
-# Units of a transaction, at the most: one whose condition fails makes all of them be committed one by one.
+# Units per transaction: if a condition of one of them fails, all are committed one by one.
 _MAX_UNITS = 8
-# The state service allows so many conditions for each write of a transaction.
+# The state service's limit on conditions, as a multiple of its limit on the writes of a transaction.
 _CONDITIONS_PER_WRITE = 4
 # Conditions of every transaction of a leader: on its key and on its write fence.
 _LEADER_CONDITIONS = 2
 
 
 class CommitUnit(NamedTuple):
-    """One durable step of the leader, which is carried out whole or not at all."""
+    """One durable step of the leader, committed atomically."""
 
     conditions: dict[str, int]
     writes: Sequence[Write]
@@ -44,7 +44,7 @@
 
 
 class Committer:
-    """A thread that commits the leader's steps, many to a transaction, until it leads no more."""
+    """A thread that commits the leader's units, many to a transaction, until its leadership is lost."""
 
     def __init__(
         self,
@@ -57,14 +57,14 @@
         self._on_leadership_lost = on_leadership_lost
         limits = settings.deployment.state.lowest
         self._max_writes = limits.txn_ops
-        # Two thirds of the writes: the rest is for the users' nodes and the election. A burst of a third of a
-        # second's worth goes out at once.
+        # Two thirds of the allowed writes: the rest is for the nodes that serve users and the election. A
+        # burst of up to a third of a second's writes is sent at once.
         self._rate_limiter = RateLimiter(limits.write_rps / 1.5, burst=self._max_writes / 2)
         self._retry_pause_s = 2 / limits.rps
         self._max_retry_pause_s = max(
             self._retry_pause_s, settings.deployment.workers.heartbeat_interval_s / 8
         )
-        # By priority, and each in the order of submission, lest the oldest starve in a burst.
+        # By priority, each in the order of submission, so that a burst does not starve the oldest units.
         self._queues: dict[CommitPriority, deque[CommitUnit]] = {
             priority: deque() for priority in CommitPriority
         }
@@ -80,17 +80,17 @@
             self._queued.notify()
 
     def stop(self) -> None:
-        """End the thread; units that are queued are dropped."""
+        """End the thread; queued units are dropped."""
         with self._queued:
             self._stopped = True
             self._queued.notify()
 
     def _first_queue(self) -> deque[CommitUnit] | None:
-        """The queue of the highest priority that holds anything."""
+        """The non-empty queue of the highest priority."""
         return next((queue for queue in self._queues.values() if queue), None)
 
     def _next_batch(self) -> list[CommitUnit]:
-        """Wait for units; those that go with the next transaction, or none if the thread is to end."""
+        """Wait for units; returns those of the next transaction, or none if the thread is to end."""
         with self._queued:
             while not (self._first_queue() or self._stopped):
                 self._queued.wait()
@@ -106,7 +106,7 @@
                     writes > self._max_writes
                     or conditions + _LEADER_CONDITIONS > _CONDITIONS_PER_WRITE * self._max_writes
                     or len(units) >= _MAX_UNITS
-                    # The protocol does not say in which order a transaction writes the same key twice.
+                    # The protocol leaves the order of two writes of the same key in a transaction undefined.
                     or not keys.isdisjoint(unit_keys)
                 ):
                     break
@@ -124,7 +124,7 @@
             self._commit(units)
 
     def _commit(self, units: list[CommitUnit]) -> None:
-        """Commit units in one transaction, and repeat it until its outcome is certain."""
+        """Commit units in one transaction, and retry it until its outcome is certain."""
         conditions: dict[str, int] = {}
         writes: list[Write] = []
         for unit in units:
@@ -140,11 +140,11 @@
                 log.warning("commit rejected: units=%d writes=%d: %s", len(units), len(writes), error)
                 self._on_rejected(units)
             except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError) as error:
-                # Every unit may be repeated: its writes are the same each time, and its conditions
-                # fail if the first try was carried out after all, which the unit's owner looks into.
+                # Every unit may be retried: its writes are idempotent, and its conditions fail if the first
+                # attempt was committed after all, which the unit's owner resolves.
                 log.debug("commit to be retried: units=%d writes=%d: %s", len(units), len(writes), error)
-                # At the same pace all through an outage, this alone took half of the requests that the state
-                # service allows, from renewals and users as well.
+                # Retries at a constant rate during an outage used half of the requests that the state service
+                # allows, at the expense of lease renewals and users.
                 time.sleep(pause_s)
                 pause_s = min(2 * pause_s, self._max_retry_pause_s)
                 continue
@@ -154,7 +154,7 @@
             return
 
     def _on_condition_failed(self, units: list[CommitUnit], error: ConditionFailedError) -> None:
-        """The condition on our leadership failed, or one of a unit's own."""
+        """Handle a failed condition: the one on the leadership, or one of a unit."""
         if LEADER_KEY in error.failed_keys:
             self._stopped = True
             self._on_leadership_lost()
@@ -164,12 +164,12 @@
             self._commit_separately(units)
 
     def _on_rejected(self, units: list[CommitUnit]) -> None:
-        """The transaction is above a limit, perhaps one that was lowered without notice."""
+        """Handle a transaction above a limit, perhaps one that was lowered without notice."""
         if len(units) > 1:
             self._commit_separately(units)
             return
-        # It can't be dropped: whoever waits for it relies on whether it is durable. But nothing else may wait
-        # for it, so it goes to the end of the queue.
+        # The unit can't be dropped: its owner relies on the outcome. It goes to the end of the queue, so that
+        # no other unit waits for it.
         time.sleep(self._max_retry_pause_s)
         self.submit(units[0])
 
--- a/src/poppyhold/durable/errors.py
+++ b/src/poppyhold/durable/errors.py
@@ -1,4 +1,4 @@
-"""What may go wrong with a request to the state service, by what its caller may do next."""
+"""Errors of requests to the state service, by what the caller may do next."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class StoreRejectedError(StoreError):
-    """The request was certainly not carried out: it may be repeated."""
+    """The request was certainly not carried out: it may be retried."""
 
 
 class InvalidRequestError(StoreRejectedError):
-    """The state service will never carry the request out, most likely because it is above a limit.
+    """The state service will never accept the request, most likely because it is above a limit.
 
-    A repeat is of no use; a smaller request may be.
+    A retry is of no use; a smaller request may be accepted.
     """
 
 
 class OutcomeUnknownError(StoreError):
     """The request may have been carried out, or may be later.
 
-    Only a request that may take effect twice can be repeated as it is; the others have to be fenced first.
+    Only an idempotent request can be retried as it is; others have to be fenced first.
     """
 
 
@@ -36,7 +36,7 @@
 
 
 class LeaseExpiredError(StoreError):
-    """A lease has expired, with the keys on it: its holder must get another one."""
+    """A lease has expired, and its keys are deleted: the holder must get another one."""
 
     def __init__(self, lease_id: int | None = None) -> None:
         super().__init__("the lease has expired" if lease_id is None else f"lease {lease_id} has expired")
@@ -44,7 +44,7 @@
 
 
 class WatchCompactedError(StoreError):
-    """The state service no longer has the changes after a revision: the prefix has to be read anew."""
+    """The state service no longer has the changes after a revision: the prefix must be read again."""
 
     def __init__(self, prefix: str, revision: int) -> None:
         super().__init__(f"changes of {prefix} after revision {revision} are compacted")
--- a/src/poppyhold/durable/fenced_writer.py
+++ b/src/poppyhold/durable/fenced_writer.py
@@ -1,4 +1,4 @@
-"""The leader's transactions, each void once somebody else leads or a later one was begun in its place."""
+"""The leader's transactions, fenced against other leaders and against late commits of its own."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 class FencedWriter:
     """A leader's transactions, one at a time: each is conditional on the leader's key and on the write fence.
 
-    A transaction whose outcome is unknown may be carried out late, after newer ones of the same leader: an
-    old plan, launch, machine or record of completions would come back, or the fencing token fall. So before
-    the next transaction the write fence is changed, and whatever was tried before is void.
+    A transaction whose outcome is unknown may be committed late, after newer ones of the same leader: it
+    would restore an old plan, launch, machine or record of completions, or lower the fencing token. So the
+    write fence is changed before the next transaction, which voids every earlier attempt.
     """
 
     def __init__(self, store: Store, leader_key_revision: int) -> None:
         self._store, self._leader_key_revision = store, leader_key_revision
         # Revision of the write fence; None before it was read.
         self._fence_revision: int | None = None
-        # Whether the last transaction may still be carried out.
+        # Whether the last transaction may still be committed.
         self._outcome_unknown = False
 
     def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> None:
-        """Try a transaction once. After `OutcomeUnknownError` it may be repeated.
+        """Try a transaction once. After `OutcomeUnknownError` it may be retried.
 
-        If it was carried out after all, the repeat writes the same again, or fails conditions of its own.
+        If it was committed after all, the retry writes the same values again, or fails its own conditions.
 
         Raises:
             ConditionFailedError: a condition of the transaction failed, or the one on the leader's key: then
-                somebody else leads.
-            StoreRejectedError: it was not carried out, and may be repeated.
-            OutcomeUnknownError: it may have been carried out.
+                another controller leads.
+            StoreRejectedError: the transaction was not committed, and may be retried.
+            OutcomeUnknownError: the transaction may have been committed.
 
         """
         if self._fence_revision is None or self._outcome_unknown:
@@ -51,7 +51,7 @@
             raise
         except ConditionFailedError as error:
             if WRITE_FENCE_KEY in error.failed_keys and LEADER_KEY not in error.failed_keys:
-                # Only we change it, so an earlier try of ours did: read it again.
+                # Only this leader changes the fence, so an earlier attempt of it did: read it again.
                 self._fence_revision = None
                 raise StoreRejectedError("the write fence has changed") from error
             raise
@@ -65,8 +65,8 @@
             except ConditionFailedError as error:
                 if LEADER_KEY in error.failed_keys:
                     raise
-                # An earlier try of this very step, whose outcome was unknown, was carried out: that has the
-                # same effect.
+                # An earlier attempt to change the fence, whose outcome was unknown, was committed: that has
+                # the same effect.
             else:
                 self._outcome_unknown = False
                 return
--- a/src/poppyhold/durable/keys.py
+++ b/src/poppyhold/durable/keys.py
@@ -1,40 +1,39 @@
-"""The keys of the state service: every family of records has a prefix of its own.
+"""The keys of the state service: every family of records has its own prefix.
 
-The stored names are those of every version and never change; a new family gets a new prefix, which older
-versions don't read.
+Stored names are the same in every version; a new family gets a new prefix, which older versions don't read.
 """
 
 from __future__ import annotations
 
 ROOT_PREFIX = "ph/"
 
-# The leader's claim, on its lease; the prefix is what the election watches.
+# The leader's key, on its lease; the election watches the prefix.
 LEADER_PREFIX = ROOT_PREFIX + "l/"
 LEADER_KEY = LEADER_PREFIX + "lead"
-# The highest fencing token that was given out.
+# The highest fencing token that was issued.
 FENCING_TOKEN_KEY = ROOT_PREFIX + "b"
-# What a leader changes to void its earlier transactions whose outcome is unknown.
+# Changed by a leader to void its earlier transactions whose outcome is unknown.
 WRITE_FENCE_KEY = ROOT_PREFIX + "c"
 
-# The cloud's machine types. Those that don't fit into the first record follow below the prefix, which older
+# The cloud's machine types. Those that don't fit into the first record are below the prefix, which older
 # versions don't read.
 MACHINE_TYPES_KEY = ROOT_PREFIX + "t"
 MORE_MACHINE_TYPES_PREFIX = ROOT_PREFIX + "t/"
 
-# A submitted job until it is finalized, and its final state from then on; both by the job's name.
+# A submitted job until it is finalized, and its final state afterwards; both by job name.
 ACTIVE_JOB_PREFIX = ROOT_PREFIX + "a/"
 FINAL_JOB_PREFIX = ROOT_PREFIX + "f/"
-# That tasks of a job may start; by the job's name.
+# Plans, which allow tasks of a job to start; by job name.
 PLAN_PREFIX = ROOT_PREFIX + "p/"
-# Completed tasks, by job and number of the range. Very large jobs have theirs in shorter ranges, for
-# smaller values, below a prefix of their own, which older versions don't read.
+# Completed tasks, by job and number of the range. Very large jobs use shorter ranges, for smaller values,
+# below their own prefix, which older versions don't read.
 COMPLETIONS_PREFIX = ROOT_PREFIX + "d/"
 COMPLETION_RANGES_PREFIX = ROOT_PREFIX + "e/"
 # Launch requests to the cloud, by request, and machines that may hold tasks, by machine.
 LAUNCH_PREFIX = ROOT_PREFIX + "h/"
 MACHINE_PREFIX = ROOT_PREFIX + "m/"
-# Quota allocations of a cell among several; there are none without other cells.
+# Quota allocations of a cell among several; a single cell has none.
 QUOTA_PREFIX = ROOT_PREFIX + "q/"
 
-# No key ever begins with this: a page of it tells the store's revision alone.
+# No key has this prefix: a page of it returns only the store's revision.
 EMPTY_PREFIX = ROOT_PREFIX + "none/"
--- a/src/poppyhold/durable/machine_types.py
+++ b/src/poppyhold/durable/machine_types.py
@@ -15,7 +15,7 @@
 
 
 def machine_type_writes(machine_types: Iterable[MachineType], max_bytes: int) -> list[Put]:
-    """The writes that make machine types durable: as many in the first record as fit, the rest in more."""
+    """The writes that store machine types: as many in the first record as fit, the rest in further ones."""
     batches: list[list[MachineType]] = []
     batch: list[MachineType] = []
     for machine_type in machine_types:
--- a/src/poppyhold/durable/prefix_reader.py
+++ b/src/poppyhold/durable/prefix_reader.py
@@ -1,4 +1,4 @@
-"""Reading every key with a prefix, page by page."""
+"""Reads every key with a prefix, page by page."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class PageCollector:
-    """Puts the pages of one prefix together, in their order.
+    """Collects the pages of one prefix in order.
 
-    Several pages are no snapshot: a key of a later page may show a newer state than the revision. Whoever
-    continues from that revision with a watch sees every change from there on, some for the second time.
+    Several pages are no snapshot: a key of a later page may be newer than the revision. A watch that
+    continues from that revision receives every later change, some of them for the second time.
     """
 
     def __init__(self) -> None:
@@ -18,13 +18,13 @@
         self.complete = False
         # The next page begins after this key.
         self.after = ""
-        # Revision of the first page, -1 before it; all that is read is at least as new.
+        # Revision of the first page, -1 before it; every entry is read at this revision or later.
         self.revision = -1
-        # Revision of the last page: after a watch that has come so far, nothing that was read is newer.
+        # Revision of the last page: no entry is newer than a watch that has reached it.
         self.last_revision = -1
 
     def add(self, page: Page) -> None:
-        """Take the next page."""
+        """Add the next page."""
         if self.revision < 0:
             self.revision = page.revision
         self.last_revision = page.revision
@@ -35,14 +35,14 @@
 
 
 class PrefixReader(PageCollector):
-    """Reads all keys with a prefix once. A page that fails is asked for again, not those before it."""
+    """Reads all keys with a prefix once. A page that fails is requested again, not those before it."""
 
     def __init__(self, store: Store, prefix: str) -> None:
         super().__init__()
         self._store, self._prefix = store, prefix
 
     def read(self) -> list[Entry]:
-        """Read the pages that are left, and return all entries; after an error, call it again to continue."""
+        """Read the remaining pages, and return all entries; after an error, call it again to continue."""
         while not self.complete:
             self.add(self._store.page(self._prefix, self.after))
         return self.entries
--- a/src/poppyhold/durable/records.py
+++ b/src/poppyhold/durable/records.py
@@ -1,6 +1,6 @@
 """The durable records, a struct for each family of keys (`durable.keys`).
 
-Their stored names are those of every version: fields are only added, with defaults.
+Their stored names are the same in every version: fields are only added, with defaults.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 
 class FencingTokenRecord(msgspec.Struct, frozen=True):
-    """The highest fencing token that was given out."""
+    """The highest fencing token that was issued."""
 
     fencing_token: int = msgspec.field(name=names.FENCING_TOKEN)
 
 
 class WriteFenceRecord(msgspec.Struct, frozen=True):
-    """The write fence: only its revision matters, and the one before it is kept for diagnosis."""
+    """The write fence: only its revision matters; the previous one is kept for diagnosis."""
 
     previous_revision: int = msgspec.field(name="behind")
 
@@ -50,7 +50,7 @@
 
 
 class LaunchRecord(msgspec.Struct, frozen=True):
-    """A launch request, and its machines' names once they are known."""
+    """A launch request, with the names of its machines once they are known."""
 
     machine_type: str = msgspec.field(name=names.MACHINE_TYPE)
     zone: str = msgspec.field(name=names.ZONE)
@@ -60,15 +60,15 @@
 
 
 class PlanRecord(msgspec.Struct, frozen=True):
-    """That tasks of a job may start: counts per slot and zone. With no slots, on spare capacity alone."""
+    """Allows tasks of a job to start: counts per slot and zone; without slots, on spare capacity alone."""
 
     slots: dict[str, dict[str, int]] = msgspec.field(name="s")
-    # The job fails on every machine, as far as one can tell.
+    # The job appears to fail on every machine.
     at_fault: bool = msgspec.field(name="x", default=False)
 
 
 class CompletionsRecord(msgspec.Struct, frozen=True):
-    """Completed tasks of a range of a job: a bit each, the first the lowest, in hexadecimal."""
+    """Completed tasks of a range of a job: a bit set in hexadecimal, the first task in the lowest bit."""
 
     bits: str = msgspec.field(name="d")
 
@@ -76,7 +76,7 @@
 def final_writes(job_id: str, status: str, tasks: int) -> list[Write]:
     """The writes that move a job's record from the active jobs to the final ones.
 
-    Its plan means nothing without it: the leader removes that once it learns of the change.
+    The job's plan has no effect without an active job: the leader removes it once it sees the change.
     """
     return [
         Delete(ACTIVE_JOB_PREFIX + job_id),
--- a/src/poppyhold/durable/snapshot.py
+++ b/src/poppyhold/durable/snapshot.py
@@ -1,4 +1,4 @@
-"""What the state service holds when a leader's term begins."""
+"""The contents of the state service when a leader's term begins."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from poppyhold.durable.prefix_reader import PrefixReader
 from poppyhold.durable.store import Store
 
-# The active jobs come first: what is known of one that ends meanwhile is dropped.
+# Active jobs are read first: records of a job that ends meanwhile are dropped.
 _PREFIXES = (
     ACTIVE_JOB_PREFIX,
     PLAN_PREFIX,
@@ -29,7 +29,7 @@
 
 
 class Snapshot:
-    """Every durable record that a new leader builds on, by the rest of its key."""
+    """Every durable record that a new leader starts from, by its key without the prefix."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
     ) -> None:
         self.active_jobs = list(active_jobs)
         self.plans = plans or {}
-        # Records of completions, by their prefix.
+        # Records of completions, by prefix.
         self.completions = completions or {}
         self.launches = launches or {}
         self.machines = machines or {}
@@ -50,19 +50,19 @@
 
 
 class SnapshotReader:
-    """Reads a snapshot page by page. After a page that failed it continues where it was.
+    """Reads a snapshot page by page. After a failed page it continues with that page.
 
-    Only the leader writes the prefixes after that of the active jobs, so nothing of them changes while they
-    are read; the active jobs are read once more by the watch that continues from here.
+    Only the leader writes the prefixes after that of the active jobs, so they don't change while they are
+    read; the watch that continues from here reads the active jobs once more.
     """
 
     def __init__(self, store: Store, with_quota: bool = False) -> None:
-        """``with_quota``: this is one cell of several, and has quota allocations."""
+        """``with_quota``: read quota allocations, as for one cell of several."""
         prefixes = (*_PREFIXES, QUOTA_PREFIX) if with_quota else _PREFIXES
         self._readers = {prefix: PrefixReader(store, prefix) for prefix in prefixes}
 
     def read(self) -> Snapshot:
-        """Read the pages that are left; after an error, call it again to continue."""
+        """Read the remaining pages; after an error, call it again to continue."""
         for reader in self._readers.values():
             reader.read()
         quota = self._readers.get(QUOTA_PREFIX)
--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -1,4 +1,4 @@
-"""The state service: a typed client of a consensus-backed key-value store with leases and watches."""
+"""The state service: a typed client for a consensus-backed key-value store with leases and watches."""
 
 from __future__ import annotations
 
@@ -31,7 +31,6 @@
 from poppyhold.wire import field_names as names
 from poppyhold.wire.http_client import HttpClient, NoResponseError, NotSentError
 
-# Entries of a page, at the most.
 _MAX_PAGE_ENTRIES = 1000
 # The shortest lease that the state service grants.
 _MIN_LEASE_MS = 100
@@ -40,7 +39,7 @@
 
 
 class Page(NamedTuple):
-    """A part of the keys with a prefix, in their order, and the store's revision as it was read."""
+    """A part of the keys with a prefix, in order, and the store's revision when it was read."""
 
     entries: list[Entry]
     more: bool
@@ -48,24 +47,24 @@
 
 
 class Changes(NamedTuple):
-    """Every change after a revision, in order, and the revision that they go up to."""
+    """Every change after a revision, in order, and the revision up to which they are complete."""
 
     events: list[WatchEvent]
     revision: int
 
 
 class Store:
-    """Typed calls to the state service. It never retries: the callers know what a repeat means.
+    """Typed calls to the state service. It never retries: only the callers know if a retry is safe.
 
     Every call raises `StoreRejectedError` if it certainly had no effect, and `OutcomeUnknownError` if it may
-    have had one or may have it later.
+    have had one or may still have one.
     """
 
     def __init__(self, settings: Settings, clock: Callable[[], float] = time.monotonic) -> None:
         host, port = split_address(settings.external_services.state)
         self._client = HttpClient(host, port, most_idle=_IDLE_CONNECTIONS)
         self._clock = clock
-        # A response usually takes milliseconds, now and then some hundreds.
+        # A response usually takes milliseconds, occasionally some hundreds.
         self.timeout_s = settings.deployment.workers.lease_s / 8
         # When the state service last responded.
         self.contact_at = float("-inf")
@@ -94,7 +93,7 @@
         return Entry(key, data["data"], data[names.KEY_REVISION])
 
     def page(self, prefix: str, after: str, max_entries: int = _MAX_PAGE_ENTRIES) -> Page:
-        """Read the keys with a prefix that follow a key; the first ones follow the empty string."""
+        """Read the keys with a prefix that sort after a key; the empty string gives the first page."""
         since = f"&since={after}" if after else ""
         path = f"/kv?prefix={prefix}{since}&most={max_entries}"
         status, data = self._call("GET", path, None, self.timeout_s * 2)
@@ -103,21 +102,21 @@
         return Page(entries, bool(data.get("more")) and bool(entries), data[names.REVISION])
 
     def revision(self) -> int:
-        """The store's revision at a moment after the beginning of this call.
+        """The store's revision at some time after the call began.
 
-        A list of keys tells it, as PROTOCOL says; the response for a key that exists tells only that key's.
+        A list of keys contains it, as PROTOCOL says; the response for an existing key has only that key's.
         """
         return self.page(EMPTY_PREFIX, "", max_entries=1).revision
 
     def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
-        """Carry out a transaction and return its revision.
+        """Commit a transaction and return its revision.
 
-        ``conditions`` are the revisions that keys must have, 0 for those that must not exist.
+        ``conditions`` are the revisions that keys must have, 0 for keys that must not exist.
 
         Raises:
             ConditionFailedError: a condition did not hold; nothing was written.
             LeaseExpiredError: the lease of a write has expired; nothing was written.
-            InvalidRequestError: the transaction will never be carried out.
+            InvalidRequestError: the state service will never accept the transaction.
 
         """
         status, data = self._call("POST", "/commit", transaction_body(conditions, writes), self.timeout_s)
@@ -140,7 +139,7 @@
         """Renew a lease for its time to live.
 
         Raises:
-            LeaseExpiredError: it has expired already.
+            LeaseExpiredError: the lease has already expired.
 
         """
         path = f"/leases/{lease_id}/extend"
@@ -150,11 +149,11 @@
         _check_ok(status, data, path)
 
     def revoke_lease(self, lease_id: int) -> None:
-        """End a lease at once, and delete the keys on it."""
+        """Revoke a lease, which deletes the keys on it."""
         self._call("DELETE", f"/leases/{lease_id}", None, self.timeout_s)
 
     def poll_changes(self, prefix: str, since: int, poll_timeout_s: float) -> Changes:
-        """Wait for changes after revision ``since``, for ``poll_timeout_s`` seconds at the most.
+        """Wait for changes after revision ``since``, for at most ``poll_timeout_s`` seconds.
 
         Raises:
             WatchCompactedError: the state service no longer has all of them.
@@ -174,7 +173,7 @@
 
 
 def transaction_body(conditions: dict[str, int], writes: Sequence[Write]) -> Data:
-    """Encode a transaction as it is sent."""
+    """Encode a transaction for the state service."""
     return {
         "if": [{"key": key, names.KEY_REVISION: revision} for key, revision in conditions.items()],
         "writes": encode_writes(writes),
@@ -182,5 +181,5 @@
 
 
 def stored_bytes(data: Any) -> int:
-    """The size of a value as JSON, which takes more than any other form in which it may be stored."""
+    """The size of a value as JSON, the largest form in which it may be stored."""
     return len(json.dumps(data))
--- a/src/poppyhold/durable/watch.py
+++ b/src/poppyhold/durable/watch.py
@@ -1,4 +1,4 @@
-"""Watching a prefix of the state service."""
+"""A watch on a prefix of the state service."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 log = logging.getLogger(__name__)
 
-# Nothing was read yet, or changes are missing: the prefix is to be read whole.
+# No revision yet, or changes are missing: the whole prefix must be read.
 _UNREAD = -1
 
 
 class Watch:
-    """A thread that keeps up with a prefix: a snapshot first, then every change in order.
+    """A thread that follows a prefix: a snapshot first, then every change in order.
 
-    The callbacks come on this thread. ``on_caught_up`` is told the moment of a request and the revision up to
-    which all that the state service knew then has been handed on.
+    The callbacks are called on this thread. ``on_caught_up`` gets the time of a request and the revision up
+    to which every change that the state service had at that time has been delivered.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._on_snapshot, self._on_change, self._clock = on_snapshot, on_change, clock
         self._on_caught_up = on_caught_up
         self._stop = threading.Event()
-        # Under way as long as a snapshot is not read whole.
+        # Keeps the pages read so far until the snapshot is complete.
         self._reader = PrefixReader(store, prefix)
         # Revision of the first snapshot; -1 before it was read.
         self.first_revision = _UNREAD
@@ -51,7 +51,7 @@
         return self
 
     def stop(self) -> None:
-        """Ask the thread to end; it does after the call that it is in."""
+        """Ask the thread to end, which it does after its current call."""
         self._stop.set()
 
     def _run(self) -> None:
@@ -67,19 +67,19 @@
                 if self._on_caught_up is not None:
                     self._on_caught_up(requested_at, revision)
             except WatchCompactedError as error:
-                log.debug("watch begins anew: prefix=%s: %s", self._prefix, error)
+                log.debug("watch restarts from a snapshot: prefix=%s: %s", self._prefix, error)
                 revision = _UNREAD
             except (StoreRejectedError, OutcomeUnknownError) as error:
                 log.debug("watch to be retried: prefix=%s revision=%d: %s", self._prefix, revision, error)
                 self._stop.wait(self._poll_timeout_s / 10)
             except Exception:
-                # Thread boundary: a watch that ended would leave the node blind, so it begins anew.
-                log.exception("watch failed and begins anew: prefix=%s", self._prefix)
+                # Thread boundary: without the watch the node would miss every change, so it restarts.
+                log.exception("watch failed, restarts from a snapshot: prefix=%s", self._prefix)
                 revision = _UNREAD
                 self._stop.wait(self._poll_timeout_s / 10)
 
     def _read(self) -> int:
-        """Read all keys, and hand them on; the revision as of which they were read."""
+        """Read and deliver all keys; returns the revision as of which they were read."""
         entries = self._reader.read()
         revision = self._reader.revision
         self._reader = PrefixReader(self._store, self._prefix)
@@ -88,7 +88,7 @@
         return revision
 
     def _poll(self, since: int) -> int:
-        """Wait for changes, and hand them on in order; the revision that they go up to."""
+        """Wait for changes and deliver them in order; returns the revision that they reach."""
         changes = self._store.poll_changes(self._prefix, since, self._poll_timeout_s)
         for event in changes.events:
             if self._stop.is_set():
