--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -1,4 +1,4 @@
-"""The decision core of one term: it owns the fleet's state, and does no I/O of its own."""
+"""The decision core of one term: owns the fleet's state and does no I/O itself."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
 from poppyhold.wire.cloud_messages import MachineListing, MachineType
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
-# Silent workers that are probed within a heartbeat interval, as a share of the connections.
+# Silent workers probed per heartbeat interval, as a share of the connections.
 _SILENT_PROBE_SHARE = 0.25
-# Completions are saved so many times within a heartbeat interval.
+# Saves of completions per heartbeat interval.
 _COMPLETION_SAVES_PER_INTERVAL = 2
 
 
 class Controller:
-    """Takes events in order, one at a time, and answers heartbeats.
+    """Handles events in order, one at a time, and answers heartbeats.
 
-    The constructor connects the parts of the core. Each of them holds one duty; the events below only pass
-    what happened to the parts that it concerns.
+    The constructor connects the components of the core. The event handlers only delegate to the components
+    that an event concerns.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self.admission = Admission(self.ctx, self._quotas, self._on_job_found_finalized)
         self.dispatcher = Dispatcher(self.ctx, self.reconciler, self._quotas, self.admission)
         self._machines = MachineLifecycle(self.ctx, self.admission, self.reconciler)
-        # Called for every heartbeat, hence bound once.
+        # Bound once, as it is called for every heartbeat.
         self._update_availability = self._machines.update_availability
         self.autoscaler = Autoscaler(self.ctx, self.reconciler, self._quotas, self._machines.handle_removed)
         self.completions = Completions(self.ctx)
@@ -93,7 +93,7 @@
         self._save_completions_at = 0.0
 
     def _make_quota(self, options: Options) -> CellQuotaService | None:
-        """The cell's allocations of the teams' limits; None where the fleet is one cell."""
+        """Create the service for the cell's shares of the teams' limits; None in a fleet of one cell."""
         if options.cells is None:
             return None
         return CellQuotaService(
@@ -108,9 +108,9 @@
     def load(
         self, snapshot: Snapshot, machine_types: Iterable[MachineType], image_hints: ImageHints | None = None
     ) -> None:
-        """Rebuild from what earlier leaders made durable; heartbeats bring the rest.
+        """Rebuild the state from durable records; workers' heartbeats complete it.
 
-        Hints are what the last leader told its peers of the machines' images: they only guide choices.
+        ``image_hints`` are the machines' images as the last leader sent them; they affect only preferences.
         """
         now = self.ctx.clock()
         self.ctx.image_hints = image_hints or {}
@@ -128,10 +128,10 @@
         )
         loader.load(snapshot, now)
 
-    # -- events --------------------------------------------------------------------------------------
+    # -- event handlers ------------------------------------------------------------------------------
 
     def handle_machine_types(self, machine_types: Iterable[MachineType]) -> None:
-        """The cloud told its machine types and their current prices."""
+        """Update the machine types and their current prices from the cloud."""
         for machine_type in machine_types:
             self.ctx.machine_types[machine_type.name] = machine_type
 
@@ -144,15 +144,15 @@
         return response
 
     def handle_job_accepted(self, entry: Entry) -> None:
-        """The watch told of a submission that became durable."""
+        """Handle a durable submission that the watch delivered."""
         self._jobs.handle_accepted(entry)
 
     def handle_job_removed(self, key: str) -> None:
-        """The key of an active job was removed, which happens when the job is finalized."""
+        """Handle the removal of an active job's key: the job was finalized."""
         self._jobs.handle_finalized(key.removeprefix(ACTIVE_JOB_PREFIX))
 
     def reconcile_active_jobs(self, entries: list[Entry]) -> None:
-        """The watch began anew: jobs that are not among the entries were finalized meanwhile."""
+        """Handle a restart of the watch: jobs missing from ``entries`` were finalized in the meantime."""
         present = {entry.key for entry in entries}
         for job_id in list(self.ctx.fleet.jobs):
             if ACTIVE_JOB_PREFIX + job_id not in present:
@@ -161,11 +161,11 @@
             self._jobs.handle_accepted(entry)
 
     def handle_machine_listing(self, listing: MachineListing) -> None:
-        """The cloud listed its machines."""
+        """Handle a complete list of the cloud's machines."""
         self.autoscaler.handle_listing(listing)
 
     def tick(self) -> None:
-        """Do what depends on time alone."""
+        """Do the periodic work of all components."""
         now = self.ctx.clock()
         self.admission.advance_slot()
         self.failures.tick()
@@ -183,23 +183,23 @@
         self.ctx.scheduling_needed = True
 
     def scheduling_due_at(self) -> float | None:
-        """The moment from which on the next scheduling cycle may run; None if nothing is to be scheduled."""
+        """Return the earliest time of the next scheduling cycle; None if there is nothing to schedule."""
         return self._cycle.due_at()
 
     def run_scheduling_cycle(self) -> None:
-        """After a batch of events: start what may start, if a cycle is due, and send the commands."""
+        """Run a scheduling cycle if one is due, and send the queued commands."""
         self._cycle.run_if_due()
         self.reconciler.lifecycle.commands.send_queued()
 
-    # -- views of the state --------------------------------------------------------------------------
+    # -- queries of the state ------------------------------------------------------------------------
 
     def last_response_at(self, machine_name: str) -> float:
-        """When that machine's worker was last answered in this term."""
+        """Return when the machine's worker was last answered in this term, or -inf."""
         machine = self.ctx.fleet.machines.get(machine_name)
         return machine.last_response_at if machine is not None else float("-inf")
 
     def task_counts(self) -> dict[str, TaskCounts]:
-        """Done and running tasks by job."""
+        """Return the done and running tasks of each job that is not finalized."""
         return {
             job.id: TaskCounts(job.done, job.running)
             for job in self.ctx.fleet.jobs.values()
@@ -207,9 +207,9 @@
         }
 
     def excluded_machines(self) -> list[str] | None:
-        """Machines whose leases nobody may renew but us; None before we know all of them.
+        """Return the machines whose leases only this leader may renew; None before all are reconciled.
 
-        Tasks of cancelled jobs that run there must be gone in time, and so must tasks that are none of ours.
+        They run tasks of finalized jobs or unknown tasks, which must end in time.
         """
         if self.reconciler.lease_expiry.unreconciled:
             return None
@@ -222,16 +222,16 @@
         ]
 
     def image_hints(self) -> ImageHints:
-        """The machines' images, for the next leader."""
+        """Return the images on each machine, for the next leader."""
         return {
             machine.name: tuple(machine.images.items())
             for machine in self.ctx.fleet.machines.values()
             if machine.images
         }
 
-    # -- what the parts tell one another -------------------------------------------------------------
+    # -- callbacks between components ----------------------------------------------------------------
 
-    # Each of these is given to a part that is made before the part that it calls.
+    # Each is passed to a component that is constructed before the component that it calls.
 
     def _on_fault_changed(self, job: Job) -> None:
         self.admission.fault_changed(job)
--- a/src/poppyhold/node/decision_loop.py
+++ b/src/poppyhold/node/decision_loop.py
@@ -1,4 +1,4 @@
-"""The decision thread of one term: it takes queued events by priority, one at a time."""
+"""The decision thread of one term: processes queued events by priority, one at a time."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 log = logging.getLogger(__name__)
 
-# Ticks within a heartbeat interval.
+# Ticks per heartbeat interval.
 _TICKS_PER_INTERVAL = 4
-# The thread's naps between events, as a divisor of the heartbeat interval.
+# Divisor of the heartbeat interval: the thread's pause after events before it waits to be woken.
 _PAUSES_PER_INTERVAL = 100
 
 
 class DecisionLoop:
-    """Owns the decision thread, on which everything that changes the fleet's state runs.
+    """Owns the decision thread, the only one that changes the fleet's state.
 
     Other threads post events; the loop runs them by priority, ticks several times per heartbeat interval, and
-    lets the scheduler run whenever no event waits.
+    runs the scheduler whenever the queue is empty.
     """
 
     def __init__(self, max_waiting_heartbeats: int, heartbeat_interval_s: float) -> None:
-        # Whether the term still leads. Nothing is posted, answered or sent once it is False.
+        # Whether the term is still current. Once False, nothing is posted, answered or sent.
         self.alive = True
         self._queue = PriorityQueue(max_waiting_heartbeats, heartbeat_interval_s / _PAUSES_PER_INTERVAL)
         self._tick_s = heartbeat_interval_s / _TICKS_PER_INTERVAL
@@ -41,11 +41,11 @@
         """Start the thread.
 
         Args:
-            prepare: rebuilds the state before any event is taken; False if the term can't begin.
-            tick: does what depends on time alone.
-            scheduling_due_at: the moment for which the thread wakes up even if no event comes, or None.
-            run_scheduling_cycle: called when no event waits.
-            publish: called after each event, for what other threads read.
+            prepare: rebuilds the state before the first event; returns False if the term can't begin.
+            tick: does the periodic work.
+            scheduling_due_at: returns the time at which the thread wakes up even without an event, or None.
+            run_scheduling_cycle: called when the queue is empty.
+            publish: called after each event, to update the state that other threads read.
 
         """
         self._prepare, self._tick = prepare, tick
@@ -54,15 +54,15 @@
         threading.Thread(target=self._run, name="decisions", daemon=True).start()
 
     def post(self, priority: int, work: Work) -> bool:
-        """Queue an event from any thread; False if the term is over or too many events wait."""
+        """Queue an event, from any thread; False if the term is over or too many heartbeats are queued."""
         return self.alive and self._queue.put(priority, work)
 
     def stop(self) -> None:
-        """Take no more events. The thread ends after the one that it is in."""
+        """Accept no more events. The thread ends after its current event."""
         self.alive = False
 
     def reject_waiting(self) -> None:
-        """Close the queue of a stopped loop. Heartbeats that still wait are answered with a rejection."""
+        """Close the queue of a stopped loop, and answer the heartbeats in it with a rejection."""
         for work in self._queue.close():
             work()
 
@@ -71,7 +71,7 @@
             self._process_events()
 
     def _process_events(self) -> None:
-        """Take events by priority until the term is over."""
+        """Process events by priority until the term is over."""
         tick_at = time.monotonic()
         while self.alive:
             now = time.monotonic()
@@ -90,5 +90,5 @@
                     self._run_scheduling_cycle()
                 self._publish()
             except Exception:
-                # An event that can't be handled must not end the term: the loop goes on with the next one.
-                log.exception("decision failed")
+                # A failed event must not end the term.
+                log.exception("event, tick or scheduling cycle failed, continuing with the next event")
--- a/src/poppyhold/node/heartbeat_endpoint.py
+++ b/src/poppyhold/node/heartbeat_endpoint.py
@@ -1,4 +1,4 @@
-"""The leader's answers to heartbeats, whether they come from workers directly or through relays."""
+"""The leader's answers to heartbeats, sent by workers directly or through relays."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class HeartbeatEndpoint:
-    """Has heartbeats answered on the decision thread, for as long as leases may be renewed."""
+    """Answers heartbeats on the decision thread while the leader may renew leases."""
 
     def __init__(
         self,
@@ -26,22 +26,22 @@
         may_renew_leases: Callable[[], bool],
         make_rejection: Callable[[], HttpResponse],
     ) -> None:
-        """``make_rejection`` returns the answer to a heartbeat that the leader can't answer."""
+        """``make_rejection`` returns the response to a heartbeat that the leader can't answer."""
         self._loop, self._controller, self._assignment = loop, controller, assignment
         self._may_renew_leases, self._make_rejection = may_renew_leases, make_rejection
         self._ready = threading.Event()
 
     def mark_ready(self) -> None:
-        """The state is rebuilt: heartbeats can be answered from now on."""
+        """Accept heartbeats from now on: the state is rebuilt."""
         self._ready.set()
 
     def handle(self, heartbeat: Heartbeat, timeout_s: float) -> DeferredResponse | None:
-        """Have a direct heartbeat answered by the decision thread; None if the term is not ready in time."""
-        # A worker that is rejected comes back a second later, when its lease may be over: while the fleet's
-        # state is read it had better wait.
+        """Queue a direct heartbeat for the decision thread; None if the term is not ready in time."""
+        # A rejected worker retries after a second, when its lease may have expired, so heartbeats wait while
+        # the leader reads the fleet's state.
         if not self._ready.wait(timeout_s):
             return None
-        # Nobody waits for the answer after this: work on it would only hold up the heartbeats that follow.
+        # After this the worker has timed out; an answer would only delay the following heartbeats.
         deadline = time.monotonic() + timeout_s
 
         def defer(send: Callable[[HttpResponse], None]) -> None:
@@ -58,7 +58,7 @@
         return defer
 
     def _answer_direct_heartbeat(self, heartbeat: Heartbeat, deadline: float) -> HttpResponse | None:
-        """The answer to a direct heartbeat, which may be the name of a relay; None: no lease is renewed."""
+        """Answer a direct heartbeat or redirect it to a relay; None if the lease can't be renewed."""
         relay = self._assignment.assign(
             heartbeat.machine, heartbeat.zone, self._controller.last_response_at(heartbeat.machine)
         )
@@ -68,9 +68,9 @@
         return http_response(HTTPStatus.OK, response.body()) if response is not None else None
 
     def answer(self, heartbeat: Heartbeat, deadline: float) -> HeartbeatResponse | None:
-        """On the decision thread: answer a heartbeat, whichever way it came; None if it can't be answered.
+        """Answer a direct or relayed heartbeat, on the decision thread; None if the leader can't.
 
-        After ``deadline`` nobody waits for the answer.
+        After ``deadline`` the worker has timed out.
         """
         if not self._loop.alive or time.monotonic() >= deadline or not self._may_renew_leases():
             return None
--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -1,4 +1,4 @@
-"""Where a worker's heartbeat is answered: by us as the leader, by the leader through us, or elsewhere."""
+"""Routes workers' heartbeats: to this node's term, to the leader through this relay, or by redirect."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from poppyhold.wire.http_server import DeferredResponse, HttpResponse, http_response
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, Redirect, parse_heartbeat
 
-# A worker waits for so many heartbeat intervals at most until the election names a leader.
+# Maximum wait of a heartbeat for the election of a leader, in heartbeat intervals.
 _AWAIT_LEADER_INTERVALS = 0.5
 
 
 class HeartbeatRouter:
     """Answers POST /hello on any controller.
 
-    In this order: the leader answers itself; a relay forwards; a delegate renews the lease in the leader's
-    name where that is cut off; otherwise the worker is redirected to the leader.
+    In this order: the leader answers; a relay forwards to it; a delegate renews the lease on behalf of an
+    unreachable leader; otherwise the worker is redirected to the leader.
     """
 
     def __init__(
@@ -43,15 +43,15 @@
         is_unreachable: Callable[[str], bool],
         rng: random.Random,
     ) -> None:
-        """``is_unreachable`` tells whether nothing gets through to another controller."""
+        """``is_unreachable`` returns whether this node can't reach another controller."""
         workers = settings.deployment.workers
         self._member, self._store, self._election = settings.member, store, election
         self._delegated_renewal, self._misdirected_workers = delegated_renewal, misdirected_workers
         self._leader_term, self._is_unreachable = leader_term, is_unreachable
-        # After this a worker has given up the answer, as the protocol says: it comes in time or not at all.
+        # After this the worker has timed out, according to the protocol.
         self._response_timeout_s = heartbeat_response_timeout_s(workers)
-        # A worker that is not told where to go tries another node a second later. Where all nodes have just
-        # come back, that second decides whether leases end; an election takes far less.
+        # A worker that gets no leader's name tries another node a second later. After a restart of all nodes
+        # leases can expire within that second; an election takes far less.
         self._await_leader_s = workers.heartbeat_interval_s * _AWAIT_LEADER_INTERVALS
         self._redirect_backoff = RedirectBackoff(workers.lease_s, settings.deployment.machine_limits.machines)
         self.forwarder = HeartbeatForwarder(
@@ -64,7 +64,7 @@
         )
 
     def handle(self, body: bytes) -> HttpResponse | DeferredResponse:
-        """Answer a heartbeat."""
+        """Answer a heartbeat from its request body."""
         try:
             heartbeat = parse_heartbeat(decode(body))
         except MalformedError as error:
@@ -75,20 +75,20 @@
         return self._answer_without_leader(heartbeat) or self._redirect(heartbeat)
 
     def reject(self) -> HttpResponse:
-        """The answer to a heartbeat that we can't answer as the leader."""
+        """Return 503 if this node leads but can't answer a heartbeat now, else a redirect to the leader."""
         if self._leader_term() is not None:
             return http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
         return self._redirect_to(self._election.leader)
 
     def _answer_as_leader(self, heartbeat: Heartbeat) -> HttpResponse | DeferredResponse | None:
-        """The leader's answer; None if we don't lead."""
+        """Answer as the leader; None if this node does not lead."""
         leader_term = self._leader_term()
         if leader_term is None:
             return None
         return leader_term.heartbeats.handle(heartbeat, self._response_timeout_s) or self.reject()
 
     def _answer_without_leader(self, heartbeat: Heartbeat) -> HttpResponse | None:
-        """Renew the lease as the leader's delegate; None if we may not."""
+        """Renew the lease as the leader's delegate; None if this node may not."""
         if heartbeat.fencing_token:
             leader = self._election.leader
             renewed_fencing_token = self._delegated_renewal.renewal_fencing_token(
@@ -99,12 +99,12 @@
             )
             if renewed_fencing_token is not None:
                 return http_response(HTTPStatus.OK, HeartbeatResponse(renewed_fencing_token).body())
-            # A new machine's worker begins with any node; one that has a token has left its leader.
+            # Workers of new machines start with any node; one with a fencing token has left its leader.
             self._misdirected_workers.record(heartbeat)
         return None
 
     def _redirect(self, heartbeat: Heartbeat) -> HttpResponse | DeferredResponse:
-        """Wait a moment for a leader, and send the worker there."""
+        """Wait briefly for a leader, and redirect the worker to it."""
         leader = self._election.known_leader.await_leader(self._await_leader_s)
         if leader is not None and leader.member != self._member and not self.forwarder.is_wanted():
             now = time.monotonic()
@@ -113,11 +113,11 @@
             )
             if wait_s:
                 leader = self._election.known_leader.await_next_leader(leader, wait_s)
-        # The election may have named us meanwhile.
+        # This node may have been elected in the meantime.
         return self._answer_as_leader(heartbeat) or self._redirect_to(leader)
 
     def _redirect_to(self, leader: Leader | None) -> HttpResponse:
-        """421, with the leader's name if another controller leads."""
+        """Return status 421, with the leader's name if another controller leads."""
         if leader is None or leader.member == self._member:
             return http_response(HTTPStatus.MISDIRECTED_REQUEST)
         return http_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect(leader.member).body())
--- a/src/poppyhold/node/job_lifecycle.py
+++ b/src/poppyhold/node/job_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a job in the decision core, from its acceptance to its final state."""
+"""The lifecycle of jobs in the decision core, from acceptance to final state."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from poppyhold.wire.codec import MalformedError
 from poppyhold.wire.user_messages import parse_submission
 
-# Finalized jobs that are remembered, for each MB of memory that the controller may take.
+# Finalized job IDs kept per MB of the controller's memory limit.
 _FINALIZED_IDS_PER_RAM_MB = 10
 
 
 class JobLifecycle:
-    """Accepts jobs, follows the end of their tasks, and finalizes them. Used on the decision thread only."""
+    """Accepts jobs, tracks the end of their tasks, and finalizes them. Decision thread only."""
 
     def __init__(
         self,
@@ -34,16 +34,16 @@
         autoscaler: Autoscaler,
         on_active_jobs_changed: Callable[[], None],
     ) -> None:
-        """``on_active_jobs_changed`` is called when a job begins or ends, as that changes guarantees."""
+        """``on_active_jobs_changed`` is called when a job is created or finalized: guarantees change."""
         self._ctx, self._admission, self._reconciler = ctx, admission, reconciler
         self._completions, self._autoscaler = completions, autoscaler
         self._on_active_jobs_changed = on_active_jobs_changed
-        # Jobs that were finalized before we heard of them. A cancellation may overtake the submission, in our
-        # own queue or because another controller told of it: the submission must not create it afterwards.
+        # Finalized jobs, which a late submission must not create again: a cancellation may overtake it in the
+        # decision queue, or because another controller reports the cancellation first.
         max_ids = int(ctx.settings.deployment.machine_limits.ram_mb * _FINALIZED_IDS_PER_RAM_MB)
         self._finalized_ids: BoundedDict[bool] = BoundedDict(max_ids)
 
-    # -- jobs begin ----------------------------------------------------------------------------------
+    # -- acceptance ----------------------------------------------------------------------------------
 
     def create(self, entry: Entry) -> Job | None:
         """Create a job from its durable record; None if the record is malformed."""
@@ -51,7 +51,7 @@
             spec = parse_submission(entry.data["spec"])
         except (KeyError, MalformedError):
             return None
-        # The job's wait began at the time of day that is stored with it.
+        # The record holds the wall-clock time of the submission.
         age_s = max(0.0, self._ctx.wall_clock() - float(entry.data["at"]))
         job = make_job(spec, entry.revision, self._ctx.clock() - age_s)
         self._ctx.fleet.jobs[job.id] = job
@@ -60,7 +60,7 @@
         return job
 
     def resume(self, job: Job) -> None:
-        """Go on with a job that an earlier leader accepted."""
+        """Resume a job that an earlier leader accepted."""
         self._autoscaler.arrivals.record_submission(job.submitted_at, job.spec)
         if not job.plan_durable:
             self._admission.submit(job)
@@ -68,7 +68,7 @@
             self._finalize(job)
 
     def handle_accepted(self, entry: Entry) -> None:
-        """A user's submission became durable."""
+        """Handle a submission that became durable."""
         job_id = entry.key.removeprefix(ACTIVE_JOB_PREFIX)
         if job_id in self._ctx.fleet.jobs or job_id in self._finalized_ids:
             return
@@ -77,10 +77,10 @@
             self._autoscaler.arrivals.record_submission(self._ctx.clock(), job.spec)
             self._admission.submit(job)
 
-    # -- tasks end -----------------------------------------------------------------------------------
+    # -- ends of tasks -------------------------------------------------------------------------------
 
     def handle_task_completed(self, job: Job, index: int) -> None:
-        """A task is done: any other attempt of it is stopped, and the job may be done as well."""
+        """Stop any other attempt of a completed task, and finalize the job after its last task."""
         other = job.active.get(index)
         if other is not None:
             self._reconciler.lifecycle.stop(other, 0.0, self._ctx.clock())
@@ -88,22 +88,22 @@
             self._finalize(job)
 
     def handle_attempt_ended(self, attempt: Attempt) -> None:
-        """An attempt is proven to have ended: what it held is free."""
+        """Release the resources of an attempt that has certainly ended."""
         self._admission.attempt_ended(attempt)
         job = attempt.job
         if job.phase is JobPhase.FINALIZED and set(job.active) <= {attempt.index}:
             self._ctx.fleet.jobs.pop(job.id, None)
 
     def record_run_time(self, attempt: Attempt, now: float) -> None:
-        """Learn from a task that ran to its end how long such tasks take."""
-        # An attempt that was first seen while it ran does not tell its whole duration.
+        """Record the run time of a completed task for the estimates."""
+        # For an attempt first observed while running, the start time is unknown.
         if attempt.start_channel is not StartChannel.OBSERVED and attempt.running_at is not None:
             self._admission.estimates.record_run(attempt.job, now - attempt.running_at)
 
-    # -- jobs end ------------------------------------------------------------------------------------
+    # -- finalization --------------------------------------------------------------------------------
 
     def _finalize(self, job: Job) -> None:
-        """Write the final state of a job whose tasks are all done."""
+        """Commit the final state of a job whose tasks are all done."""
         if job.phase is not JobPhase.ACTIVE:
             return
         job.phase = JobPhase.FINALIZING
@@ -111,7 +111,7 @@
         def on_committed(committed: bool) -> None:
             if committed:
                 self._ctx.outbound.job_finalized(job.id, JobStatus.DONE, job.spec.tasks)
-            # Otherwise it was finalized in another way, or by a repeat of this write: the watch tells which.
+            # Otherwise a cancellation or a retry of this commit finalized the job; the watch delivers which.
             self.handle_finalized(job.id)
 
         self._ctx.outbound.commit(
@@ -122,7 +122,7 @@
         )
 
     def handle_finalized(self, job_id: str) -> None:
-        """A job has its final state: its user cancelled it, or all of its tasks are done."""
+        """Stop the attempts and remove the records of a job that is cancelled or has completed all tasks."""
         self._finalized_ids.put(job_id, True)
         job = self._ctx.fleet.jobs.get(job_id)
         if job is None or job.phase is JobPhase.FINALIZED:
--- a/src/poppyhold/node/job_states.py
+++ b/src/poppyhold/node/job_states.py
@@ -1,4 +1,4 @@
-"""The states of jobs as users are told of them, read from the state service."""
+"""The job states that users receive, read from the state service."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from poppyhold.model.job_status import FinalState, JobStatus, TaskCounts
 from poppyhold.wire import field_names
 
-# Accepted jobs that are remembered, as a share of the final states that are.
+# Accepted job IDs kept per final state kept, as a divisor.
 _ACCEPTED_DIVISOR = 10
 
 
 class JobStates:
-    """Reads jobs' states. Safe for all threads that answer users."""
+    """Reads and caches job states. Thread-safe."""
 
     def __init__(
         self,
@@ -25,27 +25,27 @@
         task_counts: Callable[[str], TaskCounts | None],
         max_final_states: int,
     ) -> None:
-        """``task_counts`` tells a job's done and running tasks, for display."""
+        """``task_counts`` returns a job's done and running tasks, for display."""
         self._store, self._cancellations, self._task_counts = store, cancellations, task_counts
-        # Final states that the state service told: they never change. Nothing else that a user is told comes
-        # from what is kept here, so no node can give an older answer than another gave before.
+        # Durable final states, which never change. No other cached state is sent to users, so no node can
+        # return an older state than another node has returned before.
         self.final_states: BoundedDict[FinalState] = BoundedDict(max_final_states)
-        # Jobs that were accepted: only a hint for what to do first with a repeat.
+        # Accepted jobs; only a hint whether to read the state first when a submission is repeated.
         self._accepted: BoundedDict[bool] = BoundedDict(max_final_states // _ACCEPTED_DIVISOR)
 
     def record_accepted(self, job_id: str) -> None:
-        """Remember that a job was accepted, for repeats of its submission."""
+        """Record that a job was accepted, for repeats of its submission."""
         self._accepted.put(job_id, True)
 
     def probably_accepted(self, job_id: str) -> bool:
-        """Whether a submission of this active job is likely to be a repeat. It is only a hint."""
+        """Whether a submission of this job is probably a repeat. Only a hint."""
         return job_id in self._accepted or self._task_counts(job_id) is not None
 
     def read_status(self, job_id: str) -> dict[str, object] | None:
-        """A job's state as its user is told; None if the job was never accepted."""
+        """Return a job's state for its user; None if the job was never accepted."""
         final = self.final_states.get(job_id)
         if final is None:
-            # In this order: a job moves from the active ones to the final ones, and never back.
+            # In this order, as a job moves from active to final and never back.
             if self._store.get(ACTIVE_JOB_PREFIX + job_id) is not None:
                 return self.describe_active(job_id)
             final = self.read_final(job_id)
@@ -54,7 +54,7 @@
         return self.describe_final(job_id, final)
 
     def read_final(self, job_id: str) -> FinalState | None:
-        """The final state of a job that was found not to be active; None if it was never accepted."""
+        """Read the final state of a job that is not active; None if the job was never accepted."""
         entry = self._store.get(FINAL_JOB_PREFIX + job_id)
         if entry is None:
             return None
@@ -63,14 +63,14 @@
         return final
 
     def record_final(self, job_id: str, final: FinalState, revision: int) -> None:
-        """Remember a durable final state that its user is about to be told."""
-        # Before anybody is told, here or from what is kept: a leader that asks must be told of it first.
+        """Cache a durable final state before it is sent to the user."""
+        # First: a leader that pings this node must receive the cancellation before any user does.
         if final.status == JobStatus.CANCELLED:
             self._cancellations.add(job_id, revision)
         self.final_states.put(job_id, final)
 
     def describe_active(self, job_id: str) -> dict[str, object]:
-        """What the user of an active job is told."""
+        """Return the response body for an active job."""
         self.record_accepted(job_id)
         done, running = self._task_counts(job_id) or TaskCounts(0, 0)
         status = JobStatus.RUNNING if running else JobStatus.PENDING
@@ -78,6 +78,6 @@
 
     @staticmethod
     def describe_final(job_id: str, final: FinalState) -> dict[str, object]:
-        """What the user of a finalized job is told."""
+        """Return the response body for a finalized job."""
         done = final.tasks if final.status == JobStatus.DONE else 0
         return {field_names.NAME: job_id, "status": final.status, "done": done, "running": 0}
