--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -1,4 +1,4 @@
-"""One term of leading: the decision core, the threads that serve it, and how they are connected."""
+"""One term of leadership: the decision core, the threads that serve it, and their connections."""
 
 from __future__ import annotations
 
@@ -44,12 +44,12 @@
 
 log = logging.getLogger(__name__)
 
-# Share of the connections that workers may take before relays are wanted; the rest is for users.
+# Share of the connections that workers may use before the leader asks for relays; the rest is for users.
 DIRECT_SHARE = 0.85
 
 
 class NodeContext(Protocol):
-    """What a term uses of the node that leads."""
+    """The parts of the leading node that a term uses."""
 
     settings: Settings
     options: Options
@@ -63,18 +63,18 @@
 
     @property
     def peer_image_hints(self) -> ImageHints:
-        """The machines' images, as the last leader told them."""
+        """The images on each machine, as the last leader sent them."""
 
     def reject_heartbeat(self) -> HttpResponse:
-        """The answer to a heartbeat that the leader can't answer."""
+        """Return the response to a heartbeat that the leader can't answer."""
 
 
 class LeaderTerm:
     """Connects the decision core with its threads, from the election to the loss of leadership.
 
-    The parts own their threads: `loop` the decision thread, and the committer, the command dispatcher, the
-    cloud thread, the watch, the relay server and the quota endpoint one or more each. Methods of this class
-    that are passed to `loop` run on the decision thread; `stop` may be called from any thread.
+    The components own their threads: `loop` the decision thread; the committer, command dispatcher, cloud
+    dispatcher, watch, relay server and quota endpoint one or more each. Methods of this class that are passed
+    to `loop` run on the decision thread; `stop` may be called from any thread.
     """
 
     def __init__(self, node: NodeContext, term: Term) -> None:
@@ -83,7 +83,7 @@
         workers = settings.deployment.workers
         durations = Durations(settings, options)
         self.loop = DecisionLoop(settings.deployment.machine_limits.max_sockets, workers.heartbeat_interval_s)
-        self._committer = Committer(node.store, settings, term.key_revision, self._on_write_rejected)
+        self._committer = Committer(node.store, settings, term.key_revision, self._on_leader_key_lost)
         self._commands = CommandDispatcher(settings)
         members = [settings.member, *(known.member for known in settings.peers)]
         self.authority = Authority(durations.unconfirmed_renewal_s, members, term.began_at)
@@ -123,13 +123,13 @@
         )
         self.quota_endpoint = self._make_quota_endpoint()
         self._watch: Watch | None = None
-        # As of the last tick, for other threads.
+        # Snapshots of the last tick, for other threads.
         self.task_counts: dict[str, TaskCounts] = {}
         self.image_hints: ImageHints = {}
         self._start_loop()
 
     def _make_assignment(self, durations: Durations) -> Assignment:
-        """Who relays for whom, and whether relays are wanted at all."""
+        """Create the assignment of workers to relays, which also decides whether relays are used."""
         settings, relays = self._node.settings, self._node.options.relays
         connections = settings.deployment.machine_limits.connections
         return Assignment(
@@ -144,7 +144,7 @@
         )
 
     def _make_quota_endpoint(self) -> QuotaEndpoint | None:
-        """The term's side towards other cells; None where the fleet is one cell."""
+        """Create the endpoint for other cells; None in a fleet of one cell."""
         quota, cells = self.controller.quota, self._node.options.cells
         if quota is None or cells is None:
             return None
@@ -161,11 +161,11 @@
 
     @property
     def alive(self) -> bool:
-        """Whether the term still leads."""
+        """Whether the term is still current."""
         return self.loop.alive
 
     def stop(self) -> None:
-        """End the term: nothing of it is answered or sent from now on."""
+        """End the term: it answers and sends nothing from now on."""
         self.loop.stop()
         self._committer.stop()
         self._commands.stop()
@@ -179,25 +179,25 @@
         self.loop.reject_waiting()
 
     def answer_cell(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
-        """Answer another cell's leader or an operator; None: not in time."""
+        """Answer another cell's leader or an operator; None if that is not possible in time."""
         return self.quota_endpoint.answer(message, timeout_s) if self.quota_endpoint is not None else None
 
     # -- on the decision thread ----------------------------------------------------------------------
 
     def _prepare(self) -> bool:
-        """Rebuild the state, and start what brings news of it; False if the term is over."""
+        """Rebuild the state and start the sources of its changes; False if the term is over."""
         started_at = time.monotonic()
         try:
             snapshot = self._read_snapshot()
         except Exception:
-            # The top of the decision thread: a leader that can't read the state must let another one lead.
-            log.exception("snapshot failed")
-            self._node.election.resign("the state could not be read")
+            # A leader that can't read the state must let another controller lead.
+            log.exception("snapshot failed, resigning leadership")
+            self._node.election.resign("the snapshot of the state could not be read")
             return False
         if not self.loop.alive:
             return False
         read_at = time.monotonic()
-        # Before all else: relays whose workers wait connect while the rest is made ready.
+        # First, so that relays with waiting workers connect while the rest is prepared.
         self.relays.update_machines(snapshot.machines.keys())
         self.controller.load(snapshot, self._node.catalog.types.values(), dict(self._node.peer_image_hints))
         self._outbound.cloud = CloudDispatcher(
@@ -225,18 +225,18 @@
         return True
 
     def _read_snapshot(self) -> Snapshot:
-        """Read what is durable, as often as it takes; empty if the term is over before that."""
+        """Read the durable state, with retries; empty if the term ends before that."""
         reader = SnapshotReader(self._node.store, with_quota=self._node.options.cells is not None)
         while self.loop.alive:
             try:
                 return reader.read()
             except (StoreRejectedError, OutcomeUnknownError) as error:
-                log.debug("snapshot read failed: error=%s", error)
+                log.debug("snapshot read failed, will retry: error=%s", error)
                 time.sleep(self._node.store.timeout_s / 4)
         return Snapshot()
 
     def _tick(self) -> None:
-        """Do what depends on time alone, and publish what other threads read."""
+        """Do the periodic work, and update the state that other threads read."""
         self.controller.tick()
         self.cancellations.apply_own_cancellations()
         self.task_counts = self.controller.task_counts()
@@ -255,11 +255,11 @@
         if isinstance(change, Entry):
             self.loop.post(SUBMISSIONS, lambda: self.controller.handle_job_accepted(change))
         else:
-            # A cancellation is not a submission: it is acted on with the decisions.
+            # A removal is a cancellation or a finalization, which is handled before submissions.
             self.loop.post(DECISIONS, lambda: self.controller.handle_job_removed(change.key))
 
     def on_peer_response(self, pong: Pong, requested_at: float) -> None:
-        """Another controller answered our ping."""
+        """Handle another controller's response to a ping of this node."""
         self.cancellations.on_peer_response(pong, requested_at)
 
     def _on_machine_types(self, machine_types: list[MachineType]) -> None:
@@ -270,5 +270,5 @@
     def _on_machine_listing(self, listing: MachineListing) -> None:
         self.loop.post(DECISIONS, lambda: self.controller.handle_machine_listing(listing))
 
-    def _on_write_rejected(self) -> None:
-        self._node.election.step_down("a write was refused under our key")
+    def _on_leader_key_lost(self) -> None:
+        self._node.election.step_down("a commit failed the condition on the leader key")
--- a/src/poppyhold/node/machine_catalog.py
+++ b/src/poppyhold/node/machine_catalog.py
@@ -1,4 +1,4 @@
-"""The machine types that a controller knows, learned from the state service or the cloud."""
+"""The machine types known to a controller, read from the state service or the cloud."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class MachineCatalog:
-    """Machine types by name. Without any, a controller can neither judge jobs nor identify machines."""
+    """Machine types by name; without them a controller can neither validate jobs nor identify machines."""
 
     def __init__(self, store: Store, cloud: CloudClient, max_value_bytes: int, rng: random.Random) -> None:
         self._store, self._cloud, self._rng = store, cloud, rng
         self._max_value_bytes = max_value_bytes
         self.types: dict[str, MachineType] = {}
-        # What was last made durable of each type; prices are not.
+        # The fields of each type that were last written to the state service; prices are not stored.
         self._persisted: object = None
 
     def await_machine_types(self, stop: threading.Event) -> None:
-        """Ask the state service and the cloud in turn until machine types are known, or ``stop`` is set."""
+        """Query the state service and the cloud in turn until machine types are known or ``stop`` is set."""
         pause_s = self._store.timeout_s / 4
         while not self.types and not stop.is_set():
             try:
@@ -42,7 +42,7 @@
                     self.update(stored)
                     return
             except (StoreRejectedError, OutcomeUnknownError, MalformedError) as error:
-                log.debug("machine types not read: error=%s", error)
+                log.debug("reading machine types from the state service failed: error=%s", error)
             machine_types = self._cloud.fetch_machine_types()
             if machine_types:
                 self.update(machine_types)
@@ -50,11 +50,11 @@
             stop.wait(self._rng.uniform(pause_s, pause_s * 3))
 
     def update(self, machine_types: Iterable[MachineType]) -> None:
-        """Keep machine types, with their current prices."""
+        """Add or replace machine types, with their current prices."""
         self.types = {**self.types, **{machine_type.name: machine_type for machine_type in machine_types}}
 
     def persist(self) -> None:
-        """Make the types durable if they have changed, for nodes that start while the cloud is away."""
+        """Store the types if they have changed, for nodes that start while the cloud is unavailable."""
         persistent_fields = [
             (each.name, each.cpus, each.accelerators, each.memory_gb, tuple(each.zones))
             for each in self.types.values()
@@ -66,4 +66,4 @@
                 self._store.commit({}, [write])
             self._persisted = persistent_fields
         except (StoreRejectedError, OutcomeUnknownError, ConditionFailedError, LeaseExpiredError) as error:
-            log.debug("machine types not stored: error=%s", error)
+            log.debug("storing machine types failed: error=%s", error)
--- a/src/poppyhold/node/machine_lifecycle.py
+++ b/src/poppyhold/node/machine_lifecycle.py
@@ -1,4 +1,4 @@
-"""Whether a machine may take new tasks, and how work is moved off a machine that will go."""
+"""Availability of machines for new tasks, and draining of machines that will be removed."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from poppyhold.scheduling.admission import Admission
 from poppyhold.wire.worker_messages import TaskState
 
-# A preemption notice may last half as long as it says.
+# Share of a preemption notice that is relied on: a machine may go after half of it.
 _USABLE_NOTICE_RATIO = 0.5
 
 
 class MachineLifecycle:
-    """Offers machines to the scheduler, and drains them. Used on the decision thread only."""
+    """Offers machines to the scheduler, and drains them. Decision thread only."""
 
     def __init__(self, ctx: Context, admission: Admission, reconciler: AttemptReconciler) -> None:
         self._ctx, self._admission, self._reconciler = ctx, admission, reconciler
 
     def update_availability(self, machine: Machine) -> None:
-        """Offer a machine to the scheduler if it may take tasks, as its last heartbeat shows."""
+        """Offer a machine to the scheduler, or withdraw it, according to its last heartbeat."""
         usable = machine.is_up and machine.reconciled and not (machine.quarantined or machine.deleting)
         if usable and machine.preempted_at is None:
             self._admission.add_machine(machine)
@@ -30,11 +30,11 @@
             self._admission.remove_machine(machine)
 
     def handle_removed(self, machine: Machine) -> None:
-        """A machine does not exist any more."""
+        """Handle a machine that no longer exists."""
         self._admission.remove_machine(machine)
 
     def drain_all(self, now: float) -> None:
-        """Move work off every machine that got a preemption notice or is quarantined."""
+        """Drain every machine that has a preemption notice or is quarantined."""
         for machine in self._ctx.fleet.machines.values():
             if (machine.preempted_at is None and not machine.quarantined) or machine.deleting:
                 continue
@@ -53,35 +53,35 @@
 
     @staticmethod
     def _remaining_s(machine: Machine, now: float) -> float:
-        """How long the machine can be counted on; infinite where there is no notice."""
+        """Return how long the machine can be relied on; infinite without a preemption notice."""
         if machine.preempted_at is None or machine.preemption_notice_at is None:
             return math.inf
         notice_s = machine.preempted_at - machine.preemption_notice_at
         return notice_s * _USABLE_NOTICE_RATIO - (now - machine.preemption_notice_at)
 
     def _grace_s(self, attempt: Attempt) -> float:
-        """How long a task that is moved may take to save a checkpoint."""
+        """Return the time that a task gets to save a checkpoint before it is stopped."""
         spec = attempt.job.spec
         if spec.checkpoint_s <= 0:
             return 0.0
         return spec.save_s + self._ctx.durations.heartbeat_interval_s
 
     def _drain_gang(self, attempt: Attempt, remaining_s: float, now: float) -> None:
-        """Move one task of a gang that assembles; a gang that runs is stopped as a whole."""
+        """Stop a single task of an assembling gang; stop a running gang as a whole."""
         gangs, job = self._reconciler.lifecycle.gangs, attempt.job
         if gangs.state_of(job) is GangState.ASSEMBLING:
             self._reconciler.lifecycle.stop(attempt, 0.0, now)
         else:
-            # Where saving takes longer than is left, progress is lost in any case: better start again sooner.
+            # If a checkpoint takes longer than the time left, progress is lost anyway: restart at once.
             gangs.stop(job, now, grace_s=0.0 if remaining_s < job.spec.save_s else None)
 
     def _must_move(self, attempt: Attempt, remaining_s: float, now: float) -> bool:
-        """Whether an attempt has to be stopped now, as it can't end on this machine."""
+        """Whether to stop an attempt now because it can't complete on this machine."""
         job = attempt.job
         if job.is_service or attempt.status in (TaskState.SENT, TaskState.FETCHING, TaskState.WAITING):
             return True
         if remaining_s == math.inf:
-            # The machine is at fault: whatever runs there had better start again elsewhere.
+            # The machine is at fault: its tasks restart elsewhere.
             return True
         elapsed_s = now - attempt.running_at if attempt.running_at is not None else 0.0
         needed_s = max(0.0, self._admission.estimates.estimate_s(job) - elapsed_s)
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -1,4 +1,4 @@
-"""What a controller tells its peers, what it learns from them, and how that moves leadership."""
+"""Messages that a controller exchanges with its peers, and changes of leadership that follow from them."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 from poppyhold.relay.messages import RelayHello
 from poppyhold.settings import Settings
 
-# Jobs whose counts are kept of the leader's, for each MB of memory that the controller may take.
+# Jobs whose task counts are kept from the leader's pings, per MB of the controller's memory limit.
 _COUNTS_PER_RAM_MB = 100
-# A refused connection to the leader deposes it by itself once in so many leases.
+# A refused connection alone expires the leader's lease at most once in so many worker leases.
 _REFUSAL_INTERVAL_LEASES = 6
 
 
 class Membership:
-    """Pings and their answers, as the node's part in the cluster; `Peers` carries them."""
+    """Composes and handles pings and pongs; `Peers` transports them."""
 
     def __init__(
         self,
@@ -54,45 +54,45 @@
         self._misdirected_workers = misdirected_workers
         self._leader_term, self._store_contact_at = leader_term, store_contact_at
         self._better_connected_after_s = Durations(settings, options).delegated_renewal_after_s
-        # The leader's counts of tasks, and its machines' images.
+        # Task counts by job and images by machine, from the leader's pings.
         self._peer_counts: dict[str, TaskCounts] = {}
         self.peer_image_hints: ImageHints = {}
-        # When we last deposed a leader that refused connections.
+        # When this node last expired the lease of a leader that refused connections.
         self._lease_expired_at = float("-inf")
-        # A leader whose process answered, and did not lead.
+        # The leader, if its last pong said that it does not lead.
         self._suspected_leader: Leader | None = None
         self._quota_server = quota_server
         self.peers = Peers(settings, self, quota_server.max_connections)
 
     def should_yield(self) -> bool:
-        """Whether another controller should campaign before this one."""
+        """Whether a better connected controller should campaign before this one."""
         return self.peers.connectivity.better_connected_peer() is not None
 
     def task_counts(self, job_id: str) -> TaskCounts | None:
-        """A job's done and running tasks, as the leader knows them."""
+        """Return a job's done and running tasks, as this node's term or the leader's pings list them."""
         leader_term = self._leader_term()
         counts = leader_term.task_counts if leader_term is not None else self._peer_counts
         return counts.get(job_id)
 
-    # -- what we tell --------------------------------------------------------------------------------
+    # -- outgoing messages ---------------------------------------------------------------------------
 
     def led_task_counts(self) -> dict[str, TaskCounts]:
-        """The counts of our jobs' tasks, if we lead; they go with our pings."""
+        """Return the task counts by job for outgoing pings; empty unless this node leads."""
         leader_term = self._leader_term()
         return leader_term.task_counts if leader_term is not None else {}
 
     def led_image_hints(self) -> ImageHints:
-        """The images of our machines, if we lead; they go with our pings."""
+        """Return the images by machine for outgoing pings; empty unless this node leads."""
         leader_term = self._leader_term()
         return leader_term.image_hints if leader_term is not None else {}
 
     def delegation_tracker(self) -> DelegationTracker | None:
-        """What notes to whom we delegated lease renewals, if we lead."""
+        """Return the tracker of delegated lease renewals; None unless this node leads."""
         leader_term = self._leader_term()
         return leader_term.delegations if leader_term is not None else None
 
     def compose_ping(self) -> Ping:
-        """What this controller is and knows, without the entries that each peer gets in pieces."""
+        """Compose a ping without task counts and image hints, which each peer gets in batches."""
         term = self._election.term
         state_age_s = time.monotonic() - self._store_contact_at()
         workers = len(self._misdirected_workers.recent())
@@ -116,11 +116,11 @@
         )
 
     def _confirmed_cancellations(self) -> tuple[list[Cancellation], int]:
-        """Cancellations that we confirmed to users, as `Cancellations.report` says."""
+        """Return the cancellations that this node confirmed to users, see `Cancellations.summarize`."""
         return self._user_api.cancellations.summarize(self._election.watch.first_revision)
 
     def handle_ping(self, ping: Ping) -> Pong:
-        """Learn from another controller's ping, and answer it."""
+        """Apply another controller's ping, and return the pong."""
         if ping.leading:
             self._apply_leader_ping(ping)
         own = self.compose_ping()
@@ -129,7 +129,7 @@
         misdirected = self._misdirected_workers.recent() if ping.leading else []
         if ping.leading and ping.acted_on_revision >= 0:
             self._user_api.cancellations.acknowledge(ping.acted_on_revision)
-            # Read after `own`: what is confirmed in between is listed as well.
+            # Read after `own`, so that cancellations confirmed in between are listed.
             listed, unlisted_revision = self._confirmed_cancellations()
         return Pong(
             own.member,
@@ -144,7 +144,7 @@
             self.peers.connectivity.reachable_peers(),
         )
 
-    # -- what we learn -------------------------------------------------------------------------------
+    # -- incoming messages ---------------------------------------------------------------------------
 
     def _apply_leader_ping(self, ping: Ping) -> None:
         self._election.observe_fencing_token(ping.fencing_token)
@@ -163,52 +163,52 @@
             self.peer_image_hints.pop(next(iter(self.peer_image_hints)))
 
     def handle_pong(self, pong: Pong, requested_at: float) -> None:
-        """Learn from the answer to our ping, which was sent at ``requested_at``."""
+        """Apply a peer's response to a ping that was sent at ``requested_at``."""
         if pong.leading:
             self._election.observe_fencing_token(pong.fencing_token)
             return
-        # Only from one that does not lead: what a leader confirmed does not bound what others confirm during
-        # its term.
+        # Only from a peer that does not lead: a leader's bound does not cover what others confirm during its
+        # term.
         leader_term = self._leader_term()
         if leader_term is not None:
             leader_term.on_peer_response(pong, requested_at)
             self._transfer_to_better_connected_peer()
         self._check_stale_leader_key(pong)
 
-    # -- who leads -----------------------------------------------------------------------------------
+    # -- changes of leadership -----------------------------------------------------------------------
 
     def _check_stale_leader_key(self, pong: Pong) -> None:
-        """Depose a leader whose process runs and leads nothing: the key is that of a process before it."""
+        """Expire the lease of a leader that restarted: the key belongs to its previous process."""
         leader = self._election.leader
         if leader is None or leader.member != pong.member or pong.fencing_token:
             return
         if self._suspected_leader == leader:
-            # Told twice, so it is not that the answer and the election crossed.
+            # Two pongs in a row rule out that the first one was sent just before the election.
             self._suspected_leader = None
             self._election.expire_lease(leader)
         else:
             self._suspected_leader = leader
 
     def _transfer_to_better_connected_peer(self) -> None:
-        """Let a controller lead that reaches more of the others than we do.
+        """Transfer leadership to a controller that reaches more of the others than this one.
 
-        Two zones that cannot reach each other while both reach a third: a leader in one of the two lost all
-        tasks of the other one to their leases, and could not tell for half a minute what still ran there.
+        If two zones can't reach each other while both reach a third, a leader in one of the two loses all
+        tasks of the other to expired leases, and does not know for half a minute which of them still run.
         """
         better = self.peers.connectivity.better_connected_peer(self._better_connected_after_s)
         view = self.peers.views.get(better) if better is not None else None
-        # The next leader must be able to lead: it heard from the state service lately.
+        # The next leader must have had recent contact with the state service.
         if view is not None and time.monotonic() - view.store_contact_at < self._election.lease_ttl_s:
             self._election.transfer_leadership(f"{better} reaches more controllers")
 
     def on_connection_refused(self, member: str) -> None:
-        """A controller's host refused our connection: if it leads, its process may be gone."""
+        """Handle a refused connection to a controller: if it leads, its process may be gone."""
         leader = self._election.leader
         if leader is None or leader.member != member or self._election.term is not None:
             return
-        # A refusal alone proves nothing: a packet filter between controllers refuses as well, and three
-        # nodes that each depose whomever they can't reach would never let one lead. So a refusal suffices
-        # once in several leases, and otherwise only if workers have turned away from the leader too.
+        # A refusal alone proves nothing: a packet filter refuses as well, and three nodes that each expire
+        # every leader they can't reach would leave the fleet without one. So a refusal is sufficient once
+        # in several leases, and otherwise only if workers have also left the leader.
         now = time.monotonic()
         lease_s = self._settings.deployment.workers.lease_s
         since_last_s = now - self._lease_expired_at
@@ -220,12 +220,12 @@
     # -- relays --------------------------------------------------------------------------------------
 
     def _accepts_relays(self, leader_term: LeaderTerm) -> bool:
-        """Whether a term takes relays; before it knows how many machines there are, as the last one."""
+        """Whether a term accepts relays; before it knows the number of machines, as the last leader did."""
         relays = leader_term.relays
         return relays.relays_wanted or (not relays.knows_machines and self._forwarder.is_wanted())
 
     def serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
-        """Serve a relay's connection for as long as it lasts, if our term takes relays."""
+        """Serve a relay's connection until it ends, if this node's term accepts relays."""
         leader_term = self._leader_term()
         if leader_term is not None and self._accepts_relays(leader_term):
             leader_term.relays.serve(connection, hello)
--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -1,4 +1,4 @@
-"""The decision core's outbound port, connected with the threads that do I/O for it."""
+"""The decision core's outbound port, connected to the threads that do its I/O."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class OutboundAdapter:
-    """Implements `OutboundPort`: requests go to their threads, outcomes to the decision thread."""
+    """Implements `OutboundPort`: passes requests to I/O threads and outcomes to the decision thread."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._loop, self._election, self._authority = loop, election, authority
         self._delegations, self._committer, self._commands = delegations, committer, commands
         self._user_api, self._peers = user_api, peers
-        # Set once the state is rebuilt. Before that no machine is launched or deleted.
+        # None until the state is rebuilt: before that no machine is launched or deleted.
         self.cloud: CloudDispatcher | None = None
 
     # -- requests ------------------------------------------------------------------------------------
@@ -87,7 +87,7 @@
         if self.cloud is not None:
             self.cloud.delete(names, post_outcome)
 
-    # -- news ----------------------------------------------------------------------------------------
+    # -- notifications -------------------------------------------------------------------------------
 
     def leadership_lost(self, fencing_token: int) -> None:
         """See `OutboundPort`."""
@@ -99,14 +99,14 @@
 
     def resign(self, reason: str) -> None:
         """See `OutboundPort`."""
-        # The request that gives the lease up must not hold up the decision thread.
+        # The request that revokes the lease must not block the decision thread.
         threading.Thread(target=self._election.resign, args=(reason,), daemon=True).start()
 
     def job_finalized(self, job_id: str, status: str, tasks: int) -> None:
         """See `OutboundPort`."""
         self._user_api.job_states.final_states.put(job_id, FinalState(status, tasks))
 
-    # -- questions -----------------------------------------------------------------------------------
+    # -- queries -------------------------------------------------------------------------------------
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
         """See `OutboundPort`."""
@@ -115,7 +115,7 @@
     def may_start_tasks(self) -> bool:
         """See `OutboundPort`."""
         now = time.monotonic()
-        # Both our leadership and our knowledge of cancellations must be fresh.
+        # Both the confirmation of leadership and the watch, which delivers cancellations, must be recent.
         return (
             self._loop.alive
             and now - self._election.confirmed_at < self._election.lease_ttl_s
--- a/src/poppyhold/node/readiness.py
+++ b/src/poppyhold/node/readiness.py
@@ -1,4 +1,4 @@
-"""The readiness check: whether the load balancer should send users to this controller."""
+"""The readiness check: whether the load balancer should route users to this controller."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from poppyhold.settings import Settings
 from poppyhold.wire.http_server import HttpResponse, http_response
 
-# A node is not ready if a peer heard from the state service later than it did by this share of a lease.
+# Maximum lag of a ready node's last contact with the state service behind any peer's, as a share of a lease.
 _MAX_LAG_RATIO = 0.35
 
 
@@ -34,11 +34,11 @@
         self._started_at = time.monotonic()
 
     def store_contact_at(self) -> float:
-        """When the state service last answered us; when we started, if it has not yet."""
+        """Return when the state service last answered this node, or else when the node started."""
         return max(self._store.contact_at, self._started_at)
 
     def check(self) -> HttpResponse:
-        """200 if users may be sent here, else 503; a leader tells the state of its quota allocations."""
+        """Return 200 if this node can serve users, else 503; a leader adds the health of its quota shares."""
         if not self._catalog.types or self._lags_behind_peers():
             return http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not ready"}, Retry_After="1")
         body: dict[str, object] = {"member": self._member}
@@ -49,11 +49,10 @@
         return http_response(HTTPStatus.OK, body)
 
     def _lags_behind_peers(self) -> bool:
-        """Whether we alone have lost the state service.
+        """Whether this node has lost the state service while a peer has not.
 
-        In an outage every node is as good as another, and none may say otherwise: balancers are slow to take
-        a node back. Nodes hear from the state service at different moments, so only a clear lead of a peer
-        counts.
+        In an outage of the state service all nodes stay ready, as load balancers are slow to readmit a node.
+        Nodes contact the state service at different times, so only a lag above the threshold counts.
         """
         own_contact_at = self.store_contact_at()
         return any(
--- a/src/poppyhold/node/request_router.py
+++ b/src/poppyhold/node/request_router.py
@@ -1,4 +1,4 @@
-"""Which part of a controller answers which HTTP request."""
+"""Routing of HTTP requests to the components of a controller."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         self._handle_heartbeat, self._check_readiness = handle_heartbeat, check_readiness
 
     def route(self, method: str, path: str, body: bytes) -> HttpResponse | DeferredResponse:
-        """Answer a request."""
+        """Answer a request; 404 or 405 if no route matches."""
         path = path.partition("?")[0]
         if path == "/hello":
             return self._handle_heartbeat(body) if method == "POST" else _method_not_allowed("POST")
--- a/src/poppyhold/node/scheduling_cycle.py
+++ b/src/poppyhold/node/scheduling_cycle.py
@@ -1,4 +1,4 @@
-"""When the scheduler runs: cycles over all that waits, with rests in between."""
+"""Timing of the scheduler: cycles over all waiting tasks, with pauses in between."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from poppyhold.scheduling.dispatch import Dispatcher
 from poppyhold.scheduling.quotas import Quotas
 
-# A cycle is followed by a rest of so many times its own duration: cycles take a seventh of the time at most.
+# Pause after a cycle, as a multiple of the cycle's duration: cycles take at most a seventh of the time.
 _PAUSE_RATIO = 6
-# Bounds of that rest: the heartbeat interval divided by these.
+# Bounds of the pause, as divisors of the heartbeat interval.
 _MIN_PAUSE_DIVISOR = 25
 _MAX_PAUSE_DIVISOR = 2
 
 
 class SchedulingCycle:
-    """Runs the dispatcher when something has changed, at a bounded share of the decision thread's time.
+    """Runs the dispatcher after changes, within a bounded share of the decision thread's time.
 
-    Events gather between cycles. Those of a large fleet come so fast that cycles without a rest would take
-    all the time that heartbeats leave.
+    Events accumulate between cycles. In a large fleet they are so frequent that cycles without a pause would
+    take all the time that heartbeats leave.
     """
 
     def __init__(
@@ -31,15 +31,15 @@
         self._next_cycle_at = float("-inf")
 
     def mark_guarantees_stale(self) -> None:
-        """Which jobs are guaranteed is found out anew in the next cycle."""
+        """Recompute in the next cycle which jobs are guaranteed."""
         self._guarantees_stale = True
 
     def due_at(self) -> float | None:
-        """The moment from which on the next cycle may run; None if nothing is to be scheduled."""
+        """Return the earliest time of the next cycle; None if there is nothing to schedule."""
         return self._next_cycle_at if self._ctx.scheduling_needed else None
 
     def run_if_due(self) -> None:
-        """Start what may start, if something has changed and the rest after the last cycle is over."""
+        """Run a cycle if something has changed and the pause after the last cycle is over."""
         ctx = self._ctx
         started_at = ctx.clock()
         if (
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -1,4 +1,4 @@
-"""One controller node: its parts, and how they are connected."""
+"""One controller node: its components and their connections."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
 from poppyhold.settings import Settings
 from poppyhold.wire.http_server import HttpResponse, HttpServer
 
-# More misdirected workers would not fit into a message between controllers.
+# Limit of misdirected workers, by the size of a message between controllers.
 _MAX_MISDIRECTED_WORKERS = 20_000
 
 
 class Node:
-    """A controller: it serves users and workers, talks to its peers, and leads when elected."""
+    """A controller: serves users and workers, exchanges messages with its peers, leads when elected."""
 
     def __init__(self, settings: Settings, options: Options) -> None:
         self.settings, self.options = settings, options
         workers, limits = settings.deployment.workers, settings.deployment.machine_limits
         self.rng = random.Random()
-        # The external systems, and what is read of them.
+        # External systems and the data read from them.
         self.store = Store(settings)
         self.cloud = CloudClient(settings)
         self.catalog = MachineCatalog(
             self.store, self.cloud, settings.deployment.state.lowest.value_bytes, self.rng
         )
         self.user_api = UserApi(settings, self.store, lambda: self.catalog.types, self._task_counts)
-        # The current term, and who leads.
+        # The current term, and the election.
         self._leader_term: LeaderTerm | None = None
         self._leader_term_lock = threading.Lock()
         self._stop = threading.Event()
@@ -59,7 +59,7 @@
             self._should_yield,
             self.rng,
         )
-        # Heartbeats, whoever leads.
+        # Heartbeats, on the leader and on other controllers.
         delegated_renewal = DelegatedRenewals(
             Durations(settings, options), settings.deployment.skew_ms / 1000, time.monotonic, time.time
         )
@@ -76,7 +76,7 @@
             self._is_unreachable,
             self.rng,
         )
-        # Peers, and the HTTP server.
+        # Peers and the HTTP server.
         readiness = ReadinessCheck(
             settings, self.store, self.catalog, lambda: self.peers.views, self._current_term
         )
@@ -97,7 +97,7 @@
             split_address(settings.client_listen),
             RequestRouter(self.user_api, self._heartbeats.handle, readiness.check).route,
             limits.connections,
-            # A worker that has been silent for a lease reports somewhere else, or over a new connection.
+            # Idle time-out: a worker silent for a lease uses another controller or a new connection.
             workers.lease_s,
         )
 
@@ -107,14 +107,14 @@
         self.peers.start()
         self._heartbeats.forwarder.start()
         self.election.watch.start()
-        # Without machine types a leader could neither judge jobs nor know machines.
+        # A leader needs machine types to validate jobs and to identify machines.
         self.catalog.await_machine_types(self._stop)
         if not self._stop.is_set():
             self.election.start()
         self._stop.wait()
 
     def stop(self) -> None:
-        """End every thread."""
+        """Stop all threads of the node."""
         self._stop.set()
         self.election.stop()
         self.peers.stop()
@@ -124,7 +124,7 @@
     # -- the current term ----------------------------------------------------------------------------
 
     def _current_term(self) -> LeaderTerm | None:
-        """Our term of leading; None if we don't lead."""
+        """Return this node's term; None if it does not lead."""
         return self._leader_term
 
     def _on_elected(self, term: Term) -> None:
@@ -139,18 +139,18 @@
             if leader_term is not None:
                 leader_term.stop()
 
-    # -- what a term uses of the node, see `NodeContext` -----------------------------------------------
+    # -- `NodeContext` -------------------------------------------------------------------------------
 
     @property
     def peer_image_hints(self) -> ImageHints:
-        """The machines' images, as the last leader told them."""
+        """The images on each machine, as the last leader sent them."""
         return self._membership.peer_image_hints
 
     def reject_heartbeat(self) -> HttpResponse:
-        """The answer to a heartbeat that the leader can't answer."""
+        """Return the response to a heartbeat that the leader can't answer."""
         return self._heartbeats.reject()
 
-    # -- parts that are made before the parts that they use ----------------------------------------------
+    # -- callbacks of components that are constructed before those that they call ---------------------
 
     def _should_yield(self) -> bool:
         return self._membership.should_yield()
--- a/src/poppyhold/node/state_loader.py
+++ b/src/poppyhold/node/state_loader.py
@@ -1,4 +1,4 @@
-"""The start of a term: the core's state is rebuilt from what earlier leaders made durable."""
+"""Rebuilding of the core's state at the start of a term, from the records of earlier leaders."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class StateLoader:
-    """Rebuilds jobs, machines and launches from a snapshot; workers' heartbeats then tell what runs."""
+    """Rebuilds jobs, machines and launches from a snapshot; running tasks come with workers' heartbeats."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._completions, self._failures = completions, failures
 
     def load(self, snapshot: Snapshot, now: float) -> None:
-        """Load all records of the snapshot but those of quotas; ``now`` is when the load began."""
+        """Load all records of the snapshot except quotas; ``now`` is the start time of the load."""
         for name, data in snapshot.machines.items():
             self._load_machine(name, data, now)
         for name, data in snapshot.launches.items():
@@ -44,7 +44,7 @@
             self._reconciler.lifecycle.commands.request_heartbeat(machine, now)
 
     def _load_machine(self, name: str, data: Data, now: float) -> None:
-        """A machine that may hold tasks of earlier terms."""
+        """Load a machine, which may run tasks of earlier terms, as unreconciled."""
         record = convert(data, MachineRecord)
         self._ctx.machine_types.setdefault(record.machine_type.name, record.machine_type)
         machine = Machine(name, record.machine_type, record.zone, record.spot, known_since=now)
@@ -62,7 +62,7 @@
                 self._admission.records.load(job, snapshot.plans[job.id])
                 self._failures.load(job)
         for job_id in snapshot.plans.keys() - jobs.keys():
-            # The job was finalized before its plan was removed.
+            # The job was finalized, but its plan was not removed.
             self._admission.records.remove(job_id)
         for prefix, records in snapshot.done.items():
             self._completions.load(prefix, records)
--- a/src/poppyhold/node/submission_policy.py
+++ b/src/poppyhold/node/submission_policy.py
@@ -1,4 +1,4 @@
-"""Which submissions can never run, and what is stored of those that are accepted."""
+"""Rejection of submissions that can never run, and the records of accepted ones."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class SubmissionPolicy:
-    """Judges submissions by the teams' limits, the machine types, and the size of records."""
+    """Checks submissions against the teams' limits, the machine types, and the maximum record size."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._quotas = Quotas(deployment.teams)
         self._max_record_bytes = deployment.state.lowest.value_bytes
 
     def infeasible_reason(self, spec: Submission, machine_types: dict[str, MachineType]) -> str | None:
-        """Why a job can never run, or None if it may."""
+        """Return why a job can never run; None if it can."""
         if not self._quotas.is_known(spec.team):
             return "unknown team"
-        # The tasks of an array may run one after the other.
+        # The tasks of an array can run one after another.
         tasks = 1 if spec.shape == "array" else spec.tasks
         if not self._quotas.fits_limit(spec.team, (spec.cpus, spec.accelerators, spec.memory_gb), tasks):
             return "above the team's limit"
@@ -36,12 +36,12 @@
         return None
 
     def make_record(self, spec: Submission, machine_types: dict[str, MachineType]) -> Data:
-        """What is stored of a submission; a list of machine types too long for it keeps those that exist."""
+        """Make the record of a submission; a list of machine types too long for it keeps existing ones."""
         data: Data = {"spec": msgspec.to_builtins(spec), "at": time.time()}
         if spec.machine_types is not None and not self.can_store(data):
             data["spec"][field_names.MACHINE_TYPES] = sorted(machine_types.keys() & set(spec.machine_types))
         return data
 
     def can_store(self, data: Data) -> bool:
-        """Whether a record is within the state service's limit, now and when it is lowered."""
+        """Whether a record fits into the state service's lowest size limit, current or announced."""
         return stored_bytes(data) <= self._max_record_bytes
--- a/src/poppyhold/node/user_api.py
+++ b/src/poppyhold/node/user_api.py
@@ -1,4 +1,4 @@
-"""The users' interface: any node serves them, and the state service alone decides what is true."""
+"""The users' interface: served by every node, with the state service as the only source of truth."""
 
 from __future__ import annotations
 
@@ -36,31 +36,31 @@
 log = logging.getLogger(__name__)
 
 _MAX_ATTEMPTS = 3
-# Users wait five seconds for an answer: no attempt begins later than this, as one takes up to two of them.
+# Latest start of an attempt: users time out after five seconds, and an attempt takes up to two.
 _LAST_ATTEMPT_START_S = 2.0
-# Users wait two seconds for the answer to a query.
+# Users time out after two seconds on a query.
 _QUERY_TIMEOUT_S = 1.5
-# Queries that come within this share of a heartbeat interval are answered together.
+# Queries within this share of a heartbeat interval are answered in one batch.
 _BATCH_WINDOW_RATIO = 0.05
-# Share of the state service's requests that all controllers together spend on queries. Without a bound five
-# controllers took twice what it allows, and submissions, decisions and renewals were refused beside them.
+# Share of the state service's request limit that the queries of all controllers may take. Without it, queries
+# of five controllers took twice the limit, and submissions, decisions and renewals were rejected.
 _QUERY_REQUEST_SHARE = 0.4
-# More cancellations than this would not fit into a message between controllers.
+# Limit of listed cancellations, by the size of a message between controllers.
 _MAX_LISTED_CANCELLATIONS = 10_000
-# Final states that are remembered, for each MB of memory that the controller may take.
+# Cached final states per MB of the controller's memory limit.
 _FINAL_STATES_PER_RAM_MB = 100
-# Requests that may use the state service at once: at least so many.
+# Minimum number of concurrent requests to the state service.
 _MIN_STORE_SLOTS = 8
 
 
 def _query_rate_limiter(deployment: Deployment) -> RateLimiter:
-    """How fast one controller may ask the state service for its users' queries."""
+    """Return the limiter of one controller's requests to the state service for queries."""
     per_second = deployment.state.lowest.rps * _QUERY_REQUEST_SHARE / deployment.controllers
     return RateLimiter(per_second, burst=per_second * _BATCH_WINDOW_RATIO * 2)
 
 
 class UserApi:
-    """Submissions, queries and cancellations. Safe for all connection threads."""
+    """Submissions, queries and cancellations. Thread-safe."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         clock: Callable[[], float] = time.monotonic,
         reads: BatchedJobReads | None = None,
     ) -> None:
-        """``task_counts`` tells a job's done and running tasks; ``reads`` whether it is active."""
+        """``task_counts`` returns a job's done and running tasks; ``reads`` tells whether it is active."""
         limits = settings.deployment
         self._store, self._machine_types, self._clock = store, machine_types, clock
         self._retry_after_s = max(1, round(limits.workers.heartbeat_interval_s))
@@ -82,7 +82,7 @@
             rate_limiter=_query_rate_limiter(limits),
         )
         self._policy = SubmissionPolicy(limits)
-        # As many are named as the state service can take within the time that each of them has.
+        # At most as many as the state service can write within the time limit of a cancellation.
         self.cancellations = Cancellations(
             min(int(limits.state.write_rps * limits.workers.cancel_s), _MAX_LISTED_CANCELLATIONS)
         )
@@ -92,7 +92,7 @@
             task_counts,
             int(limits.machine_limits.ram_mb * _FINAL_STATES_PER_RAM_MB),
         )
-        # More at once than this would only wait for the state service's limit.
+        # More concurrent requests would only wait for the state service's rate limit.
         self._slots = threading.BoundedSemaphore(max(_MIN_STORE_SLOTS, int(limits.state.rps / 2)))
 
     # -- submissions ---------------------------------------------------------------------------------
@@ -109,7 +109,7 @@
         machine_types = self._machine_types()
         reason = self._policy.infeasible_reason(spec, machine_types)
         if reason is not None or not machine_types:
-            # A repeat of an accepted job is answered with its state, whatever we think of it now.
+            # A repeat of an accepted job is answered with its state, even if it would be rejected now.
             known = self.job_states.read_status(spec.name)
             if known is not None:
                 return http_response(HTTPStatus.OK, known)
@@ -122,9 +122,9 @@
         return self._store_submission(spec, data)
 
     def _reject_too_long(self, spec: Submission) -> HttpResponse:
-        """The submission can never be stored, so that its user need not try again.
+        """Reject a submission that can never be stored, so that its user does not retry.
 
-        An earlier version may have stored it, under larger limits.
+        If an earlier version stored it under larger limits, its state is returned instead.
         """
         known = self.job_states.read_status(spec.name)
         if known is not None:
@@ -132,8 +132,8 @@
         return http_response(HTTPStatus.BAD_REQUEST, {"error": "too long"})
 
     def _store_submission(self, spec: Submission, data: Data) -> HttpResponse:
-        # A condition that fails counts against the limit of changes like a change: users that repeat what is
-        # known to be accepted must not eat up what decisions need.
+        # A failed condition counts against the state service's write limit: repeats of accepted submissions
+        # must not use up the writes that decisions need.
         read_status_first = self.job_states.probably_accepted(spec.name)
         for _ in self._attempts():
             if read_status_first or self.job_states.final_states.get(spec.name) is not None:
@@ -146,13 +146,13 @@
                     [Put(ACTIVE_JOB_PREFIX + spec.name, data)],
                 )
             except OutcomeUnknownError:
-                # It may have gone through: the next attempt will tell.
+                # The commit may have succeeded: the next attempt finds out.
                 continue
             except InvalidRequestError as error:
-                log.warning("submission refused: job=%s error=%s", spec.name, error)
+                log.warning("submission rejected by the state service: job=%s error=%s", spec.name, error)
                 return self._reject_too_long(spec)
             except ConditionFailedError:
-                # It exists, perhaps by our own attempt before: its user is told of its present state.
+                # The job exists, perhaps from an earlier attempt of this request: return its current state.
                 read_status_first = True
             else:
                 self.job_states.record_accepted(spec.name)
@@ -170,11 +170,11 @@
         final = self.job_states.final_states.get(job_id)
         if final is not None:
             return http_response(HTTPStatus.OK, self.job_states.describe_final(job_id, final))
-        # A shared read takes no slot: it costs the state service the same for any number of queries.
+        # A batched read needs no slot: its cost to the state service does not grow with the queries.
         return self._or_try_later(lambda: self._poll(job_id))
 
     def _poll(self, job_id: str) -> HttpResponse:
-        # In this order: a job moves from the active ones to the final ones, and never back.
+        # In this order, as a job moves from active to final and never back.
         if self._reads.is_active(job_id):
             return http_response(HTTPStatus.OK, self.job_states.describe_active(job_id))
         return self._with_slot(lambda: self._poll_final(job_id))
@@ -210,7 +210,7 @@
                     final_writes(job_id, JobStatus.CANCELLED, tasks),
                 )
             except (ConditionFailedError, OutcomeUnknownError):
-                # The job changed, or may have been cancelled by this attempt: look again.
+                # The job changed, or this attempt may have cancelled it: read its state again.
                 continue
             self.job_states.record_final(job_id, FinalState(JobStatus.CANCELLED, tasks), revision)
             return http_response(HTTPStatus.OK, {field_names.NAME: job_id, "status": JobStatus.CANCELLED})
@@ -219,12 +219,12 @@
     # -- limits and retries --------------------------------------------------------------------------
 
     def _attempts(self) -> Iterator[int]:
-        """A few attempts, none of which begins when its user may be gone before it ends."""
+        """Yield a few attempts, none of which starts if its user could time out before it ends."""
         began_at = self._clock()
         return (number for number in range(_MAX_ATTEMPTS) if self._clock() - began_at < _LAST_ATTEMPT_START_S)
 
     def _with_slot(self, work: Callable[[], HttpResponse]) -> HttpResponse:
-        # What can't be taken is answered at once, with a time to come back: nobody waits for a slot.
+        # Without a free slot the request is rejected at once, with a time to retry.
         if not self._slots.acquire(blocking=False):
             return self._try_later(HTTPStatus.TOO_MANY_REQUESTS)
         try:
