--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -27,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 # Units of a transaction, at the most: one whose condition fails makes all of them be committed one by one.
-_MOST_UNITS = 8
+_MAX_UNITS = 8
 # The state service allows so many conditions for each write of a transaction.
 _CONDITIONS_PER_WRITE = 4
 # Conditions of every transaction of a leader: on its key and on its write fence.
@@ -56,12 +56,14 @@
         self._writer = FencedWriter(store, leader_key_revision)
         self._on_leadership_lost = on_leadership_lost
         limits = settings.deployment.state.lowest
-        self._most_writes = limits.txn_ops
+        self._max_writes = limits.txn_ops
         # Two thirds of the writes: the rest is for the users' nodes and the election. A burst of a third of a
         # second's worth goes out at once.
-        self._pace = RateLimiter(limits.write_rps / 1.5, burst=self._most_writes / 2)
+        self._rate_limiter = RateLimiter(limits.write_rps / 1.5, burst=self._max_writes / 2)
         self._retry_pause_s = 2 / limits.rps
-        self._longest_pause_s = max(self._retry_pause_s, settings.deployment.workers.heartbeat_interval_s / 8)
+        self._max_retry_pause_s = max(
+            self._retry_pause_s, settings.deployment.workers.heartbeat_interval_s / 8
+        )
         # By priority, and each in the order of submission, lest the oldest starve in a burst.
         self._queues: dict[CommitPriority, deque[CommitUnit]] = {
             priority: deque() for priority in CommitPriority
@@ -101,9 +103,9 @@
                 conditions += len(unit.conditions)
                 unit_keys = {write.key for write in unit.writes}
                 if units and (
-                    writes > self._most_writes
-                    or conditions + _LEADER_CONDITIONS > _CONDITIONS_PER_WRITE * self._most_writes
-                    or len(units) >= _MOST_UNITS
+                    writes > self._max_writes
+                    or conditions + _LEADER_CONDITIONS > _CONDITIONS_PER_WRITE * self._max_writes
+                    or len(units) >= _MAX_UNITS
                     # The protocol does not say in which order a transaction writes the same key twice.
                     or not keys.isdisjoint(unit_keys)
                 ):
@@ -115,10 +117,10 @@
     def _run(self) -> None:
         while not self._stopped:
             units = self._next_batch()
-            wait_s = self._pace.ready_at() - time.monotonic()
+            wait_s = self._rate_limiter.ready_at() - time.monotonic()
             if wait_s > 0:
                 time.sleep(wait_s)
-            self._pace.consume(sum(len(unit.writes) for unit in units), time.monotonic())
+            self._rate_limiter.consume(sum(len(unit.writes) for unit in units), time.monotonic())
             self._commit(units)
 
     def _commit(self, units: list[CommitUnit]) -> None:
@@ -144,7 +146,7 @@
                 # At the same pace all through an outage, this alone took half of the requests that the state
                 # service allows, from renewals and users as well.
                 time.sleep(pause_s)
-                pause_s = min(2 * pause_s, self._longest_pause_s)
+                pause_s = min(2 * pause_s, self._max_retry_pause_s)
                 continue
             else:
                 for unit in units:
@@ -168,7 +170,7 @@
             return
         # It can't be dropped: whoever waits for it relies on whether it is durable. But nothing else may wait
         # for it, so it goes to the end of the queue.
-        time.sleep(self._longest_pause_s)
+        time.sleep(self._max_retry_pause_s)
         self.submit(units[0])
 
     def _commit_separately(self, units: list[CommitUnit]) -> None:
--- a/src/poppyhold/node/cancellation_tracker.py
+++ b/src/poppyhold/node/cancellation_tracker.py
@@ -58,7 +58,7 @@
     def apply_own_cancellations(self) -> None:
         """Apply this node's own cancellations: the watch lacks them while the state service rejects it."""
         requested_at = time.monotonic()
-        self._own_cancellations.acknowledge(self._authority.acted_on_revision)
+        self._own_cancellations.acknowledge(self._authority.applied_revision)
         listed, bound = self._own_cancellations.summarize(self._first_revision())
         self._apply(self._member, listed, bound, requested_at)
 
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -76,12 +76,12 @@
 
     # -- outgoing messages ---------------------------------------------------------------------------
 
-    def led_task_counts(self) -> dict[str, TaskCounts]:
+    def task_counts_if_leading(self) -> dict[str, TaskCounts]:
         """Return the task counts by job for outgoing pings; empty unless this node leads."""
         leader_term = self._leader_term()
         return leader_term.task_counts if leader_term is not None else {}
 
-    def led_image_hints(self) -> ImageHints:
+    def image_hints_if_leading(self) -> ImageHints:
         """Return the images by machine for outgoing pings; empty unless this node leads."""
         leader_term = self._leader_term()
         return leader_term.image_hints if leader_term is not None else {}
@@ -100,7 +100,7 @@
         delegation = (
             leader_term.cancellations.delegation if leader_term is not None and leader_term.alive else None
         )
-        acted_on_revision = leader_term.authority.acted_on_revision if leader_term is not None else -1
+        applied_revision = leader_term.authority.applied_revision if leader_term is not None else -1
         listed, bound = self._confirmed_cancellations()
         confirmed = bound if bound < 0 else max([bound, *(revision for _, revision in listed)])
         return Ping(
@@ -111,7 +111,7 @@
             confirmed,
             workers,
             delegation=delegation,
-            acted_on_revision=acted_on_revision,
+            applied_revision=applied_revision,
             accepts_relays=leader_term is not None and self._accepts_relays(leader_term),
         )
 
@@ -127,8 +127,8 @@
         listed: list[Cancellation] = []
         unlisted_revision: int | None = None
         misdirected = self._misdirected_workers.recent() if ping.leading else []
-        if ping.leading and ping.acted_on_revision >= 0:
-            self._user_api.cancellations.acknowledge(ping.acted_on_revision)
+        if ping.leading and ping.applied_revision >= 0:
+            self._user_api.cancellations.acknowledge(ping.applied_revision)
             # Read after `own`, so that cancellations confirmed in between are listed.
             listed, unlisted_revision = self._confirmed_cancellations()
         return Pong(
@@ -232,6 +232,6 @@
 
     # -- other cells ---------------------------------------------------------------------------------
 
-    def answer_cell(self, request: QuotaRequest) -> QuotaResponse:
+    def handle_quota_request(self, request: QuotaRequest) -> QuotaResponse:
         """Answer another cell's leader or an operator, as `QuotaServer` does."""
         return self._quota_server.answer(request)
