--- a/src/poppyhold/scheduling/gang_placement.py
+++ b/src/poppyhold/scheduling/gang_placement.py
@@ -18,7 +18,7 @@
     add_scaled,
     max_copies,
 )
-from poppyhold.scheduling.placement import Choice, Placement, image_wait_s, may_use
+from poppyhold.scheduling.placement import Placement, PlacementChoice, image_wait_s, may_use
 
 
 class GangOption(NamedTuple):
@@ -64,7 +64,7 @@
     """Machines for all pending tasks of a gang, and the cost in seconds of the preemptions for them."""
 
     cost_s: float
-    choices: list[Choice]
+    choices: list[PlacementChoice]
 
 
 class GangPlacement:
@@ -94,7 +94,7 @@
 
     def choose_with_preemption(
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
-    ) -> list[Choice] | None:
+    ) -> list[PlacementChoice] | None:
         """Return machines and victims for all pending tasks at the least cost; None if infeasible."""
         usable = [machine for machine in machines if may_use(job, machine)]
         found: list[_PreemptionPlan] = []
@@ -134,7 +134,7 @@
         """Return preemptions for all pending tasks, lowest cost per task first; None if too few tasks fit."""
         remaining = job.pending
         total_cost_s = 0.0
-        chosen: list[Choice] = []
+        chosen: list[PlacementChoice] = []
         zones = dict(job.active_by_zone)
         limit = zone_limit(job.spec)
         for preemption in sorted(preemptions, key=lambda option: (option.cost_s, -option.count)):
@@ -149,8 +149,8 @@
                 continue
             zones[machine.zone] = zones.get(machine.zone, 0) + count
             # All victims on a machine are stopped before the first start there.
-            chosen.append(Choice(machine, needed.victims))
-            chosen += [Choice(machine) for _ in range(count - 1)]
+            chosen.append(PlacementChoice(machine, needed.victims))
+            chosen += [PlacementChoice(machine) for _ in range(count - 1)]
             total_cost_s += needed.cost_s * count
             remaining -= count
         return None if remaining else _PreemptionPlan(total_cost_s, chosen)
--- a/src/poppyhold/scheduling/gang_scheduler.py
+++ b/src/poppyhold/scheduling/gang_scheduler.py
@@ -9,7 +9,7 @@
 from poppyhold.scheduling.cycle_state import CycleState, reserve
 from poppyhold.scheduling.gang_placement import GangPlacement
 from poppyhold.scheduling.job_order import JobOrder
-from poppyhold.scheduling.placement import Choice, copies_that_fit, in_best_zone, may_use
+from poppyhold.scheduling.placement import PlacementChoice, copies_that_fit, machines_in_best_zone, may_use
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.scheduling.task_starter import TaskStarter
 
@@ -46,7 +46,9 @@
         elif self._order.is_starved(job, self._ctx.clock()) and not job.failures.at_fault:
             self._reserve_for(cycle, job, within_limit)
 
-    def _choices(self, cycle: CycleState, job: Job, reserved: dict[str, Resources]) -> list[Choice] | None:
+    def _choices(
+        self, cycle: CycleState, job: Job, reserved: dict[str, Resources]
+    ) -> list[PlacementChoice] | None:
         """Return a machine for each pending task, if necessary also among unreliable machines.
 
         If they don't all fit, the choice preempts lower-priority work for all of them, or is None.
@@ -55,7 +57,7 @@
         if chosen is None and len(cycle.reliable_machines) < len(cycle.machines):
             chosen = self._placement.choose(job, cycle.machines, reserved)
         if chosen is not None:
-            return [Choice(machine) for machine in chosen]
+            return [PlacementChoice(machine) for machine in chosen]
         if job.failures.at_fault:
             return None
         return self._placement.choose_with_preemption(job, cycle.reliable_machines, reserved)
@@ -83,7 +85,7 @@
             return
         machines = [machine for machine in cycle.machines if may_use(job, machine)]
         if job.spec.one_zone:
-            machines = in_best_zone(job, machines, cycle.reserved)
+            machines = machines_in_best_zone(job, machines, cycle.reserved)
         for machine in machines:
             count = copies_that_fit(job, machine, cycle.reserved)
             if count:
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -29,12 +29,12 @@
 # Lower bound of fetch rates, for machine types that give none.
 _MIN_FETCH_GB_PER_S = 1e-3
 
-# Weights of scores. Of the seconds of an image wait that meets the objective:
+# Weight in a score of an image wait that meets the objective.
 _IN_TIME_WAIT_WEIGHT = 0.3
-# Of the machine's fetch rate relative to the fastest, in parts of the objective:
+# Score, in parts of the objective, of a machine with the fastest fetch rate; slower ones score in proportion.
 _FAST_FETCH_WEIGHT = 0.2
-# In boot times: of the share of capacity that stays free; for a spot task on a regular machine; for each
-# replica of the job that is on the machine already.
+# Scores in boot times: per share of capacity that stays free; for a spot task on a regular machine; for
+# each replica of the job that is on the machine already.
 _FREE_SHARE_WEIGHT = 0.02
 _SPOT_TASK_ON_REGULAR_WEIGHT = 0.2
 _COLOCATED_REPLICA_WEIGHT = 0.05
@@ -43,7 +43,7 @@
 _VICTIM_COST_S = 0.5
 
 
-class Choice(msgspec.Struct, eq=False):
+class PlacementChoice(msgspec.Struct, eq=False):
     """A machine for a task, and the attempts that must be stopped first."""
 
     machine: Machine
@@ -55,7 +55,7 @@
 
     cost: float
     machine_index: int
-    choice: Choice
+    choice: PlacementChoice
 
 
 class _CachedVictims(NamedTuple):
@@ -89,7 +89,9 @@
     return max_copies(job.task_resources, machine.free_after_reservations(reserved), job.pending)
 
 
-def in_best_zone(job: Job, machines: Collection[Machine], reserved: dict[str, Resources]) -> list[Machine]:
+def machines_in_best_zone(
+    job: Job, machines: Collection[Machine], reserved: dict[str, Resources]
+) -> list[Machine]:
     """Return the machines of the zone that fits the most tasks of the job."""
     counts: dict[str, int] = {}
     for machine in machines:
@@ -145,7 +147,7 @@
         self._victims_cache.clear()
         self._freed_by_preemption.clear()
 
-    def record_preemptions(self, choice: Choice) -> None:
+    def record_preemptions(self, choice: PlacementChoice) -> None:
         """Record the resources that the victims of a choice free before any later start on the machine."""
         name = choice.machine.name
         for victim in choice.victims:
@@ -247,7 +249,7 @@
             return None
         lost_s = sum(self._preemption_cost_s(victim) for victim in victims)
         cost = image_wait_s(machine, job) + lost_s * _LOST_SECONDS_WEIGHT + len(victims) * _VICTIM_COST_S
-        return PreemptionOption(cost, machine_index, Choice(machine, victims))
+        return PreemptionOption(cost, machine_index, PlacementChoice(machine, victims))
 
     def preemptions(
         self, job: Job, machines: Iterable[Machine], excess: QuotaExcess | None = None
--- a/src/poppyhold/scheduling/preemption_cost.py
+++ b/src/poppyhold/scheduling/preemption_cost.py
@@ -27,8 +27,8 @@
         ran_s = now - victim.running_at
         lost_s = ran_s % job.spec.checkpoint_s if job.spec.checkpoint_s > 0 else ran_s
         if job.due_at is not None:
-            # A task that would miss its deadline because of the preemption costs more. One that misses it
-            # anyway loses nothing more.
+            # A task that would miss its deadline because of the preemption is preempted last. One that misses
+            # it anyway loses nothing more.
             remaining_s = max(
                 0.0, self._estimates.estimate_s(job) - job.saved_work_s.get(victim.index, 0.0) - ran_s
             )
--- a/src/poppyhold/scheduling/quotas.py
+++ b/src/poppyhold/scheduling/quotas.py
@@ -37,7 +37,7 @@
 
     @property
     def has_guarantee(self) -> bool:
-        """Whether the team is guaranteed anything."""
+        """Return whether the team has any guarantee."""
         return bool(self.cpus_guaranteed or self.accelerators_guaranteed)
 
     def covers(self, cpus: float, accelerators: float) -> bool:
@@ -84,7 +84,7 @@
         return team in self._teams
 
     def has_guarantee(self, team: str) -> bool:
-        """Whether the team is guaranteed anything."""
+        """Return whether the team has any guarantee."""
         quota = self._teams.get(team)
         return quota is not None and quota.has_guarantee
 
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -20,7 +20,7 @@
 from poppyhold.model.entities import Attempt, Job, JobPhase, Machine
 from poppyhold.model.resources import EPSILON, Resources, add_scaled, fits
 from poppyhold.scheduling.cycle_state import reserve
-from poppyhold.scheduling.placement import Choice, image_wait_s, may_use, zone_allows
+from poppyhold.scheduling.placement import PlacementChoice, image_wait_s, may_use, zone_allows
 from poppyhold.wire.worker_messages import TaskState
 
 log = logging.getLogger(__name__)
@@ -79,7 +79,7 @@
 
     def relocate_for(
         self, job: Job, wait_s: float, machines: list[Machine], reserved: dict[str, Resources]
-    ) -> Choice | None:
+    ) -> PlacementChoice | None:
         """Return a machine with the job's image and the replicas to move from it, if cheaper than waiting."""
         search_key = (job.spec.image, job.task_resources, job.priority)
         if (
@@ -109,7 +109,7 @@
             )
         self._moves += moves
         self._moved_at.extend([self._clock()] * len(moves))
-        return Choice(machine, [move.attempt for move in moves])
+        return PlacementChoice(machine, [move.attempt for move in moves])
 
     def _remaining_moves(self, machines: list[Machine]) -> int:
         """Return how many more replicas may move within this lease."""
--- a/src/poppyhold/scheduling/search.py
+++ b/src/poppyhold/scheduling/search.py
@@ -9,8 +9,8 @@
 from poppyhold.model.resources import Resources
 from poppyhold.scheduling.free_capacity import FreeCapacityView, RankedMachine, Ranking
 from poppyhold.scheduling.placement import (
-    Choice,
     Placement,
+    PlacementChoice,
     PreemptionOption,
     image_wait_s,
     may_use,
@@ -36,7 +36,7 @@
         self._ranking: Ranking | None = None
         self._preemptions: list[PreemptionOption] | None = None
 
-    def best(self) -> Choice | None:
+    def best(self) -> PlacementChoice | None:
         """Return the best machine on which a task fits beside the reservations, if any."""
         open_zones = self._open_zones()
         # Machines whose score differs from that for equivalent jobs are excluded from the shared ranking.
@@ -50,7 +50,7 @@
             ranked = self._scored_for_job(name, open_zones)
             if ranked is not None and (best is None or ranked < best):
                 best = ranked
-        return Choice(best.machine) if best is not None else None
+        return PlacementChoice(best.machine) if best is not None else None
 
     def _scored_for_job(self, name: str, open_zones: Set[str]) -> RankedMachine | None:
         """Return a machine with its full score for the job; None if no task fits there."""
@@ -60,7 +60,7 @@
         score = self._placement.score_if_fits(self._job, machine, self._reserved)
         return RankedMachine(score, machine.number, machine) if score is not None else None
 
-    def best_preemption(self, in_time_only: bool = False) -> Choice | None:
+    def best_preemption(self, in_time_only: bool = False) -> PlacementChoice | None:
         """Return the cheapest preemption; ``in_time_only``: where the image wait meets the objective."""
         if self._preemptions is None:
             self._preemptions = self._placement.preemptions(self._job, self._view.machines.values())
--- a/src/poppyhold/scheduling/task_scheduler.py
+++ b/src/poppyhold/scheduling/task_scheduler.py
@@ -7,7 +7,13 @@
 from poppyhold.model.resources import Resources
 from poppyhold.scheduling.bookings import Bookings
 from poppyhold.scheduling.cycle_state import CycleState
-from poppyhold.scheduling.placement import Choice, Placement, image_wait_s, in_best_zone, zone_allows
+from poppyhold.scheduling.placement import (
+    Placement,
+    PlacementChoice,
+    image_wait_s,
+    machines_in_best_zone,
+    zone_allows,
+)
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.scheduling.relocation import Relocation
 from poppyhold.scheduling.search import PlacementSearch
@@ -51,10 +57,10 @@
                 return
             in_use = cycle.in_use(self._ctx.fleet.used_by_team.get(team))
             at_limit = not self._quotas.allows(team, in_use, job.task_resources)
-            # The job's own booked capacity is free to no equivalent job; it is not used at the team's limit.
-            is_equivalent = at_limit or not has_own_booking
+            # The job's own booked capacity is free to no equivalent job; at the limit it doesn't matter.
+            result_is_shared = at_limit or not has_own_booking
             key = cycle.scheduling_key(job, at_limit, bool(reserved) and not at_limit)
-            if is_equivalent and key in cycle.infeasible:
+            if result_is_shared and key in cycle.infeasible:
                 return
             if at_limit:
                 choice = self._choose_at_limit(cycle, job, in_use)
@@ -64,8 +70,10 @@
                 choices = (self._choose(cycle, job, search, reserved) for search in searches)
                 choice = next((found for found in choices if found is not None), None)
             if choice is None:
-                anywhere = not job.spec.one_zone and all(zone_allows(job, zone) for zone in cycle.zones)
-                if is_equivalent and anywhere:
+                all_zones_allowed = not job.spec.one_zone and all(
+                    zone_allows(job, zone) for zone in cycle.zones
+                )
+                if result_is_shared and all_zones_allowed:
                     cycle.infeasible.add(key)
                 return
             self._starter.start(job, index, choice)
@@ -82,13 +90,15 @@
         for view in cycle.capacity.views:
             zones = view.zones
             if job.spec.one_zone and not job.active:
-                zones = {machine.zone for machine in in_best_zone(job, view.machines.values(), reserved)}
+                zones = {
+                    machine.zone for machine in machines_in_best_zone(job, view.machines.values(), reserved)
+                }
             searches.append(PlacementSearch(self._placement, job, view, reserved, own_booking, zones))
         return searches
 
     def _choose(
         self, cycle: CycleState, job: Job, search: PlacementSearch, reserved: dict[str, Resources]
-    ) -> Choice | None:
+    ) -> PlacementChoice | None:
         """Return the best free machine; if there is none, or its image wait is too long, try preemption."""
         choice = search.best()
         if self._ctx.clock() < job.preemption_allowed_at or job.failures.at_fault:
@@ -107,7 +117,7 @@
         search: PlacementSearch,
         wait_s: float,
         reserved: dict[str, Resources],
-    ) -> Choice | None:
+    ) -> PlacementChoice | None:
         """Return a preemption or relocation that costs less than the wait for the image, if any."""
         preemption = search.best_preemption(in_time_only=True)
         if preemption is not None and not any(victim.job.is_service for victim in preemption.victims):
@@ -120,7 +130,9 @@
             cycle.capacity.refresh_all()
         return relocation
 
-    def _choose_at_limit(self, cycle: CycleState, job: Job, in_use: tuple[float, float]) -> Choice | None:
+    def _choose_at_limit(
+        self, cycle: CycleState, job: Job, in_use: tuple[float, float]
+    ) -> PlacementChoice | None:
         """Return a preemption of lower-priority work of the job's team, which is at its limit."""
         if job.failures.at_fault:
             return None
--- a/src/poppyhold/scheduling/task_starter.py
+++ b/src/poppyhold/scheduling/task_starter.py
@@ -6,7 +6,7 @@
 from poppyhold.model.context import Context
 from poppyhold.model.entities import Job
 from poppyhold.scheduling.bookings import Bookings
-from poppyhold.scheduling.placement import Choice, Placement
+from poppyhold.scheduling.placement import Placement, PlacementChoice
 
 
 class TaskStarter:
@@ -17,7 +17,7 @@
     ) -> None:
         self._ctx, self._reconciler, self._bookings, self._placement = ctx, reconciler, bookings, placement
 
-    def start(self, job: Job, index: int, choice: Choice) -> None:
+    def start(self, job: Job, index: int, choice: PlacementChoice) -> None:
         """Start a task, unless gangs among its victims must save their checkpoints first."""
         if self._stop_gangs_first(job, choice):
             return
@@ -26,7 +26,7 @@
         self._bookings.consume_start(job, choice.machine.name)
         self._bookings.book_attempt(attempt)
 
-    def _stop_gangs_first(self, job: Job, choice: Choice) -> bool:
+    def _stop_gangs_first(self, job: Job, choice: PlacementChoice) -> bool:
         """Stop gangs among the victims, which save checkpoints first; return whether the start must wait."""
         gangs = {victim.job.id: victim.job for victim in choice.victims if victim.job.is_gang}
         if not gangs:
