--- a/src/poppyhold/node/cancellation_tracker.py
+++ b/src/poppyhold/node/cancellation_tracker.py
@@ -16,7 +16,7 @@
 
 
 class CancellationTracker:
-    """Applies cancellations that controllers confirmed to users, even without the state service.
+    """Applies cancellations that controllers confirmed to users, whether or not the watch delivers them.
 
     The leader may renew a lease only while it must know every confirmed cancellation; `Authority` computes
     that period.
--- a/src/poppyhold/node/decision_loop.py
+++ b/src/poppyhold/node/decision_loop.py
@@ -13,8 +13,8 @@
 
 # Ticks per heartbeat interval.
 _TICKS_PER_INTERVAL = 4
-# Divisor of the heartbeat interval: the thread's pause after events before it waits to be woken.
-_PAUSES_PER_INTERVAL = 100
+# After work the idle thread coalesces events for the heartbeat interval divided by this.
+_COALESCING_DIVISOR = 100
 
 
 class DecisionLoop:
@@ -27,7 +27,7 @@
     def __init__(self, max_waiting_heartbeats: int, heartbeat_interval_s: float) -> None:
         # Whether the term is still current. Once False, nothing is posted, answered or sent.
         self.alive = True
-        self._queue = PriorityQueue(max_waiting_heartbeats, heartbeat_interval_s / _PAUSES_PER_INTERVAL)
+        self._queue = PriorityQueue(max_waiting_heartbeats, heartbeat_interval_s / _COALESCING_DIVISOR)
         self._tick_s = heartbeat_interval_s / _TICKS_PER_INTERVAL
 
     def start(
@@ -90,5 +90,5 @@
                     self._run_scheduling_cycle()
                 self._publish()
             except Exception:
-                # A failed event must not end the term.
+                # A failed event must not end the term: the loop continues with the next one.
                 log.exception("event, tick or scheduling cycle failed, continuing with the next event")
--- a/src/poppyhold/node/job_lifecycle.py
+++ b/src/poppyhold/node/job_lifecycle.py
@@ -96,7 +96,7 @@
 
     def record_run_time(self, attempt: Attempt, now: float) -> None:
         """Record the run time of a completed task for the estimates."""
-        # For an attempt first observed while running, the start time is unknown.
+        # If an attempt was first observed while running, its start time is unknown.
         if attempt.start_channel is not StartChannel.OBSERVED and attempt.running_at is not None:
             self._admission.estimates.record_run(attempt.job, now - attempt.running_at)
 
--- a/src/poppyhold/node/job_states.py
+++ b/src/poppyhold/node/job_states.py
@@ -11,7 +11,7 @@
 from poppyhold.model.job_status import FinalState, JobStatus, TaskCounts
 from poppyhold.wire import field_names
 
-# Accepted job IDs kept per final state kept, as a divisor.
+# Accepted job IDs kept: the number of cached final states divided by this.
 _ACCEPTED_DIVISOR = 10
 
 
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -44,7 +44,7 @@
 
 log = logging.getLogger(__name__)
 
-# Share of the connections that workers may use before the leader asks for relays; the rest is for users.
+# Share of the connections that workers without a relay may use; the rest is for users.
 DIRECT_SHARE = 0.85
 
 
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -59,7 +59,7 @@
         self.peer_image_hints: ImageHints = {}
         # When this node last expired the lease of a leader that refused connections.
         self._lease_expired_at = float("-inf")
-        # The leader, if its last pong said that it does not lead.
+        # A leader whose pong said that it does not lead.
         self._suspected_leader: Leader | None = None
         self._quota_server = quota_server
         self.peers = Peers(settings, self, quota_server.max_connections)
@@ -183,7 +183,7 @@
         if leader is None or leader.member != pong.member or pong.fencing_token:
             return
         if self._suspected_leader == leader:
-            # Two pongs in a row rule out that the first one was sent just before the election.
+            # A second such pong rules out that the first one was sent just before the election.
             self._suspected_leader = None
             self._election.expire_lease(leader)
         else:
