--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -1,4 +1,4 @@
-"""Leader election: a key on a lease in the state service, and a fencing token that only ever rises."""
+"""Leader election: a key on a lease in the state service, and a fencing token that only increases."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 log = logging.getLogger(__name__)
 
-# Between two campaigns a controller pauses for a random part of the renewal interval, so that two of them
-# don't collide time and again.
+# Range of the random pause between campaigns, as a share of the renewal interval, so that two controllers
+# don't collide repeatedly.
 _CAMPAIGN_PAUSE_RATIOS = 0.3, 0.7
 
 
 class Term(NamedTuple):
-    """Our own term as the leader."""
+    """A term of this controller as the leader."""
 
     fencing_token: int
-    # Revision of the leader's key as we wrote it.
+    # Revision of the leader's key as this controller wrote it.
     key_revision: int
     lease_id: int
     began_at: float
@@ -44,9 +44,9 @@
 class Election:
     """One thread that campaigns and renews the lease, and another that watches the leader's key.
 
-    ``on_elected`` and ``on_leadership_lost`` are called on the threads that bring these about. While
-    ``should_yield`` says that a better connected controller should campaign first, this one holds back, but
-    no longer than a lease.
+    ``on_elected`` and ``on_leadership_lost`` are called on the threads that cause these events. While
+    ``should_yield`` says that a better connected controller should campaign first, this one does not
+    campaign, for at most a lease.
     """
 
     def __init__(
@@ -66,28 +66,28 @@
         worker_lease_s = settings.deployment.workers.lease_s
         self.lease_ttl_s = worker_lease_s * options.leadership.term_leases
         self._renewal_interval_s = self.lease_ttl_s / options.leadership.renewals
-        # For so long a leader that resigned does not campaign.
+        # How long a leader that resigned does not campaign.
         self._campaign_backoff_s = worker_lease_s
         self._campaign_backoff_until = 0.0
         self._lock = threading.Lock()
         self._wake = threading.Event()
         self._stopped = False
         self.known_leader = KnownLeader()
-        # Before the key was read nobody knows whether there is a leader.
+        # Whether there is a leader is unknown before the key was read.
         self._leader_key_read = False
         self.term: Term | None = None
-        # The term was certainly ours at this moment.
+        # The term was certainly valid at this time.
         self.confirmed_at = float("-inf")
         self.watch = Watch(store, LEADER_PREFIX, worker_lease_s / 5, self._on_snapshot, self._on_change)
         self._thread = threading.Thread(target=self._run, name="election", daemon=True)
 
     @property
     def leader(self) -> Leader | None:
-        """The leader as last seen."""
+        """The last known leader."""
         return self.known_leader.leader
 
     def start(self) -> None:
-        """Start to campaign. The watch is started before, for requests to be forwarded to the leader."""
+        """Start to campaign. The watch is started earlier, so that requests are forwarded to the leader."""
         self._thread.start()
 
     def stop(self) -> None:
@@ -97,10 +97,8 @@
         self.watch.stop()
         self.resign("stopped")
 
-    # -- stepping down -------------------------------------------------------------------------------
-
     def resign(self, reason: str) -> None:
-        """Give up the term, for another controller to lead, and don't campaign for a lease."""
+        """Give up the term so that another controller can lead, and don't campaign for one lease."""
         self._campaign_backoff_until = time.monotonic() + self._campaign_backoff_s
         term = self.term
         self.step_down(reason)
@@ -109,9 +107,9 @@
         self._wake.set()
 
     def transfer_leadership(self, reason: str) -> None:
-        """Give up the term only if the state service takes it back: in an outage nobody else could get it.
+        """Give up the term only if its lease is revoked: in an outage no other controller could be elected.
 
-        A leader that resigned just as an outage began left the fleet without one to its end.
+        A leader that resigned just as an outage began left the fleet without a leader until its end.
         """
         term = self.term
         if term is None:
@@ -125,7 +123,7 @@
         self.step_down(reason)
 
     def step_down(self, reason: str) -> None:
-        """Our term is over."""
+        """End this controller's term."""
         with self._lock:
             term = self.term
             if term is None:
@@ -136,41 +134,35 @@
         self._on_leadership_lost()
         self._wake.set()
 
-    # -- fencing tokens ------------------------------------------------------------------------------
-
     def observe_fencing_token(self, fencing_token: int) -> None:
-        """Step down at once if somebody holds a higher fencing token than ours."""
+        """Step down if another controller holds a higher fencing token."""
         term = self.term
         if term is not None and fencing_token > term.fencing_token:
-            self.step_down(f"fencing token {fencing_token} was seen")
+            self.step_down(f"another controller holds fencing token {fencing_token}")
 
     def record_fencing_token(self, fencing_token: int) -> None:
-        """Our own fencing token was raised within the term."""
+        """Record that this term's fencing token was raised."""
         with self._lock:
             if self.term is not None:
                 self.term = self.term._replace(fencing_token=fencing_token)
 
-    # -- other leaders -------------------------------------------------------------------------------
-
     def expire_lease(self, leader: Leader) -> None:
-        """End the lease of a leader whose process is gone.
+        """Revoke the lease of a leader whose process is gone.
 
-        This is safe even if the process is not gone: every durable step of a leader is conditional on its
+        This is safe even if the process still runs: every durable write of a leader is conditional on its
         key, and workers follow the highest fencing token.
         """
         if self.leader == leader and time.monotonic() >= self._campaign_backoff_until:
-            log.info("ending the lease of a leader that is gone: member=%s", leader.member)
+            log.info("revoking the lease of a leader whose process is gone: member=%s", leader.member)
             self._revoke_lease(leader.lease_id)
 
     def _revoke_lease(self, lease_id: int) -> None:
         try:
             self._store.revoke_lease(lease_id)
         except (StoreRejectedError, OutcomeUnknownError) as error:
-            # It expires by itself.
+            # The lease expires by itself.
             log.debug("lease not revoked: lease=%d: %s", lease_id, error)
 
-    # -- the leader's key ----------------------------------------------------------------------------
-
     def _on_snapshot(self, entries: list[Entry]) -> None:
         self._leader_key_read = True
         self._observe_key(next((entry for entry in entries if entry.key == LEADER_KEY), None))
@@ -184,7 +176,7 @@
                 self._observe_key(None)
 
     def _observe_key(self, entry: Entry | None) -> None:
-        """The leader's key was read, or is gone. What is older than our own term says nothing new."""
+        """Handle a read or deletion of the leader's key; what is older than this term is ignored."""
         leader = decode_leader(entry) if entry is not None else None
         term = self.term
         if term is not None and (leader is None or leader.key_revision > term.key_revision):
@@ -194,21 +186,19 @@
             self.known_leader.observe(leader)
         self._wake.set()
 
-    # -- renewing and campaigning --------------------------------------------------------------------
-
     def _run(self) -> None:
         while not self._stopped:
             try:
                 pause_s = self._renew() if self.term is not None else self._campaign()
             except Exception:
                 # Thread boundary: without this thread the controller would never lead again.
-                log.exception("election failed and goes on")
+                log.exception("election failed, to be retried")
                 pause_s = self._renewal_interval_s
             self._wake.wait(pause_s)
             self._wake.clear()
 
     def _renew(self) -> float:
-        """Renew our lease if that is due; how long to pause."""
+        """Renew the lease if that is due; returns how long to pause."""
         term = self.term
         if term is None:
             return 0.0
@@ -218,11 +208,11 @@
         try:
             self._store.renew_lease(term.lease_id, self._renewal_interval_s * 2)
         except LeaseExpiredError:
-            self.step_down("our lease expired")
+            self.step_down("lease expired")
             return 0.0
         except (StoreRejectedError, OutcomeUnknownError) as error:
-            # An outage and a refusal of us alone look the same: go on for now. What we may still do
-            # without confirmation is bounded in `authority`.
+            # An outage and a rejection of this controller alone look the same: keep the term for now.
+            # `authority` bounds what a leader may do without confirmation.
             log.debug("lease not renewed: lease=%d: %s", term.lease_id, error)
             return self._renewal_interval_s / 2
         if self.term is term or (self.term is not None and self.term.lease_id == term.lease_id):
@@ -230,7 +220,7 @@
         return self._renewal_interval_s
 
     def _campaign(self) -> float:
-        """Try to get elected if nobody leads; how long to pause."""
+        """Campaign if there is no leader; returns how long to pause."""
         now = time.monotonic()
         if now < self._campaign_backoff_until:
             return self._campaign_backoff_until - now
@@ -239,7 +229,7 @@
         leader = self.leader
         if leader is not None:
             if leader.member == self._member:
-                # An earlier process of ours held it.
+                # An earlier process of this controller holds the key.
                 self._revoke_lease(leader.lease_id)
                 return self._renewal_interval_s / 2
             return self.lease_ttl_s
@@ -254,7 +244,7 @@
         return self._renewal_interval_s * self._rng.uniform(*_CAMPAIGN_PAUSE_RATIOS)
 
     def _claim_leadership(self, lease_id: int, requested_at: float) -> None:
-        """Try to become the leader with a lease that was asked for at that moment."""
+        """Try to become the leader; ``requested_at`` is a time after the lease was granted."""
         leader = claim_leadership(self._store, self._member, lease_id)
         term = Term(leader.fencing_token, leader.key_revision, lease_id, time.monotonic())
         with self._lock:
--- a/src/poppyhold/cluster/known_leader.py
+++ b/src/poppyhold/cluster/known_leader.py
@@ -1,4 +1,4 @@
-"""The leader as this controller last saw it, for threads that wait for one."""
+"""The leader as last known to this controller, for threads that wait for one."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class KnownLeader:
-    """Who leads, since when it is known, and since when nobody leads."""
+    """Which controller leads and since when that is known, or since when none leads."""
 
     def __init__(self) -> None:
         self.leader: Leader | None = None
         now = time.monotonic()
-        # When this leader became known, and when the last one was gone.
+        # When this leader became known, and when the last one ceased to lead.
         self.leader_since, self.vacant_since = now, now
         self._changed = threading.Condition()
         self._stopped = False
 
     def observe(self, leader: Leader | None) -> None:
-        """Take what the leader's key says; threads that wait wake up for a leader."""
+        """Record the leader that the key names, and wake up waiting threads if there is one."""
         with self._changed:
             known = self.leader
             if leader is None and known is not None:
@@ -32,27 +32,27 @@
                 self._changed.notify_all()
 
     def record_own_election(self, leader: Leader) -> None:
-        """Note our own election. `announce` wakes up the threads that wait, once we can serve."""
+        """Record the election of this controller. `announce` wakes up waiting threads once it can serve."""
         self.leader = leader
 
     def announce(self) -> None:
-        """Wake up all threads that wait."""
+        """Wake up all waiting threads."""
         with self._changed:
             self._changed.notify_all()
 
     def stop(self) -> None:
-        """From now on nobody waits."""
+        """From now on no thread starts to wait."""
         self._stopped = True
 
     def await_leader(self, timeout_s: float) -> Leader | None:
-        """The leader; if there is none, wait a moment for the election of one."""
+        """The leader; if there is none, wait up to ``timeout_s`` for an election."""
         with self._changed:
             if self.leader is None and not self._stopped:
                 self._changed.wait(timeout_s)
             return self.leader
 
     def await_next_leader(self, leader: Leader, timeout_s: float) -> Leader | None:
-        """Wait a moment for another leader than this one; the leader as it is then."""
+        """Wait up to ``timeout_s`` for another leader than this one; returns the leader at that time."""
         with self._changed:
             self._changed.wait_for(lambda: self.leader not in (None, leader) or self._stopped, timeout_s)
             return self.leader
--- a/src/poppyhold/cluster/leader_key.py
+++ b/src/poppyhold/cluster/leader_key.py
@@ -1,4 +1,4 @@
-"""The leader's key in the state service: reading it, and the claim of a candidate."""
+"""The leader's key in the state service: decoding it, and a candidate's claim."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Leader(NamedTuple):
-    """The leader's key as last seen."""
+    """The leader's key as last read."""
 
     member: str
     fencing_token: int
@@ -24,18 +24,18 @@
 
 
 def decode_leader(entry: Entry) -> Leader:
-    """The leader that its key names."""
+    """Decode the leader's key."""
     record = convert(entry.data, LeaderRecord)
     return Leader(record.member, record.fencing_token, record.lease_id, entry.revision)
 
 
 def claim_leadership(store: Store, member: str, lease_id: int) -> Leader:
-    """Write the leader's key, on a lease, and the next fencing token, if nobody else leads.
+    """Write the leader's key, on a lease, and the next fencing token, if there is no leader.
 
     Raises:
         ConditionFailedError: another candidate was first.
-        OutcomeUnknownError: it may yet be carried out, and only as long as the lease lives.
-        StoreRejectedError, LeaseExpiredError: it was not carried out.
+        OutcomeUnknownError: the claim may still be committed, but only while the lease is valid.
+        StoreRejectedError, LeaseExpiredError: the claim was not committed.
 
     """
     held = store.get(FENCING_TOKEN_KEY)
@@ -48,7 +48,7 @@
     try:
         key_revision = store.commit(conditions, writes)
     except OutcomeUnknownError:
-        # Perhaps it was carried out: the key itself tells. The lease is ours alone.
+        # The key shows whether the claim was committed: no other claim uses this lease.
         entry = store.get(LEADER_KEY)
         if entry is None or entry.data.get(names.LEASE_ID) != lease_id:
             raise
