--- a/src/poppyhold/cluster/change_feed.py
+++ b/src/poppyhold/cluster/change_feed.py
@@ -1,4 +1,4 @@
-"""Changes that another controller was not sent yet, in batches that fit into a message."""
+"""Changes that have not yet been sent to another controller, in batches that fit into a message."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class ChangeFeed(Generic[V]):
-    """Follows a map of values by name for one receiver. Names that are gone are not sent."""
+    """Changes of a map of values by name, for one receiver. Removals are not sent."""
 
     def __init__(self, max_entries: int) -> None:
-        """At most ``max_entries`` entries are sent at a time."""
+        """A batch has at most ``max_entries`` entries."""
         self._max_entries = max_entries
         self._sent: dict[str, V] = {}
-        # Whether the last batch may have left something out.
+        # Whether changes may remain after the last batch.
         self.has_more = False
 
     def next_batch(self, values: dict[str, V]) -> list[tuple[str, V]]:
-        """The next of the entries that differ from what was sent."""
+        """The next entries that differ from those sent."""
         changed = (entry for entry in values.items() if self._sent.get(entry[0]) != entry[1])
         batch = list(islice(changed, self._max_entries))
         self.has_more = len(batch) == self._max_entries
--- a/src/poppyhold/cluster/connectivity.py
+++ b/src/poppyhold/cluster/connectivity.py
@@ -1,7 +1,7 @@
-"""Which controllers reach which others, and whether one of them is better connected to lead.
+"""Which controllers reach which others, and whether a peer is better connected to lead.
 
 Where two zones cannot reach each other while both reach a third, a leader in one of the two loses the workers
-of the other: their leases end, though a controller in the third zone would get the heartbeats of all.
+of the other: their leases expire, though a controller in the third zone would receive all heartbeats.
 """
 
 from __future__ import annotations
@@ -11,35 +11,35 @@
 
 
 class _PeerReachability(NamedTuple):
-    """Which controllers a peer reached when it last responded."""
+    """The controllers that a peer reached when it last responded."""
 
     received_at: float
     reachable_peers: frozenset[str]
 
 
 class Connectivity:
-    """What one controller knows of the links between all of them."""
+    """The links between all controllers, as known to one of them."""
 
     def __init__(self, member: str, fresh_s: float, clock: Callable[[], float]) -> None:
-        """A response counts for ``fresh_s``."""
+        """A response counts as recent for ``fresh_s``."""
         self._member, self._fresh_s, self._clock = member, fresh_s, clock
         self._began_at = clock()
         # The last response of each peer whose connection has not broken since.
         self._reachability: dict[str, _PeerReachability] = {}
-        # When each peer responded last, also those whose connection broke.
+        # When each peer last responded, also those whose connection broke.
         self._responded_at: dict[str, float] = {}
-        # Peers that gave no sign at all, not even a refusal.
+        # Peers whose connections time out; a refused connection is a sign of life.
         self._unreachable: set[str] = set()
 
     def record_response(self, member: str, reachable_peers: Iterable[str]) -> None:
-        """A peer responded, and listed the controllers that it reaches itself."""
+        """Record a peer's response, with the controllers that the peer reaches."""
         now = self._clock()
         self._reachability[member] = _PeerReachability(now, frozenset(reachable_peers))
         self._responded_at[member] = now
         self._unreachable.discard(member)
 
     def connection_lost(self, member: str, timed_out: bool) -> None:
-        """The connection to a peer broke; a time-out says that nothing gets through."""
+        """Record that the connection to a peer broke; a time-out means that no packets get through."""
         self._reachability.pop(member, None)
         if timed_out:
             self._unreachable.add(member)
@@ -47,11 +47,11 @@
             self._unreachable.discard(member)
 
     def is_unreachable(self, member: str) -> bool:
-        """Whether nothing gets through to a peer. One that refuses connections is not cut off."""
+        """Whether no packets get through to a peer. A peer that refuses connections is reachable."""
         return member in self._unreachable
 
     def reachable_peers(self) -> list[str]:
-        """Peers that responded lately."""
+        """Peers that responded recently."""
         oldest = self._clock() - self._fresh_s
         return [
             member
@@ -60,7 +60,7 @@
         ]
 
     def better_connected_peer(self, unreachable_s: float = 0.0) -> str | None:
-        """A peer that reaches us, all that we reach, and others that we have not reached for so long."""
+        """A peer that reaches this controller, all its peers, and some unreached for ``unreachable_s``."""
         reached = set(self.reachable_peers())
         since = self._clock() - unreachable_s
         for member in sorted(reached):
--- a/src/poppyhold/cluster/misdirected_workers.py
+++ b/src/poppyhold/cluster/misdirected_workers.py
@@ -1,4 +1,4 @@
-"""Workers that follow a leader and have lately sent a heartbeat to this controller, which does not lead."""
+"""Workers that follow a leader and recently sent a heartbeat to this controller, which does not lead."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class MisdirectedWorkers:
-    """Remembers the last of them, up to a number; the leader gets them with the responses to its pings."""
+    """Keeps the last ``max_workers`` of them, for the responses to the leader's pings."""
 
     def __init__(self, max_workers: int, recent_s: float) -> None:
         self._max_workers, self._recent_s = max_workers, recent_s
-        # By machine, the longest silent first.
+        # By machine, the oldest heartbeat first.
         self._received: dict[str, tuple[float, MisdirectedWorker]] = {}
 
     def record(self, heartbeat: Heartbeat) -> None:
-        """A worker sent a heartbeat here."""
+        """Record a heartbeat that a worker sent here."""
         self._received.pop(heartbeat.machine, None)
         worker = MisdirectedWorker(heartbeat.machine, heartbeat.incarnation, heartbeat.sequence)
         self._received[heartbeat.machine] = time.monotonic(), worker
@@ -25,6 +25,6 @@
             self._received.pop(next(iter(self._received)), None)
 
     def recent(self) -> list[MisdirectedWorker]:
-        """Those whose heartbeat came within ``recent_s``."""
+        """Workers whose last heartbeat came within ``recent_s``."""
         since = time.monotonic() - self._recent_s
         return [worker for received_at, worker in list(self._received.values()) if received_at > since]
--- a/src/poppyhold/cluster/peer_client.py
+++ b/src/poppyhold/cluster/peer_client.py
@@ -1,4 +1,4 @@
-"""Pings to one other controller, over a connection that is opened anew whenever it breaks."""
+"""Pings to one other controller, over a connection that is reopened whenever it breaks."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 
 log = logging.getLogger(__name__)
 
-# Entries of a ping, at the most: a message may be no larger than `frames` lets through, and a first one to a
-# controller that has just begun names every job and every machine. What is left goes with the next pings,
-# which then are sent so many times as fast.
+# Entries per ping: a message may be no larger than `frames` allows, and the first one to a newly started
+# controller names every job and every machine. The rest goes with the next pings, which are sent this many
+# times as fast.
 _MAX_TASK_COUNTS, _MAX_IMAGE_HINTS, _BATCHES_PER_INTERVAL = 4000, 1000, 8
 
 
 class PeerTimes(NamedTuple):
-    """How often pings are sent, and how long each step may take."""
+    """The interval of pings, and the time-out of each step."""
 
     interval_s: float
     timeout_s: float
 
 
 class PeerView(NamedTuple):
-    """What we know of another controller."""
+    """What is known of another controller."""
 
-    # When the state service responded to it last, on our clock.
+    # When the state service last responded to that controller, on this process's clock.
     store_contact_at: float
     misdirected_workers: list[MisdirectedWorker]
 
@@ -56,12 +56,12 @@
     ) -> None:
         self._peer, self._times, self._handler = peer, times, handler
         self._connectivity, self._stop = connectivity, stop
-        # None before its first response.
+        # None before the peer's first response.
         self.view: PeerView | None = None
         self._thread = threading.Thread(target=self._run, name=f"peer {peer.member}", daemon=True)
 
     def start(self) -> None:
-        """Start the thread. It ends after the event that it was given is set."""
+        """Start the thread. It ends after the ``stop`` event is set."""
         self._thread.start()
 
     def _run(self) -> None:
@@ -76,12 +76,12 @@
                 if isinstance(error, ConnectionRefusedError):
                     self._handler.on_connection_refused(member)
             except Exception:
-                # Thread boundary: without this thread the peer would count as unreachable for ever.
+                # Thread boundary: without this thread the peer would count as unreachable permanently.
                 log.exception("connection to a peer failed: member=%s", member)
             self._stop.wait(self._times.interval_s / 2)
 
     def _exchange(self, connection: socket.socket) -> None:
-        """Send pings and take their responses, until the connection breaks."""
+        """Send pings and handle their responses, until the connection breaks."""
         counts: ChangeFeed[TaskCounts] = ChangeFeed(_MAX_TASK_COUNTS)
         images: ChangeFeed[tuple[tuple[str, float], ...]] = ChangeFeed(_MAX_IMAGE_HINTS)
         interval_s = self._times.interval_s
@@ -111,6 +111,6 @@
     def _receive_pong(self, connection: socket.socket) -> Pong:
         message = receive_peer_message(connection)
         if not isinstance(message, Pong) or message.member != self._peer.member:
-            # What a leader may do depends on who responded.
-            raise ValueError(f"not a response of {self._peer.member}")
+            # A leader's bounds on renewals are kept by the member that responded.
+            raise ValueError(f"message is not a pong of {self._peer.member}")
         return message
--- a/src/poppyhold/cluster/peer_messages.py
+++ b/src/poppyhold/cluster/peer_messages.py
@@ -1,7 +1,7 @@
 """The messages between controllers: pings and their responses.
 
-They are sent by position. Fields are only added, at the end and with defaults: an older version ignores what
-follows the last field that it knows.
+They are sent by position. Fields are only appended, with defaults: an older version ignores fields after the
+last one that it knows.
 """
 
 from __future__ import annotations
@@ -17,37 +17,37 @@
 from poppyhold.relay.messages import RelayHello
 from poppyhold.wire.frames import receive_message
 
-# A job with its completed and running tasks.
+# A job, the number of its completed tasks, and that of its running tasks.
 JobTaskCounts = tuple[str, int, int]
 # A machine with its images, and the size of each.
 MachineImages = tuple[str, tuple[tuple[str, float], ...]]
 
 
 class ControllerState(msgspec.Struct, frozen=True, array_like=True):
-    """What a controller says of itself, in pings and in their responses."""
+    """The state of the sender, in pings and in their responses."""
 
     member: str
     fencing_token: int
     leading: bool
     # Seconds since the state service last responded to the sender.
     state_age_s: float
-    # Highest revision of a cancellation that the sender confirmed to a user; -1: it can't know.
+    # Highest revision of a cancellation that the sender confirmed to a user; -1: unknown.
     confirmed_revision: int
-    # Number of workers that were misdirected to it lately.
+    # Number of workers that were recently misdirected to the sender.
     workers: int
 
 
 class Ping(ControllerState, frozen=True, array_like=True, tag="ping"):
-    """What a controller is and knows, sent to each other one."""
+    """The state of a controller, sent to every other one."""
 
     task_counts: list[JobTaskCounts] = []
-    # Machines whose images changed: a next leader starts from them.
+    # Machines whose images changed: the next leader starts from them.
     image_hints: list[MachineImages] = []
-    # What a leader grants those who may have to renew leases for it.
+    # A leader's grant to a controller that may have to renew leases on its behalf.
     delegation: LeaseDelegation | None = None
-    # Revision up to which a leader has acted on every cancellation; -1: it does not lead, or does not say.
+    # Revision up to which a leader has applied every cancellation; -1: not the leader, or not stated.
     applied_revision: int = -1
-    # Whether a leader accepts heartbeats that others relay to it. A version before this field never does.
+    # Whether a leader accepts relayed heartbeats. Versions before this field never do.
     accepts_relays: bool = False
 
 
@@ -55,23 +55,23 @@
     """The response to a ping."""
 
     # Cancellations that the sender confirmed to users and that the leader may not know, and the highest
-    # revision of all others that it confirmed. A version that lists none sends None: then
+    # revision of all others that it confirmed. None from versions without the list: then
     # `confirmed_revision` bounds all of them.
     cancellations: list[Cancellation] = []
     unlisted_revision: int | None = None
-    # The leader knows whether it has had newer heartbeats of them.
+    # The leader checks whether it has received newer heartbeats of these workers.
     misdirected_workers: list[MisdirectedWorker] = []
-    # Other controllers that responded to it lately. A version before this field lists none.
+    # Other controllers that recently responded to the sender; empty from versions before this field.
     reachable_peers: list[str] = []
 
     @property
     def cancellations_bound(self) -> int:
-        """Every cancellation that is not listed has at most this revision; -1: that can't be said."""
+        """Every cancellation that is not listed has at most this revision; -1: unknown."""
         return self.confirmed_revision if self.unlisted_revision is None else self.unlisted_revision
 
 
 Message = Ping | Pong
-# What may come first on a connection from another controller.
+# What is received from other controllers, relays, other cells and operators.
 PeerMessage = Message | RelayHello | QuotaRequest
 _peer_message_decoder: msgspec.msgpack.Decoder[PeerMessage] = msgspec.msgpack.Decoder(PeerMessage)
 
@@ -80,8 +80,8 @@
     """Receive one message.
 
     Raises:
-        ValueError: it is malformed, and the connection must end.
-        OSError: the connection broke, or nothing came in time.
+        ValueError: the message is malformed, and the connection must be closed.
+        OSError: the connection broke, or timed out.
 
     """
     return receive_message(connection, _peer_message_decoder)
--- a/src/poppyhold/cluster/peer_server.py
+++ b/src/poppyhold/cluster/peer_server.py
@@ -18,12 +18,12 @@
 log = logging.getLogger(__name__)
 
 _BACKLOG = 16
-# Connections for each other controller, and for all that can't be told yet.
+# Connections per other controller, and spare ones for senders that are not yet known.
 _CONNECTIONS_PER_PEER, _SPARE_CONNECTIONS = 4, 4
 
 
 class PeerServer:
-    """One thread that accepts connections, and one for each of them."""
+    """Accepts connections on one thread, and serves each on its own thread."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Accept no more of them. The others end once the event that was given is set."""
+        """Stop accepting connections. Open ones end once the ``stop`` event is set."""
         self._listener.close()
 
     def _accept(self) -> None:
@@ -74,16 +74,16 @@
         except (OSError, ValueError) as error:
             log.debug("connection of a peer lost: %s", error)
         except Exception:
-            # Thread boundary: nothing that a peer sends may go unnoticed, and its connection ends.
+            # Thread boundary: any failure on a message is logged, and the connection is closed.
             log.exception("connection of a peer failed")
         finally:
             self._slots.release()
 
     def _serve_message(self, connection: socket.socket) -> bool:
-        """Serve the next message; whether the connection goes on."""
+        """Serve the next message; returns whether the connection stays open."""
         message = receive_peer_message(connection)
         if isinstance(message, RelayHello):
-            # It is a relay's from now on, to its end.
+            # The relay uses the connection until it ends.
             self._handler.serve_relay(connection, message)
             return False
         if isinstance(message, QuotaRequest):
@@ -91,6 +91,6 @@
         elif isinstance(message, Ping):
             send_message(connection, self._handler.handle_ping(message))
         else:
-            # What was received is malformed, which is no fault of the caller's types.
-            raise ValueError(f"not an opening: {type(message).__name__}")  # noqa: TRY004
+            # The message is malformed; the caller's types are correct.
+            raise ValueError(f"unexpected message: {type(message).__name__}")  # noqa: TRY004
         return True
--- a/src/poppyhold/cluster/peers.py
+++ b/src/poppyhold/cluster/peers.py
@@ -13,13 +13,13 @@
 
 
 class Peers:
-    """Pings every other controller, and responds to those that ping this one."""
+    """Pings every other controller, and responds to their pings."""
 
     def __init__(self, settings: Settings, handler: PeerHandler, max_cell_links: int = 0) -> None:
         """``max_cell_links`` connections may come from other cells' leaders and operators."""
         workers = settings.deployment.workers
         times = PeerTimes(workers.heartbeat_interval_s / 2, workers.lease_s / 10)
-        # A link is taken for broken when two pings in a row got no response.
+        # A link counts as broken when two pings in a row get no response.
         fresh_s = 2 * (times.interval_s + times.timeout_s)
         self.connectivity = Connectivity(settings.member, fresh_s, time.monotonic)
         self._stop = threading.Event()
@@ -41,6 +41,6 @@
             client.start()
 
     def stop(self) -> None:
-        """End them."""
+        """Stop the threads."""
         self._stop.set()
         self._server.close()
