--- a/src/poppyhold/cluster/cancellations.py
+++ b/src/poppyhold/cluster/cancellations.py
@@ -1,4 +1,4 @@
-"""Cancellations confirmed to users, for a leader that can't learn of them from the state service."""
+"""Cancellations confirmed to users, for a leader that can't read them from the state service."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 
 
 class Cancellation(NamedTuple):
-    """A job whose cancellation is durable with a revision."""
+    """A job and the revision of its durable cancellation."""
 
     job_id: str
     revision: int
 
 
 class CancellationSummary(NamedTuple):
-    """What a controller tells the leader of the cancellations that it confirmed to users."""
+    """The cancellations that a controller confirmed to users, as sent to the leader."""
 
     listed: list[Cancellation]
-    # The highest revision of all that are not listed; -1: that can't be said.
+    # The highest revision of all that are not listed; -1: unknown.
     unlisted_revision: int
 
 
 class Cancellations:
-    """Cancellations confirmed here: listed by job within a bound, and the highest revision of the others.
+    """Cancellations that this controller confirmed: a bounded list, and the highest revision of the others.
 
-    A cancellation is durable before it is confirmed, so any leader may act on it at once. One that is not
-    listed counts through its revision: a leader that does not know every change up to it stops renewing
+    A cancellation is durable before it is confirmed, so any leader may apply it at once. One that is not
+    listed counts through its revision: a leader that has not applied every change up to it stops renewing
     leases in time.
     """
 
     def __init__(self, max_listed: int) -> None:
-        """``max_listed`` cancellations are listed."""
+        """At most ``max_listed`` cancellations are listed."""
         self._max_listed = max_listed
         # Revisions by job, oldest first.
         self._listed: dict[str, int] = {}
-        # Highest revision of those that were confirmed and are no longer listed.
+        # Highest revision of the confirmed cancellations that are no longer listed.
         self._unlisted_revision = -1
         self._lock = threading.Lock()
 
     def add(self, job_id: str, revision: int) -> None:
-        """A job's cancellation is about to be confirmed to a user; it is durable with this revision."""
+        """Record a cancellation, durable at this revision, that is about to be confirmed to a user."""
         with self._lock:
             if revision <= self._unlisted_revision:
                 return
@@ -48,7 +48,7 @@
                 self._unlist(next(iter(self._listed)))
 
     def acknowledge(self, applied_revision: int) -> None:
-        """A leader has acted on every change up to this revision: no need to list those."""
+        """Stop listing cancellations up to this revision: a leader has applied every change up to it."""
         with self._lock:
             applied = [job_id for job_id, revision in self._listed.items() if revision <= applied_revision]
             for job_id in applied:
@@ -58,10 +58,10 @@
         self._unlisted_revision = max(self._unlisted_revision, self._listed.pop(job_id))
 
     def summarize(self, first_revision: int) -> CancellationSummary:
-        """The cancellations that are listed, and a bound of all others.
+        """The listed cancellations, and a bound on the revisions of all others.
 
-        ``first_revision`` is the first revision that this process saw: what one before it confirmed came
-        by then. Before it saw one (-1) nothing can be said of that, whatever this one confirmed meanwhile.
+        ``first_revision`` is the first revision that this process read: it bounds what an earlier process
+        confirmed. Before the first read (-1) that bound is unknown, whatever this process has confirmed.
         """
         with self._lock:
             listed = [Cancellation(job_id, revision) for job_id, revision in self._listed.items()]
--- a/src/poppyhold/cluster/delegated_renewals.py
+++ b/src/poppyhold/cluster/delegated_renewals.py
@@ -1,4 +1,4 @@
-"""Renewals of workers' leases in the name of a leader that can't be reached (`cluster.lease_delegation`)."""
+"""Renewals of workers' leases on behalf of an unreachable leader (`cluster.lease_delegation`)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DelegatedRenewals:
-    """The delegate's side: decides whether a worker's lease may be renewed for the leader."""
+    """The delegate's side: decides whether a worker's lease may be renewed on behalf of the leader."""
 
     def __init__(
         self,
@@ -26,11 +26,11 @@
         self._clock, self._wall_clock = clock, wall_clock
         self._delegation: LeaseDelegation | None = None
         self._last_ping_at = float("-inf")
-        # Whether leases are being renewed, so that the first renewal alone is logged.
+        # Whether leases are being renewed: only the first renewal is logged.
         self._renewing = False
 
     def observe_leader(self, fencing_token: int, delegation: LeaseDelegation | None) -> None:
-        """A leader's ping came. One that can't delegate anything yet, as after a failover, revokes it all."""
+        """Record a leader's ping. One without a delegation, as after a failover, revokes any earlier one."""
         if self._delegation is None or fencing_token >= self._delegation.fencing_token:
             self._delegation, self._last_ping_at = delegation, self._clock()
             self._renewing = False
@@ -42,17 +42,17 @@
         known_fencing_token: int,
         leader_unreachable: bool,
     ) -> int | None:
-        """The fencing token to renew a worker's lease with; None if that is not for us to do.
+        """The fencing token to renew a worker's lease with; None if this controller must not renew it.
 
-        ``store_contact_at`` is when the state service last responded to us, ``known_fencing_token`` that of
-        the leader's key, and ``leader_unreachable`` whether nothing of ours gets through to the leader.
+        ``store_contact_at`` is when the state service last responded here, ``known_fencing_token`` that of
+        the leader's key, and ``leader_unreachable`` whether no packets get from here to the leader.
         """
         delegation = self._delegation
         if delegation is None or not self._is_due(
             delegation, heartbeat, store_contact_at, known_fencing_token, leader_unreachable
         ):
             return None
-        # A delayed message may come late: its own time of day tells how old it is.
+        # The delegation may have arrived late: the wall-clock time in it tells its age.
         expires_at_wall = delegation.known_until_wall + self._durations.unconfirmed_renewal_s
         if self._wall_clock() + 2 * self._skew_s > expires_at_wall:
             return None
@@ -60,7 +60,7 @@
             return None
         if not self._renewing:
             self._renewing = True
-            log.info("renewing leases in the leader's name: fencing_token=%d", delegation.fencing_token)
+            log.info("renewing leases on behalf of the leader: fencing_token=%d", delegation.fencing_token)
         return delegation.fencing_token
 
     def _is_due(
@@ -71,20 +71,20 @@
         known_fencing_token: int,
         leader_unreachable: bool,
     ) -> bool:
-        """Whether the leader was not heard for long enough, and the worker may not reach it either."""
+        """Whether no ping of the leader came for long enough, and the worker may not reach it either."""
         now, renewal_after_s = self._clock(), self._durations.delegated_renewal_after_s
         if now - self._last_ping_at <= renewal_after_s:
             return False
         if now - store_contact_at <= renewal_after_s and not (
             self._is_partition(delegation, known_fencing_token) and leader_unreachable
         ):
-            log.debug("lease not renewed, the state service names the leader: machine=%s", heartbeat.machine)
+            log.debug("lease not renewed, state service reachable: machine=%s", heartbeat.machine)
             return False
         return True
 
     @staticmethod
     def _covers(delegation: LeaseDelegation, heartbeat: Heartbeat, known_fencing_token: int) -> bool:
-        """Whether the delegation is for this worker's lease, and no later leader is known."""
+        """Whether the delegation covers this worker's lease, and no later leader is known."""
         if (
             heartbeat.fencing_token == delegation.fencing_token
             and known_fencing_token <= delegation.fencing_token
@@ -101,9 +101,9 @@
 
     @staticmethod
     def _is_partition(delegation: LeaseDelegation, known_fencing_token: int) -> bool:
-        """Whether the leader still leads though it is not heard: its workers here may not reach it either.
+        """Whether the leader still leads though its pings are lost: its workers here may not reach it either.
 
-        Where two zones can't reach each other and the third is cut off, both have the state service, and
-        nobody could lead for all: the leases of the zone without the leader ended after ten seconds.
+        Where two zones can't reach each other and the third is cut off, both reach the state service, and no
+        controller could lead for all: leases in the zone without the leader expired after ten seconds.
         """
         return known_fencing_token == delegation.fencing_token
