--- a/src/poppyhold/cluster/authority.py
+++ b/src/poppyhold/cluster/authority.py
@@ -28,7 +28,7 @@
         self.watch_caught_up_at, self.applied_revision = requested_at, revision
 
     def observe_peer(self, member: str, requested_at: float, bound: int) -> None:
-        """Record that a controller's listed cancellations are applied; its others are up to ``bound``.
+        """Record that a controller's listed cancellations are applied; ``bound`` bounds its other ones.
 
         The time of the request counts: since its response the controller may have confirmed more. A bound of
         -1 means that the controller does not know.
--- a/src/poppyhold/cluster/connectivity.py
+++ b/src/poppyhold/cluster/connectivity.py
@@ -60,7 +60,7 @@
         ]
 
     def better_connected_peer(self, unreachable_s: float = 0.0) -> str | None:
-        """A peer that reaches this controller, all its peers, and some unreached for ``unreachable_s``."""
+        """A peer that reaches this controller, its reachable peers, and one missed for ``unreachable_s``."""
         reached = set(self.reachable_peers())
         since = self._clock() - unreachable_s
         for member in sorted(reached):
--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -138,7 +138,7 @@
         """Step down if another controller holds a higher fencing token."""
         term = self.term
         if term is not None and fencing_token > term.fencing_token:
-            self.step_down(f"another controller holds fencing token {fencing_token}")
+            self.step_down(f"higher fencing token {fencing_token} was observed")
 
     def record_fencing_token(self, fencing_token: int) -> None:
         """Record that this term's fencing token was raised."""
