--- a/src/poppyhold/model/__init__.py
+++ b/src/poppyhold/model/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet as the decision core sees it, and what the parts of the core share."""
+"""Jobs, machines and attempts of the decision core, and the context that its parts share."""
--- a/src/poppyhold/model/constraints.py
+++ b/src/poppyhold/model/constraints.py
@@ -22,5 +22,5 @@
 
 
 def zone_limit(spec: Submission) -> int:
-    """Return how many tasks of a job one zone may hold."""
+    """Return the maximum number of a job's tasks in one zone."""
     return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -1,4 +1,4 @@
-"""Jobs, machines and attempts as the decision core knows them, in one module as they refer to one another."""
+"""Jobs, machines and attempts of the decision core, in one module as they refer to one another."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from poppyhold.wire.user_messages import PRIORITIES, Submission
 from poppyhold.wire.worker_messages import IN_PROGRESS, Command, TaskState
 
-# The states of a job's tasks. They are plain integers because a job keeps one byte for each of its tasks in a
-# bytearray, which the search for the next pending task reads byte by byte.
+# Task states. They are plain integers because a job keeps one byte for each of its tasks in a bytearray,
+# which the search for the next pending task reads byte by byte.
 TASK_PENDING: Final = 0
 TASK_ACTIVE: Final = 1
 TASK_DONE: Final = 2
 
 
 class StartChannel(Enum):
-    """How the start of an attempt reached its worker, or how the attempt became known."""
+    """How an attempt's start reaches its worker, or how the attempt was discovered."""
 
-    # By a command that was sent to the worker.
+    # In a request to the worker.
     DIRECT = "direct"
-    # With the response to one of the worker's heartbeats.
+    # In the response to one of the worker's heartbeats.
     HEARTBEAT_RESPONSE = "heartbeat response"
-    # A heartbeat showed the attempt first: an earlier leader started it.
+    # First seen in a heartbeat: an earlier leader started it.
     OBSERVED = "observed"
 
 
@@ -39,7 +39,7 @@
 
     NOT_RECORDED = "not recorded"
     REQUESTED = "requested"
-    # A next leader asks the machine before it starts anything.
+    # The next leader reconciles the machine before it starts tasks of older jobs.
     DURABLE = "durable"
 
 
@@ -49,17 +49,17 @@
     ACTIVE = "active"
     # All its tasks are done, and its final record is being written.
     FINALIZING = "finalizing"
-    # Cancelled, or done and durable: kept only while something of it may still run.
+    # Cancelled, or done and durable: kept only while an attempt of it may still run.
     FINALIZED = "finalized"
 
 
-# Bound once: reading a member from its enum takes several times as long as the rest of the comparison, and
-# every scheduling cycle asks every machine.
+# Bound once: an enum member lookup takes several times as long as the comparison, and every scheduling cycle
+# makes it for every machine.
 _RECORD_IS_DURABLE = RecordState.DURABLE
 
 
 class Attempt(msgspec.Struct, eq=False):
-    """One attempt at a task on a machine, from the moment its start may reach the worker."""
+    """One attempt to run a task on a machine, from when its start may reach the worker."""
 
     job: Job
     index: int
@@ -71,12 +71,12 @@
     start_channel: StartChannel = StartChannel.OBSERVED
     # The sequence number of the heartbeat whose response carried the start; -1 before that.
     response_sequence: int = -1
-    # A direct start was sent, and its response has not come yet.
+    # A direct start was sent and not answered yet.
     start_in_flight: bool = False
-    # It is unknown whether a direct start was carried out; it may be until the worker has seen this token.
+    # Set if a direct start's outcome is unknown: it may be executed until the worker has seen this token.
     void_at_fencing_token: int | None = None
     running_at: float | None = None
-    # When it was told to stop, and the time to save that its task has from then on.
+    # When it was first to be stopped, and the grace period that its task has from then on to save.
     stopping_at: float | None = None
     grace_s: float = 0.0
     booked_until: int = 0
@@ -89,22 +89,22 @@
 
 
 class JobFailures(msgspec.Struct, eq=False):
-    """What is known of a job whose tasks end with errors; see `execution.failures`."""
+    """Failure history of a job; see `execution.failures`."""
 
-    # Times that tasks failed, those that were started together counted once, and machines that they failed
-    # on, since the job was shown to be sound.
+    # Failures since the job was last found healthy, counting tasks that were started together once, and the
+    # machines on which they occurred.
     rounds: int = 0
     machines: set[str] = msgspec.field(default_factory=set)
     last_failed_at: float = float("-inf")
-    # The longest that a failed task ran.
+    # The longest run time of a failed task.
     longest_run_s: float = 0.0
-    # It fails on every machine, as far as one can tell; and when it was last shown to be sound.
+    # Whether it appears to fail on every machine, and when it was last found healthy.
     at_fault: bool = False
     last_healthy_at: float = float("-inf")
 
 
 class Job(msgspec.Struct, eq=False):
-    """An accepted job, until it is finalized and nothing of it may run any more."""
+    """An accepted job, kept until it is finalized and no attempt of it may run."""
 
     id: str
     spec: Submission
@@ -115,24 +115,24 @@
     due_at: float | None
     # ``TASK_PENDING``, ``TASK_ACTIVE`` or ``TASK_DONE`` for each task.
     states: bytearray
-    # The attempts that may run, by index.
+    # Attempts that may be running, by task index.
     active: dict[int, Attempt] = msgspec.field(default_factory=dict)
     done: int = 0
-    # Tasks whose completion is seen but not durable yet.
+    # Indices of tasks whose completion is known but not durable yet.
     undurable_completions: set[int] = msgspec.field(default_factory=set)
-    # No task below this index is pending but those in the heap, which were active before.
+    # No task below this index is pending except those in the heap, which were active before.
     next_index: int = 0
     requeued: list[int] = msgspec.field(default_factory=list)
-    # Seconds of work that tasks have saved in checkpoints, as far as we saw them run.
+    # Work saved in checkpoints by task index, estimated from the run time that heartbeats showed.
     saved_work_s: dict[int, float] = msgspec.field(default_factory=dict)
     admitted: bool = False
-    # Whether no controller can have started a task of it before our term.
+    # Whether no earlier leader can have started a task of it.
     never_started: bool = True
-    # Whether a plan has been made durable once, and whether one is being written. A durable plan may be
-    # written again, so these are two facts and not the steps of one life cycle.
+    # Whether any plan was made durable, and whether one is being written. Both can hold, as a durable plan may be
+    # written again.
     plan_durable: bool = False
     plan_write_in_flight: bool = False
-    # Planned starts: slot -> zone -> tasks, and what they book in the ledger: slot -> machine -> tasks.
+    # Planned starts: slot -> zone -> tasks, and their bookings in the ledger: slot -> machine -> tasks.
     plan: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
     booked: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
     planned_task_s: float = 0.0
@@ -143,22 +143,22 @@
     # Keys of the records that hold its completed tasks.
     completion_record_keys: set[str] = msgspec.field(default_factory=set)
     failures: JobFailures = msgspec.field(default_factory=JobFailures)
-    # Machines that its tasks should avoid.
+    # Machines on which its tasks failed or kept their gang waiting.
     avoided_machines: set[str] = msgspec.field(default_factory=set)
     retry_at: float = 0.0
-    # Before this moment it preempts nothing more: gangs that it preempted are saving.
+    # Until then it preempts nothing more, as gangs that it preempted are saving.
     preemption_allowed_at: float = 0.0
-    # How many of its attempts may run in each zone.
+    # Number of active attempts in each zone.
     active_by_zone: dict[str, int] = msgspec.field(default_factory=dict)
 
     @property
     def is_service(self) -> bool:
-        """Whether its tasks run until it is cancelled."""
+        """Whether its tasks run until the job is cancelled."""
         return self.spec.shape == "service"
 
     @property
     def is_gang(self) -> bool:
-        """Whether its tasks only run all together."""
+        """Whether its tasks run all at the same time or not at all."""
         return self.spec.shape == "group"
 
     @property
@@ -173,11 +173,11 @@
 
     @property
     def running(self) -> int:
-        """The number of tasks that run, for display."""
+        """The number of running tasks, for display."""
         return sum(1 for attempt in self.active.values() if attempt.status in IN_PROGRESS)
 
     def min_saved_work_s(self) -> float:
-        """Return the seconds of work that every pending task has saved: only the rest is still to be done."""
+        """Return the seconds of work that every pending task has saved; 0 if one of them never ran."""
         if not self.saved_work_s:
             return 0.0
         waiting = {index for index in self.requeued if self.states[index] == TASK_PENDING}
@@ -186,7 +186,7 @@
         return min(self.saved_work_s.get(index, 0.0) for index in waiting)
 
     def next_pending(self) -> int | None:
-        """Return the pending task to start next: the lowest that was active before, else the lowest."""
+        """Return the index of the task to start next: the lowest requeued one, else the lowest pending."""
         while self.requeued and self.states[self.requeued[0]] != TASK_PENDING:
             heapq.heappop(self.requeued)
         if self.requeued:
@@ -198,7 +198,7 @@
     def startable(self, limit: int) -> int:
         """Return how many of up to ``limit`` tasks may be started now: one at a time after a failure.
 
-        Tasks that were started before the failure, and go on, may still show that the job is sound.
+        Tasks that were started before the failure don't count: they may still show that the job is healthy.
         """
         record = self.failures
         if not record.rounds or self.done or self.is_gang:
@@ -207,7 +207,7 @@
         return min(limit, max(0, 1 - probes))
 
     def complete(self, index: int) -> bool:
-        """Note that a task is completed; return whether that is new. A gang's tasks complete together."""
+        """Mark a task as done; return whether that is new. A gang's tasks are done together."""
         if not 0 <= index < self.spec.tasks or self.states[index] == TASK_DONE:
             return False
         if self.is_gang:
@@ -225,28 +225,28 @@
 
 
 class TaskError(msgspec.Struct, frozen=True, eq=False):
-    """A task of a job ended with an error on a machine."""
+    """An error with which a task of a job ended on a machine."""
 
     job: Job
     occurred_at: float
 
     @property
     def job_is_healthy(self) -> bool:
-        """Whether the job has run elsewhere, so that the error was the machine's."""
+        """Whether the job has run successfully, so that the machine caused the error."""
         return self.job.done > 0 or self.job.failures.last_healthy_at > self.occurred_at
 
     @property
     def machine_may_be_at_fault(self) -> bool:
-        """Whether the machine may be at fault. For a job that ended without success it can't be told."""
+        """Whether the machine may be at fault; a job at fault or finalized without success doesn't tell."""
         return self.job_is_healthy or not (self.job.phase is JobPhase.FINALIZED or self.job.failures.at_fault)
 
 
-# Machines in the order in which they became known.
+# Numbers machines in the order in which they became known.
 _machine_numbers = itertools.count()
 
 
 class Machine(msgspec.Struct, eq=False):
-    """A machine that we hold, or may hold."""
+    """A machine that the fleet holds or may hold."""
 
     name: str
     machine_type: MachineType
@@ -254,53 +254,53 @@
     spot: bool
     known_since: float
     endpoint: str = ""
-    # Whether it has sent a heartbeat, in this term or an earlier one, and when the first of this term came.
+    # Whether it has sent a heartbeat in this term or an earlier one, and when the first of this term came.
     is_up: bool = False
     up_at: float = float("-inf")
     record_state: RecordState = RecordState.NOT_RECORDED
-    # A heartbeat of this term was applied, so that all it holds is known.
+    # Whether a heartbeat of this term was applied, so that all its tasks are known.
     reconciled: bool = False
-    # Those of its newest heartbeat.
+    # Incarnation and sequence number of its newest heartbeat.
     incarnation: int = 0
     sequence: int = -1
     last_heartbeat_at: float = float("-inf")
     # When the cloud last listed it.
     listed_at: float = float("-inf")
-    # When its worker was last answered.
+    # When a heartbeat of its worker was last answered.
     last_response_at: float = float("-inf")
-    # When its first heartbeat came in this term, still with the token of an earlier one.
+    # When the first heartbeat with an earlier term's fencing token came in this term.
     first_outdated_heartbeat_at: float | None = None
-    # When the cloud takes it back, and when the notice of that came.
+    # When the cloud preempts it, and when the notice of that came.
     preempted_at: float | None = None
     preemption_notice_at: float | None = None
-    # At fault: it is emptied and deleted.
+    # At fault: it is drained and deleted.
     quarantined: bool = False
-    # Being emptied to scale in: its replicas move one by one.
+    # Being drained to scale in: its replicas are moved one at a time.
     draining: bool = False
-    # To be deleted: nothing starts on it any more.
+    # To be deleted: no task is started on it.
     deleting: bool = False
-    # Until then starts go with responses to heartbeats: direct commands may not reach it.
+    # Until then starts go in heartbeat responses, as direct commands may not reach it.
     unreliable_until: float = 0.0
     command_in_flight: bool = False
     next_probe_at: float = 0.0
     attempts: dict[str, Attempt] = msgspec.field(default_factory=dict)
-    # All its resources, what may be in use of them, and the rest. Every placement reads these of every
+    # Its resources in total, those that may be in use, and the rest. Every placement reads these of every
     # machine.
     capacity: Resources = NO_RESOURCES
     used: Resources = NO_RESOURCES
     free: Resources = NO_RESOURCES
-    # Orders machines that are alike: the one that was known first goes first.
+    # Breaks ties between equal machines: the one that was known first goes first.
     number: int = msgspec.field(default_factory=lambda: next(_machine_numbers))
-    # Rises whenever what it holds, or what of it waits for an image, changes.
+    # Incremented when its attempts, their status or its images change.
     version: int = 0
     images: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
     # Commands to be sent to the worker directly.
     queued_commands: list[Command] = msgspec.field(default_factory=list)
-    # Errors on it by job, since a task that was started after all earlier ones completed.
+    # Errors on it by job; cleared when a task that was started after all of them completes.
     task_errors: dict[str, TaskError] = msgspec.field(default_factory=dict)
-    # Tasks on it that we know no attempt of: they are stopped, and nothing starts beside them.
+    # Tasks on it without a known attempt: they are stopped, and no task is started on it meanwhile.
     unknown_tasks: set[str] = msgspec.field(default_factory=set)
-    # Until then nothing starts on it.
+    # Until then no task is started on it.
     unschedulable_until: float = 0.0
 
     def __post_init__(self) -> None:
@@ -308,13 +308,13 @@
         self.set_used(NO_RESOURCES)
 
     def set_used(self, used: Resources) -> None:
-        """Note how much of its resources may be in use."""
+        """Set the resources that may be in use, and the free ones."""
         self.used = used
         self.free = add_scaled(self.capacity, used, -1.0)
         self.version += 1
 
     def free_after_reservations(self, reserved: dict[str, Resources]) -> Resources:
-        """Return what is free beside the resources reserved on machines, by name."""
+        """Return its free resources without those reserved under its name."""
         own = reserved.get(self.name)
         return self.free if own is None else add_scaled(self.free, own, -1.0)
 
@@ -334,7 +334,7 @@
         )
 
     def touch_image(self, image: str, size: float) -> None:
-        """Note that the worker used an image. Its cache drops the images that were used the longest ago."""
+        """Record that the worker used an image, and evict the least recently used ones as its cache does."""
         if image not in self.images:
             self.version += 1
         self.images[image] = size
--- a/src/poppyhold/model/fleet.py
+++ b/src/poppyhold/model/fleet.py
@@ -1,4 +1,4 @@
-"""All jobs and machines of the fleet, and the counts that every placement must respect."""
+"""All jobs and machines of the fleet, and the resource usage that every placement must respect."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Fleet:
-    """Machines, jobs, and the counts that every placement must respect."""
+    """Machines, jobs, and the resource usage of teams."""
 
     def __init__(self) -> None:
         self.machines: dict[str, Machine] = {}
@@ -18,7 +18,7 @@
         self.used_by_team: dict[str, list[float]] = {}
 
     def add_attempt(self, attempt: Attempt) -> None:
-        """Count an attempt in its job, its machine and its team."""
+        """Record an attempt in its job, its machine and its team's usage."""
         job, machine = attempt.job, attempt.machine
         job.states[attempt.index] = TASK_ACTIVE
         job.active[attempt.index] = attempt
@@ -30,7 +30,7 @@
         used[ACCELERATORS] += job.task_resources[ACCELERATORS]
 
     def unaccounted_resources(self, unreconciled: Container[str]) -> Resources:
-        """Resources that may be in use on machines whose tasks are not known: they count for every team."""
+        """Return the resources of machines whose tasks are not known; they count as used by every team."""
         total = NO_RESOURCES
         for machine in self.machines.values():
             if machine.name in unreconciled or machine.unknown_tasks:
@@ -38,7 +38,7 @@
         return total
 
     def remove_attempt(self, attempt: Attempt) -> None:
-        """Remove an attempt that is proven to be over: its task is pending again, unless it is done."""
+        """Remove an attempt that is proven terminated; its task is pending again unless it is done."""
         job, machine = attempt.job, attempt.machine
         del job.active[attempt.index]
         job.active_by_zone[machine.zone] -= 1
--- a/src/poppyhold/model/job_status.py
+++ b/src/poppyhold/model/job_status.py
@@ -1,4 +1,4 @@
-"""What users are told of a job, and the state that is stored when it is finalized."""
+"""The status of a job as users see it, and the state that is stored when it is finalized."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class JobStatus(StrEnum):
-    """What a user is told of a job; the last two are final, and are stored by these names."""
+    """The status of a job as users see it; the last two are final, and are stored by these names."""
 
     PENDING = "pending"
     RUNNING = "running"
--- a/src/poppyhold/model/outbound.py
+++ b/src/poppyhold/model/outbound.py
@@ -1,4 +1,4 @@
-"""The outbound port of the decision core: what it asks of the threads that do I/O for it."""
+"""The outbound port of the decision core: its requests to the threads that do I/O for it."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class CommitPriority(IntEnum):
-    """Order of the leader's commits; those of one priority go in the order of their requests."""
+    """Order of the leader's commits; those of one priority are first in, first out."""
 
-    # What begins the longest waits, or holds up everything else: launches, fencing tokens, machines' records.
+    # What starts the longest waits or blocks everything else: launches, fencing tokens, machine records.
     HIGHEST = 0
-    # Plans of urgent jobs. A swarm of short jobs needs more changes than the state service takes, and the
-    # plans of critical replicas waited for a minute until its plans were written.
+    # Plans of urgent jobs. Many short jobs need more changes than the state service accepts; without this
+    # priority the plans of critical replicas waited for a minute behind theirs.
     URGENT = 1
-    # What else somebody waits for: plans and ends of jobs; those of teams without a guarantee come later.
+    # What else users wait for: plans and final states of jobs; those of teams without a guarantee come later.
     NORMAL = 2
     UNGUARANTEED = 3
     BACKGROUND = 4
 
 
 class MisdirectedWorker(NamedTuple):
-    """A worker whose heartbeat reached a controller that does not lead, and which heartbeat that was."""
+    """A worker whose heartbeat reached a controller that is not the leader, and which heartbeat it was."""
 
     machine: str
     incarnation: int
@@ -36,7 +36,7 @@
 
 
 class OutboundPort(Protocol):
-    """Everything that the core asks of other systems. Each callback is called on the decision thread."""
+    """Requests of the core to other systems. Each callback is called on the decision thread."""
 
     def commit(
         self,
@@ -45,13 +45,13 @@
         on_committed: Callable[[bool], None],
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
-        """Carry out a transaction under our leadership, and repeat it until its outcome is certain.
+        """Commit a transaction while this controller leads, and retry until its outcome is known.
 
         Args:
             conditions: Keys and the revisions that they must have; 0 for a key that must not exist.
             writes: What to write.
             on_committed: Called with whether the writes are durable.
-            priority: What goes first where several commits wait.
+            priority: The order among commits that wait.
 
         """
 
@@ -65,7 +65,7 @@
     ) -> None:
         """POST commands to a worker, once.
 
-        Requests of the slow lane don't hold up the others.
+        Requests of the slow lane don't delay the others.
         """
 
     def launch_machines(self, body: Data, on_response: Callable[[RequestOutcome, list[str]], None]) -> None:
@@ -75,25 +75,25 @@
         """Ask the cloud to delete machines, once; ``on_deleted`` gets whether it has."""
 
     def leadership_lost(self, fencing_token: int) -> None:
-        """Note that a higher fencing token than ours was seen."""
+        """Record that a higher fencing token than this leader's was seen."""
 
     def fencing_token_raised(self, fencing_token: int) -> None:
-        """Note that our fencing token was raised."""
+        """Record that this leader's fencing token was raised."""
 
     def resign(self, reason: str) -> None:
-        """Give up leadership, so that another controller leads."""
+        """Give up leadership, so that another controller can lead."""
 
     def job_finalized(self, job_id: str, status: str, tasks: int) -> None:
-        """Note that the final state of a job is durable."""
+        """Record that the final state of a job is durable."""
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
-        """Return the workers that have turned to another controller lately, for each of those controllers."""
+        """Return the workers that recently sent heartbeats to other controllers, a list per controller."""
 
     def may_start_tasks(self) -> bool:
-        """Whether our leadership was confirmed recently enough to start tasks."""
+        """Whether this leadership was confirmed recently enough to start tasks."""
 
     def leadership_confirmed_at(self) -> float:
-        """Return the last moment at which certainly nobody else led."""
+        """Return the last time at which no other controller can have led."""
 
     def delegated_leases_expire_at(self) -> float:
-        """Return the moment after which no delegate renewed a worker's lease in our name."""
+        """Return the time after which no delegate renewed a worker's lease for this leader."""
--- a/src/poppyhold/model/outcome.py
+++ b/src/poppyhold/model/outcome.py
@@ -1,4 +1,4 @@
-"""The outcome of one request to another system, as far as the sender can tell."""
+"""The outcome of one request to another system, as known to the sender."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
     """What is known of a request once it was answered or timed out."""
 
     OK = "ok"
-    # It was answered, and nothing of it was or will be carried out.
+    # Answered: nothing of it was or will be executed.
     REJECTED = "rejected"
-    # It never left this process: nothing of it was or will be carried out.
+    # It never left this process: nothing of it was or will be executed.
     NOT_SENT = "not sent"
-    # It was sent and not answered: it may have been carried out, or may be later.
+    # Sent and not answered: it may have been executed, or may be later.
     UNKNOWN = "unknown"
--- a/src/poppyhold/model/resources.py
+++ b/src/poppyhold/model/resources.py
@@ -1,4 +1,4 @@
-"""Amounts of resources: what a task takes, what a machine has, and arithmetic on both."""
+"""Amounts of resources of tasks and machines, and arithmetic on them."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 MEMORY_GB: Final = 2
 
 NO_RESOURCES: Resources = (0.0, 0.0, 0.0)
-# Sums of amounts may be off by rounding errors.
+# Tolerance for rounding errors in sums of amounts.
 EPSILON = 1e-6
 
 
 def fits(need: Resources, free: Resources) -> bool:
     """Whether ``need`` fits into ``free``."""
-    # Literal indices, in the order of the constants: reading those takes a tenth longer.
+    # Literal indices, in the order of the constants: reading the constants takes a tenth longer.
     return need[0] <= free[0] + EPSILON and need[1] <= free[1] + EPSILON and need[2] <= free[2] + EPSILON
 
 
