--- a/src/poppyhold/execution/__init__.py
+++ b/src/poppyhold/execution/__init__.py
@@ -1,1 +1,1 @@
-"""What runs where: attempts, gangs, commands to workers, completions."""
+"""Execution of tasks: attempts, gangs, commands to workers, completions."""
--- a/src/poppyhold/execution/attempt_lifecycle.py
+++ b/src/poppyhold/execution/attempt_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life cycle of attempts: how they are started and stopped, and how they are removed once proven over."""
+"""Life cycle of attempts: start, stop, and removal once they are proven terminated."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class AttemptLifecycle:
-    """Starts, stops and removes attempts, and tells their gangs."""
+    """Starts, stops and removes attempts, and notifies their gangs."""
 
     def __init__(
         self,
@@ -28,9 +28,9 @@
         """Create the life cycle of one term's attempts.
 
         Args:
-            ctx: What the parts of the core share.
+            ctx: The context that the parts of the core share.
             on_command_response: Called with the outcome of each request to a worker.
-            on_attempt_terminated: Called before an attempt that is proven to be over is removed.
+            on_attempt_terminated: Called before an attempt that is proven terminated is removed.
 
         """
         self._ctx, self._on_attempt_terminated = ctx, on_attempt_terminated
@@ -38,7 +38,7 @@
         self.commands = DirectCommands(ctx, self.mark_terminated, on_command_response)
 
     def start(self, job: Job, index: int, machine: Machine, victims: list[Attempt]) -> Attempt:
-        """Start a task, after stopping the victims on the same machine."""
+        """Start a task on a machine, after stopping the victims there."""
         now = self._ctx.clock()
         number = self.gangs.attempt_number(job) if job.is_gang else self._ctx.next_unique_number()
         attempt = Attempt(job, index, number, machine, machine.incarnation, now)
@@ -69,13 +69,13 @@
         return attempt
 
     def stop(self, attempt: Attempt, grace_s: float, now: float, direct: bool = True) -> None:
-        """Stop an attempt; the command is repeated until the attempt is proven to be over.
+        """Stop an attempt; the command is repeated until the attempt is proven terminated.
 
         Args:
             attempt: The attempt.
-            grace_s: Time that its task has to save.
-            now: The moment.
-            direct: Whether to send the command at once; it goes with responses to heartbeats in any case.
+            grace_s: Time in seconds that its task has to save.
+            now: The current time.
+            direct: Whether to also send the command directly; heartbeat responses carry it in any case.
 
         """
         if attempt.stopping_at is None:
@@ -88,7 +88,7 @@
             and attempt.start_channel is StartChannel.HEARTBEAT_RESPONSE
             and attempt.response_sequence < 0
         ):
-            # Its start was never handed out.
+            # Its start was never sent.
             self.mark_terminated(attempt)
             return
         if direct:
@@ -100,13 +100,13 @@
         if attempt.status != TaskState.SENT:
             return
         if outcome in (RequestOutcome.REJECTED, RequestOutcome.NOT_SENT):
-            # Nothing was executed, and nothing can be later.
+            # The start was not executed, and can't be later.
             self.mark_terminated(attempt)
         elif outcome == RequestOutcome.UNKNOWN:
             attempt.void_at_fencing_token = self._ctx.fencing_token + 1
 
     def mark_terminated(self, attempt: Attempt) -> None:
-        """Remove an attempt that is proven to be over."""
+        """Remove an attempt that is proven terminated."""
         log.debug(
             "attempt terminated: task=%s machine=%s attempt=%d status=%s",
             attempt.name,
--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -1,4 +1,4 @@
-"""The durable record of completed tasks: a bit for each task, in ranges that fit into a stored value."""
+"""Durable records of completed tasks: a bit for each task, in ranges that fit into a stored value."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from poppyhold.model.entities import TASK_DONE, Job, JobPhase
 from poppyhold.settings import StateLimits
 
-# Tasks that a hexadecimal digit stands for.
+# Tasks that one hexadecimal digit encodes.
 _TASKS_PER_DIGIT = 4
-# Tasks of a range at the least, however small the values may be.
+# Tasks in a range at least, however small the limit on values is.
 _MIN_RANGE_SIZE = 64
-# Bytes of a record beside its digits, at the most.
+# Bytes of a record besides its digits.
 _MAX_RECORD_OVERHEAD_BYTES = 16
 
 
 def _range_size(value_bytes: int) -> int:
-    """Tasks of a record: one digit, for four tasks, in each four bytes of the largest value."""
+    """Return the tasks per record: one digit, for four tasks, per four bytes of the value limit."""
     return max(_MIN_RANGE_SIZE, value_bytes // _TASKS_PER_DIGIT * _TASKS_PER_DIGIT)
 
 
 def encode_bits(states: bytearray) -> str:
-    """Encode which of these tasks are completed, the first in the lowest bit, in hexadecimal."""
+    """Encode which of these tasks are completed in hexadecimal, the first task in the lowest bit."""
     bits = 0
     for offset, state in enumerate(states):
         if state == TASK_DONE:
@@ -36,7 +36,7 @@
 
 
 def decode_bits(text: str) -> Iterator[int]:
-    """Yield the offsets of the tasks that a record holds as completed."""
+    """Yield the offsets of the completed tasks in a record."""
     bits = int(text, 16)
     while bits:
         lowest = bits & -bits
@@ -45,15 +45,15 @@
 
 
 def _ignore_outcome(done: bool) -> None:
-    """Take no notice: what is left of a finalized job the next leader removes as it loads the records."""
+    """Do nothing: records left of a finalized job are removed when the next leader loads them."""
 
 
 class RecordLayout:
-    """Decides which record holds which tasks.
+    """Maps tasks to the records that hold them.
 
-    Every version numbers the records under `ph/d/` by the value size that applies now. Where such a record
-    would not fit once the announced limits apply, the tasks go to smaller records under `ph/e/`, which older
-    versions don't read: they start such a task anew, and its worker answers that it is done.
+    Every version numbers the records under `ph/d/` by the current value size limit. If such a record would
+    not fit once the announced limits apply, its tasks go to smaller records under `ph/e/`. Older versions
+    don't read those: they start such a task again, and its worker answers that it is done.
     """
 
     def __init__(self, limits: StateLimits) -> None:
@@ -62,7 +62,7 @@
         self.reduced_range_size = _range_size(self._largest_bytes)
 
     def records(self, job: Job, indices: Iterable[int]) -> dict[str, Data]:
-        """Return the records, by key, that these tasks belong to, as they have to be now."""
+        """Return the current content, by key, of the records that hold these tasks."""
         found: dict[str, Data] = {}
         for index in indices:
             key, first, size = self._place(job, index)
@@ -95,7 +95,7 @@
         self._max_txn_ops = limits.lowest.txn_ops
 
     def load(self, prefix: str, records: dict[str, Data]) -> None:
-        """Load the records that earlier leaders made durable; those of finalized jobs are removed."""
+        """Load the records of earlier leaders, and remove those of finalized jobs."""
         size = self._layout.range_size if prefix == COMPLETIONS_PREFIX else self._layout.reduced_range_size
         for name, data in records.items():
             job_id, _, number = name.rpartition("/")
@@ -109,7 +109,7 @@
                 job.complete(int(number) * size + offset)
 
     def save(self) -> None:
-        """Make completions durable that are not yet, one save of a job at a time."""
+        """Save completions that are not durable yet, with one save per job in flight."""
         for job in self._ctx.fleet.jobs.values():
             if job.undurable_completions and (
                 not job.completions_save_in_flight and job.phase is JobPhase.ACTIVE
@@ -129,7 +129,7 @@
 
     @staticmethod
     def _on_batch_committed(job: Job, indices: set[int], batches: int) -> Callable[[bool], None]:
-        """Return the callback of a save in so many batches: it counts as durable once all of them are."""
+        """Return the callback for a save's batches: its tasks count as durable once all batches are."""
         outcomes: list[bool] = []
 
         def on_committed(done: bool) -> None:
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -1,4 +1,4 @@
-"""Commands that are sent to workers directly, and the fencing token that makes lost ones void."""
+"""Commands that are sent to workers directly, and the fencing token that invalidates lost ones."""
 
 from __future__ import annotations
 
@@ -13,19 +13,17 @@
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.wire.worker_messages import Command, CommandKind, DirectCommandsRequest, Heartbeat
 
-# A machine, the attempts whose starts were sent, the outcome, and the heartbeat that came with the response.
+# A machine, the attempts whose starts were sent, the outcome, and the heartbeat in the response.
 OnCommandResponse = Callable[[Machine, list[Attempt], RequestOutcome, Heartbeat | None], None]
 
 
-# Commands in one request to a worker.
 _MAX_COMMANDS_PER_REQUEST = 200
-# For this many heartbeat intervals after a term began, its workers are asked for heartbeats only where there
-# are few of them.
+# For this many heartbeat intervals after a term began, workers are probed only if the fleet is small.
 _INITIAL_PROBE_INTERVALS = 1.5
 
 
 class DirectCommands:
-    """Sends one request to a machine at a time; commands that come meanwhile wait for the next."""
+    """Sends requests to workers, one at a time for each machine; later commands wait for the next."""
 
     def __init__(
         self,
@@ -36,19 +34,18 @@
         """Create the queues of one term.
 
         Args:
-            ctx: What the parts of the core share.
-            on_start_discarded: Called with an attempt whose start waited here and won't be sent any more.
+            ctx: The context that the parts of the core share.
+            on_start_discarded: Called with an attempt whose queued start is not to be sent any more.
             on_response: Called with the outcome of each request.
 
         """
         self._ctx, self._on_start_discarded, self._on_response = ctx, on_start_discarded, on_response
-        # Whether a higher fencing token is being made durable.
         self._fencing_token_write_in_flight = False
         self._term_began_at = ctx.clock()
-        # A token bucket: how many silent workers may be asked now, and when that was counted.
+        # A token bucket: how many silent workers may be probed now, and when it was last refilled.
         self._probe_credit, self._probe_credit_at = ctx.silent_probes_per_interval, self._term_began_at
-        # Machines with commands to be sent. A walk over all machines after every heartbeat took a tenth of
-        # the decision thread's time at 650 of them.
+        # Machines with queued commands. Iterating over all machines after every heartbeat took a tenth of
+        # the decision thread's time at 650 machines.
         self._outbox: dict[str, Machine] = {}
 
     def enqueue(self, machine: Machine, *commands: Command) -> None:
@@ -70,11 +67,10 @@
             self._send(machine, commands)
 
     def request_heartbeat(self, machine: Machine, now: float) -> None:
-        """Ask a worker that has not taken our token yet for a heartbeat, unless there are very many of them.
+        """Probe a worker without the term's fencing token, unless the fleet is large and the term new.
 
-        After a change of leader every worker sends a heartbeat by itself within an interval. With 4,000 of
-        them, asking each over a connection of its own kept the leader from those heartbeats, and leases
-        ended.
+        After a change of leader every worker sends a heartbeat within an interval anyway. Probing each of
+        4,000 workers over its own connection delayed the handling of those heartbeats until leases expired.
         """
         ctx = self._ctx
         if (
@@ -84,10 +80,10 @@
             self._probe(machine, now)
 
     def probe_silent_worker(self, machine: Machine, now: float) -> None:
-        """Ask a worker that is silent for a heartbeat, at a limited rate.
+        """Probe a silent worker, at a limited rate.
 
-        Each request takes a connection and a thread of its own. Where a leader fell behind, a thousand
-        workers looked silent to it, and asking each of them anew in every interval kept it from their
+        Each request takes a connection and a thread of its own. When a leader falls behind, a thousand
+        workers may look silent, and probing all of them in every interval delays the handling of their
         heartbeats.
         """
         rate = self._ctx.silent_probes_per_interval
@@ -102,7 +98,7 @@
             self.request_heartbeat(machine, now)
 
     def _probe(self, machine: Machine, now: float) -> None:
-        """Ask a worker for a heartbeat, and tell it our token."""
+        """Ask a worker for a heartbeat, by a request that carries the fencing token."""
         if (
             machine.command_in_flight
             or now < machine.next_probe_at
@@ -115,8 +111,8 @@
 
     def _send(self, machine: Machine, commands: list[Command]) -> None:
         ctx = self._ctx
-        # A start that waited here may be void by now: its incarnation ended and the task runs elsewhere, or
-        # it is to be stopped. An attempt whose start was never sent is over.
+        # A queued start may be obsolete: its incarnation ended and the task runs elsewhere, or it is to be
+        # stopped. An attempt whose start was never sent is terminated.
         commands = [
             command
             for command in commands
@@ -126,7 +122,7 @@
         starts = [command.task for command in commands if command.kind is CommandKind.START]
         sent = [machine.attempts[name] for name in starts if name in machine.attempts]
         # An unreconciled worker's incarnation is unknown: a command for another one is answered but not
-        # carried out.
+        # executed.
         request = DirectCommandsRequest(ctx.fencing_token, machine.incarnation or 1, commands)
         silent = ctx.clock() - machine.last_heartbeat_at > ctx.durations.silent_s
 
@@ -138,7 +134,7 @@
         )
 
     def _is_still_wanted(self, machine: Machine, command: Command) -> bool:
-        """Whether a queued start is still to be sent; its attempt is over if it is to be stopped."""
+        """Whether to send a queued start; an attempt that is to be stopped is terminated instead."""
         attempt = machine.attempts.get(command.task)
         if attempt is None or attempt.number != command.attempt:
             return False
@@ -148,13 +144,13 @@
         return True
 
     def discard(self, machine: Machine) -> None:
-        """Drop the commands for a machine that is deleted."""
+        """Drop the queued commands for a machine that is deleted."""
         self._outbox.pop(machine.name, None)
 
     def raise_fencing_token(self) -> None:
-        """Raise our token if it is unknown whether a start was carried out.
+        """Raise the fencing token if it is unknown whether a start was executed.
 
-        Commands with the old token are void once a worker has seen the new one.
+        A worker that has seen the new token rejects commands with the old one.
         """
         ctx = self._ctx
         if self._fencing_token_write_in_flight:
--- a/src/poppyhold/execution/heartbeat_commands.py
+++ b/src/poppyhold/execution/heartbeat_commands.py
@@ -1,4 +1,4 @@
-"""The commands that go with the response to a worker's heartbeat."""
+"""The commands in the response to a worker's heartbeat."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def stop_command(attempt: Attempt, now: float) -> Command:
-    """Return the command that stops an attempt; without grace once its time to save has passed."""
+    """Return the command that stops an attempt; without grace once its grace period has passed."""
     grace_s = attempt.grace_s
     if attempt.stopping_at is not None and now > attempt.stopping_at + grace_s:
         grace_s = 0.0
@@ -17,13 +17,13 @@
 
 
 class HeartbeatCommands:
-    """Chooses commands by what the heartbeat shows and what the machine should hold."""
+    """Selects commands by comparing a heartbeat with the attempts that the machine should hold."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
 
     def commands_for_new_heartbeat(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
-        """Return all that is due after a heartbeat that was applied as the truth about its machine."""
+        """Return all commands that are due after a heartbeat that was applied."""
         commands: list[Command] = []
         for task in heartbeat.tasks:
             if task.status == TaskState.EXITED:
@@ -44,11 +44,11 @@
         return commands
 
     def stop_commands(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
-        """Return stops for all that must not go on: every response that renews a lease carries them.
+        """Return stops for all tasks that must not run: every response that renews a lease carries them.
 
-        A heartbeat that proves nothing may all the same be the worker's own, and its response the last one
-        that arrives for a lease: without these, a task cancelled long ago would live that lease to its end. A
-        stop of a task that is not there does no harm, and whoever sent a copy drops the response.
+        A heartbeat that proves nothing may still be the worker's own, and its response the last one that
+        arrives: without these stops, a task cancelled long ago would run until the lease expires. A stop of a
+        task that is not on the machine has no effect, and the sender of a duplicate drops the response.
         """
         commands = [
             stop_command(attempt, now)
@@ -64,7 +64,7 @@
     def _may_forget_exit(self, task: TaskStatus) -> bool:
         """Whether a worker may forget a task that ended.
 
-        A completion must be durable first: the worker is the only one that knows of it.
+        A completion must be durable first, as until then only the worker stores it.
         """
         job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
--- a/src/poppyhold/execution/lease_expiry.py
+++ b/src/poppyhold/execution/lease_expiry.py
@@ -1,4 +1,4 @@
-"""Proofs that machines hold nothing any more: their last lease has expired, or they are deleted."""
+"""Proofs that machines hold no tasks: their last lease has expired, or they are deleted."""
 
 from __future__ import annotations
 
@@ -12,11 +12,10 @@
 
 
 class LeaseExpiry:
-    """Ends the attempts of machines whose leases have expired, and tracks the unreconciled machines."""
+    """Terminates the attempts of machines whose leases have expired, and tracks the unreconciled machines."""
 
     def __init__(self, ctx: Context, lifecycle: AttemptLifecycle) -> None:
         self._ctx, self._lifecycle = ctx, lifecycle
-        # When the term began.
         self.term_began_at = ctx.clock()
         # Machines that may hold tasks of earlier terms, and are neither reconciled in this one nor proven
         # empty.
@@ -33,15 +32,15 @@
         return True
 
     def expire_leases(self, machine: Machine, now: float) -> None:
-        """End the attempts of a silent worker if its lease has expired, whoever may have renewed it last."""
+        """Terminate the attempts of a silent worker if its lease has expired, whoever renewed it last."""
         durations = self._ctx.durations
         if machine.reconciled:
-            # It has followed our token, so only we and our delegates could renew its lease: as long as nobody
-            # else led.
+            # The worker has adopted the term's fencing token, so only this leader and its delegates could
+            # renew its lease, as long as no other controller led.
             renewed_at = max(machine.last_response_at, self._ctx.outbound.delegated_leases_expire_at())
             bound = renewed_at + durations.lease_expired_s
         else:
-            # Before our term others renewed its lease, for as long as they could at the most.
+            # Earlier leaders may have renewed its lease: the bound assumes the latest moment they could.
             bound = max(
                 self.term_began_at + durations.predecessors_expired_s,
                 machine.last_response_at + durations.lease_expired_s,
@@ -55,7 +54,7 @@
         self.unreconciled.discard(machine.name)
 
     def machine_deleted(self, machine: Machine) -> None:
-        """Remove a machine that the cloud has deleted, with all that was on it."""
+        """Remove a machine that the cloud has deleted, and terminate its attempts."""
         now = self._ctx.clock()
         for attempt in list(machine.attempts.values()):
             self._lifecycle.mark_terminated(attempt)
--- a/src/poppyhold/execution/machine_records.py
+++ b/src/poppyhold/execution/machine_records.py
@@ -1,4 +1,4 @@
-"""Durable records of machines that may hold tasks: the next leader asks those before it starts anything."""
+"""Durable records of machines that may hold tasks, so that the next leader reconciles them first."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from poppyhold.model.entities import Machine, RecordState
 from poppyhold.model.outbound import CommitPriority
 
-# Bound once, as every heartbeat comes here: reading a member from its enum takes as long as the call.
+# Bound once: an enum member lookup takes as long as the whole call, which each heartbeat makes.
 _NOT_RECORDED = RecordState.NOT_RECORDED
 
 
 def request_machine_record(ctx: Context, machine: Machine) -> None:
-    """Make a machine's record durable, unless it is, or is being written, or the machine is being deleted."""
+    """Write a machine's record, unless it is durable or being written, or the machine is being deleted."""
     if machine.record_state is not _NOT_RECORDED or machine.deleting:
         return
     machine.record_state = RecordState.REQUESTED
@@ -25,5 +25,5 @@
 
     record = MachineRecord(machine.endpoint, machine.machine_type, machine.zone, machine.spot)
     write = put_record(MACHINE_PREFIX + machine.name, record)
-    # Nothing starts on the machine before: a plan's record is of no use to a leader that does not know of it.
+    # No task starts on the machine before: without this record the next leader could not use a plan's.
     ctx.outbound.commit({}, [write], on_committed, CommitPriority.HIGHEST)
--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -1,4 +1,4 @@
-"""Heartbeats reconciled with the controller's state: which of them prove something, and what they prove."""
+"""Reconciliation of the controller's state with heartbeats: which of them prove something, and what."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class AttemptReconciler:
-    """Keeps the picture of every machine true to its newest heartbeat, and to nothing older."""
+    """Updates the state of every machine from its newest heartbeat, and from nothing older."""
 
     def __init__(
         self,
@@ -36,10 +36,8 @@
         self._observe_task = self._task_observer.observe_task
         self._heartbeat_commands = HeartbeatCommands(ctx)
 
-    # -- heartbeats ------------------------------------------------------------------------------
-
     def handle_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
-        """Answer a worker's heartbeat; None if it can't be answered."""
+        """Return the response to a worker's heartbeat; None if it can't be answered."""
         ctx = self._ctx
         now = ctx.clock()
         if heartbeat.fencing_token > ctx.fencing_token:
@@ -60,8 +58,8 @@
             machine.up_at = now
             ctx.scheduling_needed = True
         request_machine_record(ctx, machine)
-        # A heartbeat from before the worker saw our token may be a copy of any age, and so may one
-        # whose sequence number is not above the last: it gets a response, but proves nothing.
+        # A heartbeat with an earlier term's fencing token may be a duplicate of any age, and so may one whose
+        # sequence number is not above the last: it gets a response, but proves nothing.
         if heartbeat.fencing_token < ctx.term_fencing_token:
             self.lifecycle.commands.request_heartbeat(machine, now)
             commands = self._heartbeat_commands.stop_commands(machine, heartbeat, now)
@@ -74,28 +72,27 @@
 
     @staticmethod
     def _is_newer(heartbeat: Heartbeat, machine: Machine) -> bool:
-        """Whether a heartbeat is newer than all before it; copies and late ones, relayed or not, aren't."""
+        """Whether a heartbeat is newer than all before it, unlike duplicates and late ones, relayed or not."""
         return (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
 
     def _ignores_responses(self, machine: Machine, now: float) -> bool:
-        """Whether a worker from before our term seems not to hear us, so that its lease should end.
+        """Whether a worker from before this term seems to get no responses, so that its lease should expire.
 
-        Its heartbeats arrive, but our token does not reach it: every response would be counted as a lease
-        that its tasks may live on, and tasks of all older jobs wait until it is reconciled or proven empty.
-        Copies of its old heartbeats alone look the same. Once its last lease has expired it is answered
-        again.
+        Its heartbeats arrive, but the term's fencing token does not reach it: every response would count as a
+        renewal of its lease, and tasks of all older jobs wait until it is reconciled or proven empty.
+        Duplicates of its old heartbeats look the same. Once its last lease has expired, it is answered again.
         """
         if machine.name not in self.lease_expiry.unreconciled:
             return False
         if machine.first_outdated_heartbeat_at is None:
             machine.first_outdated_heartbeat_at = now
-        # A worker waits four seconds for a response that is lost, and a second to the next try.
+        # A worker waits four seconds for a response that is lost, and another second before the retry.
         return now - machine.first_outdated_heartbeat_at > max(
             self._ctx.durations.lease_s / 2, 4 * self._ctx.durations.heartbeat_interval_s
         )
 
     def _add_unknown_machine(self, heartbeat: Heartbeat, now: float) -> Machine | None:
-        """Add a machine that we did not know: one launched late, or one that was there before us."""
+        """Add a machine that was not known: one launched late, or one from before this term."""
         ctx = self._ctx
         machine_type = ctx.machine_types.get(heartbeat.machine_type)
         if machine_type is None or heartbeat.machine in ctx.deleted_at:
@@ -106,9 +103,9 @@
         return machine
 
     def _apply_heartbeat(self, machine: Machine, heartbeat: Heartbeat, now: float, is_answered: bool) -> None:
-        """Apply a heartbeat that is newer than all before it, as the truth about its machine.
+        """Update a machine from a heartbeat that is newer than all before it.
 
-        ``is_answered``: the worker sent it by itself and gets a response, rather than in answer to a command.
+        ``is_answered``: the worker sent it by itself and gets a response; else it came in reply to a command.
         """
         ctx = self._ctx
         if heartbeat.incarnation > machine.incarnation:
@@ -138,51 +135,49 @@
         self.lease_expiry.unreconciled.discard(machine.name)
 
     def _begin_incarnation(self, machine: Machine, incarnation: int, now: float) -> None:
-        """End what earlier incarnations held: a later one began with nothing."""
+        """Terminate the attempts of earlier incarnations: a later one began with no tasks."""
         durations = self._ctx.durations
         if machine.reconciled and now - machine.last_heartbeat_at < durations.lease_s / 2:
-            # We answered all the while: our responses do not reach it, and it should not be relied on.
+            # Its heartbeats were answered until now, so responses do not reach it: treat it as unreliable.
             machine.unreliable_until = now + durations.cancel_s
         for attempt in list(machine.attempts.values()):
             if attempt.incarnation < incarnation:
                 self.lifecycle.mark_terminated(attempt)
 
     def _mark_absent(self, attempt: Attempt, now: float) -> None:
-        """End an attempt that a heartbeat proves not to be on its machine."""
+        """Terminate an attempt that a heartbeat proves not to be on its machine."""
         if attempt.status == TaskState.SENT and attempt.stopping_at is None:
             self._back_off_machine(attempt, now)
         self.lifecycle.mark_terminated(attempt)
 
     def _back_off_machine(self, attempt: Attempt, now: float) -> None:
-        """Start nothing for a while on a machine that did not carry out a start."""
+        """Start nothing for a while on a machine that did not execute a start."""
         durations = self._ctx.durations
         if attempt.start_channel is StartChannel.HEARTBEAT_RESPONSE:
-            # Its responses do not come through.
+            # Heartbeat responses do not reach the machine.
             attempt.machine.unschedulable_until = now + durations.lease_s / 2
         elif attempt.void_at_fencing_token is None:
-            # It had the command. Most likely it holds an earlier attempt that has ended, which is removed
-            # with the response to its next heartbeat. Where the start was repeated at once, again and again,
-            # a heartbeat was never its newest message.
+            # The machine got the command. Most likely it holds an earlier attempt that has ended, which the
+            # response to its next heartbeat removes. With immediate retries, its newest message would always
+            # be the response to a command instead of a heartbeat.
             attempt.machine.unschedulable_until = now + 2 * durations.heartbeat_interval_s
 
     @staticmethod
     def _absence_proves_termination(attempt: Attempt, heartbeat: Heartbeat, is_answered: bool) -> bool:
-        """Whether a newer heartbeat without the attempt shows that it is not there and won't be."""
+        """Whether a newer heartbeat without the attempt proves that it is not on the machine and won't be."""
         if attempt.status != TaskState.SENT:
             return True
         if attempt.start_in_flight:
             return False
         if attempt.void_at_fencing_token is not None:
-            # The start may be held back in the network: it is void once the worker has a higher token.
+            # The start may be delayed in the network; a worker with a higher fencing token rejects it.
             return heartbeat.fencing_token >= attempt.void_at_fencing_token
         if attempt.start_channel is StartChannel.HEARTBEAT_RESPONSE:
-            # The next heartbeat is sent only when the response has come or was given up. What was not handed
-            # out yet goes with the response to this one: it was taken for lost, and its machine got no work.
+            # A worker sends the next heartbeat only once the response has come or timed out. A start that was
+            # not sent yet goes in the response to this one; counted as lost, it left the machine idle.
             return is_answered and 0 <= attempt.response_sequence < heartbeat.sequence
         return True
 
-    # -- responses to commands -------------------------------------------------------------------
-
     def _handle_command_response(
         self, machine: Machine, starts: list[Attempt], outcome: RequestOutcome, heartbeat: Heartbeat | None
     ) -> None:
@@ -208,5 +203,5 @@
         ):
             self._apply_heartbeat(machine, heartbeat, now, is_answered=False)
         elif heartbeat is not None and not machine.reconciled and heartbeat.incarnation > machine.incarnation:
-            # The command named another incarnation than the worker's: ask again with the right one.
+            # The request named another incarnation than the worker's: probe again with the right one.
             machine.incarnation, machine.next_probe_at = heartbeat.incarnation, 0.0
--- a/src/poppyhold/execution/task_observation.py
+++ b/src/poppyhold/execution/task_observation.py
@@ -1,4 +1,4 @@
-"""What a heartbeat says of single tasks: those that are on its machine, and those that have ended."""
+"""Handling of single tasks in a heartbeat: those that are on its machine, and those that have ended."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class TaskObserver:
-    """Brings attempts and jobs in line with the tasks of a heartbeat that is newer than all before it."""
+    """Updates attempts and jobs from the tasks of a heartbeat that is newer than all before it."""
 
     def __init__(
         self,
@@ -29,18 +29,18 @@
         """Create the observer of one term.
 
         Args:
-            ctx: What the parts of the core share.
+            ctx: The context that the parts of the core share.
             lifecycle: Removes the attempts that have ended.
-            failures: Judges the tasks that ended with an error.
-            on_task_completed: Called with a job and an index once that task is known to be completed.
-            on_run_completed: Called with an attempt that completed, before it is removed, and the moment.
+            failures: Tracks the tasks that ended with an error.
+            on_task_completed: Called with a job and a task index once that task is known to be completed.
+            on_run_completed: Called with a completed attempt, before it is removed, and the current time.
 
         """
         self._ctx, self._lifecycle, self._failures = ctx, lifecycle, failures
         self._on_task_completed, self._on_run_completed = on_task_completed, on_run_completed
 
     def observe_task(self, machine: Machine, task: TaskStatus, now: float) -> None:
-        """Note the status of a task that is on the machine."""
+        """Record the status of a task that is on the machine."""
         job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
         attempt = machine.attempts.get(task.task)
@@ -77,7 +77,7 @@
             attempt.machine.touch_image(spec.image, spec.image_gb)
 
     def _adopt(self, attempt: Attempt, status: str, now: float) -> None:
-        """Count a task that an earlier leader started."""
+        """Adopt a task that an earlier leader started."""
         job, index = attempt.job, attempt.index
         completed = job.states[index] == TASK_DONE
         self._update_status(attempt, status, now)
@@ -85,7 +85,7 @@
         if completed:
             job.states[index] = TASK_DONE
         if completed or job.phase is JobPhase.FINALIZED:
-            # It runs, so it counts; but nobody has a use for it any more.
+            # It uses resources, so it counts, but its result is not needed any more.
             attempt.stopping_at = now
         elif job.is_gang:
             self._lifecycle.gangs.adopt(attempt, now)
@@ -98,7 +98,7 @@
             return
         attempt = machine.attempts.get(task.task)
         if attempt is not None and attempt.number != task.attempt:
-            # An earlier attempt at the same task: it says nothing of the one that we know.
+            # An earlier attempt of the same task: it says nothing about the known one.
             attempt = None
         if task.cause == ExitCause.DONE:
             self._handle_completion(machine, job, index, attempt, now)
--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -128,8 +128,8 @@
     admitted: bool = False
     # Whether no earlier leader can have started a task of it.
     never_started: bool = True
-    # Whether any plan was made durable, and whether one is being written. Both can hold, as a durable plan may be
-    # written again.
+    # Whether any plan was made durable, and whether one is being written. Both can hold, as a durable plan
+    # may be written again.
     plan_durable: bool = False
     plan_write_in_flight: bool = False
     # Planned starts: slot -> zone -> tasks, and their bookings in the ledger: slot -> machine -> tasks.
@@ -237,7 +237,7 @@
 
     @property
     def machine_may_be_at_fault(self) -> bool:
-        """Whether the machine may be at fault; a job at fault or finalized without success doesn't tell."""
+        """Whether the machine may be at fault; a job at fault, or finalized without success, can't show it."""
         return self.job_is_healthy or not (self.job.phase is JobPhase.FINALIZED or self.job.failures.at_fault)
 
 
