--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -72,12 +72,12 @@
         status, body = self._state().get(key)
         return Entry(key, body["data"], body["stamp"]) if status == 200 else None
 
-    def page(self, prefix: str, after: str, most: int = 1000) -> Page:
-        _, body = self._state().scan(prefix, after, most)
+    def page(self, prefix: str, after: str, max_entries: int = 1000) -> Page:
+        _, body = self._state().scan(prefix, after, max_entries)
         entries = [decode_entry(entry) for entry in body["entries"]]
         return Page(entries, body["more"], body["ledger"])
 
-    def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
+    def poll_changes(self, prefix: str, since: int, poll_timeout_s: float) -> Changes:
         state = self._state()
         if state.is_too_old(since):
             raise WatchCompactedError(prefix, since)
@@ -323,7 +323,7 @@
         self.node.step_down()
 
     def job_finalized(self, job_id: str, status: str, chores: int) -> None:
-        self.node.users.job_states.finals.put(job_id, FinalState(status, chores))
+        self.node.users.job_states.final_states.put(job_id, FinalState(status, chores))
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
         since = self.world.now - self.world.settings.deployment.workers.lease_s / 2
@@ -563,7 +563,7 @@
             self.step_down()
             return
         leader_term.confirmed = asked
-        for event in world.state.changes(ACTIVE_JOB_PREFIX, leader_term.authority.acted_on_revision):
+        for event in world.state.changes(ACTIVE_JOB_PREFIX, leader_term.authority.applied_revision):
             change = decode_event(event)
             if isinstance(change, Entry):
                 leader_term.controller.handle_job_accepted(change)
@@ -631,7 +631,7 @@
 
     def tell(self, leader: SimLeaderTerm) -> None:
         """Tell a leader which cancellations were confirmed here, as peers' messages do."""
-        self.users.cancellations.acknowledge(leader.authority.acted_on_revision)
+        self.users.cancellations.acknowledge(leader.authority.applied_revision)
         named, bound = self.users.cancellations.summarize(self.first_revision)
         for job_id, _ in named:
             leader.controller.handle_job_removed(ACTIVE_JOB_PREFIX + job_id)
