--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -72,7 +72,7 @@
 
     @staticmethod
     def _is_newer(heartbeat: Heartbeat, machine: Machine) -> bool:
-        """Whether a heartbeat is newer than all before it, unlike duplicates and late ones, relayed or not."""
+        """Whether a heartbeat is newer than all before; duplicates and late ones, relayed or not, aren't."""
         return (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
 
     def _ignores_responses(self, machine: Machine, now: float) -> bool:
--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -237,7 +237,7 @@
 
     @property
     def machine_may_be_at_fault(self) -> bool:
-        """Whether the machine may be at fault; a job at fault, or finalized without success, can't show it."""
+        """Whether the machine may be at fault; a job at fault or finalized without success can't show it."""
         return self.job_is_healthy or not (self.job.phase is JobPhase.FINALIZED or self.job.failures.at_fault)
 
 
