--- a/src/poppyhold/cluster/authority.py
+++ b/src/poppyhold/cluster/authority.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 
-class Authority:
+class RenewalAuthority:
     """Tracks which cancellations the leader has applied, to bound renewals without the state service.
 
     A cancellation that the leader has not applied was confirmed to its user after the leader had last caught
--- a/src/poppyhold/node/cancellation_tracker.py
+++ b/src/poppyhold/node/cancellation_tracker.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable, Iterable
 
-from poppyhold.cluster.authority import Authority
+from poppyhold.cluster.authority import RenewalAuthority
 from poppyhold.cluster.cancellations import Cancellation, Cancellations
 from poppyhold.cluster.lease_delegation import LeaseDelegation
 from poppyhold.cluster.peer_messages import Pong
@@ -18,8 +18,8 @@
 class CancellationTracker:
     """Applies cancellations that controllers confirmed to users, whether or not the watch delivers them.
 
-    The leader may renew a lease only while it must know every confirmed cancellation; `Authority` computes
-    that period.
+    The leader may renew a lease only while it must know every confirmed cancellation; `RenewalAuthority`
+    computes that period.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
         member: str,
         loop: DecisionLoop,
         controller: Controller,
-        authority: Authority,
+        authority: RenewalAuthority,
         own_cancellations: Cancellations,
         first_revision: Callable[[], int],
         leadership_confirmed_at: Callable[[], float],
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -7,7 +7,7 @@
 import time
 from typing import Protocol
 
-from poppyhold.cluster.authority import Authority
+from poppyhold.cluster.authority import RenewalAuthority
 from poppyhold.cluster.election import Election, Term
 from poppyhold.cluster.lease_delegation import DelegationTracker
 from poppyhold.cluster.peer_messages import Pong
@@ -86,7 +86,7 @@
         self._committer = Committer(node.store, settings, term.key_revision, self._on_leader_key_lost)
         self._commands = CommandDispatcher(settings)
         members = [settings.member, *(known.member for known in settings.peers)]
-        self.authority = Authority(durations.unconfirmed_renewal_s, members, term.began_at)
+        self.authority = RenewalAuthority(durations.unconfirmed_renewal_s, members, term.began_at)
         self.delegations = DelegationTracker(durations, settings.deployment.skew_ms / 1000)
         self._outbound = OutboundAdapter(
             self.loop,
--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable, Sequence
 
-from poppyhold.cluster.authority import Authority
+from poppyhold.cluster.authority import RenewalAuthority
 from poppyhold.cluster.election import Election
 from poppyhold.cluster.lease_delegation import DelegationTracker
 from poppyhold.cluster.peers import Peers
@@ -30,7 +30,7 @@
         self,
         loop: DecisionLoop,
         election: Election,
-        authority: Authority,
+        authority: RenewalAuthority,
         delegations: DelegationTracker,
         committer: Committer,
         commands: CommandDispatcher,
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from poppyhold.cluster.authority import Authority
+from poppyhold.cluster.authority import RenewalAuthority
 from poppyhold.cluster.connectivity import Connectivity
 from poppyhold.cluster.delegated_renewals import DelegatedRenewals
 from poppyhold.cluster.lease_delegation import DelegationTracker, LeaseDelegation
@@ -114,7 +114,7 @@
         self.confirmed = self.world.now
         self.delegations = DelegationTracker(node.times, 0.0)
         world = self.world
-        self.authority = Authority(node.times.unconfirmed_renewal_s, world.members, world.now)
+        self.authority = RenewalAuthority(node.times.unconfirmed_renewal_s, world.members, world.now)
         self._writer = FencedWriter(node.store, stamp)
         self._units: deque[tuple[dict[str, int], Sequence[Write], Callable[[bool], None]]] = deque()
         self._priorities: deque[CommitPriority] = deque()
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -5,7 +5,7 @@
 import pytest
 
 from guards import Guard, found_without
-from poppyhold.cluster.authority import Authority
+from poppyhold.cluster.authority import RenewalAuthority
 from poppyhold.cluster.cancellations import Cancellations
 from poppyhold.cluster.connectivity import Connectivity
 from poppyhold.cluster.delegated_renewals import DelegatedRenewals
@@ -77,7 +77,7 @@
     return [], 0
 
 
-def _learned_all(self: Authority, member: str, asked: float, bound: int) -> None:
+def _learned_all(self: RenewalAuthority, member: str, asked: float, bound: int) -> None:
     """Whatever a controller told, it is taken for known."""
     self._peer_watermarks[member] = asked
 
@@ -121,7 +121,7 @@
     Guard("late_run_after_cancel", DirectCommands, "raise_fencing_token", _always),
     Guard("held_start_after_leader_change", AttemptReconciler, "_absence_proves_termination", _always),
     Guard("limit_while_unreachable", Quotas, "allows", _always),
-    Guard("isolated_leader", Authority, "may_renew_leases", _always),
+    Guard("isolated_leader", RenewalAuthority, "may_renew_leases", _always),
     Guard("lost_hire_answer", Launches, "load", _count_nothing),
     Guard("done_before_reap", HeartbeatCommands, "_may_forget_exit", _always),
     Guard("large_fleet", CycleState, "scheduling_key", _unlike),
@@ -132,8 +132,8 @@
     Guard("mute_machines_and_copies", MachineMonitor, "_count_turned_away", _all_of_them),
     Guard("deaf_machine", AttemptReconciler, "_ignores_responses", _never),
     Guard("gap", Cancellations, "summarize", _told_nothing),
-    Guard("gap", Authority, "observe_peer", _never),
-    Guard("gap_unnamed", Authority, "observe_peer", _learned_all),
+    Guard("gap", RenewalAuthority, "observe_peer", _never),
+    Guard("gap_unnamed", RenewalAuthority, "observe_peer", _learned_all),
     Guard("gangs_compete", GangPlacement, "choose", _one_by_one),
     Guard("gang_task_lost_before_start", Gangs, "may_start", _only_from_the_beginning),
     Guard("gang_task_lost_while_running", Gangs, "_fail", _never),
