--- a/src/poppyhold/quota/amounts.py
+++ b/src/poppyhold/quota/amounts.py
@@ -12,14 +12,14 @@
 UNIT = 1000
 
 
-def to_units(amount: float) -> int:
+def to_thousandths(amount: float) -> int:
     """Thousandths of a CPU or an accelerator."""
     return round(amount * UNIT)
 
 
-def from_units(units: int) -> float:
+def from_thousandths(amount: int) -> float:
     """CPUs or accelerators of so many thousandths."""
-    return units / UNIT
+    return amount / UNIT
 
 
 class ResourceAmount(msgspec.Struct, frozen=True, array_like=True):
@@ -123,8 +123,8 @@
 
 
 def _guaranteed(allocation: ResourceAllocation, total: ResourceAllocation) -> float | None:
-    return from_units(allocation.guaranteed) if total.guaranteed else None
+    return from_thousandths(allocation.guaranteed) if total.guaranteed else None
 
 
 def _limit(allocation: ResourceAllocation) -> float:
-    return math.inf if allocation.limit is None else from_units(allocation.limit)
+    return math.inf if allocation.limit is None else from_thousandths(allocation.limit)
--- a/src/poppyhold/quota/apportionment.py
+++ b/src/poppyhold/quota/apportionment.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from poppyhold.configuration_checks import ConfigError
-from poppyhold.quota.amounts import UNIT, ResourceAllocation, TeamAllocation, to_units
+from poppyhold.quota.amounts import UNIT, ResourceAllocation, TeamAllocation, to_thousandths
 from poppyhold.settings import Settings, Team
 
 
@@ -32,10 +32,10 @@
 
 def _total(field: str, guaranteed: float, limit: float) -> ResourceAllocation:
     if not limit:
-        return ResourceAllocation(to_units(guaranteed), None)
+        return ResourceAllocation(to_thousandths(guaranteed), None)
     if guaranteed > limit:
         raise ConfigError(f"{field}: {guaranteed:g} guaranteed is above the limit of {limit:g}")
-    return ResourceAllocation(to_units(guaranteed), to_units(limit) - to_units(guaranteed))
+    return ResourceAllocation(to_thousandths(guaranteed), to_thousandths(limit) - to_thousandths(guaranteed))
 
 
 def check_limits(settings: Settings) -> None:
--- a/src/poppyhold/quota/cell_service.py
+++ b/src/poppyhold/quota/cell_service.py
@@ -18,7 +18,7 @@
 from poppyhold.model.resources import Resources
 from poppyhold.options import Cells
 from poppyhold.quota.alarms import AlarmKind, Alarms
-from poppyhold.quota.amounts import TeamAmount, from_units, to_units
+from poppyhold.quota.amounts import TeamAmount, from_thousandths, to_thousandths
 from poppyhold.quota.apportionment import (
     InitialAllocation,
     has_quota,
@@ -247,9 +247,9 @@
         for team, record in self.ledger.records.items():
             used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
             above = [
-                f"{name} {amount:g} of {from_units(part.limit):g}"
+                f"{name} {amount:g} of {from_thousandths(part.limit):g}"
                 for name, amount, part in zip(RESOURCES, used, parts_of(record.allocation), strict=True)
-                if part.limit is not None and to_units(amount) > part.limit
+                if part.limit is not None and to_thousandths(amount) > part.limit
             ]
             self.alarms.set(AlarmKind.USE_ABOVE_ALLOCATION, team, ", ".join(above) or None)
 
@@ -282,5 +282,5 @@
 
 
 def _log_values(amount: TeamAmount) -> str:
-    accelerators, cpus = from_units(amount.accelerators.limit), from_units(amount.cpus.limit)
+    accelerators, cpus = from_thousandths(amount.accelerators.limit), from_thousandths(amount.cpus.limit)
     return f"accelerators={accelerators:g} cpus={cpus:g}"
--- a/src/poppyhold/quota/cell_view.py
+++ b/src/poppyhold/quota/cell_view.py
@@ -7,7 +7,7 @@
 from poppyhold.model.fleet import Fleet
 from poppyhold.model.resources import ACCELERATORS, CPUS
 from poppyhold.quota.alarms import Alarms
-from poppyhold.quota.amounts import TeamAmount, to_units
+from poppyhold.quota.amounts import TeamAmount, to_thousandths
 from poppyhold.quota.demand import TeamDemand
 from poppyhold.quota.ledger import AllocationLedger
 from poppyhold.quota.messages import CellView, PeerView, TeamView
@@ -54,8 +54,8 @@
             team,
             record.allocation,
             record.total,
-            to_units(used[CPUS]),
-            to_units(used[ACCELERATORS]),
+            to_thousandths(used[CPUS]),
+            to_thousandths(used[ACCELERATORS]),
             spare.cpus,
             spare.accelerators,
         )
--- a/src/poppyhold/quota/consistency.py
+++ b/src/poppyhold/quota/consistency.py
@@ -9,7 +9,7 @@
     ResourceAmount,
     TeamAllocation,
     TeamAmount,
-    from_units,
+    from_thousandths,
 )
 from poppyhold.quota.messages import CellView, PeerView
 from poppyhold.quota.records import Transfer
@@ -87,8 +87,8 @@
         borrowable = sum(each.borrowable or 0 for each in allocations)
         borrowable += sum(each.borrowable for each in amounts)
         if guaranteed != total.guaranteed:
-            found, expected = from_units(guaranteed), from_units(total.guaranteed)
+            found, expected = from_thousandths(guaranteed), from_thousandths(total.guaranteed)
             yield f"team {team}, {name}: guarantees add up to {found:g} of {expected:g}"
         if total.limit is not None and guaranteed + borrowable != total.limit:
-            found, expected = from_units(guaranteed + borrowable), from_units(total.limit)
+            found, expected = from_thousandths(guaranteed + borrowable), from_thousandths(total.limit)
             yield f"team {team}, {name}: limits add up to {found:g} of {expected:g}"
--- a/src/poppyhold/quota/demand_monitor.py
+++ b/src/poppyhold/quota/demand_monitor.py
@@ -10,7 +10,7 @@
 from poppyhold.model.context import Context
 from poppyhold.model.entities import JobPhase
 from poppyhold.model.resources import ACCELERATORS, CPUS, EPSILON, Resources
-from poppyhold.quota.amounts import UNIT, TeamAllocation, to_units
+from poppyhold.quota.amounts import UNIT, TeamAllocation, to_thousandths
 from poppyhold.quota.demand import TeamDemand
 from poppyhold.quota.free_capacity import FreeCapacityEstimate
 from poppyhold.quota.recent_peak import RecentPeak
@@ -18,7 +18,7 @@
 from poppyhold.wire.user_messages import Submission
 
 
-def _to_units_rounded_up(amount: float) -> int:
+def _to_thousandths_rounded_up(amount: float) -> int:
     """Thousandths, rounded up except for the error of adding floats."""
     return math.ceil(amount * UNIT - EPSILON)
 
@@ -55,8 +55,10 @@
         unaccounted = self._unaccounted_resources()
         for team, demand in demands.items():
             used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
-            demand.cpus.may_run = _to_units_rounded_up(used[CPUS] + unaccounted[CPUS])
-            demand.accelerators.may_run = _to_units_rounded_up(used[ACCELERATORS] + unaccounted[ACCELERATORS])
+            demand.cpus.may_run = _to_thousandths_rounded_up(used[CPUS] + unaccounted[CPUS])
+            demand.accelerators.may_run = _to_thousandths_rounded_up(
+                used[ACCELERATORS] + unaccounted[ACCELERATORS]
+            )
 
     def measure(self, allocations: dict[str, TeamAllocation]) -> dict[str, TeamDemand]:
         """The demand of every team that has an allocation."""
@@ -77,7 +79,10 @@
         cpus, accelerators = self._peaks[team]
         # Peaks reach back by half to a whole retention time.
         window_s = self._retention.seconds(team, now) / 2
-        demand.cpus.used, demand.accelerators.used = to_units(used[CPUS]), to_units(used[ACCELERATORS])
+        demand.cpus.used, demand.accelerators.used = (
+            to_thousandths(used[CPUS]),
+            to_thousandths(used[ACCELERATORS]),
+        )
         demand.cpus.peak = cpus.note(demand.cpus.used, now, window_s)
         demand.accelerators.peak = accelerators.note(demand.accelerators.used, now, window_s)
 
@@ -97,10 +102,10 @@
             if not tasks or not free_capacity.fits_any_machine_type(job):
                 continue
             startable = free_capacity.reserve(job, tasks)
-            demand.cpus.pending += to_units(job.task_resources[CPUS] * tasks)
-            demand.cpus.startable += to_units(job.task_resources[CPUS] * startable)
-            demand.accelerators.pending += to_units(job.task_resources[ACCELERATORS] * tasks)
-            demand.accelerators.startable += to_units(job.task_resources[ACCELERATORS] * startable)
+            demand.cpus.pending += to_thousandths(job.task_resources[CPUS] * tasks)
+            demand.cpus.startable += to_thousandths(job.task_resources[CPUS] * startable)
+            demand.accelerators.pending += to_thousandths(job.task_resources[ACCELERATORS] * tasks)
+            demand.accelerators.startable += to_thousandths(job.task_resources[ACCELERATORS] * startable)
 
     def _is_stalled(self, team: str, demand: TeamDemand, allocation: TeamAllocation, now: float) -> bool:
         """Whether work has been pending for long despite an idle allocation: other cells may use that.
--- a/src/poppyhold/quota/status.py
+++ b/src/poppyhold/quota/status.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from poppyhold.quota.amounts import from_units
+from poppyhold.quota.amounts import from_thousandths
 from poppyhold.quota.consistency import (
     RESOURCES,
     amounts_of,
@@ -134,9 +134,11 @@
         allocation, total = parts_of(team.allocation)[index], parts_of(team.total)[index]
         if not total.guaranteed and total.limit is None:
             continue
-        incoming_units = sum(amounts_of(transfer, team.team)[index].limit for transfer in incoming)
-        limit = None if allocation.limit is None else from_units(allocation.limit)
-        guaranteed, in_use, in_transit = map(from_units, (allocation.guaranteed, used[index], incoming_units))
+        incoming_amount = sum(amounts_of(transfer, team.team)[index].limit for transfer in incoming)
+        limit = None if allocation.limit is None else from_thousandths(allocation.limit)
+        guaranteed, in_use, in_transit = map(
+            from_thousandths, (allocation.guaranteed, used[index], incoming_amount)
+        )
         yield ResourceStatus(team.team, name, guaranteed, limit, in_use, in_transit)
 
 
--- a/src/poppyhold/scale/cell_checks.py
+++ b/src/poppyhold/scale/cell_checks.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from poppyhold.durable.keys import QUOTA_PREFIX
-from poppyhold.quota.amounts import from_units
+from poppyhold.quota.amounts import from_thousandths
 from poppyhold.quota.consistency import problems, transfers_in_transit
 from poppyhold.quota.messages import CellView, PeerView, TeamView
 from poppyhold.quota.records import ALLOCATION, IDENTITY, PEER, AllocationRecord, IdentityRecord, PeerRecord
@@ -138,7 +138,7 @@
             for team in view.teams:
                 if team.allocation.accelerators.limit is None:
                     continue
-                limit, used = from_units(team.allocation.accelerators.limit), run.checks.used[team.team]
+                limit, used = from_thousandths(team.allocation.accelerators.limit), run.checks.used[team.team]
                 if used > limit + _SLACK:
                     self.violations.add(f"share: {team.team} uses {used:g} of {limit:g} in {view.cell}")
 
@@ -185,7 +185,7 @@
 
 def _total_share(view: CellView) -> float:
     """Accelerators that all teams together may use in a cell."""
-    return from_units(sum(team.allocation.accelerators.limit or 0 for team in view.teams))
+    return from_thousandths(sum(team.allocation.accelerators.limit or 0 for team in view.teams))
 
 
 # A task of one accelerator, the smallest that asks for a share of them.
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -14,7 +14,7 @@
 from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.options import Cell, CellController, Cells, Options
 from poppyhold.options_file import check_cells
-from poppyhold.quota.amounts import UNIT, to_units
+from poppyhold.quota.amounts import UNIT, to_thousandths
 from poppyhold.quota.apportionment import total_allocation
 from poppyhold.quota.ledger import AllocationLedger
 from poppyhold.quota.messages import QuotaResponse, TransferRequest, TransferResponse
@@ -188,7 +188,7 @@
     def _check(self) -> None:
         limit = self._whole.accelerators.limit
         used = self.used()
-        if limit is not None and to_units(used) > limit:
+        if limit is not None and to_thousandths(used) > limit:
             self.broken.append(f"quota over all cells: {used:g} at {self.now:.1f}")
         if self.now < self._check_at:
             return
@@ -197,7 +197,9 @@
         if self.cell_is_lost or any(ledger.allocation(TEAM) is None for ledger in ledgers.values()):
             return
         running = {
-            name: 0 if index in self.without_file and self._says_so(index) else to_units(self._used(world))
+            name: 0
+            if index in self.without_file and self._says_so(index)
+            else to_thousandths(self._used(world))
             for index, (name, world) in enumerate(zip(self._names, self.worlds, strict=True))
         }
         for problem in sum_problems(ledgers, TEAM, self._whole, running):
