--- a/src/poppyhold/quota/ledger.py
+++ b/src/poppyhold/quota/ledger.py
@@ -23,9 +23,9 @@
 from poppyhold.quota.errors import SequenceError, UnknownIncarnationError, WrongCellError
 from poppyhold.quota.ledger_commits import Commit, LedgerCommits
 from poppyhold.quota.records import (
-    ALLOCATION,
-    IDENTITY,
-    PEER,
+    ALLOCATION_PREFIX,
+    IDENTITY_KEY,
+    PEER_PREFIX,
     AllocationRecord,
     IdentityRecord,
     PeerRecord,
@@ -108,13 +108,13 @@
     def load(self, entries: Iterable[Entry]) -> None:
         """Load the durable records, as a new leader read them."""
         for entry in entries:
-            if entry.key == IDENTITY:
+            if entry.key == IDENTITY_KEY:
                 self.identity = convert(entry.data, IdentityRecord)
-            elif entry.key.startswith(ALLOCATION):
+            elif entry.key.startswith(ALLOCATION_PREFIX):
                 record = convert(entry.data, AllocationRecord)
                 self._records[record.team] = record
-            elif entry.key.startswith(PEER):
-                self._peers[entry.key.removeprefix(PEER)] = convert(entry.data, PeerRecord)
+            elif entry.key.startswith(PEER_PREFIX):
+                self._peers[entry.key.removeprefix(PEER_PREFIX)] = convert(entry.data, PeerRecord)
         for team in self._records:
             self._on_changed(team)
 
@@ -138,8 +138,8 @@
         identity = self.identity
         if identity is None:
             identity = IdentityRecord(self.cell, self._new_incarnation())
-            conditions[IDENTITY] = 0
-            writes.append(put_record(IDENTITY, identity))
+            conditions[IDENTITY_KEY] = 0
+            writes.append(put_record(IDENTITY_KEY, identity))
         created = missing[: max(0, max_records - len(writes))]
         records = [AllocationRecord(team, *initial[team]) for team in created]
         for record in records:
@@ -277,4 +277,4 @@
 
 
 def _put_peer(peer: str, record: PeerRecord) -> Put:
-    return put_record(PEER + peer, record)
+    return put_record(PEER_PREFIX + peer, record)
--- a/src/poppyhold/quota/records.py
+++ b/src/poppyhold/quota/records.py
@@ -10,11 +10,11 @@
 from poppyhold.quota.amounts import TeamAllocation, TeamAmount
 
 # One record: which cell this is, and the incarnation of its records.
-IDENTITY = QUOTA_PREFIX + "i"
+IDENTITY_KEY = QUOTA_PREFIX + "i"
 # A record for each team.
-ALLOCATION = QUOTA_PREFIX + "s/"
+ALLOCATION_PREFIX = QUOTA_PREFIX + "s/"
 # A record for each other cell.
-PEER = QUOTA_PREFIX + "c/"
+PEER_PREFIX = QUOTA_PREFIX + "c/"
 
 
 class IdentityRecord(msgspec.Struct, frozen=True):
@@ -57,4 +57,4 @@
 
 def allocation_key(team: str) -> str:
     """The key of a team's allocation; keys hold no spaces."""
-    return ALLOCATION + quote(team, safe="")
+    return ALLOCATION_PREFIX + quote(team, safe="")
--- a/src/poppyhold/scale/cell_checks.py
+++ b/src/poppyhold/scale/cell_checks.py
@@ -10,7 +10,14 @@
 from poppyhold.quota.amounts import from_thousandths
 from poppyhold.quota.consistency import problems, transfers_in_transit
 from poppyhold.quota.messages import CellView, PeerView, TeamView
-from poppyhold.quota.records import ALLOCATION, IDENTITY, PEER, AllocationRecord, IdentityRecord, PeerRecord
+from poppyhold.quota.records import (
+    ALLOCATION_PREFIX,
+    IDENTITY_KEY,
+    PEER_PREFIX,
+    AllocationRecord,
+    IdentityRecord,
+    PeerRecord,
+)
 from poppyhold.scale.cell_history import CellHistory, CellSample, LimitUse
 from poppyhold.scale.cell_links import CellNetwork
 from poppyhold.scale.checks import RuleChecks
@@ -38,15 +45,15 @@
     teams, peers = [], []
     for entry in entries:
         key, data = entry["key"], entry["data"]
-        if key == IDENTITY:
+        if key == IDENTITY_KEY:
             identity = convert(data, IdentityRecord)
             cell, incarnation = identity.cell, identity.incarnation
-        elif key.startswith(ALLOCATION):
+        elif key.startswith(ALLOCATION_PREFIX):
             record = convert(data, AllocationRecord)
             teams.append(TeamView(record.team, record.allocation, record.total))
-        elif key.startswith(PEER):
+        elif key.startswith(PEER_PREFIX):
             peer = convert(data, PeerRecord)
-            peers.append(PeerView(key.removeprefix(PEER), peer.sent, peer.applied, peer.in_transit))
+            peers.append(PeerView(key.removeprefix(PEER_PREFIX), peer.sent, peer.applied, peer.in_transit))
     return CellView(cell, incarnation, teams, peers)
 
 
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -32,7 +32,7 @@
 from poppyhold.node.leader_term import DIRECT_SHARE
 from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options, RelayMode
-from poppyhold.quota.records import PEER
+from poppyhold.quota.records import PEER_PREFIX
 from poppyhold.reads.batched_job_reads import BatchedJobReads
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.batch_handler import BatchHandler
@@ -157,7 +157,7 @@
     def _carry_out(self) -> None:
         """One try of the first unit that waits, as the committer's thread does."""
         conditions, writes, done = self._units[0]
-        is_transfer = any(isinstance(write, Put) and write.key.startswith(PEER) for write in writes)
+        is_transfer = any(isinstance(write, Put) and write.key.startswith(PEER_PREFIX) for write in writes)
         if is_transfer and self._planned is not writes:
             self._planned = writes
             self.world.on_transfer_step(self.node, "planned")
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -13,7 +13,7 @@
 )
 from poppyhold.quota.errors import SequenceError, UnknownIncarnationError, WrongCellError
 from poppyhold.quota.ledger import AllocationLedger
-from poppyhold.quota.records import IDENTITY, Transfer, allocation_key
+from poppyhold.quota.records import IDENTITY_KEY, Transfer, allocation_key
 from quota_model import (
     TEAM,
     WHOLE,
@@ -167,7 +167,7 @@
 def test_no_record_that_is_there_is_written_over(allocations: dict[str, InitialAllocation]) -> None:
     leader = lonely_leader() if not allocations else Fleet().cells[0].leader
     assert leader is not None
-    key = allocation_key("beta") if allocations else IDENTITY
+    key = allocation_key("beta") if allocations else IDENTITY_KEY
     leader.ledger.create_missing(allocations, 10)
     leader.cell.state.commit(transaction_body({}, [Put(key, {"made": "meanwhile"})]))
     leader.carry_out()
