--- a/src/poppyhold/quota/cell_service.py
+++ b/src/poppyhold/quota/cell_service.py
@@ -193,7 +193,7 @@
     def _serve(self, request: TransferRequest) -> None:
         self.ledger.check_peer(request.cell, request.incarnation)
         self._requester.note_view(request.cell, request.view)
-        self.ledger.acknowledge(request.cell, request.incarnation, request.applied)
+        self.ledger.acknowledge(request.cell, request.incarnation, request.last_applied)
         now = self._ctx.clock()
         if (
             not request.unmet_demands
--- a/src/poppyhold/quota/cell_view.py
+++ b/src/poppyhold/quota/cell_view.py
@@ -40,7 +40,7 @@
             self._team_view(team, record, demands.get(team)) for team, record in self._ledger.records.items()
         ]
         peers = [
-            PeerView(cell, peer.sent, peer.applied, peer.in_transit)
+            PeerView(cell, peer.last_sent, peer.last_applied, peer.in_transit)
             for cell, peer in self._ledger.peers.items()
         ]
         return CellView(self._cell, self._ledger.incarnation, teams, peers, self._alarms.texts())
--- a/src/poppyhold/quota/consistency.py
+++ b/src/poppyhold/quota/consistency.py
@@ -36,33 +36,33 @@
         for view in views.values()
         for peer in view.peers
         if peer.in_transit is not None
-        and (peer.cell not in views or _applied(views[peer.cell], view.cell) < peer.in_transit.number)
+        and (peer.cell not in views or _last_applied(views[peer.cell], view.cell) < peer.in_transit.number)
     ]
 
 
-def are_of_one_moment(views: dict[str, CellView]) -> bool:
+def is_consistent_snapshot(views: dict[str, CellView]) -> bool:
     """Whether the views can be added up: they are of different moments, with transfers in between."""
     return all(
-        _agree(_sent(source, destination.cell), _applied(destination, source.cell))
+        _counters_match(_peer_view(source, destination.cell), _last_applied(destination, source.cell))
         for source in views.values()
         for destination in views.values()
         if source is not destination
     )
 
 
-def _sent(view: CellView, destination: str) -> PeerView:
+def _peer_view(view: CellView, destination: str) -> PeerView:
     return next((peer for peer in view.peers if peer.cell == destination), PeerView(destination, 0, 0))
 
 
-def _agree(peer: PeerView, applied: int) -> bool:
+def _counters_match(peer: PeerView, last_applied: int) -> bool:
     """Whether what the source sent and what the destination applied are of one moment."""
-    if peer.in_transit is not None and applied == peer.sent - 1:
+    if peer.in_transit is not None and last_applied == peer.last_sent - 1:
         return True
-    return applied == peer.sent
+    return last_applied == peer.last_sent
 
 
-def _applied(view: CellView, source: str) -> int:
-    return next((peer.applied for peer in view.peers if peer.cell == source), 0)
+def _last_applied(view: CellView, source: str) -> int:
+    return next((peer.last_applied for peer in view.peers if peer.cell == source), 0)
 
 
 def problems(views: dict[str, CellView]) -> list[str]:
--- a/src/poppyhold/quota/ledger.py
+++ b/src/poppyhold/quota/ledger.py
@@ -96,7 +96,7 @@
     def last_applied_from(self, peer: str) -> int:
         """The number of the last transfer from a cell that is durable here."""
         record = self._peers.get(peer)
-        return record.applied if record is not None else 0
+        return record.last_applied if record is not None else 0
 
     def transfer_in_transit_to(self, peer: str) -> Transfer | None:
         """The durable transfer in transit to a cell."""
@@ -178,11 +178,11 @@
             return False
         self.check_peer(peer, incarnation)
         before = self._peers.get(peer) or PeerRecord(incarnation)
-        transfer = Transfer(before.sent + 1, dict(amounts))
+        transfer = Transfer(before.last_sent + 1, dict(amounts))
         debited = [
             _changed(record, record.allocation.minus(amounts[team])) for team, record in records.items()
         ]
-        peer_record = msgspec.structs.replace(before, sent=transfer.number, in_transit=transfer)
+        peer_record = msgspec.structs.replace(before, last_sent=transfer.number, in_transit=transfer)
         self._apply_debits(debited)
         self._peers[peer] = peer_record
         self._uncommitted_transfers.add(peer)
@@ -194,7 +194,7 @@
         """Stop planning against debited amounts, before anything is written."""
         self._set_in_force(debited)
 
-    def acknowledge(self, peer: str, incarnation: str, applied: int) -> None:
+    def acknowledge(self, peer: str, incarnation: str, last_applied: int) -> None:
         """Note up to which number a cell has applied our transfers: those are no longer kept here.
 
         Raises:
@@ -203,13 +203,17 @@
         """
         known = self._peers.get(peer)
         if known is None:
-            if applied:
-                raise SequenceError(f"cell {peer} has applied transfer {applied}, and none is known here")
+            if last_applied:
+                raise SequenceError(
+                    f"cell {peer} has applied transfer {last_applied}, and none is known here"
+                )
             return
         self.check_peer(peer, incarnation)
-        if applied > known.sent or (peer in self._uncommitted_transfers and applied == known.sent):
-            raise SequenceError(f"cell {peer} has applied transfer {applied} of {known.sent}")
-        if known.in_transit is None or applied < known.sent or self.commit_in_progress:
+        if last_applied > known.last_sent or (
+            peer in self._uncommitted_transfers and last_applied == known.last_sent
+        ):
+            raise SequenceError(f"cell {peer} has applied transfer {last_applied} of {known.last_sent}")
+        if known.in_transit is None or last_applied < known.last_sent or self.commit_in_progress:
             return
         peer_record = msgspec.structs.replace(known, in_transit=None)
 
@@ -236,7 +240,7 @@
             return False
         records = [self._records[team] for team in transfer.amounts]
         credited = [_changed(each, each.allocation.plus(transfer.amounts[each.team])) for each in records]
-        peer_record = msgspec.structs.replace(before, applied=transfer.number)
+        peer_record = msgspec.structs.replace(before, last_applied=transfer.number)
 
         def on_committed() -> None:
             self._peers[peer] = peer_record
@@ -248,9 +252,9 @@
     @staticmethod
     def _is_next_in_sequence(before: PeerRecord, transfer: Transfer) -> bool:
         """Whether a transfer is the next one; one at or below the last applied number is a repeat."""
-        if transfer.number > before.applied + 1:
-            raise SequenceError(f"transfer {transfer.number} came after {before.applied}")
-        return transfer.number == before.applied + 1
+        if transfer.number > before.last_applied + 1:
+            raise SequenceError(f"transfer {transfer.number} came after {before.last_applied}")
+        return transfer.number == before.last_applied + 1
 
     def _commit_credits(
         self,
--- a/src/poppyhold/quota/messages.py
+++ b/src/poppyhold/quota/messages.py
@@ -51,8 +51,8 @@
     """The transfers between one cell and another, by the first one's records."""
 
     cell: str
-    sent: int
-    applied: int
+    last_sent: int
+    last_applied: int
     in_transit: Transfer | None = None
 
 
@@ -79,7 +79,7 @@
     incarnation: str
     to_incarnation: str
     # The number of the last of the other cell's transfers that is durable here.
-    applied: int
+    last_applied: int
     unmet_demands: list[UnmetDemand] = []
     view: CellView | None = None
 
--- a/src/poppyhold/quota/records.py
+++ b/src/poppyhold/quota/records.py
@@ -49,10 +49,10 @@
     # The incarnation of the other cell's records at the first transfer.
     incarnation: str = msgspec.field(name="i")
     # The number of the last transfer to it, and that transfer until the other cell has applied it.
-    sent: int = msgspec.field(name="s", default=0)
+    last_sent: int = msgspec.field(name="s", default=0)
     in_transit: Transfer | None = msgspec.field(name="t", default=None)
     # The number of the last transfer from it that was applied here.
-    applied: int = msgspec.field(name="a", default=0)
+    last_applied: int = msgspec.field(name="a", default=0)
 
 
 def allocation_key(team: str) -> str:
--- a/src/poppyhold/quota/request_board.py
+++ b/src/poppyhold/quota/request_board.py
@@ -41,4 +41,4 @@
 def _differs(before: TransferRequest | None, after: TransferRequest | None) -> bool:
     if before is None or after is None:
         return after is not before
-    return before.applied != after.applied or before.unmet_demands != after.unmet_demands
+    return before.last_applied != after.last_applied or before.unmet_demands != after.unmet_demands
--- a/src/poppyhold/quota/status.py
+++ b/src/poppyhold/quota/status.py
@@ -10,7 +10,7 @@
 from poppyhold.quota.consistency import (
     RESOURCES,
     amounts_of,
-    are_of_one_moment,
+    is_consistent_snapshot,
     parts_of,
     problems,
     transfers_in_transit,
@@ -101,7 +101,7 @@
     ages = {own.cell: 0.0, **{other.view.cell: other.age_s for other in others}}
     views = {own.cell: own, **{other.view.cell: other.view for other in others}}
     incoming = _by_destination(views)
-    complete = not response.uncontacted and are_of_one_moment(views)
+    complete = not response.uncontacted and is_consistent_snapshot(views)
     return QuotaStatus(
         [_cell_status(view, ages[name], incoming.get(name, [])) for name, view in views.items()],
         response.uncontacted,
--- a/src/poppyhold/scale/cell_checks.py
+++ b/src/poppyhold/scale/cell_checks.py
@@ -53,7 +53,9 @@
             teams.append(TeamView(record.team, record.allocation, record.total))
         elif key.startswith(PEER_PREFIX):
             peer = convert(data, PeerRecord)
-            peers.append(PeerView(key.removeprefix(PEER_PREFIX), peer.sent, peer.applied, peer.in_transit))
+            peers.append(
+                PeerView(key.removeprefix(PEER_PREFIX), peer.last_sent, peer.last_applied, peer.in_transit)
+            )
     return CellView(cell, incarnation, teams, peers)
 
 
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -174,7 +174,7 @@
 
     def moves(self) -> int:
         """Transfers that were started in all cells."""
-        return sum(record.sent for world in self.worlds for record in self._ledger(world).peers.values())
+        return sum(record.last_sent for world in self.worlds for record in self._ledger(world).peers.values())
 
     def alarms(self, cell: int) -> list[str]:
         """What stands at the cell's leader."""
--- a/tests/quota_model.py
+++ b/tests/quota_model.py
@@ -144,7 +144,7 @@
     def answer(self, request: TransferRequest) -> TransferResponse:
         """The response to another cell's leader, without its unmet demand."""
         self.ledger.check_peer(request.cell, request.incarnation)
-        self.ledger.acknowledge(request.cell, request.incarnation, request.applied)
+        self.ledger.acknowledge(request.cell, request.incarnation, request.last_applied)
         return TransferResponse(
             self.cell.name, self.ledger.incarnation, self.ledger.transfer_in_transit_to(request.cell)
         )
--- a/tests/test_cell_service.py
+++ b/tests/test_cell_service.py
@@ -130,7 +130,7 @@
     for _ in range(5):
         quota.answer(request(quota, UnmetDemand("nobody", accelerators_limit=UNIT)))
     quota.answer(request(quota, unmet_demand(0, 1)))
-    assert quota.ledger.peers["west"].sent == 1
+    assert quota.ledger.peers["west"].last_sent == 1
 
 
 def test_a_cell_has_to_name_its_records_from_the_first_request_on() -> None:
@@ -148,15 +148,15 @@
     monkeypatch.setattr(
         term_of(world), "commit", lambda conditions, writes, done, priority: commits.append(done)
     )
-    before = quota.answer(request(quota, applied=1)).view
+    before = quota.answer(request(quota, last_applied=1)).view
     assert before is not None
     assert before.peers[0].in_transit is not None
     commits[0](True)
-    after = quota.answer(request(quota, applied=1)).view
+    after = quota.answer(request(quota, last_applied=1)).view
     assert after is not None
     assert after.peers[0].in_transit is None
     quota.tick()
-    assert quota.answer(request(quota, applied=1)).view is not after
+    assert quota.answer(request(quota, last_applied=1)).view is not after
 
 
 def test_what_no_cell_requests_or_this_one_lacks_is_not_debited(caplog: pytest.LogCaptureFixture) -> None:
@@ -178,7 +178,7 @@
     assert first is not None
     assert transferred(world, quota, unmet_demand(0, 1)) == first
     # It was applied, and the next one may start once the rate limit of transfers allows.
-    quota.answer(request(quota, applied=1))
+    quota.answer(request(quota, last_applied=1))
     while quota.ledger.peers["west"].in_transit is not None:
         world.run(world.now + 0.05)
     quota._rate_limiter.consume(1000.0, world.now)
@@ -194,7 +194,7 @@
     world, quota = leading_cell()
     first = transferred(world, quota, unmet_demand(0, 1))
     assert first is not None
-    answer = quota.answer(request(quota, unmet_demand(0, 1), applied=1, **changes))
+    answer = quota.answer(request(quota, unmet_demand(0, 1), last_applied=1, **changes))
     assert answer.rejection
     assert answer.transfer is None
     world.run(world.now + 1.0)
@@ -232,7 +232,7 @@
         if broken is not None:
             quota.handle_response(TransferResponse("west", "w1", broken))
         else:
-            quota.answer(request(quota, applied=7))
+            quota.answer(request(quota, last_applied=7))
         assert len(quota.alarms.texts()) == 1
         quota.handle_response(TransferResponse("west", "w1", None))
         assert quota.alarms.texts() == []
