--- a/src/poppyhold/quota/cell_service.py
+++ b/src/poppyhold/quota/cell_service.py
@@ -27,7 +27,7 @@
     total_allocation,
 )
 from poppyhold.quota.cell_view import CellViewBuilder
-from poppyhold.quota.consistency import RESOURCES, parts_of
+from poppyhold.quota.consistency import RESOURCES, allocations_by_resource
 from poppyhold.quota.demand import TeamDemand
 from poppyhold.quota.demand_monitor import DemandMonitor
 from poppyhold.quota.ledger import AllocationLedger
@@ -180,7 +180,7 @@
         """Handle another cell's response: apply the transfer that it carries."""
         if response.rejection:
             log.debug("transfer request rejected: cell=%s reason=%r", response.cell, response.rejection)
-        self._requester.note_view(response.cell, response.view)
+        self._requester.record_view(response.cell, response.view)
         self._checks.run_guarded(response.cell, lambda: self._apply_transfer(response))
         self._prepare_requests()
 
@@ -192,7 +192,7 @@
 
     def _serve(self, request: TransferRequest) -> None:
         self.ledger.check_peer(request.cell, request.incarnation)
-        self._requester.note_view(request.cell, request.view)
+        self._requester.record_view(request.cell, request.view)
         self.ledger.acknowledge(request.cell, request.incarnation, request.last_applied)
         now = self._ctx.clock()
         if (
@@ -210,7 +210,7 @@
         if self.ledger.debit(request.cell, request.incarnation, offers):
             self._rate_limiter.consume(len(offers) + _PEER_CHANGES_PER_TRANSFER, now)
             for team, amount in offers.items():
-                self._retention.note_debit(team, now)
+                self._retention.record_debit(team, now)
                 log.info("debit: team=%s %s destination_cell=%s", team, _log_values(amount), request.cell)
 
     def _offer(self, unmet: UnmetDemand, destination: str) -> TeamAmount:
@@ -227,7 +227,7 @@
         if transfer is not None and self.ledger.credit(response.cell, response.incarnation, transfer):
             self._credit_log_lines = [
                 f"credit: team={team} {_log_values(amount)} source_cell={response.cell} "
-                f"unmet_s={self._requester.waited_s(team):.3f}"
+                f"unmet_s={self._requester.unmet_s(team):.3f}"
                 for team, amount in transfer.amounts.items()
             ]
 
@@ -235,7 +235,7 @@
         """Make the requests to other cells from what is known now."""
         if self.ledger.incarnation:
             self._requester.prepare(self._demands, self._view())
-            self._retention.note_unmet_demand(self._requester.teams_with_unmet_demand(), self._ctx.clock())
+            self._retention.record_unmet_demand(self._requester.teams_with_unmet_demand(), self._ctx.clock())
 
     # -- what operators see ----------------------------------------------------------------------------
 
@@ -248,7 +248,9 @@
             used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
             above = [
                 f"{name} {amount:g} of {from_thousandths(part.limit):g}"
-                for name, amount, part in zip(RESOURCES, used, parts_of(record.allocation), strict=True)
+                for name, amount, part in zip(
+                    RESOURCES, used, allocations_by_resource(record.allocation), strict=True
+                )
                 if part.limit is not None and to_thousandths(amount) > part.limit
             ]
             self.alarms.set(AlarmKind.USE_ABOVE_ALLOCATION, team, ", ".join(above) or None)
--- a/src/poppyhold/quota/consistency.py
+++ b/src/poppyhold/quota/consistency.py
@@ -18,12 +18,12 @@
 RESOURCES = ("cpus", "gpus")
 
 
-def parts_of(allocation: TeamAllocation) -> tuple[ResourceAllocation, ResourceAllocation]:
+def allocations_by_resource(allocation: TeamAllocation) -> tuple[ResourceAllocation, ResourceAllocation]:
     """Both resources of an allocation, in the order of `RESOURCES`."""
     return allocation.cpus, allocation.accelerators
 
 
-def amounts_of(transfer: Transfer, team: str) -> tuple[ResourceAmount, ResourceAmount]:
+def amounts_by_resource(transfer: Transfer, team: str) -> tuple[ResourceAmount, ResourceAmount]:
     """Both resources of a team in a transfer, in the order of `RESOURCES`."""
     amount = transfer.amounts.get(team, TeamAmount())
     return amount.cpus, amount.accelerators
@@ -80,9 +80,9 @@
         yield f"team {team}: cells began with different figures"
         return
     for index, name in enumerate(RESOURCES):
-        total = parts_of(team_views[0].total)[index]
-        amounts = [amounts_of(transfer, team)[index] for transfer in in_transit]
-        allocations = [parts_of(view.allocation)[index] for view in team_views]
+        total = allocations_by_resource(team_views[0].total)[index]
+        amounts = [amounts_by_resource(transfer, team)[index] for transfer in in_transit]
+        allocations = [allocations_by_resource(view.allocation)[index] for view in team_views]
         guaranteed = sum(each.guaranteed for each in allocations) + sum(each.guaranteed for each in amounts)
         borrowable = sum(each.borrowable or 0 for each in allocations)
         borrowable += sum(each.borrowable for each in amounts)
--- a/src/poppyhold/quota/demand_monitor.py
+++ b/src/poppyhold/quota/demand_monitor.py
@@ -83,8 +83,8 @@
             to_thousandths(used[CPUS]),
             to_thousandths(used[ACCELERATORS]),
         )
-        demand.cpus.peak = cpus.note(demand.cpus.used, now, window_s)
-        demand.accelerators.peak = accelerators.note(demand.accelerators.used, now, window_s)
+        demand.cpus.peak = cpus.record(demand.cpus.used, now, window_s)
+        demand.accelerators.peak = accelerators.record(demand.accelerators.used, now, window_s)
 
     def _add_pending(self, demands: dict[str, TeamDemand]) -> None:
         free_capacity = FreeCapacityEstimate(self._ctx, self._can_launch)
--- a/src/poppyhold/quota/link.py
+++ b/src/poppyhold/quota/link.py
@@ -92,14 +92,14 @@
             try:
                 response = self._request(request)
             except (OSError, ValueError, LinkError) as error:
-                self._note_failure(error)
+                self._record_failure(error)
                 continue
             except Exception:
                 # The thread has to go on for the whole term: without it the cell would get no transfers.
                 log.exception("request to another cell failed unexpectedly: cell=%s", self._cell.name)
-                self._note_failure(LinkError("see above"))
+                self._record_failure(LinkError("see above"))
                 continue
-            self._note_success()
+            self._record_success()
             self._on_response(response)
             self._pause(request, response)
         self._close()
@@ -143,12 +143,12 @@
                 return True
         return False
 
-    def _note_success(self) -> None:
+    def _record_success(self) -> None:
         if self._failures:
             log.info("link to cell restored: cell=%s failures=%d", self._cell.name, self._failures)
         self._failures = 0
 
-    def _note_failure(self, error: Exception) -> None:
+    def _record_failure(self, error: Exception) -> None:
         self._close()
         if not self._failures:
             log.warning("link to cell lost: cell=%s error=%r", self._cell.name, str(error))
--- a/src/poppyhold/quota/recent_peak.py
+++ b/src/poppyhold/quota/recent_peak.py
@@ -10,7 +10,7 @@
         self._window_started_at = float("-inf")
         self._previous_peak = self._current_peak = 0
 
-    def note(self, value: int, now: float, window_s: float) -> int:
+    def record(self, value: int, now: float, window_s: float) -> int:
         """Add a value and return the peak; the window's length may differ from one value to the next."""
         elapsed_s = now - self._window_started_at
         if elapsed_s >= window_s:
--- a/src/poppyhold/quota/status.py
+++ b/src/poppyhold/quota/status.py
@@ -9,9 +9,9 @@
 from poppyhold.quota.amounts import from_thousandths
 from poppyhold.quota.consistency import (
     RESOURCES,
-    amounts_of,
+    amounts_by_resource,
     is_consistent_snapshot,
-    parts_of,
+    allocations_by_resource,
     problems,
     transfers_in_transit,
 )
@@ -131,10 +131,13 @@
 def _team_status(team: TeamView, incoming: list[Transfer]) -> Iterator[ResourceStatus]:
     used = team.cpus_used, team.accelerators_used
     for index, name in enumerate(RESOURCES):
-        allocation, total = parts_of(team.allocation)[index], parts_of(team.total)[index]
+        allocation, total = (
+            allocations_by_resource(team.allocation)[index],
+            allocations_by_resource(team.total)[index],
+        )
         if not total.guaranteed and total.limit is None:
             continue
-        incoming_amount = sum(amounts_of(transfer, team.team)[index].limit for transfer in incoming)
+        incoming_amount = sum(amounts_by_resource(transfer, team.team)[index].limit for transfer in incoming)
         limit = None if allocation.limit is None else from_thousandths(allocation.limit)
         guaranteed, in_use, in_transit = map(
             from_thousandths, (allocation.guaranteed, used[index], incoming_amount)
--- a/src/poppyhold/quota/transfer_requests.py
+++ b/src/poppyhold/quota/transfer_requests.py
@@ -62,7 +62,7 @@
         # The request to each other cell.
         self.requests: dict[str, TransferRequest] = {}
 
-    def note_view(self, cell: str, view: CellView | None) -> None:
+    def record_view(self, cell: str, view: CellView | None) -> None:
         """Keep another cell's view of itself."""
         if view is not None:
             teams = {team.team: team for team in view.teams}
@@ -80,14 +80,14 @@
         """Teams whose demand is unmet."""
         return self._unmet_since
 
-    def waited_s(self, team: str) -> float:
+    def unmet_s(self, team: str) -> float:
         """For how many seconds a team's demand has been unmet."""
         now = self._clock()
         return now - self._unmet_since.get(team, now)
 
     def unmet_for_longer_than(self, limit_s: float) -> list[str]:
         """Teams whose demand has been unmet for longer than that."""
-        return sorted(team for team in self._unmet_since if self.waited_s(team) > limit_s)
+        return sorted(team for team in self._unmet_since if self.unmet_s(team) > limit_s)
 
     def prepare(self, demands: Mapping[str, TeamDemand], view: CellView) -> None:
         """Request from each cell what it can spare of the unmet demand; ``view`` is this cell's own."""
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -92,7 +92,7 @@
 
 
 def _shortest_retention(self: RetentionTimes, team: str, now: float) -> float:
-    return self._shortest_s
+    return self._min_s
 
 
 # Guard that is taken out -> scenario that must then break a rule or miss what it expects.
@@ -110,7 +110,7 @@
     Guard("cut_in_one_direction", AllocationLedger, "acknowledge", _unreconciled),
     Guard("share_moves", AllocationLedger, "acknowledge", _unreconciled),
     Guard("gang_at_the_edge", GangScheduler, "_within_limit", _always),
-    Guard("steady_and_alternating", RecentPeak, "note", _nothing_of_late),
+    Guard("steady_and_alternating", RecentPeak, "record", _nothing_of_late),
     Guard("steady_and_alternating", RetentionTimes, "seconds", _shortest_retention),
     Guard("waiting_without_room", ResourceDemand, "retained", _all_that_waits_kept),
     Guard("reserve_while_cut_off", ResourceAllocation, "excess_over", _all_of_it),
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -16,8 +16,8 @@
     retention = RetentionTimes(LONGEST_S)
     found = [retention.seconds(TEAM, 0.0)]
     for now in (1.0, 2.0, 3.0):
-        retention.note_debit(TEAM, now)
-        retention.note_unmet_demand([TEAM], now + 0.5)
+        retention.record_debit(TEAM, now)
+        retention.record_unmet_demand([TEAM], now + 0.5)
         found.append(retention.seconds(TEAM, now + 0.5))
     assert found == [SHORTEST_S, 4.0, LONGEST_S, LONGEST_S]
     assert retention.seconds(OTHER, 3.5) == SHORTEST_S
@@ -26,20 +26,20 @@
 def test_retention_halves_with_each_quiet_period() -> None:
     retention = RetentionTimes(LONGEST_S)
     for now in (0.0, 1.0):
-        retention.note_debit(TEAM, now)
-        retention.note_unmet_demand([TEAM], now)
+        retention.record_debit(TEAM, now)
+        retention.record_unmet_demand([TEAM], now)
     found = [retention.seconds(TEAM, 1.0 + periods * LONGEST_S) for periods in (0.99, 1, 2, 3, 40)]
     assert found == [LONGEST_S, 4.0, 2.0, SHORTEST_S, SHORTEST_S]
 
 
 def test_a_debit_counts_once_and_only_if_it_is_recent() -> None:
     retention = RetentionTimes(LONGEST_S)
-    retention.note_debit(TEAM, 0.0)
-    retention.note_unmet_demand([TEAM, OTHER], 1.0)
-    retention.note_unmet_demand([TEAM, OTHER], 1.5)
+    retention.record_debit(TEAM, 0.0)
+    retention.record_unmet_demand([TEAM, OTHER], 1.0)
+    retention.record_unmet_demand([TEAM, OTHER], 1.5)
     assert retention.seconds(TEAM, 1.5) == 4.0
-    retention.note_debit(OTHER, 2.0)
-    retention.note_unmet_demand([OTHER], 2.1 + LONGEST_S)
+    retention.record_debit(OTHER, 2.0)
+    retention.record_unmet_demand([OTHER], 2.1 + LONGEST_S)
     assert retention.seconds(OTHER, 2.1 + LONGEST_S) == SHORTEST_S
 
 
@@ -50,7 +50,7 @@
     for step, pause_s in steps:
         now += pause_s
         if step == "debit":
-            retention.note_debit(TEAM, now)
+            retention.record_debit(TEAM, now)
         elif step == "unmet":
-            retention.note_unmet_demand([TEAM], now)
+            retention.record_unmet_demand([TEAM], now)
         assert SHORTEST_S <= retention.seconds(TEAM, now) <= LONGEST_S
