--- a/src/poppyhold/quota/endpoint.py
+++ b/src/poppyhold/quota/endpoint.py
@@ -23,7 +23,7 @@
 from poppyhold.settings import Settings
 
 # How long a link waits for a response, as a ratio to the lease.
-_LINK_TIMEOUT_RATIO = 0.1
+_LINK_TIMEOUT_LEASES = 0.1
 
 
 class QuotaEndpoint:
@@ -44,7 +44,7 @@
             cells.others,
             self._on_response,
             workers.heartbeat_interval_s,
-            workers.lease_s * _LINK_TIMEOUT_RATIO,
+            workers.lease_s * _LINK_TIMEOUT_LEASES,
             rng,
         )
         self._is_ready, self._is_stopped = threading.Event(), threading.Event()
--- a/src/poppyhold/quota/free_capacity.py
+++ b/src/poppyhold/quota/free_capacity.py
@@ -21,31 +21,31 @@
         self._remaining: dict[tuple[object, ...], int] = {}
 
     @staticmethod
-    def _kind(job: Job) -> tuple[object, ...]:
+    def _requirements(job: Job) -> tuple[object, ...]:
         types = job.spec.machine_types
         return job.task_resources, None if types is None else tuple(types), job.spec.zone, job.spec.spot
 
     def fits_any_machine_type(self, job: Job) -> bool:
         """Whether the job's tasks fit some machine type."""
-        kind = self._kind(job)
-        if kind not in self._fits:
-            self._fits[kind] = bool(allowed_machine_types(job.spec, self._ctx.machine_types.values()))
-        return self._fits[kind]
+        requirements = self._requirements(job)
+        if requirements not in self._fits:
+            self._fits[requirements] = bool(allowed_machine_types(job.spec, self._ctx.machine_types.values()))
+        return self._fits[requirements]
 
     def reserve(self, job: Job, tasks: int) -> int:
         """Reserve capacity for up to so many tasks, and return their number; a gang's all or none."""
-        kind = self._kind(job)
-        if kind not in self._remaining:
-            self._remaining[kind] = self._count(job)
-        found = min(tasks, self._remaining[kind])
+        requirements = self._requirements(job)
+        if requirements not in self._remaining:
+            self._remaining[requirements] = self._count_startable(job)
+        found = min(tasks, self._remaining[requirements])
         if found < tasks and self._can_launch(job.spec):
             found = tasks
         elif job.is_gang and found < tasks:
             return 0
-        self._remaining[kind] -= min(found, self._remaining[kind])
+        self._remaining[requirements] -= min(found, self._remaining[requirements])
         return found
 
-    def _count(self, job: Job) -> int:
+    def _count_startable(self, job: Job) -> int:
         """Tasks for which existing machines have free capacity, a bounded number."""
         count, max_count = 0, self._ctx.settings.deployment.machine_limits.machines
         for machine in self._ctx.fleet.machines.values():
--- a/src/poppyhold/quota/request_board.py
+++ b/src/poppyhold/quota/latest_requests.py
@@ -7,7 +7,7 @@
 from poppyhold.quota.messages import TransferRequest
 
 
-class RequestBoard:
+class LatestRequests:
     """Holds the newest requests, and wakes the links that wait for a change."""
 
     def __init__(self) -> None:
@@ -23,16 +23,16 @@
             if any(_differs(before.get(cell), request) for cell, request in requests.items()):
                 self._changed.notify_all()
 
-    def latest(self, cell: str) -> TransferRequest | None:
+    def get(self, cell: str) -> TransferRequest | None:
         """The request to send to a cell now."""
         return self._requests.get(cell)
 
-    def wait(self, cell: str, sent: TransferRequest | None, timeout_s: float) -> None:
+    def wait_for_change(self, cell: str, sent: TransferRequest | None, timeout_s: float) -> None:
         """Wait until there is something new to request from a cell, or the time is over."""
         with self._changed:
             self._changed.wait_for(lambda: _differs(sent, self._requests.get(cell)), timeout_s)
 
-    def wake(self) -> None:
+    def wake_all(self) -> None:
         """Wake every waiting link."""
         with self._changed:
             self._changed.notify_all()
--- a/src/poppyhold/quota/link.py
+++ b/src/poppyhold/quota/link.py
@@ -17,8 +17,8 @@
 
 from poppyhold.configuration_checks import split_address
 from poppyhold.options import Cell
+from poppyhold.quota.latest_requests import LatestRequests
 from poppyhold.quota.messages import NotLeading, QuotaResponse, TransferRequest, TransferResponse
-from poppyhold.quota.request_board import RequestBoard
 from poppyhold.wire.frames import open_connection, receive_message, send_message
 
 log = logging.getLogger(__name__)
@@ -26,13 +26,13 @@
 _response_decoder: msgspec.msgpack.Decoder[QuotaResponse] = msgspec.msgpack.Decoder(QuotaResponse)
 # Ratios to the heartbeat interval. Between requests: with nothing to request, with unmet demand, and while a
 # commit is in progress.
-_IDLE_PAUSE, _UNMET_PAUSE, _IN_PROGRESS_PAUSE = 1.0, 0.25, 0.02
+_IDLE_PAUSE_INTERVALS, _UNMET_PAUSE_INTERVALS, _IN_PROGRESS_PAUSE_INTERVALS = 1.0, 0.25, 0.02
 # After a failure: the shortest and the longest wait.
-_SHORTEST_BACKOFF, _LONGEST_BACKOFF = 0.1, 2.0
+_MIN_BACKOFF_INTERVALS, _MAX_BACKOFF_INTERVALS = 0.1, 2.0
 # The most doublings of the backoff, so that the factor stays small.
-_MAX_DOUBLINGS = 8
+_MAX_BACKOFF_DOUBLINGS = 8
 # The most controllers asked in one request, each named as the leader by the one before it.
-_MAX_HOPS = 3
+_MAX_CONTROLLERS_PER_REQUEST = 3
 
 
 class LinkError(Exception):
@@ -58,16 +58,16 @@
     def __init__(
         self,
         cell: Cell,
-        board: RequestBoard,
+        latest_requests: LatestRequests,
         on_response: Callable[[TransferResponse], None],
         heartbeat_interval_s: float,
         timeout_s: float,
         rng: random.Random,
     ) -> None:
-        self._cell, self._board, self._on_response = cell, board, on_response
+        self._cell, self._latest_requests, self._on_response = cell, latest_requests, on_response
         self._heartbeat_interval_s, self._timeout_s, self._rng = heartbeat_interval_s, timeout_s, rng
         # The index of the controller to which the next request goes.
-        self._next = rng.randrange(len(cell.controllers))
+        self._controller_index = rng.randrange(len(cell.controllers))
         self._connection: socket.socket | None = None
         self._failures = 0
         self._stop = threading.Event()
@@ -81,13 +81,13 @@
     def stop(self) -> None:
         """Stop the thread; a request in progress is abandoned."""
         self._stop.set()
-        self._board.wake()
+        self._latest_requests.wake_all()
 
     def _run(self) -> None:
         while not self._stop.is_set():
-            request = self._board.latest(self._cell.name)
+            request = self._latest_requests.get(self._cell.name)
             if request is None:
-                self._board.wait(self._cell.name, None, self._heartbeat_interval_s)
+                self._latest_requests.wait_for_change(self._cell.name, None, self._heartbeat_interval_s)
                 continue
             try:
                 response = self._request(request)
@@ -107,15 +107,17 @@
     def _pause(self, request: TransferRequest, response: TransferResponse) -> None:
         """Wait until the next request is due, or there is something new to request."""
         if response.in_progress:
-            ratio = _IN_PROGRESS_PAUSE
+            intervals = _IN_PROGRESS_PAUSE_INTERVALS
         else:
-            ratio = _UNMET_PAUSE if request.unmet_demands else _IDLE_PAUSE
+            intervals = _UNMET_PAUSE_INTERVALS if request.unmet_demands else _IDLE_PAUSE_INTERVALS
         # The effects of a response make a new request at once; this keeps repeated ones to a rate.
-        self._stop.wait(self._heartbeat_interval_s * _IN_PROGRESS_PAUSE)
-        self._board.wait(self._cell.name, request, self._heartbeat_interval_s * ratio)
+        self._stop.wait(self._heartbeat_interval_s * _IN_PROGRESS_PAUSE_INTERVALS)
+        self._latest_requests.wait_for_change(
+            self._cell.name, request, self._heartbeat_interval_s * intervals
+        )
 
     def _request(self, request: TransferRequest) -> TransferResponse:
-        for _ in range(_MAX_HOPS):
+        for _ in range(_MAX_CONTROLLERS_PER_REQUEST):
             response = self._exchange(request)
             if isinstance(response, TransferResponse):
                 if response.cell != self._cell.name:
@@ -130,7 +132,7 @@
 
     def _exchange(self, request: TransferRequest) -> QuotaResponse:
         if self._connection is None:
-            address = split_address(self._cell.controllers[self._next].address)
+            address = split_address(self._cell.controllers[self._controller_index].address)
             self._connection = open_connection(address, self._timeout_s)
         send_message(self._connection, request)
         return receive_message(self._connection, _response_decoder)
@@ -138,8 +140,8 @@
     def _select_controller(self, member: str) -> bool:
         """Send the next request to that controller; False if it is unknown here, or was just asked."""
         for index, controller in enumerate(self._cell.controllers):
-            if controller.member == member and index != self._next:
-                self._next = index
+            if controller.member == member and index != self._controller_index:
+                self._controller_index = index
                 return True
         return False
 
@@ -153,9 +155,11 @@
         if not self._failures:
             log.warning("link to cell lost: cell=%s error=%r", self._cell.name, str(error))
         self._failures += 1
-        self._next = (self._next + 1) % len(self._cell.controllers)
-        longest = min(_LONGEST_BACKOFF, _SHORTEST_BACKOFF * 2 ** min(self._failures, _MAX_DOUBLINGS))
-        self._stop.wait(self._heartbeat_interval_s * self._rng.uniform(longest / 2, longest))
+        self._controller_index = (self._controller_index + 1) % len(self._cell.controllers)
+        max_intervals = min(
+            _MAX_BACKOFF_INTERVALS, _MIN_BACKOFF_INTERVALS * 2 ** min(self._failures, _MAX_BACKOFF_DOUBLINGS)
+        )
+        self._stop.wait(self._heartbeat_interval_s * self._rng.uniform(max_intervals / 2, max_intervals))
 
     def _close(self) -> None:
         if self._connection is not None:
@@ -174,10 +178,15 @@
         timeout_s: float,
         rng: random.Random,
     ) -> None:
-        self._board = RequestBoard()
+        self._latest_requests = LatestRequests()
         self._links = [
             CellLink(
-                cell, self._board, on_response, heartbeat_interval_s, timeout_s, random.Random(rng.random())
+                cell,
+                self._latest_requests,
+                on_response,
+                heartbeat_interval_s,
+                timeout_s,
+                random.Random(rng.random()),
             )
             for cell in cells
         ]
@@ -195,4 +204,4 @@
 
     def publish(self, requests: dict[str, TransferRequest]) -> None:
         """Replace the requests to the cells."""
-        self._board.publish(requests)
+        self._latest_requests.publish(requests)
--- a/src/poppyhold/quota/server.py
+++ b/src/poppyhold/quota/server.py
@@ -22,7 +22,7 @@
 # Connections for each other cell: a link, one that is being replaced, and an operator's request.
 _CONNECTIONS_PER_CELL = 4
 # How long a request waits for the decision thread, as a part of the lease.
-_TIMEOUT_LEASE_DIVISOR = 12
+_TIMEOUTS_PER_LEASE = 12
 
 
 class QuotaRequestError(ValueError):
@@ -48,7 +48,7 @@
     ) -> None:
         self._settings, self._cells = settings, cells
         self._leading_term, self._leader = leading_term, leader
-        self._timeout_s = settings.deployment.workers.lease_s / _TIMEOUT_LEASE_DIVISOR
+        self._timeout_s = settings.deployment.workers.lease_s / _TIMEOUTS_PER_LEASE
         # Why each cell's last request was rejected: logged once, not with each retry.
         self._last_rejections: dict[str, str] = {}
 
--- a/src/poppyhold/quota/status.py
+++ b/src/poppyhold/quota/status.py
@@ -9,9 +9,9 @@
 from poppyhold.quota.amounts import from_thousandths
 from poppyhold.quota.consistency import (
     RESOURCES,
+    allocations_by_resource,
     amounts_by_resource,
     is_consistent_snapshot,
-    allocations_by_resource,
     problems,
     transfers_in_transit,
 )
