--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -178,9 +178,13 @@
             self._watch.stop()
         self.loop.reject_waiting()
 
-    def answer_cell(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
+    def handle_quota_request(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
         """Answer another cell's leader or an operator; None if that is not possible in time."""
-        return self.quota_endpoint.answer(message, timeout_s) if self.quota_endpoint is not None else None
+        return (
+            self.quota_endpoint.handle_request(message, timeout_s)
+            if self.quota_endpoint is not None
+            else None
+        )
 
     # -- on the decision thread ----------------------------------------------------------------------
 
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -234,4 +234,4 @@
 
     def handle_quota_request(self, request: QuotaRequest) -> QuotaResponse:
         """Answer another cell's leader or an operator, as `QuotaServer` does."""
-        return self._quota_server.answer(request)
+        return self._quota_server.handle_request(request)
--- a/src/poppyhold/quota/cell_service.py
+++ b/src/poppyhold/quota/cell_service.py
@@ -144,7 +144,7 @@
         self.ledger.load(entries)
         if self._checks.is_wrong_cell():
             self._block_all_starts()
-        for team in self.teams_with_other_settings():
+        for team in self.teams_with_differing_settings():
             log.warning("team settings differ from the allocation record, which holds: team=%s", team)
 
     def tick(self) -> None:
@@ -160,7 +160,7 @@
         self._views.invalidate()
         self._prepare_requests()
 
-    def answer(self, request: TransferRequest) -> TransferResponse:
+    def handle_request(self, request: TransferRequest) -> TransferResponse:
         """Answer another cell's leader, and start a transfer of what it requests and is idle here."""
         rejection = self._checks.rejection(request)
         if not rejection:
@@ -201,7 +201,7 @@
             or self._rate_limiter.ready_at() > now
         ):
             return
-        self._monitor.update_may_run(self._demands)
+        self._monitor.update_possible_use(self._demands)
         offers: dict[str, TeamAmount] = {}
         for unmet in sorted(request.unmet_demands, key=lambda unmet: not unmet.is_guaranteed):
             amount = self._offer(unmet, request.cell)
@@ -255,7 +255,7 @@
             ]
             self.alarms.set(AlarmKind.USE_ABOVE_ALLOCATION, team, ", ".join(above) or None)
 
-    def teams_with_other_settings(self) -> list[str]:
+    def teams_with_differing_settings(self) -> list[str]:
         """Teams whose settings differ from those that their records were made from; the records hold."""
         records = self.ledger.records
         return sorted(team for team, record in records.items() if self._totals.get(team) != record.total)
@@ -276,7 +276,7 @@
             views,
             uncontacted,
             self.teams_short_of_allocation(),
-            self.teams_with_other_settings(),
+            self.teams_with_differing_settings(),
         )
 
     def _view(self) -> CellView:
--- a/src/poppyhold/quota/demand.py
+++ b/src/poppyhold/quota/demand.py
@@ -26,7 +26,7 @@
 
     # What is known to run; and everything that may run, unreconciled machines included.
     used: int = 0
-    may_run: int = 0
+    possible_use: int = 0
     # Pending tasks that fit some machine type; and those of them that fit machines which exist or can be
     # launched.
     pending: int = 0
@@ -36,7 +36,7 @@
 
     def retained(self, pending: int, is_stalled: bool) -> int:
         """What the cell keeps for itself: what may run, what of the pending work counts, and recent use."""
-        return max(self.may_run if is_stalled else self.may_run + pending, self.peak)
+        return max(self.possible_use if is_stalled else self.possible_use + pending, self.peak)
 
     def spare(self, allocation: ResourceAllocation, is_stalled: bool) -> ResourceAmount:
         """The part of an allocation that can be transferred to other cells."""
@@ -55,7 +55,7 @@
 
     def is_pending_despite_idle(self, allocation: ResourceAllocation) -> bool:
         """Whether work is pending although a part of the allocation is idle."""
-        return self.pending > 0 and allocation.limit is not None and allocation.limit > self.may_run
+        return self.pending > 0 and allocation.limit is not None and allocation.limit > self.possible_use
 
 
 class TeamDemand(msgspec.Struct):
--- a/src/poppyhold/quota/demand_monitor.py
+++ b/src/poppyhold/quota/demand_monitor.py
@@ -50,13 +50,13 @@
         self._peaks: dict[str, tuple[RecentPeak, RecentPeak]] = {}
         self._progress: dict[str, _Progress] = {}
 
-    def update_may_run(self, demands: Mapping[str, TeamDemand]) -> None:
+    def update_possible_use(self, demands: Mapping[str, TeamDemand]) -> None:
         """Update what the teams' tasks may use at this moment, unreconciled machines included."""
         unaccounted = self._unaccounted_resources()
         for team, demand in demands.items():
             used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
-            demand.cpus.may_run = _to_thousandths_rounded_up(used[CPUS] + unaccounted[CPUS])
-            demand.accelerators.may_run = _to_thousandths_rounded_up(
+            demand.cpus.possible_use = _to_thousandths_rounded_up(used[CPUS] + unaccounted[CPUS])
+            demand.accelerators.possible_use = _to_thousandths_rounded_up(
                 used[ACCELERATORS] + unaccounted[ACCELERATORS]
             )
 
@@ -64,7 +64,7 @@
         """The demand of every team that has an allocation."""
         now = self._ctx.clock()
         demands = {team: TeamDemand() for team in allocations}
-        self.update_may_run(demands)
+        self.update_possible_use(demands)
         for team, demand in demands.items():
             self._measure_use(team, demand, now)
         self._add_pending(demands)
--- a/src/poppyhold/quota/endpoint.py
+++ b/src/poppyhold/quota/endpoint.py
@@ -69,7 +69,7 @@
         """On the decision thread: hand the links the current requests."""
         self._links.publish(self._quota.requests())
 
-    def answer(self, request: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
+    def handle_request(self, request: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
         """Have the decision thread answer another cell's leader or an operator; None: not in time."""
         if not self._is_ready.is_set():
             return None
@@ -88,7 +88,7 @@
     def _handle(self, request: QuotaRequest) -> QuotaResponse:
         match request:
             case TransferRequest():
-                return self._quota.answer(request)
+                return self._quota.handle_request(request)
             case StatusRequest():
                 return self._quota.status()
 
--- a/src/poppyhold/quota/server.py
+++ b/src/poppyhold/quota/server.py
@@ -32,7 +32,7 @@
 class LeadingTerm(Protocol):
     """What a term of leading does for other cells."""
 
-    def answer_cell(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
+    def handle_quota_request(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
         """Answer a request; None if that is not possible in time."""
 
 
@@ -57,7 +57,7 @@
         """Connections in addition to those of our own cell's controllers."""
         return _CONNECTIONS_PER_CELL * len(self._cells.others) if self._cells is not None else 0
 
-    def answer(self, request: QuotaRequest) -> QuotaResponse:
+    def handle_request(self, request: QuotaRequest) -> QuotaResponse:
         """The response to a request.
 
         Raises:
@@ -72,7 +72,7 @@
         if term is None:
             leader = self._leader()
             return NotLeading(leader.member if leader is not None else "")
-        response = term.answer_cell(request, self._timeout_s)
+        response = term.handle_quota_request(request, self._timeout_s)
         if response is None:
             raise QuotaRequestError("the leader is not ready")
         return response
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -123,7 +123,7 @@
         quota = term.controller.quota
         if quota is None:
             return
-        answer = msgspec.msgpack.encode(quota.answer(request))
+        answer = msgspec.msgpack.encode(quota.handle_request(request))
         term.settle()
         self._send(other, index, lambda: self._answered(asking, other, answer))
 
--- a/tests/test_cell_service.py
+++ b/tests/test_cell_service.py
@@ -71,7 +71,7 @@
 
 def transferred(world: World, quota: CellQuotaService, *unmet: UnmetDemand) -> Transfer | None:
     """The transfer in transit to the other cell after its request."""
-    quota.answer(request(quota, *unmet))
+    quota.handle_request(request(quota, *unmet))
     world.run(world.now + 1.0)
     return quota.ledger.transfer_in_transit_to("west")
 
@@ -128,14 +128,14 @@
 def test_a_request_without_a_transfer_consumes_nothing_of_the_rate() -> None:
     _, quota = leading_cell()
     for _ in range(5):
-        quota.answer(request(quota, UnmetDemand("nobody", accelerators_limit=UNIT)))
-    quota.answer(request(quota, unmet_demand(0, 1)))
+        quota.handle_request(request(quota, UnmetDemand("nobody", accelerators_limit=UNIT)))
+    quota.handle_request(request(quota, unmet_demand(0, 1)))
     assert quota.ledger.peers["west"].last_sent == 1
 
 
 def test_a_cell_has_to_name_its_records_from_the_first_request_on() -> None:
     _, quota = leading_cell()
-    assert quota.answer(request(quota, incarnation="")).rejection
+    assert quota.handle_request(request(quota, incarnation="")).rejection
     assert len(quota.alarms.texts()) == 1
 
 
@@ -148,15 +148,15 @@
     monkeypatch.setattr(
         term_of(world), "commit", lambda conditions, writes, done, priority: commits.append(done)
     )
-    before = quota.answer(request(quota, last_applied=1)).view
+    before = quota.handle_request(request(quota, last_applied=1)).view
     assert before is not None
     assert before.peers[0].in_transit is not None
     commits[0](True)
-    after = quota.answer(request(quota, last_applied=1)).view
+    after = quota.handle_request(request(quota, last_applied=1)).view
     assert after is not None
     assert after.peers[0].in_transit is None
     quota.tick()
-    assert quota.answer(request(quota, last_applied=1)).view is not after
+    assert quota.handle_request(request(quota, last_applied=1)).view is not after
 
 
 def test_what_no_cell_requests_or_this_one_lacks_is_not_debited(caplog: pytest.LogCaptureFixture) -> None:
@@ -178,7 +178,7 @@
     assert first is not None
     assert transferred(world, quota, unmet_demand(0, 1)) == first
     # It was applied, and the next one may start once the rate limit of transfers allows.
-    quota.answer(request(quota, last_applied=1))
+    quota.handle_request(request(quota, last_applied=1))
     while quota.ledger.peers["west"].in_transit is not None:
         world.run(world.now + 0.05)
     quota._rate_limiter.consume(1000.0, world.now)
@@ -194,13 +194,13 @@
     world, quota = leading_cell()
     first = transferred(world, quota, unmet_demand(0, 1))
     assert first is not None
-    answer = quota.answer(request(quota, unmet_demand(0, 1), last_applied=1, **changes))
+    answer = quota.handle_request(request(quota, unmet_demand(0, 1), last_applied=1, **changes))
     assert answer.rejection
     assert answer.transfer is None
     world.run(world.now + 1.0)
     assert quota.ledger.transfer_in_transit_to("west") == first
     # The first request of a cell names no incarnation of our records.
-    answer = quota.answer(request(quota, to_incarnation=""))
+    answer = quota.handle_request(request(quota, to_incarnation=""))
     assert (answer.rejection, answer.transfer) == ("", first)
     assert quota.alarms.texts() == []
 
@@ -213,7 +213,7 @@
     quota = quota_of(world)
     assert not quota.ledger.incarnation
     assert not controller._quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
-    answer = quota.answer(request(quota, unmet_demand(0, 1)))
+    answer = quota.handle_request(request(quota, unmet_demand(0, 1)))
     assert answer.rejection
     quota.handle_response(TransferResponse("west"))
     assert quota.requests() == {}
@@ -232,7 +232,7 @@
         if broken is not None:
             quota.handle_response(TransferResponse("west", "w1", broken))
         else:
-            quota.answer(request(quota, last_applied=7))
+            quota.handle_request(request(quota, last_applied=7))
         assert len(quota.alarms.texts()) == 1
         quota.handle_response(TransferResponse("west", "w1", None))
         assert quota.alarms.texts() == []
@@ -260,10 +260,10 @@
 
 def test_the_view_follows_a_transfer_at_once() -> None:
     world, quota = leading_cell()
-    view = quota.answer(request(quota)).view
+    view = quota.handle_request(request(quota)).view
     assert view is not None
-    assert quota.answer(request(quota)).view is view
-    after = quota.answer(request(quota, unmet_demand(0, 4))).view
+    assert quota.handle_request(request(quota)).view is view
+    after = quota.handle_request(request(quota, unmet_demand(0, 4))).view
     assert after is not None
     assert after.teams[0].allocation.accelerators.borrowable == 0
     assert after.peers[0].in_transit is not None
@@ -291,14 +291,14 @@
     assert other.requests() == {}
     assert len(other.alarms.texts()) == 1
     asked = request(other, unmet_demand(0, 1))
-    assert other.answer(asked).rejection
+    assert other.handle_request(asked).rejection
     assert not other.ledger.commit_in_progress
 
 
 def test_what_has_started_since_the_last_measurement_is_not_debited() -> None:
     world, quota = leading_cell()
     term_of(world).controller.ctx.fleet.used_by_team["alpha"] = [0.0, 5.0]
-    quota.answer(request(quota, unmet_demand(9, 99)))
+    quota.handle_request(request(quota, unmet_demand(9, 99)))
     transfer = quota.ledger.peers["west"].in_transit
     assert transfer is not None
     assert transfer.amounts["alpha"].accelerators.limit == UNIT
@@ -311,5 +311,5 @@
     demand = quota._demands["alpha"]
     demand.is_stalled = True
     demand.accelerators.pending = demand.accelerators.startable = 6 * UNIT
-    quota.answer(request(quota, unmet_demand(0, 1), cell=cell))
+    quota.handle_request(request(quota, unmet_demand(0, 1), cell=cell))
     assert (cell in quota.ledger.peers) is is_debited
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -84,7 +84,7 @@
 
 
 def _all_that_waits_kept(self: ResourceDemand, pending: int, is_stalled: bool) -> int:
-    return max(self.may_run + self.pending, self.peak)
+    return max(self.possible_use + self.pending, self.peak)
 
 
 def _all_of_it(self: ResourceAllocation, reserved: ResourceAllocation) -> ResourceAmount:
--- a/tests/test_quota_demand.py
+++ b/tests/test_quota_demand.py
@@ -25,13 +25,17 @@
 @pytest.mark.parametrize(
     ("demand", "is_stalled", "spare"),
     [
-        pytest.param(ResourceDemand(may_run=3), False, (1, 6), id="above-what-may-run"),
-        pytest.param(ResourceDemand(may_run=3, pending=4, startable=4), False, (0, 3), id="above-what-fits"),
+        pytest.param(ResourceDemand(possible_use=3), False, (1, 6), id="above-what-may-run"),
+        pytest.param(
+            ResourceDemand(possible_use=3, pending=4, startable=4), False, (0, 3), id="above-what-fits"
+        ),
         # Work without free capacity here keeps the guarantee, which preempts others, and nothing borrowed.
-        pytest.param(ResourceDemand(may_run=3, pending=4), False, (0, 6), id="pending-that-does-not-fit"),
-        pytest.param(ResourceDemand(may_run=3, pending=4, startable=4), True, (1, 6), id="stalled"),
-        pytest.param(ResourceDemand(may_run=3, peak=9), True, (0, 1), id="recent-peak"),
-        pytest.param(ResourceDemand(may_run=30), False, (0, 0), id="more-than-the-allocation"),
+        pytest.param(
+            ResourceDemand(possible_use=3, pending=4), False, (0, 6), id="pending-that-does-not-fit"
+        ),
+        pytest.param(ResourceDemand(possible_use=3, pending=4, startable=4), True, (1, 6), id="stalled"),
+        pytest.param(ResourceDemand(possible_use=3, peak=9), True, (0, 1), id="recent-peak"),
+        pytest.param(ResourceDemand(possible_use=30), False, (0, 0), id="more-than-the-allocation"),
     ],
 )
 def test_spare_part_of_an_allocation(
@@ -41,12 +45,12 @@
 
 
 def test_without_a_limit_only_the_guarantee_can_be_spared() -> None:
-    demand = ResourceDemand(may_run=1)
+    demand = ResourceDemand(possible_use=1)
     assert demand.spare(ResourceAllocation(4, None), is_stalled=False) == ResourceAmount(3, 0)
 
 
 @pytest.mark.parametrize(
-    ("may_run", "borrowable", "expected"),
+    ("possible_use", "borrowable", "expected"),
     [
         pytest.param(2, 4, True, id="idle"),
         pytest.param(4, 4, False, id="used-up"),
@@ -54,7 +58,7 @@
     ],
 )
 def test_work_is_pending_despite_an_idle_allocation(
-    may_run: int, borrowable: int | None, expected: bool
+    possible_use: int, borrowable: int | None, expected: bool
 ) -> None:
-    demand = ResourceDemand(may_run=may_run, pending=4)
+    demand = ResourceDemand(possible_use=possible_use, pending=4)
     assert demand.is_pending_despite_idle(ResourceAllocation(0, borrowable)) is expected
--- a/tests/test_quota_server.py
+++ b/tests/test_quota_server.py
@@ -28,7 +28,7 @@
     def __init__(self, answer: QuotaResponse | None) -> None:
         self._answer = answer
 
-    def answer_cell(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
+    def handle_quota_request(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
         return self._answer
 
 
@@ -43,7 +43,7 @@
 
 def test_the_leader_answers() -> None:
     response = TransferResponse("west")
-    assert server(TermStub(response)).answer(REQUEST) == response
+    assert server(TermStub(response)).handle_request(REQUEST) == response
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
     [pytest.param(None, "", id="unknown"), pytest.param(Leader("hive-2", 7, 1, 1), "hive-2", id="known")],
 )
 def test_a_controller_that_does_not_lead_names_the_leader(leader: Leader | None, member: str) -> None:
-    assert server(None, leader).answer(REQUEST) == NotLeading(member)
+    assert server(None, leader).handle_request(REQUEST) == NotLeading(member)
 
 
 @pytest.mark.parametrize(
@@ -65,16 +65,16 @@
     one = server(TermStub(TransferResponse("west")))
     for _ in range(3):
         with pytest.raises(QuotaRequestError, match=r"."):
-            one.answer(msgspec.structs.replace(REQUEST, **changes))
+            one.handle_request(msgspec.structs.replace(REQUEST, **changes))
     assert len(caplog.records) == 1
-    assert one.answer(REQUEST) == TransferResponse("west")
+    assert one.handle_request(REQUEST) == TransferResponse("west")
 
 
 def test_a_leader_that_is_not_ready_ends_the_link() -> None:
     with pytest.raises(QuotaRequestError, match="not ready"):
-        server(TermStub(None)).answer(REQUEST)
+        server(TermStub(None)).handle_request(REQUEST)
 
 
 def test_a_fleet_of_one_cell_ends_the_link() -> None:
     with pytest.raises(QuotaRequestError, match="one cell"):
-        QuotaServer(settings(), None, lambda: None, lambda: None).answer(REQUEST)
+        QuotaServer(settings(), None, lambda: None, lambda: None).handle_request(REQUEST)
