--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -42,10 +42,12 @@
         self._ctx, self._reconciler = ctx, reconciler
         self._provisioning = Provisioning(ctx.options.provisioning)
         self._launches = Launches(ctx, self._provisioning)
-        self._boots = BootTracker()
+        self._boot_tracker = BootTracker()
         self._deletions = Deletions(ctx, reconciler, on_deleted)
         self._machine_list = MachineList(ctx, self._deletions)
-        self._monitor = MachineMonitor(ctx, reconciler, self._deletions, self._provisioning, self._boots)
+        self._monitor = MachineMonitor(
+            ctx, reconciler, self._deletions, self._provisioning, self._boot_tracker
+        )
         self._consolidator = Consolidator(ctx, reconciler)
         self.arrivals = Arrivals(_FORECAST_WINDOW_SLOTS * ctx.durations.slot_s)
         self._estimator = DemandEstimator(ctx, quotas, self.arrivals)
@@ -93,7 +95,7 @@
     def _supply(self, now: float) -> list[CapacitySlot]:
         """Capacity of the machines that are there or expected, but for those that can't be counted on."""
         held = [machine for machine in self._ctx.fleet.machines.values() if not machine.deleting]
-        overdue = self._boots.overdue(held, now)
+        overdue = self._boot_tracker.overdue(held, now)
         slots = [
             slot_of(machine)
             for machine in held
--- a/src/poppyhold/machines/boot_tracker.py
+++ b/src/poppyhold/machines/boot_tracker.py
@@ -9,7 +9,7 @@
 
 # A boot takes up to so many times the usual, as PROTOCOL says; what takes longer may take several times as
 # long, or never end.
-_OVERDUE_BOOTS = 1.5
+_OVERDUE_BOOT_FACTOR = 1.5
 # Where nothing that was launched as late has come up, machines may boot for so many times as long.
 _SLOW_BOOT_FACTOR = 2
 
@@ -44,18 +44,18 @@
             oldest[name] = min(machine.known_since, oldest.get(name, machine.known_since))
         return {machine.name for machine in booting if self._is_overdue(machine, oldest, now)}
 
-    def is_given_up(self, machine: Machine, max_boot_s: float, now: float) -> bool:
+    def has_timed_out(self, machine: Machine, max_boot_s: float, now: float) -> bool:
         """Whether a machine is to be deleted: much sooner where others boot than where all are slow."""
-        factor = 1 if self._others_boot(machine) else _SLOW_BOOT_FACTOR
+        factor = 1 if self._later_launch_booted(machine) else _SLOW_BOOT_FACTOR
         return now - machine.known_since > max_boot_s * factor
 
     def _is_overdue(self, machine: Machine, oldest: dict[str, float], now: float) -> bool:
-        overdue_s = _OVERDUE_BOOTS * machine.machine_type.boot_s
+        overdue_s = _OVERDUE_BOOT_FACTOR * machine.machine_type.boot_s
         if now - machine.known_since <= overdue_s:
             return False
-        replaces_others = machine.known_since - oldest[machine.machine_type.name] >= overdue_s
-        return not replaces_others or self._others_boot(machine)
+        is_replacement = machine.known_since - oldest[machine.machine_type.name] >= overdue_s
+        return not is_replacement or self._later_launch_booted(machine)
 
-    def _others_boot(self, machine: Machine) -> bool:
+    def _later_launch_booted(self, machine: Machine) -> bool:
         """Whether a machine of its type has come up that was launched no sooner."""
         return self._newest_booted_launch[machine.machine_type.name] >= machine.known_since
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -129,7 +129,7 @@
     Guard("zone_cut_long", DelegationTracker, "latest_renewal_at", _long_ago),
     Guard("cancelled_before_the_cut", Controller, "excluded_machines", _nobody),
     Guard("limit_and_cancelled", Fleet, "unaccounted_resources", _no_room),
-    Guard("mute_machines_and_copies", MachineMonitor, "_count_turned_away", _all_of_them),
+    Guard("mute_machines_and_copies", MachineMonitor, "_count_misdirected", _all_of_them),
     Guard("deaf_machine", AttemptReconciler, "_ignores_responses", _never),
     Guard("gap", Cancellations, "summarize", _told_nothing),
     Guard("gap", RenewalAuthority, "observe_peer", _never),
@@ -153,7 +153,7 @@
     Guard("gang_done_by_one_report", Job, "complete", _complete_one),
     Guard("gang_unsure_start", DirectCommands, "raise_fencing_token", _always),
     Guard("zone_partition", Connectivity, "better_connected_peer", _never),
-    Guard("few_hang_at_change_of_leader", MachineMonitor, "_is_quiet", _always),
+    Guard("few_hang_at_change_of_leader", MachineMonitor, "_is_suspected", _always),
     Guard("zone_partition_of_two", DelegatedRenewals, "_is_partition", _never),
     Guard("zone_cut_keeps_machines", FleetSurvey, "silent_zones", _no_zones),
     Guard("zone_cut_keeps_machines", MachineMonitor, "_block_launches_in", _never),
@@ -203,7 +203,7 @@
 def _at_one_moment(self: MachineMonitor, survey: FleetSurvey, now: float) -> bool:
     """One look is enough to tell that the workers have turned away."""
     silent = len(survey.silent)
-    return silent * 2 >= survey.up and silent > 1 and self._count_turned_away(now) > 2 * survey.responsive
+    return silent * 2 >= survey.up and silent > 1 and self._count_misdirected(now) > 2 * survey.responsive
 
 
 def _again_and_again(
@@ -224,9 +224,9 @@
 
 GUARDS += [
     Guard("slow_boots", BootTracker, "_is_overdue", _overdue_alone),
-    Guard("slow_boots", BootTracker, "is_given_up", _given_up_alone),
+    Guard("slow_boots", BootTracker, "has_timed_out", _given_up_alone),
     Guard("boots_that_never_end", BootTracker, "_is_overdue", _never),
-    Guard("boots_that_never_end", BootTracker, "is_given_up", _never),
+    Guard("boots_that_never_end", BootTracker, "has_timed_out", _never),
 ]
 
 # Controllers that stand still, and a huge array.
@@ -240,7 +240,7 @@
     Guard("leader_drops_workers", RedirectBackoff, "wait_s", _no_time),
     Guard("few_hang_at_change_of_leader", RedirectBackoff, "wait_s", _behind_a_change_too),
     Guard("zone_partition_of_two", RedirectBackoff, "wait_s", _again_and_again),
-    Guard("mute_machines_and_copies", MachineMonitor, "_workers_turned_away", _at_one_moment),
+    Guard("mute_machines_and_copies", MachineMonitor, "_most_workers_misdirected", _at_one_moment),
 ]
 
 # The same for relays.
