--- a/src/poppyhold/capacity.py
+++ b/src/poppyhold/capacity.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Iterator
 
-from poppyhold.machines.machine_list import LAGS_MISSING
+from poppyhold.machines.machine_list import MISSING_AFTER_LAGS
 from poppyhold.node.cloud_client import LIST_PAGE_SIZE
 from poppyhold.node.cloud_dispatcher import LIST_REQUEST_SHARE
 from poppyhold.options import Options, RelayMode
@@ -46,7 +46,7 @@
         yield f"settings.machine_limits.core_share: {limits.core_share:g} of {cores:.2f} needed on the leader"
     list_s = math.ceil(machines / LIST_PAGE_SIZE) / (deployment.cloud.rps * LIST_REQUEST_SHARE)
     # A machine that no list has shown for so long counts as missing.
-    if list_s > LAGS_MISSING * deployment.cloud.list_lag_s:
+    if list_s > MISSING_AFTER_LAGS * deployment.cloud.list_lag_s:
         yield f"settings.cloud.rps: reading the list of machines takes {list_s:.0f} s"
     recording_s = machines / (deployment.state.lowest.write_rps * _LEADER_SHARE)
     if recording_s > _LONGEST_RECORDING_LEASES * workers.lease_s:
--- a/src/poppyhold/machines/arrivals.py
+++ b/src/poppyhold/machines/arrivals.py
@@ -11,7 +11,7 @@
 from poppyhold.wire.user_messages import Submission
 
 # Parts of the forecast's window that are told apart.
-_WINDOW_PARTS = 6
+_WINDOW_BUCKETS = 6
 
 
 class _JobKind(NamedTuple):
@@ -43,7 +43,7 @@
     return _JobKind(spec.team, spec.job_class, (spec.cpus, spec.accelerators, spec.memory_gb))
 
 
-def _pooled_share(deviations: list[float]) -> float:
+def _pooling_factor(deviations: list[float]) -> float:
     """The deviation of a sum as a part of the sum of the deviations."""
     total = sum(deviations)
     return math.sqrt(sum(deviation * deviation for deviation in deviations)) / total if total else 0.0
@@ -73,7 +73,7 @@
 
         And the replicas that come beyond those that go: a young fleet's grow until as many end as begin.
         """
-        self._drop_old(now)
+        self._drop_expired(now)
         if self._first_at is None:
             return []
         by_kind: dict[_JobKind, list[_Event]] = {}
@@ -82,13 +82,16 @@
         deviations = {
             kind: math.sqrt(self._steady_rate(now, events, 2) * ahead_s) for kind, events in by_kind.items()
         }
-        pooled_shares = {accelerated: self._pooled(deviations, accelerated) for accelerated in (True, False)}
+        pooling_factors = {
+            accelerated: self._capacity_pooling_factor(deviations, accelerated)
+            for accelerated in (True, False)
+        }
         return [
             Demand(
                 events[-1].spec,
                 kind.need,
                 math.ceil(
-                    factor * pooled_shares[kind.is_accelerated] * deviations[kind]
+                    factor * pooling_factors[kind.is_accelerated] * deviations[kind]
                     + self._growth(now, kind, events, ahead_s)
                 ),
                 {},
@@ -97,7 +100,7 @@
             for kind, events in by_kind.items()
         ]
 
-    def _drop_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for history in (self._submissions, self._ends):
             while history and history[0].at < now - self._window_s:
                 history.popleft()
@@ -110,13 +113,13 @@
         return max(0.0, self._steady_rate(now, events, 1) - ended / self._window_s) * ahead_s
 
     @staticmethod
-    def _pooled(deviations: dict[_JobKind, float], accelerated: bool) -> float:
+    def _capacity_pooling_factor(deviations: dict[_JobKind, float], accelerated: bool) -> float:
         """The part of their deviations that kinds need which share capacity.
 
         They seldom all come at once: the deviation of the sum is less than the sum of the deviations. Kinds
         with accelerators and those without run out of different resources.
         """
-        return _pooled_share(
+        return _pooling_factor(
             [
                 deviation * kind.task_size
                 for kind, deviation in deviations.items()
@@ -131,13 +134,13 @@
         is all that is known of how uneven arrivals are, and a fleet with no capacity to spare makes the first
         ones wait for boots: squares count it as if it had come over all of the first window.
         """
-        parts = [0.0] * _WINDOW_PARTS
-        part_s = self._window_s / _WINDOW_PARTS
+        buckets = [0.0] * _WINDOW_BUCKETS
+        bucket_s = self._window_s / _WINDOW_BUCKETS
         for at, spec in events:
-            parts[min(_WINDOW_PARTS - 1, int((now - at) / part_s))] += float(spec.tasks) ** power
-        covered = min(_WINDOW_PARTS, math.ceil((now - (self._first_at or 0.0)) / part_s))
-        if covered < _WINDOW_PARTS and power > 1:
-            return sum(parts) / self._window_s
-        if covered <= 1:
+            buckets[min(_WINDOW_BUCKETS - 1, int((now - at) / bucket_s))] += float(spec.tasks) ** power
+        covered_buckets = min(_WINDOW_BUCKETS, math.ceil((now - (self._first_at or 0.0)) / bucket_s))
+        if covered_buckets < _WINDOW_BUCKETS and power > 1:
+            return sum(buckets) / self._window_s
+        if covered_buckets <= 1:
             return 0.0
-        return (sum(parts) - max(parts)) / ((covered - 1) * part_s)
+        return (sum(buckets) - max(buckets)) / ((covered_buckets - 1) * bucket_s)
--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -24,7 +24,7 @@
 from poppyhold.wire.user_messages import Submission
 
 # The first decision of a term waits so many heartbeat intervals, so that heartbeats come first.
-_FIRST_DECISION_HEARTBEATS = 2
+_FIRST_DECISION_INTERVALS = 2
 # The forecast looks back over a few leases, as far as the ratio of slots to leases says.
 _FORECAST_WINDOW_SLOTS = 2
 
@@ -51,9 +51,9 @@
         self._consolidator = Consolidator(ctx, reconciler)
         self.arrivals = Arrivals(_FORECAST_WINDOW_SLOTS * ctx.durations.slot_s)
         self._estimator = DemandEstimator(ctx, quotas, self.arrivals)
-        self._next_at = ctx.clock() + ctx.durations.heartbeat_interval_s * _FIRST_DECISION_HEARTBEATS
+        self._next_decision_at = ctx.clock() + ctx.durations.heartbeat_interval_s * _FIRST_DECISION_INTERVALS
         # When each machine was needed last, as far as it was looked at in every round since.
-        self._needed_at: dict[str, float] = {}
+        self._last_needed_at: dict[str, float] = {}
 
     def can_launch(self, spec: Submission) -> bool:
         """Whether a machine for a task of a job may be had from the cloud."""
@@ -77,9 +77,9 @@
         ctx = self._ctx
         now = ctx.clock()
         self._launches.reconcile()
-        if now < self._next_at or not ctx.machine_types:
+        if now < self._next_decision_at or not ctx.machine_types:
             return
-        self._next_at = now + ctx.durations.heartbeat_interval_s
+        self._next_decision_at = now + ctx.durations.heartbeat_interval_s
         slots = self._supply(now)
         if self._launches.in_flight:
             # The cloud takes few requests: one round of launches at a time, with all that is lacking.
@@ -99,12 +99,12 @@
         slots = [
             slot_of(machine)
             for machine in held
-            if machine.name not in overdue and self._can_count_on(machine, now)
+            if machine.name not in overdue and self._is_usable(machine, now)
         ]
         slots += self._launches.expected_capacity()
         return slots
 
-    def _can_count_on(self, machine: Machine, now: float) -> bool:
+    def _is_usable(self, machine: Machine, now: float) -> bool:
         if machine.quarantined or machine.draining or machine.preempted_at is not None:
             return False
         silence_s = now - machine.last_heartbeat_at
@@ -129,8 +129,8 @@
             ):
                 needed_at[machine.name] = now
                 continue
-            since = needed_at[machine.name] = self._needed_at.get(machine.name, now)
+            since = needed_at[machine.name] = self._last_needed_at.get(machine.name, now)
             is_idle = machine.used == NO_RESOURCES and machine.reconciled
             if is_idle and now - since > self._provisioning.max_idle_s(machine.machine_type):
                 self._deletions.mark(machine, "not needed")
-        self._needed_at = needed_at
+        self._last_needed_at = needed_at
--- a/src/poppyhold/machines/capacity_index.py
+++ b/src/poppyhold/machines/capacity_index.py
@@ -63,7 +63,7 @@
     return _Preference(not slot.spot, not slot.used, is_empty)
 
 
-def _order(candidate: _Candidate) -> tuple[_Preference, int]:
+def _sort_key(candidate: _Candidate) -> tuple[_Preference, int]:
     return candidate.preference, candidate.number
 
 
@@ -73,23 +73,23 @@
     demand: Demand
     ordered: list[_Candidate]
     # Of the slots that came into use during the decision, those that are in their new place here.
-    reordered: int
+    reordered_count: int
 
     def reorder(self, newly_used: list[tuple[int, CapacitySlot]]) -> None:
         """Move the slots that came into use since the last time to their new place."""
-        for number, slot in newly_used[self.reordered :]:
+        for number, slot in newly_used[self.reordered_count :]:
             before = _preference(slot)._replace(unused=True)
-            place = bisect.bisect_left(self.ordered, (before, number), key=_order)
+            place = bisect.bisect_left(self.ordered, (before, number), key=_sort_key)
             if place < len(self.ordered) and self.ordered[place].slot is slot:
                 del self.ordered[place]
-                bisect.insort(self.ordered, _Candidate(_preference(slot), number, slot), key=_order)
-        self.reordered = len(newly_used)
+                bisect.insort(self.ordered, _Candidate(_preference(slot), number, slot), key=_sort_key)
+        self.reordered_count = len(newly_used)
 
     def add(self, number: int, slot: CapacitySlot) -> None:
         """Take a slot in, if it serves such demands."""
         if fits(self.demand.need, slot.free) and allowed(self.demand, slot):
             candidate = _Candidate(_preference(slot), number, slot)
-            bisect.insort(self.ordered, candidate, key=_order)
+            bisect.insort(self.ordered, candidate, key=_sort_key)
 
 
 class CapacityIndex:
@@ -138,5 +138,5 @@
             for number, slot in enumerate(self.slots)
             if fits(demand.need, slot.free) and allowed(demand, slot)
         ]
-        found.sort(key=_order)
+        found.sort(key=_sort_key)
         return _Candidates(demand, found, len(self._newly_used))
--- a/src/poppyhold/machines/consolidation.py
+++ b/src/poppyhold/machines/consolidation.py
@@ -54,7 +54,7 @@
         def is_schedulable(machine: Machine) -> bool:
             return machine.is_schedulable(now, durations.silent_s)
 
-        for machine in Consolidation(max_draining, is_settled).choose(slots, is_schedulable):
+        for machine in DrainSelector(max_draining, is_settled).choose(slots, is_schedulable):
             machine.draining = True
             log.info(
                 "draining machine: machine=%s replicas=%d reason=underused",
@@ -83,7 +83,7 @@
                     break
 
 
-class Consolidation:
+class DrainSelector:
     """Chooses machines to drain. What the forecast and waiting work need is left free."""
 
     def __init__(self, max_draining: int, is_settled: Callable[[Attempt], bool]) -> None:
--- a/src/poppyhold/machines/demand_estimate.py
+++ b/src/poppyhold/machines/demand_estimate.py
@@ -24,11 +24,11 @@
         if team not in self._remaining:
             self._remaining[team] = self._quotas.remaining(team, self._used_by_team.get(team, [0.0, 0.0]))
         cpus, accelerators = self._remaining[team]
-        most = max_copies(need, (cpus, accelerators, math.inf), tasks)
+        allowed = max_copies(need, (cpus, accelerators, math.inf), tasks)
         self._remaining[team] = RemainingQuota(
-            cpus - most * need[CPUS], accelerators - most * need[ACCELERATORS]
+            cpus - allowed * need[CPUS], accelerators - allowed * need[ACCELERATORS]
         )
-        return most
+        return allowed
 
 
 class DemandEstimator:
@@ -48,9 +48,9 @@
         for job in sorted(jobs, key=lambda job: (job.priority, job.submitted_at)):
             # For a job that is at fault itself no machine is launched.
             if job.pending > 0 and job.phase is not JobPhase.FINALIZED and not job.failures.at_fault:
-                most = remaining.take(job.spec.team, job.task_resources, job.startable(job.pending))
-                if most and (not job.is_gang or most == job.pending):
-                    demands.append(demand_of(job, most))
+                allowed = remaining.take(job.spec.team, job.task_resources, job.startable(job.pending))
+                if allowed and (not job.is_gang or allowed == job.pending):
+                    demands.append(demand_of(job, allowed))
         return demands
 
     def _forecast(self, remaining: _RemainingQuotas, now: float) -> list[Demand]:
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -24,7 +24,7 @@
 log = logging.getLogger(__name__)
 
 # A request whose outcome is not known is repeated after so many heartbeat intervals.
-_RETRY_HEARTBEATS = 2
+_RETRY_INTERVALS = 2
 
 
 class Launch(msgspec.Struct, eq=False):
@@ -136,15 +136,15 @@
             # No capacity. If a copy of the request is carried out later after all, its machines show up in
             # the list and in heartbeats, and are used or scaled in like any other.
             self._block_kind(launch, now)
-            self._forget(launch)
+            self._discard(launch)
         else:
-            launch.retry_at = now + self._ctx.durations.heartbeat_interval_s * _RETRY_HEARTBEATS
+            launch.retry_at = now + self._ctx.durations.heartbeat_interval_s * _RETRY_INTERVALS
 
     def _block_kind(self, launch: Launch, now: float) -> None:
         """Don't ask for more of a kind that the cloud lacks, for the length of a lease."""
         self._provisioning.block(launch.kind, now + self._ctx.durations.lease_s)
 
-    def _forget(self, launch: Launch) -> None:
+    def _discard(self, launch: Launch) -> None:
         self._launches.pop(launch.name, None)
         self._ctx.outbound.commit({}, [Delete(LAUNCH_PREFIX + launch.name)], lambda done: None)
 
@@ -168,9 +168,9 @@
             if launch.machines is None:
                 if not launch.in_flight and launch.retry_at <= now:
                     self._send_request(launch)
-            elif all(self._is_settled(name) for name in launch.machines):
-                self._forget(launch)
+            elif all(self._is_recorded_or_gone(name) for name in launch.machines):
+                self._discard(launch)
 
-    def _is_settled(self, name: str) -> bool:
+    def _is_recorded_or_gone(self, name: str) -> bool:
         machine = self._ctx.fleet.machines.get(name)
         return machine is None or machine.record_state is RecordState.DURABLE
--- a/src/poppyhold/machines/machine_list.py
+++ b/src/poppyhold/machines/machine_list.py
@@ -8,9 +8,9 @@
 from poppyhold.wire.cloud_messages import ListedMachine, MachineListing
 
 # Lists may name a machine that was deleted for so many times their usual lag.
-_LAGS_REMEMBERED = 40
+_DELETED_RETENTION_LAGS = 40
 # A machine that no list has shown for so many times the lag is most likely gone.
-LAGS_MISSING = 3
+MISSING_AFTER_LAGS = 3
 
 
 class MachineList:
@@ -28,7 +28,7 @@
         now = ctx.clock()
         lag = ctx.settings.deployment.cloud.list_lag_s
         for name, at in list(ctx.deleted_at.items()):
-            if now - at > _LAGS_REMEMBERED * lag:
+            if now - at > _DELETED_RETENTION_LAGS * lag:
                 del ctx.deleted_at[name]
         present = set()
         for entry in listing.machines:
@@ -37,7 +37,7 @@
         for machine in list(ctx.fleet.machines.values()):
             seen_at = max(machine.known_since, machine.listed_at, machine.last_heartbeat_at)
             unseen_s = listing.began_at - seen_at
-            if machine.name not in present and not machine.deleting and unseen_s > LAGS_MISSING * lag:
+            if machine.name not in present and not machine.deleting and unseen_s > MISSING_AFTER_LAGS * lag:
                 self._handle_missing(machine)
 
     def _apply_entry(self, entry: ListedMachine, listed_at: float, now: float) -> None:
--- a/src/poppyhold/machines/provisioning.py
+++ b/src/poppyhold/machines/provisioning.py
@@ -25,7 +25,7 @@
 # More tasks than any machine holds.
 _UNBOUNDED = 1 << 30
 # A machine that is left empty costs this part more for each task on it.
-_EMPTY_SURCHARGE = 0.5
+_UNUSED_CAPACITY_SURCHARGE = 0.5
 
 
 class MachineKind(NamedTuple):
@@ -45,7 +45,7 @@
     number: int
 
 
-class _MachineOffer(NamedTuple):
+class _LaunchOption(NamedTuple):
     """A kind of machine that would serve a demand; the lowest is taken."""
 
     price_per_task: float
@@ -61,14 +61,14 @@
 
     def __init__(self, machine_types: dict[str, MachineType], slots: list[CapacitySlot], now: float) -> None:
         self.machine_types, self.now = machine_types, now
-        self.ordered: dict[MachineKind, int] = {}
+        self.launches: dict[MachineKind, int] = {}
         self.machines_by_zone = Counter(slot.zone for slot in slots)
         # What is full is looked at no more.
         self.index = CapacityIndex(slot for slot in slots if any(amount > EPSILON for amount in slot.free))
 
-    def order(self, kind: MachineKind) -> CapacitySlot:
+    def add_launch(self, kind: MachineKind) -> CapacitySlot:
         """Order one more machine; returns its capacity."""
-        self.ordered[kind] = self.ordered.get(kind, 0) + 1
+        self.launches[kind] = self.launches.get(kind, 0) + 1
         self.machines_by_zone[kind.zone] += 1
         machine_type = self.machine_types[kind.machine_type]
         slot = CapacitySlot(
@@ -90,13 +90,13 @@
         """Don't ask for machines of a kind before a moment."""
         self._blocked_until[kind] = max(until, self._blocked_until.get(kind, until))
 
-    def _is_open(self, kind: MachineKind, now: float) -> bool:
+    def _is_unblocked(self, kind: MachineKind, now: float) -> bool:
         return self._blocked_until.get(kind, 0.0) <= now
 
     def is_launchable(self, spec: Submission, machine_types: Iterable[MachineType], now: float) -> bool:
         """Whether the cloud may have a machine for a task: it did not refuse all such ones lately."""
         return any(
-            self._is_open(MachineKind(machine_type.name, zone, False), now)
+            self._is_unblocked(MachineKind(machine_type.name, zone, False), now)
             for machine_type in allowed_machine_types(spec, machine_types)
             for zone in machine_type.zones
             if spec.zone in (None, zone)
@@ -127,8 +127,8 @@
             if demand.tasks:
                 # What one job's machines have left is there for the next: each ordered whole machines of its
                 # own once, and a fleet that began empty launched two and a half times its need.
-                self._order_machines(demand, decision)
-        return [LaunchSpec(*kind, min(count, MAX_LAUNCH_COUNT)) for kind, count in decision.ordered.items()]
+                self._plan_launches(demand, decision)
+        return [LaunchSpec(*kind, min(count, MAX_LAUNCH_COUNT)) for kind, count in decision.launches.items()]
 
     def _gang_zone(self, demand: Demand, decision: _Decision) -> str | None:
         """The zone for a gang that has to be in one: where it fits, else where machines can be launched."""
@@ -139,19 +139,19 @@
         for slot in decision.index.slots:
             if allowed(demand, slot):
                 tasks_by_zone[slot.zone] += max_copies(demand.need, slot.free, demand.tasks)
-        open_zones = {
+        launchable_zones = {
             zone
             for machine_type in allowed_machine_types(demand.spec, decision.machine_types.values())
             for zone in machine_type.zones
             if demand.spec.zone in (None, zone)
-            and self._is_open(MachineKind(machine_type.name, zone, False), decision.now)
+            and self._is_unblocked(MachineKind(machine_type.name, zone, False), decision.now)
         }
-        zones = open_zones | tasks_by_zone.keys()
+        zones = launchable_zones | tasks_by_zone.keys()
         return max(
             zones,
             key=lambda zone: (
                 tasks_by_zone[zone] >= demand.tasks,
-                zone in open_zones,
+                zone in launchable_zones,
                 tasks_by_zone[zone],
                 zone,
             ),
@@ -166,10 +166,10 @@
 
         def use(slot: CapacitySlot) -> bool:
             nonlocal remaining
-            most = remaining
+            max_tasks = remaining
             if not demand.is_forecast:
-                most = min(remaining, limit - demand.zones.get(slot.zone, 0))
-            count = max_copies(demand.need, slot.free, most)
+                max_tasks = min(remaining, limit - demand.zones.get(slot.zone, 0))
+            count = max_copies(demand.need, slot.free, max_tasks)
             if count:
                 slot.free = add_scaled(slot.free, demand.need, -count)
                 slot.used = True
@@ -182,26 +182,29 @@
             index.serve(demand, use)
         return max(0, remaining)
 
-    def _order_machines(self, demand: Demand, decision: _Decision) -> None:
+    def _plan_launches(self, demand: Demand, decision: _Decision) -> None:
         """Order machines until the demand is met, or none that would serve it can be had."""
         limit = zone_limit(demand.spec)
-        ordered: list[CapacitySlot] = []
+        planned: list[CapacitySlot] = []
         while demand.tasks > 0:
-            self._use_ordered(demand, ordered, limit)
+            self._use_planned(demand, planned, limit)
             if demand.tasks <= 0:
                 return
-            best = min(self._offers(demand, decision), default=None)
+            best = min(self._launch_options(demand, decision), default=None)
             if best is None:
                 return
-            ordered.append(decision.order(MachineKind(best.machine_type, best.zone, best.spot)))
+            planned.append(decision.add_launch(MachineKind(best.machine_type, best.zone, best.spot)))
 
-    def _offers(self, demand: Demand, decision: _Decision) -> Iterator[_MachineOffer]:
+    def _launch_options(self, demand: Demand, decision: _Decision) -> Iterator[_LaunchOption]:
         """What can be ordered now and would serve a demand."""
         for machine_type, kind in self._serving_kinds(demand, decision.machine_types):
-            if not self._is_open(kind, decision.now) or decision.ordered.get(kind, 0) >= MAX_LAUNCH_COUNT:
+            if (
+                not self._is_unblocked(kind, decision.now)
+                or decision.launches.get(kind, 0) >= MAX_LAUNCH_COUNT
+            ):
                 continue
             price = self._price_per_task(demand, machine_type, kind.spot)
-            yield _MachineOffer(price, decision.machines_by_zone[kind.zone], *kind)
+            yield _LaunchOption(price, decision.machines_by_zone[kind.zone], *kind)
 
     @staticmethod
     def _serving_kinds(
@@ -225,18 +228,18 @@
         full = max_copies(demand.need, machine_type_capacity(machine_type), _UNBOUNDED)
         used = min(full, demand.tasks)
         price = machine_type.spot_price if spot else machine_type.price
-        return price / full * (1.0 + _EMPTY_SURCHARGE * (1 - used / full))
+        return price / full * (1.0 + _UNUSED_CAPACITY_SURCHARGE * (1 - used / full))
 
     @staticmethod
-    def _use_ordered(demand: Demand, ordered: list[CapacitySlot], limit: int) -> None:
+    def _use_planned(demand: Demand, planned: list[CapacitySlot], limit: int) -> None:
         """Use the capacity of machines that were ordered for the demand."""
-        for slot in ordered:
+        for slot in planned:
             if demand.tasks <= 0:
                 return
-            most = demand.tasks
+            max_tasks = demand.tasks
             if not demand.is_forecast:
-                most = min(demand.tasks, limit - demand.zones.get(slot.zone, 0))
-            count = max_copies(demand.need, slot.free, most)
+                max_tasks = min(demand.tasks, limit - demand.zones.get(slot.zone, 0))
+            count = max_copies(demand.need, slot.free, max_tasks)
             if count > 0:
                 slot.free = add_scaled(slot.free, demand.need, -count)
                 demand.zones[slot.zone] = demand.zones.get(slot.zone, 0) + count
--- a/src/poppyhold/machines/supply_and_demand.py
+++ b/src/poppyhold/machines/supply_and_demand.py
@@ -40,6 +40,6 @@
     )
 
 
-def demand_of(job: Job, most: int) -> Demand:
-    """What a job's pending tasks need, at most ``most`` of them."""
-    return Demand(job.spec, job.task_resources, min(job.pending, most), dict(job.active_by_zone))
+def demand_of(job: Job, limit: int) -> Demand:
+    """What a job's pending tasks need, at most ``limit`` of them."""
+    return Demand(job.spec, job.task_resources, min(job.pending, limit), dict(job.active_by_zone))
