--- a/src/poppyhold/reads/batched_job_reads.py
+++ b/src/poppyhold/reads/batched_job_reads.py
@@ -21,9 +21,9 @@
 # A shared read is two requests: with fewer queries each of them reads its own key.
 MIN_BATCH_SIZE = 3
 # Requests of a shared read that only follows: the revision, and the changes up to it.
-_SHARED_REQUESTS = 2
+_REQUESTS_PER_BATCH = 2
 # Outcomes of batches that are kept for the queries that have not seen theirs yet.
-_OUTCOMES_KEPT = 64
+_MAX_OUTCOMES = 64
 
 
 class BatchOutcome(Enum):
@@ -41,7 +41,7 @@
     """Answers from memory whether a job is active, no older than the query.
 
     A query waits for the first batch that starts after it. Where many come, batches start no more often than
-    once in ``gather_s``, and never faster than ``rate_limiter`` allows requests to the state service: the
+    once in ``batch_window_s``, and never faster than ``rate_limiter`` allows requests to the store: the
     queries of a storm wait for one another, while submissions and decisions continue. The thread of one of
     the queries runs the batch for all.
     """
@@ -49,18 +49,18 @@
     def __init__(
         self,
         store: Store,
-        gather_s: float,
+        batch_window_s: float,
         timeout_s: float,
         min_batch_size: int = MIN_BATCH_SIZE,
         clock: Callable[[], float] = time.monotonic,
         rate_limiter: RateLimiter | None = None,
     ) -> None:
-        self._store, self._gather_s, self._timeout_s = store, gather_s, timeout_s
+        self._store, self._batch_window_s, self._timeout_s = store, batch_window_s, timeout_s
         self._min_batch_size, self._clock = min_batch_size, clock
         self._rate_limiter = rate_limiter or RateLimiter(math.inf, burst=0)
         self._view = ActiveJobsView()
         self._batches = ReadBatches()
-        self._outcomes: BoundedDict[BatchOutcome] = BoundedDict(_OUTCOMES_KEPT)
+        self._outcomes: BoundedDict[BatchOutcome] = BoundedDict(_MAX_OUTCOMES)
         # Before this moment no batch starts while many queries come; and when the last ones came.
         self._next_start_at = float("-inf")
         self._arrivals: deque[float] = deque(maxlen=min_batch_size)
@@ -108,14 +108,16 @@
     def _earliest_start(self, now: float) -> float:
         """When a batch may start for a query that arrives now: few queries don't wait for others."""
         self._arrivals.append(now)
-        are_many = len(self._arrivals) == self._min_batch_size and now - self._arrivals[0] < self._gather_s
-        return self._next_start_at if are_many else now
+        is_busy = (
+            len(self._arrivals) == self._min_batch_size and now - self._arrivals[0] < self._batch_window_s
+        )
+        return self._next_start_at if is_busy else now
 
     def _start_batch(self, now: float) -> ReadBatch:
         """Start a batch, and consume the requests that it is expected to send."""
         started = self._batches.start()
-        self._next_start_at = now + self._gather_s
-        self._rate_limiter.consume(min(started.queries, _SHARED_REQUESTS), now)
+        self._next_start_at = now + self._batch_window_s
+        self._rate_limiter.consume(min(started.queries, _REQUESTS_PER_BATCH), now)
         return started
 
     def _run_batch(self, batch: ReadBatch) -> BatchOutcome:
--- a/src/poppyhold/reads/read_index.py
+++ b/src/poppyhold/reads/read_index.py
@@ -17,7 +17,7 @@
 from poppyhold.reads.active_jobs_view import ActiveJobsView
 
 # The most follows of one attempt. One is enough unless the store's responses lag.
-_MAX_FOLLOWS = 8
+_MAX_POLLS = 8
 
 
 class LaggingChangesError(Exception):
@@ -42,7 +42,7 @@
         return store.page(ACTIVE_JOB_PREFIX, self.after)
 
 
-class Follow(msgspec.Struct, frozen=True):
+class PollChanges(msgspec.Struct, frozen=True):
     """Read all changes of active jobs after a revision, without waiting for any."""
 
     since: int
@@ -52,7 +52,7 @@
         return store.poll_changes(ACTIVE_JOB_PREFIX, self.since, 0.0)
 
 
-StoreRequest = ReadRevision | ReadPage | Follow
+StoreRequest = ReadRevision | ReadPage | PollChanges
 ReadPlan = Generator[StoreRequest, int | Page | Changes, None]
 
 
@@ -70,7 +70,7 @@
     """
     present = yield ReadRevision()
     assert isinstance(present, int)
-    follows = 0
+    polls = 0
     while view.revision < present:
         if view.revision < 0:
             last_revision = yield from _reload(view)
@@ -78,11 +78,11 @@
             # come again with the next ones; until all of them are there, the view could go back.
             present = max(present, last_revision)
             continue
-        follows += 1
-        if follows > _MAX_FOLLOWS:
+        polls += 1
+        if polls > _MAX_POLLS:
             raise LaggingChangesError
         try:
-            changes = yield Follow(view.revision)
+            changes = yield PollChanges(view.revision)
         except WatchCompactedError:
             # The store has dropped changes that the view does not contain.
             view.invalidate()
--- a/tests/test_batched_job_reads.py
+++ b/tests/test_batched_job_reads.py
@@ -36,7 +36,7 @@
 def test_queries_that_wait_share_one_read() -> None:
     store = CountingStore()
     store.gate.clear()
-    reads = BatchedJobReads(store, gather_s=0.05, timeout_s=10.0)
+    reads = BatchedJobReads(store, batch_window_s=0.05, timeout_s=10.0)
     threading.Timer(0.3, store.gate.set).start()
     assert query_at_once(reads, 60) == [True] * 60
     # The first ones may ask alone; the rest are a few batches of two requests, and one reading of all jobs.
@@ -45,7 +45,7 @@
 
 def test_a_query_alone_is_one_request() -> None:
     store = CountingStore()
-    reads = BatchedJobReads(store, gather_s=0.05, timeout_s=10.0)
+    reads = BatchedJobReads(store, batch_window_s=0.05, timeout_s=10.0)
     assert reads.is_active(JOBS[0])
     assert not reads.is_active(NO_JOB)
     assert store.requests == ["get", "get"]
@@ -53,7 +53,7 @@
 
 def test_nothing_is_answered_from_memory_while_the_store_rejects_requests() -> None:
     store = CountingStore()
-    reads = BatchedJobReads(store, gather_s=0.0, timeout_s=10.0, min_batch_size=1)
+    reads = BatchedJobReads(store, batch_window_s=0.0, timeout_s=10.0, min_batch_size=1)
     assert reads.is_active(JOBS[0])
     store.refuses = True
     with pytest.raises(StoreRejectedError):
@@ -65,7 +65,7 @@
 def test_a_query_times_out_while_a_read_is_slow() -> None:
     store = CountingStore()
     store.gate.clear()
-    reads = BatchedJobReads(store, gather_s=0.0, timeout_s=0.05, min_batch_size=1)
+    reads = BatchedJobReads(store, batch_window_s=0.0, timeout_s=0.05, min_batch_size=1)
     runner = threading.Thread(target=reads.is_active, args=(JOBS[0],))
     runner.start()
     while not store.requests:
@@ -85,7 +85,7 @@
 
 def test_where_changes_lag_each_query_reads_its_own_key() -> None:
     store = LaggingStore()
-    reads = BatchedJobReads(store, gather_s=0.0, timeout_s=10.0, min_batch_size=1)
+    reads = BatchedJobReads(store, batch_window_s=0.0, timeout_s=10.0, min_batch_size=1)
     assert reads.is_active(JOBS[0])
     assert not reads.is_active(NO_JOB)
     assert store.requests.count("follow") <= 16
--- a/tests/test_linearizable_reads.py
+++ b/tests/test_linearizable_reads.py
@@ -22,8 +22,8 @@
 from poppyhold.reads.active_jobs_view import ActiveJobsView
 from poppyhold.reads.read_batches import ReadBatches
 from poppyhold.reads.read_index import (
-    Follow,
     LaggingChangesError,
+    PollChanges,
     ReadPage,
     ReadRevision,
     StoreRequest,
@@ -180,7 +180,7 @@
         yield from advance_view(view)
         return
     try:
-        view.apply((yield Follow(view.revision)))
+        view.apply((yield PollChanges(view.revision)))
     except WatchCompactedError:
         view.invalidate()
         yield from advance_view(view)
@@ -203,7 +203,7 @@
             view.reset(entries, first)
             continue
         try:
-            view.apply((yield Follow(view.revision)))
+            view.apply((yield PollChanges(view.revision)))
         except WatchCompactedError:
             view.invalidate()
 
@@ -216,7 +216,7 @@
             yield from advance_view(view)
             return
         try:
-            view.apply((yield Follow(view.revision)))
+            view.apply((yield PollChanges(view.revision)))
         except WatchCompactedError:
             view.apply(Changes([], present))
 
@@ -284,10 +284,10 @@
     assert isinstance(running.send(first), ReadPage)
     step = _send(running, Page([], False, 3))
     if step is not None:
-        assert step == Follow(1)
+        assert step == PollChanges(1)
         # A follow that is late shows the job's beginning and not its end: another one must come.
         late = Changes([Entry(ACTIVE_JOB_PREFIX + JOBS[1], {}, 2)], 2)
-        assert _send(running, late) == Follow(2)
+        assert _send(running, late) == PollChanges(2)
         assert _send(running, Changes([DeletedKey(ACTIVE_JOB_PREFIX + JOBS[1], 3)], 3)) is None
     else:
         # The next query's batch meets the late follow.
