--- a/src/poppyhold/machines/__init__.py
+++ b/src/poppyhold/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Which machines there are: launching, watching and deleting them."""
+"""The fleet's machines: launching, monitoring and deleting them."""
--- a/src/poppyhold/machines/arrivals.py
+++ b/src/poppyhold/machines/arrivals.py
@@ -1,4 +1,4 @@
-"""The forecast of what is submitted while a machine boots, from what was submitted lately."""
+"""Forecast of the tasks that are submitted while a machine boots, from recent submissions."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from poppyhold.model.resources import ACCELERATORS, CPUS, Resources
 from poppyhold.wire.user_messages import Submission
 
-# Parts of the forecast's window that are told apart.
+# Equal intervals into which the forecast's window is divided.
 _WINDOW_BUCKETS = 6
 
 
 class _JobKind(NamedTuple):
-    """Jobs whose arrivals are counted together: team, class, and what one task takes."""
+    """Key by which arrivals are aggregated: team, class and the resources of one task."""
 
     team: str
     job_class: str
@@ -28,12 +28,12 @@
 
     @property
     def task_size(self) -> float:
-        """Size of a task by the resource that machines run out of first, as far as one can tell."""
+        """Size of a task in the resource that machines probably run out of first."""
         return self.need[ACCELERATORS] if self.is_accelerated else self.need[CPUS]
 
 
 class _Event(NamedTuple):
-    """A job that was submitted, or that ended."""
+    """The submission or the end of a job."""
 
     at: float
     spec: Submission
@@ -44,13 +44,13 @@
 
 
 def _pooling_factor(deviations: list[float]) -> float:
-    """The deviation of a sum as a part of the sum of the deviations."""
+    """Return the standard deviation of a sum as a part of the sum of the deviations."""
     total = sum(deviations)
     return math.sqrt(sum(deviation * deviation for deviation in deviations)) / total if total else 0.0
 
 
 class Arrivals:
-    """Forecasts demand by kind of job, from the submissions and ends within a window."""
+    """Forecasts demand by kind of job, from the submissions and ends within a sliding window."""
 
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
@@ -59,19 +59,20 @@
         self._first_at: float | None = None
 
     def record_submission(self, now: float, spec: Submission) -> None:
-        """A job was submitted."""
+        """Record that a job was submitted."""
         if self._first_at is None:
             self._first_at = now
         self._submissions.append(_Event(now, spec))
 
     def record_end(self, now: float, spec: Submission) -> None:
-        """A job ended."""
+        """Record that a job ended."""
         self._ends.append(_Event(now, spec))
 
     def forecast(self, now: float, ahead_s: float, factor: float) -> list[Demand]:
-        """Tasks to keep capacity for: one deviation of what arrives in ``ahead_s``, times ``factor``.
+        """Return the tasks of the next ``ahead_s`` seconds to keep capacity for, by kind of job.
 
-        And the replicas that come beyond those that go: a young fleet's grow until as many end as begin.
+        They are ``factor`` standard deviations of the arrivals, and the growth of services: in a new fleet
+        more replicas start than end.
         """
         self._drop_expired(now)
         if self._first_at is None:
@@ -106,7 +107,7 @@
                 history.popleft()
 
     def _growth(self, now: float, kind: _JobKind, events: list[_Event], ahead_s: float) -> float:
-        """By how many replicas a kind of service grows in ``ahead_s``."""
+        """Return by how many replicas a kind of service grows in ``ahead_s`` seconds."""
         if events[-1].spec.shape != "service":
             return 0.0
         ended = sum(event.spec.tasks for event in self._ends if _kind_of(event.spec) == kind)
@@ -114,10 +115,10 @@
 
     @staticmethod
     def _capacity_pooling_factor(deviations: dict[_JobKind, float], accelerated: bool) -> float:
-        """The part of their deviations that kinds need which share capacity.
+        """Return the part of their deviations that kinds need which share capacity.
 
-        They seldom all come at once: the deviation of the sum is less than the sum of the deviations. Kinds
-        with accelerators and those without run out of different resources.
+        They seldom peak together: the deviation of the sum is less than the sum of the deviations. Kinds with
+        accelerators and kinds without run out of different resources, so each group is pooled by itself.
         """
         return _pooling_factor(
             [
@@ -128,11 +129,11 @@
         )
 
     def _steady_rate(self, now: float, events: list[_Event], power: int) -> float:
-        """Job sizes, or their squares, per second, without the busiest part of the window.
+        """Return job sizes to the given power per second, without the busiest interval of the window.
 
-        A backlog that comes at once, as when a fleet is first started, is no sign of what will come. But it
-        is all that is known of how uneven arrivals are, and a fleet with no capacity to spare makes the first
-        ones wait for boots: squares count it as if it had come over all of the first window.
+        A backlog that is submitted at once, as to a new fleet, does not predict arrivals. But in the first
+        window it alone shows how uneven they are, and without spare capacity the first jobs wait for boots:
+        squares include it, spread over the whole window.
         """
         buckets = [0.0] * _WINDOW_BUCKETS
         bucket_s = self._window_s / _WINDOW_BUCKETS
--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -1,4 +1,4 @@
-"""Scaling out and in: how many machines there are, for what waits and for what is to come."""
+"""Scales the fleet out and in, for pending tasks and for the forecast."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from poppyhold.wire.cloud_messages import MachineListing
 from poppyhold.wire.user_messages import Submission
 
-# The first decision of a term waits so many heartbeat intervals, so that heartbeats come first.
+# Heartbeat intervals before the first decision of a term, so that heartbeats arrive first.
 _FIRST_DECISION_INTERVALS = 2
-# The forecast looks back over a few leases, as far as the ratio of slots to leases says.
+# Window of the forecast in slots of the plan: a few leases, by the option `slot_leases`.
 _FORECAST_WINDOW_SLOTS = 2
 
 
 class Autoscaler:
-    """Launches machines for demand, scales in those that are not needed, and consolidates the others."""
+    """Launches machines for demand, deletes unneeded ones, and consolidates the others."""
 
     def __init__(
         self,
@@ -52,28 +52,28 @@
         self.arrivals = Arrivals(_FORECAST_WINDOW_SLOTS * ctx.durations.slot_s)
         self._estimator = DemandEstimator(ctx, quotas, self.arrivals)
         self._next_decision_at = ctx.clock() + ctx.durations.heartbeat_interval_s * _FIRST_DECISION_INTERVALS
-        # When each machine was needed last, as far as it was looked at in every round since.
+        # When each machine was last needed; only machines that every later decision considered have an entry.
         self._last_needed_at: dict[str, float] = {}
 
     def can_launch(self, spec: Submission) -> bool:
-        """Whether a machine for a task of a job may be had from the cloud."""
+        """Whether the cloud may provide a machine for a task of a job."""
         ctx = self._ctx
         return self._provisioning.is_launchable(spec, ctx.machine_types.values(), ctx.clock())
 
     def load_launch(self, name: str, data: Data) -> None:
-        """Take a launch that an earlier leader made durable."""
+        """Load a launch that an earlier leader made durable."""
         self._launches.load(name, data)
 
     def handle_listing(self, listing: MachineListing) -> None:
-        """The cloud listed its machines."""
+        """Handle the cloud's list of machines."""
         self._machine_list.apply(listing)
 
     def watch(self) -> None:
-        """Look after the machines, and delete those that must go."""
+        """Check the machines, and delete those that are lost, at fault or drained."""
         self._monitor.watch()
 
     def scale(self) -> None:
-        """Launch what is missing, and scale in what is not needed."""
+        """Launch machines for unmet demand, and delete unneeded ones."""
         ctx = self._ctx
         now = ctx.clock()
         self._launches.reconcile()
@@ -82,7 +82,7 @@
         self._next_decision_at = now + ctx.durations.heartbeat_interval_s
         slots = self._supply(now)
         if self._launches.in_flight:
-            # The cloud takes few requests: one round of launches at a time, with all that is lacking.
+            # The cloud's request rate is low: one round of launches at a time, for all unmet demand.
             return
         demands = self._estimator.demand(now)
         launch_specs = self._provisioning.decide(ctx.machine_types, slots, demands, now)
@@ -93,7 +93,7 @@
             self._consolidator.consolidate(slots, now)
 
     def _supply(self, now: float) -> list[CapacitySlot]:
-        """Capacity of the machines that are there or expected, but for those that can't be counted on."""
+        """Return the capacity of the machines that are held or expected, without unusable ones."""
         held = [machine for machine in self._ctx.fleet.machines.values() if not machine.deleting]
         overdue = self._boot_tracker.overdue(held, now)
         slots = [
@@ -111,10 +111,10 @@
         return not (machine.is_up and silence_s > self._ctx.durations.silent_s and machine.reconciled)
 
     def _scale_in(self, slots: list[CapacitySlot], now: float) -> None:
-        """Delete what has been seen idle for long enough, without a gap.
+        """Delete machines that were observed idle for long enough without a gap.
 
-        A machine that was silent meanwhile, as in a zone that was cut off, is not idle since before that: it
-        was deleted at the moment at which its zone was back and its work waited.
+        Idle time before a silence does not count: when it did, machines of a partitioned zone were deleted at
+        the moment at which the zone was back, with tasks pending for it.
         """
         needed_at: dict[str, float] = {}
         for slot in slots:
@@ -132,5 +132,5 @@
             since = needed_at[machine.name] = self._last_needed_at.get(machine.name, now)
             is_idle = machine.used == NO_RESOURCES and machine.reconciled
             if is_idle and now - since > self._provisioning.max_idle_s(machine.machine_type):
-                self._deletions.mark(machine, "not needed")
+                self._deletions.mark(machine, "idle")
         self._last_needed_at = needed_at
--- a/src/poppyhold/machines/boot_tracker.py
+++ b/src/poppyhold/machines/boot_tracker.py
@@ -1,4 +1,4 @@
-"""Machines that boot: which of them are overdue, so that others are launched in their place."""
+"""Tracks booting machines: which of them are overdue, so that replacements are launched."""
 
 from __future__ import annotations
 
@@ -7,29 +7,28 @@
 
 from poppyhold.model.entities import Machine
 
-# A boot takes up to so many times the usual, as PROTOCOL says; what takes longer may take several times as
-# long, or never end.
+# By PROTOCOL a boot takes up to this many times the usual; a longer one may take several times as long, or
+# never end.
 _OVERDUE_BOOT_FACTOR = 1.5
-# Where nothing that was launched as late has come up, machines may boot for so many times as long.
+# Factor on a boot's time limit while no machine that was launched as late has come up.
 _SLOW_BOOT_FACTOR = 2
 
 
 class BootTracker:
-    """Tells a few machines that are overdue from many that boot slowly.
+    """Distinguishes a few overdue machines from a type whose boots are all slow.
 
-    Overdue machines are replaced once. What was launched in their place is overdue as well only if a machine
-    that was launched no sooner has come up: otherwise all boots are slow, whatever is launched beside them.
-    Where each generation was replaced by the next, and all were given up in the end, a fleet whose boots took
-    five times as long paid for five times its need. So what is expected stays below twice the need until
-    something comes up.
+    Overdue machines are replaced once. Their replacements count as overdue only if a machine that was
+    launched no sooner has come up; otherwise all boots are slow, and more launches don't help. When each
+    generation was replaced by the next and all timed out, a fleet whose boots took five times as long paid
+    for five times its need. This way, expected capacity stays below twice the need until a machine comes up.
     """
 
     def __init__(self) -> None:
-        # By machine type: when the newest of the machines that came up in this term was launched.
+        # By machine type, the latest launch of a machine that came up in this term.
         self._newest_booted_launch: dict[str, float] = defaultdict(lambda: float("-inf"))
 
     def overdue(self, machines: Iterable[Machine], now: float) -> set[str]:
-        """Names of the machines that have booted for too long to be counted on."""
+        """Return the names of the machines that have been booting for too long to count as capacity."""
         booting = []
         for machine in machines:
             if not machine.is_up:
@@ -37,7 +36,7 @@
             elif machine.up_at > float("-inf"):
                 name = machine.machine_type.name
                 self._newest_booted_launch[name] = max(self._newest_booted_launch[name], machine.known_since)
-        # By machine type: when the oldest of the machines that boot was launched.
+        # By machine type, the earliest launch of a machine that is booting.
         oldest: dict[str, float] = {}
         for machine in booting:
             name = machine.machine_type.name
@@ -45,7 +44,7 @@
         return {machine.name for machine in booting if self._is_overdue(machine, oldest, now)}
 
     def has_timed_out(self, machine: Machine, max_boot_s: float, now: float) -> bool:
-        """Whether a machine is to be deleted: much sooner where others boot than where all are slow."""
+        """Whether a boot has timed out; the limit is longer while all boots of the type are slow."""
         factor = 1 if self._later_launch_booted(machine) else _SLOW_BOOT_FACTOR
         return now - machine.known_since > max_boot_s * factor
 
@@ -57,5 +56,5 @@
         return not is_replacement or self._later_launch_booted(machine)
 
     def _later_launch_booted(self, machine: Machine) -> bool:
-        """Whether a machine of its type has come up that was launched no sooner."""
+        """Whether a machine of the same type that was launched no sooner has come up."""
         return self._newest_booted_launch[machine.machine_type.name] >= machine.known_since
--- a/src/poppyhold/machines/capacity_index.py
+++ b/src/poppyhold/machines/capacity_index.py
@@ -1,4 +1,4 @@
-"""Free capacity by who may use it, so that many demands alike don't each look at every machine."""
+"""Index of free capacity by constraints, so that similar demands share one scan of all machines."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class _DemandKey(NamedTuple):
-    """What decides which slots serve a demand."""
+    """The properties of a demand that determine its eligible slots."""
 
     need: Resources
     machine_types: tuple[str, ...] | None
@@ -23,9 +23,9 @@
 
 
 class _Preference(NamedTuple):
-    """The order in which slots are used, the lowest first.
+    """The order in which slots are used, lowest first.
 
-    Spot machines first; machines in use before empty ones, so that empty ones may be scaled in.
+    Spot machines first; machines in use before empty ones, so that empty ones can be scaled in.
     """
 
     on_demand: bool
@@ -34,7 +34,7 @@
 
 
 class _Candidate(NamedTuple):
-    """A slot with its place in the order of use."""
+    """A slot with its sort key in the order of use."""
 
     preference: _Preference
     number: int
@@ -42,7 +42,7 @@
 
 
 def allowed(demand: Demand, slot: CapacitySlot) -> bool:
-    """Whether a demand's own terms allow a slot, whatever is free there."""
+    """Whether a demand's constraints allow a slot, whatever is free on it."""
     spec = demand.spec
     return (
         demand.required_zone in (None, slot.zone)
@@ -68,15 +68,15 @@
 
 
 class _Candidates(msgspec.Struct, eq=False):
-    """The slots for demands of one key, in the order in which they are to be used."""
+    """The eligible slots for demands of one key, in order of use."""
 
     demand: Demand
     ordered: list[_Candidate]
-    # Of the slots that came into use during the decision, those that are in their new place here.
+    # How many of the slots that came into use during the decision are in their new position here.
     reordered_count: int
 
     def reorder(self, newly_used: list[tuple[int, CapacitySlot]]) -> None:
-        """Move the slots that came into use since the last time to their new place."""
+        """Move the slots that came into use since the last call to their new position."""
         for number, slot in newly_used[self.reordered_count :]:
             before = _preference(slot)._replace(unused=True)
             place = bisect.bisect_left(self.ordered, (before, number), key=_sort_key)
@@ -86,33 +86,33 @@
         self.reordered_count = len(newly_used)
 
     def add(self, number: int, slot: CapacitySlot) -> None:
-        """Take a slot in, if it serves such demands."""
+        """Add a slot if it is eligible."""
         if fits(self.demand.need, slot.free) and allowed(self.demand, slot):
             candidate = _Candidate(_preference(slot), number, slot)
             bisect.insort(self.ordered, candidate, key=_sort_key)
 
 
 class CapacityIndex:
-    """All slots of one decision. Free capacity only shrinks in it: what is full for a key stays so.
+    """All slots of one decision. Free capacity only shrinks in it: a slot that is full for a key stays so.
 
-    With 1,100 jobs that waited and 4,000 machines, looking at every machine for each job kept the decision
-    thread from workers' heartbeats for seconds, and their leases expired.
+    With 1,100 pending jobs and 4,000 machines, a scan of all machines for each job kept the decision thread
+    from workers' heartbeats for seconds, and their leases expired.
     """
 
     def __init__(self, slots: Iterable[CapacitySlot]) -> None:
         self.slots = list(slots)
         self._candidates: dict[_DemandKey, _Candidates] = {}
-        # Slots that came into use during the decision, and their numbers, in that order.
+        # Slots that came into use during the decision, with their numbers, in the order of their first use.
         self._newly_used: list[tuple[int, CapacitySlot]] = []
 
     def add(self, slot: CapacitySlot) -> None:
-        """Add a machine that is about to be launched."""
+        """Add the capacity of a machine to be launched."""
         self.slots.append(slot)
         for candidates in self._candidates.values():
             candidates.add(len(self.slots) - 1, slot)
 
     def serve(self, demand: Demand, use: Callable[[CapacitySlot], bool]) -> None:
-        """Offer the slots for a demand, best first, until ``use`` says that it wants no more."""
+        """Offer the eligible slots for a demand, best first, until ``use`` returns False."""
         key = _key_of(demand)
         candidates = self._candidates.get(key)
         if candidates is None:
--- a/src/poppyhold/machines/consolidation.py
+++ b/src/poppyhold/machines/consolidation.py
@@ -1,4 +1,4 @@
-"""Consolidation: machines that are little used are drained, where their replicas fit elsewhere."""
+"""Consolidation: drains underused machines whose replicas fit elsewhere."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 log = logging.getLogger(__name__)
 
-# Machines that are used more than this are not worth draining.
+# Machines with a higher utilization are not drained.
 _MAX_UTILIZATION = 0.5
-# Of so many machines one may be drained at a time.
+# One in this many machines, and at least one, may be draining at a time.
 _MACHINES_PER_DRAIN = 16
-# A replica moves only after it has run for so many times `cancel_s`.
+# A replica is moved only after it has run for this many times `cancel_s`.
 _MIN_RUNNING_CANCELS = 2
 
 
 class Consolidator:
-    """Drains machines while nothing waits for capacity, one replica of a job at a time."""
+    """Drains machines while no task is pending, moving one replica of a job at a time."""
 
     def __init__(self, ctx: Context, reconciler: AttemptReconciler) -> None:
         self._ctx, self._reconciler = ctx, reconciler
 
     def consolidate(self, slots: list[CapacitySlot], now: float) -> None:
-        """Choose machines to drain, and move the next replicas of those that are."""
+        """Choose machines to drain, and move the next replicas of draining ones."""
         fleet = self._ctx.fleet
         if self._reconciler.lease_expiry.unreconciled or any(
             job.pending > 0 and job.phase is not JobPhase.FINALIZED for job in fleet.jobs.values()
@@ -45,7 +45,7 @@
         max_draining = max(1, len(self._ctx.fleet.machines) // _MACHINES_PER_DRAIN)
 
         def is_settled(attempt: Attempt) -> bool:
-            # A start that is stopped soon is of no use to its user.
+            # A replica that is stopped soon after its start is of no use to its user.
             return (
                 attempt.running_at is not None
                 and now - attempt.running_at > _MIN_RUNNING_CANCELS * durations.cancel_s
@@ -84,7 +84,7 @@
 
 
 class DrainSelector:
-    """Chooses machines to drain. What the forecast and waiting work need is left free."""
+    """Chooses machines to drain; capacity for pending tasks and the forecast stays free."""
 
     def __init__(self, max_draining: int, is_settled: Callable[[Attempt], bool]) -> None:
         self._max_draining, self._is_settled = max_draining, is_settled
@@ -92,7 +92,7 @@
     def choose(
         self, slots: Iterable[CapacitySlot], is_schedulable: Callable[[Machine], bool]
     ) -> list[Machine]:
-        """Machines whose replicas all fit, with their images, on machines that stay."""
+        """Return the machines whose replicas all fit on remaining machines that have their images."""
         held = [slot for slot in slots if slot.machine is not None and is_schedulable(slot.machine)]
         draining = sum(1 for slot in held if slot.machine is not None and slot.machine.draining)
         candidates = sorted(
@@ -107,7 +107,7 @@
             if machine is None or machine.draining or self._utilization(slot) > _MAX_UTILIZATION:
                 continue
             if slot.free != machine.free:
-                # Waiting work or the forecast counts on it: it would be launched again at once.
+                # Pending tasks or the forecast use its capacity: a replacement would be launched at once.
                 continue
             targets = [
                 other
@@ -124,7 +124,7 @@
 
     @staticmethod
     def _utilization(slot: CapacitySlot) -> float:
-        """The used part of the resource of which the machine uses most."""
+        """Return the utilization of the machine's most used resource."""
         machine = slot.machine
         if machine is None:
             return 0.0
@@ -138,7 +138,7 @@
         )
 
     def _is_movable(self, machine: Machine) -> bool:
-        """Only settled replicas move; a machine with array tasks is left until they are done."""
+        """Whether a machine holds only settled replicas; array tasks are left to finish."""
         return bool(machine.attempts) and all(
             attempt.job.is_service and attempt.stopping_at is None and self._is_settled(attempt)
             for attempt in machine.attempts.values()
@@ -146,13 +146,13 @@
 
     @staticmethod
     def _place_replicas(machine: Machine, targets: list[CapacitySlot]) -> bool:
-        """Take capacity on the targets for all replicas of a machine; False if they don't all fit."""
+        """Reserve capacity on the targets for all replicas of a machine; False if they don't all fit."""
         free_on: dict[int, Resources] = {}
         attempts = sorted(
             machine.attempts.values(),
             key=lambda attempt: -machine_shares(attempt.job.task_resources, machine.capacity),
         )
-        # How many replicas of a job come to a zone from another.
+        # By job and zone, how many replicas come from another zone.
         moved: dict[tuple[str, str], int] = {}
         for attempt in attempts:
             job = attempt.job
--- a/src/poppyhold/machines/deletions.py
+++ b/src/poppyhold/machines/deletions.py
@@ -1,4 +1,4 @@
-"""Deletion of machines: marked first, so that nothing starts on them, and sent to the cloud in batches."""
+"""Deletion of machines: marked first, so that no task starts on them, then requested in batches."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 log = logging.getLogger(__name__)
 
 DELETE_LIMIT = 100
-# Names in a log line.
+# Machine names in a log line.
 _MAX_NAMES_LOGGED = 8
 
 
 class Deletions:
-    """Machines that are to be deleted, a request at a time."""
+    """Deletes marked machines, with one request to the cloud at a time."""
 
     def __init__(
         self, ctx: Context, reconciler: AttemptReconciler, on_deleted: Callable[[Machine], None]
     ) -> None:
         self._ctx, self._reconciler, self._notify_deleted = ctx, reconciler, on_deleted
         self._in_flight = False
-        # Machines that were not logged yet, by reason: hundreds are marked at one moment at times.
+        # Marked machines to be logged, by reason: one line for each, as hundreds may be marked at once.
         self._unlogged: dict[str, list[str]] = {}
 
     def mark(self, machine: Machine, reason: str) -> None:
-        """Delete a machine: from now on nothing starts on it, whether or not the cloud responds soon."""
+        """Mark a machine for deletion: from now on no task starts on it, even if the cloud responds late."""
         if not machine.deleting:
             machine.deleting = True
             self._unlogged.setdefault(reason, []).append(machine.name)
 
     def send_request(self) -> None:
-        """Ask the cloud to delete what is marked."""
+        """Request the deletion of marked machines."""
         for reason, names in self._unlogged.items():
             log.info(
                 "deleting machines: count=%d reason=%r machines=%s",
@@ -45,7 +45,7 @@
                 ",".join(names[:_MAX_NAMES_LOGGED]),
             )
         self._unlogged.clear()
-        # A controller that is not sure to lead must not delete: silent workers may be with the next leader.
+        # Without confirmed leadership nothing is deleted: silent workers may follow the next leader.
         if self._in_flight or not self._ctx.outbound.may_start_tasks():
             return
         names = [machine.name for machine in self._ctx.fleet.machines.values() if machine.deleting]
--- a/src/poppyhold/machines/demand_estimate.py
+++ b/src/poppyhold/machines/demand_estimate.py
@@ -1,4 +1,4 @@
-"""What the autoscaler has to provide for: tasks that wait, and the forecast of what is submitted next."""
+"""The autoscaler's demand: pending tasks, and the forecast of submissions."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class _RemainingQuotas:
-    """What the teams' limits leave, less the demand that was counted already."""
+    """What remains of the teams' limits after the demand that was already counted."""
 
     def __init__(self, ctx: Context, quotas: Quotas) -> None:
         self._used_by_team, self._quotas = ctx.fleet.used_by_team, quotas
         self._remaining: dict[str, RemainingQuota] = {}
 
     def take(self, team: str, need: Resources, tasks: int) -> int:
-        """Count up to so many tasks; returns how many the limit lets run. The others need no machine yet."""
+        """Count up to ``tasks`` tasks; return how many the limit allows. The others need no machine yet."""
         if team not in self._remaining:
             self._remaining[team] = self._quotas.remaining(team, self._used_by_team.get(team, [0.0, 0.0]))
         cpus, accelerators = self._remaining[team]
@@ -32,13 +32,13 @@
 
 
 class DemandEstimator:
-    """Adds up demand, as far as the teams' limits let it run."""
+    """Computes the demand that the teams' limits allow."""
 
     def __init__(self, ctx: Context, quotas: Quotas, arrivals: Arrivals) -> None:
         self._ctx, self._quotas, self._arrivals = ctx, quotas, arrivals
 
     def demand(self, now: float) -> list[Demand]:
-        """The demand of jobs that wait, by priority and age, and then the forecast."""
+        """Return the demand of pending jobs, by priority and age, and then the forecast."""
         remaining = _RemainingQuotas(self._ctx, self._quotas)
         return self._waiting(remaining) + self._forecast(remaining, now)
 
@@ -46,7 +46,7 @@
         demands = []
         jobs = self._ctx.fleet.jobs.values()
         for job in sorted(jobs, key=lambda job: (job.priority, job.submitted_at)):
-            # For a job that is at fault itself no machine is launched.
+            # No machine is launched for a job at fault.
             if job.pending > 0 and job.phase is not JobPhase.FINALIZED and not job.failures.at_fault:
                 allowed = remaining.take(job.spec.team, job.task_resources, job.startable(job.pending))
                 if allowed and (not job.is_gang or allowed == job.pending):
@@ -54,7 +54,7 @@
         return demands
 
     def _forecast(self, remaining: _RemainingQuotas, now: float) -> list[Demand]:
-        """What comes while a machine boots, and until the next decision."""
+        """Return the forecast for the time of a boot and until the next decision."""
         boots_s = [machine_type.boot_s for machine_type in self._ctx.machine_types.values()]
         ahead_s = sum(boots_s) / len(boots_s) + self._ctx.durations.heartbeat_interval_s
         demands = self._arrivals.forecast(now, ahead_s, self._ctx.options.provisioning.headroom)
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -1,4 +1,4 @@
-"""Launch requests: durable under their names before they are sent, and until their machines are known."""
+"""Launch requests, durable from before they are sent until their machines are recorded or gone."""
 
 from __future__ import annotations
 
@@ -23,31 +23,31 @@
 
 log = logging.getLogger(__name__)
 
-# A request whose outcome is not known is repeated after so many heartbeat intervals.
+# Heartbeat intervals after which a request with an unknown outcome is retried.
 _RETRY_INTERVALS = 2
 
 
 class Launch(msgspec.Struct, eq=False):
-    """A launch request, durable under its name before it is sent; the cloud carries out a name once."""
+    """A launch request, durable before it is sent; the cloud executes requests of one name once."""
 
     name: str
     machine_type: str
     zone: str
     spot: bool
     count: int
-    # The machines' names, once the cloud has told them.
+    # The machines' names, once the cloud has returned them.
     machines: list[str] | None = None
     in_flight: bool = False
     retry_at: float = 0.0
 
     @property
     def kind(self) -> MachineKind:
-        """The kind of its machines."""
+        """The kind of machine that it requests."""
         return MachineKind(self.machine_type, self.zone, self.spot)
 
 
 class Launches:
-    """The launch requests of this term, and those that earlier leaders left."""
+    """The launch requests of this term, and unfinished ones of earlier leaders."""
 
     def __init__(self, ctx: Context, provisioning: Provisioning) -> None:
         self._ctx, self._provisioning = ctx, provisioning
@@ -55,11 +55,11 @@
 
     @property
     def in_flight(self) -> bool:
-        """Whether the response to a request is awaited."""
+        """Whether any request awaits its response."""
         return any(launch.in_flight for launch in self._launches.values())
 
     def expected_capacity(self) -> Iterator[CapacitySlot]:
-        """Capacity of machines that were asked for and have no names yet."""
+        """Yield the capacity of requested machines that have no names yet."""
         for launch in self._launches.values():
             machine_type = self._ctx.machine_types.get(launch.machine_type)
             if launch.machines is None and machine_type is not None:
@@ -69,7 +69,7 @@
                     )
 
     def load(self, name: str, data: Data) -> None:
-        """Take a launch that an earlier leader made durable: it is repeated if its machines aren't known."""
+        """Load a launch that an earlier leader made durable; it is retried if its machines aren't known."""
         record = convert(data, LaunchRecord)
         launch = Launch(name, record.machine_type, record.zone, record.spot, record.number, record.machines)
         self._launches[name] = launch
@@ -96,7 +96,7 @@
             else:
                 self._launches.pop(name, None)
 
-        # Machines boot for longer than anything else takes: after the plans of a first backlog the first
+        # Highest priority, as boots take longest: behind the plans of an initial backlog, the first launch
         # requests of a fleet that began small waited for eleven seconds.
         self._ctx.outbound.commit(
             {}, [Put(LAUNCH_PREFIX + name, self._record(launch))], on_committed, CommitPriority.HIGHEST
@@ -107,7 +107,7 @@
         data: Data = msgspec.to_builtins(record)
         if stored_bytes(data) <= self._ctx.settings.deployment.state.lowest.value_bytes:
             return data
-        # Without the names a next leader repeats the request, which launches nothing and names them again.
+        # Without the names, the next leader retries the request, which launches nothing and returns them.
         nameless: Data = msgspec.to_builtins(msgspec.structs.replace(record, machines=None))
         return nameless
 
@@ -123,7 +123,7 @@
 
     def _handle_response(self, launch: Launch, outcome: RequestOutcome, names: list[str]) -> None:
         now = self._ctx.clock()
-        log.info("launch answered: launch=%s outcome=%s machines=%d", launch.name, outcome.value, len(names))
+        log.info("launch response: launch=%s outcome=%s machines=%d", launch.name, outcome.value, len(names))
         if outcome == RequestOutcome.OK:
             launch.machines = names
             self._ctx.outbound.commit(
@@ -133,15 +133,15 @@
             if len(names) < launch.count:
                 self._block_kind(launch, now)
         elif outcome == RequestOutcome.REJECTED:
-            # No capacity. If a copy of the request is carried out later after all, its machines show up in
-            # the list and in heartbeats, and are used or scaled in like any other.
+            # No capacity. If a duplicate of the request is executed later, its machines appear in the list
+            # and in heartbeats, and are used or scaled in like any other.
             self._block_kind(launch, now)
             self._discard(launch)
         else:
             launch.retry_at = now + self._ctx.durations.heartbeat_interval_s * _RETRY_INTERVALS
 
     def _block_kind(self, launch: Launch, now: float) -> None:
-        """Don't ask for more of a kind that the cloud lacks, for the length of a lease."""
+        """Request no more machines of a kind that the cloud lacks, for one lease duration."""
         self._provisioning.block(launch.kind, now + self._ctx.durations.lease_s)
 
     def _discard(self, launch: Launch) -> None:
@@ -149,7 +149,7 @@
         self._ctx.outbound.commit({}, [Delete(LAUNCH_PREFIX + launch.name)], lambda done: None)
 
     def _add_machines(self, launch: Launch) -> None:
-        """Add the machines of a launch to the fleet; they boot."""
+        """Add the booting machines of a launch to the fleet."""
         machine_type = self._ctx.machine_types.get(launch.machine_type)
         now = self._ctx.clock()
         for name in launch.machines or []:
@@ -162,7 +162,7 @@
                 self._ctx.fleet.machines[name] = machine
 
     def reconcile(self) -> None:
-        """Repeat requests without an outcome, and forget those whose machines are all recorded or gone."""
+        """Retry requests without an outcome, and discard those whose machines are all recorded or gone."""
         now = self._ctx.clock()
         for launch in list(self._launches.values()):
             if launch.machines is None:
--- a/src/poppyhold/machines/machine_list.py
+++ b/src/poppyhold/machines/machine_list.py
@@ -1,4 +1,4 @@
-"""The cloud's list of machines. It lags: that a machine is missing from it proves nothing."""
+"""Applies the cloud's list of machines. It lags: the absence of a machine proves nothing."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from poppyhold.model.entities import Machine
 from poppyhold.wire.cloud_messages import ListedMachine, MachineListing
 
-# Lists may name a machine that was deleted for so many times their usual lag.
+# Lists may still name a deleted machine for this many times their usual lag.
 _DELETED_RETENTION_LAGS = 40
-# A machine that no list has shown for so many times the lag is most likely gone.
+# A machine that no list has shown for this many times the lag is probably gone.
 MISSING_AFTER_LAGS = 3
 
 
@@ -20,9 +20,9 @@
         self._ctx, self._deletions = ctx, deletions
 
     def apply(self, listing: MachineListing) -> None:
-        """Apply a list. That a machine is missing from it proves nothing.
+        """Apply a list; the absence of a machine proves nothing.
 
-        It is of the time when its first page was asked for, and does not show what came since.
+        The list is as of the request for its first page, and does not show machines that came later.
         """
         ctx = self._ctx
         now = ctx.clock()
@@ -57,7 +57,7 @@
             machine.known_since = min(machine.known_since, now - entry.age_s)
 
     def _add_unknown(self, entry: ListedMachine, now: float) -> Machine | None:
-        """Add a machine that we did not know: of a launch that came late, or of an earlier leader."""
+        """Add an unknown machine: of a launch that was executed late, or of an earlier leader."""
         ctx = self._ctx
         machine_type = ctx.machine_types.get(entry.machine_type)
         if machine_type is None or entry.name in ctx.deleted_at:
@@ -68,12 +68,12 @@
         return machine
 
     def _handle_missing(self, machine: Machine) -> None:
-        """A machine that should be listed is not: an earlier leader deleted it, most likely.
+        """Handle a machine that should be listed and is not: probably an earlier leader deleted it.
 
-        If it never was up it holds no tasks, and if it does come up after all its heartbeats bring it back.
-        Otherwise that it is missing proves nothing; that it is deleted does. Until then what it may hold
-        counts against every team, and tasks of older jobs wait, up to the certain expiry of its last lease,
-        with each leader anew.
+        If it never was up, it holds no tasks, and if it comes up after all, its heartbeats add it again.
+        Otherwise only its deletion proves that it holds none. Until then, the resources that it may use count
+        against every team, and tasks of older jobs wait, until its last lease has certainly expired, and
+        again with each new leader.
         """
         if machine.is_up:
             self._deletions.mark(machine, "not listed")
--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -1,4 +1,4 @@
-"""Machines that are silent, at fault, or never came up: which of them are lost, and which are cut off."""
+"""Monitors machines: which of them are lost, partitioned, at fault, or timed out while booting."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 from poppyhold.model.entities import Machine
 from poppyhold.model.outbound import MisdirectedWorker
 
-# Machines of one zone that must all be silent to take the zone for cut off; fewer may have died together.
+# Minimum number of machines, all silent, of a zone that counts as partitioned; fewer may have failed at once.
 _MIN_SILENT_ZONE_MACHINES = 3
-# Silence of such a zone after which its machines are given up, as a multiple of `cancel_s`.
+# Silence of such a zone after which its machines are deleted, as a multiple of `cancel_s`.
 _SILENT_ZONE_TIMEOUT_CANCELS = 8
-# Silence after which a machine is given up although many others are silent, as a multiple of `cancel_s`.
+# Silence after which a machine is deleted although many others are silent, as a multiple of `cancel_s`.
 _SILENCE_TIMEOUT_CANCELS = 2
-# Machines are not silent before so many heartbeat intervals of a term.
+# Heartbeat intervals from the start of a term before which no machine counts as silent.
 _TERM_START_GRACE_INTERVALS = 2
-# More than one in so many machines that are quiet are many.
+# Many machines are suspected if more than one in this number is.
 _MANY_SUSPECTED_DIVISOR = 4
 
 
 class FleetSurvey(msgspec.Struct, eq=False):
-    """How many machines are up, responsive and quiet, and those that are silent for too long."""
+    """How many machines are up, responsive and suspected, and which are silent for too long."""
 
     up: int = 0
     responsive: int = 0
     suspected: int = 0
     silent: list[Machine] = msgspec.field(default_factory=list)
-    # By zone: machines that are up, and those of them that are responsive.
+    # By zone: how many machines are up, and how many of them are responsive.
     up_by_zone: Counter[str] = msgspec.field(default_factory=Counter)
     responsive_by_zone: Counter[str] = msgspec.field(default_factory=Counter)
 
     def silent_zones(self) -> set[str]:
-        """Zones whose machines are all silent: most likely they are cut off, and come back together."""
+        """Return zones whose machines are all silent: probably partitioned, they come back together."""
         return {
             zone
             for zone, up in self.up_by_zone.items()
@@ -47,7 +47,7 @@
 
 
 class MachineMonitor:
-    """Looks after the machines whose heartbeats should come."""
+    """Monitors machines by their heartbeats, and boots by their duration."""
 
     def __init__(
         self,
@@ -59,18 +59,18 @@
     ) -> None:
         self._ctx, self._reconciler, self._boot_tracker = ctx, reconciler, boot_tracker
         self._deletions, self._provisioning = deletions, provisioning
-        # Since when most workers have turned to another controller; infinite while they have not.
+        # Since when most workers have sent heartbeats to another controller; infinite if they haven't.
         self._misdirected_since = float("inf")
-        # When many machines were silent last.
+        # When many machines were last suspected.
         self._many_suspected_at = float("-inf")
 
     def watch(self) -> None:
-        """Look after machines that are silent, that never came up, or that are to be deleted."""
+        """Check all machines, and request the deletion of those that are lost, timed out or drained."""
         now = self._ctx.clock()
         survey = FleetSurvey()
         for machine in self._ctx.fleet.machines.values():
             if machine.deleting:
-                # The cloud may not answer for long; the end of a lease is proof too.
+                # The cloud may respond late; the expiry of a lease is proof too.
                 if now - machine.last_heartbeat_at > self._ctx.durations.lease_s:
                     self._reconciler.lease_expiry.expire_leases(machine, now)
             elif machine.is_up or machine.name in self._reconciler.lease_expiry.unreconciled:
@@ -78,7 +78,7 @@
             elif self._boot_tracker.has_timed_out(
                 machine, self._provisioning.max_boot_s(machine.machine_type), now
             ):
-                self._deletions.mark(machine, "never came up")
+                self._deletions.mark(machine, "boot timed out")
         self._handle_silent_machines(survey, now)
         for machine in self._ctx.fleet.machines.values():
             is_empty = not machine.attempts and machine.name not in self._reconciler.lease_expiry.unreconciled
@@ -87,7 +87,7 @@
         self._deletions.send_request()
 
     def _silence_s(self, machine: Machine, now: float) -> float:
-        """For how long a machine has been silent, as far as its heartbeats could have reached us."""
+        """Return how long a machine has been silent while its heartbeats could have arrived here."""
         durations, began_at = self._ctx.durations, self._reconciler.lease_expiry.term_began_at
         if machine.reconciled or machine.name not in self._reconciler.lease_expiry.unreconciled:
             return now - max(
@@ -95,20 +95,21 @@
                 machine.up_at,
                 began_at + durations.heartbeat_interval_s * _TERM_START_GRACE_INTERVALS,
             )
-        # It was up, and was asked for a heartbeat when our term began: a sound worker answers that at once.
+        # It was up, and was probed as this term began. Half the limit is added, as healthy workers respond at
+        # once.
         return now - began_at + durations.presumed_lost_s / 2
 
     def _is_suspected(self, silence_s: float) -> bool:
-        """Whether a machine counts among those that may be silent for one and the same reason.
+        """Whether a machine counts among those that may be silent for a common cause.
 
-        Those of earlier terms are asked as a term begins. They have the time to answer before they count, or
-        all of them would, and a few that hang would keep older jobs waiting for twice as long.
+        Machines of earlier terms are probed as a term begins, and have time to respond before they count.
+        Otherwise all would count, and a few hung ones would delay tasks of older jobs for twice as long.
         """
         durations = self._ctx.durations
         return silence_s > durations.presumed_lost_s / 2 + durations.heartbeat_interval_s / 2
 
     def _survey(self, machine: Machine, survey: FleetSurvey, now: float) -> None:
-        """Count a machine, request its heartbeat if it is silent, and end attempts whose leases expired."""
+        """Count a machine, probe it if it is silent, and terminate attempts whose leases expired."""
         durations = self._ctx.durations
         responsive = now - machine.last_heartbeat_at <= durations.presumed_lost_s
         survey.up += 1
@@ -130,16 +131,16 @@
             machine.quarantined = True
 
     def _handle_silent_machines(self, survey: FleetSurvey, now: float) -> None:
-        """Decide whether silent machines are lost, or cut off, or this controller is."""
+        """Decide whether silent machines are lost or partitioned, or this controller is partitioned."""
         if self._most_workers_misdirected(survey, now):
-            # They try the other controllers: it is our own connection to them that is broken. Where a zone is
-            # cut off, half of all are silent too, and those that came to us passed the others on their way:
-            # with each new leader resigning for that, nothing was started for the length of the cut.
-            self._ctx.outbound.resign("most workers are silent")
+            # They reach other controllers: this controller's own connection is broken. In a partition of a
+            # zone half of all workers are silent too, and those that came here tried other controllers on
+            # their way: when each new leader resigned for that, nothing was started during the partition.
+            self._ctx.outbound.resign("most workers send heartbeats to another controller")
         if survey.suspected > max(1, survey.up // _MANY_SUSPECTED_DIVISOR):
-            # Those that fall silent with others count as soon as they might be missed: in a zone that is cut
-            # off the first ones were deleted, up to a quarter of all, before the rest had been silent long
-            # enough. And when it is back they don't all come at one moment.
+            # Suspected machines count before they are presumed lost: in a partitioned zone the first ones, up
+            # to a quarter of all, were deleted before the rest had been silent for long enough. The time is
+            # kept, as they don't all come back at one moment.
             self._many_suspected_at = now
         silent_zones = survey.silent_zones()
         self._block_launches_in(silent_zones, now)
@@ -148,19 +149,19 @@
                 self._deletions.mark(machine, "silent")
 
     def _is_lost(self, machine: Machine, in_silent_zone: bool, now: float) -> bool:
-        """Whether a silent machine is given up.
+        """Whether a silent machine is lost, and is to be deleted.
 
-        A zone that is cut off comes back with all its machines: its tasks start elsewhere once its leases
-        have expired, but machines are given up for good only a good while after that.
+        A partitioned zone comes back with all its machines: its tasks start elsewhere once their leases have
+        expired, but its machines are deleted only much later.
         """
         durations = self._ctx.durations
         silence_s = now - max(
             machine.last_heartbeat_at, machine.up_at, self._reconciler.lease_expiry.term_began_at
         )
         if in_silent_zone:
-            # Others in their place would be no more use there, and have to boot when the zone is back: 39
-            # machines were given up 20 s before that, and their tasks waited for 50 s more. Those that are
-            # dead are listed as failed meanwhile.
+            # Replacements in the zone would be unreachable too, and still boot when it is back: 39 machines
+            # were deleted 20 s before that, and their tasks waited for 50 s more. Failed machines are listed
+            # as such meanwhile.
             return silence_s > _SILENT_ZONE_TIMEOUT_CANCELS * durations.cancel_s
         return (
             now - self._many_suspected_at > durations.presumed_lost_s
@@ -168,9 +169,9 @@
         )
 
     def _most_workers_misdirected(self, survey: FleetSurvey, now: float) -> bool:
-        """Whether most workers are silent here and have turned to another controller, for an interval.
+        """Whether most workers were silent here and sent heartbeats to another controller, for an interval.
 
-        Where all of them were silent and come back at one moment, some come to others first, and wait there.
+        When all were silent and come back at one moment, some reach other controllers first, and wait there.
         """
         most_silent = len(survey.silent) * 2 >= survey.up and len(survey.silent) > 1
         if not (most_silent and self._count_misdirected(now) > 2 * survey.responsive):
@@ -180,7 +181,7 @@
         return now - self._misdirected_since >= self._ctx.durations.heartbeat_interval_s
 
     def _block_launches_in(self, zones: set[str], now: float) -> None:
-        """Launch nothing in zones whose machines are all silent: nobody could use it there."""
+        """Block launches in zones whose machines are all silent: new ones could not be reached either."""
         until = now + self._ctx.durations.heartbeat_interval_s
         for machine_type in self._ctx.machine_types.values():
             for zone in zones.intersection(machine_type.zones):
@@ -188,10 +189,10 @@
                     self._provisioning.block(MachineKind(machine_type.name, zone, spot), until)
 
     def _count_misdirected(self, now: float) -> int:
-        """How many workers have turned to another controller since their last heartbeat here.
+        """Return the most workers whose heartbeats to one other controller are newer than those here.
 
-        A copy of an old heartbeat does not count. A controller that has just begun to lead has no heartbeats
-        to compare with, and gives them the time to come.
+        A duplicate of an old heartbeat does not count. A new leader has no heartbeats to compare with, and
+        returns 0 for one lease duration.
         """
         if now - self._reconciler.lease_expiry.term_began_at < self._ctx.durations.lease_s:
             return 0
--- a/src/poppyhold/machines/provisioning.py
+++ b/src/poppyhold/machines/provisioning.py
@@ -1,4 +1,4 @@
-"""Which machines to launch for the demand that the capacity at hand does not meet."""
+"""Decides which machines to launch for demand that held and expected capacity does not meet."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from poppyhold.wire.user_messages import Submission
 
 MAX_LAUNCH_COUNT = 50
-# More tasks than any machine holds.
+# More tasks than fit on any machine.
 _UNBOUNDED = 1 << 30
-# A machine that is left empty costs this part more for each task on it.
+# Relative surcharge on the price per task for unused capacity, in proportion to its part of the machine.
 _UNUSED_CAPACITY_SURCHARGE = 0.5
 
 
 class MachineKind(NamedTuple):
-    """What a launch asks for."""
+    """The machines that one launch requests: their type, zone, and whether they are spot machines."""
 
     machine_type: str
     zone: str
@@ -37,7 +37,7 @@
 
 
 class LaunchSpec(NamedTuple):
-    """Machines to launch."""
+    """Machines of one kind to launch."""
 
     machine_type: str
     zone: str
@@ -46,10 +46,10 @@
 
 
 class _LaunchOption(NamedTuple):
-    """A kind of machine that would serve a demand; the lowest is taken."""
+    """A kind of machine that a demand can use; the lowest option is chosen."""
 
     price_per_task: float
-    # Zones with fewer machines first, where the price is the same.
+    # At equal prices, zones with fewer machines come first.
     machines_in_zone: int
     machine_type: str
     zone: str
@@ -57,17 +57,17 @@
 
 
 class _Decision:
-    """The state of one decision: capacity by who may use it, and what is ordered so far."""
+    """The state of one decision: the index of capacity, and the launches planned so far."""
 
     def __init__(self, machine_types: dict[str, MachineType], slots: list[CapacitySlot], now: float) -> None:
         self.machine_types, self.now = machine_types, now
         self.launches: dict[MachineKind, int] = {}
         self.machines_by_zone = Counter(slot.zone for slot in slots)
-        # What is full is looked at no more.
+        # Full machines are left out.
         self.index = CapacityIndex(slot for slot in slots if any(amount > EPSILON for amount in slot.free))
 
     def add_launch(self, kind: MachineKind) -> CapacitySlot:
-        """Order one more machine; returns its capacity."""
+        """Plan the launch of one more machine; return its capacity."""
         self.launches[kind] = self.launches.get(kind, 0) + 1
         self.machines_by_zone[kind.zone] += 1
         machine_type = self.machine_types[kind.machine_type]
@@ -79,22 +79,22 @@
 
 
 class Provisioning:
-    """Fits all demand into the capacity that is there or coming, and orders what is missing."""
+    """Fits demand into held and expected capacity, and plans launches for the rest."""
 
     def __init__(self, options: ProvisioningOptions) -> None:
         self._options = options
-        # Until when the cloud is not asked for a kind again.
+        # Until when no machines of a kind are requested.
         self._blocked_until: dict[MachineKind, float] = {}
 
     def block(self, kind: MachineKind, until: float) -> None:
-        """Don't ask for machines of a kind before a moment."""
+        """Request no machines of a kind before ``until``."""
         self._blocked_until[kind] = max(until, self._blocked_until.get(kind, until))
 
     def _is_unblocked(self, kind: MachineKind, now: float) -> bool:
         return self._blocked_until.get(kind, 0.0) <= now
 
     def is_launchable(self, spec: Submission, machine_types: Iterable[MachineType], now: float) -> bool:
-        """Whether the cloud may have a machine for a task: it did not refuse all such ones lately."""
+        """Whether the cloud may provide a machine for a task: not all kinds that fit are blocked."""
         return any(
             self._is_unblocked(MachineKind(machine_type.name, zone, False), now)
             for machine_type in allowed_machine_types(spec, machine_types)
@@ -103,11 +103,11 @@
         )
 
     def max_idle_s(self, machine_type: MachineType) -> float:
-        """How long an unneeded machine is kept."""
+        """Return how long an unneeded machine is kept."""
         return machine_type.boot_s * self._options.keep_boots
 
     def max_boot_s(self, machine_type: MachineType) -> float:
-        """How long a machine may boot."""
+        """Return how long a machine may boot."""
         return machine_type.boot_s * self._options.give_up_boots
 
     def decide(
@@ -117,21 +117,21 @@
         demands: Iterable[Demand],
         now: float,
     ) -> list[LaunchSpec]:
-        """Mark the slots that demand uses, and say what to launch for the rest."""
+        """Mark the slots that demand uses, and return what to launch for the rest."""
         decision = _Decision(machine_types, slots, now)
-        # Largest tasks first, and real ones before forecasts of the same size.
+        # Pending tasks before forecasts, and the largest first.
         for demand in sorted(demands, key=lambda d: (d.is_forecast, -d.need[ACCELERATORS], -d.need[CPUS])):
             if demand.spec.shape == "group" and demand.spec.one_zone and not demand.is_forecast:
                 demand.required_zone = self._gang_zone(demand, decision)
             demand.tasks = self._use_supply(demand, decision.index)
             if demand.tasks:
-                # What one job's machines have left is there for the next: each ordered whole machines of its
-                # own once, and a fleet that began empty launched two and a half times its need.
+                # Later demands use what is left on these machines: when each job launched machines of its
+                # own, a fleet that began empty launched two and a half times its need.
                 self._plan_launches(demand, decision)
         return [LaunchSpec(*kind, min(count, MAX_LAUNCH_COUNT)) for kind, count in decision.launches.items()]
 
     def _gang_zone(self, demand: Demand, decision: _Decision) -> str | None:
-        """The zone for a gang that has to be in one: where it fits, else where machines can be launched."""
+        """Return the zone for a gang that must be in one: where it fits, else where launches are possible."""
         held = [zone for zone, count in demand.zones.items() if count > 0]
         if held:
             return held[0]
@@ -160,7 +160,7 @@
 
     @staticmethod
     def _use_supply(demand: Demand, index: CapacityIndex) -> int:
-        """Use the capacity that is there; returns how many tasks it does not hold."""
+        """Use held and expected capacity; return how many tasks don't fit."""
         remaining = demand.tasks
         limit = zone_limit(demand.spec)
 
@@ -183,7 +183,7 @@
         return max(0, remaining)
 
     def _plan_launches(self, demand: Demand, decision: _Decision) -> None:
-        """Order machines until the demand is met, or none that would serve it can be had."""
+        """Plan launches until the demand is met, or no machine that it can use is available."""
         limit = zone_limit(demand.spec)
         planned: list[CapacitySlot] = []
         while demand.tasks > 0:
@@ -196,7 +196,7 @@
             planned.append(decision.add_launch(MachineKind(best.machine_type, best.zone, best.spot)))
 
     def _launch_options(self, demand: Demand, decision: _Decision) -> Iterator[_LaunchOption]:
-        """What can be ordered now and would serve a demand."""
+        """Yield the kinds of machines that a demand can use and that may be launched now."""
         for machine_type, kind in self._serving_kinds(demand, decision.machine_types):
             if (
                 not self._is_unblocked(kind, decision.now)
@@ -210,7 +210,7 @@
     def _serving_kinds(
         demand: Demand, machine_types: dict[str, MachineType]
     ) -> Iterator[tuple[MachineType, MachineKind]]:
-        """Kinds of machines that would serve a demand."""
+        """Yield the kinds of machines that a demand can use."""
         spec, limit = demand.spec, zone_limit(demand.spec)
         for machine_type in allowed_machine_types(spec, machine_types.values()):
             for zone in machine_type.zones:
@@ -224,7 +224,7 @@
 
     @staticmethod
     def _price_per_task(demand: Demand, machine_type: MachineType, spot: bool) -> float:
-        """Price for a task; a machine that is mostly left empty counts half as much again."""
+        """Return the price per task; that of a nearly empty machine is raised by up to half."""
         full = max_copies(demand.need, machine_type_capacity(machine_type), _UNBOUNDED)
         used = min(full, demand.tasks)
         price = machine_type.spot_price if spot else machine_type.price
@@ -232,7 +232,7 @@
 
     @staticmethod
     def _use_planned(demand: Demand, planned: list[CapacitySlot], limit: int) -> None:
-        """Use the capacity of machines that were ordered for the demand."""
+        """Use the capacity of machines that were planned for the demand."""
         for slot in planned:
             if demand.tasks <= 0:
                 return
--- a/src/poppyhold/machines/supply_and_demand.py
+++ b/src/poppyhold/machines/supply_and_demand.py
@@ -1,4 +1,4 @@
-"""Demand for capacity, and the capacity that there is or will be: the two sides of scaling out."""
+"""Demand for capacity, and held and expected capacity: the two sides of scaling out."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class Demand(msgspec.Struct, eq=False):
-    """Tasks of one shape that need capacity."""
+    """Tasks with equal needs that lack capacity."""
 
     spec: Submission
     need: Resources
     tasks: int
     zones: dict[str, int]
     is_forecast: bool = False
-    # The only zone that may be used, where all tasks have to be in one.
+    # The only zone that may be used, if all tasks have to be in one.
     required_zone: str | None = None
 
 
 class CapacitySlot(msgspec.Struct, eq=False):
-    """Free capacity of one machine that is held or expected; one that has no name yet has no machine."""
+    """Free capacity of a machine that is held or expected; ``machine`` is None before it has a name."""
 
     machine: Machine | None
     machine_type: MachineType
@@ -34,12 +34,12 @@
 
 
 def slot_of(machine: Machine) -> CapacitySlot:
-    """The free capacity of a machine we hold."""
+    """Return the free capacity of a machine that is held."""
     return CapacitySlot(
         machine, machine.machine_type, machine.zone, machine.spot, machine.free, bool(machine.attempts)
     )
 
 
 def demand_of(job: Job, limit: int) -> Demand:
-    """What a job's pending tasks need, at most ``limit`` of them."""
+    """Return the demand of a job's pending tasks, of at most ``limit`` of them."""
     return Demand(job.spec, job.task_resources, min(job.pending, limit), dict(job.active_by_zone))
