--- a/src/poppyhold/reads/active_jobs_view.py
+++ b/src/poppyhold/reads/active_jobs_view.py
@@ -1,4 +1,4 @@
-"""The active jobs, as a controller has followed them up to a revision of the state service."""
+"""A view of the active jobs as of a revision of the state service."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 
 class ActiveJobsView:
-    """Which jobs are active, as of a revision. Only one thread at a time changes it."""
+    """The active jobs as of a revision. Only one thread at a time may change it."""
 
     def __init__(self) -> None:
         self._active: set[str] = set()
-        # -1: nothing is known.
+        # -1: the active jobs are unknown.
         self.revision = -1
 
     def copy(self) -> ActiveJobsView:
-        """A copy, to be advanced while this one is read."""
+        """Return a copy, to be advanced while this one is read."""
         view = ActiveJobsView()
         view._active, view.revision = set(self._active), self.revision
         return view
 
     def reset(self, entries: Iterable[Entry], revision: int) -> None:
-        """Start again from all active jobs; they may already contain changes after the revision."""
+        """Start again from all active jobs; ``entries`` may already contain changes after ``revision``."""
         self._active = {entry.key.removeprefix(ACTIVE_JOB_PREFIX) for entry in entries}
         self.revision = revision
 
     def invalidate(self) -> None:
-        """Forget everything: changes are missing."""
+        """Discard the contents, as changes are missing."""
         self._active = set()
         self.revision = -1
 
--- a/src/poppyhold/reads/batched_job_reads.py
+++ b/src/poppyhold/reads/batched_job_reads.py
@@ -1,4 +1,4 @@
-"""Whether jobs are active: queries that wait at the same time share one read of the store's revision."""
+"""Whether jobs are active: concurrent queries share one read of the store's revision."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from poppyhold.reads.read_batches import ReadBatch, ReadBatches
 from poppyhold.reads.read_index import LaggingChangesError, advance_view, execute
 
-# A shared read is two requests: with fewer queries each of them reads its own key.
+# A shared read takes two requests; with fewer queries than this, each reads its own key.
 MIN_BATCH_SIZE = 3
-# Requests of a shared read that only follows: the revision, and the changes up to it.
+# Requests of a batch that need not reload all jobs: the revision, and the changes up to it.
 _REQUESTS_PER_BATCH = 2
-# Outcomes of batches that are kept for the queries that have not seen theirs yet.
+# Outcomes of batches, retained for the queries that have not read theirs yet.
 _MAX_OUTCOMES = 64
 
 
@@ -31,19 +31,19 @@
 
     # The view is at least as new as the start of the batch.
     CURRENT = auto()
-    # Too few queries for a shared read, or changes that lag: each query reads its own key.
+    # Too few queries for a shared read, or lagging changes: each query reads its own key.
     READ_INDIVIDUALLY = auto()
     # The state service did not respond.
     FAILED = auto()
 
 
 class BatchedJobReads:
-    """Answers from memory whether a job is active, no older than the query.
+    """Returns from memory whether a job is active, as of a moment after the query arrived.
 
-    A query waits for the first batch that starts after it. Where many come, batches start no more often than
-    once in ``batch_window_s``, and never faster than ``rate_limiter`` allows requests to the store: the
-    queries of a storm wait for one another, while submissions and decisions continue. The thread of one of
-    the queries runs the batch for all.
+    A query waits for the first batch that starts after it arrived. Under load, batches start no more often
+    than once in ``batch_window_s``, and never faster than ``rate_limiter`` allows requests to the state
+    service: excess queries wait, while submissions and decisions continue. The thread of one of the queries
+    runs the batch for all.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._view = ActiveJobsView()
         self._batches = ReadBatches()
         self._outcomes: BoundedDict[BatchOutcome] = BoundedDict(_MAX_OUTCOMES)
-        # Before this moment no batch starts while many queries come; and when the last ones came.
+        # The earliest start of the next batch under load, and the arrival times of the last queries.
         self._next_start_at = float("-inf")
         self._arrivals: deque[float] = deque(maxlen=min_batch_size)
         self._changed = threading.Condition()
@@ -70,18 +70,18 @@
         """Whether a job is active, at a moment after the start of this call.
 
         Raises:
-            StoreRejectedError: the state service did not respond in time. Nothing is answered from memory
-                then: another controller may have told something newer.
+            StoreRejectedError: the state service did not respond in time. Memory is not used then, as
+                another controller may have returned a newer state.
 
         """
         outcome = self._await_batch()
         if outcome is BatchOutcome.CURRENT:
-            # After its batch the view only gets newer.
+            # The view is only replaced by newer ones after the batch.
             with self._changed:
                 return job_id in self._view
         if outcome is BatchOutcome.READ_INDIVIDUALLY:
             return self._store.get(ACTIVE_JOB_PREFIX + job_id) is not None
-        raise StoreRejectedError("the store's revision could not be read")
+        raise StoreRejectedError("the batch failed to read the store's revision or changes")
 
     def _await_batch(self) -> BatchOutcome:
         """Wait for the first batch that starts from now on, or run it."""
@@ -92,8 +92,8 @@
             start_at = self._earliest_start(now)
             while (outcome := self._outcomes.get(str(number))) is None:
                 if now >= deadline:
-                    raise StoreRejectedError("no answer in time")
-                # Other batches may have started, and consumed the rate, since this query came.
+                    raise StoreRejectedError("the query timed out before its batch was done")
+                # Other batches may have started, and consumed the rate, since this query arrived.
                 start_at = max(start_at, self._rate_limiter.ready_at())
                 if not self._batches.running and now >= start_at:
                     started = self._start_batch(now)
@@ -106,7 +106,7 @@
         return self._run_batch(started)
 
     def _earliest_start(self, now: float) -> float:
-        """When a batch may start for a query that arrives now: few queries don't wait for others."""
+        """Return when a batch may start for a query that arrives now: at once, except under load."""
         self._arrivals.append(now)
         is_busy = (
             len(self._arrivals) == self._min_batch_size and now - self._arrivals[0] < self._batch_window_s
@@ -114,7 +114,7 @@
         return self._next_start_at if is_busy else now
 
     def _start_batch(self, now: float) -> ReadBatch:
-        """Start a batch, and consume the requests that it is expected to send."""
+        """Start a batch, and consume the rate of the requests that it is expected to send."""
         started = self._batches.start()
         self._next_start_at = now + self._batch_window_s
         self._rate_limiter.consume(min(started.queries, _REQUESTS_PER_BATCH), now)
@@ -134,15 +134,15 @@
         return outcome
 
     def _advance_view(self) -> BatchOutcome:
-        """Advance the view to the present revision."""
-        # Earlier queries continue to read the old view: a newer one replaces it as a whole.
+        """Advance the view to the store's present revision."""
+        # Earlier queries read the old view until the new one replaces it as a whole.
         fresh = self._view.copy()
         try:
             execute(advance_view(fresh), self._store)
         except (StoreRejectedError, OutcomeUnknownError, WatchCompactedError):
             return BatchOutcome.FAILED
         except LaggingChangesError:
-            # Reads of single keys are right whatever a follow says of its revision.
+            # Reads of single keys are linearizable, even if polled changes lag.
             return BatchOutcome.READ_INDIVIDUALLY
         with self._changed:
             self._view = fresh
--- a/src/poppyhold/reads/read_batches.py
+++ b/src/poppyhold/reads/read_batches.py
@@ -1,4 +1,4 @@
-"""Which queries one read answers: those that had arrived when it started, and no later ones."""
+"""Groups queries into batches: a read answers those that arrived before it started, and no others."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 
 
 class ReadBatch(msgspec.Struct, frozen=True):
-    """A read that is about to start, and how many queries it answers."""
+    """A read that is about to start, and the number of queries that it answers."""
 
     number: int
     queries: int
 
 
 class ReadBatches:
-    """Groups queries into batches, one running at a time. Not safe for use by several threads at a time."""
+    """Groups queries into batches, one running at a time. Not thread-safe."""
 
     def __init__(self) -> None:
-        # The number of the batch that queries join which arrive now, and how many have joined it.
+        # The number of the batch that arriving queries join, and how many have joined it.
         self._next = 1
         self._joined = 0
         self.running = False
 
     def join(self) -> int:
-        """A query arrived: the number of its batch, the first that starts from now on.
+        """Add a query to the first batch that starts from now on, and return the number of that batch.
 
-        A running batch may have read the store before the query came, and so before another controller told
-        its user something newer.
+        A running batch may have read the store before the query arrived, and so before another controller
+        returned a newer state to the query's user.
         """
         self._joined += 1
         return self._next
 
     def start(self) -> ReadBatch:
-        """Start the batch that queries have joined; those that arrive from now on join the next one."""
+        """Start the batch that queries have joined; later ones join the next batch."""
         assert not self.running
         self.running = True
         started = ReadBatch(self._next, self._joined)
@@ -40,5 +40,5 @@
         return started
 
     def finish(self) -> None:
-        """The running batch has ended."""
+        """Record that the running batch has ended."""
         self.running = False
--- a/src/poppyhold/reads/read_index.py
+++ b/src/poppyhold/reads/read_index.py
@@ -1,7 +1,7 @@
-"""Advancing a view of the jobs to a revision that is not older than the start of the attempt (read index).
+"""Advances a view of the jobs to a revision that is not older than the start of the attempt (read index).
 
 The plan does no I/O itself: it yields requests to the state service and is sent the responses, so that tests
-can put any other event between two of them.
+can interleave any other event.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from poppyhold.durable.store import Changes, Page, Store
 from poppyhold.reads.active_jobs_view import ActiveJobsView
 
-# The most follows of one attempt. One is enough unless the store's responses lag.
+# Maximum number of polls in one attempt. One is enough unless the store's responses lag.
 _MAX_POLLS = 8
 
 
@@ -33,7 +33,7 @@
 
 
 class ReadPage(msgspec.Struct, frozen=True):
-    """Read the active jobs after a key."""
+    """Read a page of the active jobs after a key."""
 
     after: str
 
@@ -43,7 +43,7 @@
 
 
 class PollChanges(msgspec.Struct, frozen=True):
-    """Read all changes of active jobs after a revision, without waiting for any."""
+    """Read all changes of active jobs after a revision, without waiting for new ones."""
 
     since: int
 
@@ -59,13 +59,12 @@
 def advance_view(view: ActiveJobsView) -> ReadPlan:
     """Advance the view to the store's revision as of the first request or later.
 
-    That revision comes from a read which starts after the queries that it answers: whatever any controller
-    told before them was durable by then, so its revision is no higher. `poll_changes` alone would suffice if
-    its revision were sure to be the present one; PROTOCOL says only that it contains every change up to
-    there.
+    That revision is read after the queries that it answers arrived: every state that a controller returned
+    before them was durable by then, so its revision is no higher. `poll_changes` alone would suffice if its
+    revision were certain to be the present one; PROTOCOL says only that it contains every change up to there.
 
     Raises:
-        LaggingChangesError: the changes do not reach the revision within the most follows of an attempt.
+        LaggingChangesError: the changes do not reach the revision within `_MAX_POLLS` polls.
 
     """
     present = yield ReadRevision()
@@ -75,7 +74,7 @@
         if view.revision < 0:
             last_revision = yield from _reload(view)
             # A later page may be newer than the revision from which the view continues. Changes that it shows
-            # come again with the next ones; until all of them are there, the view could go back.
+            # are polled again; until all of them are applied, the view could go back to an older state.
             present = max(present, last_revision)
             continue
         polls += 1
@@ -84,7 +83,7 @@
         try:
             changes = yield PollChanges(view.revision)
         except WatchCompactedError:
-            # The store has dropped changes that the view does not contain.
+            # The store has compacted changes that the view does not contain.
             view.invalidate()
             continue
         assert isinstance(changes, Changes)
@@ -92,7 +91,7 @@
 
 
 def _reload(view: ActiveJobsView) -> Generator[StoreRequest, int | Page | Changes, int]:
-    """Read all active jobs, page by page; returns the revision of the last page."""
+    """Read all active jobs, page by page; return the revision of the last page."""
     pages = PageCollector()
     while not pages.complete:
         page = yield ReadPage(pages.after)
@@ -103,7 +102,7 @@
 
 
 def execute(plan: ReadPlan, store: Store) -> None:
-    """Send all requests of a plan, one after the other."""
+    """Send the requests of a plan one after the other."""
     try:
         request = next(plan)
         while True:
