--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -56,7 +56,7 @@
             world.broken = self.broken
         # Ways between cells that are cut, each in one direction.
         self.cuts: set[tuple[int, int]] = set()
-        self.twice_share = self.lost_share = self.late_share = 0.0
+        self.duplicated_share = self.lost_share = self.delayed_share = 0.0
         # Cells whose controllers once ran without the file: their use may exceed it, not unnoticed.
         self.without_file: set[int] = set()
         # A cell was restored from nothing: until all allocations are created anew, they don't add up.
@@ -102,9 +102,9 @@
         """A message goes its way, if there is one."""
         if (source, target) in self.cuts or self._rng.random() < self.lost_share:
             return
-        times = 2 if self._rng.random() < self.twice_share else 1
+        times = 2 if self._rng.random() < self.duplicated_share else 1
         for _ in range(times):
-            late = self._rng.random() < self.late_share
+            late = self._rng.random() < self.delayed_share
             delay_s = self._rng.uniform(1.0, _LATEST_S) if late else _LATENCY_S
             self.worlds[target].after(delay_s, arrive)
 
--- a/tests/mix.py
+++ b/tests/mix.py
@@ -26,34 +26,37 @@
     machine = f"vm-{rng.randrange(1, 9):06d}"
     nodes = rng.choice(["leader", "leader", "others", "all", str(rng.randrange(3))])
     share = rng.choice([0.1, 0.3, 0.6])
-    kind = rng.choice(["hang", "hold", "late", "deaf", "mute", "silent"])
+    kind = rng.choice(["hang", "hold", "delay", "drop_inbound", "drop_responses", "drop_heartbeats"])
     return rng.choice(
         [
             *([f"partition {_pair(rng, zones)} for {long:.1f}"] * 3 if len(zones) > _TWO else []),
             f"crash {nodes} for {rng.choice([0.3, 1.0, short, long / 2]):.2f}",
-            f"roll {rng.uniform(1.0, 12.0):.1f}",
-            f"refuse leader for {long:.1f}",
+            f"rolling_restart {rng.uniform(1.0, 12.0):.1f}",
+            f"cut_state leader for {long:.1f}",
             f"isolate leader for {long:.1f}",
-            f"unreach {nodes} for {short:.1f}",
+            f"cut_workers {nodes} for {short:.1f}",
             f"freeze leader for {rng.choice([short, long / 2]):.1f}",
             f"outage state for {long:.1f}",
             f"outage cloud for {long:.1f}",
-            f"cut {rng.choice(zones)} for {long:.1f}",
-            f"late_writes {share} for {long:.1f}",
-            f"lost_answers {share} for {long:.1f}",
-            f"late_reports {share} for {long:.1f}",
-            f"late_reports 1.0 for {long:.1f} for_next",
-            f"cancel_now {rng.randrange(1, 5)} hang {rng.choice([0.0, 6.0, 9.0])}",
-            f"cancel_at_end 0.5 for {long:.1f}",
-            f"close_looks for {long:.1f}",
-            f"odd_requests for {short:.1f}",
-            f"trouble {kind} {machine} for {long:.1f}",
-            f"trouble {rng.choice(['hold', 'deaf', 'mute', 'silent'])} all for {short:.1f}",
-            f"die {machine}",
-            f"recall {machine} 20 {rng.uniform(10.0, 25.0):.1f}",
-            f"boots_fail {rng.randrange(1, 3)}",
-            f"lose_hires {rng.randrange(1, 3)}",
-            f"lose_answers {nodes} {rng.randrange(1, 4)}",
+            f"isolate_zone {rng.choice(zones)} for {long:.1f}",
+            f"delay_commits {share} for {long:.1f}",
+            f"drop_commit_responses {share} for {long:.1f}",
+            f"duplicate_heartbeats {share} for {long:.1f}",
+            f"duplicate_heartbeats 1.0 for {long:.1f} to_next_leader",
+            f"cancel_running {rng.randrange(1, 5)} hang {rng.choice([0.0, 6.0, 9.0])}",
+            f"cancel_on_completion 0.5 for {long:.1f}",
+            f"poll_all_nodes for {long:.1f}",
+            f"invalid_requests for {short:.1f}",
+            f"fault {kind} {machine} for {long:.1f}",
+            (
+                f"fault {rng.choice(['hold', 'drop_inbound', 'drop_responses', 'drop_heartbeats'])} all "
+                f"for {short:.1f}"
+            ),
+            f"kill_machine {machine}",
+            f"reclaim {machine} 20 {rng.uniform(10.0, 25.0):.1f}",
+            f"fail_boots {rng.randrange(1, 3)}",
+            f"lose_launch_responses {rng.randrange(1, 3)}",
+            f"lose_commit_responses {nodes} {rng.randrange(1, 4)}",
         ]
     )
 
@@ -65,7 +68,10 @@
 
 def _partition_meeting(rng: random.Random, zones: str, away: float) -> list[tuple[float, str]]:
     """Two zones that can't reach each other, and something else at a bad moment of it."""
-    soon, cancel = rng.uniform(0.0, 4.0), f"cancel_now {rng.randrange(1, 5)} hang {rng.choice([0.0, 9.0])}"
+    soon, cancel = (
+        rng.uniform(0.0, 4.0),
+        f"cancel_running {rng.randrange(1, 5)} hang {rng.choice([0.0, 9.0])}",
+    )
     apart = (0.0, f"partition {_pair(rng, zones)} for {away:.1f}")
     return rng.choice(
         [
@@ -73,15 +79,15 @@
             [apart, (soon, "crash leader for 3"), (soon + 1, cancel)],
             [apart, (soon + 2, "crash all for 4"), (soon + 3, cancel)],
             [apart, (soon, cancel), (soon + 1, f"outage state for {away:.1f}")],
-            [apart, (soon, cancel), (soon + 6, "refuse leader for 12")],
+            [apart, (soon, cancel), (soon + 6, "cut_state leader for 12")],
             [
-                (0.0, f"cut {rng.choice(zones)} for {away / 2:.1f}"),
+                (0.0, f"isolate_zone {rng.choice(zones)} for {away / 2:.1f}"),
                 (away / 3, apart[1]),
                 (away / 3 + 1, cancel),
             ],
             [apart, (soon, cancel), (soon + 1, "isolate leader for 14")],
-            [(0.0, "trouble late all for 3"), (0.5, apart[1]), (1.0, cancel)],
-            [(0.0, "late_writes 0.5 for 20"), apart, (soon, cancel)],
+            [(0.0, "fault delay all for 3"), (0.5, apart[1]), (1.0, cancel)],
+            [(0.0, "delay_commits 0.5 for 20"), apart, (soon, cancel)],
         ]
     )
 
@@ -92,45 +98,61 @@
     soon, few = rng.uniform(0.0, 1.5), rng.randrange(1, 5)
     hang = rng.choice([0.0, 6.0, 9.0])
     away = min(cancel_s + rng.uniform(2.0, 12.0), CALM_S - at - 3.0)
-    cancel = f"cancel_now {few} hang {hang}"
+    cancel = f"cancel_running {few} hang {hang}"
     if len(zones) > _TWO and rng.random() < _PARTITIONS:
         return _partition_meeting(rng, zones, away)
     return rng.choice(
         [
             [
-                (0.0, f"refuse leader for {soon + 14:.1f}"),
+                (0.0, f"cut_state leader for {soon + 14:.1f}"),
                 (soon, cancel),
                 (soon + 1, f"outage state for {away}"),
             ],
             [
                 (0.0, cancel),
-                (soon / 20, f"refuse leader for {away:.1f}"),
+                (soon / 20, f"cut_state leader for {away:.1f}"),
                 (1.0, f"outage state for {away:.1f}"),
             ],
             [(0.0, f"isolate leader for {away:.1f}"), (soon, cancel), (soon + 5, cancel)],
             [
-                (0.0, f"cut {rng.choice(zones)} for {away:.1f}"),
+                (0.0, f"isolate_zone {rng.choice(zones)} for {away:.1f}"),
                 (soon, cancel),
                 (soon + 3, "crash leader for 3"),
             ],
-            [(0.0, cancel), (soon / 10, f"cut {rng.choice(zones)} for {away:.1f}")],
-            [(0.0, "trouble late all for 2"), (0.3, cancel), (soon, "crash leader for 1")],
-            [(0.0, "trouble mute all for 4"), (soon, "crash leader for 4"), (soon + 1, cancel)],
-            [(0.0, f"trouble hold {machine} for 20"), (soon, cancel), (soon + 1, "crash leader for 5")],
-            [(0.0, f"trouble deaf {machine} for 30"), (soon, "crash leader for 5"), (soon + 1, cancel)],
-            [(0.0, f"trouble silent all for {soon + 9:.1f}"), (soon, cancel), (soon, "crash leader for 0.4")],
-            [(0.0, "late_reports 1.0 for 8 for_next"), (6.0, "crash leader for 3"), (7.0, cancel)],
+            [(0.0, cancel), (soon / 10, f"isolate_zone {rng.choice(zones)} for {away:.1f}")],
+            [(0.0, "fault delay all for 2"), (0.3, cancel), (soon, "crash leader for 1")],
+            [(0.0, "fault drop_responses all for 4"), (soon, "crash leader for 4"), (soon + 1, cancel)],
+            [(0.0, f"fault hold {machine} for 20"), (soon, cancel), (soon + 1, "crash leader for 5")],
+            [(0.0, f"fault drop_inbound {machine} for 30"), (soon, "crash leader for 5"), (soon + 1, cancel)],
+            [
+                (0.0, f"fault drop_heartbeats all for {soon + 9:.1f}"),
+                (soon, cancel),
+                (soon, "crash leader for 0.4"),
+            ],
+            [
+                (0.0, "duplicate_heartbeats 1.0 for 8 to_next_leader"),
+                (6.0, "crash leader for 3"),
+                (7.0, cancel),
+            ],
             [
-                (0.0, "late_writes 0.5 for 30"),
+                (0.0, "delay_commits 0.5 for 30"),
                 (soon, cancel),
                 (9.0, "crash leader for 3"),
                 (9 + soon, cancel),
             ],
-            [(0.0, "lost_answers 0.5 for 30"), (soon, cancel), (9.0, "crash leader for 3")],
+            [(0.0, "drop_commit_responses 0.5 for 30"), (soon, cancel), (9.0, "crash leader for 3")],
             [(0.0, f"crash all for {rng.choice([0.4, 4.0, 11.0])}"), (soon - 1, cancel)],
             [(10.0 * k, "crash leader for 1") for k in range(5)] + [(soon, f"outage state for {away:.1f}")],
-            [(0.0, "cancel_at_end 1.0 for 20"), (0.0, "close_looks for 20"), (soon, "crash leader for 2")],
-            [(0.0, f"trouble hang {machine} for 9"), (soon, f"die {machine}"), (soon, "crash leader for 2")],
+            [
+                (0.0, "cancel_on_completion 1.0 for 20"),
+                (0.0, "poll_all_nodes for 20"),
+                (soon, "crash leader for 2"),
+            ],
+            [
+                (0.0, f"fault hang {machine} for 9"),
+                (soon, f"kill_machine {machine}"),
+                (soon, "crash leader for 2"),
+            ],
         ]
     )
 
@@ -221,20 +243,24 @@
             [
                 (at, "freeze leader for 20"),
                 (at + soon, "freeze leader for 8"),
-                (at + soon, "cancel_now 3 hang 6"),
+                (at + soon, "cancel_running 3 hang 6"),
             ],
             [
                 (at, "freeze leader for 12"),
-                (at + 1, "cancel_now 3 hang 0"),
-                (at + 2, "late_writes 0.5 for 10"),
+                (at + 1, "cancel_running 3 hang 0"),
+                (at + 2, "delay_commits 0.5 for 10"),
+            ],
+            [(at, "fail_boots 3"), (at, f"slow_boots 4.0 for {long:.1f}"), (at + soon, "crash leader for 3")],
+            [
+                (at, "lose_launch_responses 2"),
+                (at, f"freeze leader for {soon:.1f}"),
+                (at, "slow_boots 0.1 for 30"),
             ],
-            [(at, "boots_fail 3"), (at, f"slow_boots 4.0 for {long:.1f}"), (at + soon, "crash leader for 3")],
-            [(at, "lose_hires 2"), (at, f"freeze leader for {soon:.1f}"), (at, "slow_boots 0.1 for 30")],
-            [(at, f"unreach leader for {long:.1f} dropped"), (at + soon, "cancel_now 3 hang 6")],
-            [(at, f"unreach leader for {long:.1f}"), (at + soon, "crash others for 2")],
-            [(at, f"lose_peers {nodes} for {long:.1f}"), (at + soon, "freeze leader for 6")],
+            [(at, f"cut_workers leader for {long:.1f} dropped"), (at + soon, "cancel_running 3 hang 6")],
+            [(at, f"cut_workers leader for {long:.1f}"), (at + soon, "crash others for 2")],
+            [(at, f"cut_peers {nodes} for {long:.1f}"), (at + soon, "freeze leader for 6")],
             [(at, f"isolate leader for {long:.1f}"), (at + soon, "freeze leader for 9")],
-            [(at, f"refuse leader for {long:.1f}"), (at + soon, "cancel_now 3 hang 0")],
+            [(at, f"cut_state leader for {long:.1f}"), (at + soon, "cancel_running 3 hang 0")],
             [(at, f"crash {nodes} for {min(long, 60.0):.1f}"), (at + soon, "freeze leader for 5")],
         ]
     )
@@ -250,7 +276,7 @@
         yield begin, f"submit job-{number:06d} crew=beta mistake=true {fields}"
         yield rng.uniform(begin, CALM_S), f"cancel job-{number:06d}"
     if rng.random() < 0.5:
-        yield rng.uniform(3.0, 60.0), f"faulty vm-{rng.randrange(1, 5):06d}"
+        yield rng.uniform(3.0, 60.0), f"fail_tasks_on vm-{rng.randrange(1, 5):06d}"
     for number in range(700, 700 + rng.randrange(0, 20)):
         guest = "crew=gamma rank=best_effort accelerators=0.0 cpus=1.0 sizeGb=0.1 guessS=8"
         yield rng.uniform(4.0, 90.0), f"submit job-{number:06d} {guest} loaners=true"
@@ -271,18 +297,18 @@
     lines = [
         (
             f"world limit={rng.choice([8, 10, 14])} lease_s=10 cancel_s={cancel_s} zones={','.join(zones)} "
-            f"relays={relays} guests=gamma"
+            f"relays={relays} unguaranteed=gamma"
         ),
-        *(f"machines small {zone} ordinary {rng.randrange(2, 4)}" for zone in zones),
+        *(f"machines small {zone} on_demand {rng.randrange(2, 4)}" for zone in zones),
     ]
     lines += [
         f"capacity small {zone} {kind} {number}"
         for zone in zones
-        for kind, number in (("ordinary", 12), ("spot", 4))
+        for kind, number in (("on_demand", 12), ("spot", 4))
     ]
     events = [*_events(rng, cancel_s, zones), *_operations(rng, zones)]
     lines += [f"at {at:.2f} {text}" for at, text in sorted(events)]
-    return "\n".join([*lines, f"at {CALM_S + 10} calm", f"at {END_S} expect settled", ""])
+    return "\n".join([*lines, f"at {CALM_S + 10} check_liveness", f"at {END_S} expect settled", ""])
 
 
 def main() -> int:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -36,7 +36,7 @@
             Team("beta", accelerators=8, accelerators_max=0),
         ]
         # Teams without a guarantee or a limit.
-        teams += [Team(name) for name in head.get("guests", "").split(",") if name]
+        teams += [Team(name) for name in head.get("unguaranteed", "").split(",") if name]
 
         def make_world(options: Options) -> World:
             return World(
@@ -86,7 +86,7 @@
         self._do(list(words))
         self.world = before
 
-    def do_cut_cells(self, source: str, target: str, word: str, seconds: str) -> None:
+    def do_cut_cell_link(self, source: str, target: str, word: str, seconds: str) -> None:
         """What the first cell sends does not reach the second one."""
         cells, way = self._several(), (int(source), int(target))
         cells.cuts.add(way)
@@ -96,19 +96,19 @@
         """That share of messages between cells comes twice, is lost, or comes up to two minutes late."""
         self._for_a_while(self._several(), f"{how}_share", seconds, float(share))
 
-    def do_cut_way(self, way: str, word: str, seconds: str) -> None:
-        """`SOURCE-TARGET@TIME`: see `do_cut_cells`."""
+    def do_cut_cell_link_at(self, way: str, word: str, seconds: str) -> None:
+        """`SOURCE-TARGET@TIME`: see `do_cut_cell_link`."""
         ends, _, at = way.partition("@")
         source, target = ends.split("-")
         cut = [source, target, word, seconds]
-        self.world.after(float(at) - self.world.now, lambda: self.do_cut_cells(*cut))
+        self.world.after(float(at) - self.world.now, lambda: self.do_cut_cell_link(*cut))
 
-    def do_kill_in_transfer(self, step: str) -> None:
-        """`giver-planned-1`: the leader of cell 1 is killed as it is about to write its first such step."""
+    def do_crash_in_transfer(self, step: str) -> None:
+        """`source-planned-1`: the leader of cell 1 is killed as it is about to write its first such step."""
         side, stage, number = step.split("-")
-        self.do_in("1" if side == "giver" else "0", "in_transfer", stage, number, "crash")
+        self.do_in("1" if side == "source" else "0", "fault_in_transfer", stage, number, "crash")
 
-    def do_in_transfer(self, stage: str, number: str, what: str, seconds: str = "5") -> None:
+    def do_fault_in_transfer(self, stage: str, number: str, what: str, seconds: str = "5") -> None:
         """As that step of a transfer is planned, or was just written, its leader crashes or freezes."""
         world, left = self.world, int(number)
 
@@ -124,19 +124,19 @@
 
         world.on_transfer_step = reached
 
-    def do_without_cells(self, which: str) -> None:
+    def do_remove_cells_file(self, which: str) -> None:
         """The nodes know of no other cells from their next process on: the version before, or no file."""
         self._several().without_file.add(self._several().worlds.index(self.world))
         for node in self._nodes(which):
             node.options = Options()
             node.boot()
 
-    def do_lose_shares(self) -> None:
+    def do_lose_allocations(self) -> None:
         """The cell's records of shares are gone, as if its state service was restored from nothing."""
         self._several().cell_is_lost = True
         self._remove_shares(self.world)
 
-    def do_make_shares_anew(self) -> None:
+    def do_recreate_allocations(self) -> None:
         """Operators stop all controllers of all cells, remove what is left of shares, and start again."""
         cells = self._several()
         for world in cells.worlds:
@@ -153,20 +153,20 @@
         for key in keys:
             world.state.commit(transaction_body({}, [Delete(key)]))
 
-    def do_swap_cell(self, name: str) -> None:
+    def do_rename_cell(self, name: str) -> None:
         """The cell's controllers come back with a file that gives the cell another name."""
         for node in self.world.nodes:
             assert node.options.cells is not None
             node.options = Options(cells=msgspec.structs.replace(node.options.cells, name=name))
             node.crash(3.0)
 
-    def do_with_cells(self, which: str) -> None:
+    def do_restore_cells_file(self, which: str) -> None:
         """The nodes are killed and come back with the file."""
         for node in self._nodes(which):
             node.options = self.world.options
             node.crash(3.0)
 
-    def _expect_share(self, cell: str, least: str, most: str) -> None:
+    def _expect_allocation(self, cell: str, least: str, most: str) -> None:
         """The accelerators that team alpha may use there, as is durable."""
         limit = self._several().allocation(int(cell))
         self._expect(float(least) <= limit <= float(most), f"cell {cell} has a share of {limit:g}")
@@ -176,12 +176,12 @@
         used = self._several().used()
         self._expect(float(least) <= used <= float(most), f"{used:g} accelerators are in use")
 
-    def _expect_transit(self, number: str) -> None:
+    def _expect_in_transit(self, number: str) -> None:
         """Transfers that somebody still keeps a note of."""
         found = self._several().in_transit()
         self._expect(len(found) == int(number), f"in transit: {found}")
 
-    def _expect_moves(self, most: str) -> None:
+    def _expect_transfers(self, most: str) -> None:
         """Transfers that were ever begun."""
         moves = self._several().moves()
         self._expect(moves <= int(most), f"{moves} moves")
@@ -192,7 +192,7 @@
         holds = not alarms if text == "none" else any(text in alarm for alarm in alarms)
         self._expect(holds, f"alarms of cell {cell}: {alarms}")
 
-    def do_old(self, which: str) -> None:
+    def do_downgrade(self, which: str) -> None:
         """The nodes run the version before, as far as it stores otherwise, also when they come back."""
         for node in self._nodes(which):
             node.is_old()
@@ -249,7 +249,7 @@
         for node in self._nodes(which):
             node.crash(float(seconds))
 
-    def do_roll(self, every: str) -> None:
+    def do_rolling_restart(self, every: str) -> None:
         for index, node in enumerate(self.world.nodes):
             self.world.after(index * float(every), lambda node=node: node.crash(3.0))  # type: ignore[misc]
 
@@ -259,7 +259,7 @@
         setattr(target, name, value)
         self.world.after(float(seconds), lambda: setattr(target, name, type(value)()))
 
-    def do_refuse(self, which: str, word: str, seconds: str) -> None:
+    def do_cut_state(self, which: str, word: str, seconds: str) -> None:
         for node in self._nodes(which):
             self._for_a_while(node, "refused", seconds)
 
@@ -269,7 +269,7 @@
             self._for_a_while(node, "refused", seconds)
             self._for_a_while(node, "cut_peers", seconds)
 
-    def do_unreach(self, which: str, word: str, seconds: str, how: str = "refused") -> None:
+    def do_cut_workers(self, which: str, word: str, seconds: str, how: str = "refused") -> None:
         """The node loses the workers: they are refused, or what they send is dropped."""
         for node in self._nodes(which):
             self._for_a_while(node, "cut_workers", seconds)
@@ -281,15 +281,15 @@
         for node in self._nodes(which):
             self._for_a_while(node, "frozen", seconds)
 
-    def do_lose_answers(self, which: str, number: str) -> None:
+    def do_lose_commit_responses(self, which: str, number: str) -> None:
         for node in self._nodes(which):
             node.lose_answers = int(number)
 
-    def do_late_writes(self, share: str, word: str, seconds: str) -> None:
+    def do_delay_commits(self, share: str, word: str, seconds: str) -> None:
         """Transactions get no answer and are carried out late, behind newer ones."""
         self._for_a_while(self.world, "late_writes", seconds, float(share))
 
-    def do_lost_answers(self, share: str, word: str, seconds: str) -> None:
+    def do_drop_commit_responses(self, share: str, word: str, seconds: str) -> None:
         """Transactions are carried out at once and get no answer."""
         self._for_a_while(self.world, "lost_answers", seconds, float(share))
 
@@ -297,7 +297,7 @@
         """Messages between controllers and workers take so much longer, each way."""
         self._for_a_while(self.world, "link_s", seconds, float(delay))
 
-    def do_lose_hires(self, number: str) -> None:
+    def do_lose_launch_responses(self, number: str) -> None:
         self.world.lose_launches = int(number)
 
     def do_outage(self, what: str, word: str, seconds: str) -> None:
@@ -309,20 +309,20 @@
             world.cloud.down = True
             world.after(float(seconds), lambda: setattr(world.cloud, "down", False))
 
-    def do_lose_peers(self, which: str, word: str, seconds: str) -> None:
+    def do_cut_peers(self, which: str, word: str, seconds: str) -> None:
         """The node loses the other nodes, and keeps its workers and the state service."""
         for node in self._nodes(which):
             self._for_a_while(node, "cut_peers", seconds)
 
-    def do_batches_twice(self, word: str, seconds: str) -> None:
+    def do_duplicate_batches(self, word: str, seconds: str) -> None:
         """Relayed batches arrive twice."""
         self._for_a_while(self.world, "batches_twice", seconds)
 
-    def do_batches_late(self, delay: str, word: str, seconds: str) -> None:
+    def do_delay_batches(self, delay: str, word: str, seconds: str) -> None:
         """Relayed batches take so much longer."""
         self._for_a_while(self.world, "batches_late_s", seconds, float(delay))
 
-    def do_cut(self, zone: str, word: str, seconds: str) -> None:
+    def do_isolate_zone(self, zone: str, word: str, seconds: str) -> None:
         """The zone is cut off from everything outside it."""
         world = self.world
         world.cut = zone
@@ -332,7 +332,7 @@
         """The two zones can't reach each other; both reach all else."""
         self._for_a_while(self.world, "partition", seconds, set(zones.split(",")))
 
-    def do_trouble(self, kind: str, machine: str, word: str, seconds: str) -> None:
+    def do_fault(self, kind: str, machine: str, word: str, seconds: str) -> None:
         """A kind of trouble with a machine, or with all; the kinds are in scenarios/README.md."""
         world = self.world
         names = list(world.workers) if machine == "all" else [machine]
@@ -343,7 +343,7 @@
                 lambda name=name: world.troubles[name].discard(kind),  # type: ignore[misc]
             )
 
-    def do_faulty(self, machine: str) -> None:
+    def do_fail_tasks_on(self, machine: str) -> None:
         worker = self.world.workers.get(machine)
         # A drawn day may name one that is gone by then.
         if worker is not None:
@@ -353,16 +353,16 @@
         worker = self.world.workers[machine]
         worker.machine_type = {**worker.machine_type, "pullGbPerS": float(gb_per_s)}
 
-    def do_die(self, machine: str) -> None:
+    def do_kill_machine(self, machine: str) -> None:
         self.world.end_worker(machine)
 
-    def do_die_share(self, share: str) -> None:
+    def do_kill_machines(self, share: str) -> None:
         """That share of the machines ends at one moment, with all that is on them."""
         names = sorted(self.world.workers)
         for name in self.world.rng.sample(names, int(len(names) * float(share))):
             self.world.end_worker(name)
 
-    def do_recall(self, machine: str, notice: str, real: str) -> None:
+    def do_reclaim(self, machine: str, notice: str, real: str) -> None:
         worker = self.world.workers.get(machine)
         if worker is None:
             # A drawn day may name one that is gone by then.
@@ -374,7 +374,7 @@
         self.world.end_worker(machine)
         self.world.cloud.machines.pop(machine, None)
 
-    def do_boots_fail(self, number: str) -> None:
+    def do_fail_boots(self, number: str) -> None:
         self.world.cloud.failing = int(number)
 
     def do_slow_boots(self, factor: str, word: str, seconds: str) -> None:
@@ -385,12 +385,12 @@
         """Users ask that many times as often."""
         self._for_a_while(self.world, "poll_factor", seconds, int(factor))
 
-    def do_late_reports(self, share: str, word: str, seconds: str, when: str = "") -> None:
+    def do_duplicate_heartbeats(self, share: str, word: str, seconds: str, when: str = "") -> None:
         """A copy of that share of reports comes again: 1 to 25 s late, or when the next leader begins."""
-        self.world.keep_copies = when == "for_next"
+        self.world.keep_copies = when == "to_next_leader"
         self._for_a_while(self.world, "copied", seconds, float(share))
 
-    def do_cancel_now(self, number: str, word: str = "hang", seconds: str = "0") -> None:
+    def do_cancel_running(self, number: str, word: str = "hang", seconds: str = "0") -> None:
         """Users call off so many jobs that run; machines that run them hang for a while."""
         world = self.world
         running = [(w, t.rpartition("/")[0]) for w in world.workers.values() for t in w.on_machine()]
@@ -400,22 +400,22 @@
             world.after(world.rng.uniform(0.0, 0.2), lambda job=job: world.cancel(job))  # type: ignore[misc]
         if float(seconds):
             for name in sorted({worker.name for worker, job in running if job in chosen})[:8]:
-                self.do_trouble("hang", name, "for", seconds)
+                self.do_fault("hang", name, "for", seconds)
 
-    def do_cancel_at_end(self, share: str, word: str, seconds: str) -> None:
+    def do_cancel_on_completion(self, share: str, word: str, seconds: str) -> None:
         """That share of the jobs that end is called off at the moment of the end."""
         self._for_a_while(self.world, "cancel_at_end", seconds, float(share))
 
-    def do_close_looks(self, word: str, seconds: str) -> None:
+    def do_poll_all_nodes(self, word: str, seconds: str) -> None:
         """Users ask at all nodes, and repeat the submission, as soon as they are told something."""
         self._for_a_while(self.world, "close_looks", seconds)
 
-    def do_odd_requests(self, word: str, seconds: str) -> None:
+    def do_invalid_requests(self, word: str, seconds: str) -> None:
         """Once a second users repeat submissions, cancel what is done and send what can't be taken."""
         for number in range(int(float(seconds))):
             self.world.after(float(number), self.world.ask_oddly)
 
-    def do_calm(self) -> None:
+    def do_check_liveness(self) -> None:
         """All troubles are over."""
         self.world.calm_at = self.world.now
 
@@ -428,11 +428,11 @@
     def do_expect(self, what: str, *words: str) -> None:
         getattr(self, f"_expect_{what}")(*words)
 
-    def _expect_told(self, job_id: str, status: str) -> None:
+    def _expect_status(self, job_id: str, status: str) -> None:
         told = self.world.told.get(job_id)
         self._expect(told == status, f"{job_id} is {told}")
 
-    def _expect_up(self, job_id: str, number: str) -> None:
+    def _expect_running(self, job_id: str, number: str) -> None:
         tasks = [task for worker in self.world.workers.values() for task in worker.on_machine()]
         up = {task for task in tasks if task.startswith(job_id + "/")}
         self._expect(len(up) == int(number), f"{job_id} has {len(up)} tasks up")
@@ -442,7 +442,7 @@
         attempts = self.world.gangs.starts.get(job_id, 0)
         self._expect(attempts == int(number), f"{job_id} started {attempts} times")
 
-    def _expect_saved(self, job_id: str, least: str) -> None:
+    def _expect_checkpointed(self, job_id: str, least: str) -> None:
         """So many seconds of a gang's work were saved at least."""
         saved = self.world.gangs.saved.get(job_id, 0.0)
         self._expect(saved >= float(least), f"{job_id} has saved {saved:.1f} s")
@@ -455,20 +455,20 @@
         starts = max(self._starts(job_id), default=0)
         self._expect(starts <= int(most), f"a task of {job_id} started {starts} times")
 
-    def _expect_tries(self, job_id: str, most: str) -> None:
+    def _expect_total_starts(self, job_id: str, most: str) -> None:
         """Starts of all tasks of a job together."""
         tries = sum(self._starts(job_id))
         self._expect(tries <= int(most), f"tasks of {job_id} started {tries} times")
 
-    def _expect_rented(self, most: str) -> None:
+    def _expect_launched(self, most: str) -> None:
         rented = sum(len(names) for names in self.world.cloud.launches.values())
         self._expect(rented <= int(most), f"{rented} machines were rented")
 
-    def _expect_held(self, least: str, most: str) -> None:
+    def _expect_billed(self, least: str, most: str) -> None:
         held = len(self.world.cloud.machines)
         self._expect(int(least) <= held <= int(most), f"{held} machines are paid for")
 
-    def _expect_gone(self, machine: str) -> None:
+    def _expect_deleted(self, machine: str) -> None:
         self._expect(machine not in self.world.workers, f"{machine} is still there")
 
     def _expect_machines(self, least: str, most: str) -> None:
@@ -489,7 +489,7 @@
         share = self.world.work["relayed"] / max(1, self.world.work["reports"])
         self._expect(share >= float(least), f"{share:.2f} of all reports were relayed")
 
-    def _expect_sessions(self, most: str) -> None:
+    def _expect_lost_leases(self, most: str) -> None:
         lost = [worker.name for worker in self.world.workers.values() if worker.incarnation > 1]
         self._expect(len(lost) <= int(most), f"lost their leases: {', '.join(lost)}")
 
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -126,7 +126,7 @@
             node.settings, node.options, self, baton, lambda: world.now, lambda: world.now, world.rng
         )
         dispatcher = self.controller.dispatcher
-        self._count_calls("passes", dispatcher, "dispatch")
+        self._count_calls("cycles", dispatcher, "dispatch")
         self._count_calls("plans", self.controller.admission.planner, "plan")
         self._count_calls("searches", dispatcher.placement, "ranking")
         self._count_calls("searches", dispatcher.placement, "preemptions")
@@ -252,7 +252,7 @@
         how = world.troubles.get(worker.name, set())
         if world.severed(self.node.zone, worker.zone):
             how = how | {"hold"}
-        if "late" in how:
+        if "delay" in how:
 
             def deliver_late() -> None:
                 worker.do(body)
@@ -265,13 +265,13 @@
             worker.held_commands.append(body)
             self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
             return
-        if "deaf" in how:
+        if "drop_inbound" in how:
             self._later(1.5, lambda: on_response(RequestOutcome.NOT_SENT, None))
             return
 
         def deliver() -> None:
             status, heartbeat = worker.do(body)
-            if "mute" in how:
+            if "drop_responses" in how:
                 self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
                 return
             answered(RequestOutcome.OK if status == 200 else RequestOutcome.REJECTED, heartbeat)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -28,7 +28,7 @@
     old = world.leader()
     assert old is not None
     for worker in world.workers.values():
-        world.troubles[worker.name] = {"silent", "deaf"}
+        world.troubles[worker.name] = {"drop_heartbeats", "drop_inbound"}
     old.crash(1000.0)
     while (leader := world.leader()) is None or leader.leader_term is None:
         world.run(world.now + 0.05)
--- a/tests/test_relay_batch_handler.py
+++ b/tests/test_relay_batch_handler.py
@@ -70,7 +70,7 @@
 
 
 def test_a_relay_drops_responses_of_a_leader_that_has_since_lost_leadership() -> None:
-    scenario = Scenario("world relays=forced\nmachines small a ordinary 2\nmachines small b ordinary 2", 1)
+    scenario = Scenario("world relays=forced\nmachines small a on_demand 2\nmachines small b on_demand 2", 1)
     scenario.play()
     world = scenario.world
     world.run(10.0)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -167,9 +167,9 @@
 
 DAY = """
 world next_txn_ops=4 next_value_kb=2
-machines small a ordinary 3
+machines small a on_demand 3
 machines small b spot 2
-capacity small a ordinary 3
+capacity small a on_demand 3
 at 2 submit job-000001 chores=20000 guessS=2 sizeGb=0.1
 at 3 submit job-000002 shape=group chores=8 guessS=30 bookmarkS=5.0 stashS=2.0 loaners=true samePlace=true
 at 3 submit job-000003 shape=service chores=3 apart=true
--- a/tests/world.py
+++ b/tests/world.py
@@ -287,7 +287,7 @@
         node = self.nodes[worker.node]
         body, flight = worker.heartbeat(), InFlight(node, self.now, worker.incarnation)
         refuses = node.cut_workers and not node.drops_workers
-        if not node.alive or refuses or "silent" in how:
+        if not node.alive or refuses or "drop_heartbeats" in how:
             worker.node = (worker.node + 1) % 3
             worker.busy_until = self.now + 1.0
             return
@@ -331,7 +331,7 @@
         worker.awaits = None
         if relayed and (worker.gone or node.cut_workers or self.severed(node.zone, worker.zone)):
             worker.busy_until = self.now + 1.0
-        elif "deaf" in how or "hold" in how:
+        elif "drop_inbound" in how or "hold" in how:
             worker.busy_until = self.now + 4.0
         elif status == 200:
             if relayed and answer["baton"] < node.lowest_fencing_token():
