--- a/tests/test_cell_options.py
+++ b/tests/test_cell_options.py
@@ -16,7 +16,7 @@
 
 
 def test_without_cells_no_quota_record_is_read_or_written() -> None:
-    scenario = Scenario((FOLDER / "limit_while_unreachable.txt").read_text(), 1)
+    scenario = Scenario((FOLDER / "limit_counts_unreachable_machines.txt").read_text(), 1)
     read: list[str] = []
     state = scenario.world.state
     scan = state.scan
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -118,48 +118,48 @@
 
 # Guard that is taken out -> scenario that must then break a rule or miss what it expects.
 GUARDS = [
-    Guard("late_run_after_cancel", DirectCommands, "raise_fencing_token", _always),
-    Guard("held_start_after_leader_change", AttemptReconciler, "_absence_proves_termination", _always),
-    Guard("limit_while_unreachable", Quotas, "allows", _always),
+    Guard("delayed_start_after_cancel", DirectCommands, "raise_fencing_token", _always),
+    Guard("delayed_start_after_leader_change", AttemptReconciler, "_absence_proves_termination", _always),
+    Guard("limit_counts_unreachable_machines", Quotas, "allows", _always),
     Guard("isolated_leader", Authority, "may_renew_leases", _always),
-    Guard("lost_hire_answer", Launches, "load", _count_nothing),
-    Guard("done_before_reap", HeartbeatCommands, "_may_forget_exit", _always),
+    Guard("launch_response_lost", Launches, "load", _count_nothing),
+    Guard("completions_durable_before_forgotten", HeartbeatCommands, "_may_forget_exit", _always),
     Guard("large_fleet", CycleState, "scheduling_key", _unlike),
-    Guard("zone_cut", DelegatedRenewals, "renewal_fencing_token", _never),
-    Guard("zone_cut_long", DelegationTracker, "latest_renewal_at", _long_ago),
-    Guard("cancelled_before_the_cut", Controller, "excluded_machines", _nobody),
-    Guard("limit_and_cancelled", Fleet, "unaccounted_resources", _no_room),
-    Guard("mute_machines_and_copies", MachineMonitor, "_count_turned_away", _all_of_them),
-    Guard("deaf_machine", AttemptReconciler, "_ignores_responses", _never),
-    Guard("gap", Cancellations, "summarize", _told_nothing),
-    Guard("gap", Authority, "observe_peer", _never),
-    Guard("gap_unnamed", Authority, "observe_peer", _learned_all),
+    Guard("isolated_zone", DelegatedRenewals, "renewal_fencing_token", _never),
+    Guard("zone_isolated_past_delegation", DelegationTracker, "latest_renewal_at", _long_ago),
+    Guard("cancelled_before_zone_isolation", Controller, "excluded_machines", _nobody),
+    Guard("limit_counts_cancelled_job", Fleet, "unaccounted_resources", _no_room),
+    Guard("silent_machines_and_duplicates", MachineMonitor, "_count_turned_away", _all_of_them),
+    Guard("inbound_messages_lost", AttemptReconciler, "_ignores_responses", _never),
+    Guard("cancellations_before_state_outage", Cancellations, "summarize", _told_nothing),
+    Guard("cancellations_before_state_outage", Authority, "observe_peer", _never),
+    Guard("cancellations_forgotten_before_state_outage", Authority, "observe_peer", _learned_all),
     Guard("gangs_compete", GangPlacement, "choose", _one_by_one),
     Guard("gang_task_lost_before_start", Gangs, "may_start", _only_from_the_beginning),
     Guard("gang_task_lost_while_running", Gangs, "_fail", _never),
-    Guard("gang_gives_up_its_room", Gangs, "abandon", _never),
-    Guard("gang_alone", Gangs, "_avoid_late_machines", _never),
-    Guard("gang_recall", Gangs, "stop", _kill),
+    Guard("gang_releases_capacity", Gangs, "abandon", _never),
+    Guard("gang_avoids_slow_machine", Gangs, "_avoid_late_machines", _never),
+    Guard("gang_reclaimed", Gangs, "stop", _kill),
     Guard("gang_preempts", GangPlacement, "preempt_for", _never),
     Guard("gang_preempted", TaskStarter, "_await_gangs", _never),
     Guard("gang_not_starved", GangScheduler, "_reserve_for", _never),
     Guard("gang_team_limit", GangScheduler, "_reserve_for", _never),
-    Guard("gang_half_sent", Gangs, "adopt", _never),
-    Guard("gang_half_heard", LeaseExpiry, "all_reconciled", _always),
+    Guard("gang_partly_started", Gangs, "adopt", _never),
+    Guard("gang_partly_reconciled", LeaseExpiry, "all_reconciled", _always),
     Guard("gang_short_notice", MachineLifecycle, "_drain_gang", _never),
     Guard("gang_leader_crash_in_stop", Gangs, "stop", _kill),
-    Guard("gang_cancelled_at_once", JobLifecycle, "handle_finalized", _never),
+    Guard("gang_cancelled_without_faults", JobLifecycle, "handle_finalized", _never),
     Guard("gang_machine_hangs", Gangs, "task_terminated", _never),
-    Guard("gang_done_by_one_report", Job, "complete", _complete_one),
-    Guard("gang_unsure_start", DirectCommands, "raise_fencing_token", _always),
+    Guard("gang_completed_by_one_heartbeat", Job, "complete", _complete_one),
+    Guard("gang_unconfirmed_start", DirectCommands, "raise_fencing_token", _always),
     Guard("zone_partition", Connectivity, "better_connected_peer", _never),
-    Guard("few_hang_at_change_of_leader", MachineMonitor, "_is_quiet", _always),
+    Guard("machine_hangs_at_leader_change", MachineMonitor, "_is_quiet", _always),
     Guard("zone_partition_of_two", DelegatedRenewals, "_is_partition", _never),
-    Guard("zone_cut_keeps_machines", FleetSurvey, "silent_zones", _no_zones),
-    Guard("zone_cut_keeps_machines", MachineMonitor, "_block_launches_in", _never),
-    Guard("image_holders_make_room", Relocation, "relocate_for", _never),
-    Guard("image_holders_one_at_a_time", Relocation, "_moves_left", _plenty),
-    Guard("image_holders_keep_equals", Relocation, "_may_move_to", _always),
+    Guard("isolated_zone_keeps_machines", FleetSurvey, "silent_zones", _no_zones),
+    Guard("isolated_zone_keeps_machines", MachineMonitor, "_block_launches_in", _never),
+    Guard("relocation_frees_image_holder", Relocation, "relocate_for", _never),
+    Guard("relocation_one_at_a_time", Relocation, "_moves_left", _plenty),
+    Guard("relocation_spares_equal_priority", Relocation, "_may_move_to", _always),
 ]
 
 
@@ -178,13 +178,13 @@
 
 # Jobs with a mistake, machines at fault, and guests.
 GUARDS += [
-    Guard("mistakes_on_one_machine", Failures, "machine_at_fault", _two_errors),
-    Guard("mistake_in_a_wide_job", Job, "startable", _all_at_once),
-    Guard("mistake_in_a_wide_job", Failures, "load", _never),
-    Guard("gang_with_a_mistake", Failures, "_fails_everywhere", _never),
-    Guard("faulty_machine_among_mistakes", Failures, "machine_at_fault", _never),
-    Guard("sound_job_on_a_faulty_machine", Failures, "_mark_sound", _never),
-    Guard("guests", Quotas, "within_guarantee", _guests_alone),
+    Guard("failing_jobs_on_one_machine", Failures, "machine_at_fault", _two_errors),
+    Guard("large_array_that_always_fails", Job, "startable", _all_at_once),
+    Guard("large_array_that_always_fails", Failures, "load", _never),
+    Guard("gang_that_always_fails", Failures, "_fails_everywhere", _never),
+    Guard("faulty_machine_among_failing_jobs", Failures, "machine_at_fault", _never),
+    Guard("healthy_job_on_faulty_machine", Failures, "_mark_sound", _never),
+    Guard("team_without_guarantee", Quotas, "within_guarantee", _guests_alone),
 ]
 
 
@@ -223,27 +223,27 @@
 GUARDS += [
     Guard("slow_boots", BootTracker, "_is_overdue", _overdue_alone),
     Guard("slow_boots", BootTracker, "is_given_up", _given_up_alone),
-    Guard("boots_that_never_end", BootTracker, "_is_overdue", _never),
-    Guard("boots_that_never_end", BootTracker, "is_given_up", _never),
+    Guard("boots_never_complete", BootTracker, "_is_overdue", _never),
+    Guard("boots_never_complete", BootTracker, "is_given_up", _never),
 ]
 
 # Controllers that stand still, and a huge array.
 GUARDS += [
-    Guard("freeze_in_a_hire", Launches, "load", _count_nothing),
+    Guard("leader_freezes_in_launch", Launches, "load", _count_nothing),
     Guard("huge_array", Completions, "load", _never),
 ]
 
 # Workers that a leader's cut sends to other controllers.
 GUARDS += [
-    Guard("leader_drops_workers", RedirectBackoff, "wait_s", _no_time),
-    Guard("few_hang_at_change_of_leader", RedirectBackoff, "wait_s", _behind_a_change_too),
+    Guard("leader_drops_heartbeats", RedirectBackoff, "wait_s", _no_time),
+    Guard("machine_hangs_at_leader_change", RedirectBackoff, "wait_s", _behind_a_change_too),
     Guard("zone_partition_of_two", RedirectBackoff, "wait_s", _again_and_again),
-    Guard("mute_machines_and_copies", MachineMonitor, "_workers_turned_away", _at_one_moment),
+    Guard("silent_machines_and_duplicates", MachineMonitor, "_workers_turned_away", _at_one_moment),
 ]
 
 # The same for relays.
 GUARDS += [
-    Guard("relay_batches_twice_and_late", AttemptReconciler, "_is_newer", _always),
+    Guard("relay_duplicate_and_delayed_batches", AttemptReconciler, "_is_newer", _always),
     Guard("relay_cut_while_cancelled", Controller, "excluded_machines", _nobody),
     Guard("relay_gang", LeaseExpiry, "all_reconciled", _always),
 ]
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -16,7 +16,7 @@
 _SEEDS: dict[str, Sequence[int]] = {
     "thousand_machines": (1,),
     "four_thousand_machines": (1,),
-    "gang_alone": range(1, 13),
+    "gang_avoids_slow_machine": range(1, 13),
 }
 PLAYS = [
     pytest.param(text, seed, id=f"{name}-{seed}")
