--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -51,17 +51,17 @@
             self.worlds.append(make_world(Options(cells=cells)))
         self._names = names
         # One list for all: whoever breaks a rule, the scenario has.
-        self.broken = self.worlds[0].broken
+        self.violations = self.worlds[0].violations
         for world in self.worlds:
-            world.broken = self.broken
+            world.violations = self.violations
         # Ways between cells that are cut, each in one direction.
-        self.cuts: set[tuple[int, int]] = set()
+        self.cut_links: set[tuple[int, int]] = set()
         self.duplicated_share = self.lost_share = self.delayed_share = 0.0
         # Cells whose controllers once ran without the file: their use may exceed it, not unnoticed.
-        self.without_file: set[int] = set()
+        self.without_cells_file: set[int] = set()
         # A cell was restored from nothing: until all allocations are created anew, they don't add up.
-        self.cell_is_lost = False
-        self._unsaid: Counter[int] = Counter()
+        self.records_are_lost = False
+        self._ticks_without_alarm: Counter[int] = Counter()
         self._check_at = 0.0
         team = next(team for team in self.worlds[0].settings.deployment.teams if team.name == TEAM)
         self._whole = total_allocation(team)
@@ -80,27 +80,27 @@
             for index, world in enumerate(self.worlds):
                 for node in world.nodes:
                     if node.leader_term is not None and node.alive and not node.frozen:
-                        self._ask(index, node.leader_term)
+                        self._send_requests(index, node.leader_term)
             self._check()
 
     # -- links -----------------------------------------------------------------------------------------
 
-    def _ask(self, index: int, term: SimLeaderTerm) -> None:
+    def _send_requests(self, index: int, term: SimLeaderTerm) -> None:
         """A leader asks the other cells' leaders, each in its time."""
         quota = term.controller.quota
         if quota is None:
             return
         for other, name in enumerate(self._names):
             request = quota.requests().get(name)
-            if other == index or request is None or self.now < term.asks_at.get(other, 0.0):
+            if other == index or request is None or self.now < term.next_request_at.get(other, 0.0):
                 continue
-            term.asks_at[other] = self.now + (_WANTING_S if request.unmet_demands else _IDLE_S)
+            term.next_request_at[other] = self.now + (_WANTING_S if request.unmet_demands else _IDLE_S)
             data = msgspec.msgpack.encode(request)
             self._send(index, other, lambda data=data, other=other: self._arrive(index, term, other, data))  # type: ignore[misc]
 
     def _send(self, source: int, target: int, arrive: Callable[[], None]) -> None:
         """A message goes its way, if there is one."""
-        if (source, target) in self.cuts or self._rng.random() < self.lost_share:
+        if (source, target) in self.cut_links or self._rng.random() < self.lost_share:
             return
         times = 2 if self._rng.random() < self.duplicated_share else 1
         for _ in range(times):
@@ -135,7 +135,7 @@
         assert isinstance(reply, TransferResponse)
         quota.handle_response(reply)
         if reply.in_progress:
-            term.asks_at[other] = self.now + _IN_PROGRESS_S
+            term.next_request_at[other] = self.now + _IN_PROGRESS_S
         term.settle()
 
     # -- what there is ---------------------------------------------------------------------------------
@@ -189,21 +189,23 @@
         limit = self._whole.accelerators.limit
         used = self.used()
         if limit is not None and to_units(used) > limit:
-            self.broken.append(f"quota over all cells: {used:g} at {self.now:.1f}")
+            self.violations.append(f"quota over all cells: {used:g} at {self.now:.1f}")
         if self.now < self._check_at:
             return
         self._check_at = self.now + _CHECK_S
         ledgers = {name: self._ledger(world) for name, world in zip(self._names, self.worlds, strict=True)}
-        if self.cell_is_lost or any(ledger.allocation(TEAM) is None for ledger in ledgers.values()):
+        if self.records_are_lost or any(ledger.allocation(TEAM) is None for ledger in ledgers.values()):
             return
         running = {
-            name: 0 if index in self.without_file and self._says_so(index) else to_units(self._used(world))
+            name: 0
+            if index in self.without_cells_file and self._raises_alarm(index)
+            else to_units(self._used(world))
             for index, (name, world) in enumerate(zip(self._names, self.worlds, strict=True))
         }
         for problem in sum_problems(ledgers, TEAM, self._whole, running):
-            self.broken.append(f"allocations: {problem} at {self.now:.1f}")
+            self.violations.append(f"allocations: {problem} at {self.now:.1f}")
 
-    def _says_so(self, cell: int) -> bool:
+    def _raises_alarm(self, cell: int) -> bool:
         """Whether an alarm tells of use above the allocation, or no leader with options could raise it."""
         leader = self.worlds[cell].leader()
         term = leader.leader_term if leader is not None else None
@@ -213,5 +215,5 @@
         if any("use above share" in alarm for alarm in quota.alarms.texts()):
             return True
         # It is found at the next tick after the heartbeat that shows it.
-        self._unsaid[cell] += 1
-        return self._unsaid[cell] == 1
+        self._ticks_without_alarm[cell] += 1
+        return self._ticks_without_alarm[cell] == 1
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -23,16 +23,18 @@
         return f"{self.scenario}-{self.owner.__name__}.{self.method}"
 
 
-def take_out(monkeypatch: pytest.MonkeyPatch, owner: type, method: str, stub: Callable[..., object]) -> None:
+def replace_guard(
+    monkeypatch: pytest.MonkeyPatch, owner: type, method: str, stub: Callable[..., object]
+) -> None:
     """Put a stub in a method's place, bound as that is."""
     is_static = isinstance(owner.__dict__[method], staticmethod)
     monkeypatch.setattr(owner, method, staticmethod(stub) if is_static else stub)
 
 
-def found_without(
+def violations_without(
     guard: Guard, folder: Path, seeds: Iterable[int], monkeypatch: pytest.MonkeyPatch
 ) -> list[str]:
     """What goes wrong in the guard's scenario when it is taken out."""
-    take_out(monkeypatch, guard.owner, guard.method, guard.stub)
+    replace_guard(monkeypatch, guard.owner, guard.method, guard.stub)
     texts = [text for _, text in variants(folder / f"{guard.scenario}.txt")]
     return [found for text in texts for seed in seeds for found in play(text, seed)]
--- a/tests/mix.py
+++ b/tests/mix.py
@@ -12,24 +12,24 @@
 from collections.abc import Iterator
 
 # Troubles end by here, and behind it everything has the time to come to its end.
-CALM_S, END_S = 140.0, 320.0
+FAULTS_END_S, SCENARIO_END_S = 140.0, 320.0
 # With more zones than this, two can be kept apart that both reach another one; so often a meeting has that.
-_TWO, _PARTITIONS = 2, 0.6
+_TWO_ZONES, _PARTITION_SHARE = 2, 0.6
 # Words of a command line that names no zones.
-_WITHOUT_ZONES = 3
-_WITHOUT_RELAYS = 4
+_ARGS_WITHOUT_ZONES = 3
+_ARGS_WITHOUT_RELAYS = 4
 
 
-def _trouble(rng: random.Random, at: float, zones: str) -> str:
+def _fault(rng: random.Random, at: float, zones: str) -> str:
     """One trouble; the moments of those that belong together are close."""
-    short, long = rng.uniform(1.0, 8.0), min(rng.uniform(8.0, 48.0), CALM_S - at)
+    short, long = rng.uniform(1.0, 8.0), min(rng.uniform(8.0, 48.0), FAULTS_END_S - at)
     machine = f"vm-{rng.randrange(1, 9):06d}"
     nodes = rng.choice(["leader", "leader", "others", "all", str(rng.randrange(3))])
     share = rng.choice([0.1, 0.3, 0.6])
     kind = rng.choice(["hang", "hold", "delay", "drop_inbound", "drop_responses", "drop_heartbeats"])
     return rng.choice(
         [
-            *([f"partition {_pair(rng, zones)} for {long:.1f}"] * 3 if len(zones) > _TWO else []),
+            *([f"partition {_pair(rng, zones)} for {long:.1f}"] * 3 if len(zones) > _TWO_ZONES else []),
             f"crash {nodes} for {rng.choice([0.3, 1.0, short, long / 2]):.2f}",
             f"rolling_restart {rng.uniform(1.0, 12.0):.1f}",
             f"cut_state leader for {long:.1f}",
@@ -66,41 +66,43 @@
     return ",".join(rng.sample(zones, 2))
 
 
-def _partition_meeting(rng: random.Random, zones: str, away: float) -> list[tuple[float, str]]:
+def _faults_in_partition(rng: random.Random, zones: str, away: float) -> list[tuple[float, str]]:
     """Two zones that can't reach each other, and something else at a bad moment of it."""
     soon, cancel = (
         rng.uniform(0.0, 4.0),
         f"cancel_running {rng.randrange(1, 5)} hang {rng.choice([0.0, 9.0])}",
     )
-    apart = (0.0, f"partition {_pair(rng, zones)} for {away:.1f}")
+    partition = (0.0, f"partition {_pair(rng, zones)} for {away:.1f}")
     return rng.choice(
         [
-            [apart, (soon, cancel), (soon + 4, cancel)],
-            [apart, (soon, "crash leader for 3"), (soon + 1, cancel)],
-            [apart, (soon + 2, "crash all for 4"), (soon + 3, cancel)],
-            [apart, (soon, cancel), (soon + 1, f"outage state for {away:.1f}")],
-            [apart, (soon, cancel), (soon + 6, "cut_state leader for 12")],
+            [partition, (soon, cancel), (soon + 4, cancel)],
+            [partition, (soon, "crash leader for 3"), (soon + 1, cancel)],
+            [partition, (soon + 2, "crash all for 4"), (soon + 3, cancel)],
+            [partition, (soon, cancel), (soon + 1, f"outage state for {away:.1f}")],
+            [partition, (soon, cancel), (soon + 6, "cut_state leader for 12")],
             [
                 (0.0, f"isolate_zone {rng.choice(zones)} for {away / 2:.1f}"),
-                (away / 3, apart[1]),
+                (away / 3, partition[1]),
                 (away / 3 + 1, cancel),
             ],
-            [apart, (soon, cancel), (soon + 1, "isolate leader for 14")],
-            [(0.0, "fault delay all for 3"), (0.5, apart[1]), (1.0, cancel)],
-            [(0.0, "delay_commits 0.5 for 20"), apart, (soon, cancel)],
+            [partition, (soon, cancel), (soon + 1, "isolate leader for 14")],
+            [(0.0, "fault delay all for 3"), (0.5, partition[1]), (1.0, cancel)],
+            [(0.0, "delay_commits 0.5 for 20"), partition, (soon, cancel)],
         ]
     )
 
 
-def _meeting(rng: random.Random, at: float, cancel_s: float, zones: str) -> list[tuple[float, str]]:
+def _overlapping_faults(
+    rng: random.Random, at: float, cancel_s: float, zones: str
+) -> list[tuple[float, str]]:
     """Troubles that belong together, each at a bad moment of the others."""
     machine = f"vm-{rng.randrange(1, 5):06d}"
     soon, few = rng.uniform(0.0, 1.5), rng.randrange(1, 5)
     hang = rng.choice([0.0, 6.0, 9.0])
-    away = min(cancel_s + rng.uniform(2.0, 12.0), CALM_S - at - 3.0)
+    away = min(cancel_s + rng.uniform(2.0, 12.0), FAULTS_END_S - at - 3.0)
     cancel = f"cancel_running {few} hang {hang}"
-    if len(zones) > _TWO and rng.random() < _PARTITIONS:
-        return _partition_meeting(rng, zones, away)
+    if len(zones) > _TWO_ZONES and rng.random() < _PARTITION_SHARE:
+        return _faults_in_partition(rng, zones, away)
     return rng.choice(
         [
             [
@@ -200,7 +202,7 @@
 
 
 def _events(rng: random.Random, cancel_s: float, zones: str) -> Iterator[tuple[float, str]]:
-    standing = 0
+    replicas_kept = 0
     for number in range(rng.randrange(14, 30)):
         job_id, at, job = f"job-{number:06d}", rng.uniform(2.0, 110.0), _job(rng, zones)
         yield at, f"submit {job_id} {' '.join(f'{name}={value}' for name, value in job.items())}"
@@ -208,17 +210,17 @@
             yield at + rng.choice([0.0, rng.uniform(0.0, 30.0)]), f"cancel {job_id}"
         elif job["shape"] == "service":
             # A few stay: with more of them a team's limit would keep arrays from ever running.
-            standing += int(job["chores"])
-            if standing > 3:
-                standing -= int(job["chores"])
-                yield rng.uniform(at + 20.0, CALM_S), f"cancel {job_id}"
+            replicas_kept += int(job["chores"])
+            if replicas_kept > 3:
+                replicas_kept -= int(job["chores"])
+                yield rng.uniform(at + 20.0, FAULTS_END_S), f"cancel {job_id}"
     for _ in range(rng.randrange(2, 4)):
         begin = rng.uniform(10.0, 80.0)
-        for later, text in _meeting(rng, begin, cancel_s, zones):
+        for later, text in _overlapping_faults(rng, begin, cancel_s, zones):
             yield begin + later, text
     for _ in range(rng.randrange(2, 5)):
         at = rng.uniform(8.0, 100.0)
-        yield at, _trouble(rng, at, zones)
+        yield at, _fault(rng, at, zones)
     # Last, so that what a seed draws beside them stays as it was.
     for number in range(500, 500 + rng.randrange(2, 7)):
         job_id, at, gang = f"job-{number:06d}", rng.uniform(2.0, 110.0), _gang(rng)
@@ -274,12 +276,12 @@
             ]
         )
         yield begin, f"submit job-{number:06d} crew=beta mistake=true {fields}"
-        yield rng.uniform(begin, CALM_S), f"cancel job-{number:06d}"
+        yield rng.uniform(begin, FAULTS_END_S), f"cancel job-{number:06d}"
     if rng.random() < 0.5:
         yield rng.uniform(3.0, 60.0), f"fail_tasks_on vm-{rng.randrange(1, 5):06d}"
     for number in range(700, 700 + rng.randrange(0, 20)):
-        guest = "crew=gamma rank=best_effort accelerators=0.0 cpus=1.0 sizeGb=0.1 guessS=8"
-        yield rng.uniform(4.0, 90.0), f"submit job-{number:06d} {guest} loaners=true"
+        unguaranteed = "crew=gamma rank=best_effort accelerators=0.0 cpus=1.0 sizeGb=0.1 guessS=8"
+        yield rng.uniform(4.0, 90.0), f"submit job-{number:06d} {unguaranteed} loaners=true"
     if rng.random() < 0.5:
         yield (
             rng.uniform(4.0, 60.0),
@@ -287,7 +289,7 @@
         )
 
 
-def day(seed: int, zones: str = "ab", relays: str = "off") -> str:
+def random_scenario(seed: int, zones: str = "ab", relays: str = "off") -> str:
     """A day as the text of a scenario, in zones that are named by a letter each.
 
     What a seed draws does not depend on whether reports are relayed.
@@ -308,25 +310,27 @@
     ]
     events = [*_events(rng, cancel_s, zones), *_operations(rng, zones)]
     lines += [f"at {at:.2f} {text}" for at, text in sorted(events)]
-    return "\n".join([*lines, f"at {CALM_S + 10} check_liveness", f"at {END_S} expect settled", ""])
+    return "\n".join(
+        [*lines, f"at {FAULTS_END_S + 10} check_liveness", f"at {SCENARIO_END_S} expect settled", ""]
+    )
 
 
 def main() -> int:
     """Play days from the command line."""
     from scenario import Scenario
 
-    first, days = int(sys.argv[1]), int(sys.argv[2])
-    zones = sys.argv[3] if len(sys.argv) > _WITHOUT_ZONES else "ab"
-    relays = sys.argv[4] if len(sys.argv) > _WITHOUT_RELAYS else "off"
-    bad = 0
-    for seed in range(first, first + days):
-        scenario = Scenario(day(seed, zones, relays), seed)
+    first, count = int(sys.argv[1]), int(sys.argv[2])
+    zones = sys.argv[3] if len(sys.argv) > _ARGS_WITHOUT_ZONES else "ab"
+    relays = sys.argv[4] if len(sys.argv) > _ARGS_WITHOUT_RELAYS else "off"
+    failed = 0
+    for seed in range(first, first + count):
+        scenario = Scenario(random_scenario(seed, zones, relays), seed)
         scenario.play()
-        if scenario.world.broken or scenario.failures:
-            bad += 1
-            print(f"seed {seed}: {scenario.world.broken[:4]} {scenario.failures[:4]}")
-    print(f"{days} days from seed {first}: {bad} bad")
-    return 1 if bad else 0
+        if scenario.world.violations or scenario.failures:
+            failed += 1
+            print(f"seed {seed}: {scenario.world.violations[:4]} {scenario.failures[:4]}")
+    print(f"{count} scenarios from seed {first}: {failed} failed")
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/tests/quota_model.py
+++ b/tests/quota_model.py
@@ -316,14 +316,14 @@
     return True
 
 
-def join_at_once(
+def credit_before_durable(
     self: AllocationLedger, raised: object, link: object, peer: object, durable: Callable[[], None]
 ) -> None:
     """A credit counts before it is durable."""
     durable()
 
 
-def told_at_once(self: AllocationLedger, peer: str) -> Transfer | None:
+def send_before_durable(self: AllocationLedger, peer: str) -> Transfer | None:
     """A transfer is sent before it is durable."""
     record = self.peers.get(peer)
     return record.in_transit if record is not None else None
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -89,8 +89,8 @@
     def do_cut_cell_link(self, source: str, target: str, word: str, seconds: str) -> None:
         """What the first cell sends does not reach the second one."""
         cells, way = self._several(), (int(source), int(target))
-        cells.cuts.add(way)
-        self.world.after(float(seconds), lambda: cells.cuts.discard(way))
+        cells.cut_links.add(way)
+        self.world.after(float(seconds), lambda: cells.cut_links.discard(way))
 
     def do_cell_messages(self, how: str, share: str, word: str, seconds: str) -> None:
         """That share of messages between cells comes twice, is lost, or comes up to two minutes late."""
@@ -126,14 +126,14 @@
 
     def do_remove_cells_file(self, which: str) -> None:
         """The nodes know of no other cells from their next process on: the version before, or no file."""
-        self._several().without_file.add(self._several().worlds.index(self.world))
+        self._several().without_cells_file.add(self._several().worlds.index(self.world))
         for node in self._nodes(which):
             node.options = Options()
             node.boot()
 
     def do_lose_allocations(self) -> None:
         """The cell's records of shares are gone, as if its state service was restored from nothing."""
-        self._several().cell_is_lost = True
+        self._several().records_are_lost = True
         self._remove_shares(self.world)
 
     def do_recreate_allocations(self) -> None:
@@ -143,7 +143,7 @@
             for node in world.nodes:
                 node.crash(3.0)
             self._remove_shares(world)
-        cells.cell_is_lost = False
+        cells.records_are_lost = False
 
     @staticmethod
     def _remove_shares(world: World) -> None:
@@ -195,7 +195,7 @@
     def do_downgrade(self, which: str) -> None:
         """The nodes run the version before, as far as it stores otherwise, also when they come back."""
         for node in self._nodes(which):
-            node.is_old()
+            node.downgrade()
             node.boot()
 
     def do_upgrade(self, which: str) -> None:
@@ -261,20 +261,20 @@
 
     def do_cut_state(self, which: str, word: str, seconds: str) -> None:
         for node in self._nodes(which):
-            self._for_a_while(node, "refused", seconds)
+            self._for_a_while(node, "lost_state", seconds)
 
     def do_isolate(self, which: str, word: str, seconds: str) -> None:
         """The node keeps its workers, and loses the state service and the other nodes."""
         for node in self._nodes(which):
-            self._for_a_while(node, "refused", seconds)
-            self._for_a_while(node, "cut_peers", seconds)
+            self._for_a_while(node, "lost_state", seconds)
+            self._for_a_while(node, "lost_peers", seconds)
 
     def do_cut_workers(self, which: str, word: str, seconds: str, how: str = "refused") -> None:
         """The node loses the workers: they are refused, or what they send is dropped."""
         for node in self._nodes(which):
-            self._for_a_while(node, "cut_workers", seconds)
+            self._for_a_while(node, "lost_workers", seconds)
             if how == "dropped":
-                self._for_a_while(node, "drops_workers", seconds)
+                self._for_a_while(node, "drops_heartbeats", seconds)
 
     def do_freeze(self, which: str, word: str, seconds: str) -> None:
         """The node stands still while its clocks run on."""
@@ -283,22 +283,22 @@
 
     def do_lose_commit_responses(self, which: str, number: str) -> None:
         for node in self._nodes(which):
-            node.lose_answers = int(number)
+            node.commit_responses_to_lose = int(number)
 
     def do_delay_commits(self, share: str, word: str, seconds: str) -> None:
         """Transactions get no answer and are carried out late, behind newer ones."""
-        self._for_a_while(self.world, "late_writes", seconds, float(share))
+        self._for_a_while(self.world, "delayed_commit_share", seconds, float(share))
 
     def do_drop_commit_responses(self, share: str, word: str, seconds: str) -> None:
         """Transactions are carried out at once and get no answer."""
-        self._for_a_while(self.world, "lost_answers", seconds, float(share))
+        self._for_a_while(self.world, "dropped_response_share", seconds, float(share))
 
     def do_slow_links(self, delay: str, word: str, seconds: str) -> None:
         """Messages between controllers and workers take so much longer, each way."""
-        self._for_a_while(self.world, "link_s", seconds, float(delay))
+        self._for_a_while(self.world, "link_delay_s", seconds, float(delay))
 
     def do_lose_launch_responses(self, number: str) -> None:
-        self.world.lose_launches = int(number)
+        self.world.launch_responses_to_lose = int(number)
 
     def do_outage(self, what: str, word: str, seconds: str) -> None:
         world = self.world
@@ -312,35 +312,35 @@
     def do_cut_peers(self, which: str, word: str, seconds: str) -> None:
         """The node loses the other nodes, and keeps its workers and the state service."""
         for node in self._nodes(which):
-            self._for_a_while(node, "cut_peers", seconds)
+            self._for_a_while(node, "lost_peers", seconds)
 
     def do_duplicate_batches(self, word: str, seconds: str) -> None:
         """Relayed batches arrive twice."""
-        self._for_a_while(self.world, "batches_twice", seconds)
+        self._for_a_while(self.world, "duplicates_batches", seconds)
 
     def do_delay_batches(self, delay: str, word: str, seconds: str) -> None:
         """Relayed batches take so much longer."""
-        self._for_a_while(self.world, "batches_late_s", seconds, float(delay))
+        self._for_a_while(self.world, "batch_delay_s", seconds, float(delay))
 
     def do_isolate_zone(self, zone: str, word: str, seconds: str) -> None:
         """The zone is cut off from everything outside it."""
         world = self.world
-        world.cut = zone
-        world.after(float(seconds), lambda: setattr(world, "cut", None))
+        world.isolated_zone = zone
+        world.after(float(seconds), lambda: setattr(world, "isolated_zone", None))
 
     def do_partition(self, zones: str, word: str, seconds: str) -> None:
         """The two zones can't reach each other; both reach all else."""
-        self._for_a_while(self.world, "partition", seconds, set(zones.split(",")))
+        self._for_a_while(self.world, "partitioned_zones", seconds, set(zones.split(",")))
 
     def do_fault(self, kind: str, machine: str, word: str, seconds: str) -> None:
         """A kind of trouble with a machine, or with all; the kinds are in scenarios/README.md."""
         world = self.world
         names = list(world.workers) if machine == "all" else [machine]
         for name in names:
-            world.troubles.setdefault(name, set()).add(kind)
+            world.faults.setdefault(name, set()).add(kind)
             world.after(
                 float(seconds),
-                lambda name=name: world.troubles[name].discard(kind),  # type: ignore[misc]
+                lambda name=name: world.faults[name].discard(kind),  # type: ignore[misc]
             )
 
     def do_fail_tasks_on(self, machine: str) -> None:
@@ -387,14 +387,14 @@
 
     def do_duplicate_heartbeats(self, share: str, word: str, seconds: str, when: str = "") -> None:
         """A copy of that share of reports comes again: 1 to 25 s late, or when the next leader begins."""
-        self.world.keep_copies = when == "to_next_leader"
-        self._for_a_while(self.world, "copied", seconds, float(share))
+        self.world.duplicates_to_next_leader = when == "to_next_leader"
+        self._for_a_while(self.world, "duplicated_heartbeat_share", seconds, float(share))
 
     def do_cancel_running(self, number: str, word: str = "hang", seconds: str = "0") -> None:
         """Users call off so many jobs that run; machines that run them hang for a while."""
         world = self.world
         running = [(w, t.rpartition("/")[0]) for w in world.workers.values() for t in w.on_machine()]
-        jobs = sorted({job for _, job in running if world.told.get(job) != "cancelled"})
+        jobs = sorted({job for _, job in running if world.observed_status.get(job) != "cancelled"})
         chosen = world.rng.sample(jobs, min(int(number), len(jobs)))
         for job in chosen:
             world.after(world.rng.uniform(0.0, 0.2), lambda job=job: world.cancel(job))  # type: ignore[misc]
@@ -404,20 +404,20 @@
 
     def do_cancel_on_completion(self, share: str, word: str, seconds: str) -> None:
         """That share of the jobs that end is called off at the moment of the end."""
-        self._for_a_while(self.world, "cancel_at_end", seconds, float(share))
+        self._for_a_while(self.world, "cancelled_on_completion_share", seconds, float(share))
 
     def do_poll_all_nodes(self, word: str, seconds: str) -> None:
         """Users ask at all nodes, and repeat the submission, as soon as they are told something."""
-        self._for_a_while(self.world, "close_looks", seconds)
+        self._for_a_while(self.world, "polls_all_nodes", seconds)
 
     def do_invalid_requests(self, word: str, seconds: str) -> None:
         """Once a second users repeat submissions, cancel what is done and send what can't be taken."""
         for number in range(int(float(seconds))):
-            self.world.after(float(number), self.world.ask_oddly)
+            self.world.after(float(number), self.world.send_invalid_requests)
 
     def do_check_liveness(self) -> None:
         """All troubles are over."""
-        self.world.calm_at = self.world.now
+        self.world.liveness_checked_from = self.world.now
 
     # -- what must be --------------------------------------------------------------------------------
 
@@ -429,7 +429,7 @@
         getattr(self, f"_expect_{what}")(*words)
 
     def _expect_status(self, job_id: str, status: str) -> None:
-        told = self.world.told.get(job_id)
+        told = self.world.observed_status.get(job_id)
         self._expect(told == status, f"{job_id} is {told}")
 
     def _expect_running(self, job_id: str, number: str) -> None:
@@ -539,4 +539,4 @@
     """Play a scenario; what went wrong, a line each."""
     scenario = Scenario(text, seed)
     scenario.play()
-    return scenario.world.broken + scenario.failures
+    return scenario.world.violations + scenario.failures
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -50,7 +50,7 @@
 
 STEP_S = 0.05
 # How late a command is that the network holds back while others pass.
-LATE_S = 40.0
+COMMAND_DELAY_S = 40.0
 
 
 class SimStore(Store):
@@ -63,7 +63,7 @@
 
     def _state(self) -> StateStandIn:
         world = self._node.world
-        if not self._node.alive or not self._node.has_state():
+        if not self._node.alive or not self._node.reaches_state():
             raise StoreRejectedError("503")
         self.contact_at = world.now
         return world.state
@@ -88,18 +88,18 @@
         state, world = self._state(), self._node.world
         # Those of a transaction whose conditions fail count as well.
         world.work["changes"] += len(writes)
-        if world.late_writes and world.rng.random() < world.late_writes:
-            world.after(world.rng.uniform(2.0, 12.0), lambda: world.carry_out_late(body))
+        if world.delayed_commit_share and world.rng.random() < world.delayed_commit_share:
+            world.after(world.rng.uniform(2.0, 12.0), lambda: world.commit_delayed(body))
             raise OutcomeUnknownError("late")
         status, answer = state.commit(body)
         if status == 409:
             raise ConditionFailedError(answer["failed"])
         if status != 200:
             raise StoreRejectedError(str(answer))
-        if self._node.lose_answers > 0:
-            self._node.lose_answers -= 1
+        if self._node.commit_responses_to_lose > 0:
+            self._node.commit_responses_to_lose -= 1
             raise OutcomeUnknownError("lost")
-        if world.lost_answers and world.rng.random() < world.lost_answers:
+        if world.dropped_response_share and world.rng.random() < world.dropped_response_share:
             raise OutcomeUnknownError("lost")
         return int(answer["ledger"])
 
@@ -107,23 +107,23 @@
 class SimLeaderTerm:
     """One term of leading: the core's outbound port, with latencies, losses and late deliveries."""
 
-    def __init__(self, node: SimNode, baton: int, stamp: int, permit: int) -> None:
+    def __init__(self, node: SimNode, fencing_token: int, version: int, lease_id: int) -> None:
         self.node, self.world = node, node.world
-        self.fencing_token, self.version, self.lease_id = baton, stamp, permit
+        self.fencing_token, self.version, self.lease_id = fencing_token, version, lease_id
         self.alive = True
         self.confirmed = self.world.now
         self.delegations = DelegationTracker(node.times, 0.0)
         world = self.world
         self.authority = Authority(node.times.unconfirmed_renewal_s, world.members, world.now)
-        self._writer = FencedWriter(node.store, stamp)
+        self._writer = FencedWriter(node.store, version)
         self._units: deque[tuple[dict[str, int], Sequence[Write], Callable[[bool], None]]] = deque()
         self._priorities: deque[CommitPriority] = deque()
         # Writes of the last transfer that was about to be carried out.
         self._planned: Sequence[Write] | None = None
         # When each other cell is asked next.
-        self.asks_at: dict[int, float] = {}
+        self.next_request_at: dict[int, float] = {}
         self.controller = Controller(
-            node.settings, node.options, self, baton, lambda: world.now, lambda: world.now, world.rng
+            node.settings, node.options, self, fencing_token, lambda: world.now, lambda: world.now, world.rng
         )
         dispatcher = self.controller.dispatcher
         self._count_calls("cycles", dispatcher, "dispatch")
@@ -142,9 +142,9 @@
         )
         # The relays that are connected, and what is kept of each.
         self.relays: dict[str, ConnectedRelay] = {}
-        patience_s = heartbeat_response_timeout_s(node.settings.deployment.workers)
+        response_timeout_s = heartbeat_response_timeout_s(node.settings.deployment.workers)
         self.batch_handler = BatchHandler(
-            self.answer_heartbeat, self.controller.last_response_at, self.assignment, patience_s
+            self.answer_heartbeat, self.controller.last_response_at, self.assignment, response_timeout_s
         )
         self.authority.observe_watch(world.now, node.store.revision())
         self.controller.load(
@@ -154,7 +154,7 @@
         self.next_list = world.now
         self.woken_at = world.now
 
-    def _carry_out(self) -> None:
+    def _commit_next(self) -> None:
         """One try of the first unit that waits, as the committer's thread does."""
         conditions, writes, done = self._units[0]
         is_transfer = any(isinstance(write, Put) and write.key.startswith(PEER) for write in writes)
@@ -162,7 +162,7 @@
             self._planned = writes
             self.world.on_transfer_step(self.node, "planned")
             if self.node.frozen or not self.alive:
-                self._later(0.0, self._carry_out)
+                self._later(0.0, self._commit_next)
                 return
         try:
             self._writer.commit(conditions, writes)
@@ -172,7 +172,7 @@
                 return
             result = False
         except (StoreRejectedError, OutcomeUnknownError):
-            self._later(0.2, self._carry_out)
+            self._later(0.2, self._commit_next)
             return
         else:
             result = True
@@ -182,7 +182,7 @@
         self._priorities.popleft()
         self._later(0.002, lambda: done(result))
         if self._units:
-            self._later(0.003, self._carry_out)
+            self._later(0.003, self._commit_next)
 
     def _count_calls(self, name: str, owner: object, method: str) -> None:
         inner = getattr(owner, method)
@@ -223,7 +223,7 @@
         self.world.work["commits"] += 1
         unit = (conditions, writes, on_committed)
         if not self._units:
-            self._later(0.003, self._carry_out)
+            self._later(0.003, self._commit_next)
         # Behind the one that is being tried, and those of its own rank.
         place = len(self._units)
         while place > 1 and self._priorities[place - 1] > priority:
@@ -244,48 +244,48 @@
 
         def answered(outcome: RequestOutcome, heartbeat: Data | None) -> None:
             parsed = parse_heartbeat(heartbeat) if heartbeat is not None else None
-            self._later(0.001 + world.link_s, lambda: on_response(outcome, parsed))
+            self._later(0.001 + world.link_delay_s, lambda: on_response(outcome, parsed))
 
-        if worker is None or worker.gone or self.node.cut_workers:
+        if worker is None or worker.gone or self.node.lost_workers:
             self._later(1.5, lambda: on_response(RequestOutcome.NOT_SENT, None))
             return
-        how = world.troubles.get(worker.name, set())
-        if world.severed(self.node.zone, worker.zone):
-            how = how | {"hold"}
-        if "delay" in how:
+        faults = world.faults.get(worker.name, set())
+        if world.is_partitioned(self.node.zone, worker.zone):
+            faults = faults | {"hold"}
+        if "delay" in faults:
 
             def deliver_late() -> None:
                 worker.do(body)
 
-            world.after(LATE_S, deliver_late)
+            world.after(COMMAND_DELAY_S, deliver_late)
             self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
             return
-        if how & {"hang", "hold"}:
+        if faults & {"hang", "hold"}:
             # The command waits in the network or in a hanging machine, and is carried out later.
             worker.held_commands.append(body)
             self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
             return
-        if "drop_inbound" in how:
+        if "drop_inbound" in faults:
             self._later(1.5, lambda: on_response(RequestOutcome.NOT_SENT, None))
             return
 
         def deliver() -> None:
             status, heartbeat = worker.do(body)
-            if "drop_responses" in how:
+            if "drop_responses" in faults:
                 self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
                 return
             answered(RequestOutcome.OK if status == 200 else RequestOutcome.REJECTED, heartbeat)
 
-        world.after(0.001 + world.link_s, deliver)
+        world.after(0.001 + world.link_delay_s, deliver)
 
     def launch_machines(self, body: Data, on_response: Callable[[RequestOutcome, list[str]], None]) -> None:
         def send() -> None:
-            if self.world.cut == self.node.zone:
+            if self.world.isolated_zone == self.node.zone:
                 on_response(RequestOutcome.UNKNOWN, [])
                 return
             status, answer = self.world.cloud.launch(body)
-            if self.world.lose_launches > 0 and status == 200:
-                self.world.lose_launches -= 1
+            if self.world.launch_responses_to_lose > 0 and status == 200:
+                self.world.launch_responses_to_lose -= 1
                 on_response(RequestOutcome.UNKNOWN, [])
             elif status == 200:
                 on_response(RequestOutcome.OK, answer["boxes"])
@@ -299,7 +299,7 @@
 
     def delete_machines(self, names: list[str], on_deleted: Callable[[bool], None]) -> None:
         def send() -> None:
-            if self.world.cut == self.node.zone:
+            if self.world.isolated_zone == self.node.zone:
                 on_deleted(False)
                 return
             status, _ = self.world.cloud.delete(names)
@@ -310,20 +310,20 @@
 
         self._later(0.1, send)
 
-    def leadership_lost(self, baton: int) -> None:
+    def leadership_lost(self, fencing_token: int) -> None:
         self.node.step_down()
 
-    def fencing_token_raised(self, baton: int) -> None:
-        self.fencing_token = baton
+    def fencing_token_raised(self, fencing_token: int) -> None:
+        self.fencing_token = fencing_token
 
     def resign(self, why: str) -> None:
-        self.node.resting_until = self.world.now + self.world.settings.deployment.workers.lease_s
-        if not self.world.state.down and not self.node.refused:
+        self.node.campaign_after = self.world.now + self.world.settings.deployment.workers.lease_s
+        if not self.world.state.down and not self.node.lost_state:
             self.world.state.end(self.lease_id)
         self.node.step_down()
 
-    def job_finalized(self, job_id: str, status: str, chores: int) -> None:
-        self.node.users.job_states.finals.put(job_id, FinalState(status, chores))
+    def job_finalized(self, job_id: str, status: str, task_count: int) -> None:
+        self.node.users.job_states.finals.put(job_id, FinalState(status, task_count))
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
         since = self.world.now - self.world.settings.deployment.workers.lease_s / 2
@@ -332,14 +332,14 @@
             for node in self.world.nodes
             if node is not self.node
             and node.alive
-            and not (node.cut_peers or self.node.cut_peers)
-            and not self.world.severed(node.zone, self.node.zone)
+            and not (node.lost_peers or self.node.lost_peers)
+            and not self.world.is_partitioned(node.zone, self.node.zone)
         ]
 
-    def answer_heartbeat(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
+    def answer_heartbeat(self, heartbeat: Heartbeat, deadline: float) -> HeartbeatResponse | None:
         """The answer to a heartbeat that a relay forwarded."""
         now = self.world.now
-        if not self.alive or now >= late_at or not self.authority.may_renew_leases(now, self.confirmed):
+        if not self.alive or now >= deadline or not self.authority.may_renew_leases(now, self.confirmed):
             return None
         return self.controller.handle_heartbeat(heartbeat)
 
@@ -355,12 +355,12 @@
 
     def delegation(self) -> LeaseDelegation | None:
         """What the other nodes may count on."""
-        shunned = self.controller.excluded_machines()
+        excluded = self.controller.excluded_machines()
         return (
             None
-            if shunned is None
+            if excluded is None
             else LeaseDelegation(
-                self.fencing_token, min(self.confirmed, self.authority.watch_caught_up_at), shunned
+                self.fencing_token, min(self.confirmed, self.authority.watch_caught_up_at), excluded
             )
         )
 
@@ -374,18 +374,18 @@
         self.settings, self.options = world.settings, world.options
         self.times = Durations(world.settings, Options())
         self.alive = True
-        self.refused = False
-        self.cut_workers = False
+        self.lost_state = False
+        self.lost_workers = False
         # The same, and what workers send is dropped instead of refused.
-        self.drops_workers = False
-        self.cut_peers = False
+        self.drops_heartbeats = False
+        self.lost_peers = False
         # It stands still while its clocks run on.
         self.frozen = False
         # The version before knows of no relays.
         self.relays = True
-        self.lose_answers = 0
-        self.resting_until = 0.0
-        self.back_at = float("inf")
+        self.commit_responses_to_lose = 0
+        self.campaign_after = 0.0
+        self.restart_at = float("inf")
         self.leader_term: SimLeaderTerm | None = None
         self.boot()
 
@@ -412,7 +412,7 @@
             self.settings, self.store, lambda: builds, self._count, lambda: self.world.now, reads
         )
 
-    def is_old(self) -> None:
+    def downgrade(self) -> None:
         """From its next process on it is the version before: no limits to come, and no relays."""
         self.relays = False
         deployment = msgspec.structs.replace(
@@ -429,7 +429,7 @@
         self.step_down()
         self.alive = False
         self.relay.close()
-        self.back_at = self.world.now + back_s
+        self.restart_at = self.world.now + back_s
 
     def step_down(self) -> None:
         """The term is over."""
@@ -447,8 +447,8 @@
             proxied = self.delegated_renewal.renewal_fencing_token(
                 parse_heartbeat(body),
                 self.store.contact_at,
-                held[0]["baton"] if held is not None and self.has_state() else 0,
-                named is not None and self.world.severed(self.zone, named.zone),
+                held[0]["baton"] if held is not None and self.reaches_state() else 0,
+                named is not None and self.world.is_partitioned(self.zone, named.zone),
             )
             if proxied is not None:
                 return 200, {"baton": proxied, "orders": []}
@@ -496,7 +496,7 @@
     def departure_wait_s(self, body: Data) -> float:
         """How long a worker waits here that has left a leader which still leads."""
         leader = self.world.leader()
-        if self.relays_heartbeats() or leader in (None, self) or not self.has_state():
+        if self.relays_heartbeats() or leader in (None, self) or not self.reaches_state():
             return 0.0
         fencing_token = self._note_leader()
         now = self.world.now
@@ -517,12 +517,12 @@
     def lowest_fencing_token(self) -> int:
         """The highest token that this node knows of."""
         held = self.world.state.keys.get(LEADER_KEY)
-        return int(held[0]["baton"]) if held is not None and self.has_state() else 0
+        return int(held[0]["baton"]) if held is not None and self.reaches_state() else 0
 
-    def has_state(self) -> bool:
+    def reaches_state(self) -> bool:
         """Whether the state service answers this node."""
         world = self.world
-        return not (world.state.down or self.refused or world.cut == self.zone)
+        return not (world.state.down or self.lost_state or world.isolated_zone == self.zone)
 
     def step(self) -> None:
         """What a node's duties do every so often."""
@@ -531,20 +531,20 @@
             return
         try:
             if self.leader_term is not None:
-                self._lead(self.leader_term)
-            elif world.now >= self.resting_until:
+                self._step_leader(self.leader_term)
+            elif world.now >= self.campaign_after:
                 self._campaign()
             if self.first_revision < 0:
                 self.first_revision = self.store.revision()
         except (StoreRejectedError, OutcomeUnknownError, ConditionFailedError):
             pass
         self._note_leader()
-        self._listen()
-        self._ask_peers()
+        self._exchange_connectivity()
+        self._ping_peers()
         leader_term = self.leader_term
         if leader_term is not None:
             better = self.connectivity.better_connected_peer(self.times.delegated_renewal_after_s)
-            if better is not None and self.has_state():
+            if better is not None and self.reaches_state():
                 leader_term.resign(f"{better} reaches more controllers")
                 return
             leader_term.controller.tick()
@@ -552,7 +552,7 @@
             leader_term.settle()
         self.relay.step()
 
-    def _lead(self, leader_term: SimLeaderTerm) -> None:
+    def _step_leader(self, leader_term: SimLeaderTerm) -> None:
         world = self.world
         asked = world.now
         if not world.cloud.down and asked >= leader_term.next_list:
@@ -573,32 +573,33 @@
 
     def _campaign(self) -> None:
         world = self.world
-        lead = self.store.get(LEADER_KEY)
-        if lead is not None:
-            if lead.data["member"] == self.member:
+        claimed = self.store.get(LEADER_KEY)
+        if claimed is not None:
+            if claimed.data["member"] == self.member:
                 # A claim of ours that had no answer, or of a process of ours before this one.
-                world.state.end(lead.data["permit"])
+                world.state.end(claimed.data["permit"])
             return
         if self.connectivity.better_connected_peer() is not None:
             return
-        permit = world.state.lease(2500)[1]["permit"]
+        lease_id = world.state.lease(2500)[1]["permit"]
         held = self.store.get(FENCING_TOKEN_KEY)
-        baton = (held.data["baton"] if held else 0) + 1
-        claim = {"member": self.member, "baton": baton, "permit": permit}
+        fencing_token = (held.data["baton"] if held else 0) + 1
+        claim = {"member": self.member, "baton": fencing_token, "permit": lease_id}
         conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.revision if held else 0}
         try:
-            stamp = self.store.commit(
-                conditions, [Put(LEADER_KEY, claim, permit), Put(FENCING_TOKEN_KEY, {"baton": baton})]
+            version = self.store.commit(
+                conditions,
+                [Put(LEADER_KEY, claim, lease_id), Put(FENCING_TOKEN_KEY, {"baton": fencing_token})],
             )
         except OutcomeUnknownError:
-            lead = self.store.get(LEADER_KEY)
-            if lead is None or lead.data["permit"] != permit:
+            claimed = self.store.get(LEADER_KEY)
+            if claimed is None or claimed.data["permit"] != lease_id:
                 raise
-            stamp = lead.revision
-        self.leader_term = SimLeaderTerm(self, baton, stamp, permit)
-        world.a_leader_begins(self)
+            version = claimed.revision
+        self.leader_term = SimLeaderTerm(self, fencing_token, version, lease_id)
+        world.leader_elected(self)
 
-    def _reached(self) -> list[SimNode]:
+    def _reachable_nodes(self) -> list[SimNode]:
         """The other nodes that answer this one."""
         world = self.world
         return [
@@ -606,30 +607,30 @@
             for other in world.nodes
             if other is not self
             and other.alive
-            and not (other.frozen or self.cut_peers or other.cut_peers)
-            and not world.severed(self.zone, other.zone)
+            and not (other.frozen or self.lost_peers or other.lost_peers)
+            and not world.is_partitioned(self.zone, other.zone)
         ]
 
-    def _listen(self) -> None:
+    def _exchange_connectivity(self) -> None:
         """Hear from the others whom they reach."""
-        for other in self._reached():
+        for other in self._reachable_nodes():
             self.connectivity.record_response(other.member, other.connectivity.reachable_peers())
 
-    def _ask_peers(self) -> None:
+    def _ping_peers(self) -> None:
         world, leader_term = self.world, self.leader_term
         if leader_term is None:
             return
-        self.tell(leader_term)
-        for other in self._reached():
+        self.report_cancellations(leader_term)
+        for other in self._reachable_nodes():
             leader_term.delegations.record_grant(other.member, world.now)
             other.delegated_renewal.observe_leader(leader_term.fencing_token, leader_term.delegation())
             leader_term.delegations.record_response(other.member, world.now)
             if other.leader_term is not None and other.leader_term.fencing_token > leader_term.fencing_token:
                 self.step_down()
                 return
-            other.tell(leader_term)
+            other.report_cancellations(leader_term)
 
-    def tell(self, leader: SimLeaderTerm) -> None:
+    def report_cancellations(self, leader: SimLeaderTerm) -> None:
         """Tell a leader which cancellations were confirmed here, as peers' messages do."""
         self.users.cancellations.acknowledge(leader.authority.acted_on_revision)
         named, bound = self.users.cancellations.summarize(self.first_revision)
--- a/tests/sim_relay.py
+++ b/tests/sim_relay.py
@@ -78,7 +78,7 @@
         if self._term is not None and not self._is_sound(self._term):
             self._lost()
         leader = self._world.leader()
-        if self._term is not None and self._node.has_state() and leader not in (None, self._term.node):
+        if self._term is not None and self._node.reaches_state() and leader not in (None, self._term.node):
             # The key names another leader.
             self._lost()
         if self._sent_at is not None and now - self._sent_at > self._timings.stalled_s:
@@ -97,7 +97,11 @@
     # -- the connection ----------------------------------------------------------------------------
 
     def _reaches(self, other: SimNode) -> bool:
-        cut = self._node.cut_peers or other.cut_peers or self._world.severed(self._node.zone, other.zone)
+        cut = (
+            self._node.lost_peers
+            or other.lost_peers
+            or self._world.is_partitioned(self._node.zone, other.zone)
+        )
         return other.alive and not cut
 
     def _is_sound(self, term: SimLeaderTerm) -> bool:
@@ -154,13 +158,13 @@
         batch = self._queue.next_batch(self._world.now, _MOST_IN_BATCH, self._round_trip_s)
         self._sent_at = self._sent_at if self._sent_at is not None else self._world.now
         self._carry(term, self._state, batch)
-        if self._world.batches_twice:
+        if self._world.duplicates_batches:
             self._carry(term, self._state, batch, self._world.rng.uniform(0.0, _LATEST_COPY_S))
 
     def _carry(
         self, term: SimLeaderTerm, state: ConnectedRelay | None, batch: HeartbeatBatch, later_s: float = 0.0
     ) -> None:
-        delay = 0.001 + self._world.link_s + self._world.batches_late_s + later_s
+        delay = 0.001 + self._world.link_delay_s + self._world.batch_delay_s + later_s
 
         def arrive() -> None:
             if state is None or not state.alive or not term.alive:
@@ -171,7 +175,7 @@
                 return
             answers = term.batch_handler.handle(state, batch, self._world.now)
             term.settle()
-            back = 0.001 + self._world.link_s + self._world.batches_late_s
+            back = 0.001 + self._world.link_delay_s + self._world.batch_delay_s
             self._world.after(back, lambda: self._answered(state, term, answers))
 
         self._world.after(delay, arrive)
--- a/tests/test_cell_options.py
+++ b/tests/test_cell_options.py
@@ -27,7 +27,7 @@
 
     state.scan = noted  # type: ignore[method-assign]
     scenario.play()
-    assert scenario.world.broken + scenario.failures == []
+    assert scenario.world.violations + scenario.failures == []
     assert set(read) == {f"ph/{name}/" for name in ("a", "p", "d", "e", "h", "m", "none")}
     assert not [key for key in state.keys if key.startswith(QUOTA_PREFIX)]
     leader = scenario.world.leader()
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from guards import Guard, found_without
+from guards import Guard, violations_without
 from poppyhold.durable.changes import Write
 from poppyhold.durable.fenced_writer import FencedWriter
 from poppyhold.durable.keys import LEADER_KEY
@@ -22,7 +22,7 @@
 from poppyhold.quota.retention import RetentionTimes
 from poppyhold.scheduling.gang_scheduler import GangScheduler
 from poppyhold.scheduling.quotas import Quotas, TeamQuota
-from quota_model import always_next, join_at_once, told_at_once
+from quota_model import always_next, credit_before_durable, send_before_durable
 from scenario import FOLDER, play, variants
 
 CELLS = FOLDER / "cells"
@@ -103,10 +103,10 @@
     Guard("two_gangs_with_half_the_limit_each", DemandMonitor, "_is_stalled", _never),
     Guard("missing_cells_file", CellQuotaService, "_check_use", _unchecked),
     Guard("delayed_commits_and_messages", AllocationLedger, "_is_next_in_sequence", always_next),
-    Guard("leader_crash_in_transfer", AllocationLedger, "_commit_credits", join_at_once),
+    Guard("leader_crash_in_transfer", AllocationLedger, "_commit_credits", credit_before_durable),
     Guard("leader_frozen_in_transfer", FencedWriter, "commit", _without_lead),
-    Guard("two_leaders", AllocationLedger, "transfer_in_transit_to", told_at_once),
-    Guard("state_outage_in_transfer", AllocationLedger, "_commit_credits", join_at_once),
+    Guard("two_leaders", AllocationLedger, "transfer_in_transit_to", send_before_durable),
+    Guard("state_outage_in_transfer", AllocationLedger, "_commit_credits", credit_before_durable),
     Guard("one_way_link_cut", AllocationLedger, "acknowledge", _unreconciled),
     Guard("idle_allocation_moves", AllocationLedger, "acknowledge", _unreconciled),
     Guard("gang_above_allocation", GangScheduler, "_within_limit", _always),
@@ -121,4 +121,4 @@
 
 @pytest.mark.parametrize("guard", GUARDS, ids=str)
 def test_cells_fail_without_a_guard(guard: Guard, monkeypatch: pytest.MonkeyPatch) -> None:
-    assert found_without(guard, CELLS, seeds=(1, 2), monkeypatch=monkeypatch) != []
+    assert violations_without(guard, CELLS, seeds=(1, 2), monkeypatch=monkeypatch) != []
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -41,7 +41,7 @@
     assert gangs.state_of(job) is GangState.RUNNING
     assert job.running == 3
     world.run(world.now + 25.0)
-    assert world.told[job_id] == "done"
+    assert world.observed_status[job_id] == "done"
     assert gangs.state_of(job) is GangState.WAITING_FOR_CAPACITY
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from guards import Guard, found_without
+from guards import Guard, violations_without
 from poppyhold.cluster.authority import Authority
 from poppyhold.cluster.cancellations import Cancellations
 from poppyhold.cluster.connectivity import Connectivity
@@ -251,4 +251,4 @@
 
 @pytest.mark.parametrize("guard", GUARDS, ids=str)
 def test_scenario_fails_without_its_guard(guard: Guard, monkeypatch: pytest.MonkeyPatch) -> None:
-    assert found_without(guard, FOLDER, seeds=(1, 2, 3, 4), monkeypatch=monkeypatch) != []
+    assert violations_without(guard, FOLDER, seeds=(1, 2, 3, 4), monkeypatch=monkeypatch) != []
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -150,7 +150,7 @@
     world.run(1.5)
     world.submit(submission("job-000001", {"chores": 100_000, "guessS": 2.0, "sizeGb": 0.1}))
     world.run(30.0)
-    assert world.broken == []
+    assert world.violations == []
     assert len(world.finished) > 32
 
 
--- a/tests/test_ledger_search.py
+++ b/tests/test_ledger_search.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from guards import take_out
+from guards import replace_guard
 from poppyhold.durable.changes import Write
 from poppyhold.durable.fenced_writer import FencedWriter
 from poppyhold.durable.keys import LEADER_KEY
@@ -21,8 +21,8 @@
     Fleet,
     Outcome,
     always_next,
-    join_at_once,
-    told_at_once,
+    credit_before_durable,
+    send_before_durable,
     transfer,
 )
 
@@ -240,13 +240,17 @@
         started_before_the_debit, AllocationLedger, "_apply_debits", _debit_later, id="debit-before-commit"
     ),
     pytest.param(
-        started_before_the_credit, AllocationLedger, "_commit_credits", join_at_once, id="credit-after-commit"
+        started_before_the_credit,
+        AllocationLedger,
+        "_commit_credits",
+        credit_before_durable,
+        id="credit-after-commit",
     ),
     pytest.param(
         sent_before_it_was_durable,
         AllocationLedger,
         "transfer_in_transit_to",
-        told_at_once,
+        send_before_durable,
         id="durable-first",
     ),
     pytest.param(frozen_in_a_debit, FencedWriter, "commit", _without_lead, id="lead"),
@@ -266,6 +270,6 @@
     play(fleet)
     assert fleet.problems() == []
     without = Fleet()
-    take_out(monkeypatch, owner, method, stub)
+    replace_guard(monkeypatch, owner, method, stub)
     play(without)
     assert without.problems() != []
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -28,7 +28,7 @@
     old = world.leader()
     assert old is not None
     for worker in world.workers.values():
-        world.troubles[worker.name] = {"drop_heartbeats", "drop_inbound"}
+        world.faults[worker.name] = {"drop_heartbeats", "drop_inbound"}
     old.crash(1000.0)
     while (leader := world.leader()) is None or leader.leader_term is None:
         world.run(world.now + 0.05)
@@ -106,7 +106,7 @@
     world.run(world.now + 2.0)
     job = leader_term.controller.ctx.fleet.jobs["job-000010"]
     assert (job.plan_durable, job.pending) == (True, 4)
-    world.late_writes = 1.0
+    world.delayed_commit_share = 1.0
     new = world.add_worker(world.cloud.add("small", "a", False, "running"))
     world.run(world.now + 2.5)
     machine = leader_term.controller.ctx.fleet.machines[new.name]
@@ -115,11 +115,11 @@
     world.run(world.now + 6.0)
     assert (machine.reconciled, new.tasks) == (True, {})
     assert machine.record_state is RecordState.REQUESTED
-    world.late_writes = 0.0
+    world.delayed_commit_share = 0.0
     world.run(world.now + 30.0)
     assert len(new.on_machine()) == 4
     assert {attempt.start_channel for attempt in machine.attempts.values()} == {via}
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_conflict_with_ones_own_first_try() -> None:
@@ -128,10 +128,10 @@
     node = next(node for node in world.nodes if node.leader_term is None)
     job = submission("job-000002", {"chores": 2, "guessS": 3.0})
     world.jobs["job-000002"] = job
-    node.lose_answers = 1
+    node.commit_responses_to_lose = 1
     status, body, _ = node.users.submit(encode(wire(job)))
     assert (status, body["status"]) == (200, "pending")
-    node.lose_answers = 1
+    node.commit_responses_to_lose = 1
     status, body, _ = node.users.abort("job-000002")
     assert (status, body["status"]) == (200, "cancelled")
     # Named to the leader by the revision that it has, though its own commit never told it.
@@ -139,12 +139,12 @@
     assert named == [("job-000002", world.state.keys[FINAL_JOB_PREFIX + "job-000002"][1])]
     # The leader's writes: the last completion is told as done, a plan and the token are simply there.
     third = submission("job-000003", {"chores": 1, "guessS": 2.0, "sizeGb": 0.1})
-    leader_term.node.lose_answers = 3
+    leader_term.node.commit_responses_to_lose = 3
     world.submit(third)
     world.run(world.now + 12.0)
-    assert world.told["job-000003"] == "done"
+    assert world.observed_status["job-000003"] == "done"
     assert PLAN_PREFIX + "job-000003" not in world.state.keys
-    assert world.broken == []
+    assert world.violations == []
 
 
 def candidate(store: UnreliableStore, won: list[Term]) -> Election:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -40,11 +40,11 @@
 
 
 # Without the largest one, for its time alone.
-_NOT_RELAYED = ("four_thousand_machines",)
+_WITHOUT_RELAYS = ("four_thousand_machines",)
 RELAYED = [
     pytest.param(text, id=name)
     for path in SCENARIOS
-    if path.stem not in _NOT_RELAYED
+    if path.stem not in _WITHOUT_RELAYS
     for name, text in variants(path)
 ]
 
@@ -56,13 +56,15 @@
 
 # Days of overlapping troubles; `python tests/mix.py FIRST DAYS` plays more. Without the bound on a blind
 # leader's answers, or without the names of cancellations, some of these break a rule.
-MIXED = (1, 2, 16, 31, 40, 54, 77, 90)
+RANDOM_SEEDS = (1, 2, 16, 31, 40, 54, 77, 90)
 # The same in three zones with a controller each, with partitions between two of them.
-THREE = (1, 2, 3, 4)
+THREE_ZONE_SEEDS = (1, 2, 3, 4)
 
 
 @pytest.mark.parametrize("relays", ["off", "forced"])
-@pytest.mark.parametrize(("seed", "zones"), [*((seed, "ab") for seed in MIXED), *((s, "abc") for s in THREE)])
-def test_mixed_day(seed: int, zones: str, relays: str) -> None:
-    text = mix.day(seed, zones, relays)
+@pytest.mark.parametrize(
+    ("seed", "zones"), [*((seed, "ab") for seed in RANDOM_SEEDS), *((s, "abc") for s in THREE_ZONE_SEEDS)]
+)
+def test_random_scenario(seed: int, zones: str, relays: str) -> None:
+    text = mix.random_scenario(seed, zones, relays)
     assert play(text, seed) == [], f"seed {seed}:\n{text}"
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -107,8 +107,10 @@
     """A world that goes on where the production version's was: its leader has just ended."""
     world = World(5, 10.0, 30.0, TEAMS, next_limits)
     world.now = FIXTURE["at"]
-    world.jobs, world.told = dict(FIXTURE["jobs"]), dict(FIXTURE["told"])
-    world.cancelled_at = {job: world.now for job, told in world.told.items() if told == "cancelled"}
+    world.jobs, world.observed_status = dict(FIXTURE["jobs"]), dict(FIXTURE["told"])
+    world.cancelled_at = {
+        job: world.now for job, told in world.observed_status.items() if told == "cancelled"
+    }
     state = world.state
     state.ledger = FIXTURE["ledger"]
     state.keys = {key: (held["data"], held["stamp"], None) for key, held in FIXTURE["keys"].items()}
@@ -152,7 +154,7 @@
     world.run(120.0)
     world.cancel("job-000007")
     world.run(160.0)
-    assert world.broken == []
+    assert world.violations == []
     assert world.settled() == []
     # Nothing that had been recorded as completed was started again.
     assert "job-000001/0" not in world.starts
@@ -182,7 +184,7 @@
 def test_what_is_stored_is_read_by_production() -> None:
     scenario = Scenario(DAY, 3)
     scenario.play()
-    assert scenario.failures + scenario.world.broken == []
+    assert scenario.failures + scenario.world.violations == []
     added = set()
     for key, (data, _, _) in scenario.world.state.keys.items():
         found = _reader(key)
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,6 +1,6 @@
 """A simulated deployment in virtual time: the real decision core and users' edge on stand-ins.
 
-It checks PROTOCOL's rules all along; what breaks one is added to ``World.broken``.
+It checks PROTOCOL's rules all along; what breaks one is added to ``World.violations``.
 """
 
 from __future__ import annotations
@@ -36,15 +36,15 @@
 
 # Users ask once in so many steps.
 _POLL_TICKS, _POLL_PHASE = 40, 7
-# A worker waits so long for an answer.
-_PATIENCE_S = 4.0
+# A worker is_pending so long for an answer.
+_RESPONSE_TIMEOUT_S = 4.0
 
 
 _DEFAULTS = Options()
 
 
 class InFlight(NamedTuple):
-    """A report whose answer its worker waits for."""
+    """A report whose answer its worker is_pending for."""
 
     node: SimNode
     sent_at: float
@@ -59,7 +59,7 @@
     next_heartbeat = 0.0
     busy_until = 0.0
     # A report that is being relayed; what is answered at once is never seen here.
-    awaits: InFlight | None = None
+    in_flight: InFlight | None = None
 
 
 class World:
@@ -81,7 +81,7 @@
         self.options = options
         # Whether controllers relay reports; batches that come twice, and what they take beyond the usual.
         self.relays, self.relays_from = relays, 8.0
-        self.batches_twice, self.batches_late_s = False, 0.0
+        self.duplicates_batches, self.batch_delay_s = False, 0.0
         self.zones = zones or ZONES
         self.now = 0.0
         self.rng = random.Random(seed)
@@ -114,58 +114,58 @@
             8.0,
         )
         self.workers: dict[str, SimWorker] = {}
-        self.troubles: dict[str, set[str]] = {}
+        self.faults: dict[str, set[str]] = {}
         self.gangs = GangStandIn(
             lambda: self.now,
             self.settings.deployment.workers.gang_peer_s,
             self.workers.values,
-            lambda worker: "hang" in self.troubles.get(worker.name, ()),
+            lambda worker: "hang" in self.faults.get(worker.name, ()),
             self._completed,
         )
-        self.lose_launches = 0
+        self.launch_responses_to_lose = 0
         # How many times as often users ask; 0: as usual.
         self.poll_factor = 0
         # What boots that begin now take, as a multiple of the usual; 0: the usual.
         self.boot_factor = 0.0
         # Shares of transactions that get no answer: those carried out at once, and those carried out late.
-        self.lost_answers = self.late_writes = 0.0
+        self.dropped_response_share = self.delayed_commit_share = 0.0
         # What messages between controllers and workers take beyond the usual, each way.
-        self.link_s = 0.0
+        self.link_delay_s = 0.0
         # A zone that is cut off from everything.
-        self.cut: str | None = None
+        self.isolated_zone: str | None = None
         # Two zones that can't reach each other.
-        self.partition: set[str] = set()
+        self.partitioned_zones: set[str] = set()
         self.jobs: dict[str, Data] = {}
         self.cancelled_at: dict[str, float] = {}
-        self.told: dict[str, str] = {}
+        self.observed_status: dict[str, str] = {}
         self.finished: set[str] = set()
         self.starts: dict[str, int] = {}
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         # When all troubles were over; from then on the rules for jobs that are left alone hold as well.
-        self.calm_at = float("inf")
+        self.liveness_checked_from = float("inf")
         self.answered_at: dict[str, float] = {}
-        self.waiting_since: dict[str, float] = {}
+        self.pending_since: dict[str, float] = {}
         # Calls of the leaders' dearer steps, by name.
         self.work: Counter[str] = Counter()
         # Hears of each step of a transfer of shares: who carries it out, and how far it is.
         self.on_transfer_step: Callable[[SimNode, str], None] = lambda node, stage: None
         self.nodes = [SimNode(self, member) for member in self.members]
         # Share of reports of which a copy comes again; and whether copies are kept for the next leader.
-        self.copied = 0.0
-        self.keep_copies = False
-        self._kept: list[Data] = []
+        self.duplicated_heartbeat_share = 0.0
+        self.duplicates_to_next_leader = False
+        self._held_duplicates: list[Data] = []
         # What users do beside their work: see `do_close_looks` and `do_odd_requests` of the scenarios.
-        self.close_looks = self.odd_requests = False
-        self.cancel_at_end = 0.0
+        self.polls_all_nodes = self.sends_invalid_requests = False
+        self.cancelled_on_completion_share = 0.0
 
-    def severed(self, one: str, other: str) -> bool:
+    def is_partitioned(self, one: str, other: str) -> bool:
         """Whether a cut or a partition lies between two zones."""
-        return one != other and (self.cut in (one, other) or self.partition == {one, other})
+        return one != other and (self.isolated_zone in (one, other) or self.partitioned_zones == {one, other})
 
-    def carry_out_late(self, body: Data) -> None:
+    def commit_delayed(self, body: Data) -> None:
         """A transaction whose caller has given it up reaches the state service."""
         if self.state.down:
-            self.after(1.0, lambda: self.carry_out_late(body))
+            self.after(1.0, lambda: self.commit_delayed(body))
         else:
             self.state.commit(body)
 
@@ -196,7 +196,7 @@
             worker = self.workers[changed.name]
             worker.next_heartbeat = min(worker.next_heartbeat, max(self.now, worker.busy_until))
         for index, node in enumerate(self.nodes):
-            if not node.alive and self.now >= node.back_at:
+            if not node.alive and self.now >= node.restart_at:
                 node.boot()
             if node.alive and tick % 10 == index:
                 node.step()
@@ -252,47 +252,52 @@
             worker.gone = True
 
     def _step_worker(self, worker: SimWorker) -> None:
-        how = self.troubles.get(worker.name, set())
-        if "hang" in how:
+        faults = self.faults.get(worker.name, set())
+        if "hang" in faults:
             worker.expire()
             return
         changed = worker.step()
-        if worker.awaits is not None and not self._still_awaits(worker):
+        if worker.in_flight is not None and not self._response_settled(worker):
             return
-        if worker.held_commands and "hold" not in how and self.cut is None and not self.partition:
-            # What was held back comes in order once the way is free, whoever still waits for it.
+        if (
+            worker.held_commands
+            and "hold" not in faults
+            and self.isolated_zone is None
+            and not self.partitioned_zones
+        ):
+            # What was held back comes in order once the way is free, whoever still is_pending for it.
             held, worker.held_commands = worker.held_commands, []
             for body in held:
                 worker.do(body)
         if changed:
             worker.next_heartbeat = min(worker.next_heartbeat, max(self.now, worker.busy_until))
         if self.now >= worker.next_heartbeat and self.now >= worker.busy_until:
-            self._heartbeat(worker, how)
+            self._heartbeat(worker, faults)
 
-    def _still_awaits(self, worker: SimWorker) -> bool:
+    def _response_settled(self, worker: SimWorker) -> bool:
         """A report that is relayed has no answer yet; False while its worker goes on waiting for it."""
-        flight = worker.awaits
+        flight = worker.in_flight
         assert flight is not None
-        if flight.node.alive and self.now - flight.sent_at < _PATIENCE_S:
+        if flight.node.alive and self.now - flight.sent_at < _RESPONSE_TIMEOUT_S:
             return False
-        worker.awaits = None
+        worker.in_flight = None
         worker.node = (worker.node + 1) % 3
         worker.busy_until = self.now + 1.0
         return True
 
-    def _heartbeat(self, worker: SimWorker, how: set[str]) -> None:
+    def _heartbeat(self, worker: SimWorker, faults: set[str]) -> None:
         heartbeat_interval_s = self.settings.deployment.workers.heartbeat_interval_s
         worker.next_heartbeat = self.now + heartbeat_interval_s * self.rng.uniform(0.75, 1.25)
-        worker.busy_until = self.now + max(0.5, 2 * self.link_s)
+        worker.busy_until = self.now + max(0.5, 2 * self.link_delay_s)
         node = self.nodes[worker.node]
         body, flight = worker.heartbeat(), InFlight(node, self.now, worker.incarnation)
-        refuses = node.cut_workers and not node.drops_workers
-        if not node.alive or refuses or "drop_heartbeats" in how:
+        is_refused = node.lost_workers and not node.drops_heartbeats
+        if not node.alive or is_refused or "drop_heartbeats" in faults:
             worker.node = (worker.node + 1) % 3
             worker.busy_until = self.now + 1.0
             return
 
-        if node.frozen or node.drops_workers or self.severed(node.zone, worker.zone):
+        if node.frozen or node.drops_heartbeats or self.is_partitioned(node.zone, worker.zone):
             # No answer for four seconds, and a second to the next.
             worker.node = (worker.node + 1) % 3
             worker.busy_until = self.now + 5.0
@@ -301,61 +306,61 @@
         def arrive() -> None:
             if not node.alive:
                 return
-            if self.copied and self.rng.random() < self.copied:
-                if self.keep_copies:
-                    self._kept.append(body)
+            if self.duplicated_heartbeat_share and self.rng.random() < self.duplicated_heartbeat_share:
+                if self.duplicates_to_next_leader:
+                    self._held_duplicates.append(body)
                 else:
-                    self.after(self.rng.uniform(1.0, 25.0), lambda: self._copy(body))
+                    self.after(self.rng.uniform(1.0, 25.0), lambda: self._deliver_duplicate(body))
             self.work["reports"] += 1
             if node.relays_heartbeats():
                 self.work["relayed"] += 1
-                worker.awaits = flight
+                worker.in_flight = flight
             wait_s = node.departure_wait_s(body)
             if wait_s:
-                worker.awaits = flight
+                worker.in_flight = flight
             node.receive_heartbeat(body, respond, wait_s)
 
         def respond(status: int, answer: Data) -> None:
-            self._answered(worker, how, flight, status, answer)
+            self._answered(worker, faults, flight, status, answer)
 
-        self.after(0.002 + self.link_s, arrive)
+        self.after(0.002 + self.link_delay_s, arrive)
 
     def _answered(
-        self, worker: SimWorker, how: set[str], flight: InFlight, status: int, answer: Data
+        self, worker: SimWorker, faults: set[str], flight: InFlight, status: int, answer: Data
     ) -> None:
         """An answer to a report leaves its node."""
-        if worker.awaits is not None and worker.awaits is not flight:
+        if worker.in_flight is not None and worker.in_flight is not flight:
             # The worker gave this report up, and sent another one.
             return
-        node, relayed = flight.node, worker.awaits is not None
-        worker.awaits = None
-        if relayed and (worker.gone or node.cut_workers or self.severed(node.zone, worker.zone)):
+        node, relayed = flight.node, worker.in_flight is not None
+        worker.in_flight = None
+        if relayed and (worker.gone or node.lost_workers or self.is_partitioned(node.zone, worker.zone)):
             worker.busy_until = self.now + 1.0
-        elif "drop_inbound" in how or "hold" in how:
+        elif "drop_inbound" in faults or "hold" in faults:
             worker.busy_until = self.now + 4.0
         elif status == 200:
             if relayed and answer["baton"] < node.lowest_fencing_token():
-                self.broken.append(f"not_entitled: {node.member} answers for token {answer['baton']}")
+                self.violations.append(f"not_entitled: {node.member} answers for token {answer['baton']}")
             sent_at, shift = flight.sent_at, flight.incarnation
-            self.after(0.002 + self.link_s, lambda: worker.answered(answer, sent_at, shift))
+            self.after(0.002 + self.link_delay_s, lambda: worker.answered(answer, sent_at, shift))
         else:
             member = answer.get("foreman")
             worker.busy_until = self.now + (0.2 if member and member != node.member else 1.0)
             worker.node = self.members.index(member) if member else (worker.node + 1) % 3
 
-    def a_leader_begins(self, node: SimNode) -> None:
+    def leader_elected(self, node: SimNode) -> None:
         """Copies that were kept for it reach every node, the newest of each machine first."""
-        kept, self._kept = self._kept, []
+        held, self._held_duplicates = self._held_duplicates, []
 
         def arrive() -> None:
-            for body in reversed(kept):
+            for body in reversed(held):
                 for other in self.nodes:
                     if other.alive and not other.frozen:
                         other.handle_heartbeat(body)
 
         self.after(0.01, arrive)
 
-    def _copy(self, body: Data) -> None:
+    def _deliver_duplicate(self, body: Data) -> None:
         """A late copy of a report reaches some node; whatever it answers reaches nobody."""
         node = self.rng.choice(self.nodes)
         if node.alive:
@@ -379,9 +384,9 @@
             self.after(1.0, lambda: self._resubmit(job))
             return result or http_response(503)
         if result[0] in (200, 201):
-            self.work["jobs"] += job["nameId"] not in self.told
-            self._tell(job["nameId"], result[1]["status"])
-            self._look_closely(job["nameId"])
+            self.work["jobs"] += job["nameId"] not in self.observed_status
+            self._observe_status(job["nameId"], result[1]["status"])
+            self._poll_all_nodes(job["nameId"])
         return result
 
     def _resubmit(self, job: Data) -> None:
@@ -395,19 +400,21 @@
             return
         if result[1]["status"] == "cancelled":
             self.cancelled_at.setdefault(job_id, self.now)
-        self._tell(job_id, result[1]["status"])
-        self._look_closely(job_id)
+        self._observe_status(job_id, result[1]["status"])
+        self._poll_all_nodes(job_id)
 
     def _any_node(
         self, ask: Callable[[SimNode], HttpResponse], nodes: list[SimNode] | None = None
     ) -> HttpResponse | None:
-        among = self.nodes if nodes is None else nodes
-        alive = [node for node in among if node.alive and not node.frozen and node.zone != self.cut]
+        candidates = self.nodes if nodes is None else nodes
+        alive = [
+            node for node in candidates if node.alive and not node.frozen and node.zone != self.isolated_zone
+        ]
         return ask(self.rng.choice(alive)) if alive else None
 
-    def _look_closely(self, job_id: str) -> None:
+    def _poll_all_nodes(self, job_id: str) -> None:
         """Users ask at all nodes at once, and repeat the submission: none may answer something older."""
-        if not self.close_looks:
+        if not self.polls_all_nodes:
             return
         for node in self.nodes:
             if not node.alive or node.frozen:
@@ -418,59 +425,59 @@
                 node.users.poll(job_id),
             ):
                 if answer[0] in (400, 404, 422):
-                    self.broken.append(f"forgotten: {job_id} gets {answer[0]} from {node.member}")
+                    self.violations.append(f"forgotten: {job_id} gets {answer[0]} from {node.member}")
                 elif answer[0] in (200, 201):
-                    self._tell(job_id, answer[1]["status"])
+                    self._observe_status(job_id, answer[1]["status"])
 
-    def ask_oddly(self) -> None:
+    def send_invalid_requests(self) -> None:
         """Users repeat submissions, cancel what is done, and send what can't be taken."""
-        told = self.rng.choice(sorted(self.told)) if self.told else None
+        job_id = self.rng.choice(sorted(self.observed_status)) if self.observed_status else None
         for node in self.nodes:
-            if not node.alive or node.frozen or node.zone == self.cut:
+            if not node.alive or node.frozen or node.zone == self.isolated_zone:
                 continue
-            if told is not None:
-                answer = node.users.submit(encode(wire(self.jobs[told])))
-                self._expect_status(answer, (200,), f"repeat of {told}")
-                if self.told[told] in ("done", "cancelled"):
-                    answer = node.users.abort(told)
-                    self._expect_status(answer, (200,), f"cancelling {told}")
+            if job_id is not None:
+                answer = node.users.submit(encode(wire(self.jobs[job_id])))
+                self._expect_status(answer, (200,), f"repeat of {job_id}")
+                if self.observed_status[job_id] in ("done", "cancelled"):
+                    answer = node.users.abort(job_id)
+                    self._expect_status(answer, (200,), f"cancelling {job_id}")
                     if answer[0] == 200:
-                        self._tell(told, answer[1]["status"])
-            odd = wire(submission("job-900000", {"accelerators": 64.0}))
-            self._expect_status(node.users.submit(encode(odd)), (422,), "fits no machine")
-            del odd["chores"]
-            self._expect_status(node.users.submit(encode(odd)), (400,), "lacks a field")
+                        self._observe_status(job_id, answer[1]["status"])
+            invalid = wire(submission("job-900000", {"accelerators": 64.0}))
+            self._expect_status(node.users.submit(encode(invalid)), (422,), "fits no machine")
+            del invalid["chores"]
+            self._expect_status(node.users.submit(encode(invalid)), (400,), "lacks a field")
             for answer in (node.users.poll("job-900000"), node.users.abort("job-900000")):
                 self._expect_status(answer, (404,), "never submitted")
 
-    def _expect_status(self, answer: HttpResponse, right: tuple[int, ...], what: str) -> None:
+    def _expect_status(self, answer: HttpResponse, allowed_statuses: tuple[int, ...], what: str) -> None:
         if answer[0] in (429, 503):
             if "Retry-After" not in answer[2]:
-                self.broken.append(f"{what}: {answer[0]} without a time to come back")
-        elif answer[0] not in right:
-            self.broken.append(f"{what}: {answer[0]}")
+                self.violations.append(f"{what}: {answer[0]} without a time to come back")
+        elif answer[0] not in allowed_statuses:
+            self.violations.append(f"{what}: {answer[0]}")
 
     def _poll(self) -> None:
-        for job_id in list(self.told):
+        for job_id in list(self.observed_status):
             result = self._any_node(lambda node, asked=job_id: node.users.poll(asked))  # type: ignore[misc]
             if result is None:
                 continue
             if result[0] == 404:
-                self.broken.append(f"forgotten: {job_id}")
+                self.violations.append(f"forgotten: {job_id}")
             elif result[0] == 200:
                 self.answered_at[job_id] = self.now
-                self._tell(job_id, result[1]["status"])
+                self._observe_status(job_id, result[1]["status"])
 
-    def _tell(self, job_id: str, status: str) -> None:
-        before = self.told.get(job_id)
+    def _observe_status(self, job_id: str, status: str) -> None:
+        before = self.observed_status.get(job_id)
         if before in ("done", "cancelled") and status != before:
-            self.broken.append(f"went_back: {job_id} from {before} to {status}")
+            self.violations.append(f"went_back: {job_id} from {before} to {status}")
         job = self.jobs[job_id]
         if status == "done":
             left = [i for i in range(job["chores"]) if f"{job_id}/{i}" not in self.finished]
             if left:
-                self.broken.append(f"not_done: {job_id} lacks {len(left)} tasks")
-        self.told[job_id] = status
+                self.violations.append(f"not_done: {job_id} lacks {len(left)} tasks")
+        self.observed_status[job_id] = status
 
     # -- rules -------------------------------------------------------------------------------------
 
@@ -478,7 +485,11 @@
         self.finished.add(task)
         job = self.jobs[task.rpartition("/")[0]]
         left = [i for i in range(job["chores"]) if f"{job['nameId']}/{i}" not in self.finished]
-        if not left and self.cancel_at_end and self.rng.random() < self.cancel_at_end:
+        if (
+            not left
+            and self.cancelled_on_completion_share
+            and self.rng.random() < self.cancelled_on_completion_share
+        ):
             self.cancel(job["nameId"])
 
     def settled(self) -> list[str]:
@@ -486,14 +497,14 @@
         up = Counter(task.rpartition("/")[0] for _, task in self._running())
         bad = []
         for job_id, job in self.jobs.items():
-            told = self.told.get(job_id)
-            if told is None:
+            status = self.observed_status.get(job_id)
+            if status is None:
                 bad.append(f"{job_id} was never accepted")
-            elif told == "cancelled" or (job["shape"] != "service" and told == "done"):
+            elif status == "cancelled" or (job["shape"] != "service" and status == "done"):
                 if up[job_id]:
-                    bad.append(f"{job_id} is {told} and has {up[job_id]} tasks up")
+                    bad.append(f"{job_id} is {status} and has {up[job_id]} tasks up")
             elif job["shape"] != "service" or up[job_id] != job["chores"]:
-                bad.append(f"{job_id} is {told} with {up[job_id]} tasks up")
+                bad.append(f"{job_id} is {status} with {up[job_id]} tasks up")
         return bad
 
     def _describe(self, task: str) -> Data | None:
@@ -519,7 +530,7 @@
         job = self.jobs[job_id]
         others = [(w, t) for w, t in self._running() if w is not worker]
         if any(t == task for _, t in others):
-            self.broken.append(f"ran_twice: {task} at {self.now:.1f}")
+            self.violations.append(f"ran_twice: {task} at {self.now:.1f}")
         allowed = self._allowed(worker, job)
         zones = [w.zone for w, t in self._running() if t.rpartition("/")[0] == job_id]
         if job["samePlace"] and len(set(zones)) > 1:
@@ -527,11 +538,11 @@
         if job["apart"] and zones.count(worker.zone) > (job["chores"] + 1) // 2:
             allowed = False
         if not allowed:
-            self.broken.append(f"wrong_place: {task} on {worker.name}")
+            self.violations.append(f"wrong_place: {task} on {worker.name}")
         self._check()
 
-    def _check_left_alone(self) -> None:
-        """Once troubles are over: no question goes unanswered for 75 s, no job waits 90 s beside room."""
+    def _check_liveness(self) -> None:
+        """Once faults are over: no poll fails for 75 s, and no job waits 90 s beside free capacity."""
         used: Counter[str] = Counter()
         begun = set()
         for _, task in self._running():
@@ -539,29 +550,29 @@
             used[self.jobs[job_id]["crew"]] += self.jobs[job_id]["accelerators"]
             begun.add(job_id)
         limits = {team.name: team.accelerators_max or float("inf") for team in self.settings.deployment.teams}
-        for job_id, told in self.told.items():
+        for job_id, status in self.observed_status.items():
             job = self.jobs[job_id]
-            if self.now - max(self.answered_at.get(job_id, 0.0), self.calm_at) > 75.0:
-                self.broken.append(f"forgotten: {job_id} at {self.now:.1f}")
-            waits = told == "pending" and job_id not in begun and not job.get("mistake")
+            if self.now - max(self.answered_at.get(job_id, 0.0), self.liveness_checked_from) > 75.0:
+                self.violations.append(f"forgotten: {job_id} at {self.now:.1f}")
+            is_pending = status == "pending" and job_id not in begun and not job.get("mistake")
             at_once = job["chores"] if job["shape"] == "group" else 1
-            under = used[job["crew"]] + job["accelerators"] * at_once <= limits[job["crew"]]
-            if not (waits and under and self._have_room(job, at_once)):
-                self.waiting_since.pop(job_id, None)
-            elif self.now - self.waiting_since.setdefault(job_id, self.now) > 90.0:
-                self.broken.append(f"left_waiting: {job_id} at {self.now:.1f}")
+            within_limit = used[job["crew"]] + job["accelerators"] * at_once <= limits[job["crew"]]
+            if not (is_pending and within_limit and self._have_capacity(job, at_once)):
+                self.pending_since.pop(job_id, None)
+            elif self.now - self.pending_since.setdefault(job_id, self.now) > 90.0:
+                self.violations.append(f"left_waiting: {job_id} at {self.now:.1f}")
 
-    def _have_room(self, job: Data, tasks: int) -> bool:
+    def _have_capacity(self, job: Data, tasks: int) -> bool:
         """Whether machines have room for so many tasks, in one zone if the job asks for that."""
-        rooms: Counter[str] = Counter()
+        free_by_zone: Counter[str] = Counter()
         for worker in self.workers.values():
             if self._allowed(worker, job) and worker.notice_s is None and not worker.faulty:
-                rooms[worker.zone if job["samePlace"] else "any"] += worker.free_copies(job, tasks)
-        return max(rooms.values(), default=0) >= tasks
+                free_by_zone[worker.zone if job["samePlace"] else "any"] += worker.free_copies(job, tasks)
+        return max(free_by_zone.values(), default=0) >= tasks
 
     def _check(self) -> None:
-        if self.now > self.calm_at:
-            self._check_left_alone()
+        if self.now > self.liveness_checked_from:
+            self._check_liveness()
         cancel_s = self.settings.deployment.workers.cancel_s
         used: dict[str, float] = {}
         for _, task in self._running():
@@ -569,7 +580,7 @@
             job = self.jobs[job_id]
             used[job["crew"]] = used.get(job["crew"], 0.0) + job["accelerators"]
             if self.now > self.cancelled_at.get(job_id, float("inf")) + cancel_s:
-                self.broken.append(f"ran_cancelled: {task} at {self.now:.1f}")
+                self.violations.append(f"ran_cancelled: {task} at {self.now:.1f}")
         for team in self.settings.deployment.teams:
             if team.accelerators_max and used.get(team.name, 0.0) > team.accelerators_max + 1e-6:
-                self.broken.append(f"quota: {team.name} at {self.now:.1f}")
+                self.violations.append(f"quota: {team.name} at {self.now:.1f}")
