--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -1,4 +1,4 @@
-"""Several simulated deployments as the cells of one fleet, in one virtual time, and their links."""
+"""Several simulated deployments as the cells of one fleet, with one virtual clock, and their links."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 TEAM = "alpha"
 _LATENCY_S, _LATEST_S = 0.02, 120.0
-# Seconds between requests with nothing to ask for, with something, and while a step is under way.
+# Seconds between requests without unmet demand, with it, and while a transfer is in progress.
 _IDLE_S, _WANTING_S, _IN_PROGRESS_S = 1.0, 0.25, 0.05
 _CHECK_S = 0.5
 
@@ -35,7 +35,7 @@
 
 
 class CellsWorld:
-    """The cells, their links, and what must hold over all of them."""
+    """The cells, their links, and the rules that hold across them."""
 
     def __init__(
         self, seed: int, parts: list[float], reserve: float, make_world: Callable[[Options], World]
@@ -50,16 +50,16 @@
             cells = check_cells(Cells(cell.name, cell.part, others, reserve=reserve))
             self.worlds.append(make_world(Options(cells=cells)))
         self._names = names
-        # One list for all: whoever breaks a rule, the scenario has.
+        # One list for all cells: a violation in any of them fails the scenario.
         self.violations = self.worlds[0].violations
         for world in self.worlds:
             world.violations = self.violations
-        # Ways between cells that are cut, each in one direction.
+        # Links between cells that are cut, each in one direction.
         self.cut_links: set[tuple[int, int]] = set()
         self.duplicated_share = self.lost_share = self.delayed_share = 0.0
-        # Cells whose controllers once ran without the file: their use may exceed it, not unnoticed.
+        # Cells whose controllers once ran without the file: use may exceed the allocation, with an alarm.
         self.without_cells_file: set[int] = set()
-        # A cell was restored from nothing: until all allocations are created anew, they don't add up.
+        # A cell lost its records: until all allocations are recreated, they don't add up.
         self.records_are_lost = False
         self._ticks_without_alarm: Counter[int] = Counter()
         self._check_at = 0.0
@@ -68,11 +68,11 @@
 
     @property
     def now(self) -> float:
-        """The same in all cells."""
+        """The time, which is the same in all cells."""
         return self.worlds[0].now
 
     def run(self, until: float) -> None:
-        """Let time pass in all cells, a step at a time."""
+        """Advance the clock in all cells, a step at a time."""
         while self.now < until:
             target = min(until, self.now + STEP_S)
             for world in self.worlds:
@@ -83,10 +83,8 @@
                         self._send_requests(index, node.leader_term)
             self._check()
 
-    # -- links -----------------------------------------------------------------------------------------
-
     def _send_requests(self, index: int, term: SimLeaderTerm) -> None:
-        """A leader asks the other cells' leaders, each in its time."""
+        """A leader sends each other cell's leader a request when that is due."""
         quota = term.controller.quota
         if quota is None:
             return
@@ -99,7 +97,7 @@
             self._send(index, other, lambda data=data, other=other: self._arrive(index, term, other, data))  # type: ignore[misc]
 
     def _send(self, source: int, target: int, arrive: Callable[[], None]) -> None:
-        """A message goes its way, if there is one."""
+        """Send a message, unless its link is cut or the message is lost."""
         if (source, target) in self.cut_links or self._rng.random() < self.lost_share:
             return
         times = 2 if self._rng.random() < self.duplicated_share else 1
@@ -109,7 +107,7 @@
             self.worlds[target].after(delay_s, arrive)
 
     def _arrive(self, index: int, asking: SimLeaderTerm, other: int, data: bytes) -> None:
-        """A request arrives at whoever leads there, or still holds itself for the leader."""
+        """A request arrives at the cell's leader, or at one that has not noticed its successor."""
         terms = [
             node.leader_term
             for node in self.worlds[other].nodes
@@ -138,8 +136,6 @@
             term.next_request_at[other] = self.now + _IN_PROGRESS_S
         term.settle()
 
-    # -- what there is ---------------------------------------------------------------------------------
-
     def _ledger(self, world: World) -> AllocationLedger:
         """A cell's durable allocations."""
         ledger = AllocationLedger(
@@ -164,7 +160,7 @@
         return float(sum(job["accelerators"] for job in jobs if job["crew"] == TEAM))
 
     def in_transit(self) -> list[str]:
-        """Transfers not yet forgotten at their source."""
+        """Transfers that their source still has a record of."""
         return [
             f"{name} to {peer}"
             for name, world in zip(self._names, self.worlds, strict=True)
@@ -177,14 +173,12 @@
         return sum(record.sent for world in self.worlds for record in self._ledger(world).peers.values())
 
     def alarms(self, cell: int) -> list[str]:
-        """What stands at the cell's leader."""
+        """Alarms of the cell's leader."""
         leader = self.worlds[cell].leader()
         term = leader.leader_term if leader is not None else None
         quota = term.controller.quota if term is not None else None
         return quota.alarms.texts() if quota is not None else []
 
-    # -- rules -----------------------------------------------------------------------------------------
-
     def _check(self) -> None:
         limit = self._whole.accelerators.limit
         used = self.used()
@@ -206,7 +200,7 @@
             self.violations.append(f"allocations: {problem} at {self.now:.1f}")
 
     def _raises_alarm(self, cell: int) -> bool:
-        """Whether an alarm tells of use above the allocation, or no leader with options could raise it."""
+        """Whether an alarm reports use above the allocation, or no leader with cells could raise it yet."""
         leader = self.worlds[cell].leader()
         term = leader.leader_term if leader is not None else None
         quota = term.controller.quota if term is not None else None
@@ -214,6 +208,6 @@
             return True
         if any("use above share" in alarm for alarm in quota.alarms.texts()):
             return True
-        # It is found at the next tick after the heartbeat that shows it.
+        # The alarm is raised at the next tick after the heartbeat that shows the use.
         self._ticks_without_alarm[cell] += 1
         return self._ticks_without_alarm[cell] == 1
--- a/tests/gang_standin.py
+++ b/tests/gang_standin.py
@@ -1,7 +1,7 @@
-"""What the tasks of a gang do together, on any number of worker stand-ins.
+"""Simulates how the tasks of a gang act together, on any number of worker stand-ins.
 
-They start together when the last one has its image, complete together, notice within `gang_peer_s` that one
-of them is gone, and save together. Progress is kept by job, as checkpoints are stored outside the machines.
+They start together when the last one has its image, complete together, detect within `gang_peer_s` that one
+of them is lost, and save together. Progress is recorded by job: checkpoints are stored outside the machines.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
 
     began_at: float
     base: float
-    # When one of its tasks was lost; when the first of them was told to stop.
+    # When one of its tasks was lost; when the first of them received the stop command.
     lost_at: float | None = None
     stopped_at: float | None = None
-    kept: set[str] = msgspec.field(default_factory=set)
+    saved_tasks: set[str] = msgspec.field(default_factory=set)
     over: bool = False
 
     def progress(self, now: float) -> float:
-        """Seconds of work done; it stands still behind the first loss or stop."""
+        """Seconds of work done; constant after the first loss or stop."""
         ends = [moment for moment in (self.lost_at, self.stopped_at) if moment is not None]
         return self.base + min([now, *ends]) - self.began_at
 
 
 class GangStandIn:
-    """Plays all gangs of a world."""
+    """Simulates all gangs of a deployment."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self.starts: dict[str, int] = {}
 
     def step(self) -> list[WorkerStandIn]:
-        """Let time pass; the workers whose tasks changed."""
+        """Advance all gangs to the current time; the workers whose tasks changed."""
         changed: list[WorkerStandIn] = []
         for key, members in self._members().items():
             attempt = self._started.get(key)
@@ -67,77 +67,77 @@
             elif not attempt.over:
                 changed += self._step_started(key, attempt, members)
             else:
-                # What is started behind the end of its attempt finds nobody.
+                # Tasks that start after their attempt ended find no peers.
                 changed += [self._end(member, "mates_gone") for member in members if _runs(member)]
         return changed
 
     def _members(self) -> dict[AttemptKey, list[Member]]:
         found: dict[AttemptKey, list[Member]] = {}
         for worker in self._workers():
-            for name, chore in worker.tasks.items():
-                job = chore.get("job")
-                if job is not None and job["shape"] == "group" and chore["status"] in _ON_MACHINE:
-                    found.setdefault((job["nameId"], chore["try"]), []).append((worker, name, chore))
+            for name, task in worker.tasks.items():
+                job = task.get("job")
+                if job is not None and job["shape"] == "group" and task["status"] in _ON_MACHINE:
+                    found.setdefault((job["nameId"], task["try"]), []).append((worker, name, task))
         return found
 
     def _try_start(self, key: AttemptKey, members: list[Member]) -> list[WorkerStandIn]:
         job = members[0][2]["job"]
         names = {name for _, name, _ in members}
-        ready = all(chore["status"] == "waiting" for _, _, chore in members)
+        ready = all(task["status"] == "waiting" for _, _, task in members)
         if len(names) < job["chores"] or not ready or any(self._hangs(worker) for worker, _, _ in members):
             return []
         self._started[key] = _Attempt(self._clock(), self.saved.get(key[0], 0.0))
         self.starts[key[0]] = self.starts.get(key[0], 0) + 1
-        for _, _, chore in members:
-            chore.update(status="running", until=None)
+        for _, _, task in members:
+            task.update(status="running", until=None)
         return [worker for worker, _, _ in members]
 
     def _step_started(self, key: AttemptKey, attempt: _Attempt, members: list[Member]) -> list[WorkerStandIn]:
         now, job = self._clock(), members[0][2]["job"]
-        here = [member for member in members if not self._hangs(member[0])]
-        whole = len(here) + len(attempt.kept) >= job["chores"]
-        told = [chore["stop_at"] for _, _, chore in members if "stop_at" in chore]
-        if attempt.stopped_at is None and told:
-            attempt.stopped_at = min(told)
-        if not whole and attempt.lost_at is None and not attempt.kept:
+        responsive = [member for member in members if not self._hangs(member[0])]
+        is_complete = len(responsive) + len(attempt.saved_tasks) >= job["chores"]
+        stop_times = [task["stop_at"] for _, _, task in members if "stop_at" in task]
+        if attempt.stopped_at is None and stop_times:
+            attempt.stopped_at = min(stop_times)
+        if not is_complete and attempt.lost_at is None and not attempt.saved_tasks:
             attempt.lost_at = now
-            self._keep(key[0], self._checkpoint(job, attempt.progress(now)))
+            self._save_progress(key[0], self._checkpoint(job, attempt.progress(now)))
         if attempt.lost_at is not None:
             if now < attempt.lost_at + self._peer_s:
                 return []
             attempt.over = True
-            return [self._end(member, "mates_gone") for member in here]
+            return [self._end(member, "mates_gone") for member in responsive]
         if attempt.stopped_at is not None:
-            return self._step_stopped(key, attempt, here, attempt.stopped_at)
+            return self._step_stopped(key, attempt, responsive, attempt.stopped_at)
         if attempt.progress(now) < job["runs"]:
             return []
         attempt.over = True
-        for member in here:
+        for member in responsive:
             self._on_done(member[1])
-        return [self._end(member, "done") for member in here]
+        return [self._end(member, "done") for member in responsive]
 
     def _step_stopped(
         self, key: AttemptKey, attempt: _Attempt, members: list[Member], first: float
     ) -> list[WorkerStandIn]:
         now, job = self._clock(), members[0][2]["job"]
-        untold = [member for member in members if "stop_at" not in member[2]]
-        if untold:
+        unstopped = [member for member in members if "stop_at" not in member[2]]
+        if unstopped:
             if now <= first + self._peer_s:
                 return []
             attempt.over = True
-            self._keep(key[0], self._checkpoint(job, attempt.progress(now)))
+            self._save_progress(key[0], self._checkpoint(job, attempt.progress(now)))
             return [
                 self._end(member, "stopped" if "stop_at" in member[2] else "mates_gone") for member in members
             ]
         saved = [member for member in members if member[2]["stop_at"] + job["stashS"] <= now]
-        for _, name, chore in saved:
-            attempt.kept.add(name)
-            chore["kept"] = True
+        for _, name, task in saved:
+            attempt.saved_tasks.add(name)
+            task["kept"] = True
         if saved:
-            self._keep(key[0], attempt.progress(now))
+            self._save_progress(key[0], attempt.progress(now))
         return [self._end(member, "stopped") for member in saved]
 
-    def _keep(self, job_id: str, progress: float) -> None:
+    def _save_progress(self, job_id: str, progress: float) -> None:
         self.saved[job_id] = max(progress, self.saved.get(job_id, 0.0))
 
     @staticmethod
@@ -147,8 +147,8 @@
 
     @staticmethod
     def _end(member: Member, cause: str) -> WorkerStandIn:
-        worker, _, chore = member
-        chore.update(status="ended", cause=cause, until=None)
+        worker, _, task = member
+        task.update(status="ended", cause=cause, until=None)
         return worker
 
 
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -1,4 +1,4 @@
-"""Taking a guard out: what it kept from happening must then be found."""
+"""Mutation of guards: a scenario must fail once the method that guards a rule is replaced by a stub."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Guard(NamedTuple):
-    """A method that guards a rule, what is put in its place, and the scenario that must then fail."""
+    """A method that guards a rule, the stub that replaces it, and the scenario that must then fail."""
 
     scenario: str
     owner: type
@@ -26,7 +26,7 @@
 def replace_guard(
     monkeypatch: pytest.MonkeyPatch, owner: type, method: str, stub: Callable[..., object]
 ) -> None:
-    """Put a stub in a method's place, bound as that is."""
+    """Replace a method by a stub, bound like the method."""
     is_static = isinstance(owner.__dict__[method], staticmethod)
     monkeypatch.setattr(owner, method, staticmethod(stub) if is_static else stub)
 
@@ -34,7 +34,7 @@
 def violations_without(
     guard: Guard, folder: Path, seeds: Iterable[int], monkeypatch: pytest.MonkeyPatch
 ) -> list[str]:
-    """What goes wrong in the guard's scenario when it is taken out."""
+    """Failures of the guard's scenario while the stub replaces the guard."""
     replace_guard(monkeypatch, guard.owner, guard.method, guard.stub)
     texts = [text for _, text in variants(folder / f"{guard.scenario}.txt")]
     return [found for text in texts for seed in seeds for found in play(text, seed)]
--- a/tests/mix.py
+++ b/tests/mix.py
@@ -1,8 +1,8 @@
-"""Days of overlapping troubles, drawn from a seed, in the words of the scenarios.
+"""Random scenarios of overlapping faults, generated from a seed.
 
-`python tests/mix.py FIRST DAYS [ZONES [RELAYS]]` plays more of them than the tests do, and prints those that
-break a rule. ZONES are letters, `ab` where none are named; with `abc` each zone has a controller, and two may
-be kept apart. RELAYS is `off`, or `forced` for reports that are relayed.
+`python tests/mix.py FIRST COUNT [ZONES [RELAYS]]` runs more of them than the tests do, and prints those that
+violate a rule. ZONES are letters, by default `ab`; with `abc` each zone has a controller, and two may be
+partitioned. RELAYS is `off`, or `forced` for relayed heartbeats.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 import sys
 from collections.abc import Iterator
 
-# Troubles end by here, and behind it everything has the time to come to its end.
+# All faults have ended by the first time; by the second one all jobs have to be settled.
 FAULTS_END_S, SCENARIO_END_S = 140.0, 320.0
-# With more zones than this, two can be kept apart that both reach another one; so often a meeting has that.
+# With more zones than this, two can be partitioned that both reach a third; the share of overlaps with that.
 _TWO_ZONES, _PARTITION_SHARE = 2, 0.6
-# Words of a command line that names no zones.
+# Lengths of command lines that name no zones, and no relays.
 _ARGS_WITHOUT_ZONES = 3
 _ARGS_WITHOUT_RELAYS = 4
 
 
 def _fault(rng: random.Random, at: float, zones: str) -> str:
-    """One trouble; the moments of those that belong together are close."""
+    """A single fault."""
     short, long = rng.uniform(1.0, 8.0), min(rng.uniform(8.0, 48.0), FAULTS_END_S - at)
     machine = f"vm-{rng.randrange(1, 9):06d}"
     nodes = rng.choice(["leader", "leader", "others", "all", str(rng.randrange(3))])
@@ -67,7 +67,7 @@
 
 
 def _faults_in_partition(rng: random.Random, zones: str, away: float) -> list[tuple[float, str]]:
-    """Two zones that can't reach each other, and something else at a bad moment of it."""
+    """A partition of two zones, and other faults at critical moments of it."""
     soon, cancel = (
         rng.uniform(0.0, 4.0),
         f"cancel_running {rng.randrange(1, 5)} hang {rng.choice([0.0, 9.0])}",
@@ -95,7 +95,7 @@
 def _overlapping_faults(
     rng: random.Random, at: float, cancel_s: float, zones: str
 ) -> list[tuple[float, str]]:
-    """Troubles that belong together, each at a bad moment of the others."""
+    """Faults that overlap, each at a critical moment of the others."""
     machine = f"vm-{rng.randrange(1, 5):06d}"
     soon, few = rng.uniform(0.0, 1.5), rng.randrange(1, 5)
     hang = rng.choice([0.0, 6.0, 9.0])
@@ -160,7 +160,7 @@
 
 
 def _job(rng: random.Random, zones: str) -> dict[str, str]:
-    """What a user submits."""
+    """The fields of a submission."""
     fields = {"crew": rng.choice(["alpha", "alpha", "beta"])}
     if rng.random() < 0.5:
         fields |= {"shape": "service", "rank": rng.choice(["critical", "high"])}
@@ -184,12 +184,12 @@
 
 
 def _gang(rng: random.Random) -> dict[str, str]:
-    """A gang that a user submits."""
+    """The fields of a gang's submission."""
     fields = {
         "shape": "group",
         "crew": rng.choice(["alpha", "beta"]),
         "rank": rng.choice(["standard", "high"]),
-        # The smallest limit holds it beside the replicas that stay.
+        # The smallest limit has capacity for it beside the replicas that are kept.
         "chores": str(rng.randrange(2, 6)),
         "guessS": str(rng.choice([4, 12, 25])),
         "samePlace": rng.choice(["true", "false"]),
@@ -209,7 +209,7 @@
         if rng.random() < 0.25:
             yield at + rng.choice([0.0, rng.uniform(0.0, 30.0)]), f"cancel {job_id}"
         elif job["shape"] == "service":
-            # A few stay: with more of them a team's limit would keep arrays from ever running.
+            # Only a few are kept: with more of them a team's limit would never let arrays run.
             replicas_kept += int(job["chores"])
             if replicas_kept > 3:
                 replicas_kept -= int(job["chores"])
@@ -221,7 +221,7 @@
     for _ in range(rng.randrange(2, 5)):
         at = rng.uniform(8.0, 100.0)
         yield at, _fault(rng, at, zones)
-    # Last, so that what a seed draws beside them stays as it was.
+    # Last, so that a seed's other draws do not depend on gangs.
     for number in range(500, 500 + rng.randrange(2, 7)):
         job_id, at, gang = f"job-{number:06d}", rng.uniform(2.0, 110.0), _gang(rng)
         yield at, f"submit {job_id} {' '.join(f'{name}={value}' for name, value in gang.items())}"
@@ -230,9 +230,10 @@
 
 
 def _operations(rng: random.Random, zones: str) -> Iterator[tuple[float, str]]:
-    """What operators met: late boots, controllers that stand still or are cut off, storms of questions.
+    """Late boots, frozen or isolated controllers, and poll storms.
 
-    Beside them guests, a wide array, jobs with a mistake and a machine that fails every task.
+    Beside them jobs of a team without a guarantee, a large array, jobs that always fail, and a machine on
+    which every task fails.
     """
     at, long = rng.uniform(8.0, 60.0), rng.uniform(20.0, 70.0)
     nodes = rng.choice(["leader", "leader", "others", "all", str(rng.randrange(3))])
@@ -241,7 +242,7 @@
     yield from rng.choice(
         [
             [(at, f"freeze {nodes} for {long:.1f}")],
-            # The second one stands still in the middle of its election, or just behind it.
+            # The second leader freezes during its election, or just after it.
             [
                 (at, "freeze leader for 20"),
                 (at + soon, "freeze leader for 8"),
@@ -290,9 +291,9 @@
 
 
 def random_scenario(seed: int, zones: str = "ab", relays: str = "off") -> str:
-    """A day as the text of a scenario, in zones that are named by a letter each.
+    """The text of a scenario; each letter of ``zones`` names a zone.
 
-    What a seed draws does not depend on whether reports are relayed.
+    A seed's draws do not depend on whether heartbeats are relayed.
     """
     rng = random.Random(seed)
     cancel_s = rng.choice([22, 22, 30, 45])
@@ -316,7 +317,7 @@
 
 
 def main() -> int:
-    """Play days from the command line."""
+    """Run random scenarios from the command line."""
     from scenario import Scenario
 
     first, count = int(sys.argv[1]), int(sys.argv[2])
--- a/tests/quota_model.py
+++ b/tests/quota_model.py
@@ -1,4 +1,4 @@
-"""Cells that transfer amounts, step by step: the real ledger over simulated stores and a bad network."""
+"""Cells that transfer amounts, step by step: the real ledger on simulated stores and a faulty network."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 
 class Outcome(Enum):
-    """What becomes of one try of a transaction."""
+    """The outcome of one attempt of a transaction."""
 
     ANSWERED = "answered"
-    # Carried out, and the answer is lost.
+    # Applied, and the response is lost.
     LOST = "lost"
-    # No answer, and carried out later if at all.
+    # No response, and applied later if at all.
     LATE = "late"
     REFUSED = "refused"
 
 
 class ScriptedStore(Store):
-    """A client of a stand-in whose next transaction goes as it is told."""
+    """A client of a simulated state service that scripts the outcome of the next transaction."""
 
     def __init__(self, state: StateStandIn, late: list[Callable[[], None]]) -> None:
         self._state, self._late = state, late
@@ -64,7 +64,7 @@
 
 
 class Leader:
-    """One term: its ledger, and its commits in their order."""
+    """One leader term: its ledger, and its commits in order."""
 
     def __init__(self, cell: ModelCell, lead_version: int) -> None:
         self.cell = cell
@@ -87,7 +87,7 @@
         self.inconsistent = True
 
     def carry_out(self, outcome: Outcome = Outcome.ANSWERED) -> None:
-        """One try of the first step that waits."""
+        """One attempt of the first pending step."""
         if not self.steps or self.lost_leadership:
             return
         conditions, writes, done = self.steps[0]
@@ -107,12 +107,12 @@
         done(result)
 
     def limit(self) -> int:
-        """The limit against which starts are planned."""
+        """The limit up to which starts are planned."""
         allocation = self.ledger.allocation(TEAM)
         return 0 if allocation is None else allocation.accelerators.limit or 0
 
     def idle(self) -> int:
-        """The part of the limit above everything that may run."""
+        """The part of the limit above the use of all tasks that may run."""
         return max(0, self.limit() - self.cell.running)
 
     def debit(self, peer: ModelCell, units: int) -> bool:
@@ -157,14 +157,14 @@
 
 
 class ModelCell:
-    """One cell: a store, a leader and those before it, and what runs."""
+    """One cell: a store, a leader and its predecessors, and the units in use."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.state = StateStandIn(lambda: 0.0)
         self.late: list[Callable[[], None]] = []
         self.leader: Leader | None = None
-        # Leaders that lost their leadership without noticing.
+        # Leaders that have not noticed that they lost their leadership.
         self.former: list[Leader] = []
         self.running = 0
         self._drawn = 0
@@ -176,7 +176,7 @@
 
     @property
     def incarnation(self) -> str:
-        """Of the records as they were made first."""
+        """The incarnation of the records as first created."""
         return f"{self.name}-1"
 
     def draw(self) -> str:
@@ -185,19 +185,19 @@
         return f"{self.name}-{self._drawn}"
 
     def elect(self) -> None:
-        """A new leader; the one before does not know yet."""
+        """Elect a new leader; its predecessor has not noticed yet."""
         if self.leader is not None:
             self.former = [*self.former[-1:], self.leader]
         answer = self.state.commit(transaction_body({}, [Put(LEADER_KEY, {"member": self.name})]))[1]
         self.leader = Leader(self, answer["ledger"])
 
     def crash(self) -> None:
-        """The leader ends between two steps; the next one reads what is durable."""
+        """The leader crashes between two steps; the next one reads the durable records."""
         self.leader = None
         self.elect()
 
     def durable(self) -> Leader:
-        """What a leader would read now."""
+        """A leader with the records that are durable now."""
         return Leader(self, -1)
 
 
@@ -234,14 +234,14 @@
         self.network: list[tuple[ModelCell, TransferRequest | TransferResponse]] = []
 
     def ask(self, index: int, other: int, by_former: bool = False) -> None:
-        """A leader sends a request to another cell's; a former one may, too."""
+        """A leader, or a former one, sends a request to another cell's leader."""
         cell, peer = self.cells[index], self.cells[other]
         leader = cell.former[-1] if by_former and cell.former else cell.leader
         if index != other and leader is not None:
             self.network.append((peer, leader.request(peer.name)))
 
     def deliver(self, index: int, again: bool = False, to_former: bool = False) -> None:
-        """A message arrives, and may come again; an answer goes back the same way."""
+        """A message arrives, and may arrive again; a response is sent over the same link."""
         if not self.network:
             return
         index %= len(self.network)
@@ -272,7 +272,7 @@
                 assert cell.leader is not None
 
     def problems(self) -> list[str]:
-        """What must never be, by what is durable now."""
+        """Violated invariants, by the records that are durable now."""
         ledgers = {cell.name: cell.durable().ledger for cell in self.cells}
         found = sum_problems(ledgers, TEAM, WHOLE, {cell.name: cell.running for cell in self.cells})
         for cell in self.cells:
@@ -283,7 +283,7 @@
         return found
 
     def in_transit(self) -> list[str]:
-        """Transfers in transit, or not yet forgotten at their source."""
+        """Transfers in transit, or of which the source still has a record."""
         return [
             f"{cell.name} to {peer}"
             for cell in self.cells
@@ -293,7 +293,7 @@
 
 
 def transfer(fleet: Fleet, again: int = 0) -> None:
-    """One unit goes from the first cell to the second, and its answer arrives more than once."""
+    """One unit is transferred from the first cell to the second; the response may be duplicated."""
     source, destination = fleet.cells[0].leader, fleet.cells[1].leader
     assert source is not None
     assert destination is not None
@@ -308,9 +308,6 @@
     destination.carry_out()
 
 
-# -- guards taken out ----------------------------------------------------------------------------------
-
-
 def always_next(before: object, transfer: object) -> bool:
     """Every transfer counts as the next one."""
     return True
--- a/tests/reads_model.py
+++ b/tests/reads_model.py
@@ -1,4 +1,4 @@
-"""A state service, controllers and the history of what users were told, for tests of reads."""
+"""A state service, controllers and the history of statuses returned to users, for tests of reads."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Write(NamedTuple):
-    """A change of a job's key: it comes into being, or is moved to the final ones."""
+    """A change of a job's key: it is created, or moved to the final records."""
 
     revision: int
     job_id: str
@@ -33,7 +33,7 @@
 
 
 class StoreModel:
-    """The state service: jobs by state, and the changes that are kept of them."""
+    """The state service: jobs by state, and the retained changes of them."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -42,14 +42,14 @@
         self.kept_from = 0
 
     def write(self, job_id: str) -> int:
-        """The job's next state."""
+        """Advance a job to its next state."""
         self.revision += 1
         self.states[job_id] += 1
         self.log.append(Write(self.revision, job_id, self.states[job_id]))
         return self.states[job_id]
 
     def answer(self, step: StoreRequest, lag: int) -> int | Page | Changes:
-        """A step's answer as of now; a follow may be ``lag`` changes late, as PROTOCOL does not rule out."""
+        """The response to a step; a follow may be ``lag`` changes behind, as PROTOCOL permits."""
         if isinstance(step, ReadRevision):
             return self.revision
         if isinstance(step, ReadPage):
@@ -70,7 +70,7 @@
 
 
 class Query(NamedTuple):
-    """A query that waits."""
+    """A pending query."""
 
     job_id: str
     queried_at: int
@@ -78,7 +78,7 @@
 
 
 class NodeModel:
-    """A controller: the real batches and plan, with every message of theirs in the test's hands."""
+    """A controller: the real batches and plan, with every message under the test's control."""
 
     def __init__(self, batches: ReadBatches, plan: Any) -> None:
         self.batches, self._plan = batches, plan
@@ -88,13 +88,13 @@
         self.fresh = self.view
         self.running: Generator[StoreRequest, Any, None] | None = None
         self.step: StoreRequest | None = None
-        # An answer of the store that is on its way.
+        # A response of the store that is in flight.
         self.answer: int | Page | Changes | Exception | None = None
         # Queries whose job is not active and whose final record is to be read.
         self.finals: list[Query] = []
 
     def begin(self) -> bool:
-        """Begin a batch; True if it is over at once."""
+        """Start a batch; True if it ends at once."""
         self.started = self.batches.start()
         self.fresh = self.view.copy()
         self.running = self._plan(self.fresh)
@@ -102,7 +102,7 @@
         return self.step is None
 
     def deliver(self) -> bool:
-        """The answer arrives; True if the batch is over."""
+        """The response arrives; True if the batch has ended."""
         assert self.running is not None
         answer, self.answer = self.answer, None
         try:
@@ -116,31 +116,31 @@
 
 
 class History:
-    """What users were told, and a checker: each job's answers must fit into one order in real time."""
+    """Statuses returned to users, and a checker: each job's responses must be linearizable."""
 
     def __init__(self) -> None:
         self.time = 0
-        # Least state that a query which arrives now may be answered with, and the highest there can be.
+        # Least state with which a query that arrives now may be answered, and the highest one.
         self.told: dict[str, int] = dict.fromkeys(JOBS, UNKNOWN)
         self.possible: dict[str, int] = dict.fromkeys(JOBS, UNKNOWN)
         self._least_at: dict[str, list[tuple[int, int]]] = {job: [(0, UNKNOWN)] for job in JOBS}
 
     def tell(self, job_id: str, state: int) -> None:
-        """A user was told, or a transaction's answer arrived: from now on nobody may answer less."""
+        """A user or writer got a response: from now on no response may be a lower state."""
         self.time += 1
         if state > self.told[job_id]:
             self.told[job_id] = state
             self._least_at[job_id].append((self.time, state))
 
     def check(self, query: Query, state: int) -> None:
-        """States only rise: an order exists if no answer is below what was told before its query."""
+        """States only rise: an order exists if no response is below one that was sent before its query."""
         least = max(value for at, value in self._least_at[query.job_id] if at <= query.queried_at)
         assert least <= state <= self.possible[query.job_id], (query, least, state)
         self.tell(query.job_id, state)
 
 
 class CountingStore(Store):
-    """A store of two jobs that counts requests, and may refuse them or hold them up."""
+    """A store of two jobs that records requests, and may reject or block them."""
 
     def __init__(self) -> None:
         self.requests: list[str] = []
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -34,7 +34,7 @@
 
 
 class RelayQueue:
-    """A relay's queue, and the responses to its workers."""
+    """A relay's queue, and the responses that it delivered to its workers."""
 
     def __init__(self, most: int = 100) -> None:
         self.queue = HeartbeatQueue(most, RESPONSE_TIMEOUT_S)
@@ -102,7 +102,7 @@
         for member, zone in ZONES.items():
             self.connect(member, zone)
         self.assignment.update_machines(set(MACHINES))
-        # Some may be redirected at once.
+        # The redirect budget has been refilled by now.
         self.now += 5.0
         self.at: dict[str, str] = {}
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,4 +1,4 @@
-"""The runner of scenarios; scenarios/README.md tells their words."""
+"""Runs scenarios; scenarios/README.md describes their language."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Scenario:
-    """One text: a world, what happens in it, and what must come of it."""
+    """The text of a scenario, and the simulated deployment in which its lines are executed."""
 
     def __init__(self, text: str, seed: int) -> None:
         self.lines = [line.split("#")[0].split() for line in text.splitlines() if line.split("#")[0].strip()]
@@ -52,7 +52,7 @@
                 options,
             )
 
-        # With `parts` the fleet is several cells; lines are about the first one where they name none.
+        # With `parts` the fleet consists of several cells; lines that name none apply to the first.
         self.cells = None
         if "parts" in head:
             parts = [float(part) for part in head["parts"].split(",")]
@@ -63,7 +63,7 @@
         self.failures: list[str] = []
 
     def play(self) -> None:
-        """Carry out the lines in order; times are absolute."""
+        """Execute the lines in order; times are absolute."""
         for line in self.lines:
             words = line
             if line[0] == "at":
@@ -74,26 +74,24 @@
     def _do(self, words: list[str]) -> None:
         getattr(self, f"do_{words[0]}")(*words[1:])
 
-    # -- cells ---------------------------------------------------------------------------------------
-
     def _several(self) -> CellsWorld:
         assert self.cells is not None, "`world` has no parts"
         return self.cells
 
     def do_in(self, cell: str, *words: str) -> None:
-        """The rest of the line is about that cell."""
+        """The rest of the line applies to that cell."""
         before, self.world = self.world, self._several().worlds[int(cell)]
         self._do(list(words))
         self.world = before
 
     def do_cut_cell_link(self, source: str, target: str, word: str, seconds: str) -> None:
-        """What the first cell sends does not reach the second one."""
+        """Messages from the first cell to the second are dropped."""
         cells, way = self._several(), (int(source), int(target))
         cells.cut_links.add(way)
         self.world.after(float(seconds), lambda: cells.cut_links.discard(way))
 
     def do_cell_messages(self, how: str, share: str, word: str, seconds: str) -> None:
-        """That share of messages between cells comes twice, is lost, or comes up to two minutes late."""
+        """That share of messages between cells is duplicated, lost, or up to two minutes late."""
         self._for_a_while(self._several(), f"{how}_share", seconds, float(share))
 
     def do_cut_cell_link_at(self, way: str, word: str, seconds: str) -> None:
@@ -104,12 +102,12 @@
         self.world.after(float(at) - self.world.now, lambda: self.do_cut_cell_link(*cut))
 
     def do_crash_in_transfer(self, step: str) -> None:
-        """`source-planned-1`: the leader of cell 1 is killed as it is about to write its first such step."""
+        """`source-planned-1`: the leader of cell 1 crashes when it is about to write its first such step."""
         side, stage, number = step.split("-")
         self.do_in("1" if side == "source" else "0", "fault_in_transfer", stage, number, "crash")
 
     def do_fault_in_transfer(self, stage: str, number: str, what: str, seconds: str = "5") -> None:
-        """As that step of a transfer is planned, or was just written, its leader crashes or freezes."""
+        """When that step of a transfer is planned, or was just written, its leader crashes or freezes."""
         world, left = self.world, int(number)
 
         def reached(node: SimNode, now: str) -> None:
@@ -125,19 +123,19 @@
         world.on_transfer_step = reached
 
     def do_remove_cells_file(self, which: str) -> None:
-        """The nodes know of no other cells from their next process on: the version before, or no file."""
+        """The nodes restart without other cells: as the previous version, or without the file."""
         self._several().without_cells_file.add(self._several().worlds.index(self.world))
         for node in self._nodes(which):
             node.options = Options()
             node.boot()
 
     def do_lose_allocations(self) -> None:
-        """The cell's records of shares are gone, as if its state service was restored from nothing."""
+        """The cell's quota records are lost, as if its state service was restored from nothing."""
         self._several().records_are_lost = True
         self._remove_shares(self.world)
 
     def do_recreate_allocations(self) -> None:
-        """Operators stop all controllers of all cells, remove what is left of shares, and start again."""
+        """Operators stop all controllers of all cells, remove all quota records, and start again."""
         cells = self._several()
         for world in cells.worlds:
             for node in world.nodes:
@@ -154,22 +152,22 @@
             world.state.commit(transaction_body({}, [Delete(key)]))
 
     def do_rename_cell(self, name: str) -> None:
-        """The cell's controllers come back with a file that gives the cell another name."""
+        """The cell's controllers restart with a file that gives the cell another name."""
         for node in self.world.nodes:
             assert node.options.cells is not None
             node.options = Options(cells=msgspec.structs.replace(node.options.cells, name=name))
             node.crash(3.0)
 
     def do_restore_cells_file(self, which: str) -> None:
-        """The nodes are killed and come back with the file."""
+        """The nodes are killed and restart with the file."""
         for node in self._nodes(which):
             node.options = self.world.options
             node.crash(3.0)
 
     def _expect_allocation(self, cell: str, least: str, most: str) -> None:
-        """The accelerators that team alpha may use there, as is durable."""
+        """The durable allocation of accelerators to team alpha in a cell."""
         limit = self._several().allocation(int(cell))
-        self._expect(float(least) <= limit <= float(most), f"cell {cell} has a share of {limit:g}")
+        self._expect(float(least) <= limit <= float(most), f"cell {cell} has an allocation of {limit:g}")
 
     def _expect_in_use(self, least: str, most: str) -> None:
         """The accelerators that team alpha uses in all cells."""
@@ -177,42 +175,40 @@
         self._expect(float(least) <= used <= float(most), f"{used:g} accelerators are in use")
 
     def _expect_in_transit(self, number: str) -> None:
-        """Transfers that somebody still keeps a note of."""
+        """Transfers that a cell still has a record of."""
         found = self._several().in_transit()
         self._expect(len(found) == int(number), f"in transit: {found}")
 
     def _expect_transfers(self, most: str) -> None:
-        """Transfers that were ever begun."""
+        """Transfers that were ever started."""
         moves = self._several().moves()
-        self._expect(moves <= int(most), f"{moves} moves")
+        self._expect(moves <= int(most), f"{moves} transfers")
 
     def _expect_alarm(self, cell: str, *words: str) -> None:
-        """An alarm that holds these words stands there, or none."""
+        """The cell's leader has an alarm that contains these words, or has none."""
         alarms, text = self._several().alarms(int(cell)), " ".join(words)
         holds = not alarms if text == "none" else any(text in alarm for alarm in alarms)
         self._expect(holds, f"alarms of cell {cell}: {alarms}")
 
     def do_downgrade(self, which: str) -> None:
-        """The nodes run the version before, as far as it stores otherwise, also when they come back."""
+        """The nodes run as the previous version where it stores differently, also after a restart."""
         for node in self._nodes(which):
             node.downgrade()
             node.boot()
 
     def do_upgrade(self, which: str) -> None:
-        """The nodes are killed and come back with the new version."""
+        """The nodes are killed and restart with the new version."""
         for node in self._nodes(which):
             node.settings, node.relays = self.world.settings, True
             node.crash(3.0)
 
     def do_lower_limits(self) -> None:
-        """The state service takes on the limits that were announced."""
+        """The state service applies the announced limits."""
         limits = self.world.settings.deployment.state.lowest
         self.world.state.lower_limits(limits.txn_ops, limits.value_kb)
 
-    # -- what there is -------------------------------------------------------------------------------
-
     def do_world(self, *fields: str) -> None:
-        """Figures of the deployment; read before anything else."""
+        """Settings of the deployment, which `__init__` reads."""
 
     def do_capacity(self, build: str, zone: str, kind: str, number: str) -> None:
         self.world.cloud.capacity[(build, zone, kind == "spot")] = int(number)
@@ -221,8 +217,6 @@
         for _ in range(int(number)):
             self.world.add_worker(self.world.cloud.add(build, zone, kind == "spot", "running"))
 
-    # -- what happens --------------------------------------------------------------------------------
-
     def do_submit(self, job_id: str, *fields: str) -> None:
         values = dict(field.split("=") for field in fields)
         self.world.submit(submission(job_id, {key: _value(text) for key, text in values.items()}))
@@ -264,20 +258,20 @@
             self._for_a_while(node, "lost_state", seconds)
 
     def do_isolate(self, which: str, word: str, seconds: str) -> None:
-        """The node keeps its workers, and loses the state service and the other nodes."""
+        """The nodes keep their workers, and lose the state service and the other nodes."""
         for node in self._nodes(which):
             self._for_a_while(node, "lost_state", seconds)
             self._for_a_while(node, "lost_peers", seconds)
 
     def do_cut_workers(self, which: str, word: str, seconds: str, how: str = "refused") -> None:
-        """The node loses the workers: they are refused, or what they send is dropped."""
+        """The nodes lose their workers: heartbeats are refused, or dropped."""
         for node in self._nodes(which):
             self._for_a_while(node, "lost_workers", seconds)
             if how == "dropped":
                 self._for_a_while(node, "drops_heartbeats", seconds)
 
     def do_freeze(self, which: str, word: str, seconds: str) -> None:
-        """The node stands still while its clocks run on."""
+        """The nodes' processes are paused while their clocks run on."""
         for node in self._nodes(which):
             self._for_a_while(node, "frozen", seconds)
 
@@ -286,15 +280,15 @@
             node.commit_responses_to_lose = int(number)
 
     def do_delay_commits(self, share: str, word: str, seconds: str) -> None:
-        """Transactions get no answer and are carried out late, behind newer ones."""
+        """Transactions get no response and are applied late, after newer ones."""
         self._for_a_while(self.world, "delayed_commit_share", seconds, float(share))
 
     def do_drop_commit_responses(self, share: str, word: str, seconds: str) -> None:
-        """Transactions are carried out at once and get no answer."""
+        """Transactions are applied at once and get no response."""
         self._for_a_while(self.world, "dropped_response_share", seconds, float(share))
 
     def do_slow_links(self, delay: str, word: str, seconds: str) -> None:
-        """Messages between controllers and workers take so much longer, each way."""
+        """Messages between controllers and workers take that much longer, each way."""
         self._for_a_while(self.world, "link_delay_s", seconds, float(delay))
 
     def do_lose_launch_responses(self, number: str) -> None:
@@ -310,7 +304,7 @@
             world.after(float(seconds), lambda: setattr(world.cloud, "down", False))
 
     def do_cut_peers(self, which: str, word: str, seconds: str) -> None:
-        """The node loses the other nodes, and keeps its workers and the state service."""
+        """The nodes lose the other nodes, and keep their workers and the state service."""
         for node in self._nodes(which):
             self._for_a_while(node, "lost_peers", seconds)
 
@@ -319,7 +313,7 @@
         self._for_a_while(self.world, "duplicates_batches", seconds)
 
     def do_delay_batches(self, delay: str, word: str, seconds: str) -> None:
-        """Relayed batches take so much longer."""
+        """Relayed batches take that much longer."""
         self._for_a_while(self.world, "batch_delay_s", seconds, float(delay))
 
     def do_isolate_zone(self, zone: str, word: str, seconds: str) -> None:
@@ -329,11 +323,11 @@
         world.after(float(seconds), lambda: setattr(world, "isolated_zone", None))
 
     def do_partition(self, zones: str, word: str, seconds: str) -> None:
-        """The two zones can't reach each other; both reach all else."""
+        """The two zones can't reach each other; both reach everything else."""
         self._for_a_while(self.world, "partitioned_zones", seconds, set(zones.split(",")))
 
     def do_fault(self, kind: str, machine: str, word: str, seconds: str) -> None:
-        """A kind of trouble with a machine, or with all; the kinds are in scenarios/README.md."""
+        """A fault of a machine, or of all; scenarios/README.md lists the kinds."""
         world = self.world
         names = list(world.workers) if machine == "all" else [machine]
         for name in names:
@@ -345,7 +339,7 @@
 
     def do_fail_tasks_on(self, machine: str) -> None:
         worker = self.world.workers.get(machine)
-        # A drawn day may name one that is gone by then.
+        # A random scenario may name a machine that is already gone.
         if worker is not None:
             worker.faulty = True
 
@@ -357,7 +351,7 @@
         self.world.end_worker(machine)
 
     def do_kill_machines(self, share: str) -> None:
-        """That share of the machines ends at one moment, with all that is on them."""
+        """That share of the machines is lost at once, with all their tasks."""
         names = sorted(self.world.workers)
         for name in self.world.rng.sample(names, int(len(names) * float(share))):
             self.world.end_worker(name)
@@ -365,7 +359,7 @@
     def do_reclaim(self, machine: str, notice: str, real: str) -> None:
         worker = self.world.workers.get(machine)
         if worker is None:
-            # A drawn day may name one that is gone by then.
+            # A random scenario may name a machine that is already gone.
             return
         worker.notice_s = float(notice)
         self.world.after(float(real), lambda: self._take_back(machine))
@@ -382,16 +376,16 @@
         self._for_a_while(self.world, "boot_factor", seconds, float(factor))
 
     def do_poll_storm(self, factor: str, word: str, seconds: str) -> None:
-        """Users ask that many times as often."""
+        """Users poll that many times as often."""
         self._for_a_while(self.world, "poll_factor", seconds, int(factor))
 
     def do_duplicate_heartbeats(self, share: str, word: str, seconds: str, when: str = "") -> None:
-        """A copy of that share of reports comes again: 1 to 25 s late, or when the next leader begins."""
+        """Duplicates of that share of heartbeats arrive 1 to 25 s late, or at the next election."""
         self.world.duplicates_to_next_leader = when == "to_next_leader"
         self._for_a_while(self.world, "duplicated_heartbeat_share", seconds, float(share))
 
     def do_cancel_running(self, number: str, word: str = "hang", seconds: str = "0") -> None:
-        """Users call off so many jobs that run; machines that run them hang for a while."""
+        """Users cancel so many running jobs; machines that run them hang for a while."""
         world = self.world
         running = [(w, t.rpartition("/")[0]) for w in world.workers.values() for t in w.on_machine()]
         jobs = sorted({job for _, job in running if world.observed_status.get(job) != "cancelled"})
@@ -403,24 +397,22 @@
                 self.do_fault("hang", name, "for", seconds)
 
     def do_cancel_on_completion(self, share: str, word: str, seconds: str) -> None:
-        """That share of the jobs that end is called off at the moment of the end."""
+        """That share of the jobs is cancelled at the moment of completion."""
         self._for_a_while(self.world, "cancelled_on_completion_share", seconds, float(share))
 
     def do_poll_all_nodes(self, word: str, seconds: str) -> None:
-        """Users ask at all nodes, and repeat the submission, as soon as they are told something."""
+        """After each response users poll all nodes at once and repeat the submission."""
         self._for_a_while(self.world, "polls_all_nodes", seconds)
 
     def do_invalid_requests(self, word: str, seconds: str) -> None:
-        """Once a second users repeat submissions, cancel what is done and send what can't be taken."""
+        """Once a second users repeat submissions, cancel completed jobs and send invalid requests."""
         for number in range(int(float(seconds))):
             self.world.after(float(number), self.world.send_invalid_requests)
 
     def do_check_liveness(self) -> None:
-        """All troubles are over."""
+        """All faults are over: rules for liveness are checked from now on."""
         self.world.liveness_checked_from = self.world.now
 
-    # -- what must be --------------------------------------------------------------------------------
-
     def _expect(self, holds: bool, text: str) -> None:
         if not holds:
             self.failures.append(f"at {self.world.now:.1f}: {text}")
@@ -435,15 +427,15 @@
     def _expect_running(self, job_id: str, number: str) -> None:
         tasks = [task for worker in self.world.workers.values() for task in worker.on_machine()]
         up = {task for task in tasks if task.startswith(job_id + "/")}
-        self._expect(len(up) == int(number), f"{job_id} has {len(up)} tasks up")
+        self._expect(len(up) == int(number), f"{job_id} has {len(up)} running tasks")
 
     def _expect_attempts(self, job_id: str, number: str) -> None:
-        """Attempts of a gang that started whole."""
+        """Attempts of a gang in which all tasks started."""
         attempts = self.world.gangs.starts.get(job_id, 0)
         self._expect(attempts == int(number), f"{job_id} started {attempts} times")
 
     def _expect_checkpointed(self, job_id: str, least: str) -> None:
-        """So many seconds of a gang's work were saved at least."""
+        """At least so many seconds of a gang's work are saved."""
         saved = self.world.gangs.saved.get(job_id, 0.0)
         self._expect(saved >= float(least), f"{job_id} has saved {saved:.1f} s")
 
@@ -456,20 +448,20 @@
         self._expect(starts <= int(most), f"a task of {job_id} started {starts} times")
 
     def _expect_total_starts(self, job_id: str, most: str) -> None:
-        """Starts of all tasks of a job together."""
-        tries = sum(self._starts(job_id))
-        self._expect(tries <= int(most), f"tasks of {job_id} started {tries} times")
+        """The number of starts of all tasks of a job."""
+        starts = sum(self._starts(job_id))
+        self._expect(starts <= int(most), f"tasks of {job_id} started {starts} times")
 
     def _expect_launched(self, most: str) -> None:
-        rented = sum(len(names) for names in self.world.cloud.launches.values())
-        self._expect(rented <= int(most), f"{rented} machines were rented")
+        launched = sum(len(names) for names in self.world.cloud.launches.values())
+        self._expect(launched <= int(most), f"{launched} machines were launched")
 
     def _expect_billed(self, least: str, most: str) -> None:
         held = len(self.world.cloud.machines)
         self._expect(int(least) <= held <= int(most), f"{held} machines are paid for")
 
     def _expect_deleted(self, machine: str) -> None:
-        self._expect(machine not in self.world.workers, f"{machine} is still there")
+        self._expect(machine not in self.world.workers, f"{machine} was not deleted")
 
     def _expect_machines(self, least: str, most: str) -> None:
         number = len(self.world.workers)
@@ -481,13 +473,13 @@
         self._expect(zones == set(expected.split(",")), f"{job_id} is in {zones}")
 
     def _expect_work(self, name: str, ratio: str, each: str) -> None:
-        """So many of one kind of call for each of another, at the most."""
+        """At most so many calls of one kind for each call of another."""
         count, of = self.world.work[name], self.world.work[each]
         self._expect(count <= float(ratio) * of, f"{count} {name} for {of} {each}")
 
     def _expect_relayed(self, least: str) -> None:
         share = self.world.work["relayed"] / max(1, self.world.work["reports"])
-        self._expect(share >= float(least), f"{share:.2f} of all reports were relayed")
+        self._expect(share >= float(least), f"{share:.2f} of all heartbeats were relayed")
 
     def _expect_lost_leases(self, most: str) -> None:
         lost = [worker.name for worker in self.world.workers.values() if worker.incarnation > 1]
@@ -526,7 +518,7 @@
 
 
 def variants(path: Path) -> list[tuple[str, str]]:
-    """The texts that a file stands for, with their names: one for each value of a word that it varies."""
+    """The texts of a scenario file, with their names: one for each value of its `each` line."""
     text = path.read_text()
     words = next((line.split() for line in text.splitlines() if line.startswith("each ")), None)
     if words is None:
@@ -536,7 +528,7 @@
 
 
 def play(text: str, seed: int) -> list[str]:
-    """Play a scenario; what went wrong, a line each."""
+    """Run a scenario; violated rules and failed expectations, a line each."""
     scenario = Scenario(text, seed)
     scenario.play()
     return scenario.world.violations + scenario.failures
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -49,12 +49,12 @@
     from world import World
 
 STEP_S = 0.05
-# How late a command is that the network holds back while others pass.
+# Delay of a command that the network holds back while others pass.
 COMMAND_DELAY_S = 40.0
 
 
 class SimStore(Store):
-    """The state client of a simulated node: calls are carried out at once, or refused."""
+    """The state client of a simulated node: calls are executed at once, or rejected."""
 
     def __init__(self, node: SimNode) -> None:
         self._node = node
@@ -86,7 +86,7 @@
     def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
         body = transaction_body(conditions, writes)
         state, world = self._state(), self._node.world
-        # Those of a transaction whose conditions fail count as well.
+        # Writes of a transaction whose conditions fail count as well.
         world.work["changes"] += len(writes)
         if world.delayed_commit_share and world.rng.random() < world.delayed_commit_share:
             world.after(world.rng.uniform(2.0, 12.0), lambda: world.commit_delayed(body))
@@ -105,7 +105,7 @@
 
 
 class SimLeaderTerm:
-    """One term of leading: the core's outbound port, with latencies, losses and late deliveries."""
+    """One leader term: the core's outbound port, with latencies, losses and late deliveries."""
 
     def __init__(self, node: SimNode, fencing_token: int, version: int, lease_id: int) -> None:
         self.node, self.world = node, node.world
@@ -118,9 +118,9 @@
         self._writer = FencedWriter(node.store, version)
         self._units: deque[tuple[dict[str, int], Sequence[Write], Callable[[bool], None]]] = deque()
         self._priorities: deque[CommitPriority] = deque()
-        # Writes of the last transfer that was about to be carried out.
+        # Writes of the last transfer whose commit was started.
         self._planned: Sequence[Write] | None = None
-        # When each other cell is asked next.
+        # When the next request to each other cell is due.
         self.next_request_at: dict[int, float] = {}
         self.controller = Controller(
             node.settings, node.options, self, fencing_token, lambda: world.now, lambda: world.now, world.rng
@@ -140,7 +140,7 @@
             lambda: world.now,
             world.rng,
         )
-        # The relays that are connected, and what is kept of each.
+        # State of each connected relay.
         self.relays: dict[str, ConnectedRelay] = {}
         response_timeout_s = heartbeat_response_timeout_s(node.settings.deployment.workers)
         self.batch_handler = BatchHandler(
@@ -155,7 +155,7 @@
         self.woken_at = world.now
 
     def _commit_next(self) -> None:
-        """One try of the first unit that waits, as the committer's thread does."""
+        """Try to commit the first queued unit, as the committer's thread does."""
         conditions, writes, done = self._units[0]
         is_transfer = any(isinstance(write, Put) and write.key.startswith(PEER) for write in writes)
         if is_transfer and self._planned is not writes:
@@ -204,7 +204,7 @@
         self.world.after(delay, run)
 
     def settle(self) -> None:
-        """As the decision thread does: when a scheduling cycle must wait, it wakes up for it."""
+        """Run a scheduling cycle, or schedule it for when it is due, as the decision thread does."""
         if not self.alive or not self.node.alive or self.node.frozen:
             return
         self.controller.run_scheduling_cycle()
@@ -224,7 +224,7 @@
         unit = (conditions, writes, on_committed)
         if not self._units:
             self._later(0.003, self._commit_next)
-        # Behind the one that is being tried, and those of its own rank.
+        # After the unit that is being committed, and those of its own priority.
         place = len(self._units)
         while place > 1 and self._priorities[place - 1] > priority:
             place -= 1
@@ -261,7 +261,7 @@
             self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
             return
         if faults & {"hang", "hold"}:
-            # The command waits in the network or in a hanging machine, and is carried out later.
+            # The command waits in the network or in a hanging machine, and is executed later.
             worker.held_commands.append(body)
             self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
             return
@@ -337,7 +337,7 @@
         ]
 
     def answer_heartbeat(self, heartbeat: Heartbeat, deadline: float) -> HeartbeatResponse | None:
-        """The answer to a heartbeat that a relay forwarded."""
+        """The response to a heartbeat that a relay forwarded."""
         now = self.world.now
         if not self.alive or now >= deadline or not self.authority.may_renew_leases(now, self.confirmed):
             return None
@@ -354,7 +354,7 @@
         return self.delegations.latest_renewal_at(self.world.now)
 
     def delegation(self) -> LeaseDelegation | None:
-        """What the other nodes may count on."""
+        """The grant under which other nodes may renew leases."""
         excluded = self.controller.excluded_machines()
         return (
             None
@@ -366,7 +366,7 @@
 
 
 class SimNode:
-    """A controller node: its election is that of `election`, told in a few lines."""
+    """A controller node, with a short form of the election in `cluster.election`."""
 
     def __init__(self, world: World, member: str) -> None:
         self.world, self.member = world, member
@@ -376,12 +376,12 @@
         self.alive = True
         self.lost_state = False
         self.lost_workers = False
-        # The same, and what workers send is dropped instead of refused.
+        # The same, but heartbeats are dropped instead of refused.
         self.drops_heartbeats = False
         self.lost_peers = False
-        # It stands still while its clocks run on.
+        # The process is paused while its clocks run on.
         self.frozen = False
-        # The version before knows of no relays.
+        # The previous version has no relays.
         self.relays = True
         self.commit_responses_to_lose = 0
         self.campaign_after = 0.0
@@ -390,12 +390,12 @@
         self.boot()
 
     def boot(self) -> None:
-        """A new process: nothing is remembered."""
+        """Start a new process, without any state in memory."""
         self.alive = True
         self.relay = SimRelay(self)
         self.store = SimStore(self)
         self.leader_term = None
-        # First revision that this process saw.
+        # First revision that this process read.
         self.first_revision = -1
         self.misdirected_workers: dict[str, tuple[float, MisdirectedWorker]] = {}
         self.delegated_renewal = DelegatedRenewals(
@@ -406,14 +406,14 @@
         self._leader_fencing_token = 0
         self.connectivity = Connectivity(self.member, self.times.heartbeat_interval_s, lambda: self.world.now)
         builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
-        # Each question is a shared read by itself: the view is what users are answered from.
+        # Each poll is a batch by itself, so that users are answered from the view.
         reads = BatchedJobReads(self.store, 0.0, 1.0, min_batch_size=1, clock=lambda: self.world.now)
         self.users = UserApi(
             self.settings, self.store, lambda: builds, self._count, lambda: self.world.now, reads
         )
 
     def downgrade(self) -> None:
-        """From its next process on it is the version before: no limits to come, and no relays."""
+        """From its next process on it runs as the previous version: no announced limits, and no relays."""
         self.relays = False
         deployment = msgspec.structs.replace(
             self.world.settings.deployment,
@@ -425,14 +425,14 @@
         return self.leader_term.controller.task_counts().get(job_id) if self.leader_term else None
 
     def crash(self, back_s: float) -> None:
-        """The process ends without a word."""
+        """The process crashes, and restarts after a delay."""
         self.step_down()
         self.alive = False
         self.relay.close()
         self.restart_at = self.world.now + back_s
 
     def step_down(self) -> None:
-        """The term is over."""
+        """End the leader term."""
         if self.leader_term is not None:
             self.leader_term.alive = False
             self.leader_term.relays.clear()
@@ -472,11 +472,11 @@
         return 200, answer.body()
 
     def relays_heartbeats(self) -> bool:
-        """Whether a heartbeat that comes now is relayed."""
+        """Whether a heartbeat that arrives now is relayed."""
         return self.leader_term is None and self.relay.is_open()
 
     def receive_heartbeat(self, body: Data, respond: Callable[[int, Data], None], wait_s: float) -> None:
-        """POST /hello: relayed to the leader, or answered within ``wait_s`` where its worker has left it."""
+        """POST /hello: relayed to the leader, or answered within ``wait_s`` if its worker left the leader."""
         if self.relays_heartbeats():
             self.relay.take(body, respond)
             return
@@ -487,14 +487,14 @@
             respond(status, answer)
 
     def _note_leader(self) -> int:
-        """The leader's token, as it is known from now on."""
+        """The leader's token; records since when it is known."""
         fencing_token = self.lowest_fencing_token()
         if fencing_token != self._leader_fencing_token:
             self._leader_fencing_token, self._leader_since = fencing_token, self.world.now
         return fencing_token
 
     def departure_wait_s(self, body: Data) -> float:
-        """How long a worker waits here that has left a leader which still leads."""
+        """How long this node holds a worker that has left a leader which still leads."""
         leader = self.world.leader()
         if self.relays_heartbeats() or leader in (None, self) or not self.reaches_state():
             return 0.0
@@ -525,7 +525,7 @@
         return not (world.state.down or self.lost_state or world.isolated_zone == self.zone)
 
     def step(self) -> None:
-        """What a node's duties do every so often."""
+        """The periodic work of a node."""
         world = self.world
         if self.frozen:
             return
@@ -576,7 +576,7 @@
         claimed = self.store.get(LEADER_KEY)
         if claimed is not None:
             if claimed.data["member"] == self.member:
-                # A claim of ours that had no answer, or of a process of ours before this one.
+                # A claim of this node that got no response, or one of its previous process.
                 world.state.end(claimed.data["permit"])
             return
         if self.connectivity.better_connected_peer() is not None:
@@ -612,7 +612,7 @@
         ]
 
     def _exchange_connectivity(self) -> None:
-        """Hear from the others whom they reach."""
+        """Record which nodes the reachable nodes reach."""
         for other in self._reachable_nodes():
             self.connectivity.record_response(other.member, other.connectivity.reachable_peers())
 
@@ -631,7 +631,7 @@
             other.report_cancellations(leader_term)
 
     def report_cancellations(self, leader: SimLeaderTerm) -> None:
-        """Tell a leader which cancellations were confirmed here, as peers' messages do."""
+        """Report the cancellations confirmed here to a leader, as peers' messages do."""
         self.users.cancellations.acknowledge(leader.authority.acted_on_revision)
         named, bound = self.users.cancellations.summarize(self.first_revision)
         for job_id, _ in named:
--- a/tests/sim_relay.py
+++ b/tests/sim_relay.py
@@ -23,7 +23,7 @@
 
 
 class SimRelay:
-    """One process's side of the connection to the leader, as `relay.link` keeps it."""
+    """A process's side of the connection to the leader, as `relay.link` maintains it."""
 
     def __init__(self, node: SimNode) -> None:
         self._node, self._world = node, node.world
@@ -40,11 +40,11 @@
         self._gathering = False
 
     def is_open(self) -> bool:
-        """Whether reports are relayed now."""
+        """Whether heartbeats are relayed now."""
         return self._term is not None or self._reconnection.is_open(self._world.now)
 
     def take(self, body: Data, respond: Respond) -> None:
-        """A worker's report: its answer comes once the leader has given it."""
+        """Queue a worker's heartbeat; its response is sent once the leader's has arrived."""
         heartbeat = parse_heartbeat(body)
 
         def relayed(answer: RelayedResponse | None) -> None:
@@ -63,17 +63,17 @@
         self._gather()
 
     def _unanswered(self, body: Data) -> tuple[int, Data]:
-        """As `relay.forwarding` answers what the leader did not."""
+        """As `relay.forwarding` answers heartbeats that the leader did not."""
         status, answer = self._node.handle_heartbeat(body)
         regaining = self._term is None and self._reconnection.is_open(self._world.now)
         return (503, {}) if status == 421 and regaining else (status, answer)
 
     def close(self) -> None:
-        """The process is gone, and its connection with it."""
+        """The process ended, and its connection with it."""
         self._disconnect()
 
     def step(self) -> None:
-        """Connect, notice what is gone, and give up what waited too long."""
+        """Connect, detect lost connections, and expire heartbeats that waited too long."""
         now = self._world.now
         if self._term is not None and not self._is_sound(self._term):
             self._lost()
@@ -94,8 +94,6 @@
         if self._queue.unsent:
             self._gather()
 
-    # -- the connection ----------------------------------------------------------------------------
-
     def _reaches(self, other: SimNode) -> bool:
         cut = (
             self._node.lost_peers
@@ -105,7 +103,7 @@
         return other.alive and not cut
 
     def _is_sound(self, term: SimLeaderTerm) -> bool:
-        # A cut is noticed only by what stays unanswered; an end closes the connection.
+        # A cut link is detected only by missing responses; a crash or the end of a term closes it.
         return term.alive and term.node.alive and self._state is not None and self._state.alive
 
     def _connect(self) -> None:
@@ -138,8 +136,6 @@
             del term.relays[self._node.member]
             term.assignment.relay_disconnected(self._node.member)
 
-    # -- batches -----------------------------------------------------------------------------------
-
     def _gather(self) -> None:
         if not self._gathering:
             self._gathering = True
@@ -170,7 +166,7 @@
             if state is None or not state.alive or not term.alive:
                 return
             if term.node.frozen or not self._reaches(term.node):
-                # Held back in the network, or by a process that stands still.
+                # Held back in the network, or by a frozen process.
                 self._world.after(0.1, arrive)
                 return
             answers = term.batch_handler.handle(state, batch, self._world.now)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""Several cells that divide a team's limit, with leaders, stores and links that fail, in virtual time."""
+"""Several cells that divide a team's limit, with failing leaders, stores and links, in virtual time."""
 
 from __future__ import annotations
 
@@ -39,18 +39,15 @@
     assert play(text, seed) == []
 
 
-# -- guards, each taken out ----------------------------------------------------------------------------
+def _ignore_allocation(self: Quotas, team: str, quota: TeamQuota) -> None:
+    """Starts use the whole limit, regardless of the allocation."""
 
 
-def _settings_alone(self: Quotas, team: str, quota: TeamQuota) -> None:
-    """Starts go by the whole limit, whatever the allocation is."""
-
-
-def _nothing_kept(self: ResourceDemand, pending: int, is_stalled: bool) -> int:
+def _retain_nothing(self: ResourceDemand, pending: int, is_stalled: bool) -> int:
     return 0
 
 
-def _no_unknown_use(self: Fleet, unreconciled: object) -> Resources:
+def _no_unaccounted_resources(self: Fleet, unreconciled: object) -> Resources:
     return NO_RESOURCES
 
 
@@ -62,15 +59,15 @@
     return True
 
 
-def _unreconciled(self: AllocationLedger, peer: str, incarnation: str, applied: int) -> None:
-    """What another cell has applied is not taken note of."""
+def _no_acknowledgement(self: AllocationLedger, peer: str, incarnation: str, applied: int) -> None:
+    """Transfers that another cell has applied are not acknowledged."""
 
 
-def _any_peer(self: AllocationLedger, peer: str, incarnation: str) -> None:
-    """Another cell's records are taken for those of before, whatever they are."""
+def _accept_any_peer(self: AllocationLedger, peer: str, incarnation: str) -> None:
+    """Another cell's records count as unchanged, whatever they are."""
 
 
-def _nothing_of_late(self: RecentPeak, value: int, now: float, window_s: float) -> int:
+def _no_recent_peak(self: RecentPeak, value: int, now: float, window_s: float) -> int:
     return 0
 
 
@@ -78,16 +75,16 @@
     return None
 
 
-def _without_lead(writer: FencedWriter, conditions: dict[str, int], writes: Sequence[Write]) -> None:
+def _commit_unfenced(writer: FencedWriter, conditions: dict[str, int], writes: Sequence[Write]) -> None:
     own = {key: stamp for key, stamp in conditions.items() if key != LEADER_KEY}
     writer._store.commit(own, writes)
 
 
-def _all_that_waits_kept(self: ResourceDemand, pending: int, is_stalled: bool) -> int:
+def _retain_all_pending(self: ResourceDemand, pending: int, is_stalled: bool) -> int:
     return max(self.may_run + self.pending, self.peak)
 
 
-def _all_of_it(self: ResourceAllocation, reserved: ResourceAllocation) -> ResourceAmount:
+def _ignore_reserve(self: ResourceAllocation, reserved: ResourceAllocation) -> ResourceAmount:
     return ResourceAmount(self.guaranteed, self.borrowable or 0)
 
 
@@ -95,27 +92,27 @@
     return self._shortest_s
 
 
-# Guard that is taken out -> scenario that must then break a rule or miss what it expects.
+# Scenario that must fail, and the guard that is replaced.
 GUARDS = [
-    Guard("limit_reached_concurrently", Quotas, "set", _settings_alone),
-    Guard("cancelled_task_counts_until_stopped", ResourceDemand, "retained", _nothing_kept),
-    Guard("unreconciled_machine_counts", Fleet, "unaccounted_resources", _no_unknown_use),
+    Guard("limit_reached_concurrently", Quotas, "set", _ignore_allocation),
+    Guard("cancelled_task_counts_until_stopped", ResourceDemand, "retained", _retain_nothing),
+    Guard("unreconciled_machine_counts", Fleet, "unaccounted_resources", _no_unaccounted_resources),
     Guard("two_gangs_with_half_the_limit_each", DemandMonitor, "_is_stalled", _never),
     Guard("missing_cells_file", CellQuotaService, "_check_use", _unchecked),
     Guard("delayed_commits_and_messages", AllocationLedger, "_is_next_in_sequence", always_next),
     Guard("leader_crash_in_transfer", AllocationLedger, "_commit_credits", credit_before_durable),
-    Guard("leader_frozen_in_transfer", FencedWriter, "commit", _without_lead),
+    Guard("leader_frozen_in_transfer", FencedWriter, "commit", _commit_unfenced),
     Guard("two_leaders", AllocationLedger, "transfer_in_transit_to", send_before_durable),
     Guard("state_outage_in_transfer", AllocationLedger, "_commit_credits", credit_before_durable),
-    Guard("one_way_link_cut", AllocationLedger, "acknowledge", _unreconciled),
-    Guard("idle_allocation_moves", AllocationLedger, "acknowledge", _unreconciled),
+    Guard("one_way_link_cut", AllocationLedger, "acknowledge", _no_acknowledgement),
+    Guard("idle_allocation_moves", AllocationLedger, "acknowledge", _no_acknowledgement),
     Guard("gang_above_allocation", GangScheduler, "_within_limit", _always),
-    Guard("steady_and_alternating_load", RecentPeak, "note", _nothing_of_late),
+    Guard("steady_and_alternating_load", RecentPeak, "note", _no_recent_peak),
     Guard("steady_and_alternating_load", RetentionTimes, "seconds", _shortest_retention),
-    Guard("pending_work_without_capacity", ResourceDemand, "retained", _all_that_waits_kept),
-    Guard("reserve_while_disconnected", ResourceAllocation, "excess_over", _all_of_it),
+    Guard("pending_work_without_capacity", ResourceDemand, "retained", _retain_all_pending),
+    Guard("reserve_while_disconnected", ResourceAllocation, "excess_over", _ignore_reserve),
     Guard("wrong_cell", MessageChecks, "is_wrong_cell", _never),
-    Guard("lost_quota_records", AllocationLedger, "check_peer", _any_peer),
+    Guard("lost_quota_records", AllocationLedger, "check_peer", _accept_any_peer),
 ]
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""Takes guards out one by one: each time a scenario must break a rule or miss what it expects."""
+"""Replaces guards one by one: each time a scenario must violate a rule or an expectation."""
 
 from __future__ import annotations
 
@@ -45,23 +45,23 @@
     return None
 
 
-def _long_ago(*_: object) -> float:
+def _never_renewed(*_: object) -> float:
     return float("-inf")
 
 
-def _nobody(*_: object) -> list[str]:
+def _no_machines(*_: object) -> list[str]:
     return []
 
 
-def _all_of_them(self: MachineMonitor, now: float) -> int:
+def _count_all_misdirected(self: MachineMonitor, now: float) -> int:
     return max(map(len, self._ctx.outbound.misdirected_workers()), default=0)
 
 
-def _plenty(*_: object) -> int:
+def _unlimited_moves(*_: object) -> int:
     return 99
 
 
-def _no_time(*_: object) -> float:
+def _zero_seconds(*_: object) -> float:
     return 0.0
 
 
@@ -69,77 +69,77 @@
     return set()
 
 
-def _no_room(*_: object) -> tuple[float, float, float]:
+def _no_resources(*_: object) -> tuple[float, float, float]:
     return NO_RESOURCES
 
 
-def _told_nothing(*_: object) -> tuple[list[object], int]:
+def _empty_summary(*_: object) -> tuple[list[object], int]:
     return [], 0
 
 
-def _learned_all(self: Authority, member: str, asked: float, bound: int) -> None:
-    """Whatever a controller told, it is taken for known."""
+def _treat_as_complete(self: Authority, member: str, asked: float, bound: int) -> None:
+    """Every response of a controller counts as complete."""
     self._peer_watermarks[member] = asked
 
 
-def _count_nothing(self: Launches, name: str, data: object) -> None:
-    """Hires of earlier leaders are forgotten."""
+def _ignore_launch(self: Launches, name: str, data: object) -> None:
+    """Launches of earlier leaders are ignored."""
 
 
-def _unlike(*_: object) -> object:
-    """No scheduling key equals another: a cycle remembers nothing."""
+def _unique_key(*_: object) -> object:
+    """No scheduling key equals another: a cycle caches nothing."""
     return object()
 
 
-def _complete_one(self: Job, index: int) -> bool:
-    """One task that is done completes that task alone."""
+def _complete_task_alone(self: Job, index: int) -> bool:
+    """A completed task does not complete the rest of its gang."""
     news = self.states[index] != TASK_DONE
     self.states[index] = TASK_DONE
     self.done += news
     return news
 
 
-def _only_from_the_beginning(self: Gangs, job: Job) -> bool:
+def _only_waiting_for_capacity(self: Gangs, job: Job) -> bool:
     return self.state_of(job) is GangState.WAITING_FOR_CAPACITY
 
 
-def _kill(self: Gangs, job: Job, now: float, grace_s: float | None = None) -> None:
-    """Gangs are stopped without the time to save."""
+def _stop_without_grace(self: Gangs, job: Job, now: float, grace_s: float | None = None) -> None:
+    """Gangs are stopped without time to save."""
     for attempt in list(job.active.values()):
         self._stop_task(attempt, 0.0, now)
 
 
-def _one_by_one(
+def _start_one_by_one(
     self: GangPlacement, job: Job, machines: list[Machine], reserved: dict[str, Resources]
 ) -> list[Machine] | None:
-    """Tasks of a gang start as soon as there is room for one."""
+    """Tasks of a gang start as soon as there is capacity for one."""
     return next(([machine] for machine in machines if max_copies(job.task_resources, machine.free, 1)), None)
 
 
-# Guard that is taken out -> scenario that must then break a rule or miss what it expects.
+# Scenario that must fail, and the guard that is replaced.
 GUARDS = [
     Guard("delayed_start_after_cancel", DirectCommands, "raise_fencing_token", _always),
     Guard("delayed_start_after_leader_change", AttemptReconciler, "_absence_proves_termination", _always),
     Guard("limit_counts_unreachable_machines", Quotas, "allows", _always),
     Guard("isolated_leader", Authority, "may_renew_leases", _always),
-    Guard("launch_response_lost", Launches, "load", _count_nothing),
+    Guard("launch_response_lost", Launches, "load", _ignore_launch),
     Guard("completions_durable_before_forgotten", HeartbeatCommands, "_may_forget_exit", _always),
-    Guard("large_fleet", CycleState, "scheduling_key", _unlike),
+    Guard("large_fleet", CycleState, "scheduling_key", _unique_key),
     Guard("isolated_zone", DelegatedRenewals, "renewal_fencing_token", _never),
-    Guard("zone_isolated_past_delegation", DelegationTracker, "latest_renewal_at", _long_ago),
-    Guard("cancelled_before_zone_isolation", Controller, "excluded_machines", _nobody),
-    Guard("limit_counts_cancelled_job", Fleet, "unaccounted_resources", _no_room),
-    Guard("silent_machines_and_duplicates", MachineMonitor, "_count_turned_away", _all_of_them),
+    Guard("zone_isolated_past_delegation", DelegationTracker, "latest_renewal_at", _never_renewed),
+    Guard("cancelled_before_zone_isolation", Controller, "excluded_machines", _no_machines),
+    Guard("limit_counts_cancelled_job", Fleet, "unaccounted_resources", _no_resources),
+    Guard("silent_machines_and_duplicates", MachineMonitor, "_count_turned_away", _count_all_misdirected),
     Guard("inbound_messages_lost", AttemptReconciler, "_ignores_responses", _never),
-    Guard("cancellations_before_state_outage", Cancellations, "summarize", _told_nothing),
+    Guard("cancellations_before_state_outage", Cancellations, "summarize", _empty_summary),
     Guard("cancellations_before_state_outage", Authority, "observe_peer", _never),
-    Guard("cancellations_forgotten_before_state_outage", Authority, "observe_peer", _learned_all),
-    Guard("gangs_compete", GangPlacement, "choose", _one_by_one),
-    Guard("gang_task_lost_before_start", Gangs, "may_start", _only_from_the_beginning),
+    Guard("cancellations_forgotten_before_state_outage", Authority, "observe_peer", _treat_as_complete),
+    Guard("gangs_compete", GangPlacement, "choose", _start_one_by_one),
+    Guard("gang_task_lost_before_start", Gangs, "may_start", _only_waiting_for_capacity),
     Guard("gang_task_lost_while_running", Gangs, "_fail", _never),
     Guard("gang_releases_capacity", Gangs, "abandon", _never),
     Guard("gang_avoids_slow_machine", Gangs, "_avoid_late_machines", _never),
-    Guard("gang_reclaimed", Gangs, "stop", _kill),
+    Guard("gang_reclaimed", Gangs, "stop", _stop_without_grace),
     Guard("gang_preempts", GangPlacement, "preempt_for", _never),
     Guard("gang_preempted", TaskStarter, "_await_gangs", _never),
     Guard("gang_not_starved", GangScheduler, "_reserve_for", _never),
@@ -147,10 +147,10 @@
     Guard("gang_partly_started", Gangs, "adopt", _never),
     Guard("gang_partly_reconciled", LeaseExpiry, "all_reconciled", _always),
     Guard("gang_short_notice", MachineLifecycle, "_drain_gang", _never),
-    Guard("gang_leader_crash_in_stop", Gangs, "stop", _kill),
+    Guard("gang_leader_crash_in_stop", Gangs, "stop", _stop_without_grace),
     Guard("gang_cancelled_without_faults", JobLifecycle, "handle_finalized", _never),
     Guard("gang_machine_hangs", Gangs, "task_terminated", _never),
-    Guard("gang_completed_by_one_heartbeat", Job, "complete", _complete_one),
+    Guard("gang_completed_by_one_heartbeat", Job, "complete", _complete_task_alone),
     Guard("gang_unconfirmed_start", DirectCommands, "raise_fencing_token", _always),
     Guard("zone_partition", Connectivity, "better_connected_peer", _never),
     Guard("machine_hangs_at_leader_change", MachineMonitor, "_is_quiet", _always),
@@ -158,93 +158,93 @@
     Guard("isolated_zone_keeps_machines", FleetSurvey, "silent_zones", _no_zones),
     Guard("isolated_zone_keeps_machines", MachineMonitor, "_block_launches_in", _never),
     Guard("relocation_frees_image_holder", Relocation, "relocate_for", _never),
-    Guard("relocation_one_at_a_time", Relocation, "_moves_left", _plenty),
+    Guard("relocation_one_at_a_time", Relocation, "_moves_left", _unlimited_moves),
     Guard("relocation_spares_equal_priority", Relocation, "_may_move_to", _always),
 ]
 
 
-def _two_errors(self: Failures, machine: Machine) -> bool:
-    """Any two jobs that fail on a machine are enough."""
+def _any_two_errors(self: Failures, machine: Machine) -> bool:
+    """Any two jobs that fail on a machine put it at fault."""
     return len(machine.errors) > 1
 
 
-def _guests_alone(self: Quotas, team: str, cpus: float, gpus: float) -> bool:
+def _only_team_without_guarantee(self: Quotas, team: str, cpus: float, gpus: float) -> bool:
     return team == "gamma"
 
 
-def _all_at_once(self: Job, most: int) -> int:
+def _start_all(self: Job, most: int) -> int:
     return most
 
 
-# Jobs with a mistake, machines at fault, and guests.
+# Jobs that always fail, machines at fault, and teams without a guarantee.
 GUARDS += [
-    Guard("failing_jobs_on_one_machine", Failures, "machine_at_fault", _two_errors),
-    Guard("large_array_that_always_fails", Job, "startable", _all_at_once),
+    Guard("failing_jobs_on_one_machine", Failures, "machine_at_fault", _any_two_errors),
+    Guard("large_array_that_always_fails", Job, "startable", _start_all),
     Guard("large_array_that_always_fails", Failures, "load", _never),
     Guard("gang_that_always_fails", Failures, "_fails_everywhere", _never),
     Guard("faulty_machine_among_failing_jobs", Failures, "machine_at_fault", _never),
     Guard("healthy_job_on_faulty_machine", Failures, "_mark_sound", _never),
-    Guard("team_without_guarantee", Quotas, "within_guarantee", _guests_alone),
+    Guard("team_without_guarantee", Quotas, "within_guarantee", _only_team_without_guarantee),
 ]
 
 
-def _overdue_alone(self: BootTracker, machine: Machine, oldest: dict[str, float], now: float) -> bool:
-    """Each machine is late by itself, whatever others do."""
+def _is_overdue_alone(self: BootTracker, machine: Machine, oldest: dict[str, float], now: float) -> bool:
+    """Each machine is overdue by its own boot time, regardless of others."""
     return now - machine.known_since > 1.5 * machine.machine_type.boot_s
 
 
-def _behind_a_change_too(
+def _hold_also_after_change(
     self: RedirectBackoff, heartbeat: Heartbeat, leader_fencing_token: int, led_s: float, now: float
 ) -> float:
-    """Workers wait wherever they have the leader's token, though they may be on their way to it."""
+    """Workers with the leader's token are held, though they may be on their way to a new leader."""
     return self._wait_s if heartbeat.fencing_token >= leader_fencing_token else 0.0
 
 
-def _at_one_moment(self: MachineMonitor, survey: FleetSurvey, now: float) -> bool:
-    """One look is enough to tell that the workers have turned away."""
+def _decide_by_one_check(self: MachineMonitor, survey: FleetSurvey, now: float) -> bool:
+    """A single check is enough to conclude that the workers have turned away."""
     silent = len(survey.silent)
     return silent * 2 >= survey.up and silent > 1 and self._count_turned_away(now) > 2 * survey.responsive
 
 
-def _again_and_again(
+def _hold_each_time(
     self: RedirectBackoff, heartbeat: Heartbeat, leader_fencing_token: int, led_s: float, now: float
 ) -> float:
-    """Workers wait each time that they come."""
+    """Workers are held at each heartbeat."""
     return (
         self._wait_s if heartbeat.fencing_token >= leader_fencing_token and led_s > self._discovery_s else 0.0
     )
 
 
-def _given_up_alone(self: BootTracker, machine: Machine, give_up_s: float, now: float) -> bool:
-    """Each machine is given up by itself, whatever others do."""
+def _is_given_up_alone(self: BootTracker, machine: Machine, give_up_s: float, now: float) -> bool:
+    """Each machine is given up by its own boot time, regardless of others."""
     return now - machine.known_since > give_up_s
 
 
 GUARDS += [
-    Guard("slow_boots", BootTracker, "_is_overdue", _overdue_alone),
-    Guard("slow_boots", BootTracker, "is_given_up", _given_up_alone),
+    Guard("slow_boots", BootTracker, "_is_overdue", _is_overdue_alone),
+    Guard("slow_boots", BootTracker, "is_given_up", _is_given_up_alone),
     Guard("boots_never_complete", BootTracker, "_is_overdue", _never),
     Guard("boots_never_complete", BootTracker, "is_given_up", _never),
 ]
 
-# Controllers that stand still, and a huge array.
+# Frozen controllers, and a huge array.
 GUARDS += [
-    Guard("leader_freezes_in_launch", Launches, "load", _count_nothing),
+    Guard("leader_freezes_in_launch", Launches, "load", _ignore_launch),
     Guard("huge_array", Completions, "load", _never),
 ]
 
-# Workers that a leader's cut sends to other controllers.
+# Workers that turn to other controllers when the leader is unreachable.
 GUARDS += [
-    Guard("leader_drops_heartbeats", RedirectBackoff, "wait_s", _no_time),
-    Guard("machine_hangs_at_leader_change", RedirectBackoff, "wait_s", _behind_a_change_too),
-    Guard("zone_partition_of_two", RedirectBackoff, "wait_s", _again_and_again),
-    Guard("silent_machines_and_duplicates", MachineMonitor, "_workers_turned_away", _at_one_moment),
+    Guard("leader_drops_heartbeats", RedirectBackoff, "wait_s", _zero_seconds),
+    Guard("machine_hangs_at_leader_change", RedirectBackoff, "wait_s", _hold_also_after_change),
+    Guard("zone_partition_of_two", RedirectBackoff, "wait_s", _hold_each_time),
+    Guard("silent_machines_and_duplicates", MachineMonitor, "_workers_turned_away", _decide_by_one_check),
 ]
 
 # The same for relays.
 GUARDS += [
     Guard("relay_duplicate_and_delayed_batches", AttemptReconciler, "_is_newer", _always),
-    Guard("relay_cut_while_cancelled", Controller, "excluded_machines", _nobody),
+    Guard("relay_cut_while_cancelled", Controller, "excluded_machines", _no_machines),
     Guard("relay_gang", LeaseExpiry, "all_reconciled", _always),
 ]
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Runs every scenario in scenarios/, and days that are drawn from a seed."""
+"""Runs every scenario in scenarios/, and random scenarios."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 SCENARIOS = sorted(FOLDER.glob("*.txt"))
 
-# Large worlds are played once: they take longer than all the others together.
-# What once hung on a second is played with more seeds.
+# Large deployments run once: they take longer than all the others together.
+# A scenario whose result depends on a second more or less runs with more seeds.
 _SEEDS: dict[str, Sequence[int]] = {
     "thousand_machines": (1,),
     "four_thousand_machines": (1,),
@@ -32,14 +32,14 @@
 
 
 def _relayed(text: str) -> str:
-    """The same world with relays, whatever its size."""
+    """The same scenario with relays, whatever its size."""
     lines = text.splitlines()
     if not any(line.startswith("world ") for line in lines):
         lines.insert(0, "world")
     return "\n".join(f"{line} relays=forced" if line.split()[:1] == ["world"] else line for line in lines)
 
 
-# Without the largest one, for its time alone.
+# The largest one would take too long.
 _WITHOUT_RELAYS = ("four_thousand_machines",)
 RELAYED = [
     pytest.param(text, id=name)
@@ -54,10 +54,10 @@
     assert play(_relayed(text), 1) == []
 
 
-# Days of overlapping troubles; `python tests/mix.py FIRST DAYS` plays more. Without the bound on a blind
-# leader's answers, or without the names of cancellations, some of these break a rule.
+# Overlapping faults; `python tests/mix.py FIRST COUNT` runs more. Some of these violate a rule without the
+# bound on the responses of a leader that has lost the state service, or without named cancellations.
 RANDOM_SEEDS = (1, 2, 16, 31, 40, 54, 77, 90)
-# The same in three zones with a controller each, with partitions between two of them.
+# The same in three zones with a controller each, with partitions of two of them.
 THREE_ZONE_SEEDS = (1, 2, 3, 4)
 
 
--- a/tests/wire_kinds.py
+++ b/tests/wire_kinds.py
@@ -1,4 +1,4 @@
-"""The types of everything that is stored or sent, by what it is called there.
+"""The types of everything that is stored or sent, by its outer name.
 
 This is the only place where `test_wire_forms.py` names types of the program. `sample` fills a type with
 values from its fields' types alone, in the form in which it is stored or sent.
@@ -56,7 +56,7 @@
     TaskState,
 )
 
-# Maps: values of the state service, bodies of the outside protocols, files that are read, and JSON output.
+# Maps: values of the state service, bodies of the external protocols, files that are read, and JSON output.
 MAPS: dict[str, Any] = {
     "ph/a/JOB, spec": Submission,
     "ph/b": FencingTokenRecord,
@@ -158,7 +158,7 @@
 
 
 def _item_types(kind: Any) -> list[Any] | None:
-    """The types of a list's sample; None: it is none."""
+    """The item types of a list's sample; None if the type is no list."""
     if isinstance(kind, inspect.ListType | inspect.VarTupleType | inspect.CollectionType):
         return [kind.item_type] * 2
     if isinstance(kind, inspect.NamedTupleType):
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,6 +1,6 @@
-"""A simulated deployment in virtual time: the real decision core and users' edge on stand-ins.
+"""A simulated deployment in virtual time: the real decision core and user API on simulated services.
 
-It checks PROTOCOL's rules all along; what breaks one is added to ``World.violations``.
+It checks PROTOCOL's rules throughout and adds each violation to ``World.violations``.
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
 from poppyhold.wire.http_server import HttpResponse, http_response
 from sim_node import STEP_S, SimNode
 
-# Users ask once in so many steps.
+# Users poll once in so many steps.
 _POLL_TICKS, _POLL_PHASE = 40, 7
-# A worker is_pending so long for an answer.
+# A worker waits so long for a response.
 _RESPONSE_TIMEOUT_S = 4.0
 
 
@@ -44,7 +44,7 @@
 
 
 class InFlight(NamedTuple):
-    """A report whose answer its worker is_pending for."""
+    """A heartbeat whose worker waits for the response."""
 
     node: SimNode
     sent_at: float
@@ -52,18 +52,18 @@
 
 
 class SimWorker(WorkerStandIn):
-    """A worker with its report loop."""
+    """A worker with its heartbeat loop."""
 
     held_commands: list[Data]
     node = 0
     next_heartbeat = 0.0
     busy_until = 0.0
-    # A report that is being relayed; what is answered at once is never seen here.
+    # A heartbeat that is being relayed, or that waits for the next leader; None if it was answered at once.
     in_flight: InFlight | None = None
 
 
 class World:
-    """Everything, with one clock and one source of chance."""
+    """All controllers, services, workers and users, with one clock and one random generator."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
         options: Options = _DEFAULTS,
     ) -> None:
         self.options = options
-        # Whether controllers relay reports; batches that come twice, and what they take beyond the usual.
+        # Whether controllers relay heartbeats; whether batches arrive twice, and their additional delay.
         self.relays, self.relays_from = relays, 8.0
         self.duplicates_batches, self.batch_delay_s = False, 0.0
         self.zones = zones or ZONES
@@ -123,15 +123,15 @@
             self._completed,
         )
         self.launch_responses_to_lose = 0
-        # How many times as often users ask; 0: as usual.
+        # How many times as often users poll; 0: as usual.
         self.poll_factor = 0
-        # What boots that begin now take, as a multiple of the usual; 0: the usual.
+        # Duration of boots that begin now, as a multiple of the usual one; 0: the usual one.
         self.boot_factor = 0.0
-        # Shares of transactions that get no answer: those carried out at once, and those carried out late.
+        # Shares of transactions that get no response: those applied at once, and those applied late.
         self.dropped_response_share = self.delayed_commit_share = 0.0
-        # What messages between controllers and workers take beyond the usual, each way.
+        # Additional delay of messages between controllers and workers, each way.
         self.link_delay_s = 0.0
-        # A zone that is cut off from everything.
+        # A zone that is isolated from everything.
         self.isolated_zone: str | None = None
         # Two zones that can't reach each other.
         self.partitioned_zones: set[str] = set()
@@ -141,43 +141,41 @@
         self.finished: set[str] = set()
         self.starts: dict[str, int] = {}
         self.violations: list[str] = []
-        # When all troubles were over; from then on the rules for jobs that are left alone hold as well.
+        # When all faults had ended; from then on the rules for liveness hold as well.
         self.liveness_checked_from = float("inf")
         self.answered_at: dict[str, float] = {}
         self.pending_since: dict[str, float] = {}
-        # Calls of the leaders' dearer steps, by name.
+        # Calls of the leaders' more expensive steps, by name.
         self.work: Counter[str] = Counter()
-        # Hears of each step of a transfer of shares: who carries it out, and how far it is.
+        # Called at each step of a quota transfer, with the node that commits it and the stage.
         self.on_transfer_step: Callable[[SimNode, str], None] = lambda node, stage: None
         self.nodes = [SimNode(self, member) for member in self.members]
-        # Share of reports of which a copy comes again; and whether copies are kept for the next leader.
+        # Share of heartbeats that are duplicated; whether duplicates are held for the next leader.
         self.duplicated_heartbeat_share = 0.0
         self.duplicates_to_next_leader = False
         self._held_duplicates: list[Data] = []
-        # What users do beside their work: see `do_close_looks` and `do_odd_requests` of the scenarios.
+        # Additional requests of users: see `do_poll_all_nodes` and `do_invalid_requests` of the scenarios.
         self.polls_all_nodes = self.sends_invalid_requests = False
         self.cancelled_on_completion_share = 0.0
 
     def is_partitioned(self, one: str, other: str) -> bool:
-        """Whether a cut or a partition lies between two zones."""
+        """Whether an isolation or a partition separates two zones."""
         return one != other and (self.isolated_zone in (one, other) or self.partitioned_zones == {one, other})
 
     def commit_delayed(self, body: Data) -> None:
-        """A transaction whose caller has given it up reaches the state service."""
+        """A transaction whose caller has timed out reaches the state service."""
         if self.state.down:
             self.after(1.0, lambda: self.commit_delayed(body))
         else:
             self.state.commit(body)
 
-    # -- time --------------------------------------------------------------------------------------
-
     def after(self, delay: float, work: Callable[[], None]) -> None:
-        """Do something later."""
+        """Schedule a call after a delay."""
         self._count += 1
         heapq.heappush(self._heap, (self.now + delay, self._count, work))
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Advance the clock to a time."""
         while self.now < until:
             target = min(until, self.now + STEP_S)
             while self._heap and self._heap[0][0] <= target:
@@ -208,10 +206,8 @@
         if tick % poll_ticks == _POLL_PHASE % poll_ticks:
             self._poll()
 
-    # -- machines ----------------------------------------------------------------------------------
-
     def add_worker(self, name: str) -> SimWorker:
-        """A machine is up: its worker begins."""
+        """A machine is up: start its worker."""
         machine = self.cloud.machines[name]
         machine["status"] = "running"
         build = next(b for b in self.cloud.machine_types if b["name"] == machine["build"])
@@ -246,7 +242,7 @@
                 self.add_worker(name)
 
     def end_worker(self, name: str) -> None:
-        """A machine is gone with all that is on it."""
+        """A machine is lost, with all its tasks."""
         worker = self.workers.pop(name, None)
         if worker is not None:
             worker.gone = True
@@ -265,7 +261,7 @@
             and self.isolated_zone is None
             and not self.partitioned_zones
         ):
-            # What was held back comes in order once the way is free, whoever still is_pending for it.
+            # Held commands arrive in order once the link is free, though their senders may have timed out.
             held, worker.held_commands = worker.held_commands, []
             for body in held:
                 worker.do(body)
@@ -275,7 +271,7 @@
             self._heartbeat(worker, faults)
 
     def _response_settled(self, worker: SimWorker) -> bool:
-        """A report that is relayed has no answer yet; False while its worker goes on waiting for it."""
+        """Time out a heartbeat in flight; False while its worker still waits for the response."""
         flight = worker.in_flight
         assert flight is not None
         if flight.node.alive and self.now - flight.sent_at < _RESPONSE_TIMEOUT_S:
@@ -298,7 +294,7 @@
             return
 
         if node.frozen or node.drops_heartbeats or self.is_partitioned(node.zone, worker.zone):
-            # No answer for four seconds, and a second to the next.
+            # No response for four seconds, and a second until the next heartbeat.
             worker.node = (worker.node + 1) % 3
             worker.busy_until = self.now + 5.0
             return
@@ -328,9 +324,9 @@
     def _answered(
         self, worker: SimWorker, faults: set[str], flight: InFlight, status: int, answer: Data
     ) -> None:
-        """An answer to a report leaves its node."""
+        """A node sends the response to a heartbeat."""
         if worker.in_flight is not None and worker.in_flight is not flight:
-            # The worker gave this report up, and sent another one.
+            # The worker timed out on this heartbeat, and sent another one.
             return
         node, relayed = flight.node, worker.in_flight is not None
         worker.in_flight = None
@@ -349,7 +345,7 @@
             worker.node = self.members.index(member) if member else (worker.node + 1) % 3
 
     def leader_elected(self, node: SimNode) -> None:
-        """Copies that were kept for it reach every node, the newest of each machine first."""
+        """Held duplicates reach every node, the newest of each machine first."""
         held, self._held_duplicates = self._held_duplicates, []
 
         def arrive() -> None:
@@ -361,15 +357,13 @@
         self.after(0.01, arrive)
 
     def _deliver_duplicate(self, body: Data) -> None:
-        """A late copy of a report reaches some node; whatever it answers reaches nobody."""
+        """A late duplicate of a heartbeat reaches some node; its response is dropped."""
         node = self.rng.choice(self.nodes)
         if node.alive:
             node.handle_heartbeat(body)
 
-    # -- users -------------------------------------------------------------------------------------
-
     def leader(self) -> SimNode | None:
-        """The node that the leader's key names, if it runs."""
+        """The node that the leader key names, if it runs."""
         held = self.state.keys.get(LEADER_KEY)
         for node in self.nodes:
             if held is not None and node.member == held[0]["member"] and node.alive:
@@ -377,7 +371,7 @@
         return None
 
     def submit(self, job: Data) -> HttpResponse:
-        """A user submits, and tries again until the answer is final."""
+        """A user submits, and retries until the response is final."""
         self.jobs[job["nameId"]] = job
         result = self._any_node(lambda node: node.users.submit(encode(wire(job))))
         if result is None or result[0] in (429, 503):
@@ -393,7 +387,7 @@
         self.submit(job)
 
     def cancel(self, job_id: str, nodes: list[SimNode] | None = None) -> None:
-        """A user cancels, at some node or at one of these, and tries again until the answer is final."""
+        """A user cancels, at any node or at one of these, and retries until the response is final."""
         result = self._any_node(lambda node: node.users.abort(job_id), nodes)
         if result is None or result[0] != 200:
             self.after(1.0, lambda: self.cancel(job_id, nodes))
@@ -413,7 +407,7 @@
         return ask(self.rng.choice(alive)) if alive else None
 
     def _poll_all_nodes(self, job_id: str) -> None:
-        """Users ask at all nodes at once, and repeat the submission: none may answer something older."""
+        """Users poll all nodes at once, and repeat the submission: none may return an older status."""
         if not self.polls_all_nodes:
             return
         for node in self.nodes:
@@ -430,7 +424,7 @@
                     self._observe_status(job_id, answer[1]["status"])
 
     def send_invalid_requests(self) -> None:
-        """Users repeat submissions, cancel what is done, and send what can't be taken."""
+        """Users repeat submissions, cancel completed jobs, and send invalid requests."""
         job_id = self.rng.choice(sorted(self.observed_status)) if self.observed_status else None
         for node in self.nodes:
             if not node.alive or node.frozen or node.zone == self.isolated_zone:
@@ -453,7 +447,7 @@
     def _expect_status(self, answer: HttpResponse, allowed_statuses: tuple[int, ...], what: str) -> None:
         if answer[0] in (429, 503):
             if "Retry-After" not in answer[2]:
-                self.violations.append(f"{what}: {answer[0]} without a time to come back")
+                self.violations.append(f"{what}: {answer[0]} without Retry-After")
         elif answer[0] not in allowed_statuses:
             self.violations.append(f"{what}: {answer[0]}")
 
@@ -479,8 +473,6 @@
                 self.violations.append(f"not_done: {job_id} lacks {len(left)} tasks")
         self.observed_status[job_id] = status
 
-    # -- rules -------------------------------------------------------------------------------------
-
     def _completed(self, task: str) -> None:
         self.finished.add(task)
         job = self.jobs[task.rpartition("/")[0]]
@@ -493,7 +485,7 @@
             self.cancel(job["nameId"])
 
     def settled(self) -> list[str]:
-        """Jobs that ought to have come to their end, or to run, and have not."""
+        """Jobs that should have completed, or should run, and do not."""
         up = Counter(task.rpartition("/")[0] for _, task in self._running())
         bad = []
         for job_id, job in self.jobs.items():
@@ -502,9 +494,9 @@
                 bad.append(f"{job_id} was never accepted")
             elif status == "cancelled" or (job["shape"] != "service" and status == "done"):
                 if up[job_id]:
-                    bad.append(f"{job_id} is {status} and has {up[job_id]} tasks up")
+                    bad.append(f"{job_id} is {status} and has {up[job_id]} running tasks")
             elif job["shape"] != "service" or up[job_id] != job["chores"]:
-                bad.append(f"{job_id} is {status} with {up[job_id]} tasks up")
+                bad.append(f"{job_id} is {status} with {up[job_id]} running tasks")
         return bad
 
     def _describe(self, task: str) -> Data | None:
@@ -516,7 +508,7 @@
 
     @staticmethod
     def _allowed(worker: WorkerStandIn, job: Data) -> bool:
-        """Whether a job may use a machine, its other tasks aside."""
+        """Whether a job's constraints allow a machine, regardless of its other tasks."""
         return bool(
             (job["builds"] is None or worker.machine_type["name"] in job["builds"])
             and (job["paddock"] is None or worker.zone == job["paddock"])
@@ -563,7 +555,7 @@
                 self.violations.append(f"left_waiting: {job_id} at {self.now:.1f}")
 
     def _have_capacity(self, job: Data, tasks: int) -> bool:
-        """Whether machines have room for so many tasks, in one zone if the job asks for that."""
+        """Whether machines have capacity for so many tasks, in one zone if the job requires that."""
         free_by_zone: Counter[str] = Counter()
         for worker in self.workers.values():
             if self._allowed(worker, job) and worker.notice_s is None and not worker.faulty:
