--- a/src/poppyhold/cluster/peer_client.py
+++ b/src/poppyhold/cluster/peer_client.py
@@ -13,7 +13,7 @@
 from poppyhold.cluster.change_feed import ChangeFeed
 from poppyhold.cluster.connectivity import Connectivity
 from poppyhold.cluster.peer_handler import PeerHandler
-from poppyhold.cluster.peer_messages import Pong, receive_opening
+from poppyhold.cluster.peer_messages import Pong, receive_peer_message
 from poppyhold.configuration_checks import split_address
 from poppyhold.model.job_status import TaskCounts
 from poppyhold.model.outbound import MisdirectedWorker
@@ -25,7 +25,7 @@
 # Entries of a ping, at the most: a message may be no larger than `frames` lets through, and a first one to a
 # controller that has just begun names every job and every machine. What is left goes with the next pings,
 # which then are sent so many times as fast.
-_MOST_COUNTS, _MOST_IMAGES, _BATCHES_PER_INTERVAL = 4000, 1000, 8
+_MAX_TASK_COUNTS, _MAX_IMAGE_HINTS, _BATCHES_PER_INTERVAL = 4000, 1000, 8
 
 
 class PeerTimes(NamedTuple):
@@ -82,33 +82,34 @@
 
     def _exchange(self, connection: socket.socket) -> None:
         """Send pings and take their responses, until the connection breaks."""
-        counts: ChangeFeed[TaskCounts] = ChangeFeed(_MOST_COUNTS)
-        images: ChangeFeed[tuple[tuple[str, float], ...]] = ChangeFeed(_MOST_IMAGES)
+        counts: ChangeFeed[TaskCounts] = ChangeFeed(_MAX_TASK_COUNTS)
+        images: ChangeFeed[tuple[tuple[str, float], ...]] = ChangeFeed(_MAX_IMAGE_HINTS)
         interval_s = self._times.interval_s
         while not self._stop.is_set():
             changed_counts = [
-                (job_id, *count) for job_id, count in counts.next_batch(self._handler.led_task_counts())
+                (job_id, *count)
+                for job_id, count in counts.next_batch(self._handler.task_counts_if_leading())
             ]
-            changed_images = images.next_batch(self._handler.led_image_hints())
-            asked_at = time.monotonic()
+            changed_images = images.next_batch(self._handler.image_hints_if_leading())
+            requested_at = time.monotonic()
             tracker = self._handler.delegation_tracker()
             if tracker is not None:
-                tracker.record_grant(self._peer.member, asked_at)
+                tracker.record_grant(self._peer.member, requested_at)
             ping = msgspec.structs.replace(
                 self._handler.compose_ping(), task_counts=changed_counts, image_hints=changed_images
             )
             send_message(connection, ping)
             pong = self._receive_pong(connection)
-            self.view = PeerView(asked_at - pong.state_age_s, pong.misdirected_workers)
+            self.view = PeerView(requested_at - pong.state_age_s, pong.misdirected_workers)
             self._connectivity.record_response(self._peer.member, pong.reachable_peers)
             if tracker is not None:
-                tracker.record_response(self._peer.member, asked_at)
-            self._handler.handle_pong(pong, asked_at)
+                tracker.record_response(self._peer.member, requested_at)
+            self._handler.handle_pong(pong, requested_at)
             has_more = counts.has_more or images.has_more
             self._stop.wait(interval_s / _BATCHES_PER_INTERVAL if has_more else interval_s)
 
     def _receive_pong(self, connection: socket.socket) -> Pong:
-        message = receive_opening(connection)
+        message = receive_peer_message(connection)
         if not isinstance(message, Pong) or message.member != self._peer.member:
             # What a leader may do depends on who responded.
             raise ValueError(f"not a response of {self._peer.member}")
--- a/src/poppyhold/cluster/peer_messages.py
+++ b/src/poppyhold/cluster/peer_messages.py
@@ -46,7 +46,7 @@
     # What a leader grants those who may have to renew leases for it.
     delegation: LeaseDelegation | None = None
     # Revision up to which a leader has acted on every cancellation; -1: it does not lead, or does not say.
-    acted_on_revision: int = -1
+    applied_revision: int = -1
     # Whether a leader accepts heartbeats that others relay to it. A version before this field never does.
     accepts_relays: bool = False
 
@@ -72,11 +72,11 @@
 
 Message = Ping | Pong
 # What may come first on a connection from another controller.
-Opening = Message | RelayHello | QuotaRequest
-_opening_decoder: msgspec.msgpack.Decoder[Opening] = msgspec.msgpack.Decoder(Opening)
+PeerMessage = Message | RelayHello | QuotaRequest
+_peer_message_decoder: msgspec.msgpack.Decoder[PeerMessage] = msgspec.msgpack.Decoder(PeerMessage)
 
 
-def receive_opening(connection: socket.socket) -> Opening:
+def receive_peer_message(connection: socket.socket) -> PeerMessage:
     """Receive one message.
 
     Raises:
@@ -84,4 +84,4 @@
         OSError: the connection broke, or nothing came in time.
 
     """
-    return receive_message(connection, _opening_decoder)
+    return receive_message(connection, _peer_message_decoder)
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -18,7 +18,7 @@
 
 
 # Commands in one request to a worker.
-_MOST_COMMANDS = 200
+_MAX_COMMANDS_PER_REQUEST = 200
 # For this many heartbeat intervals after a term began, its workers are asked for heartbeats only where there
 # are few of them.
 _INITIAL_PROBE_INTERVALS = 1.5
@@ -43,10 +43,10 @@
         """
         self._ctx, self._on_start_discarded, self._on_response = ctx, on_start_discarded, on_response
         # Whether a higher fencing token is being made durable.
-        self._raise_in_flight = False
-        self._began_at = ctx.clock()
+        self._fencing_token_write_in_flight = False
+        self._term_began_at = ctx.clock()
         # A token bucket: how many silent workers may be asked now, and when that was counted.
-        self._probe_credit, self._probe_credit_at = ctx.silent_probe_rate, self._began_at
+        self._probe_credit, self._probe_credit_at = ctx.silent_probes_per_interval, self._term_began_at
         # Machines with commands to be sent. A walk over all machines after every heartbeat took a tenth of
         # the decision thread's time at 650 of them.
         self._outbox: dict[str, Machine] = {}
@@ -62,8 +62,8 @@
             if machine.command_in_flight:
                 continue
             commands, machine.queued_commands = (
-                machine.queued_commands[:_MOST_COMMANDS],
-                machine.queued_commands[_MOST_COMMANDS:],
+                machine.queued_commands[:_MAX_COMMANDS_PER_REQUEST],
+                machine.queued_commands[_MAX_COMMANDS_PER_REQUEST:],
             )
             if not machine.queued_commands:
                 del self._outbox[machine.name]
@@ -79,7 +79,7 @@
         ctx = self._ctx
         if (
             len(ctx.fleet.machines) <= ctx.max_initial_probes
-            or now - self._began_at > _INITIAL_PROBE_INTERVALS * ctx.durations.heartbeat_interval_s
+            or now - self._term_began_at > _INITIAL_PROBE_INTERVALS * ctx.durations.heartbeat_interval_s
         ):
             self._probe(machine, now)
 
@@ -90,7 +90,7 @@
         workers looked silent to it, and asking each of them anew in every interval kept it from their
         heartbeats.
         """
-        rate = self._ctx.silent_probe_rate
+        rate = self._ctx.silent_probes_per_interval
         self._probe_credit = min(
             rate,
             self._probe_credit
@@ -157,7 +157,7 @@
         Commands with the old token are void once a worker has seen the new one.
         """
         ctx = self._ctx
-        if self._raise_in_flight:
+        if self._fencing_token_write_in_flight:
             return
         wanted = max(
             (
@@ -169,11 +169,11 @@
         )
         if wanted <= ctx.fencing_token:
             return
-        self._raise_in_flight = True
+        self._fencing_token_write_in_flight = True
         fencing_token = ctx.fencing_token + 1
 
         def on_committed(done: bool) -> None:
-            self._raise_in_flight = False
+            self._fencing_token_write_in_flight = False
             if done:
                 ctx.fencing_token = fencing_token
                 ctx.outbound.fencing_token_raised(fencing_token)
@@ -182,5 +182,5 @@
             {},
             [put_record(FENCING_TOKEN_KEY, FencingTokenRecord(fencing_token))],
             on_committed,
-            CommitPriority.SOONEST,
+            CommitPriority.HIGHEST,
         )
--- a/src/poppyhold/execution/gangs.py
+++ b/src/poppyhold/execution/gangs.py
@@ -93,9 +93,9 @@
             )
             self._fail(gang, "two attempts", now)
             return
-        self.task_reported(attempt, now)
+        self.task_status_changed(attempt, now)
 
-    def task_reported(self, attempt: Attempt, now: float) -> None:
+    def task_status_changed(self, attempt: Attempt, now: float) -> None:
         """Handle a task whose status changed, as its worker's heartbeat says."""
         gang = self._gangs.get(attempt.job.id)
         if gang is None:
@@ -163,7 +163,7 @@
         """Count machines whose tasks kept the others waiting as failed for this gang."""
         for attempt in gang.job.active.values():
             if attempt.status in BEFORE_IMAGE:
-                gang.job.failed_machines.add(attempt.machine.name)
+                gang.job.avoided_machines.add(attempt.machine.name)
 
     def _grace_s(self, job: Job) -> float:
         """Time for a task to save and to wait for the others, which may be told a moment later."""
--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -95,12 +95,12 @@
     # on, since the job was shown to be sound.
     rounds: int = 0
     machines: set[str] = msgspec.field(default_factory=set)
-    last_at: float = float("-inf")
+    last_failed_at: float = float("-inf")
     # The longest that a failed task ran.
-    lasted_s: float = 0.0
+    longest_run_s: float = 0.0
     # It fails on every machine, as far as one can tell; and when it was last shown to be sound.
     at_fault: bool = False
-    sound_at: float = float("-inf")
+    last_healthy_at: float = float("-inf")
 
 
 class Job(msgspec.Struct, eq=False):
@@ -124,7 +124,7 @@
     next_index: int = 0
     requeued: list[int] = msgspec.field(default_factory=list)
     # Seconds of work that tasks have saved in checkpoints, as far as we saw them run.
-    progress: dict[int, float] = msgspec.field(default_factory=dict)
+    saved_work_s: dict[int, float] = msgspec.field(default_factory=dict)
     admitted: bool = False
     # Whether no controller can have started a task of it before our term.
     never_started: bool = True
@@ -135,19 +135,19 @@
     # Planned starts: slot -> zone -> tasks, and what they book in the ledger: slot -> machine -> tasks.
     plan: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
     booked: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
-    planned_s: float = 0.0
+    planned_task_s: float = 0.0
     within_guarantee: bool = False
     phase: JobPhase = JobPhase.ACTIVE
     # Whether records of its completed tasks are being written.
     completions_save_in_flight: bool = False
     # Keys of the records that hold its completed tasks.
-    done_records: set[str] = msgspec.field(default_factory=set)
+    completion_record_keys: set[str] = msgspec.field(default_factory=set)
     failures: JobFailures = msgspec.field(default_factory=JobFailures)
     # Machines that its tasks should avoid.
-    failed_machines: set[str] = msgspec.field(default_factory=set)
+    avoided_machines: set[str] = msgspec.field(default_factory=set)
     retry_at: float = 0.0
     # Before this moment it preempts nothing more: gangs that it preempted are saving.
-    may_preempt_at: float = 0.0
+    preemption_allowed_at: float = 0.0
     # How many of its attempts may run in each zone.
     active_by_zone: dict[str, int] = msgspec.field(default_factory=dict)
 
@@ -176,14 +176,14 @@
         """The number of tasks that run, for display."""
         return sum(1 for attempt in self.active.values() if attempt.status in IN_PROGRESS)
 
-    def saved_s(self) -> float:
+    def min_saved_work_s(self) -> float:
         """Return the seconds of work that every pending task has saved: only the rest is still to be done."""
-        if not self.progress:
+        if not self.saved_work_s:
             return 0.0
         waiting = {index for index in self.requeued if self.states[index] == TASK_PENDING}
         if not waiting or len(waiting) < self.pending:
             return 0.0
-        return min(self.progress.get(index, 0.0) for index in waiting)
+        return min(self.saved_work_s.get(index, 0.0) for index in waiting)
 
     def next_pending(self) -> int | None:
         """Return the pending task to start next: the lowest that was active before, else the lowest."""
@@ -195,16 +195,16 @@
             self.next_index += 1
         return self.next_index if self.next_index < self.spec.tasks else None
 
-    def startable(self, most: int) -> int:
-        """Return how many of up to ``most`` tasks may be started now: one at a time after a failure.
+    def startable(self, limit: int) -> int:
+        """Return how many of up to ``limit`` tasks may be started now: one at a time after a failure.
 
         Tasks that were started before the failure, and go on, may still show that the job is sound.
         """
         record = self.failures
         if not record.rounds or self.done or self.is_gang:
-            return most
-        probes = sum(attempt.sent_at >= record.last_at for attempt in self.active.values())
-        return min(most, max(0, 1 - probes))
+            return limit
+        probes = sum(attempt.sent_at >= record.last_failed_at for attempt in self.active.values())
+        return min(limit, max(0, 1 - probes))
 
     def complete(self, index: int) -> bool:
         """Note that a task is completed; return whether that is new. A gang's tasks complete together."""
@@ -231,18 +231,18 @@
     occurred_at: float
 
     @property
-    def job_is_sound(self) -> bool:
+    def job_is_healthy(self) -> bool:
         """Whether the job has run elsewhere, so that the error was the machine's."""
-        return self.job.done > 0 or self.job.failures.sound_at > self.occurred_at
+        return self.job.done > 0 or self.job.failures.last_healthy_at > self.occurred_at
 
     @property
-    def may_be_the_machine(self) -> bool:
+    def machine_may_be_at_fault(self) -> bool:
         """Whether the machine may be at fault. For a job that ended without success it can't be told."""
-        return self.job_is_sound or not (self.job.phase is JobPhase.FINALIZED or self.job.failures.at_fault)
+        return self.job_is_healthy or not (self.job.phase is JobPhase.FINALIZED or self.job.failures.at_fault)
 
 
 # Machines in the order in which they became known.
-_numbers = itertools.count()
+_machine_numbers = itertools.count()
 
 
 class Machine(msgspec.Struct, eq=False):
@@ -269,10 +269,10 @@
     # When its worker was last answered.
     last_response_at: float = float("-inf")
     # When its first heartbeat came in this term, still with the token of an earlier one.
-    first_heartbeat_at: float | None = None
+    first_outdated_heartbeat_at: float | None = None
     # When the cloud takes it back, and when the notice of that came.
     preempted_at: float | None = None
-    notice_at: float | None = None
+    preemption_notice_at: float | None = None
     # At fault: it is emptied and deleted.
     quarantined: bool = False
     # Being emptied to scale in: its replicas move one by one.
@@ -290,14 +290,14 @@
     used: Resources = NO_RESOURCES
     free: Resources = NO_RESOURCES
     # Orders machines that are alike: the one that was known first goes first.
-    number: int = msgspec.field(default_factory=lambda: next(_numbers))
+    number: int = msgspec.field(default_factory=lambda: next(_machine_numbers))
     # Rises whenever what it holds, or what of it waits for an image, changes.
     version: int = 0
     images: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
     # Commands to be sent to the worker directly.
     queued_commands: list[Command] = msgspec.field(default_factory=list)
     # Errors on it by job, since a task that was started after all earlier ones completed.
-    errors: dict[str, TaskError] = msgspec.field(default_factory=dict)
+    task_errors: dict[str, TaskError] = msgspec.field(default_factory=dict)
     # Tasks on it that we know no attempt of: they are stopped, and nothing starts beside them.
     unknown_tasks: set[str] = msgspec.field(default_factory=set)
     # Until then nothing starts on it.
--- a/src/poppyhold/model/outbound.py
+++ b/src/poppyhold/model/outbound.py
@@ -17,12 +17,12 @@
     """Order of the leader's commits; those of one priority go in the order of their requests."""
 
     # What begins the longest waits, or holds up everything else: launches, fencing tokens, machines' records.
-    SOONEST = 0
+    HIGHEST = 0
     # Plans of urgent jobs. A swarm of short jobs needs more changes than the state service takes, and the
     # plans of critical replicas waited for a minute until its plans were written.
     URGENT = 1
     # What else somebody waits for: plans and ends of jobs; those of teams without a guarantee come later.
-    AWAITED = 2
+    NORMAL = 2
     UNGUARANTEED = 3
     BACKGROUND = 4
 
@@ -80,7 +80,7 @@
     def fencing_token_raised(self, fencing_token: int) -> None:
         """Note that our fencing token was raised."""
 
-    def resign(self, why: str) -> None:
+    def resign(self, reason: str) -> None:
         """Give up leadership, so that another controller leads."""
 
     def job_finalized(self, job_id: str, status: str, tasks: int) -> None:
--- a/src/poppyhold/node/cloud_dispatcher.py
+++ b/src/poppyhold/node/cloud_dispatcher.py
@@ -1,4 +1,4 @@
-"""The leader's requests to the cloud: one thread, within the cloud's rate."""
+"""The leader's requests to the cloud: sent by one thread, within the cloud's rate limit."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 log = logging.getLogger(__name__)
 
-# Share of the cloud's requests that lists may take: deletions and launches need the rest.
+# Share of the cloud's request rate for reading machine lists; the rest is for deletions and launches.
 LIST_REQUEST_SHARE = 0.5
-# A list is read twice within the time by which it may lag, the machine types once in four of those times.
+# The machine list is read twice per maximum list lag, the machine types once per four lags.
 _LISTS_PER_LAG = 2
-_MACHINE_TYPES_LAGS = 4
-# Requests that were not sent for a while may be made up for in bursts of one second's worth: half of what the
-# cloud takes.
+_LAGS_PER_MACHINE_TYPES_READ = 4
+# After an idle period, up to one second's worth of requests may be sent at once: half of the burst that the
+# cloud accepts.
 _BURST_S = 1.0
 
 LaunchCallback = Callable[[RequestOutcome, list[str]], None]
@@ -31,64 +31,64 @@
 
 
 class _Launch(NamedTuple):
-    """A launch request that waits."""
+    """A queued launch request."""
 
     body: Data
     on_response: LaunchCallback
 
 
 class _Deletion(NamedTuple):
-    """A deletion request that waits."""
+    """A queued deletion request."""
 
     names: list[str]
     on_response: DeletionCallback
 
 
 class MachineListReader:
-    """Reads the list of machines a page at a time, so that other requests go in between.
+    """Reads the machine list one page at a time, so that other requests can be sent between pages.
 
-    A fleet of 4,000 machines is eight pages: read in one go each half lag they were all the requests that
-    some clouds take, and deletions waited for them.
+    A fleet of 4,000 machines takes eight pages. Read without interruption every half lag, they use up the
+    whole request rate of some clouds and delay deletions.
     """
 
-    def __init__(self, client: CloudClient, lag_s: float, gap_s: float) -> None:
-        """``gap_s`` is the time between two requests at the cloud's rate."""
-        self._client, self._gap_s = client, gap_s
+    def __init__(self, client: CloudClient, lag_s: float, request_interval_s: float) -> None:
+        """``request_interval_s`` is the time between two requests at the cloud's rate limit."""
+        self._client, self._request_interval_s = client, request_interval_s
         self._min_interval_s = lag_s / _LISTS_PER_LAG
-        self._began_at = 0.0
-        self._pages = 0
+        self._list_started_at = 0.0
+        self._pages_read = 0
         self._machines: list[ListedMachine] = []
-        # When the next page, or the first one of the next list, is due.
+        # When the next page, or the first page of the next list, is due.
         self.due_at = time.monotonic()
 
     def read_next_page(self) -> MachineListing | None:
-        """Read the next page; returns the list once it is whole."""
+        """Read the next page; returns the machine list after its last page, else None."""
         now = time.monotonic()
-        if not self._pages:
-            self._began_at = now
+        if not self._pages_read:
+            self._list_started_at = now
         page = self._client.fetch_machine_page(self._machines[-1].name if self._machines else "")
         if page is None:
-            # A list that can't be read whole is read anew: nobody knows how old its first pages would become.
-            self._start_over()
+            # A failed page restarts the whole list: the age of the pages already read would be unbounded.
+            self._schedule_next_list()
             return None
-        self._pages += 1
+        self._pages_read += 1
         self._machines += page.machines
         if page.more and page.machines:
-            self.due_at = now + self._gap_s / LIST_REQUEST_SHARE
+            self.due_at = now + self._request_interval_s / LIST_REQUEST_SHARE
             return None
-        listing = MachineListing(self._machines, self._began_at)
-        self._start_over()
+        listing = MachineListing(self._machines, self._list_started_at)
+        self._schedule_next_list()
         return listing
 
-    def _start_over(self) -> None:
-        """The next list is due half a lag after this one began, or later if its pages take longer."""
-        pages_s = self._pages * self._gap_s / LIST_REQUEST_SHARE
-        self.due_at = self._began_at + max(self._min_interval_s, pages_s)
-        self._pages, self._machines = 0, []
+    def _schedule_next_list(self) -> None:
+        """Schedule the next list half a lag after the start of this one, or later if its pages need it."""
+        pages_s = self._pages_read * self._request_interval_s / LIST_REQUEST_SHARE
+        self.due_at = self._list_started_at + max(self._min_interval_s, pages_s)
+        self._pages_read, self._machines = 0, []
 
 
 class CloudDispatcher:
-    """Sends the leader's requests: deletions before launches before reads."""
+    """Sends the leader's requests in priority order: deletions, launches, reads."""
 
     def __init__(
         self,
@@ -100,9 +100,9 @@
         self._client = client
         self._on_machine_types, self._on_machine_listing = on_machine_types, on_machine_listing
         cloud = settings.deployment.cloud
-        self._gap_s = 1.0 / cloud.rps
-        self._list_reader = MachineListReader(client, cloud.list_lag_s, self._gap_s)
-        self._machine_types_interval_s = cloud.list_lag_s * _MACHINE_TYPES_LAGS
+        self._request_interval_s = 1.0 / cloud.rps
+        self._list_reader = MachineListReader(client, cloud.list_lag_s, self._request_interval_s)
+        self._machine_types_interval_s = cloud.list_lag_s * _LAGS_PER_MACHINE_TYPES_READ
         self._deletions: deque[_Deletion] = deque()
         self._launches: deque[_Launch] = deque()
         self._wake = threading.Condition()
@@ -111,47 +111,47 @@
         self._thread.start()
 
     def delete(self, names: list[str], on_response: DeletionCallback) -> None:
-        """Queue a deletion."""
+        """Queue the deletion of machines."""
         with self._wake:
             self._deletions.append(_Deletion(names, on_response))
             self._wake.notify()
 
     def launch(self, body: Data, on_response: LaunchCallback) -> None:
-        """Queue a launch."""
+        """Queue a launch request."""
         with self._wake:
             self._launches.append(_Launch(body, on_response))
             self._wake.notify()
 
     def stop(self) -> None:
-        """End the thread after the request that it is in."""
+        """Stop the thread after its current request."""
         with self._wake:
             self._stopped = True
             self._wake.notify()
 
     def _run(self) -> None:
-        machine_types_at = credit_at = time.monotonic()
+        machine_types_at = next_request_at = time.monotonic()
         while not self._stopped:
-            self._await_work(min(self._list_reader.due_at, machine_types_at))
+            self._await_request(min(self._list_reader.due_at, machine_types_at))
             if self._stopped:
                 return
             now = time.monotonic()
-            credit_at = max(credit_at + self._gap_s, now - _BURST_S)
-            if credit_at > now:
-                time.sleep(credit_at - now)
+            next_request_at = max(next_request_at + self._request_interval_s, now - _BURST_S)
+            if next_request_at > now:
+                time.sleep(next_request_at - now)
             try:
                 if self._deletions or self._launches:
-                    self._send_change()
+                    self._send_mutation()
                 elif time.monotonic() >= self._list_reader.due_at:
                     self._read_machine_list()
                 else:
                     machine_types_at = time.monotonic() + self._machine_types_interval_s
                     self._read_machine_types()
             except Exception:
-                # The top of the thread: without it no machine would be launched or deleted in this term.
-                log.exception("cloud request failed")
+                # Without this thread no machine would be launched or deleted for the rest of the term.
+                log.exception("cloud request or its callback failed, continuing with the next request")
 
-    def _await_work(self, until: float) -> None:
-        """Wait for a change that is asked for, or for the time of the next read."""
+    def _await_request(self, until: float) -> None:
+        """Wait until a deletion or launch is queued, a read is due at ``until``, or the thread is stopped."""
         with self._wake:
             while not (self._deletions or self._launches or self._stopped):
                 remaining_s = until - time.monotonic()
@@ -159,8 +159,8 @@
                     return
                 self._wake.wait(remaining_s)
 
-    def _send_change(self) -> None:
-        """Send a deletion, or else a launch."""
+    def _send_mutation(self) -> None:
+        """Send the oldest queued deletion, or the oldest launch if there is no deletion."""
         if self._deletions:
             deletion = self._deletions.popleft()
             deletion.on_response(self._client.delete_machines(deletion.names))
--- a/src/poppyhold/node/user_api.py
+++ b/src/poppyhold/node/user_api.py
@@ -1,4 +1,4 @@
-"""The users' interface: any node serves them, and the state service alone decides what is true."""
+"""The users' interface: served by every node, with the state service as the only source of truth."""
 
 from __future__ import annotations
 
@@ -36,31 +36,31 @@
 log = logging.getLogger(__name__)
 
 _MAX_ATTEMPTS = 3
-# Users wait five seconds for an answer: no attempt begins later than this, as one takes up to two of them.
-_LAST_ATTEMPT_S = 2.0
-# Users wait two seconds for the answer to a query.
+# Latest start of an attempt: users time out after five seconds, and an attempt takes up to two.
+_LAST_ATTEMPT_START_S = 2.0
+# Users time out after two seconds on a query.
 _QUERY_TIMEOUT_S = 1.5
-# Queries that come within this share of a heartbeat interval are answered together.
-_GATHER_RATIO = 0.05
-# Share of the state service's requests that all controllers together spend on queries. Without a bound five
-# controllers took twice what it allows, and submissions, decisions and renewals were refused beside them.
-_QUERIES_SHARE = 0.4
-# More cancellations than this would not fit into a message between controllers.
-_MAX_NAMED_CANCELLATIONS = 10_000
-# Final states that are remembered, for each MB of memory that the controller may take.
-_FINALS_PER_RAM_MB = 100
-# Requests that may use the state service at once: at least so many.
-_MIN_SLOTS = 8
+# Queries within this share of a heartbeat interval are answered in one batch.
+_BATCH_WINDOW_RATIO = 0.05
+# Share of the state service's request limit that the queries of all controllers may take. Without it, queries
+# of five controllers took twice the limit, and submissions, decisions and renewals were rejected.
+_QUERY_REQUEST_SHARE = 0.4
+# Limit of listed cancellations, by the size of a message between controllers.
+_MAX_LISTED_CANCELLATIONS = 10_000
+# Cached final states per MB of the controller's memory limit.
+_FINAL_STATES_PER_RAM_MB = 100
+# Minimum number of concurrent requests to the state service.
+_MIN_STORE_SLOTS = 8
 
 
 def _query_rate_limiter(deployment: Deployment) -> RateLimiter:
-    """How fast one controller may ask the state service for its users' queries."""
-    per_second = deployment.state.lowest.rps * _QUERIES_SHARE / deployment.controllers
-    return RateLimiter(per_second, burst=per_second * _GATHER_RATIO * 2)
+    """Return the limiter of one controller's requests to the state service for queries."""
+    per_second = deployment.state.lowest.rps * _QUERY_REQUEST_SHARE / deployment.controllers
+    return RateLimiter(per_second, burst=per_second * _BATCH_WINDOW_RATIO * 2)
 
 
 class UserApi:
-    """Submissions, queries and cancellations. Safe for all connection threads."""
+    """Submissions, queries and cancellations. Thread-safe."""
 
     def __init__(
         self,
@@ -71,26 +71,29 @@
         clock: Callable[[], float] = time.monotonic,
         reads: BatchedJobReads | None = None,
     ) -> None:
-        """``task_counts`` tells a job's done and running tasks; ``reads`` whether it is active."""
+        """``task_counts`` returns a job's done and running tasks; ``reads`` tells whether it is active."""
         limits = settings.deployment
         self._store, self._machine_types, self._clock = store, machine_types, clock
         self._retry_after_s = max(1, round(limits.workers.heartbeat_interval_s))
         self._reads = reads or BatchedJobReads(
             store,
-            limits.workers.heartbeat_interval_s * _GATHER_RATIO,
+            limits.workers.heartbeat_interval_s * _BATCH_WINDOW_RATIO,
             _QUERY_TIMEOUT_S,
             rate_limiter=_query_rate_limiter(limits),
         )
         self._policy = SubmissionPolicy(limits)
-        # As many are named as the state service can take within the time that each of them has.
+        # At most as many as the state service can write within the time limit of a cancellation.
         self.cancellations = Cancellations(
-            min(int(limits.state.write_rps * limits.workers.cancel_s), _MAX_NAMED_CANCELLATIONS)
+            min(int(limits.state.write_rps * limits.workers.cancel_s), _MAX_LISTED_CANCELLATIONS)
         )
         self.job_states = JobStates(
-            store, self.cancellations, task_counts, int(limits.machine_limits.ram_mb * _FINALS_PER_RAM_MB)
+            store,
+            self.cancellations,
+            task_counts,
+            int(limits.machine_limits.ram_mb * _FINAL_STATES_PER_RAM_MB),
         )
-        # More at once than this would only wait for the state service's limit.
-        self._slots = threading.BoundedSemaphore(max(_MIN_SLOTS, int(limits.state.rps / 2)))
+        # More concurrent requests would only wait for the state service's rate limit.
+        self._slots = threading.BoundedSemaphore(max(_MIN_STORE_SLOTS, int(limits.state.rps / 2)))
 
     # -- submissions ---------------------------------------------------------------------------------
 
@@ -104,37 +107,37 @@
 
     def _submit(self, spec: Submission) -> HttpResponse:
         machine_types = self._machine_types()
-        reason = self._policy.why_infeasible(spec, machine_types)
+        reason = self._policy.infeasible_reason(spec, machine_types)
         if reason is not None or not machine_types:
-            # A repeat of an accepted job is answered with its state, whatever we think of it now.
-            known = self.job_states.look_up(spec.name)
+            # A repeat of an accepted job is answered with its state, even if it would be rejected now.
+            known = self.job_states.read_status(spec.name)
             if known is not None:
                 return http_response(HTTPStatus.OK, known)
             if reason is None:
                 return self._try_later()
             return http_response(HTTPStatus.UNPROCESSABLE_ENTITY, {"error": reason})
-        data = self._policy.record(spec, machine_types)
+        data = self._policy.make_record(spec, machine_types)
         if not self._policy.can_store(data):
             return self._reject_too_long(spec)
         return self._store_submission(spec, data)
 
     def _reject_too_long(self, spec: Submission) -> HttpResponse:
-        """The submission can never be stored, so that its user need not try again.
+        """Reject a submission that can never be stored, so that its user does not retry.
 
-        An earlier version may have stored it, under larger limits.
+        If an earlier version stored it under larger limits, its state is returned instead.
         """
-        known = self.job_states.look_up(spec.name)
+        known = self.job_states.read_status(spec.name)
         if known is not None:
             return http_response(HTTPStatus.OK, known)
         return http_response(HTTPStatus.BAD_REQUEST, {"error": "too long"})
 
     def _store_submission(self, spec: Submission, data: Data) -> HttpResponse:
-        # A condition that fails counts against the limit of changes like a change: users that repeat what is
-        # known to be accepted must not eat up what decisions need.
-        look_up_first = self.job_states.may_be_known(spec.name)
+        # A failed condition counts against the state service's write limit: repeats of accepted submissions
+        # must not use up the writes that decisions need.
+        read_status_first = self.job_states.probably_accepted(spec.name)
         for _ in self._attempts():
-            if look_up_first or self.job_states.finals.get(spec.name) is not None:
-                known = self.job_states.look_up(spec.name)
+            if read_status_first or self.job_states.final_states.get(spec.name) is not None:
+                known = self.job_states.read_status(spec.name)
                 if known is not None:
                     return http_response(HTTPStatus.OK, known)
             try:
@@ -143,16 +146,16 @@
                     [Put(ACTIVE_JOB_PREFIX + spec.name, data)],
                 )
             except OutcomeUnknownError:
-                # It may have gone through: the next attempt will tell.
+                # The commit may have succeeded: the next attempt finds out.
                 continue
             except InvalidRequestError as error:
-                log.warning("submission refused: job=%s error=%s", spec.name, error)
+                log.warning("submission rejected by the state service: job=%s error=%s", spec.name, error)
                 return self._reject_too_long(spec)
             except ConditionFailedError:
-                # It exists, perhaps by our own attempt before: its user is told of its present state.
-                look_up_first = True
+                # The job exists, perhaps from an earlier attempt of this request: return its current state.
+                read_status_first = True
             else:
-                self.job_states.note_accepted(spec.name)
+                self.job_states.record_accepted(spec.name)
                 return http_response(
                     HTTPStatus.CREATED, {field_names.NAME: spec.name, "status": JobStatus.PENDING}
                 )
@@ -164,23 +167,23 @@
         """GET /api/jobs/{id}."""
         if not JOB_ID.match(job_id):
             return _unknown_job()
-        final = self.job_states.finals.get(job_id)
+        final = self.job_states.final_states.get(job_id)
         if final is not None:
-            return http_response(HTTPStatus.OK, self.job_states.final_state(job_id, final))
-        # A shared read takes no slot: it costs the state service the same for any number of queries.
+            return http_response(HTTPStatus.OK, self.job_states.describe_final(job_id, final))
+        # A batched read needs no slot: its cost to the state service does not grow with the queries.
         return self._or_try_later(lambda: self._poll(job_id))
 
     def _poll(self, job_id: str) -> HttpResponse:
-        # In this order: a job moves from the active ones to the final ones, and never back.
+        # In this order, as a job moves from active to final and never back.
         if self._reads.is_active(job_id):
-            return http_response(HTTPStatus.OK, self.job_states.active_state(job_id))
+            return http_response(HTTPStatus.OK, self.job_states.describe_active(job_id))
         return self._with_slot(lambda: self._poll_final(job_id))
 
     def _poll_final(self, job_id: str) -> HttpResponse:
         final = self.job_states.read_final(job_id)
         if final is None:
             return _unknown_job()
-        return http_response(HTTPStatus.OK, self.job_states.final_state(job_id, final))
+        return http_response(HTTPStatus.OK, self.job_states.describe_final(job_id, final))
 
     # -- cancellations -------------------------------------------------------------------------------
 
@@ -192,12 +195,12 @@
 
     def _abort(self, job_id: str) -> HttpResponse:
         for _ in self._attempts():
-            final = self.job_states.finals.get(job_id)
+            final = self.job_states.final_states.get(job_id)
             if final is not None:
                 return http_response(HTTPStatus.OK, {field_names.NAME: job_id, "status": final.status})
             entry = self._store.get(ACTIVE_JOB_PREFIX + job_id)
             if entry is None:
-                if self.job_states.look_up(job_id) is None:
+                if self.job_states.read_status(job_id) is None:
                     return _unknown_job()
                 continue
             try:
@@ -207,21 +210,21 @@
                     final_writes(job_id, JobStatus.CANCELLED, tasks),
                 )
             except (ConditionFailedError, OutcomeUnknownError):
-                # The job changed, or may have been cancelled by this attempt: look again.
+                # The job changed, or this attempt may have cancelled it: read its state again.
                 continue
-            self.job_states.keep_final(job_id, FinalState(JobStatus.CANCELLED, tasks), revision)
+            self.job_states.record_final(job_id, FinalState(JobStatus.CANCELLED, tasks), revision)
             return http_response(HTTPStatus.OK, {field_names.NAME: job_id, "status": JobStatus.CANCELLED})
         return self._try_later()
 
     # -- limits and retries --------------------------------------------------------------------------
 
     def _attempts(self) -> Iterator[int]:
-        """A few attempts, none of which begins when its user may be gone before it ends."""
+        """Yield a few attempts, none of which starts if its user could time out before it ends."""
         began_at = self._clock()
-        return (number for number in range(_MAX_ATTEMPTS) if self._clock() - began_at < _LAST_ATTEMPT_S)
+        return (number for number in range(_MAX_ATTEMPTS) if self._clock() - began_at < _LAST_ATTEMPT_START_S)
 
     def _with_slot(self, work: Callable[[], HttpResponse]) -> HttpResponse:
-        # What can't be taken is answered at once, with a time to come back: nobody waits for a slot.
+        # Without a free slot the request is rejected at once, with a time to retry.
         if not self._slots.acquire(blocking=False):
             return self._try_later(HTTPStatus.TOO_MANY_REQUESTS)
         try:
--- a/src/poppyhold/scheduling/bookings.py
+++ b/src/poppyhold/scheduling/bookings.py
@@ -1,25 +1,23 @@
-"""Bookings of plans and of running tasks in the ledger."""
+"""Bookings of planned starts and of running attempts in the ledger."""
 
 from __future__ import annotations
 
 from poppyhold.model.entities import Attempt, Job, JobPhase, Machine
 from poppyhold.model.fleet import Fleet
 from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled
-from poppyhold.scheduling.estimates import Estimates
+from poppyhold.scheduling.estimates import RunTimeEstimates
 from poppyhold.scheduling.ledger import Ledger
 from poppyhold.scheduling.planner import Plan, Planner
 
 
 class Bookings:
-    """Books what plans and attempts take, and releases it again."""
+    """Books and releases the resources of plans and attempts."""
 
-    def __init__(self, fleet: Fleet, ledger: Ledger, planner: Planner, estimates: Estimates) -> None:
+    def __init__(self, fleet: Fleet, ledger: Ledger, planner: Planner, estimates: RunTimeEstimates) -> None:
         self._fleet, self._ledger, self._planner, self._estimates = fleet, ledger, planner, estimates
 
-    # -- machines ------------------------------------------------------------------------------------
-
     def add_machine(self, machine: Machine) -> bool:
-        """Let plans use a machine, and book what runs there; returns whether it is new to plans."""
+        """Make a machine available to plans and book its attempts; return whether it is new to the ledger."""
         is_new = machine.name not in self._ledger.machines
         if is_new:
             self._ledger.add_machine(
@@ -30,7 +28,7 @@
         return is_new
 
     def remove_machine(self, machine: Machine) -> None:
-        """Let plans use a machine no more; what is booked there is dropped."""
+        """Withdraw a machine from plans, and drop the bookings on it."""
         if machine.name not in self._ledger.machines:
             return
         self._ledger.remove_machine(machine.name)
@@ -40,54 +38,50 @@
             for machines in job.booked.values():
                 machines.pop(machine.name, None)
 
-    # -- attempts ------------------------------------------------------------------------------------
-
     def book_attempt(self, attempt: Attempt) -> None:
-        """Book what an attempt takes from now on, for as long as it is estimated to run."""
+        """Book an attempt's resources from the current slot on, for its estimated run time."""
         if attempt.booked or attempt.machine.name not in self._ledger.machines:
             return
         attempt.booked = True
         estimate_s = self._estimates.estimate_s(attempt.job)
         attempt.booked_until = self._ledger.current_slot + self._planner.span_slots(estimate_s) - 1
-        self._change_attempt(attempt, 1.0)
+        self._adjust_attempt(attempt, 1.0)
 
     def release_attempt(self, attempt: Attempt) -> None:
-        """Release what an attempt has booked."""
+        """Release the booking of an attempt."""
         if not attempt.booked or attempt.machine.name not in self._ledger.machines:
             return
         attempt.booked = False
-        self._change_attempt(attempt, -1.0)
+        self._adjust_attempt(attempt, -1.0)
 
-    def _change_attempt(self, attempt: Attempt, times: float) -> None:
+    def _adjust_attempt(self, attempt: Attempt, factor: float) -> None:
         job = attempt.job
         last = None if job.is_service else attempt.booked_until
-        self._ledger.book(attempt.machine.name, job.task_resources, self._ledger.current_slot, last, times)
-
-    # -- plans ---------------------------------------------------------------------------------------
+        self._ledger.book(attempt.machine.name, job.task_resources, self._ledger.current_slot, last, factor)
 
     def book_plan(self, job: Job, plan: Plan) -> None:
-        """Book the starts of a job's plan."""
+        """Book the planned starts of a job."""
         for slot, machines in plan.starts.items():
             job.booked[slot] = dict(machines)
-            for name, number in machines.items():
-                self._change_plan(job, name, slot, number)
+            for name, count in machines.items():
+                self._adjust_starts(job, name, slot, count)
 
     def release_plan(self, job: Job) -> None:
-        """Release the starts of a job's plan that were not made."""
+        """Release the planned starts of a job that have not been used."""
         for slot, machines in job.booked.items():
-            for name, number in machines.items():
-                self._change_plan(job, name, slot, -number)
+            for name, count in machines.items():
+                self._adjust_starts(job, name, slot, -count)
         job.booked = {}
 
-    def use(self, job: Job, machine: str) -> None:
-        """Use up one booked start of a job: one on the machine if there is any, else the earliest."""
+    def consume_start(self, job: Job, machine: str) -> None:
+        """Release one booked start: in the earliest slot with any, on this machine if it is booked there."""
         for slot in sorted(job.booked):
             machines = job.booked[slot]
             if not machines:
                 del job.booked[slot]
                 continue
             name = machine if machine in machines else next(iter(machines))
-            self._change_plan(job, name, slot, -1)
+            self._adjust_starts(job, name, slot, -1)
             machines[name] -= 1
             if not machines[name]:
                 del machines[name]
@@ -95,46 +89,44 @@
                 del job.booked[slot]
             return
 
-    def _change_plan(self, job: Job, name: str, slot: int, number: int) -> None:
-        """Book starts on a machine in a slot, or release them where ``number`` is negative."""
+    def _adjust_starts(self, job: Job, name: str, slot: int, count: int) -> None:
+        """Book starts on a machine in a slot; a negative ``count`` releases them."""
         if job.is_service:
-            self._ledger.book(name, job.task_resources, slot, None, number)
+            self._ledger.book(name, job.task_resources, slot, None, count)
         else:
             span = self._planner.span_slots(self._planned_estimate_s(job))
-            self._ledger.book(name, job.task_resources, slot, slot + span - 1, number)
+            self._ledger.book(name, job.task_resources, slot, slot + span - 1, count)
 
     def _planned_estimate_s(self, job: Job) -> float:
-        # What was booked must be released alike, though the bias that is learned moves on.
-        if job.planned_s <= 0:
-            job.planned_s = self._estimates.estimate_s(job)
-        return job.planned_s
-
-    # -- slots ---------------------------------------------------------------------------------------
+        # A release must use the estimate of its booking, although estimates change as runs are recorded.
+        if job.planned_task_s <= 0:
+            job.planned_task_s = self._estimates.estimate_s(job)
+        return job.planned_task_s
 
     def advance_to(self, slot: int) -> None:
-        """Move to a new slot: starts that were not made and tasks that overrun carry over to it."""
+        """Advance to a slot; unused starts and attempts that outrun their estimate are booked in it."""
         late = self._release_late_starts(slot)
         self._ledger.advance_to(slot)
-        for job, name, number in late:
+        for job, name, count in late:
             machines = job.booked.setdefault(slot, {})
-            machines[name] = machines.get(name, 0) + number
-            self._change_plan(job, name, slot, number)
+            machines[name] = machines.get(name, 0) + count
+            self._adjust_starts(job, name, slot, count)
         self._extend_attempts(slot)
 
     def _release_late_starts(self, slot: int) -> list[tuple[Job, str, int]]:
-        """Release the starts before a slot; returns how many of which job were booked on which machine."""
+        """Release the unused starts before a slot, and return them as (job, machine name, count)."""
         late: list[tuple[Job, str, int]] = []
         for job in self._fleet.jobs.values():
             for old_slot in [booked for booked in job.booked if booked < slot]:
-                for name, number in job.booked.pop(old_slot).items():
-                    self._change_plan(job, name, old_slot, -number)
-                    late.append((job, name, number))
+                for name, count in job.booked.pop(old_slot).items():
+                    self._adjust_starts(job, name, old_slot, -count)
+                    late.append((job, name, count))
         return late
 
     def _extend_attempts(self, slot: int) -> None:
-        """Book a slot for tasks that outrun their estimates.
+        """Book a slot for attempts that outrun their estimates.
 
-        Objection in DESIGN: without this, the resources of such a task look free, and cheap.
+        Otherwise the resources of such an attempt would count as free and be priced too low.
         """
         for machine in self._fleet.machines.values():
             for attempt in machine.attempts.values():
@@ -142,26 +134,24 @@
                     attempt.booked_until = slot
                     self._ledger.book(machine.name, attempt.job.task_resources, slot, slot, 1.0)
 
-    # -- what plans book now -------------------------------------------------------------------------
-
     def machines_booked_now(self, job: Job) -> set[str]:
-        """Machines on which the job's plan books starts in the current slot."""
+        """Return the names of the machines on which the job's plan books starts in the current slot."""
         return set(job.booked.get(self._ledger.current_slot, ()))
 
     def booked_now(self) -> dict[str, Resources]:
-        """Resources by machine that plans book in the current slot and have not used yet."""
+        """Return by machine the resources of unused starts that plans book in the current slot."""
         reserved: dict[str, Resources] = {}
         for job in self._fleet.jobs.values():
             if job.phase is JobPhase.FINALIZED:
                 continue
-            for name, number in job.booked.get(self._ledger.current_slot, {}).items():
-                reserved[name] = add_scaled(reserved.get(name, NO_RESOURCES), job.task_resources, number)
+            for name, count in job.booked.get(self._ledger.current_slot, {}).items():
+                reserved[name] = add_scaled(reserved.get(name, NO_RESOURCES), job.task_resources, count)
         return reserved
 
-    def without_own(self, reserved: dict[str, Resources], job: Job) -> dict[str, Resources]:
-        """What is reserved, without what the job itself has booked now."""
+    def reserved_by_others(self, reserved: dict[str, Resources], job: Job) -> dict[str, Resources]:
+        """Return the reservations without those of the job itself in the current slot."""
         others = dict(reserved)
-        for name, number in job.booked.get(self._ledger.current_slot, {}).items():
+        for name, count in job.booked.get(self._ledger.current_slot, {}).items():
             if name in others:
-                others[name] = add_scaled(others[name], job.task_resources, -number)
+                others[name] = add_scaled(others[name], job.task_resources, -count)
         return others
--- a/tests/reads_model.py
+++ b/tests/reads_model.py
@@ -121,22 +121,22 @@
     def __init__(self) -> None:
         self.time = 0
         # Least state with which a query that arrives now may be answered, and the highest one.
-        self.told: dict[str, int] = dict.fromkeys(JOBS, UNKNOWN)
+        self.observed: dict[str, int] = dict.fromkeys(JOBS, UNKNOWN)
         self.possible: dict[str, int] = dict.fromkeys(JOBS, UNKNOWN)
         self._least_at: dict[str, list[tuple[int, int]]] = {job: [(0, UNKNOWN)] for job in JOBS}
 
-    def tell(self, job_id: str, state: int) -> None:
+    def observe(self, job_id: str, state: int) -> None:
         """A user or writer got a response: from now on no response may be a lower state."""
         self.time += 1
-        if state > self.told[job_id]:
-            self.told[job_id] = state
+        if state > self.observed[job_id]:
+            self.observed[job_id] = state
             self._least_at[job_id].append((self.time, state))
 
     def check(self, query: Query, state: int) -> None:
         """States only rise: an order exists if no response is below one that was sent before its query."""
         least = max(value for at, value in self._least_at[query.job_id] if at <= query.queried_at)
         assert least <= state <= self.possible[query.job_id], (query, least, state)
-        self.tell(query.job_id, state)
+        self.observe(query.job_id, state)
 
 
 class CountingStore(Store):
@@ -164,12 +164,12 @@
         self._request("revision")
         return 7
 
-    def page(self, prefix: str, after: str, most: int = 1000) -> Page:
+    def page(self, prefix: str, after: str, max_entries: int = 1000) -> Page:
         self._request("page")
         return Page(
             [Entry(ACTIVE_JOB_PREFIX + JOBS[0], {}, 1), Entry(ACTIVE_JOB_PREFIX + JOBS[1], {}, 1)], False, 7
         )
 
-    def follow(self, prefix: str, since: int, hold_s: float) -> Changes:
+    def poll_changes(self, prefix: str, since: int, poll_timeout_s: float) -> Changes:
         self._request("follow")
         return Changes([], 7)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -13,7 +13,7 @@
 from poppyhold.cluster.redirect_backoff import RedirectBackoff
 from poppyhold.execution.completions import Completions
 from poppyhold.execution.direct_commands import DirectCommands
-from poppyhold.execution.failures import Failures
+from poppyhold.execution.failures import FailureTracker
 from poppyhold.execution.gangs import Gangs, GangState
 from poppyhold.execution.heartbeat_commands import HeartbeatCommands
 from poppyhold.execution.lease_expiry import LeaseExpiry
@@ -140,8 +140,8 @@
     Guard("gang_releases_capacity", Gangs, "abandon", _never),
     Guard("gang_avoids_slow_machine", Gangs, "_avoid_late_machines", _never),
     Guard("gang_reclaimed", Gangs, "stop", _stop_without_grace),
-    Guard("gang_preempts", GangPlacement, "preempt_for", _never),
-    Guard("gang_preempted", TaskStarter, "_await_gangs", _never),
+    Guard("gang_preempts", GangPlacement, "choose_with_preemption", _never),
+    Guard("gang_preempted", TaskStarter, "_stop_gangs_first", _never),
     Guard("gang_not_starved", GangScheduler, "_reserve_for", _never),
     Guard("gang_team_limit", GangScheduler, "_reserve_for", _never),
     Guard("gang_partly_started", Gangs, "adopt", _never),
@@ -158,14 +158,14 @@
     Guard("isolated_zone_keeps_machines", FleetSurvey, "silent_zones", _no_zones),
     Guard("isolated_zone_keeps_machines", MachineMonitor, "_block_launches_in", _never),
     Guard("relocation_frees_image_holder", Relocation, "relocate_for", _never),
-    Guard("relocation_one_at_a_time", Relocation, "_moves_left", _unlimited_moves),
+    Guard("relocation_one_at_a_time", Relocation, "_remaining_moves", _unlimited_moves),
     Guard("relocation_spares_equal_priority", Relocation, "_may_move_to", _always),
 ]
 
 
-def _any_two_errors(self: Failures, machine: Machine) -> bool:
+def _any_two_errors(self: FailureTracker, machine: Machine) -> bool:
     """Any two jobs that fail on a machine put it at fault."""
-    return len(machine.errors) > 1
+    return len(machine.task_errors) > 1
 
 
 def _only_team_without_guarantee(self: Quotas, team: str, cpus: float, gpus: float) -> bool:
@@ -178,12 +178,12 @@
 
 # Jobs that always fail, machines at fault, and teams without a guarantee.
 GUARDS += [
-    Guard("failing_jobs_on_one_machine", Failures, "machine_at_fault", _any_two_errors),
+    Guard("failing_jobs_on_one_machine", FailureTracker, "machine_at_fault", _any_two_errors),
     Guard("large_array_that_always_fails", Job, "startable", _start_all),
-    Guard("large_array_that_always_fails", Failures, "load", _never),
-    Guard("gang_that_always_fails", Failures, "_fails_everywhere", _never),
-    Guard("faulty_machine_among_failing_jobs", Failures, "machine_at_fault", _never),
-    Guard("healthy_job_on_faulty_machine", Failures, "_mark_sound", _never),
+    Guard("large_array_that_always_fails", FailureTracker, "load", _never),
+    Guard("gang_that_always_fails", FailureTracker, "_fails_everywhere", _never),
+    Guard("faulty_machine_among_failing_jobs", FailureTracker, "machine_at_fault", _never),
+    Guard("healthy_job_on_faulty_machine", FailureTracker, "_mark_healthy", _never),
     Guard("team_without_guarantee", Quotas, "within_guarantee", _only_team_without_guarantee),
 ]
 
@@ -194,7 +194,7 @@
 
 
 def _hold_also_after_change(
-    self: RedirectBackoff, heartbeat: Heartbeat, leader_fencing_token: int, led_s: float, now: float
+    self: RedirectBackoff, heartbeat: Heartbeat, leader_fencing_token: int, leading_s: float, now: float
 ) -> float:
     """Workers with the leader's token are held, though they may be on their way to a new leader."""
     return self._wait_s if heartbeat.fencing_token >= leader_fencing_token else 0.0
@@ -207,11 +207,13 @@
 
 
 def _hold_each_time(
-    self: RedirectBackoff, heartbeat: Heartbeat, leader_fencing_token: int, led_s: float, now: float
+    self: RedirectBackoff, heartbeat: Heartbeat, leader_fencing_token: int, leading_s: float, now: float
 ) -> float:
     """Workers are held at each heartbeat."""
     return (
-        self._wait_s if heartbeat.fencing_token >= leader_fencing_token and led_s > self._discovery_s else 0.0
+        self._wait_s
+        if heartbeat.fencing_token >= leader_fencing_token and leading_s > self._discovery_s
+        else 0.0
     )
 
 
--- a/tests/test_linearizable_reads.py
+++ b/tests/test_linearizable_reads.py
@@ -66,7 +66,7 @@
         state = self.store.write(job_id)
         self.history.possible[job_id] = state
         if not lost:
-            self.history.tell(job_id, state)
+            self.history.observe(job_id, state)
 
     @rule(job_id=st.sampled_from(JOBS), index=st.integers(0, NODES - 1))
     def query(self, job_id: str, index: int) -> None:
