--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -5,7 +5,7 @@
 import pytest
 
 from guards import Guard, violations_without
-from poppyhold.cluster.authority import Authority
+from poppyhold.cluster.authority import RenewalAuthority
 from poppyhold.cluster.cancellations import Cancellations
 from poppyhold.cluster.connectivity import Connectivity
 from poppyhold.cluster.delegated_renewals import DelegatedRenewals
@@ -77,7 +77,7 @@
     return [], 0
 
 
-def _treat_as_complete(self: Authority, member: str, asked: float, bound: int) -> None:
+def _treat_as_complete(self: RenewalAuthority, member: str, asked: float, bound: int) -> None:
     """Every response of a controller counts as complete."""
     self._peer_watermarks[member] = asked
 
@@ -121,7 +121,7 @@
     Guard("delayed_start_after_cancel", DirectCommands, "raise_fencing_token", _always),
     Guard("delayed_start_after_leader_change", AttemptReconciler, "_absence_proves_termination", _always),
     Guard("limit_counts_unreachable_machines", Quotas, "allows", _always),
-    Guard("isolated_leader", Authority, "may_renew_leases", _always),
+    Guard("isolated_leader", RenewalAuthority, "may_renew_leases", _always),
     Guard("launch_response_lost", Launches, "load", _ignore_launch),
     Guard("completions_durable_before_forgotten", HeartbeatCommands, "_may_forget_exit", _always),
     Guard("large_fleet", CycleState, "scheduling_key", _unique_key),
@@ -132,8 +132,10 @@
     Guard("silent_machines_and_duplicates", MachineMonitor, "_count_turned_away", _count_all_misdirected),
     Guard("inbound_messages_lost", AttemptReconciler, "_ignores_responses", _never),
     Guard("cancellations_before_state_outage", Cancellations, "summarize", _empty_summary),
-    Guard("cancellations_before_state_outage", Authority, "observe_peer", _never),
-    Guard("cancellations_forgotten_before_state_outage", Authority, "observe_peer", _treat_as_complete),
+    Guard("cancellations_before_state_outage", RenewalAuthority, "observe_peer", _never),
+    Guard(
+        "cancellations_forgotten_before_state_outage", RenewalAuthority, "observe_peer", _treat_as_complete
+    ),
     Guard("gangs_compete", GangPlacement, "choose", _start_one_by_one),
     Guard("gang_task_lost_before_start", Gangs, "may_start", _only_waiting_for_capacity),
     Guard("gang_task_lost_while_running", Gangs, "_fail", _never),
