--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -129,7 +129,7 @@
     Guard("zone_isolated_past_delegation", DelegationTracker, "latest_renewal_at", _never_renewed),
     Guard("cancelled_before_zone_isolation", Controller, "excluded_machines", _no_machines),
     Guard("limit_counts_cancelled_job", Fleet, "unaccounted_resources", _no_resources),
-    Guard("silent_machines_and_duplicates", MachineMonitor, "_count_turned_away", _count_all_misdirected),
+    Guard("silent_machines_and_duplicates", MachineMonitor, "_count_misdirected", _count_all_misdirected),
     Guard("inbound_messages_lost", AttemptReconciler, "_ignores_responses", _never),
     Guard("cancellations_before_state_outage", Cancellations, "summarize", _empty_summary),
     Guard("cancellations_before_state_outage", RenewalAuthority, "observe_peer", _never),
@@ -155,7 +155,7 @@
     Guard("gang_completed_by_one_heartbeat", Job, "complete", _complete_task_alone),
     Guard("gang_unconfirmed_start", DirectCommands, "raise_fencing_token", _always),
     Guard("zone_partition", Connectivity, "better_connected_peer", _never),
-    Guard("machine_hangs_at_leader_change", MachineMonitor, "_is_quiet", _always),
+    Guard("machine_hangs_at_leader_change", MachineMonitor, "_is_suspected", _always),
     Guard("zone_partition_of_two", DelegatedRenewals, "_is_partition", _never),
     Guard("isolated_zone_keeps_machines", FleetSurvey, "silent_zones", _no_zones),
     Guard("isolated_zone_keeps_machines", MachineMonitor, "_block_launches_in", _never),
@@ -205,7 +205,7 @@
 def _decide_by_one_check(self: MachineMonitor, survey: FleetSurvey, now: float) -> bool:
     """A single check is enough to conclude that the workers have turned away."""
     silent = len(survey.silent)
-    return silent * 2 >= survey.up and silent > 1 and self._count_turned_away(now) > 2 * survey.responsive
+    return silent * 2 >= survey.up and silent > 1 and self._count_misdirected(now) > 2 * survey.responsive
 
 
 def _hold_each_time(
@@ -226,9 +226,9 @@
 
 GUARDS += [
     Guard("slow_boots", BootTracker, "_is_overdue", _is_overdue_alone),
-    Guard("slow_boots", BootTracker, "is_given_up", _is_given_up_alone),
+    Guard("slow_boots", BootTracker, "has_timed_out", _is_given_up_alone),
     Guard("boots_never_complete", BootTracker, "_is_overdue", _never),
-    Guard("boots_never_complete", BootTracker, "is_given_up", _never),
+    Guard("boots_never_complete", BootTracker, "has_timed_out", _never),
 ]
 
 # Frozen controllers, and a huge array.
@@ -242,7 +242,9 @@
     Guard("leader_drops_heartbeats", RedirectBackoff, "wait_s", _zero_seconds),
     Guard("machine_hangs_at_leader_change", RedirectBackoff, "wait_s", _hold_also_after_change),
     Guard("zone_partition_of_two", RedirectBackoff, "wait_s", _hold_each_time),
-    Guard("silent_machines_and_duplicates", MachineMonitor, "_workers_turned_away", _decide_by_one_check),
+    Guard(
+        "silent_machines_and_duplicates", MachineMonitor, "_most_workers_misdirected", _decide_by_one_check
+    ),
 ]
 
 # The same for relays.
