--- a/src/poppyhold/cluster/peer_client.py
+++ b/src/poppyhold/cluster/peer_client.py
@@ -111,6 +111,6 @@
     def _receive_pong(self, connection: socket.socket) -> Pong:
         message = receive_peer_message(connection)
         if not isinstance(message, Pong) or message.member != self._peer.member:
-            # A leader's bounds on renewals are kept by the member that responded.
+            # The leader's bounds on renewals are recorded by member: the response must be that peer's.
             raise ValueError(f"message is not a pong of {self._peer.member}")
         return message
--- a/src/poppyhold/cluster/redirect_backoff.py
+++ b/src/poppyhold/cluster/redirect_backoff.py
@@ -16,7 +16,7 @@
 
     Where the leader's path to the workers drops packets, a worker waits four seconds for a response and
     contacts another controller a second later. Redirected at once, it waited four seconds more, and its lease
-    had expired: in a fleet of 200 machines 400 tasks were lost though the next leader was ready before the
+    expired: in a fleet of 200 machines 400 tasks were lost though the next leader was ready before the
     leases ended. The leader resigns once most workers contact other controllers, within two seconds of the
     first ones. A worker that returns within a lease has already waited without a failover, and its lease may
     be about to expire: it is redirected at once.
--- a/src/poppyhold/durable/keys.py
+++ b/src/poppyhold/durable/keys.py
@@ -1,6 +1,6 @@
 """The keys of the state service: every family of records has its own prefix.
 
-Stored names are the same in every version; a new family gets a new prefix, which older versions don't read.
+Stored names never change between versions; a new family gets a new prefix, which older versions don't read.
 """
 
 from __future__ import annotations
