--- a/tests/sim_relay.py
+++ b/tests/sim_relay.py
@@ -23,7 +23,7 @@
 
 
 class SimRelay:
-    """One process's side of the connection to the leader, as `relay.link` keeps it."""
+    """A process's side of the connection to the leader, as `relay.link` maintains it."""
 
     def __init__(self, node: SimNode) -> None:
         self._node, self._world = node, node.world
@@ -40,11 +40,11 @@
         self._gathering = False
 
     def is_open(self) -> bool:
-        """Whether reports are relayed now."""
+        """Whether heartbeats are relayed now."""
         return self._term is not None or self._reconnection.is_open(self._world.now)
 
     def take(self, body: Data, respond: Respond) -> None:
-        """A worker's report: its answer comes once the leader has given it."""
+        """Queue a worker's heartbeat; its response is sent once the leader's has arrived."""
         heartbeat = parse_heartbeat(body)
 
         def relayed(answer: RelayedResponse | None) -> None:
@@ -63,22 +63,22 @@
         self._gather()
 
     def _unanswered(self, body: Data) -> tuple[int, Data]:
-        """As `relay.forwarding` answers what the leader did not."""
+        """As `relay.forwarding` answers heartbeats that the leader did not."""
         status, answer = self._node.handle_heartbeat(body)
         regaining = self._term is None and self._reconnection.is_open(self._world.now)
         return (503, {}) if status == 421 and regaining else (status, answer)
 
     def close(self) -> None:
-        """The process is gone, and its connection with it."""
+        """The process ended, and its connection with it."""
         self._disconnect()
 
     def step(self) -> None:
-        """Connect, notice what is gone, and give up what waited too long."""
+        """Connect, detect lost connections, and expire heartbeats that waited too long."""
         now = self._world.now
         if self._term is not None and not self._is_sound(self._term):
             self._lost()
         leader = self._world.leader()
-        if self._term is not None and self._node.has_state() and leader not in (None, self._term.node):
+        if self._term is not None and self._node.reaches_state() and leader not in (None, self._term.node):
             # The key names another leader.
             self._lost()
         if self._sent_at is not None and now - self._sent_at > self._timings.stalled_s:
@@ -94,14 +94,16 @@
         if self._queue.unsent:
             self._gather()
 
-    # -- the connection ----------------------------------------------------------------------------
-
     def _reaches(self, other: SimNode) -> bool:
-        cut = self._node.cut_peers or other.cut_peers or self._world.severed(self._node.zone, other.zone)
+        cut = (
+            self._node.lost_peers
+            or other.lost_peers
+            or self._world.is_partitioned(self._node.zone, other.zone)
+        )
         return other.alive and not cut
 
     def _is_sound(self, term: SimLeaderTerm) -> bool:
-        # A cut is noticed only by what stays unanswered; an end closes the connection.
+        # A cut link is detected only by missing responses; a crash or the end of a term closes it.
         return term.alive and term.node.alive and self._state is not None and self._state.alive
 
     def _connect(self) -> None:
@@ -134,8 +136,6 @@
             del term.relays[self._node.member]
             term.assignment.relay_disconnected(self._node.member)
 
-    # -- batches -----------------------------------------------------------------------------------
-
     def _gather(self) -> None:
         if not self._gathering:
             self._gathering = True
@@ -154,24 +154,24 @@
         batch = self._queue.next_batch(self._world.now, _MOST_IN_BATCH, self._round_trip_s)
         self._sent_at = self._sent_at if self._sent_at is not None else self._world.now
         self._carry(term, self._state, batch)
-        if self._world.batches_twice:
+        if self._world.duplicates_batches:
             self._carry(term, self._state, batch, self._world.rng.uniform(0.0, _LATEST_COPY_S))
 
     def _carry(
         self, term: SimLeaderTerm, state: ConnectedRelay | None, batch: HeartbeatBatch, later_s: float = 0.0
     ) -> None:
-        delay = 0.001 + self._world.link_s + self._world.batches_late_s + later_s
+        delay = 0.001 + self._world.link_delay_s + self._world.batch_delay_s + later_s
 
         def arrive() -> None:
             if state is None or not state.alive or not term.alive:
                 return
             if term.node.frozen or not self._reaches(term.node):
-                # Held back in the network, or by a process that stands still.
+                # Held back in the network, or by a frozen process.
                 self._world.after(0.1, arrive)
                 return
             answers = term.batch_handler.handle(state, batch, self._world.now)
             term.settle()
-            back = 0.001 + self._world.link_s + self._world.batches_late_s
+            back = 0.001 + self._world.link_delay_s + self._world.batch_delay_s
             self._world.after(back, lambda: self._answered(state, term, answers))
 
         self._world.after(delay, arrive)
