--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -49,12 +49,12 @@
     from world import World
 
 STEP_S = 0.05
-# How late a command is that the network holds back while others pass.
-LATE_S = 40.0
+# Delay of a command that the network holds back while others pass.
+COMMAND_DELAY_S = 40.0
 
 
 class SimStore(Store):
-    """The state client of a simulated node: calls are carried out at once, or refused."""
+    """The state client of a simulated node: calls are executed at once, or rejected."""
 
     def __init__(self, node: SimNode) -> None:
         self._node = node
@@ -63,7 +63,7 @@
 
     def _state(self) -> StateStandIn:
         world = self._node.world
-        if not self._node.alive or not self._node.has_state():
+        if not self._node.alive or not self._node.reaches_state():
             raise StoreRejectedError("503")
         self.contact_at = world.now
         return world.state
@@ -86,47 +86,47 @@
     def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
         body = transaction_body(conditions, writes)
         state, world = self._state(), self._node.world
-        # Those of a transaction whose conditions fail count as well.
+        # Writes of a transaction whose conditions fail count as well.
         world.work["changes"] += len(writes)
-        if world.late_writes and world.rng.random() < world.late_writes:
-            world.after(world.rng.uniform(2.0, 12.0), lambda: world.carry_out_late(body))
+        if world.delayed_commit_share and world.rng.random() < world.delayed_commit_share:
+            world.after(world.rng.uniform(2.0, 12.0), lambda: world.commit_delayed(body))
             raise OutcomeUnknownError("late")
         status, answer = state.commit(body)
         if status == 409:
             raise ConditionFailedError(answer["failed"])
         if status != 200:
             raise StoreRejectedError(str(answer))
-        if self._node.lose_answers > 0:
-            self._node.lose_answers -= 1
+        if self._node.commit_responses_to_lose > 0:
+            self._node.commit_responses_to_lose -= 1
             raise OutcomeUnknownError("lost")
-        if world.lost_answers and world.rng.random() < world.lost_answers:
+        if world.dropped_response_share and world.rng.random() < world.dropped_response_share:
             raise OutcomeUnknownError("lost")
         return int(answer["ledger"])
 
 
 class SimLeaderTerm:
-    """One term of leading: the core's outbound port, with latencies, losses and late deliveries."""
+    """One leader term: the core's outbound port, with latencies, losses and late deliveries."""
 
-    def __init__(self, node: SimNode, baton: int, stamp: int, permit: int) -> None:
+    def __init__(self, node: SimNode, fencing_token: int, version: int, lease_id: int) -> None:
         self.node, self.world = node, node.world
-        self.fencing_token, self.version, self.lease_id = baton, stamp, permit
+        self.fencing_token, self.version, self.lease_id = fencing_token, version, lease_id
         self.alive = True
         self.confirmed = self.world.now
         self.delegations = DelegationTracker(node.times, 0.0)
         world = self.world
         self.authority = RenewalAuthority(node.times.unconfirmed_renewal_s, world.members, world.now)
-        self._writer = FencedWriter(node.store, stamp)
+        self._writer = FencedWriter(node.store, version)
         self._units: deque[tuple[dict[str, int], Sequence[Write], Callable[[bool], None]]] = deque()
         self._priorities: deque[CommitPriority] = deque()
-        # Writes of the last transfer that was about to be carried out.
+        # Writes of the last transfer whose commit was started.
         self._planned: Sequence[Write] | None = None
-        # When each other cell is asked next.
-        self.asks_at: dict[int, float] = {}
+        # When the next request to each other cell is due.
+        self.next_request_at: dict[int, float] = {}
         self.controller = Controller(
-            node.settings, node.options, self, baton, lambda: world.now, lambda: world.now, world.rng
+            node.settings, node.options, self, fencing_token, lambda: world.now, lambda: world.now, world.rng
         )
         dispatcher = self.controller.dispatcher
-        self._count_calls("passes", dispatcher, "dispatch")
+        self._count_calls("cycles", dispatcher, "dispatch")
         self._count_calls("plans", self.controller.admission.planner, "plan")
         self._count_calls("searches", dispatcher.placement, "ranking")
         self._count_calls("searches", dispatcher.placement, "preemptions")
@@ -140,11 +140,11 @@
             lambda: world.now,
             world.rng,
         )
-        # The relays that are connected, and what is kept of each.
+        # State of each connected relay.
         self.relays: dict[str, ConnectedRelay] = {}
-        patience_s = heartbeat_response_timeout_s(node.settings.deployment.workers)
+        response_timeout_s = heartbeat_response_timeout_s(node.settings.deployment.workers)
         self.batch_handler = BatchHandler(
-            self.answer_heartbeat, self.controller.last_response_at, self.assignment, patience_s
+            self.answer_heartbeat, self.controller.last_response_at, self.assignment, response_timeout_s
         )
         self.authority.observe_watch(world.now, node.store.revision())
         self.controller.load(
@@ -154,15 +154,15 @@
         self.next_list = world.now
         self.woken_at = world.now
 
-    def _carry_out(self) -> None:
-        """One try of the first unit that waits, as the committer's thread does."""
+    def _commit_next(self) -> None:
+        """Try to commit the first queued unit, as the committer's thread does."""
         conditions, writes, done = self._units[0]
         is_transfer = any(isinstance(write, Put) and write.key.startswith(PEER_PREFIX) for write in writes)
         if is_transfer and self._planned is not writes:
             self._planned = writes
             self.world.on_transfer_step(self.node, "planned")
             if self.node.frozen or not self.alive:
-                self._later(0.0, self._carry_out)
+                self._later(0.0, self._commit_next)
                 return
         try:
             self._writer.commit(conditions, writes)
@@ -172,7 +172,7 @@
                 return
             result = False
         except (StoreRejectedError, OutcomeUnknownError):
-            self._later(0.2, self._carry_out)
+            self._later(0.2, self._commit_next)
             return
         else:
             result = True
@@ -182,7 +182,7 @@
         self._priorities.popleft()
         self._later(0.002, lambda: done(result))
         if self._units:
-            self._later(0.003, self._carry_out)
+            self._later(0.003, self._commit_next)
 
     def _count_calls(self, name: str, owner: object, method: str) -> None:
         inner = getattr(owner, method)
@@ -204,7 +204,7 @@
         self.world.after(delay, run)
 
     def settle(self) -> None:
-        """As the decision thread does: when a scheduling cycle must wait, it wakes up for it."""
+        """Run a scheduling cycle, or schedule it for when it is due, as the decision thread does."""
         if not self.alive or not self.node.alive or self.node.frozen:
             return
         self.controller.run_scheduling_cycle()
@@ -223,8 +223,8 @@
         self.world.work["commits"] += 1
         unit = (conditions, writes, on_committed)
         if not self._units:
-            self._later(0.003, self._carry_out)
-        # Behind the one that is being tried, and those of its own rank.
+            self._later(0.003, self._commit_next)
+        # After the unit that is being committed, and those of its own priority.
         place = len(self._units)
         while place > 1 and self._priorities[place - 1] > priority:
             place -= 1
@@ -244,48 +244,48 @@
 
         def answered(outcome: RequestOutcome, heartbeat: Data | None) -> None:
             parsed = parse_heartbeat(heartbeat) if heartbeat is not None else None
-            self._later(0.001 + world.link_s, lambda: on_response(outcome, parsed))
+            self._later(0.001 + world.link_delay_s, lambda: on_response(outcome, parsed))
 
-        if worker is None or worker.gone or self.node.cut_workers:
+        if worker is None or worker.gone or self.node.lost_workers:
             self._later(1.5, lambda: on_response(RequestOutcome.NOT_SENT, None))
             return
-        how = world.troubles.get(worker.name, set())
-        if world.severed(self.node.zone, worker.zone):
-            how = how | {"hold"}
-        if "late" in how:
+        faults = world.faults.get(worker.name, set())
+        if world.is_partitioned(self.node.zone, worker.zone):
+            faults = faults | {"hold"}
+        if "delay" in faults:
 
             def deliver_late() -> None:
                 worker.do(body)
 
-            world.after(LATE_S, deliver_late)
+            world.after(COMMAND_DELAY_S, deliver_late)
             self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
             return
-        if how & {"hang", "hold"}:
-            # The command waits in the network or in a hanging machine, and is carried out later.
+        if faults & {"hang", "hold"}:
+            # The command waits in the network or in a hanging machine, and is executed later.
             worker.held_commands.append(body)
             self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
             return
-        if "deaf" in how:
+        if "drop_inbound" in faults:
             self._later(1.5, lambda: on_response(RequestOutcome.NOT_SENT, None))
             return
 
         def deliver() -> None:
             status, heartbeat = worker.do(body)
-            if "mute" in how:
+            if "drop_responses" in faults:
                 self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
                 return
             answered(RequestOutcome.OK if status == 200 else RequestOutcome.REJECTED, heartbeat)
 
-        world.after(0.001 + world.link_s, deliver)
+        world.after(0.001 + world.link_delay_s, deliver)
 
     def launch_machines(self, body: Data, on_response: Callable[[RequestOutcome, list[str]], None]) -> None:
         def send() -> None:
-            if self.world.cut == self.node.zone:
+            if self.world.isolated_zone == self.node.zone:
                 on_response(RequestOutcome.UNKNOWN, [])
                 return
             status, answer = self.world.cloud.launch(body)
-            if self.world.lose_launches > 0 and status == 200:
-                self.world.lose_launches -= 1
+            if self.world.launch_responses_to_lose > 0 and status == 200:
+                self.world.launch_responses_to_lose -= 1
                 on_response(RequestOutcome.UNKNOWN, [])
             elif status == 200:
                 on_response(RequestOutcome.OK, answer["boxes"])
@@ -299,7 +299,7 @@
 
     def delete_machines(self, names: list[str], on_deleted: Callable[[bool], None]) -> None:
         def send() -> None:
-            if self.world.cut == self.node.zone:
+            if self.world.isolated_zone == self.node.zone:
                 on_deleted(False)
                 return
             status, _ = self.world.cloud.delete(names)
@@ -310,20 +310,20 @@
 
         self._later(0.1, send)
 
-    def leadership_lost(self, baton: int) -> None:
+    def leadership_lost(self, fencing_token: int) -> None:
         self.node.step_down()
 
-    def fencing_token_raised(self, baton: int) -> None:
-        self.fencing_token = baton
+    def fencing_token_raised(self, fencing_token: int) -> None:
+        self.fencing_token = fencing_token
 
     def resign(self, reason: str) -> None:
-        self.node.resting_until = self.world.now + self.world.settings.deployment.workers.lease_s
-        if not self.world.state.down and not self.node.refused:
+        self.node.campaign_after = self.world.now + self.world.settings.deployment.workers.lease_s
+        if not self.world.state.down and not self.node.lost_state:
             self.world.state.end(self.lease_id)
         self.node.step_down()
 
-    def job_finalized(self, job_id: str, status: str, chores: int) -> None:
-        self.node.users.job_states.final_states.put(job_id, FinalState(status, chores))
+    def job_finalized(self, job_id: str, status: str, task_count: int) -> None:
+        self.node.users.job_states.final_states.put(job_id, FinalState(status, task_count))
 
     def misdirected_workers(self) -> list[list[MisdirectedWorker]]:
         since = self.world.now - self.world.settings.deployment.workers.lease_s / 2
@@ -332,14 +332,14 @@
             for node in self.world.nodes
             if node is not self.node
             and node.alive
-            and not (node.cut_peers or self.node.cut_peers)
-            and not self.world.severed(node.zone, self.node.zone)
+            and not (node.lost_peers or self.node.lost_peers)
+            and not self.world.is_partitioned(node.zone, self.node.zone)
         ]
 
-    def answer_heartbeat(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
-        """The answer to a heartbeat that a relay forwarded."""
+    def answer_heartbeat(self, heartbeat: Heartbeat, deadline: float) -> HeartbeatResponse | None:
+        """The response to a heartbeat that a relay forwarded."""
         now = self.world.now
-        if not self.alive or now >= late_at or not self.authority.may_renew_leases(now, self.confirmed):
+        if not self.alive or now >= deadline or not self.authority.may_renew_leases(now, self.confirmed):
             return None
         return self.controller.handle_heartbeat(heartbeat)
 
@@ -354,19 +354,19 @@
         return self.delegations.latest_renewal_at(self.world.now)
 
     def delegation(self) -> LeaseDelegation | None:
-        """What the other nodes may count on."""
-        shunned = self.controller.excluded_machines()
+        """The grant under which other nodes may renew leases."""
+        excluded = self.controller.excluded_machines()
         return (
             None
-            if shunned is None
+            if excluded is None
             else LeaseDelegation(
-                self.fencing_token, min(self.confirmed, self.authority.watch_caught_up_at), shunned
+                self.fencing_token, min(self.confirmed, self.authority.watch_caught_up_at), excluded
             )
         )
 
 
 class SimNode:
-    """A controller node: its election is that of `election`, told in a few lines."""
+    """A controller node, with a short form of the election in `cluster.election`."""
 
     def __init__(self, world: World, member: str) -> None:
         self.world, self.member = world, member
@@ -374,28 +374,28 @@
         self.settings, self.options = world.settings, world.options
         self.times = Durations(world.settings, Options())
         self.alive = True
-        self.refused = False
-        self.cut_workers = False
-        # The same, and what workers send is dropped instead of refused.
-        self.drops_workers = False
-        self.cut_peers = False
-        # It stands still while its clocks run on.
+        self.lost_state = False
+        self.lost_workers = False
+        # The same, but heartbeats are dropped instead of refused.
+        self.drops_heartbeats = False
+        self.lost_peers = False
+        # The process is paused while its clocks run on.
         self.frozen = False
-        # The version before knows of no relays.
+        # The previous version has no relays.
         self.relays = True
-        self.lose_answers = 0
-        self.resting_until = 0.0
-        self.back_at = float("inf")
+        self.commit_responses_to_lose = 0
+        self.campaign_after = 0.0
+        self.restart_at = float("inf")
         self.leader_term: SimLeaderTerm | None = None
         self.boot()
 
     def boot(self) -> None:
-        """A new process: nothing is remembered."""
+        """Start a new process, without any state in memory."""
         self.alive = True
         self.relay = SimRelay(self)
         self.store = SimStore(self)
         self.leader_term = None
-        # First revision that this process saw.
+        # First revision that this process read.
         self.first_revision = -1
         self.misdirected_workers: dict[str, tuple[float, MisdirectedWorker]] = {}
         self.delegated_renewal = DelegatedRenewals(
@@ -406,14 +406,14 @@
         self._leader_fencing_token = 0
         self.connectivity = Connectivity(self.member, self.times.heartbeat_interval_s, lambda: self.world.now)
         builds = {b["name"]: convert(b, MachineType) for b in self.world.cloud.machine_types}
-        # Each question is a shared read by itself: the view is what users are answered from.
+        # Each poll is a batch by itself, so that users are answered from the view.
         reads = BatchedJobReads(self.store, 0.0, 1.0, min_batch_size=1, clock=lambda: self.world.now)
         self.users = UserApi(
             self.settings, self.store, lambda: builds, self._count, lambda: self.world.now, reads
         )
 
-    def is_old(self) -> None:
-        """From its next process on it is the version before: no limits to come, and no relays."""
+    def downgrade(self) -> None:
+        """From its next process on it runs as the previous version: no announced limits, and no relays."""
         self.relays = False
         deployment = msgspec.structs.replace(
             self.world.settings.deployment,
@@ -425,14 +425,14 @@
         return self.leader_term.controller.task_counts().get(job_id) if self.leader_term else None
 
     def crash(self, back_s: float) -> None:
-        """The process ends without a word."""
+        """The process crashes, and restarts after a delay."""
         self.step_down()
         self.alive = False
         self.relay.close()
-        self.back_at = self.world.now + back_s
+        self.restart_at = self.world.now + back_s
 
     def step_down(self) -> None:
-        """The term is over."""
+        """End the leader term."""
         if self.leader_term is not None:
             self.leader_term.alive = False
             self.leader_term.relays.clear()
@@ -447,8 +447,8 @@
             proxied = self.delegated_renewal.renewal_fencing_token(
                 parse_heartbeat(body),
                 self.store.contact_at,
-                held[0]["baton"] if held is not None and self.has_state() else 0,
-                named is not None and self.world.severed(self.zone, named.zone),
+                held[0]["baton"] if held is not None and self.reaches_state() else 0,
+                named is not None and self.world.is_partitioned(self.zone, named.zone),
             )
             if proxied is not None:
                 return 200, {"baton": proxied, "orders": []}
@@ -472,11 +472,11 @@
         return 200, answer.body()
 
     def relays_heartbeats(self) -> bool:
-        """Whether a heartbeat that comes now is relayed."""
+        """Whether a heartbeat that arrives now is relayed."""
         return self.leader_term is None and self.relay.is_open()
 
     def receive_heartbeat(self, body: Data, respond: Callable[[int, Data], None], wait_s: float) -> None:
-        """POST /hello: relayed to the leader, or answered within ``wait_s`` where its worker has left it."""
+        """POST /hello: relayed to the leader, or answered within ``wait_s`` if its worker left the leader."""
         if self.relays_heartbeats():
             self.relay.take(body, respond)
             return
@@ -487,16 +487,16 @@
             respond(status, answer)
 
     def _note_leader(self) -> int:
-        """The leader's token, as it is known from now on."""
+        """The leader's token; records since when it is known."""
         fencing_token = self.lowest_fencing_token()
         if fencing_token != self._leader_fencing_token:
             self._leader_fencing_token, self._leader_since = fencing_token, self.world.now
         return fencing_token
 
     def departure_wait_s(self, body: Data) -> float:
-        """How long a worker waits here that has left a leader which still leads."""
+        """How long this node holds a worker that has left a leader which still leads."""
         leader = self.world.leader()
-        if self.relays_heartbeats() or leader in (None, self) or not self.has_state():
+        if self.relays_heartbeats() or leader in (None, self) or not self.reaches_state():
             return 0.0
         fencing_token = self._note_leader()
         now = self.world.now
@@ -517,34 +517,34 @@
     def lowest_fencing_token(self) -> int:
         """The highest token that this node knows of."""
         held = self.world.state.keys.get(LEADER_KEY)
-        return int(held[0]["baton"]) if held is not None and self.has_state() else 0
+        return int(held[0]["baton"]) if held is not None and self.reaches_state() else 0
 
-    def has_state(self) -> bool:
+    def reaches_state(self) -> bool:
         """Whether the state service answers this node."""
         world = self.world
-        return not (world.state.down or self.refused or world.cut == self.zone)
+        return not (world.state.down or self.lost_state or world.isolated_zone == self.zone)
 
     def step(self) -> None:
-        """What a node's duties do every so often."""
+        """The periodic work of a node."""
         world = self.world
         if self.frozen:
             return
         try:
             if self.leader_term is not None:
-                self._lead(self.leader_term)
-            elif world.now >= self.resting_until:
+                self._step_leader(self.leader_term)
+            elif world.now >= self.campaign_after:
                 self._campaign()
             if self.first_revision < 0:
                 self.first_revision = self.store.revision()
         except (StoreRejectedError, OutcomeUnknownError, ConditionFailedError):
             pass
         self._note_leader()
-        self._listen()
-        self._ask_peers()
+        self._exchange_connectivity()
+        self._ping_peers()
         leader_term = self.leader_term
         if leader_term is not None:
             better = self.connectivity.better_connected_peer(self.times.delegated_renewal_after_s)
-            if better is not None and self.has_state():
+            if better is not None and self.reaches_state():
                 leader_term.resign(f"{better} reaches more controllers")
                 return
             leader_term.controller.tick()
@@ -552,7 +552,7 @@
             leader_term.settle()
         self.relay.step()
 
-    def _lead(self, leader_term: SimLeaderTerm) -> None:
+    def _step_leader(self, leader_term: SimLeaderTerm) -> None:
         world = self.world
         asked = world.now
         if not world.cloud.down and asked >= leader_term.next_list:
@@ -573,32 +573,33 @@
 
     def _campaign(self) -> None:
         world = self.world
-        lead = self.store.get(LEADER_KEY)
-        if lead is not None:
-            if lead.data["member"] == self.member:
-                # A claim of ours that had no answer, or of a process of ours before this one.
-                world.state.end(lead.data["permit"])
+        claimed = self.store.get(LEADER_KEY)
+        if claimed is not None:
+            if claimed.data["member"] == self.member:
+                # A claim of this node that got no response, or one of its previous process.
+                world.state.end(claimed.data["permit"])
             return
         if self.connectivity.better_connected_peer() is not None:
             return
-        permit = world.state.lease(2500)[1]["permit"]
+        lease_id = world.state.lease(2500)[1]["permit"]
         held = self.store.get(FENCING_TOKEN_KEY)
-        baton = (held.data["baton"] if held else 0) + 1
-        claim = {"member": self.member, "baton": baton, "permit": permit}
+        fencing_token = (held.data["baton"] if held else 0) + 1
+        claim = {"member": self.member, "baton": fencing_token, "permit": lease_id}
         conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.revision if held else 0}
         try:
-            stamp = self.store.commit(
-                conditions, [Put(LEADER_KEY, claim, permit), Put(FENCING_TOKEN_KEY, {"baton": baton})]
+            version = self.store.commit(
+                conditions,
+                [Put(LEADER_KEY, claim, lease_id), Put(FENCING_TOKEN_KEY, {"baton": fencing_token})],
             )
         except OutcomeUnknownError:
-            lead = self.store.get(LEADER_KEY)
-            if lead is None or lead.data["permit"] != permit:
+            claimed = self.store.get(LEADER_KEY)
+            if claimed is None or claimed.data["permit"] != lease_id:
                 raise
-            stamp = lead.revision
-        self.leader_term = SimLeaderTerm(self, baton, stamp, permit)
-        world.a_leader_begins(self)
+            version = claimed.revision
+        self.leader_term = SimLeaderTerm(self, fencing_token, version, lease_id)
+        world.leader_elected(self)
 
-    def _reached(self) -> list[SimNode]:
+    def _reachable_nodes(self) -> list[SimNode]:
         """The other nodes that answer this one."""
         world = self.world
         return [
@@ -606,31 +607,31 @@
             for other in world.nodes
             if other is not self
             and other.alive
-            and not (other.frozen or self.cut_peers or other.cut_peers)
-            and not world.severed(self.zone, other.zone)
+            and not (other.frozen or self.lost_peers or other.lost_peers)
+            and not world.is_partitioned(self.zone, other.zone)
         ]
 
-    def _listen(self) -> None:
-        """Hear from the others whom they reach."""
-        for other in self._reached():
+    def _exchange_connectivity(self) -> None:
+        """Record which nodes the reachable nodes reach."""
+        for other in self._reachable_nodes():
             self.connectivity.record_response(other.member, other.connectivity.reachable_peers())
 
-    def _ask_peers(self) -> None:
+    def _ping_peers(self) -> None:
         world, leader_term = self.world, self.leader_term
         if leader_term is None:
             return
-        self.tell(leader_term)
-        for other in self._reached():
+        self.report_cancellations(leader_term)
+        for other in self._reachable_nodes():
             leader_term.delegations.record_grant(other.member, world.now)
             other.delegated_renewal.observe_leader(leader_term.fencing_token, leader_term.delegation())
             leader_term.delegations.record_response(other.member, world.now)
             if other.leader_term is not None and other.leader_term.fencing_token > leader_term.fencing_token:
                 self.step_down()
                 return
-            other.tell(leader_term)
+            other.report_cancellations(leader_term)
 
-    def tell(self, leader: SimLeaderTerm) -> None:
-        """Tell a leader which cancellations were confirmed here, as peers' messages do."""
+    def report_cancellations(self, leader: SimLeaderTerm) -> None:
+        """Report the cancellations confirmed here to a leader, as peers' messages do."""
         self.users.cancellations.acknowledge(leader.authority.applied_revision)
         named, bound = self.users.cancellations.summarize(self.first_revision)
         for job_id, _ in named:
