--- a/src/poppyhold/quota/__init__.py
+++ b/src/poppyhold/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Allocations of teams' limits and guarantees that move between cells (docs/quota.md)."""
+"""Cells' allocations of teams' limits and guarantees, and their transfer between cells (docs/quota.md)."""
--- a/src/poppyhold/quota/amounts.py
+++ b/src/poppyhold/quota/amounts.py
@@ -1,4 +1,4 @@
-"""Amounts of limits and guarantees: whole numbers of thousandths, so that sums over cells are exact."""
+"""Amounts of limits and guarantees: integers in thousandths, so that sums over cells are exact."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 from poppyhold.scheduling.quotas import TeamQuota
 
-# One CPU or accelerator.
+# One CPU or accelerator, in thousandths.
 UNIT = 1000
 
 
 def to_thousandths(amount: float) -> int:
-    """Thousandths of a CPU or an accelerator."""
+    """Convert CPUs or accelerators to thousandths."""
     return round(amount * UNIT)
 
 
 def from_thousandths(amount: int) -> float:
-    """CPUs or accelerators of so many thousandths."""
+    """Convert thousandths to CPUs or accelerators."""
     return amount / UNIT
 
 
 class ResourceAmount(msgspec.Struct, frozen=True, array_like=True):
-    """An amount of one resource in a transfer: guaranteed, and borrowable beyond any guarantee."""
+    """An amount of one resource in a transfer: a guaranteed part, and a borrowable part above guarantees."""
 
     guaranteed: int = 0
     borrowable: int = 0
 
     @property
     def limit(self) -> int:
-        """By how much the limit changes."""
+        """The amount by which a transfer changes the limit."""
         return self.guaranteed + self.borrowable
 
     def capped_at(self, maximum: ResourceAmount) -> ResourceAmount:
-        """The smaller of both amounts, part by part."""
+        """The smaller of both amounts, for each part."""
         return ResourceAmount(
             min(self.guaranteed, maximum.guaranteed), min(self.borrowable, maximum.borrowable)
         )
@@ -43,8 +43,8 @@
 class ResourceAllocation(msgspec.Struct, frozen=True, array_like=True):
     """A cell's part of a team's guarantee and limit of one resource.
 
-    It consists of the guarantee and of what may be borrowed above it, neither of which is ever negative:
-    whatever is transferred, the guarantee stays within the limit. ``borrowable`` None means no limit.
+    The limit is the sum of the guarantee and the borrowable part. Neither is ever negative, so that no
+    transfer raises the guarantee above the limit. ``borrowable`` None means no limit.
     """
 
     guaranteed: int = 0
@@ -56,18 +56,18 @@
         return None if self.borrowable is None else self.guaranteed + self.borrowable
 
     def covers(self, amount: ResourceAmount) -> bool:
-        """Whether it can be debited by an amount."""
+        """Whether an amount can be debited."""
         if min(amount.guaranteed, amount.borrowable) < 0 or amount.guaranteed > self.guaranteed:
             return False
         return amount.borrowable <= (self.borrowable or 0)
 
     def excess_over(self, reserved: ResourceAllocation) -> ResourceAmount:
-        """The part that is not reserved; without a limit nothing is borrowable."""
+        """The part above the reserve; without a limit, none of it is borrowable."""
         borrowable = (self.borrowable or 0) - (reserved.borrowable or 0)
         return ResourceAmount(max(0, self.guaranteed - reserved.guaranteed), max(0, borrowable))
 
     def plus(self, amount: ResourceAmount, sign: int = 1) -> ResourceAllocation:
-        """The allocation after a credit, or with a sign of -1 after a debit."""
+        """The allocation after a credit, or after a debit if ``sign`` is -1."""
         borrowable = None if self.borrowable is None else self.borrowable + sign * amount.borrowable
         return ResourceAllocation(self.guaranteed + sign * amount.guaranteed, borrowable)
 
@@ -80,18 +80,18 @@
 
     @property
     def is_zero(self) -> bool:
-        """Whether it contains nothing."""
+        """Whether both resources are zero."""
         return not (self.cpus.limit or self.accelerators.limit)
 
 
 class TeamAllocation(msgspec.Struct, frozen=True, array_like=True):
-    """A cell's part of what one team is guaranteed and may use."""
+    """A cell's part of one team's guarantees and limits."""
 
     cpus: ResourceAllocation = ResourceAllocation()
     accelerators: ResourceAllocation = ResourceAllocation()
 
     def covers(self, amount: TeamAmount) -> bool:
-        """Whether it can be debited by an amount."""
+        """Whether an amount can be debited."""
         return self.cpus.covers(amount.cpus) and self.accelerators.covers(amount.accelerators)
 
     def plus(self, amount: TeamAmount) -> TeamAllocation:
@@ -105,11 +105,11 @@
         )
 
     def zeroed(self) -> TeamAllocation:
-        """An allocation under the same limits that lets nothing start."""
+        """An allocation without guarantees, and with limits of zero where this one has limits."""
         return TeamAllocation(_zeroed(self.cpus), _zeroed(self.accelerators))
 
     def quota(self, total: TeamAllocation) -> TeamQuota:
-        """The quota that starts are planned against, given the team's total over all cells."""
+        """The quota that scheduling enforces, given the team's total over all cells."""
         return TeamQuota(
             _guaranteed(self.cpus, total.cpus),
             _limit(self.cpus),
--- a/src/poppyhold/quota/apportionment.py
+++ b/src/poppyhold/quota/apportionment.py
@@ -1,4 +1,4 @@
-"""How the teams' limits and guarantees are divided among the cells at first."""
+"""The initial division of the teams' limits and guarantees among the cells."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class InitialAllocation(NamedTuple):
-    """A team's first allocation in one cell, and its total over all cells."""
+    """A team's initial allocation in one cell, and its total over all cells."""
 
     allocation: TeamAllocation
     total: TeamAllocation
@@ -21,7 +21,7 @@
     """A team's limits and guarantees over all cells, from the platform's settings.
 
     Raises:
-        ConfigError: a guarantee is above the limit.
+        ConfigError: a guarantee exceeds its limit.
 
     """
     return TeamAllocation(
@@ -45,7 +45,7 @@
 
 
 def initial_reserve(initial: TeamAllocation, ratio: float) -> TeamAllocation:
-    """The part of a cell's first allocation that it keeps, in whole CPUs and accelerators."""
+    """The part of a cell's initial allocation that it never transfers, in whole CPUs and accelerators."""
     return TeamAllocation(_reserve(initial.cpus, ratio), _reserve(initial.accelerators, ratio))
 
 
@@ -59,12 +59,12 @@
 
 
 def has_quota(total: TeamAllocation) -> bool:
-    """Whether the team has a limit or a guarantee at all."""
+    """Whether the team has any limit or guarantee."""
     return any(part.guaranteed or part.limit is not None for part in (total.cpus, total.accelerators))
 
 
 def apportion(amount: int, weights: Mapping[str, int]) -> dict[str, int]:
-    """Divide an amount among cells by their weights, in whole units by largest remainder.
+    """Divide an amount among cells by weight, in whole units by the largest remainder method.
 
     A fraction of a unit goes to the cell that would get the next unit.
     """
@@ -81,10 +81,10 @@
 
 
 def initial_allocation(total: TeamAllocation, weights: Mapping[str, int], cell: str) -> TeamAllocation:
-    """A cell's first allocation. Those of all cells add up to the total exactly.
+    """A cell's initial allocation. Those of all cells add up to the total exactly.
 
-    Guarantees are apportioned first, and what may be borrowed above them separately: largest remainders of
-    the limit as a whole could leave a cell with a guarantee above its limit.
+    Guarantees and the borrowable amounts above them are apportioned separately: apportioning the whole limit
+    by largest remainder could leave a cell with a guarantee above its limit.
     """
     return TeamAllocation(_initial(total.cpus, weights, cell), _initial(total.accelerators, weights, cell))
 
--- a/src/poppyhold/quota/demand_monitor.py
+++ b/src/poppyhold/quota/demand_monitor.py
@@ -19,19 +19,19 @@
 
 
 def _to_thousandths_rounded_up(amount: float) -> int:
-    """Thousandths, rounded up except for the error of adding floats."""
+    """Convert to thousandths, rounded up except for the rounding errors of float sums."""
     return math.ceil(amount * UNIT - EPSILON)
 
 
 class _Progress(msgspec.Struct):
-    """Since when a team's work has been pending despite an idle allocation, without a start."""
+    """Since when a team's work has been pending despite an idle allocation, with unchanged use."""
 
     used: float
     since: float
 
 
 class DemandMonitor:
-    """Measures what runs and what is pending, by team."""
+    """Measures running and pending work by team."""
 
     def __init__(
         self,
@@ -41,9 +41,9 @@
         unaccounted_resources: Callable[[], Resources],
         can_launch: Callable[[Submission], bool],
     ) -> None:
-        """``unaccounted_resources`` is what unreconciled machines may run; it counts for every team.
+        """``unaccounted_resources`` is what unreconciled machines may use; it counts as use of every team.
 
-        Work that is pending despite an idle allocation for ``stall_timeout_s`` is stalled.
+        Work is stalled if it is pending despite an idle allocation for longer than ``stall_timeout_s``.
         """
         self._ctx, self._stall_timeout_s, self._retention = ctx, stall_timeout_s, retention
         self._unaccounted_resources, self._can_launch = unaccounted_resources, can_launch
@@ -51,7 +51,7 @@
         self._progress: dict[str, _Progress] = {}
 
     def update_possible_use(self, demands: Mapping[str, TeamDemand]) -> None:
-        """Update what the teams' tasks may use at this moment, unreconciled machines included."""
+        """Update the possible use of each team, including that of unreconciled machines."""
         unaccounted = self._unaccounted_resources()
         for team, demand in demands.items():
             used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
@@ -61,7 +61,7 @@
             )
 
     def measure(self, allocations: dict[str, TeamAllocation]) -> dict[str, TeamDemand]:
-        """The demand of every team that has an allocation."""
+        """Measure the demand of every team that has an allocation."""
         now = self._ctx.clock()
         demands = {team: TeamDemand() for team in allocations}
         self.update_possible_use(demands)
@@ -77,7 +77,7 @@
             self._peaks[team] = RecentPeak(), RecentPeak()
         used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
         cpus, accelerators = self._peaks[team]
-        # Peaks reach back by half to a whole retention time.
+        # A peak covers the current window and the one before it: half to a whole retention time.
         window_s = self._retention.seconds(team, now) / 2
         demand.cpus.used, demand.accelerators.used = (
             to_thousandths(used[CPUS]),
@@ -108,9 +108,9 @@
             demand.accelerators.startable += to_thousandths(job.task_resources[ACCELERATORS] * startable)
 
     def _is_stalled(self, team: str, demand: TeamDemand, allocation: TeamAllocation, now: float) -> bool:
-        """Whether work has been pending for long despite an idle allocation: other cells may use that.
+        """Whether work is stalled, so that other cells may use the team's idle allocation.
 
-        Two cells that each hold half of what a gang needs would otherwise keep their halves for ever.
+        Two cells that each hold half of what a gang needs would otherwise keep their halves indefinitely.
         """
         used = sum(self._ctx.fleet.used_by_team.get(team, [0.0, 0.0]))
         progress = self._progress.setdefault(team, _Progress(used, now))
--- a/src/poppyhold/quota/free_capacity.py
+++ b/src/poppyhold/quota/free_capacity.py
@@ -1,4 +1,4 @@
-"""Whether pending tasks could start here: on machines that exist, or on machines that can be launched."""
+"""Whether pending tasks could start here, on existing machines or on machines that can be launched."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FreeCapacityEstimate:
-    """Free capacity for pending tasks, reserved job by job; made anew for each measurement."""
+    """Free capacity for pending tasks, reserved job by job; created for each measurement."""
 
     def __init__(self, ctx: Context, can_launch: Callable[[Submission], bool]) -> None:
         self._ctx, self._can_launch = ctx, can_launch
@@ -33,7 +33,7 @@
         return self._fits[requirements]
 
     def reserve(self, job: Job, tasks: int) -> int:
-        """Reserve capacity for up to so many tasks, and return their number; a gang's all or none."""
+        """Reserve capacity for up to ``tasks`` tasks, and return how many; all or none of a gang."""
         requirements = self._requirements(job)
         if requirements not in self._remaining:
             self._remaining[requirements] = self._count_startable(job)
@@ -46,7 +46,7 @@
         return found
 
     def _count_startable(self, job: Job) -> int:
-        """Tasks for which existing machines have free capacity, a bounded number."""
+        """The number of tasks that fit on existing machines, at most the limit on machines."""
         count, max_count = 0, self._ctx.settings.deployment.machine_limits.machines
         for machine in self._ctx.fleet.machines.values():
             unavailable = machine.quarantined or machine.draining or machine.deleting
--- a/src/poppyhold/quota/recent_peak.py
+++ b/src/poppyhold/quota/recent_peak.py
@@ -4,14 +4,14 @@
 
 
 class RecentPeak:
-    """The highest recent value: of the current window and of the one before it."""
+    """The highest value of the current window and the one before it."""
 
     def __init__(self) -> None:
         self._window_started_at = float("-inf")
         self._previous_peak = self._current_peak = 0
 
     def record(self, value: int, now: float, window_s: float) -> int:
-        """Add a value and return the peak; the window's length may differ from one value to the next."""
+        """Record a value and return the peak; the length of the window may differ between calls."""
         elapsed_s = now - self._window_started_at
         if elapsed_s >= window_s:
             self._previous_peak = self._current_peak if elapsed_s < 2 * window_s else 0
