--- a/src/poppyhold/quota/alarms.py
+++ b/src/poppyhold/quota/alarms.py
@@ -9,7 +9,7 @@
 
 
 class AlarmKind(StrEnum):
-    """The condition; operators and other cells see the values."""
+    """The condition of an alarm; the values are shown to operators and sent to other cells."""
 
     USE_ABOVE_ALLOCATION = "use above share"
     UNKNOWN_RECORDS = "unknown records"
@@ -25,7 +25,7 @@
         self._active: dict[tuple[AlarmKind, str], str] = {}
 
     def set(self, kind: AlarmKind, subject: str, text: str | None) -> None:
-        """Raise an alarm about a cell or a team, or clear it with None."""
+        """Raise an alarm on a cell or team with a description, or clear it with None."""
         key = (kind, subject)
         if text is None:
             if self._active.pop(key, None) is not None:
@@ -36,5 +36,5 @@
         self._active[key] = text
 
     def texts(self) -> list[str]:
-        """All active alarms, a line each."""
+        """One line for each active alarm."""
         return [f"{kind}, {subject}: {text}" for (kind, subject), text in sorted(self._active.items())]
--- a/src/poppyhold/quota/consistency.py
+++ b/src/poppyhold/quota/consistency.py
@@ -14,23 +14,23 @@
 from poppyhold.quota.messages import CellView, PeerView
 from poppyhold.quota.records import Transfer
 
-# Name of each resource, as settings and tables have it.
+# The name of each resource in settings and tables.
 RESOURCES = ("cpus", "gpus")
 
 
 def allocations_by_resource(allocation: TeamAllocation) -> tuple[ResourceAllocation, ResourceAllocation]:
-    """Both resources of an allocation, in the order of `RESOURCES`."""
+    """The allocations of both resources, in the order of `RESOURCES`."""
     return allocation.cpus, allocation.accelerators
 
 
 def amounts_by_resource(transfer: Transfer, team: str) -> tuple[ResourceAmount, ResourceAmount]:
-    """Both resources of a team in a transfer, in the order of `RESOURCES`."""
+    """A team's amounts of both resources in a transfer, in the order of `RESOURCES`."""
     amount = transfer.amounts.get(team, TeamAmount())
     return amount.cpus, amount.accelerators
 
 
 def transfers_in_transit(views: dict[str, CellView]) -> list[Transfer]:
-    """Transfers debited at the source and not yet credited at the destination, as far as the views tell."""
+    """Transfers debited at the source and not yet credited at the destination, according to the views."""
     return [
         peer.in_transit
         for view in views.values()
@@ -41,7 +41,7 @@
 
 
 def is_consistent_snapshot(views: dict[str, CellView]) -> bool:
-    """Whether the views can be added up: they are of different moments, with transfers in between."""
+    """Whether the views, which are of different times, agree on each transfer and so can be added up."""
     return all(
         _counters_match(_peer_view(source, destination.cell), _last_applied(destination, source.cell))
         for source in views.values()
@@ -55,7 +55,7 @@
 
 
 def _counters_match(peer: PeerView, last_applied: int) -> bool:
-    """Whether what the source sent and what the destination applied are of one moment."""
+    """Whether the numbers of the last transfer sent and applied agree, apart from one in transit."""
     if peer.in_transit is not None and last_applied == peer.last_sent - 1:
         return True
     return last_applied == peer.last_sent
@@ -66,7 +66,7 @@
 
 
 def problems(views: dict[str, CellView]) -> list[str]:
-    """Why the allocations do not add up, a line each. ``views`` are those of all cells, of one moment."""
+    """Each reason why the allocations don't add up. ``views`` is a consistent snapshot of all cells."""
     in_transit = transfers_in_transit(views)
     teams = sorted({team.team for view in views.values() for team in view.teams})
     return [line for team in teams for line in _team_problems(team, views, in_transit)]
--- a/src/poppyhold/quota/errors.py
+++ b/src/poppyhold/quota/errors.py
@@ -4,15 +4,15 @@
 
 
 class QuotaProtocolError(Exception):
-    """A message contradicts this cell's records: nothing of it is applied."""
+    """A message contradicts this cell's records, and is not applied."""
 
 
 class UnknownIncarnationError(QuotaProtocolError):
-    """The other cell's records were created anew since the last transfer."""
+    """The other cell's records were recreated after the last transfer."""
 
 
 class SequenceError(QuotaProtocolError):
-    """The other cell names a transfer that it cannot know, or skips one."""
+    """The other cell acknowledges a transfer that was not sent, or skips one."""
 
 
 class WrongCellError(QuotaProtocolError):
--- a/src/poppyhold/quota/ledger.py
+++ b/src/poppyhold/quota/ledger.py
@@ -1,14 +1,15 @@
 """The allocation ledger of one cell for one term of its leader: initial records, debits and credits.
 
-No I/O and no clock: commits go out through ``commit`` and return through its callback, on the same thread.
-One commit is in progress at a time, and one with an unknown outcome is repeated by the committer under a new
-fence until it certainly was carried out (`durable.fenced_writer`). Starts are never planned against
-more than what is durable:
+It does no I/O and reads no clock: ``commit`` starts a commit and calls back on the same thread. One commit is
+in progress at a time, and the committer retries one of unknown outcome under a new write fence until it is
+certainly committed (`durable.fenced_writer`). The allocation in force, which scheduling enforces, never
+exceeds the durable one:
 
 - a debit lowers the allocation in force before its write is sent;
-- a credit raises it only when its write is known to be durable.
+- a credit raises it only once its write is durable.
 
-An amount that was debited from one cell's record and not yet credited to the other's belongs to no cell.
+An amount in transit, debited from the source's record and not yet credited to the destination's, belongs to
+no cell.
 """
 
 from __future__ import annotations
@@ -48,29 +49,27 @@
     ) -> None:
         """``on_changed`` is called with each team whose allocation in force has changed.
 
-        ``on_inconsistent`` is called when the records are not the expected ones: the next leader reads them
-        again.
+        ``on_inconsistent`` is called when the durable records are not the expected ones, for the next leader
+        to read them again.
         """
         self.cell = cell
         self._new_incarnation, self._on_changed = new_incarnation, on_changed
         self._commits = LedgerCommits(commit, on_inconsistent)
         self.identity: IdentityRecord | None = None
-        # In force, by team.
+        # Allocations in force, by team.
         self._records: dict[str, AllocationRecord] = {}
         self._peers: dict[str, PeerRecord] = {}
-        # Cells whose transfer is not known to be durable: it is not sent yet.
+        # Destination cells of transfers that are not yet durable, and so not sent.
         self._uncommitted_transfers: set[str] = set()
 
-    # -- what is in force ------------------------------------------------------------------------------
-
     @property
     def commit_in_progress(self) -> bool:
-        """Whether a commit is in progress: no other one can start."""
+        """Whether a commit is in progress, so that no other can start."""
         return self._commits.in_progress
 
     @property
     def committed_changes(self) -> int:
-        """Records written in this term, for display."""
+        """The number of records written in this term, for display."""
         return self._commits.committed_changes
 
     @property
@@ -85,7 +84,7 @@
 
     @property
     def peers(self) -> Mapping[str, PeerRecord]:
-        """The transfers between this cell and each other one."""
+        """The records of transfers, by peer cell."""
         return self._peers
 
     def allocation(self, team: str) -> TeamAllocation | None:
@@ -94,7 +93,7 @@
         return record.allocation if record is not None else None
 
     def last_applied_from(self, peer: str) -> int:
-        """The number of the last transfer from a cell that is durable here."""
+        """The number of the last transfer from a cell whose credit is durable here."""
         record = self._peers.get(peer)
         return record.last_applied if record is not None else 0
 
@@ -103,10 +102,8 @@
         record = self._peers.get(peer)
         return record.in_transit if record is not None and peer not in self._uncommitted_transfers else None
 
-    # -- the beginning of a term -----------------------------------------------------------------------
-
     def load(self, entries: Iterable[Entry]) -> None:
-        """Load the durable records, as a new leader read them."""
+        """Load the durable records at the start of a term."""
         for entry in entries:
             if entry.key == IDENTITY_KEY:
                 self.identity = convert(entry.data, IdentityRecord)
@@ -126,7 +123,7 @@
     def create_missing(self, initial: Mapping[str, InitialAllocation], max_records: int) -> bool:
         """Create up to ``max_records`` missing records, each on the condition that it is absent.
 
-        Returns False if none is missing. An existing record holds, whatever the settings say today.
+        Returns False if none is missing. An existing record takes precedence over the current settings.
         """
         missing = [team for team in initial if team not in self._records]
         if self.identity is not None and not missing:
@@ -153,24 +150,22 @@
         self._commits.start(conditions, writes, on_committed)
         return True
 
-    # -- transfers -------------------------------------------------------------------------------------
-
     def check_peer(self, peer: str, incarnation: str) -> None:
-        """Raise `UnknownIncarnationError` if a cell's records are not those of the earlier transfers."""
+        """Raise `UnknownIncarnationError` if a cell's incarnation is not that of the earlier transfers."""
         known = self._peers.get(peer)
         if not incarnation or (known is not None and known.incarnation != incarnation):
             raise UnknownIncarnationError(f"cell {peer} has other records than before")
 
     def can_debit(self, peer: str) -> bool:
-        """Whether a transfer to a cell may start now: there is one at a time to each."""
+        """Whether a transfer to a cell may start now: only one is in transit to each cell at a time."""
         known = self._peers.get(peer)
         return not self.commit_in_progress and (known is None or known.in_transit is None)
 
     def debit(self, peer: str, incarnation: str, amounts: Mapping[str, TeamAmount]) -> bool:
-        """Start a transfer of parts of teams' allocations to a cell; False if that is not possible now.
+        """Start a transfer of amounts of teams' allocations to a cell; False if that is not possible now.
 
-        The allocations in force are lowered at once. The caller has checked that everything of each team
-        that may still run stays within the rest.
+        The allocations in force are lowered at once. The caller ensures that each team's possible use stays
+        within its remaining allocation.
         """
         records = {team: self._records[team] for team in amounts if team in self._records}
         covered = all(record.allocation.covers(amounts[team]) for team, record in records.items())
@@ -191,14 +186,14 @@
         return True
 
     def _apply_debits(self, debited: Iterable[AllocationRecord]) -> None:
-        """Stop planning against debited amounts, before anything is written."""
+        """Lower the allocations in force before the debit is written."""
         self._set_in_force(debited)
 
     def acknowledge(self, peer: str, incarnation: str, last_applied: int) -> None:
-        """Note up to which number a cell has applied our transfers: those are no longer kept here.
+        """Handle a cell's acknowledgement up to ``last_applied``; an acknowledged transfer is no longer kept.
 
         Raises:
-            QuotaProtocolError: it cannot have applied so many, or has other records than before.
+            QuotaProtocolError: that transfer was not sent, or the cell's records are of another incarnation.
 
         """
         known = self._peers.get(peer)
@@ -223,12 +218,12 @@
         self._commits.start({}, [_put_peer(peer, peer_record)], on_committed)
 
     def credit(self, peer: str, incarnation: str, transfer: Transfer) -> bool:
-        """Apply a cell's transfer once; False if it was applied before, or has to be sent again.
+        """Apply a cell's transfer exactly once; False if it was applied before, or must be sent again.
 
-        The allocations in force are raised when this is durable.
+        The allocations in force are raised once the credit is durable.
 
         Raises:
-            QuotaProtocolError: an earlier transfer is missing, or the cell has other records than before.
+            QuotaProtocolError: an earlier transfer is missing, or the records are of another incarnation.
 
         """
         known = self._peers.get(peer)
@@ -251,7 +246,7 @@
 
     @staticmethod
     def _is_next_in_sequence(before: PeerRecord, transfer: Transfer) -> bool:
-        """Whether a transfer is the next one; one at or below the last applied number is a repeat."""
+        """Whether a transfer is the next one; a number up to the last applied one is a duplicate."""
         if transfer.number > before.last_applied + 1:
             raise SequenceError(f"transfer {transfer.number} came after {before.last_applied}")
         return transfer.number == before.last_applied + 1
@@ -263,7 +258,7 @@
         peer: str,
         on_committed: Callable[[], None],
     ) -> None:
-        """Write credits together with the transfer's number; they count only once they are durable."""
+        """Commit credits with the transfer's number; they are put in force only once they are durable."""
         self._commits.start({}, [*map(_put_allocation, credited), _put_peer(peer, peer_record)], on_committed)
 
     def _set_in_force(self, records: Iterable[AllocationRecord]) -> None:
--- a/src/poppyhold/quota/message_checks.py
+++ b/src/poppyhold/quota/message_checks.py
@@ -1,4 +1,4 @@
-"""Whether this cell can act on another cell's message, and the alarms raised if it cannot."""
+"""Checks of other cells' messages, and the alarms raised when a check fails."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         self._cells, self._ledger, self._alarms = cells, ledger, alarms
 
     def is_wrong_cell(self) -> bool:
-        """Whether the records here belong to another cell: then no transfer and no start is allowed."""
+        """Whether the records here belong to another cell, so that no transfer and no start is allowed."""
         try:
             self._ledger.check_identity()
         except WrongCellError as error:
@@ -27,7 +27,7 @@
         return False
 
     def rejection(self, request: TransferRequest) -> str:
-        """Why a request cannot be served at all; empty if it can."""
+        """Why a request is rejected; empty if it is accepted."""
         differ = request.layout != self._cells.layout
         text = "its operators name other cells or parts" if differ else None
         self._alarms.set(AlarmKind.LAYOUT_MISMATCH, request.cell, text)
@@ -40,7 +40,7 @@
         return ""
 
     def run_guarded(self, cell: str, action: Callable[[], None]) -> str:
-        """Run what a message asks for; a protocol error raises an alarm and is returned as text."""
+        """Run the handler of a message; a protocol error raises an alarm, and its text is returned."""
         try:
             action()
         except UnknownIncarnationError as error:
--- a/src/poppyhold/quota/messages.py
+++ b/src/poppyhold/quota/messages.py
@@ -1,8 +1,8 @@
-"""What the leaders of cells send one another, over the listener that controllers have for one another.
+"""Messages between the leaders of cells, sent to the listener that controllers have for each other.
 
-A message is a tagged tuple like all others between controllers: the fields go by position, and their order
-and the tags must stay. Fields are only added, with defaults; a change that an older version would misread
-raises `PROTOCOL_VERSION`, and such links end.
+Like all messages between controllers, each is a tagged array: fields are identified by position, so their
+order and the tags must stay. New fields are appended, with defaults. A change that an older version would
+misread needs a new `PROTOCOL_VERSION`; a link between different versions is closed.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class UnmetDemand(msgspec.Struct, frozen=True, array_like=True):
-    """What a cell could use of a team beyond its own allocation: guaranteed, and of the limit in total."""
+    """A team's demand beyond its allocation in a cell: of the guarantee, and of the limit in total."""
 
     team: str
     cpus_guaranteed: int = 0
@@ -26,17 +26,17 @@
 
     @property
     def is_guaranteed(self) -> bool:
-        """Whether it is for work within the team's guarantee."""
+        """Whether a part of it is for work within the team's guarantee."""
         return bool(self.cpus_guaranteed or self.accelerators_guaranteed)
 
     @property
     def is_zero(self) -> bool:
-        """Whether there is none."""
+        """Whether no demand is unmet."""
         return not (self.is_guaranteed or self.cpus_limit or self.accelerators_limit)
 
 
 class TeamView(msgspec.Struct, frozen=True, array_like=True):
-    """A team in one cell: its allocation, its use, and what the cell can spare."""
+    """A team in one cell: its allocation, its use, and the spare amounts."""
 
     team: str
     allocation: TeamAllocation
@@ -48,7 +48,7 @@
 
 
 class PeerView(msgspec.Struct, frozen=True, array_like=True):
-    """The transfers between one cell and another, by the first one's records."""
+    """The transfers between a cell and another one, according to the former's records."""
 
     cell: str
     last_sent: int
@@ -57,7 +57,7 @@
 
 
 class CellView(msgspec.Struct, frozen=True, array_like=True):
-    """A cell as its leader sees it."""
+    """A cell's view of itself, made by its leader."""
 
     cell: str
     incarnation: str = ""
@@ -67,45 +67,45 @@
 
 
 class TransferRequest(msgspec.Struct, frozen=True, array_like=True, tag="share"):
-    """A leader's request to another cell's; it also acknowledges what was applied."""
+    """A leader's request to another cell's leader; it also acknowledges applied transfers."""
 
     version: int
     cell: str
     to_cell: str
-    # The cells and their parts, as the sender's operators configured them.
+    # The cells and their parts, as in the sender's options.
     layout: str
-    # The incarnation of the sender's records, and of the other cell's as the sender knows them; the latter is
-    # empty before the first contact.
+    # The incarnation of the sender's records, and the last known one of the other cell's; the latter is empty
+    # before the first contact.
     incarnation: str
     to_incarnation: str
-    # The number of the last of the other cell's transfers that is durable here.
+    # The number of the last transfer from the other cell whose credit is durable at the sender.
     last_applied: int
     unmet_demands: list[UnmetDemand] = []
     view: CellView | None = None
 
 
 class TransferResponse(msgspec.Struct, frozen=True, array_like=True, tag="shared"):
-    """The other leader's response."""
+    """The response to a transfer request."""
 
     cell: str
     incarnation: str = ""
-    # In transit to the requesting cell; repeated until it is acknowledged.
+    # The transfer in transit to the requesting cell; sent again until it is acknowledged.
     transfer: Transfer | None = None
-    # A commit for the requesting cell is in progress: it should ask again soon.
+    # A commit is in progress: the requesting cell should send its next request soon.
     in_progress: bool = False
     view: CellView | None = None
-    # Why the request was rejected; empty: it was not.
+    # Why the request was rejected; empty if it was accepted.
     rejection: str = ""
 
 
 class NotLeading(msgspec.Struct, frozen=True, array_like=True, tag="elsewhere"):
-    """The response of a controller that does not lead: the leader's name, if it knows it."""
+    """A redirect from a controller that does not lead: the leader's name, or empty if unknown."""
 
     member: str = ""
 
 
 class StatusRequest(msgspec.Struct, frozen=True, array_like=True, tag="share?"):
-    """An operator's request to a cell's leader for what it knows of all cells."""
+    """An operator's request to a cell's leader for its status of all cells."""
 
 
 class RemoteCellView(msgspec.Struct, frozen=True, array_like=True):
@@ -116,12 +116,12 @@
 
 
 class StatusResponse(msgspec.Struct, frozen=True, array_like=True, tag="share!"):
-    """The leader's response: its own view, the others' last views, and cells that were never contacted."""
+    """The leader's response: its own view, the others' last views, and cells without contact in this term."""
 
     own: CellView
     others: list[RemoteCellView] = []
     uncontacted: list[str] = []
-    # Teams whose allocation is too small for what is pending, and those whose settings differ from the
+    # Teams whose demand has been unmet for longer than a lease, and those whose settings differ from the
     # records.
     short: list[str] = []
     differing: list[str] = []
