--- a/src/poppyhold/quota/cell_service.py
+++ b/src/poppyhold/quota/cell_service.py
@@ -1,8 +1,8 @@
-"""A cell's part in the teams' limits, for one term of its leader.
+"""A cell's quota service, for one term of its leader.
 
-It runs on the decision thread and does no I/O. It keeps the quotas that starts are planned against equal to
-the cell's allocations (`ledger`), requests what its teams lack from other cells, and transfers idle amounts
-to them. It never waits for another cell: without the others it continues with its own allocations.
+It runs on the decision thread and does no I/O. It keeps the quotas that scheduling enforces equal to the
+cell's allocations (`ledger`), requests amounts that its teams lack from other cells, and transfers idle
+amounts to them. It never waits for another cell: if none responds, its own allocations stay in force.
 """
 
 from __future__ import annotations
@@ -47,14 +47,14 @@
 
 log = logging.getLogger(__name__)
 
-# Changes of a transfer in addition to one for each team: the peer's record, before and after it is applied.
+# Record changes of a transfer besides one per team: the peer record, at debit and at acknowledgement.
 _PEER_CHANGES_PER_TRANSFER = 2
 
 
 class QuotaHealth(NamedTuple):
-    """Active alarms, and teams whose work has lacked an allocation for more than a lease.
+    """Active alarms, and teams whose demand has been unmet for longer than a lease.
 
-    The readiness check's response has these names.
+    The response of the readiness check has fields of these names.
     """
 
     alarms: list[str]
@@ -62,7 +62,7 @@
 
 
 class CellQuotaService:
-    """The allocations, requests and responses of the cell that this node leads."""
+    """The allocations of the cell that this node leads, and its requests and responses to other cells."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         can_launch: Callable[[Submission], bool],
         on_changed: Callable[[], None],
     ) -> None:
-        """``on_changed`` is called when the quotas that starts are planned against have changed."""
+        """``on_changed`` is called when the quotas that scheduling enforces have changed."""
         self._ctx, self._cells, self._quotas, self._on_changed = ctx, cells, quotas, on_changed
         self._totals = {
             team.name: total
@@ -104,9 +104,9 @@
         self._max_teams_per_commit = max(1, limits.txn_ops // 2)
         self._rate_limiter = RateLimiter(limits.write_rps * cells.moves_share, burst=1.0)
         self._demands: dict[str, TeamDemand] = {}
-        # Lines on the credits being committed, logged when they are durable.
+        # Log lines of the credits being committed, logged once they are durable.
         self._credit_log_lines: list[str] = []
-        # Until the allocations are known, nothing starts.
+        # Nothing under a limit starts until the allocations are loaded.
         self._block_all_starts()
 
     def _block_all_starts(self) -> None:
@@ -125,30 +125,28 @@
                 log.info("%s", line)
             self._credit_log_lines = []
             self._views.invalidate()
-            # Other cells wait for the acknowledgement.
+            # Requests acknowledge applied transfers, for which other cells wait.
             self._prepare_requests()
 
         self._ctx.outbound.commit(conditions, writes, on_committed, CommitPriority.NORMAL)
 
     def _apply_allocation(self, team: str) -> None:
-        """Plan starts against a team's allocation from now on."""
+        """Make scheduling enforce a team's current allocation."""
         record = self.ledger.records[team]
         self._quotas.set(team, record.allocation.quota(record.total))
         self._views.invalidate()
         self._on_changed()
 
-    # -- events ----------------------------------------------------------------------------------------
-
     def load(self, entries: Iterable[Entry]) -> None:
-        """Load what earlier leaders made durable."""
+        """Load the durable records of earlier leaders."""
         self.ledger.load(entries)
         if self._checks.is_wrong_cell():
             self._block_all_starts()
         for team in self.teams_with_differing_settings():
-            log.warning("team settings differ from the allocation record, which holds: team=%s", team)
+            log.warning("team settings ignored, the allocation record has other totals: team=%s", team)
 
     def tick(self) -> None:
-        """Measure demand, check use and renew the requests."""
+        """Measure demand, check use and update the requests."""
         if self._checks.is_wrong_cell():
             self._block_all_starts()
             return
@@ -161,7 +159,7 @@
         self._prepare_requests()
 
     def handle_request(self, request: TransferRequest) -> TransferResponse:
-        """Answer another cell's leader, and start a transfer of what it requests and is idle here."""
+        """Respond to another cell's leader, and start a transfer of requested amounts that are idle here."""
         rejection = self._checks.rejection(request)
         if not rejection:
             rejection = self._checks.run_guarded(request.cell, lambda: self._serve(request))
@@ -177,7 +175,7 @@
         )
 
     def handle_response(self, response: TransferResponse) -> None:
-        """Handle another cell's response: apply the transfer that it carries."""
+        """Handle another cell's response, and apply its transfer."""
         if response.rejection:
             log.debug("transfer request rejected: cell=%s reason=%r", response.cell, response.rejection)
         self._requester.record_view(response.cell, response.view)
@@ -185,11 +183,9 @@
         self._prepare_requests()
 
     def requests(self) -> dict[str, TransferRequest]:
-        """The request to each other cell; the same objects for as long as nothing changes."""
+        """The request to each other cell; the same objects until something changes."""
         return self._requester.requests
 
-    # -- transfers -------------------------------------------------------------------------------------
-
     def _serve(self, request: TransferRequest) -> None:
         self.ledger.check_peer(request.cell, request.incarnation)
         self._requester.record_view(request.cell, request.view)
@@ -232,17 +228,15 @@
             ]
 
     def _prepare_requests(self) -> None:
-        """Make the requests to other cells from what is known now."""
+        """Make the requests to other cells from the current demand and records."""
         if self.ledger.incarnation:
             self._requester.prepare(self._demands, self._view())
             self._retention.record_unmet_demand(self._requester.teams_with_unmet_demand(), self._ctx.clock())
 
-    # -- what operators see ----------------------------------------------------------------------------
-
     def _check_use(self) -> None:
-        """Alarm on use above an allocation.
+        """Raise an alarm for each team whose use exceeds its allocation.
 
-        It can only come from a version, or options, without knowledge of allocations.
+        Only a leader of a version without allocations, or with options that name no cells, can cause that.
         """
         for team, record in self.ledger.records.items():
             used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
@@ -256,20 +250,20 @@
             self.alarms.set(AlarmKind.USE_ABOVE_ALLOCATION, team, ", ".join(above) or None)
 
     def teams_with_differing_settings(self) -> list[str]:
-        """Teams whose settings differ from those that their records were made from; the records hold."""
+        """Teams whose settings differ from the totals in their records; the records take precedence."""
         records = self.ledger.records
         return sorted(team for team, record in records.items() if self._totals.get(team) != record.total)
 
     def teams_short_of_allocation(self) -> list[str]:
-        """Teams whose work has lacked an allocation for more than a lease."""
+        """Teams whose demand has been unmet for longer than a lease."""
         return self._requester.unmet_for_longer_than(self._ctx.durations.lease_s)
 
     def health(self) -> QuotaHealth:
-        """What a readiness check shows."""
+        """The part of the readiness check's response on quotas."""
         return QuotaHealth(self.alarms.texts(), self.teams_short_of_allocation())
 
     def status(self) -> StatusResponse:
-        """Everything that this cell's leader knows of all cells."""
+        """The own view of this cell, and the last views of the other cells."""
         views, uncontacted = self._requester.remote_views()
         return StatusResponse(
             self._view(),
--- a/src/poppyhold/quota/cell_view.py
+++ b/src/poppyhold/quota/cell_view.py
@@ -1,4 +1,4 @@
-"""A cell as other cells and operators see it."""
+"""The view of a cell that is sent to other cells and to operators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class CellViewBuilder:
-    """Builds the view of this cell, and keeps it until something has changed."""
+    """Builds the view of this cell, and caches it until something changes."""
 
     def __init__(
         self, cell: str, ledger: AllocationLedger, fleet: Fleet, offers: TransferOffers, alarms: Alarms
@@ -26,7 +26,7 @@
         self._current: CellView | None = None
 
     def invalidate(self) -> None:
-        """Something has changed: the next view is built anew."""
+        """Discard the cached view after a change."""
         self._current = None
 
     def current(self, demands: Mapping[str, TeamDemand]) -> CellView:
--- a/src/poppyhold/quota/transfer_offers.py
+++ b/src/poppyhold/quota/transfer_offers.py
@@ -1,4 +1,4 @@
-"""What this cell can transfer to others: the idle part of its allocations beyond its reserve."""
+"""The amounts that this cell can transfer to others: the idle part of its allocations above its reserve."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class TransferOffers:
-    """Computes what can be spared of an allocation, and what of it to offer for an unmet demand."""
+    """Computes the spare part of an allocation, and the part of it to offer for an unmet demand."""
 
     def __init__(self, cell: str, reserves: Mapping[str, TeamAllocation]) -> None:
-        """``reserves``: by team, the part of its first allocation that the cell keeps."""
+        """``reserves``: by team, the part of the initial allocation that the cell never transfers."""
         self._cell, self._reserves = cell, reserves
 
     def offer(
         self, unmet: UnmetDemand, destination: str, allocation: TeamAllocation, demand: TeamDemand
     ) -> TeamAmount:
-        """The part of a cell's unmet demand that is idle here.
+        """The part of another cell's unmet demand that this cell can transfer.
 
-        Of two cells whose work is stalled, only the one whose name sorts last treats its part as idle.
+        Of two cells with stalled work, only the one whose name sorts last treats its own part as idle.
         """
         is_stalled = demand.is_stalled and destination < self._cell
         spare = self.spare(unmet.team, allocation, demand, is_stalled)
@@ -33,7 +33,7 @@
     def spare(
         self, team: str, allocation: TeamAllocation, demand: TeamDemand, is_stalled: bool
     ) -> TeamAmount:
-        """What can be transferred of both resources: neither what the cell retains nor its reserve."""
+        """The amounts above both what the cell retains and its reserve."""
         reserved = self._reserves.get(team, TeamAllocation())
         return TeamAmount(
             demand.cpus.spare(allocation.cpus, is_stalled).capped_at(
@@ -46,10 +46,10 @@
 
 
 def _offered(spare: ResourceAmount, guaranteed: int, limit: int) -> ResourceAmount:
-    """The part of a spare amount that is requested: guaranteed first, then borrowable."""
+    """The requested part of a spare amount: guaranteed first, then borrowable."""
     offered = min(spare.guaranteed, max(0, guaranteed))
     rest = max(0, limit - offered)
     borrowable = min(spare.borrowable, rest)
-    # The limit may be guaranteed as a whole: then the guarantee is transferred with it.
+    # A limit may consist of the guarantee alone: transferring limit then includes spare guarantee.
     offered += min(spare.guaranteed - offered, rest - borrowable)
     return ResourceAmount(offered, borrowable)
--- a/src/poppyhold/quota/transfer_requests.py
+++ b/src/poppyhold/quota/transfer_requests.py
@@ -1,4 +1,4 @@
-"""The transfer requests to the other cells, made from their last views."""
+"""The transfer requests to other cells, made from their last views."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     UnmetDemand,
 )
 
-# The most teams that a request names: the next one names the rest.
+# Teams per request; the following requests name the rest.
 _MAX_DEMANDS_PER_REQUEST = 64
 
 
@@ -31,7 +31,7 @@
 
 
 class RemoteViews(NamedTuple):
-    """The last views of the other cells, and the names of those that were never contacted."""
+    """The last views of the other cells, and the names of those without contact in this term."""
 
     views: list[RemoteCellView]
     uncontacted: list[str]
@@ -45,14 +45,14 @@
 
 
 class _Spare(NamedTuple):
-    """A cell that can spare a part of a team's allocation, and its view of that team."""
+    """A cell with a spare part of a team's allocation, and its view of that team."""
 
     cell: str
     view: TeamView
 
 
 class TransferRequester:
-    """The requests to all other cells, made anew whenever something has changed."""
+    """Makes the requests to all other cells whenever something has changed."""
 
     def __init__(self, cells: Cells, ledger: AllocationLedger, clock: Callable[[], float]) -> None:
         self._cells, self._ledger, self._clock = cells, ledger, clock
@@ -63,13 +63,13 @@
         self.requests: dict[str, TransferRequest] = {}
 
     def record_view(self, cell: str, view: CellView | None) -> None:
-        """Keep another cell's view of itself."""
+        """Record another cell's view of itself."""
         if view is not None:
             teams = {team.team: team for team in view.teams}
             self._last_views[cell] = _LastView(view, teams, self._clock())
 
     def remote_views(self) -> RemoteViews:
-        """The other cells' last views, and the cells that were never contacted."""
+        """The other cells' last views, and the cells without contact in this term."""
         now = self._clock()
         names = [cell.name for cell in self._cells.others]
         contacted = [self._last_views[name] for name in names if name in self._last_views]
@@ -81,16 +81,16 @@
         return self._unmet_since
 
     def unmet_s(self, team: str) -> float:
-        """For how many seconds a team's demand has been unmet."""
+        """How long a team's demand has been unmet."""
         now = self._clock()
         return now - self._unmet_since.get(team, now)
 
     def unmet_for_longer_than(self, limit_s: float) -> list[str]:
-        """Teams whose demand has been unmet for longer than that."""
+        """Teams whose demand has been unmet for longer than ``limit_s``."""
         return sorted(team for team in self._unmet_since if self.unmet_s(team) > limit_s)
 
     def prepare(self, demands: Mapping[str, TeamDemand], view: CellView) -> None:
-        """Request from each cell what it can spare of the unmet demand; ``view`` is this cell's own."""
+        """Make the request to each cell, for unmet demand that it may spare; ``view`` is this cell's own."""
         by_source = self._by_source(self._unmet_demands(demands))
         self.requests = {
             cell.name: self._request(cell.name, by_source.get(cell.name, []), view)
@@ -112,7 +112,7 @@
         )
 
     def _unmet_demands(self, demands: Mapping[str, TeamDemand]) -> list[UnmetDemand]:
-        """All unmet demand: within guarantees first, then by how long it has been unmet."""
+        """All unmet demands: those within guarantees first, then those unmet for longest."""
         now = self._clock()
         unmet_demands: list[UnmetDemand] = []
         for team, record in self._ledger.records.items():
@@ -134,7 +134,7 @@
         return by_source
 
     def _split_by_source(self, unmet: UnmetDemand) -> list[_SourcedDemand]:
-        """Split an unmet demand among the cells that could spare a part of it as of their last views."""
+        """Split an unmet demand among the cells with spare amounts in their last views."""
         sourced = []
         for spare in self._cells_with_spare(unmet.team):
             sourced.append(_SourcedDemand(spare.cell, unmet))
@@ -144,7 +144,7 @@
         return sourced
 
     def _cells_with_spare(self, team: str) -> list[_Spare]:
-        """The cells that can spare a part of a team's allocation, the largest part first."""
+        """The cells with a spare part of a team's allocation, the largest part first."""
         spares = []
         for cell, last in self._last_views.items():
             view = last.teams.get(team)
@@ -161,7 +161,7 @@
 
 
 def _rest(unmet: UnmetDemand, view: TeamView) -> UnmetDemand:
-    """What remains unmet if a cell transfers everything that it can spare."""
+    """The demand that remains unmet if a cell transfers all its spare amounts."""
     return UnmetDemand(
         unmet.team,
         max(0, unmet.cpus_guaranteed - view.cpus_spare.guaranteed),
