--- a/src/poppyhold/quota/endpoint.py
+++ b/src/poppyhold/quota/endpoint.py
@@ -1,6 +1,6 @@
-"""One term's endpoint towards other cells: its links, its answers, and what readiness shows.
+"""One term's endpoint for other cells: its links, its responses, and its health for the readiness check.
 
-`CellQuotaService` runs on the decision thread; the other threads hand it work over the term's queue.
+`CellQuotaService` runs on the decision thread; other threads pass it work through the term's queue.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 )
 from poppyhold.settings import Settings
 
-# How long a link waits for a response, as a ratio to the lease.
+# How long a link waits for a response, in leases.
 _LINK_TIMEOUT_LEASES = 0.1
 
 
 class QuotaEndpoint:
-    """The links and answers of one term. Heartbeats and decisions have priority over all their work."""
+    """The links and responses of one term. Heartbeats and decisions have priority over their work."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         post: Callable[[int, Work], bool],
         rng: random.Random,
     ) -> None:
-        """``post`` queues work of a priority for the decision thread; False: it takes none."""
+        """``post`` queues work at a priority for the decision thread; False if the work is not accepted."""
         self._quota, self._post = quota, post
         workers = settings.deployment.workers
         self._links = CellLinks(
@@ -48,29 +48,29 @@
             rng,
         )
         self._is_ready, self._is_stopped = threading.Event(), threading.Event()
-        # As of the last tick.
+        # As of the last tick; None before the first.
         self.health: QuotaHealth | None = None
 
     def start(self) -> None:
-        """Start to send requests and to answer them: the durable records have been read."""
+        """Start to send and handle requests, once the durable records are loaded."""
         self._is_ready.set()
         self._links.start()
 
     def stop(self) -> None:
-        """Stop to send requests and to answer them."""
+        """Stop sending and handling requests."""
         self._is_stopped.set()
         self._links.stop()
 
     def tick(self) -> None:
-        """On the decision thread: update what readiness shows."""
+        """Update the health for the readiness check. Called on the decision thread."""
         self.health = self._quota.health()
 
     def publish(self) -> None:
-        """On the decision thread: hand the links the current requests."""
+        """Pass the current requests to the links. Called on the decision thread."""
         self._links.publish(self._quota.requests())
 
     def handle_request(self, request: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
-        """Have the decision thread answer another cell's leader or an operator; None: not in time."""
+        """Handle a cell leader's or operator's request on the decision thread; None: no response in time."""
         if not self._is_ready.is_set():
             return None
         responses: list[QuotaResponse] = []
@@ -93,5 +93,5 @@
                 return self._quota.status()
 
     def _on_response(self, response: TransferResponse) -> None:
-        """On a link's thread: another cell has responded."""
+        """Queue another cell's response. Called on a link's thread."""
         self._post(SUBMISSIONS, lambda: self._quota.handle_response(response))
--- a/src/poppyhold/quota/latest_requests.py
+++ b/src/poppyhold/quota/latest_requests.py
@@ -1,4 +1,4 @@
-"""The newest request to each cell: written by the decision thread, read by the links' threads."""
+"""The latest request to each cell: written by the decision thread, read by the links' threads."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class LatestRequests:
-    """Holds the newest requests, and wakes the links that wait for a change."""
+    """Holds the latest requests, and wakes the links that wait for a change."""
 
     def __init__(self) -> None:
         self._requests: dict[str, TransferRequest] = {}
         self._changed = threading.Condition()
 
     def publish(self, requests: dict[str, TransferRequest]) -> None:
-        """Replace the requests, and wake the waiting links if there is something new to request."""
+        """Replace the requests, and wake the waiting links if a demand or an acknowledgement has changed."""
         if requests is self._requests:
             return
         with self._changed:
@@ -24,16 +24,16 @@
                 self._changed.notify_all()
 
     def get(self, cell: str) -> TransferRequest | None:
-        """The request to send to a cell now."""
+        """The latest request to a cell; None before the first."""
         return self._requests.get(cell)
 
     def wait_for_change(self, cell: str, sent: TransferRequest | None, timeout_s: float) -> None:
-        """Wait until there is something new to request from a cell, or the time is over."""
+        """Wait until the demand or acknowledgement for a cell differs from ``sent``, or time out."""
         with self._changed:
             self._changed.wait_for(lambda: _differs(sent, self._requests.get(cell)), timeout_s)
 
     def wake_all(self) -> None:
-        """Wake every waiting link."""
+        """Wake all waiting links."""
         with self._changed:
             self._changed.notify_all()
 
--- a/src/poppyhold/quota/link.py
+++ b/src/poppyhold/quota/link.py
@@ -1,8 +1,8 @@
-"""The links from this cell's leader to those of other cells: a thread for each other cell.
+"""The links from this cell's leader to the leaders of other cells, with one thread per cell.
 
-A link sends its request to any controller of the other cell, and follows a redirect to the leader. It sends
-often while demand is unmet or a commit is in progress, and otherwise once in a heartbeat interval. After a
-failure it tries the next controller, with exponential backoff and jitter.
+A link sends its request to any controller of the other cell, and follows redirects to the leader. It sends
+more often while demand is unmet or a commit is in progress, and otherwise once per heartbeat interval. After
+a failure it tries the next controller, with exponential backoff and jitter.
 """
 
 from __future__ import annotations
@@ -24,27 +24,27 @@
 log = logging.getLogger(__name__)
 
 _response_decoder: msgspec.msgpack.Decoder[QuotaResponse] = msgspec.msgpack.Decoder(QuotaResponse)
-# Ratios to the heartbeat interval. Between requests: with nothing to request, with unmet demand, and while a
-# commit is in progress.
+# Pauses between requests, in heartbeat intervals: without unmet demand, with unmet demand, and while a commit
+# is in progress at the other cell.
 _IDLE_PAUSE_INTERVALS, _UNMET_PAUSE_INTERVALS, _IN_PROGRESS_PAUSE_INTERVALS = 1.0, 0.25, 0.02
-# After a failure: the shortest and the longest wait.
+# Backoff after failures, in heartbeat intervals.
 _MIN_BACKOFF_INTERVALS, _MAX_BACKOFF_INTERVALS = 0.1, 2.0
-# The most doublings of the backoff, so that the factor stays small.
+# Bounds the backoff factor.
 _MAX_BACKOFF_DOUBLINGS = 8
-# The most controllers asked in one request, each named as the leader by the one before it.
+# Controllers tried per request, each named as the leader by the one before it.
 _MAX_CONTROLLERS_PER_REQUEST = 3
 
 
 class LinkError(Exception):
-    """The other cell's leader cannot be reached, or its response is not one to the request."""
+    """The other cell's leader cannot be reached, or its response does not match the request."""
 
 
 def exchange(address: str, request: msgspec.Struct, timeout_s: float) -> QuotaResponse:
     """Send one request over a new connection, and return the response.
 
     Raises:
-        OSError: the connection failed, or there was no response in time.
-        MalformedMessageError: the response is not one of the protocol.
+        OSError: the connection failed, or the response timed out.
+        MalformedMessageError: the response cannot be decoded.
 
     """
     with socket.create_connection(split_address(address), timeout=timeout_s) as connection:
@@ -53,7 +53,7 @@
 
 
 class CellLink:
-    """The thread that sends requests to one other cell, for one term of our leading."""
+    """The thread that sends requests to one other cell, for one term of this cell's leader."""
 
     def __init__(
         self,
@@ -95,9 +95,9 @@
                 self._record_failure(error)
                 continue
             except Exception:
-                # The thread has to go on for the whole term: without it the cell would get no transfers.
-                log.exception("request to another cell failed unexpectedly: cell=%s", self._cell.name)
-                self._record_failure(LinkError("see above"))
+                # The thread must run for the whole term: without it, no transfers from that cell arrive.
+                log.exception("request to cell failed unexpectedly, will retry: cell=%s", self._cell.name)
+                self._record_failure(LinkError("unexpected error, logged with its traceback"))
                 continue
             self._record_success()
             self._on_response(response)
@@ -105,12 +105,12 @@
         self._close()
 
     def _pause(self, request: TransferRequest, response: TransferResponse) -> None:
-        """Wait until the next request is due, or there is something new to request."""
+        """Wait until the next request is due, or the request to the cell has changed."""
         if response.in_progress:
             intervals = _IN_PROGRESS_PAUSE_INTERVALS
         else:
             intervals = _UNMET_PAUSE_INTERVALS if request.unmet_demands else _IDLE_PAUSE_INTERVALS
-        # The effects of a response make a new request at once; this keeps repeated ones to a rate.
+        # Handling a response changes the request at once; this pause limits the rate of requests.
         self._stop.wait(self._heartbeat_interval_s * _IN_PROGRESS_PAUSE_INTERVALS)
         self._latest_requests.wait_for_change(
             self._cell.name, request, self._heartbeat_interval_s * intervals
@@ -121,14 +121,14 @@
             response = self._exchange(request)
             if isinstance(response, TransferResponse):
                 if response.cell != self._cell.name:
-                    raise LinkError(f"cell {response.cell!r} answered")
+                    raise LinkError(f"response is from cell {response.cell!r}")
                 return response
             if not isinstance(response, NotLeading):
-                raise LinkError(f"answered with {type(response).__name__}")
+                raise LinkError(f"unexpected response: {type(response).__name__}")
             self._close()
             if not self._select_controller(response.member):
                 break
-        raise LinkError("no controller leads there")
+        raise LinkError("no leader found among the controllers tried")
 
     def _exchange(self, request: TransferRequest) -> QuotaResponse:
         if self._connection is None:
@@ -138,7 +138,7 @@
         return receive_message(self._connection, _response_decoder)
 
     def _select_controller(self, member: str) -> bool:
-        """Send the next request to that controller; False if it is unknown here, or was just asked."""
+        """Send the next request to a controller; False if it is unknown, or sent the redirect itself."""
         for index, controller in enumerate(self._cell.controllers):
             if controller.member == member and index != self._controller_index:
                 self._controller_index = index
@@ -203,5 +203,5 @@
             link.stop()
 
     def publish(self, requests: dict[str, TransferRequest]) -> None:
-        """Replace the requests to the cells."""
+        """Replace the request to each cell."""
         self._latest_requests.publish(requests)
--- a/src/poppyhold/quota/server.py
+++ b/src/poppyhold/quota/server.py
@@ -1,4 +1,4 @@
-"""A controller's server for requests from other cells: the leader answers, others redirect to it."""
+"""A controller's server for requests from other cells: the leader responds, others redirect to it."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 
 log = logging.getLogger(__name__)
 
-# Connections for each other cell: a link, one that is being replaced, and an operator's request.
+# Connections per other cell: a link, one that is being replaced, and an operator's request.
 _CONNECTIONS_PER_CELL = 4
-# How long a request waits for the decision thread, as a part of the lease.
+# The time-out of a request to the decision thread is a lease divided by this.
 _TIMEOUTS_PER_LEASE = 12
 
 
 class QuotaRequestError(ValueError):
-    """There is no response to a request: its connection has to end."""
+    """A request gets no response, and its connection is closed."""
 
 
 class LeadingTerm(Protocol):
-    """What a term of leading does for other cells."""
+    """The part of a leader's term that serves other cells."""
 
     def handle_quota_request(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
-        """Answer a request; None if that is not possible in time."""
+        """Handle a request; None if there is no response in time."""
 
 
 class QuotaServer:
-    """Answers requests of other cells' leaders and of operators."""
+    """Handles requests of other cells' leaders and of operators."""
 
     def __init__(
         self,
@@ -49,19 +49,19 @@
         self._settings, self._cells = settings, cells
         self._leading_term, self._leader = leading_term, leader
         self._timeout_s = settings.deployment.workers.lease_s / _TIMEOUTS_PER_LEASE
-        # Why each cell's last request was rejected: logged once, not with each retry.
+        # Why each cell's last request was rejected; a repeated reason is not logged again.
         self._last_rejections: dict[str, str] = {}
 
     @property
     def max_connections(self) -> int:
-        """Connections in addition to those of our own cell's controllers."""
+        """The number of connections besides those of this cell's controllers."""
         return _CONNECTIONS_PER_CELL * len(self._cells.others) if self._cells is not None else 0
 
     def handle_request(self, request: QuotaRequest) -> QuotaResponse:
-        """The response to a request.
+        """Return the response to a request.
 
         Raises:
-            QuotaRequestError: there is none, and the connection has to end.
+            QuotaRequestError: there is no response; the connection is to be closed.
 
         """
         if self._cells is None:
@@ -85,16 +85,18 @@
         if self._last_rejections.get(request.cell) != rejection:
             if len(self._last_rejections) <= len(cells.others):
                 self._last_rejections[request.cell] = rejection
-            log.warning("request from another cell rejected: cell=%.80r reason=%r", request.cell, rejection)
+            log.warning(
+                "quota request rejected, closing connection: cell=%.80r reason=%r", request.cell, rejection
+            )
         raise QuotaRequestError(rejection)
 
     @staticmethod
     def _rejection(cells: Cells, request: TransferRequest) -> str:
-        """Why a request cannot be for this cell; empty if it can."""
+        """Why a request is rejected; empty if it is accepted."""
         if request.version != PROTOCOL_VERSION:
-            return f"protocol version {request.version}, version {PROTOCOL_VERSION} is supported here"
+            return f"protocol version is {request.version}, only {PROTOCOL_VERSION} is supported"
         if request.to_cell != cells.name:
-            return f"it is for cell {request.to_cell:.80}, this is {cells.name}"
+            return f"request is for cell {request.to_cell:.80}, this is cell {cells.name}"
         if cells.other(request.cell) is None:
-            return "no such cell is known here"
+            return "requesting cell is not named in this controller's options"
         return ""
--- a/src/poppyhold/quota/status.py
+++ b/src/poppyhold/quota/status.py
@@ -1,4 +1,4 @@
-"""`poppyhold quota status`: what a cell's leader knows of the teams' allocations, for operators."""
+"""`poppyhold quota status`: the teams' allocations in all cells, as one cell's leader knows them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from poppyhold.quota.records import Transfer
 from poppyhold.settings import Settings
 
-# Exit statuses: no alarm; an alarm is active, allocations don't add up, or no leader could be reached.
+# Exit statuses. ALARM: an alarm is active, allocations don't add up, or no leader could be reached.
 OK, ALARM = 0, 1
 _HEADING = f"  {'team':<24} {'':<5} {'guarantee':>10} {'limit':>10} {'used':>10} {'in transit':>10}"
 
@@ -42,7 +42,7 @@
 
 
 class CellStatus(msgspec.Struct, frozen=True):
-    """One cell, and the age of its view in seconds; 0: it responded itself."""
+    """One cell, and the age of its view in seconds; 0 for the cell that responded."""
 
     cell: str
     age_s: float
@@ -51,14 +51,14 @@
 
 
 class QuotaStatus(msgspec.Struct, frozen=True):
-    """All cells as the leader of one of them knows them."""
+    """The status of all cells, as the leader of one of them knows them."""
 
     cells: list[CellStatus]
     uncontacted: list[str] = msgspec.field(name="unheard")
     short: list[str]
     differing: list[str]
     problems: list[str]
-    # Whether the views are complete and of one moment, so that they can be added up.
+    # Whether the views are a complete and consistent snapshot, so that they were added up.
     added_up: bool
 
     @property
@@ -68,10 +68,10 @@
 
 
 def fetch(settings: Settings) -> StatusResponse:
-    """Fetch the status from the leader of the cell to which the settings belong.
+    """Fetch the status from the leader of the cell that the settings belong to.
 
     Raises:
-        NoLeaderError: it was not found.
+        NoLeaderError: no leader responded.
 
     """
     addresses = {known.member: known.address for known in settings.peers}
@@ -96,7 +96,7 @@
 
 
 def summarize(response: StatusResponse) -> QuotaStatus:
-    """The status of all cells, from a leader's response."""
+    """Derive the status of all cells from a leader's response."""
     own, others = response.own, response.others
     ages = {own.cell: 0.0, **{other.view.cell: other.age_s for other in others}}
     views = {own.cell: own, **{other.view.cell: other.view for other in others}}
@@ -146,7 +146,7 @@
 
 
 def render(status: QuotaStatus) -> str:
-    """A table for operators."""
+    """Format the status as a table for operators."""
     lines = []
     for cell in status.cells:
         age = "now" if not cell.age_s else f"{cell.age_s:.0f} s ago"
