--- a/src/poppyhold/execution/attempt_lifecycle.py
+++ b/src/poppyhold/execution/attempt_lifecycle.py
@@ -44,7 +44,7 @@
         attempt = Attempt(job, index, number, machine, machine.incarnation, now)
         for victim in victims:
             self.stop(victim, 0.0, now, direct=False)
-        if now < machine.unreliable_until:
+        if now < machine.connection_unreliable_until:
             attempt.start_channel = StartChannel.HEARTBEAT_RESPONSE
         else:
             attempt.start_channel = StartChannel.DIRECT
@@ -78,8 +78,8 @@
             direct: Whether to also send the command directly; heartbeat responses carry it in any case.
 
         """
-        if attempt.stopping_at is None:
-            attempt.stopping_at = now
+        if attempt.stop_requested_at is None:
+            attempt.stop_requested_at = now
             attempt.grace_s = grace_s
         else:
             attempt.grace_s = min(attempt.grace_s, grace_s)
--- a/src/poppyhold/execution/completions.py
+++ b/src/poppyhold/execution/completions.py
@@ -125,7 +125,7 @@
         batches = [writes[i : i + self._max_txn_ops] for i in range(0, len(writes), self._max_txn_ops)]
         on_committed = self._on_batch_committed(job, indices, len(batches))
         for batch in batches:
-            self._ctx.outbound.commit({ACTIVE_JOB_PREFIX + job.id: job.version}, batch, on_committed)
+            self._ctx.outbound.commit({ACTIVE_JOB_PREFIX + job.id: job.record_revision}, batch, on_committed)
 
     @staticmethod
     def _on_batch_committed(job: Job, indices: set[int], batches: int) -> Callable[[bool], None]:
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -138,7 +138,7 @@
         attempt = machine.attempts.get(command.task)
         if attempt is None or attempt.number != command.attempt:
             return False
-        if attempt.stopping_at is not None:
+        if attempt.stop_requested_at is not None:
             self._on_start_discarded(attempt)
             return False
         return True
--- a/src/poppyhold/execution/failures.py
+++ b/src/poppyhold/execution/failures.py
@@ -52,13 +52,13 @@
         record = job.failures
         if attempt.running_at is not None:
             record.longest_run_s = max(record.longest_run_s, now - attempt.running_at)
-        record.machines.add(machine.name)
-        if attempt.sent_at > record.last_failed_at:
+        record.failed_machines.add(machine.name)
+        if attempt.created_at > record.last_failed_at:
             # Tasks that were started together count once: backoff doesn't depend on the width of the array.
-            record.rounds += 1
+            record.failure_rounds += 1
         record.last_failed_at = now
         # A healthy job's backoff is not doubled: its task only has to avoid the machine.
-        doublings = 0 if job.done else min(record.rounds, _MAX_BACKOFF_DOUBLINGS)
+        doublings = 0 if job.done else min(record.failure_rounds, _MAX_BACKOFF_DOUBLINGS)
         job.retry_at = now + min(
             self._durations.heartbeat_interval_s * 2**doublings, self._durations.cancel_s
         )
@@ -67,19 +67,19 @@
             log.info(
                 "job at fault, starting one task at a time: job=%s failed_machines=%d",
                 job.id,
-                len(record.machines),
+                len(record.failed_machines),
             )
             record.at_fault = True
             self._on_fault_status_changed(job)
 
     @staticmethod
     def _fails_everywhere(job: Job) -> bool:
-        return not job.done and len(job.failures.machines) > _MAX_FAILED_MACHINES
+        return not job.done and len(job.failures.failed_machines) > _MAX_FAILED_MACHINES
 
     def load(self, job: Job) -> None:
         """Adopt an earlier leader's finding that a job is at fault."""
         if job.failures.at_fault:
-            job.failures.rounds = _MAX_BACKOFF_DOUBLINGS
+            job.failures.failure_rounds = _MAX_BACKOFF_DOUBLINGS
             self._suspected[job.id] = job
 
     def task_completed(self, attempt: Attempt) -> None:
@@ -88,7 +88,7 @@
         Its job is healthy, and so is its machine if the task was started after the last error there.
         """
         errors = attempt.machine.task_errors
-        if errors and attempt.sent_at > max(error.occurred_at for error in errors.values()):
+        if errors and attempt.created_at > max(error.occurred_at for error in errors.values()):
             errors.clear()
         if attempt.job.id in self._suspected:
             self._mark_healthy(attempt.job)
@@ -104,7 +104,7 @@
 
     def _outlasts(self, attempt: Attempt, now: float) -> bool:
         record = attempt.job.failures
-        if attempt.running_at is None or attempt.machine.name in record.machines:
+        if attempt.running_at is None or attempt.machine.name in record.failed_machines:
             return False
         return now - attempt.running_at > _HEALTHY_RUN_FACTOR * (
             record.longest_run_s + self._durations.heartbeat_interval_s
@@ -115,8 +115,8 @@
         del self._suspected[job.id]
         record = job.failures
         record.last_healthy_at = self._clock()
-        record.rounds = 0
-        record.machines.clear()
+        record.failure_rounds = 0
+        record.failed_machines.clear()
         job.retry_at = 0.0
         if record.at_fault:
             record.at_fault = False
--- a/src/poppyhold/execution/heartbeat_commands.py
+++ b/src/poppyhold/execution/heartbeat_commands.py
@@ -11,7 +11,7 @@
 def stop_command(attempt: Attempt, now: float) -> Command:
     """Return the command that stops an attempt; without grace once its grace period has passed."""
     grace_s = attempt.grace_s
-    if attempt.stopping_at is not None and now > attempt.stopping_at + grace_s:
+    if attempt.stop_requested_at is not None and now > attempt.stop_requested_at + grace_s:
         grace_s = 0.0
     return Command(CommandKind.STOP, attempt.name, attempt.number, grace_s)
 
@@ -32,7 +32,7 @@
             elif task.task in machine.unknown_tasks:
                 commands.append(Command(CommandKind.STOP, task.task, task.attempt, 0.0))
         for attempt in machine.attempts.values():
-            if attempt.stopping_at is not None:
+            if attempt.stop_requested_at is not None:
                 commands.append(stop_command(attempt, now))
             elif (
                 attempt.status == TaskState.SENT
@@ -53,7 +53,7 @@
         commands = [
             stop_command(attempt, now)
             for attempt in machine.attempts.values()
-            if attempt.stopping_at is not None
+            if attempt.stop_requested_at is not None
         ]
         for task in heartbeat.tasks:
             job = self._ctx.fleet.jobs.get(split_task(task.task)[0])
--- a/src/poppyhold/execution/lease_expiry.py
+++ b/src/poppyhold/execution/lease_expiry.py
@@ -37,13 +37,13 @@
         if machine.reconciled:
             # The worker has adopted the term's fencing token, so only this leader and its delegates could
             # renew its lease, as long as no other controller led.
-            renewed_at = max(machine.last_response_at, self._ctx.outbound.delegated_leases_expire_at())
+            renewed_at = max(machine.last_answered_at, self._ctx.outbound.delegated_leases_expire_at())
             bound = renewed_at + durations.lease_expired_s
         else:
             # Earlier leaders may have renewed its lease: the bound assumes the latest moment they could.
             bound = max(
                 self.term_began_at + durations.predecessors_expired_s,
-                machine.last_response_at + durations.lease_expired_s,
+                machine.last_answered_at + durations.lease_expired_s,
             )
         if now <= bound or self._ctx.outbound.leadership_confirmed_at() <= bound:
             return
--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -49,10 +49,10 @@
             if machine is None:
                 return None
         machine.endpoint = heartbeat.endpoint
-        if heartbeat.fencing_token < ctx.term_fencing_token and self._ignores_responses(machine, now):
+        if heartbeat.fencing_token < ctx.term_fencing_token and self._seems_to_miss_responses(machine, now):
             self.lifecycle.commands.request_heartbeat(machine, now)
             return None
-        machine.last_response_at = now
+        machine.last_answered_at = now
         if not machine.is_up:
             machine.is_up = True
             machine.up_at = now
@@ -64,7 +64,7 @@
             self.lifecycle.commands.request_heartbeat(machine, now)
             commands = self._heartbeat_commands.stop_commands(machine, heartbeat, now)
         elif self._is_newer(heartbeat, machine):
-            self._apply_heartbeat(machine, heartbeat, now, is_answered=True)
+            self._apply_heartbeat(machine, heartbeat, now, is_unsolicited=True)
             commands = self._heartbeat_commands.commands_for_new_heartbeat(machine, heartbeat, now)
         else:
             commands = self._heartbeat_commands.stop_commands(machine, heartbeat, now)
@@ -75,7 +75,7 @@
         """Whether a heartbeat is newer than all before; duplicates and late ones, relayed or not, aren't."""
         return (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
 
-    def _ignores_responses(self, machine: Machine, now: float) -> bool:
+    def _seems_to_miss_responses(self, machine: Machine, now: float) -> bool:
         """Whether a worker from before this term seems to get no responses, so that its lease should expire.
 
         Its heartbeats arrive, but the term's fencing token does not reach it: every response would count as a
@@ -97,15 +97,20 @@
         machine_type = ctx.machine_types.get(heartbeat.machine_type)
         if machine_type is None or heartbeat.machine in ctx.deleted_at:
             return None
-        machine = Machine(heartbeat.machine, machine_type, heartbeat.zone, heartbeat.spot, known_since=now)
+        machine = Machine(
+            heartbeat.machine, machine_type, heartbeat.zone, heartbeat.spot, estimated_launch_at=now
+        )
         machine.images.update(ctx.image_hints.get(heartbeat.machine, ()))
         ctx.fleet.machines[heartbeat.machine] = machine
         return machine
 
-    def _apply_heartbeat(self, machine: Machine, heartbeat: Heartbeat, now: float, is_answered: bool) -> None:
+    def _apply_heartbeat(
+        self, machine: Machine, heartbeat: Heartbeat, now: float, is_unsolicited: bool
+    ) -> None:
         """Update a machine from a heartbeat that is newer than all before it.
 
-        ``is_answered``: the worker sent it by itself and gets a response; else it came in reply to a command.
+        ``is_unsolicited``: the worker sent it on its own schedule, so it gets a response with commands;
+        otherwise it came in the response to a direct request.
         """
         ctx = self._ctx
         if heartbeat.incarnation > machine.incarnation:
@@ -116,8 +121,8 @@
         if not machine.reconciled:
             machine.reconciled = True
             ctx.scheduling_needed = True
-        if heartbeat.notice_s is not None and machine.preempted_at is None:
-            machine.preempted_at = now + heartbeat.notice_s
+        if heartbeat.notice_s is not None and machine.preemption_due_at is None:
+            machine.preemption_due_at = now + heartbeat.notice_s
             machine.preemption_notice_at = now
             ctx.scheduling_needed = True
         present: set[str] = set()
@@ -129,7 +134,7 @@
                 self._observe_task(machine, task, now)
         for attempt in list(machine.attempts.values()):
             if attempt.name not in present and self._absence_proves_termination(
-                attempt, heartbeat, is_answered
+                attempt, heartbeat, is_unsolicited
             ):
                 self._mark_absent(attempt, now)
         self.lease_expiry.unreconciled.discard(machine.name)
@@ -139,14 +144,14 @@
         durations = self._ctx.durations
         if machine.reconciled and now - machine.last_heartbeat_at < durations.lease_s / 2:
             # Its heartbeats were answered until now, so responses do not reach it: treat it as unreliable.
-            machine.unreliable_until = now + durations.cancel_s
+            machine.connection_unreliable_until = now + durations.cancel_s
         for attempt in list(machine.attempts.values()):
             if attempt.incarnation < incarnation:
                 self.lifecycle.mark_terminated(attempt)
 
     def _mark_absent(self, attempt: Attempt, now: float) -> None:
         """Terminate an attempt that a heartbeat proves not to be on its machine."""
-        if attempt.status == TaskState.SENT and attempt.stopping_at is None:
+        if attempt.status == TaskState.SENT and attempt.stop_requested_at is None:
             self._back_off_machine(attempt, now)
         self.lifecycle.mark_terminated(attempt)
 
@@ -163,7 +168,7 @@
             attempt.machine.unschedulable_until = now + 2 * durations.heartbeat_interval_s
 
     @staticmethod
-    def _absence_proves_termination(attempt: Attempt, heartbeat: Heartbeat, is_answered: bool) -> bool:
+    def _absence_proves_termination(attempt: Attempt, heartbeat: Heartbeat, is_unsolicited: bool) -> bool:
         """Whether a newer heartbeat without the attempt proves that it is not on the machine and won't be."""
         if attempt.status != TaskState.SENT:
             return True
@@ -175,11 +180,15 @@
         if attempt.start_channel is StartChannel.HEARTBEAT_RESPONSE:
             # A worker sends the next heartbeat only once the response has come or timed out. A start that was
             # not sent yet goes in the response to this one; counted as lost, it left the machine idle.
-            return is_answered and 0 <= attempt.response_sequence < heartbeat.sequence
+            return is_unsolicited and 0 <= attempt.response_sequence < heartbeat.sequence
         return True
 
     def _handle_command_response(
-        self, machine: Machine, starts: list[Attempt], outcome: RequestOutcome, heartbeat: Heartbeat | None
+        self,
+        machine: Machine,
+        started_attempts: list[Attempt],
+        outcome: RequestOutcome,
+        heartbeat: Heartbeat | None,
     ) -> None:
         """Handle the outcome of a request to a worker, and the heartbeat that came with its response."""
         ctx = self._ctx
@@ -190,18 +199,18 @@
         if heartbeat is not None and heartbeat.fencing_token > ctx.fencing_token:
             ctx.outbound.leadership_lost(heartbeat.fencing_token)
             return
-        for attempt in starts:
+        for attempt in started_attempts:
             if machine.attempts.get(attempt.name) is attempt:
                 self.lifecycle.handle_start_outcome(attempt, outcome)
         if outcome in (RequestOutcome.NOT_SENT, RequestOutcome.UNKNOWN):
-            machine.unreliable_until = now + ctx.durations.lease_s / 2
+            machine.connection_unreliable_until = now + ctx.durations.lease_s / 2
         if (
             heartbeat is not None
             and heartbeat.machine == machine.name
             and heartbeat.fencing_token >= ctx.term_fencing_token
             and (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
         ):
-            self._apply_heartbeat(machine, heartbeat, now, is_answered=False)
+            self._apply_heartbeat(machine, heartbeat, now, is_unsolicited=False)
         elif heartbeat is not None and not machine.reconciled and heartbeat.incarnation > machine.incarnation:
             # The request named another incarnation than the worker's: probe again with the right one.
             machine.incarnation, machine.next_probe_at = heartbeat.incarnation, 0.0
--- a/src/poppyhold/execution/task_observation.py
+++ b/src/poppyhold/execution/task_observation.py
@@ -61,7 +61,7 @@
                 "task running: task=%s attempt=%d since_start_s=%.1f",
                 attempt.name,
                 attempt.number,
-                now - attempt.sent_at,
+                now - attempt.created_at,
             )
         if attempt.job.is_gang:
             self._lifecycle.gangs.task_status_changed(attempt, now)
@@ -74,7 +74,7 @@
             attempt.running_at = attempt.running_at or now
         if status in HAS_IMAGE:
             spec = attempt.job.spec
-            attempt.machine.touch_image(spec.image, spec.image_gb)
+            attempt.machine.record_image_use(spec.image, spec.image_gb)
 
     def _adopt(self, attempt: Attempt, status: str, now: float) -> None:
         """Adopt a task that an earlier leader started."""
@@ -86,7 +86,7 @@
             job.states[index] = TASK_DONE
         if completed or job.phase is JobPhase.FINALIZED:
             # It uses resources, so it counts, but its result is not needed any more.
-            attempt.stopping_at = now
+            attempt.stop_requested_at = now
         elif job.is_gang:
             self._lifecycle.gangs.adopt(attempt, now)
 
@@ -111,7 +111,7 @@
     def _handle_completion(
         self, machine: Machine, job: Job, index: int, attempt: Attempt | None, now: float
     ) -> None:
-        machine.touch_image(job.spec.image, job.spec.image_gb)
+        machine.record_image_use(job.spec.image, job.spec.image_gb)
         if attempt is not None:
             self._failures.task_completed(attempt)
             if attempt.running_at is not None:
--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -105,7 +105,7 @@
         return slots
 
     def _is_usable(self, machine: Machine, now: float) -> bool:
-        if machine.quarantined or machine.draining or machine.preempted_at is not None:
+        if machine.quarantined or machine.draining or machine.preemption_due_at is not None:
             return False
         silence_s = now - machine.last_heartbeat_at
         return not (machine.is_up and silence_s > self._ctx.durations.silent_s and machine.reconciled)
--- a/src/poppyhold/machines/boot_tracker.py
+++ b/src/poppyhold/machines/boot_tracker.py
@@ -36,26 +36,28 @@
                 booting.append(machine)
             elif machine.up_at > float("-inf"):
                 name = machine.machine_type.name
-                self._newest_booted_launch[name] = max(self._newest_booted_launch[name], machine.known_since)
+                self._newest_booted_launch[name] = max(
+                    self._newest_booted_launch[name], machine.estimated_launch_at
+                )
         # By machine type: when the oldest of the machines that boot was launched.
         oldest: dict[str, float] = {}
         for machine in booting:
             name = machine.machine_type.name
-            oldest[name] = min(machine.known_since, oldest.get(name, machine.known_since))
+            oldest[name] = min(machine.estimated_launch_at, oldest.get(name, machine.estimated_launch_at))
         return {machine.name for machine in booting if self._is_overdue(machine, oldest, now)}
 
     def has_timed_out(self, machine: Machine, max_boot_s: float, now: float) -> bool:
         """Whether a machine is to be deleted: much sooner where others boot than where all are slow."""
         factor = 1 if self._later_launch_booted(machine) else _SLOW_BOOT_FACTOR
-        return now - machine.known_since > max_boot_s * factor
+        return now - machine.estimated_launch_at > max_boot_s * factor
 
     def _is_overdue(self, machine: Machine, oldest: dict[str, float], now: float) -> bool:
         overdue_s = _OVERDUE_BOOT_FACTOR * machine.machine_type.boot_s
-        if now - machine.known_since <= overdue_s:
+        if now - machine.estimated_launch_at <= overdue_s:
             return False
-        is_replacement = machine.known_since - oldest[machine.machine_type.name] >= overdue_s
+        is_replacement = machine.estimated_launch_at - oldest[machine.machine_type.name] >= overdue_s
         return not is_replacement or self._later_launch_booted(machine)
 
     def _later_launch_booted(self, machine: Machine) -> bool:
         """Whether a machine of its type has come up that was launched no sooner."""
-        return self._newest_booted_launch[machine.machine_type.name] >= machine.known_since
+        return self._newest_booted_launch[machine.machine_type.name] >= machine.estimated_launch_at
--- a/src/poppyhold/machines/consolidation.py
+++ b/src/poppyhold/machines/consolidation.py
@@ -68,14 +68,14 @@
             attempt.job.id
             for machine in machines.values()
             for attempt in machine.attempts.values()
-            if attempt.stopping_at is not None
+            if attempt.stop_requested_at is not None
         }
         for machine in machines.values():
             if not machine.draining or machine.deleting:
                 continue
             for attempt in machine.attempts.values():
                 if (
-                    attempt.stopping_at is None
+                    attempt.stop_requested_at is None
                     and attempt.job.is_service
                     and attempt.job.id not in moving_jobs
                 ):
@@ -140,7 +140,7 @@
     def _is_movable(self, machine: Machine) -> bool:
         """Only settled replicas move; a machine with array tasks is left until they are done."""
         return bool(machine.attempts) and all(
-            attempt.job.is_service and attempt.stopping_at is None and self._is_settled(attempt)
+            attempt.job.is_service and attempt.stop_requested_at is None and self._is_settled(attempt)
             for attempt in machine.attempts.values()
         )
 
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -158,7 +158,7 @@
                 and name not in self._ctx.fleet.machines
                 and name not in self._ctx.deleted_at
             ):
-                machine = Machine(name, machine_type, launch.zone, launch.spot, known_since=now)
+                machine = Machine(name, machine_type, launch.zone, launch.spot, estimated_launch_at=now)
                 self._ctx.fleet.machines[name] = machine
 
     def reconcile(self) -> None:
--- a/src/poppyhold/machines/machine_list.py
+++ b/src/poppyhold/machines/machine_list.py
@@ -35,7 +35,7 @@
             present.add(entry.name)
             self._apply_entry(entry, listing.began_at, now)
         for machine in list(ctx.fleet.machines.values()):
-            seen_at = max(machine.known_since, machine.listed_at, machine.last_heartbeat_at)
+            seen_at = max(machine.estimated_launch_at, machine.listed_at, machine.last_heartbeat_at)
             unseen_s = listing.began_at - seen_at
             if machine.name not in present and not machine.deleting and unseen_s > MISSING_AFTER_LAGS * lag:
                 self._handle_missing(machine)
@@ -54,7 +54,7 @@
         if entry.status == "failed":
             self._deletions.mark(machine, "failed")
         elif not machine.is_up:
-            machine.known_since = min(machine.known_since, now - entry.age_s)
+            machine.estimated_launch_at = min(machine.estimated_launch_at, now - entry.age_s)
 
     def _add_unknown(self, entry: ListedMachine, now: float) -> Machine | None:
         """Add a machine that we did not know: of a launch that came late, or of an earlier leader."""
@@ -62,7 +62,9 @@
         machine_type = ctx.machine_types.get(entry.machine_type)
         if machine_type is None or entry.name in ctx.deleted_at:
             return None
-        machine = Machine(entry.name, machine_type, entry.zone, entry.spot, known_since=now - entry.age_s)
+        machine = Machine(
+            entry.name, machine_type, entry.zone, entry.spot, estimated_launch_at=now - entry.age_s
+        )
         ctx.fleet.machines[entry.name] = machine
         ctx.scheduling_needed = True
         return machine
--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -120,7 +120,10 @@
         if silence_s > durations.silent_s / 2:
             self._reconciler.lifecycle.commands.probe_silent_worker(machine, now)
         if silence_s > durations.presumed_lost_s:
-            if machine.preempted_at is not None and now > machine.preempted_at - durations.presumed_lost_s:
+            if (
+                machine.preemption_due_at is not None
+                and now > machine.preemption_due_at - durations.presumed_lost_s
+            ):
                 self._deletions.mark(machine, "preempted")
             else:
                 survey.silent.append(machine)
--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -66,7 +66,7 @@
     number: int
     machine: Machine
     incarnation: int
-    sent_at: float
+    created_at: float
     status: str = TaskState.SENT
     start_channel: StartChannel = StartChannel.OBSERVED
     # The sequence number of the heartbeat whose response carried the start; -1 before that.
@@ -77,9 +77,9 @@
     void_at_fencing_token: int | None = None
     running_at: float | None = None
     # When it was first to be stopped, and the grace period that its task has from then on to save.
-    stopping_at: float | None = None
+    stop_requested_at: float | None = None
     grace_s: float = 0.0
-    booked_until: int = 0
+    last_booked_slot: int = 0
     booked: bool = False
 
     @property
@@ -93,8 +93,8 @@
 
     # Failures since the job was last found healthy, counting tasks that were started together once, and the
     # machines on which they occurred.
-    rounds: int = 0
-    machines: set[str] = msgspec.field(default_factory=set)
+    failure_rounds: int = 0
+    failed_machines: set[str] = msgspec.field(default_factory=set)
     last_failed_at: float = float("-inf")
     # The longest run time of a failed task.
     longest_run_s: float = 0.0
@@ -108,7 +108,7 @@
 
     id: str
     spec: Submission
-    version: int
+    record_revision: int
     submitted_at: float
     task_resources: Resources
     priority: int
@@ -127,7 +127,7 @@
     saved_work_s: dict[int, float] = msgspec.field(default_factory=dict)
     admitted: bool = False
     # Whether no earlier leader can have started a task of it.
-    never_started: bool = True
+    not_started_by_earlier_leaders: bool = True
     # Whether any plan was made durable, and whether one is being written. Both can hold, as a durable plan
     # may be written again.
     plan_durable: bool = False
@@ -135,7 +135,7 @@
     # Planned starts: slot -> zone -> tasks, and their bookings in the ledger: slot -> machine -> tasks.
     plan: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
     booked: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
-    planned_task_s: float = 0.0
+    booked_run_time_s: float = 0.0
     within_guarantee: bool = False
     phase: JobPhase = JobPhase.ACTIVE
     # Whether records of its completed tasks are being written.
@@ -201,10 +201,12 @@
         Tasks that were started before the failure don't count: they may still show that the job is healthy.
         """
         record = self.failures
-        if not record.rounds or self.done or self.is_gang:
+        if not record.failure_rounds or self.done or self.is_gang:
             return limit
-        probes = sum(attempt.sent_at >= record.last_failed_at for attempt in self.active.values())
-        return min(limit, max(0, 1 - probes))
+        started_since_failure = sum(
+            attempt.created_at >= record.last_failed_at for attempt in self.active.values()
+        )
+        return min(limit, max(0, 1 - started_since_failure))
 
     def complete(self, index: int) -> bool:
         """Mark a task as done; return whether that is new. A gang's tasks are done together."""
@@ -252,7 +254,7 @@
     machine_type: MachineType
     zone: str
     spot: bool
-    known_since: float
+    estimated_launch_at: float
     endpoint: str = ""
     # Whether it has sent a heartbeat in this term or an earlier one, and when the first of this term came.
     is_up: bool = False
@@ -267,11 +269,11 @@
     # When the cloud last listed it.
     listed_at: float = float("-inf")
     # When a heartbeat of its worker was last answered.
-    last_response_at: float = float("-inf")
+    last_answered_at: float = float("-inf")
     # When the first heartbeat with an earlier term's fencing token came in this term.
     first_outdated_heartbeat_at: float | None = None
     # When the cloud preempts it, and when the notice of that came.
-    preempted_at: float | None = None
+    preemption_due_at: float | None = None
     preemption_notice_at: float | None = None
     # At fault: it is drained and deleted.
     quarantined: bool = False
@@ -280,7 +282,7 @@
     # To be deleted: no task is started on it.
     deleting: bool = False
     # Until then starts go in heartbeat responses, as direct commands may not reach it.
-    unreliable_until: float = 0.0
+    connection_unreliable_until: float = 0.0
     command_in_flight: bool = False
     next_probe_at: float = 0.0
     attempts: dict[str, Attempt] = msgspec.field(default_factory=dict)
@@ -327,17 +329,17 @@
             and not self.quarantined
             and not self.draining
             and not self.deleting
-            and self.preempted_at is None
+            and self.preemption_due_at is None
             and not self.unknown_tasks
             and now >= self.unschedulable_until
             and now - self.last_heartbeat_at <= silent_s
         )
 
-    def touch_image(self, image: str, size: float) -> None:
+    def record_image_use(self, image: str, size_gb: float) -> None:
         """Record that the worker used an image, and evict the least recently used ones as its cache does."""
         if image not in self.images:
             self.version += 1
-        self.images[image] = size
+        self.images[image] = size_gb
         self.images.move_to_end(image)
         total = sum(self.images.values())
         held = {attempt.job.spec.image for attempt in self.attempts.values()}
@@ -349,12 +351,12 @@
                 self.version += 1
 
 
-def make_job(spec: Submission, version: int, at: float) -> Job:
+def make_job(spec: Submission, record_revision: int, at: float) -> Job:
     """Build a job from its accepted submission."""
     return Job(
         id=spec.name,
         spec=spec,
-        version=version,
+        record_revision=record_revision,
         submitted_at=at,
         task_resources=(spec.cpus, spec.accelerators, spec.memory_gb),
         priority=PRIORITIES.index(spec.priority),
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -196,7 +196,7 @@
     def last_response_at(self, machine_name: str) -> float:
         """Return when the machine's worker was last answered in this term, or -inf."""
         machine = self.ctx.fleet.machines.get(machine_name)
-        return machine.last_response_at if machine is not None else float("-inf")
+        return machine.last_answered_at if machine is not None else float("-inf")
 
     def task_counts(self) -> dict[str, TaskCounts]:
         """Return the done and running tasks of each job that is not finalized."""
--- a/src/poppyhold/node/job_lifecycle.py
+++ b/src/poppyhold/node/job_lifecycle.py
@@ -115,7 +115,7 @@
             self.handle_finalized(job.id)
 
         self._ctx.outbound.commit(
-            {ACTIVE_JOB_PREFIX + job.id: job.version},
+            {ACTIVE_JOB_PREFIX + job.id: job.record_revision},
             final_writes(job.id, JobStatus.DONE, job.spec.tasks),
             on_committed,
             self._admission.records.commit_priority(job),
--- a/src/poppyhold/node/machine_lifecycle.py
+++ b/src/poppyhold/node/machine_lifecycle.py
@@ -24,7 +24,7 @@
     def update_availability(self, machine: Machine) -> None:
         """Offer a machine to the scheduler, or withdraw it, according to its last heartbeat."""
         usable = machine.is_up and machine.reconciled and not (machine.quarantined or machine.deleting)
-        if usable and machine.preempted_at is None:
+        if usable and machine.preemption_due_at is None:
             self._admission.add_machine(machine)
         else:
             self._admission.remove_machine(machine)
@@ -36,7 +36,7 @@
     def drain_all(self, now: float) -> None:
         """Drain every machine that has a preemption notice or is quarantined."""
         for machine in self._ctx.fleet.machines.values():
-            if (machine.preempted_at is None and not machine.quarantined) or machine.deleting:
+            if (machine.preemption_due_at is None and not machine.quarantined) or machine.deleting:
                 continue
             self._admission.remove_machine(machine)
             self._drain(machine, now)
@@ -44,7 +44,7 @@
     def _drain(self, machine: Machine, now: float) -> None:
         remaining_s = self._remaining_s(machine, now)
         for attempt in list(machine.attempts.values()):
-            if attempt.stopping_at is not None or not self._must_move(attempt, remaining_s, now):
+            if attempt.stop_requested_at is not None or not self._must_move(attempt, remaining_s, now):
                 continue
             if attempt.job.is_gang:
                 self._drain_gang(attempt, remaining_s, now)
@@ -54,9 +54,9 @@
     @staticmethod
     def _remaining_s(machine: Machine, now: float) -> float:
         """Return how long the machine can be relied on; infinite without a preemption notice."""
-        if machine.preempted_at is None or machine.preemption_notice_at is None:
+        if machine.preemption_due_at is None or machine.preemption_notice_at is None:
             return math.inf
-        notice_s = machine.preempted_at - machine.preemption_notice_at
+        notice_s = machine.preemption_due_at - machine.preemption_notice_at
         return notice_s * _USABLE_NOTICE_RATIO - (now - machine.preemption_notice_at)
 
     def _grace_s(self, attempt: Attempt) -> float:
--- a/src/poppyhold/node/state_loader.py
+++ b/src/poppyhold/node/state_loader.py
@@ -47,7 +47,7 @@
         """Load a machine, which may run tasks of earlier terms, as unreconciled."""
         record = convert(data, MachineRecord)
         self._ctx.machine_types.setdefault(record.machine_type.name, record.machine_type)
-        machine = Machine(name, record.machine_type, record.zone, record.spot, known_since=now)
+        machine = Machine(name, record.machine_type, record.zone, record.spot, estimated_launch_at=now)
         machine.endpoint = record.endpoint
         machine.images.update(self._ctx.image_hints.get(name, ()))
         machine.record_state, machine.is_up = RecordState.DURABLE, True
--- a/src/poppyhold/quota/free_capacity.py
+++ b/src/poppyhold/quota/free_capacity.py
@@ -50,7 +50,7 @@
         count, max_count = 0, self._ctx.settings.deployment.machine_limits.machines
         for machine in self._ctx.fleet.machines.values():
             unavailable = machine.quarantined or machine.draining or machine.deleting
-            if unavailable or machine.preempted_at is not None or not may_use(job, machine):
+            if unavailable or machine.preemption_due_at is not None or not may_use(job, machine):
                 continue
             count += max_copies(job.task_resources, machine.free, max_count - count)
             if count >= max_count:
--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -103,7 +103,7 @@
         plan = self.planner.plan(job, tasks, estimate_s, self._ctx.clock())
         if plan is None or plan.payoff <= 0:
             return False
-        job.planned_task_s = estimate_s
+        job.booked_run_time_s = estimate_s
         job.admitted = True
         job.plan = plan.tasks_by_zone(self._ledger)
         self.bookings.book_plan(job, plan)
--- a/src/poppyhold/scheduling/bookings.py
+++ b/src/poppyhold/scheduling/bookings.py
@@ -44,7 +44,7 @@
             return
         attempt.booked = True
         estimate_s = self._estimates.estimate_s(attempt.job)
-        attempt.booked_until = self._ledger.current_slot + self._planner.span_slots(estimate_s) - 1
+        attempt.last_booked_slot = self._ledger.current_slot + self._planner.span_slots(estimate_s) - 1
         self._adjust_attempt(attempt, 1.0)
 
     def release_attempt(self, attempt: Attempt) -> None:
@@ -56,7 +56,7 @@
 
     def _adjust_attempt(self, attempt: Attempt, factor: float) -> None:
         job = attempt.job
-        last = None if job.is_service else attempt.booked_until
+        last = None if job.is_service else attempt.last_booked_slot
         self._ledger.book(attempt.machine.name, job.task_resources, self._ledger.current_slot, last, factor)
 
     def book_plan(self, job: Job, plan: Plan) -> None:
@@ -99,9 +99,9 @@
 
     def _planned_estimate_s(self, job: Job) -> float:
         # A release must use the estimate of its booking, although estimates change as runs are recorded.
-        if job.planned_task_s <= 0:
-            job.planned_task_s = self._estimates.estimate_s(job)
-        return job.planned_task_s
+        if job.booked_run_time_s <= 0:
+            job.booked_run_time_s = self._estimates.estimate_s(job)
+        return job.booked_run_time_s
 
     def advance_to(self, slot: int) -> None:
         """Advance to a slot; unused starts and attempts that outrun their estimate are booked in it."""
@@ -130,8 +130,8 @@
         """
         for machine in self._fleet.machines.values():
             for attempt in machine.attempts.values():
-                if attempt.booked and not attempt.job.is_service and attempt.booked_until < slot:
-                    attempt.booked_until = slot
+                if attempt.booked and not attempt.job.is_service and attempt.last_booked_slot < slot:
+                    attempt.last_booked_slot = slot
                     self._ledger.book(machine.name, attempt.job.task_resources, slot, slot, 1.0)
 
     def machines_booked_now(self, job: Job) -> set[str]:
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -72,7 +72,7 @@
             and job.retry_at <= now
             and job.plan_durable
             # Tasks of a job that an earlier leader started may run on a machine that is not reconciled yet.
-            and (job.never_started or all_reconciled)
+            and (job.not_started_by_earlier_leaders or all_reconciled)
         ]
         self._order.sort(jobs, now)
         return jobs
@@ -89,7 +89,9 @@
             return None
         is_suspect = self._reconciler.failures.is_suspect
         reliable_machines = [
-            machine for machine in machines if machine.unreliable_until <= now and not is_suspect(machine)
+            machine
+            for machine in machines
+            if machine.connection_unreliable_until <= now and not is_suspect(machine)
         ]
         unaccounted = ctx.fleet.unaccounted_resources(self._reconciler.lease_expiry.unreconciled)
         cycle = CycleState(machines, reliable_machines, unaccounted)
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -277,7 +277,7 @@
         return found
 
     def _victim_order(self, attempt: Attempt) -> tuple[int, float, float]:
-        return -attempt.job.priority, self._preemption_cost_s(attempt), -attempt.sent_at
+        return -attempt.job.priority, self._preemption_cost_s(attempt), -attempt.created_at
 
     def preemption_cost_s(self, attempt: Attempt) -> float:
         """Return the seconds of work, or of waiting, that are lost if an attempt is preempted."""
@@ -293,7 +293,7 @@
                 if not self._may_preempt(job, other):
                     continue
                 for attempt in other.active.values():
-                    if attempt.stopping_at is None and attempt.status in STOPPABLE:
+                    if attempt.stop_requested_at is None and attempt.status in STOPPABLE:
                         found.setdefault(attempt.machine.name, []).append(attempt)
             self._preemptible_cache[key] = found
         return found
@@ -330,7 +330,8 @@
         stoppable = [
             attempt
             for attempt in candidates
-            if attempt.stopping_at is None and (excess is None or attempt.job.spec.team == job.spec.team)
+            if attempt.stop_requested_at is None
+            and (excess is None or attempt.job.spec.team == job.spec.team)
         ]
         max_free = free
         for attempt in stoppable:
--- a/src/poppyhold/scheduling/plan_records.py
+++ b/src/poppyhold/scheduling/plan_records.py
@@ -44,14 +44,14 @@
                 # The job's record is gone: it was finalized, and the notification has not arrived yet.
                 self._on_found_finalized(job)
 
-        conditions = {ACTIVE_JOB_PREFIX + job.id: job.version}
+        conditions = {ACTIVE_JOB_PREFIX + job.id: job.record_revision}
         self._ctx.outbound.commit(
             conditions, [Put(PLAN_PREFIX + job.id, data)], on_committed, self._plan_commit_priority(job)
         )
 
     def load(self, job: Job, data: Data) -> None:
         """Load the plan record that an earlier leader wrote for the job."""
-        job.never_started = False
+        job.not_started_by_earlier_leaders = False
         job.plan_durable = True
         record = convert(data, PlanRecord)
         job.plan = {int(slot): zones for slot, zones in record.slots.items()}
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -150,7 +150,7 @@
             if self._may_move(job, attempt)
             and (move := self._best_move(job, attempt, targets, reserved)) is not None
         ]
-        options.sort(key=lambda move: (move.cost, -move.attempt.sent_at))
+        options.sort(key=lambda move: (move.cost, -move.attempt.created_at))
         chosen: list[Move] = []
         for option in options:
             # An earlier chosen move may have reserved the target's capacity.
@@ -173,7 +173,7 @@
             and replica_job.phase is not JobPhase.FINALIZED
             and replica_job.priority >= job.priority
             and attempt.status == TaskState.RUNNING
-            and attempt.stopping_at is None
+            and attempt.stop_requested_at is None
             and attempt.running_at is not None
             and self._clock() - attempt.running_at > self._min_running_s
         )
--- a/src/poppyhold/scheduling/task_scheduler.py
+++ b/src/poppyhold/scheduling/task_scheduler.py
@@ -139,7 +139,7 @@
         team = job.spec.team
         for other in self._ctx.fleet.jobs.values():
             if other.spec.team == team and any(
-                attempt.stopping_at is not None for attempt in other.active.values()
+                attempt.stop_requested_at is not None for attempt in other.active.values()
             ):
                 # One preemption at a time: stopping attempts still count, so the excess would be freed twice.
                 return None
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -64,7 +64,7 @@
     failed = state is GangState.FAILED
     assert gangs.state_of(job) is state
     assert gangs.may_start(job) is not failed
-    assert all((attempt.stopping_at is not None) is failed for attempt in job.active.values())
+    assert all((attempt.stop_requested_at is not None) is failed for attempt in job.active.values())
 
 
 def test_whole_stop_gives_every_task_the_time_to_save() -> None:
@@ -73,7 +73,7 @@
     world.run(world.now + 12.0)
     gangs.stop(job, world.now)
     grace = job.spec.save_s + world.settings.deployment.workers.gang_peer_s
-    assert {attempt.stopping_at for attempt in job.active.values()} == {world.now}
+    assert {attempt.stop_requested_at for attempt in job.active.values()} == {world.now}
     assert all(attempt.grace_s >= grace for attempt in job.active.values())
     # A task that is seen to save shows a new leader that the stop has begun, and changes nothing here.
     first = job.active[0]
@@ -98,7 +98,7 @@
 
     def _noted(self, attempt: Attempt, grace_s: float, now: float) -> None:
         self.stops.append((attempt.index, grace_s))
-        attempt.stopping_at, attempt.grace_s = now, grace_s
+        attempt.stop_requested_at, attempt.grace_s = now, grace_s
 
     def state(self) -> GangState:
         return self.gangs.state_of(self.job)
@@ -154,7 +154,7 @@
         assembling.gangs.stop(assembling.job, assembling.now)
     before = assembling.state()
     assembling.stops.clear()
-    assembling.job.active[1].stopping_at = None
+    assembling.job.active[1].stop_requested_at = None
     assembling.observe(1, TaskState.RUNNING)
     assert assembling.stops == [(1, 0.0 if failed else assembling.grace_s)]
     assert assembling.state() is before
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -130,7 +130,7 @@
     Guard("cancelled_before_zone_isolation", Controller, "excluded_machines", _no_machines),
     Guard("limit_counts_cancelled_job", Fleet, "unaccounted_resources", _no_resources),
     Guard("silent_machines_and_duplicates", MachineMonitor, "_count_misdirected", _count_all_misdirected),
-    Guard("inbound_messages_lost", AttemptReconciler, "_ignores_responses", _never),
+    Guard("inbound_messages_lost", AttemptReconciler, "_seems_to_miss_responses", _never),
     Guard("cancellations_before_state_outage", Cancellations, "summarize", _empty_summary),
     Guard("cancellations_before_state_outage", RenewalAuthority, "observe_peer", _never),
     Guard(
@@ -192,7 +192,7 @@
 
 def _is_overdue_alone(self: BootTracker, machine: Machine, oldest: dict[str, float], now: float) -> bool:
     """Each machine is overdue by its own boot time, regardless of others."""
-    return now - machine.known_since > 1.5 * machine.machine_type.boot_s
+    return now - machine.estimated_launch_at > 1.5 * machine.machine_type.boot_s
 
 
 def _hold_also_after_change(
@@ -221,7 +221,7 @@
 
 def _is_given_up_alone(self: BootTracker, machine: Machine, give_up_s: float, now: float) -> bool:
     """Each machine is given up by its own boot time, regardless of others."""
-    return now - machine.known_since > give_up_s
+    return now - machine.estimated_launch_at > give_up_s
 
 
 GUARDS += [
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -111,7 +111,7 @@
     world.run(world.now + 2.5)
     machine = leader_term.controller.ctx.fleet.machines[new.name]
     if via is StartChannel.HEARTBEAT_RESPONSE:
-        machine.unreliable_until = world.now + 1000.0
+        machine.connection_unreliable_until = world.now + 1000.0
     world.run(world.now + 6.0)
     assert (machine.reconciled, new.tasks) == (True, {})
     assert machine.record_state is RecordState.REQUESTED
--- a/tests/test_reconciliation_proofs.py
+++ b/tests/test_reconciliation_proofs.py
@@ -134,17 +134,17 @@
 
 
 @pytest.mark.parametrize("heartbeat_interval_s", [1.0, 2.0])
-def test_a_worker_that_seems_to_ignore_responses_gets_none_after_a_while(
+def test_a_worker_that_seems_to_miss_responses_gets_none_after_a_while(
     harness: ReconciliationHarness, heartbeat_interval_s: float
 ) -> None:
     harness.ctx.durations.heartbeat_interval_s = heartbeat_interval_s
     after_s = max(harness.ctx.durations.lease_s / 2, 4 * heartbeat_interval_s)
-    assert not harness.reconciler._ignores_responses(harness.machine, 100.0)
-    assert not harness.reconciler._ignores_responses(harness.machine, 200.0)
+    assert not harness.reconciler._seems_to_miss_responses(harness.machine, 100.0)
+    assert not harness.reconciler._seems_to_miss_responses(harness.machine, 200.0)
     harness.reconciler.lease_expiry.unreconciled.add(harness.machine.name)
-    assert not harness.reconciler._ignores_responses(harness.machine, 300.0)
-    assert not harness.reconciler._ignores_responses(harness.machine, 300.0 + after_s)
-    assert harness.reconciler._ignores_responses(harness.machine, 300.1 + after_s)
+    assert not harness.reconciler._seems_to_miss_responses(harness.machine, 300.0)
+    assert not harness.reconciler._seems_to_miss_responses(harness.machine, 300.0 + after_s)
+    assert harness.reconciler._seems_to_miss_responses(harness.machine, 300.1 + after_s)
 
 
 # -- responses to commands -----------------------------------------------------------------------------
@@ -197,11 +197,11 @@
     unreliable: bool,
 ) -> None:
     attempt = harness.started(status=status, start_in_flight=True, void_at_fencing_token=None)
-    harness.machine.command_in_flight, harness.machine.unreliable_until = True, 0.0
+    harness.machine.command_in_flight, harness.machine.connection_unreliable_until = True, 0.0
     harness.reconciler._handle_command_response(harness.machine, [attempt], outcome, None)
     assert (harness.job.active.get(0) is attempt) is stays
     assert attempt.void_at_fencing_token == (harness.ctx.fencing_token + 1 if voided_by_next_token else None)
-    assert (harness.machine.unreliable_until > harness.world.now) is unreliable
+    assert (harness.machine.connection_unreliable_until > harness.world.now) is unreliable
     assert not attempt.start_in_flight
     assert not harness.machine.command_in_flight
 
@@ -274,7 +274,7 @@
 ) -> None:
     over_s = harness.ctx.durations.lease_expired_s
     harness.reconciler.lease_expiry.unreconciled.add(harness.machine.name)
-    harness.machine.last_response_at = 1000.0
+    harness.machine.last_answered_at = 1000.0
     assert not expire(harness, 1000.0 + over_s, 2000.0)
     # Somebody else may have led since we were confirmed last.
     assert not expire(harness, 1001.0 + over_s, 1000.0 + over_s)
@@ -287,7 +287,7 @@
 def test_a_lease_that_we_renewed_counts_though_no_delegate_renewed_one(
     harness: ReconciliationHarness,
 ) -> None:
-    harness.machine.last_response_at = 1000.0
+    harness.machine.last_answered_at = 1000.0
     assert not expire(
         harness, 999.0 + harness.ctx.durations.lease_expired_s, 2000.0, delegated_leases_expire_at=990.0
     )
@@ -299,11 +299,11 @@
     durations = harness.ctx.durations
     harness.machine.reconciled = False
     harness.reconciler.lease_expiry.term_began_at = 1000.0
-    harness.machine.last_response_at = 900.0
+    harness.machine.last_answered_at = 900.0
     others_until = 1000.0 + durations.predecessors_expired_s
     assert not expire(harness, others_until, 9000.0)
     # We have responded to it as well.
-    harness.machine.last_response_at = others_until
+    harness.machine.last_answered_at = others_until
     assert not expire(harness, others_until + durations.lease_expired_s, 9000.0)
     assert expire(harness, others_until + durations.lease_expired_s + 0.1, 9000.0)
 
@@ -339,7 +339,7 @@
 
 
 def test_a_queued_start_of_a_stopped_attempt_is_discarded(harness: ReconciliationHarness) -> None:
-    harness.started(stopping_at=harness.world.now)
+    harness.started(stop_requested_at=harness.world.now)
     harness.reconciler.lifecycle.commands.enqueue(
         harness.machine, Command(CommandKind.START, TASK, harness.attempt.number)
     )
