--- a/src/poppyhold/node/job_lifecycle.py
+++ b/src/poppyhold/node/job_lifecycle.py
@@ -130,7 +130,7 @@
         job.phase = JobPhase.FINALIZED
         self._autoscaler.arrivals.record_end(self._ctx.clock(), job.spec)
         self._on_active_jobs_changed()
-        self._admission.release_plan(job)
+        self._admission.release_planned_starts(job)
         now = self._ctx.clock()
         for attempt in list(job.active.values()):
             self._reconciler.lifecycle.stop(attempt, 0.0, now)
--- a/src/poppyhold/scheduling/bookings.py
+++ b/src/poppyhold/scheduling/bookings.py
@@ -66,7 +66,7 @@
             for name, count in machines.items():
                 self._adjust_starts(job, name, slot, count)
 
-    def release_plan(self, job: Job) -> None:
+    def release_planned_starts(self, job: Job) -> None:
         """Release the planned starts of a job that have not been used."""
         for slot, machines in job.booked.items():
             for name, count in machines.items():
@@ -148,7 +148,7 @@
                 reserved[name] = add_scaled(reserved.get(name, NO_RESOURCES), job.task_resources, count)
         return reserved
 
-    def reserved_by_others(self, reserved: dict[str, Resources], job: Job) -> dict[str, Resources]:
+    def reserved_without_own_bookings(self, reserved: dict[str, Resources], job: Job) -> dict[str, Resources]:
         """Return the reservations without those of the job itself in the current slot."""
         others = dict(reserved)
         for name, count in job.booked.get(self._ledger.current_slot, {}).items():
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -20,7 +20,7 @@
 from poppyhold.settings import Objective
 
 # Time limit in heartbeat intervals of each half of a cycle: planned starts, then unplanned ones.
-_HALF_CYCLE_BUDGET_HEARTBEATS = 1 / 16
+_HALF_CYCLE_LIMIT_HEARTBEAT_INTERVALS = 1 / 16
 
 
 class Dispatcher:
@@ -48,21 +48,21 @@
         # Jobs that were visited since a cycle last visited all jobs in time.
         self._visited_job_ids: set[str] = set()
 
-    def dispatch(self, all_reconciled: bool) -> None:
+    def dispatch(self, all_machines_reconciled: bool) -> None:
         """Run one scheduling cycle: start every task that may start now."""
         now = self._ctx.clock()
-        jobs = self._ready_jobs(all_reconciled, now)
-        waiting = [job for job in jobs if not (job.admitted or job.failures.at_fault)]
-        self._admission.replan_waiting(waiting, now)
+        jobs = self._ready_jobs(all_machines_reconciled, now)
+        not_admitted = [job for job in jobs if not (job.admitted or job.failures.at_fault)]
+        self._admission.replan(not_admitted, now)
         if not jobs:
             return
         cycle = self._begin_cycle(now)
         if cycle is None:
             return
-        self._start_all_planned(cycle, jobs, now)
-        self._start_all_unplanned(cycle, jobs)
+        self._run_planned_half(cycle, jobs, now)
+        self._run_unplanned_half(cycle, jobs)
 
-    def _ready_jobs(self, all_reconciled: bool, now: float) -> list[Job]:
+    def _ready_jobs(self, all_machines_reconciled: bool, now: float) -> list[Job]:
         """Return the jobs with tasks that may start now, the most urgent first."""
         jobs = [
             job
@@ -72,7 +72,7 @@
             and job.retry_at <= now
             and job.plan_durable
             # Tasks of a job that an earlier leader started may run on a machine that is not reconciled yet.
-            and (job.never_started or all_reconciled)
+            and (job.never_started or all_machines_reconciled)
         ]
         self._order.sort(jobs, now)
         return jobs
@@ -98,28 +98,31 @@
         self._relocation.begin_cycle(cycle.reserved)
         return cycle
 
-    def _deadline(self) -> float:
+    def _half_cycle_end(self) -> float:
         """Return when a half of a cycle that begins now has to end.
 
         Scheduling a backlog on a thousand empty machines takes seconds, which would delay heartbeat
         responses. The next cycle continues with the jobs that this one did not visit.
         """
-        return self._ctx.clock() + self._ctx.durations.heartbeat_interval_s * _HALF_CYCLE_BUDGET_HEARTBEATS
+        return (
+            self._ctx.clock()
+            + self._ctx.durations.heartbeat_interval_s * _HALF_CYCLE_LIMIT_HEARTBEAT_INTERVALS
+        )
 
-    def _start_all_planned(self, cycle: CycleState, jobs: list[Job], now: float) -> None:
+    def _run_planned_half(self, cycle: CycleState, jobs: list[Job], now: float) -> None:
         cycle.switch_capacity(self._planned_capacity, cycle.reserved)
-        deadline = self._deadline()
+        end_at = self._half_cycle_end()
         jobs.sort(key=lambda job: job.id in self._visited_job_ids)
         for job in jobs:
-            if self._ctx.clock() <= deadline:
+            if self._ctx.clock() <= end_at:
                 self._start_planned(cycle, job, now)
 
-    def _start_all_unplanned(self, cycle: CycleState, jobs: list[Job]) -> None:
+    def _run_unplanned_half(self, cycle: CycleState, jobs: list[Job]) -> None:
         reserved = self._reserved(cycle)
         cycle.switch_capacity(self._unplanned_capacity, reserved)
-        deadline = self._deadline()
+        end_at = self._half_cycle_end()
         for job in jobs:
-            if self._ctx.clock() > deadline:
+            if self._ctx.clock() > end_at:
                 self._ctx.scheduling_needed = True
                 return
             self._visited_job_ids.add(job.id)
@@ -131,21 +134,23 @@
         """Start the tasks that the job's plan lets start by now."""
         if job.is_gang:
             # A starved gang is treated like a planned one.
-            is_planned = job.admitted and self._admission.startable_by_plan(job) >= job.pending
+            is_planned = job.admitted and self._admission.remaining_planned_starts(job) >= job.pending
             if is_planned or self._order.is_starved(job, now):
                 self._gangs.start_gang(cycle, job, cycle.reserved)
         elif job.admitted:
-            self._tasks.start_tasks(cycle, job, self._admission.startable_by_plan(job), cycle.reserved)
+            self._tasks.start_tasks(cycle, job, self._admission.remaining_planned_starts(job), cycle.reserved)
 
     def _start_unplanned(self, cycle: CycleState, job: Job, reserved: dict[str, Resources]) -> None:
         """Start tasks on capacity that no other job's plan books in the current slot."""
         bookings = self._admission.bookings
         has_own_booking = bool(bookings.machines_booked_now(job))
-        reserved_by_others = bookings.reserved_by_others(reserved, job) if has_own_booking else reserved
+        reserved_without_own = (
+            bookings.reserved_without_own_bookings(reserved, job) if has_own_booking else reserved
+        )
         if job.is_gang:
-            self._gangs.start_gang(cycle, job, reserved_by_others)
+            self._gangs.start_gang(cycle, job, reserved_without_own)
         else:
-            self._tasks.start_tasks(cycle, job, job.pending, reserved_by_others, has_own_booking)
+            self._tasks.start_tasks(cycle, job, job.pending, reserved_without_own, has_own_booking)
 
     def _reserved(self, cycle: CycleState) -> dict[str, Resources]:
         """Return the unused bookings of the current slot, with the reservations for gangs and replicas."""
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -191,7 +191,7 @@
         return score
 
     @staticmethod
-    def machines_with_own_score(job: Job) -> set[str]:
+    def machines_with_job_specific_score(job: Job) -> set[str]:
         """Return the names of machines whose score for this job differs from that of equivalent jobs."""
         if job.is_service and job.spec.tasks > 1:
             return job.avoided_machines | {attempt.machine.name for attempt in job.active.values()}
@@ -339,14 +339,14 @@
             return None
         stoppable.sort(key=self._victim_order)
         chosen: list[Attempt] = []
-        cpus, accelerators = excess or (0.0, 0.0)
+        excess_cpus, excess_accelerators = excess or (0.0, 0.0)
         for attempt in stoppable:
             free = add_scaled(free, attempt.job.task_resources)
-            cpus -= attempt.job.task_resources[CPUS]
-            accelerators -= attempt.job.task_resources[ACCELERATORS]
+            excess_cpus -= attempt.job.task_resources[CPUS]
+            excess_accelerators -= attempt.job.task_resources[ACCELERATORS]
             chosen.append(attempt)
             if fits(job.task_resources, free) and (
-                excess is None or (cpus <= EPSILON and accelerators <= EPSILON)
+                excess is None or (excess_cpus <= EPSILON and excess_accelerators <= EPSILON)
             ):
                 return chosen
         return None
--- a/src/poppyhold/scheduling/plan_records.py
+++ b/src/poppyhold/scheduling/plan_records.py
@@ -24,8 +24,8 @@
 class PlanRecords:
     """Writes plan records, and loads those that earlier leaders wrote."""
 
-    def __init__(self, ctx: Context, quotas: Quotas, on_found_finalized: Callable[[Job], None]) -> None:
-        self._ctx, self._quotas, self._on_found_finalized = ctx, quotas, on_found_finalized
+    def __init__(self, ctx: Context, quotas: Quotas, on_job_already_finalized: Callable[[Job], None]) -> None:
+        self._ctx, self._quotas, self._on_job_already_finalized = ctx, quotas, on_job_already_finalized
         self._max_record_bytes = ctx.settings.deployment.state.lowest.value_bytes
 
     def write(self, job: Job) -> None:
@@ -42,7 +42,7 @@
                 self._ctx.scheduling_needed = True
             else:
                 # The job's record is gone: it was finalized, and the notification has not arrived yet.
-                self._on_found_finalized(job)
+                self._on_job_already_finalized(job)
 
         conditions = {ACTIVE_JOB_PREFIX + job.id: job.version}
         self._ctx.outbound.commit(
--- a/src/poppyhold/scheduling/search.py
+++ b/src/poppyhold/scheduling/search.py
@@ -40,13 +40,13 @@
         """Return the best machine on which a task fits beside the reservations, if any."""
         open_zones = self._open_zones()
         # Machines whose score differs from that for equivalent jobs are excluded from the shared ranking.
-        own_score_machines = self._placement.machines_with_own_score(self._job) | self._booked
+        specific_score_machines = self._placement.machines_with_job_specific_score(self._job) | self._booked
         if self._ranking is None:
             self._ranking = self._placement.ranking(self._job, self._view)
         else:
             self._ranking.update()
-        best = self._ranking.best(open_zones, own_score_machines)
-        for name in own_score_machines:
+        best = self._ranking.best(open_zones, specific_score_machines)
+        for name in specific_score_machines:
             ranked = self._scored_for_job(name, open_zones)
             if ranked is not None and (best is None or ranked < best):
                 best = ranked
