--- a/src/poppyhold/quota/records.py
+++ b/src/poppyhold/quota/records.py
@@ -10,11 +10,11 @@
 from poppyhold.quota.amounts import TeamAllocation, TeamAmount
 
 # One record: which cell this is, and the incarnation of its records.
-IDENTITY = QUOTA_PREFIX + "i"
+IDENTITY_KEY = QUOTA_PREFIX + "i"
 # A record for each team.
-ALLOCATION = QUOTA_PREFIX + "s/"
+ALLOCATION_PREFIX = QUOTA_PREFIX + "s/"
 # A record for each other cell.
-PEER = QUOTA_PREFIX + "c/"
+PEER_PREFIX = QUOTA_PREFIX + "c/"
 
 
 class IdentityRecord(msgspec.Struct, frozen=True):
@@ -49,12 +49,12 @@
     # The incarnation of the other cell's records at the first transfer.
     incarnation: str = msgspec.field(name="i")
     # The number of the last transfer to it, and that transfer until the other cell has applied it.
-    sent: int = msgspec.field(name="s", default=0)
+    last_sent: int = msgspec.field(name="s", default=0)
     in_transit: Transfer | None = msgspec.field(name="t", default=None)
     # The number of the last transfer from it that was applied here.
-    applied: int = msgspec.field(name="a", default=0)
+    last_applied: int = msgspec.field(name="a", default=0)
 
 
 def allocation_key(team: str) -> str:
     """The key of a team's allocation; keys hold no spaces."""
-    return ALLOCATION + quote(team, safe="")
+    return ALLOCATION_PREFIX + quote(team, safe="")
--- a/src/poppyhold/quota/server.py
+++ b/src/poppyhold/quota/server.py
@@ -22,7 +22,7 @@
 # Connections for each other cell: a link, one that is being replaced, and an operator's request.
 _CONNECTIONS_PER_CELL = 4
 # How long a request waits for the decision thread, as a part of the lease.
-_TIMEOUT_LEASE_DIVISOR = 12
+_TIMEOUTS_PER_LEASE = 12
 
 
 class QuotaRequestError(ValueError):
@@ -32,7 +32,7 @@
 class LeadingTerm(Protocol):
     """What a term of leading does for other cells."""
 
-    def answer_cell(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
+    def handle_quota_request(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
         """Answer a request; None if that is not possible in time."""
 
 
@@ -48,7 +48,7 @@
     ) -> None:
         self._settings, self._cells = settings, cells
         self._leading_term, self._leader = leading_term, leader
-        self._timeout_s = settings.deployment.workers.lease_s / _TIMEOUT_LEASE_DIVISOR
+        self._timeout_s = settings.deployment.workers.lease_s / _TIMEOUTS_PER_LEASE
         # Why each cell's last request was rejected: logged once, not with each retry.
         self._last_rejections: dict[str, str] = {}
 
@@ -57,7 +57,7 @@
         """Connections in addition to those of our own cell's controllers."""
         return _CONNECTIONS_PER_CELL * len(self._cells.others) if self._cells is not None else 0
 
-    def answer(self, request: QuotaRequest) -> QuotaResponse:
+    def handle_request(self, request: QuotaRequest) -> QuotaResponse:
         """The response to a request.
 
         Raises:
@@ -72,7 +72,7 @@
         if term is None:
             leader = self._leader()
             return NotLeading(leader.member if leader is not None else "")
-        response = term.answer_cell(request, self._timeout_s)
+        response = term.handle_quota_request(request, self._timeout_s)
         if response is None:
             raise QuotaRequestError("the leader is not ready")
         return response
--- a/src/poppyhold/scale/cell_checks.py
+++ b/src/poppyhold/scale/cell_checks.py
@@ -7,10 +7,17 @@
 from typing import NamedTuple
 
 from poppyhold.durable.keys import QUOTA_PREFIX
-from poppyhold.quota.amounts import from_units
+from poppyhold.quota.amounts import from_thousandths
 from poppyhold.quota.consistency import problems, transfers_in_transit
 from poppyhold.quota.messages import CellView, PeerView, TeamView
-from poppyhold.quota.records import ALLOCATION, IDENTITY, PEER, AllocationRecord, IdentityRecord, PeerRecord
+from poppyhold.quota.records import (
+    ALLOCATION_PREFIX,
+    IDENTITY_KEY,
+    PEER_PREFIX,
+    AllocationRecord,
+    IdentityRecord,
+    PeerRecord,
+)
 from poppyhold.scale.cell_history import CellHistory, CellSample, LimitUse
 from poppyhold.scale.cell_links import CellNetwork
 from poppyhold.scale.checks import RuleChecks
@@ -38,15 +45,17 @@
     teams, peers = [], []
     for entry in entries:
         key, data = entry["key"], entry["data"]
-        if key == IDENTITY:
+        if key == IDENTITY_KEY:
             identity = convert(data, IdentityRecord)
             cell, incarnation = identity.cell, identity.incarnation
-        elif key.startswith(ALLOCATION):
+        elif key.startswith(ALLOCATION_PREFIX):
             record = convert(data, AllocationRecord)
             teams.append(TeamView(record.team, record.allocation, record.total))
-        elif key.startswith(PEER):
+        elif key.startswith(PEER_PREFIX):
             peer = convert(data, PeerRecord)
-            peers.append(PeerView(key.removeprefix(PEER), peer.sent, peer.applied, peer.in_transit))
+            peers.append(
+                PeerView(key.removeprefix(PEER_PREFIX), peer.last_sent, peer.last_applied, peer.in_transit)
+            )
     return CellView(cell, incarnation, teams, peers)
 
 
@@ -138,7 +147,7 @@
             for team in view.teams:
                 if team.allocation.accelerators.limit is None:
                     continue
-                limit, used = from_units(team.allocation.accelerators.limit), run.checks.used[team.team]
+                limit, used = from_thousandths(team.allocation.accelerators.limit), run.checks.used[team.team]
                 if used > limit + _SLACK:
                     self.violations.add(f"share: {team.team} uses {used:g} of {limit:g} in {view.cell}")
 
@@ -185,7 +194,7 @@
 
 def _total_share(view: CellView) -> float:
     """Accelerators that all teams together may use in a cell."""
-    return from_units(sum(team.allocation.accelerators.limit or 0 for team in view.teams))
+    return from_thousandths(sum(team.allocation.accelerators.limit or 0 for team in view.teams))
 
 
 # A task of one accelerator, the smallest that asks for a share of them.
