--- a/src/poppyhold/quota/cell_service.py
+++ b/src/poppyhold/quota/cell_service.py
@@ -18,7 +18,7 @@
 from poppyhold.model.resources import Resources
 from poppyhold.options import Cells
 from poppyhold.quota.alarms import AlarmKind, Alarms
-from poppyhold.quota.amounts import TeamAmount, from_units, to_units
+from poppyhold.quota.amounts import TeamAmount, from_thousandths, to_thousandths
 from poppyhold.quota.apportionment import (
     InitialAllocation,
     has_quota,
@@ -27,7 +27,7 @@
     total_allocation,
 )
 from poppyhold.quota.cell_view import CellViewBuilder
-from poppyhold.quota.consistency import RESOURCES, parts_of
+from poppyhold.quota.consistency import RESOURCES, allocations_by_resource
 from poppyhold.quota.demand import TeamDemand
 from poppyhold.quota.demand_monitor import DemandMonitor
 from poppyhold.quota.ledger import AllocationLedger
@@ -144,7 +144,7 @@
         self.ledger.load(entries)
         if self._checks.is_wrong_cell():
             self._block_all_starts()
-        for team in self.teams_with_other_settings():
+        for team in self.teams_with_differing_settings():
             log.warning("team settings differ from the allocation record, which holds: team=%s", team)
 
     def tick(self) -> None:
@@ -160,7 +160,7 @@
         self._views.invalidate()
         self._prepare_requests()
 
-    def answer(self, request: TransferRequest) -> TransferResponse:
+    def handle_request(self, request: TransferRequest) -> TransferResponse:
         """Answer another cell's leader, and start a transfer of what it requests and is idle here."""
         rejection = self._checks.rejection(request)
         if not rejection:
@@ -180,7 +180,7 @@
         """Handle another cell's response: apply the transfer that it carries."""
         if response.rejection:
             log.debug("transfer request rejected: cell=%s reason=%r", response.cell, response.rejection)
-        self._requester.note_view(response.cell, response.view)
+        self._requester.record_view(response.cell, response.view)
         self._checks.run_guarded(response.cell, lambda: self._apply_transfer(response))
         self._prepare_requests()
 
@@ -192,8 +192,8 @@
 
     def _serve(self, request: TransferRequest) -> None:
         self.ledger.check_peer(request.cell, request.incarnation)
-        self._requester.note_view(request.cell, request.view)
-        self.ledger.acknowledge(request.cell, request.incarnation, request.applied)
+        self._requester.record_view(request.cell, request.view)
+        self.ledger.acknowledge(request.cell, request.incarnation, request.last_applied)
         now = self._ctx.clock()
         if (
             not request.unmet_demands
@@ -201,7 +201,7 @@
             or self._rate_limiter.ready_at() > now
         ):
             return
-        self._monitor.update_may_run(self._demands)
+        self._monitor.update_possible_use(self._demands)
         offers: dict[str, TeamAmount] = {}
         for unmet in sorted(request.unmet_demands, key=lambda unmet: not unmet.is_guaranteed):
             amount = self._offer(unmet, request.cell)
@@ -210,7 +210,7 @@
         if self.ledger.debit(request.cell, request.incarnation, offers):
             self._rate_limiter.consume(len(offers) + _PEER_CHANGES_PER_TRANSFER, now)
             for team, amount in offers.items():
-                self._retention.note_debit(team, now)
+                self._retention.record_debit(team, now)
                 log.info("debit: team=%s %s destination_cell=%s", team, _log_values(amount), request.cell)
 
     def _offer(self, unmet: UnmetDemand, destination: str) -> TeamAmount:
@@ -227,7 +227,7 @@
         if transfer is not None and self.ledger.credit(response.cell, response.incarnation, transfer):
             self._credit_log_lines = [
                 f"credit: team={team} {_log_values(amount)} source_cell={response.cell} "
-                f"unmet_s={self._requester.waited_s(team):.3f}"
+                f"unmet_s={self._requester.unmet_s(team):.3f}"
                 for team, amount in transfer.amounts.items()
             ]
 
@@ -235,7 +235,7 @@
         """Make the requests to other cells from what is known now."""
         if self.ledger.incarnation:
             self._requester.prepare(self._demands, self._view())
-            self._retention.note_unmet_demand(self._requester.teams_with_unmet_demand(), self._ctx.clock())
+            self._retention.record_unmet_demand(self._requester.teams_with_unmet_demand(), self._ctx.clock())
 
     # -- what operators see ----------------------------------------------------------------------------
 
@@ -247,13 +247,15 @@
         for team, record in self.ledger.records.items():
             used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
             above = [
-                f"{name} {amount:g} of {from_units(part.limit):g}"
-                for name, amount, part in zip(RESOURCES, used, parts_of(record.allocation), strict=True)
-                if part.limit is not None and to_units(amount) > part.limit
+                f"{name} {amount:g} of {from_thousandths(part.limit):g}"
+                for name, amount, part in zip(
+                    RESOURCES, used, allocations_by_resource(record.allocation), strict=True
+                )
+                if part.limit is not None and to_thousandths(amount) > part.limit
             ]
             self.alarms.set(AlarmKind.USE_ABOVE_ALLOCATION, team, ", ".join(above) or None)
 
-    def teams_with_other_settings(self) -> list[str]:
+    def teams_with_differing_settings(self) -> list[str]:
         """Teams whose settings differ from those that their records were made from; the records hold."""
         records = self.ledger.records
         return sorted(team for team, record in records.items() if self._totals.get(team) != record.total)
@@ -274,7 +276,7 @@
             views,
             uncontacted,
             self.teams_short_of_allocation(),
-            self.teams_with_other_settings(),
+            self.teams_with_differing_settings(),
         )
 
     def _view(self) -> CellView:
@@ -282,5 +284,5 @@
 
 
 def _log_values(amount: TeamAmount) -> str:
-    accelerators, cpus = from_units(amount.accelerators.limit), from_units(amount.cpus.limit)
+    accelerators, cpus = from_thousandths(amount.accelerators.limit), from_thousandths(amount.cpus.limit)
     return f"accelerators={accelerators:g} cpus={cpus:g}"
--- a/src/poppyhold/quota/demand_monitor.py
+++ b/src/poppyhold/quota/demand_monitor.py
@@ -10,7 +10,7 @@
 from poppyhold.model.context import Context
 from poppyhold.model.entities import JobPhase
 from poppyhold.model.resources import ACCELERATORS, CPUS, EPSILON, Resources
-from poppyhold.quota.amounts import UNIT, TeamAllocation, to_units
+from poppyhold.quota.amounts import UNIT, TeamAllocation, to_thousandths
 from poppyhold.quota.demand import TeamDemand
 from poppyhold.quota.free_capacity import FreeCapacityEstimate
 from poppyhold.quota.recent_peak import RecentPeak
@@ -18,7 +18,7 @@
 from poppyhold.wire.user_messages import Submission
 
 
-def _to_units_rounded_up(amount: float) -> int:
+def _to_thousandths_rounded_up(amount: float) -> int:
     """Thousandths, rounded up except for the error of adding floats."""
     return math.ceil(amount * UNIT - EPSILON)
 
@@ -50,19 +50,21 @@
         self._peaks: dict[str, tuple[RecentPeak, RecentPeak]] = {}
         self._progress: dict[str, _Progress] = {}
 
-    def update_may_run(self, demands: Mapping[str, TeamDemand]) -> None:
+    def update_possible_use(self, demands: Mapping[str, TeamDemand]) -> None:
         """Update what the teams' tasks may use at this moment, unreconciled machines included."""
         unaccounted = self._unaccounted_resources()
         for team, demand in demands.items():
             used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
-            demand.cpus.may_run = _to_units_rounded_up(used[CPUS] + unaccounted[CPUS])
-            demand.accelerators.may_run = _to_units_rounded_up(used[ACCELERATORS] + unaccounted[ACCELERATORS])
+            demand.cpus.possible_use = _to_thousandths_rounded_up(used[CPUS] + unaccounted[CPUS])
+            demand.accelerators.possible_use = _to_thousandths_rounded_up(
+                used[ACCELERATORS] + unaccounted[ACCELERATORS]
+            )
 
     def measure(self, allocations: dict[str, TeamAllocation]) -> dict[str, TeamDemand]:
         """The demand of every team that has an allocation."""
         now = self._ctx.clock()
         demands = {team: TeamDemand() for team in allocations}
-        self.update_may_run(demands)
+        self.update_possible_use(demands)
         for team, demand in demands.items():
             self._measure_use(team, demand, now)
         self._add_pending(demands)
@@ -77,9 +79,12 @@
         cpus, accelerators = self._peaks[team]
         # Peaks reach back by half to a whole retention time.
         window_s = self._retention.seconds(team, now) / 2
-        demand.cpus.used, demand.accelerators.used = to_units(used[CPUS]), to_units(used[ACCELERATORS])
-        demand.cpus.peak = cpus.note(demand.cpus.used, now, window_s)
-        demand.accelerators.peak = accelerators.note(demand.accelerators.used, now, window_s)
+        demand.cpus.used, demand.accelerators.used = (
+            to_thousandths(used[CPUS]),
+            to_thousandths(used[ACCELERATORS]),
+        )
+        demand.cpus.peak = cpus.record(demand.cpus.used, now, window_s)
+        demand.accelerators.peak = accelerators.record(demand.accelerators.used, now, window_s)
 
     def _add_pending(self, demands: dict[str, TeamDemand]) -> None:
         free_capacity = FreeCapacityEstimate(self._ctx, self._can_launch)
@@ -97,10 +102,10 @@
             if not tasks or not free_capacity.fits_any_machine_type(job):
                 continue
             startable = free_capacity.reserve(job, tasks)
-            demand.cpus.pending += to_units(job.task_resources[CPUS] * tasks)
-            demand.cpus.startable += to_units(job.task_resources[CPUS] * startable)
-            demand.accelerators.pending += to_units(job.task_resources[ACCELERATORS] * tasks)
-            demand.accelerators.startable += to_units(job.task_resources[ACCELERATORS] * startable)
+            demand.cpus.pending += to_thousandths(job.task_resources[CPUS] * tasks)
+            demand.cpus.startable += to_thousandths(job.task_resources[CPUS] * startable)
+            demand.accelerators.pending += to_thousandths(job.task_resources[ACCELERATORS] * tasks)
+            demand.accelerators.startable += to_thousandths(job.task_resources[ACCELERATORS] * startable)
 
     def _is_stalled(self, team: str, demand: TeamDemand, allocation: TeamAllocation, now: float) -> bool:
         """Whether work has been pending for long despite an idle allocation: other cells may use that.
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -81,7 +81,7 @@
 
 
 def _retain_all_pending(self: ResourceDemand, pending: int, is_stalled: bool) -> int:
-    return max(self.may_run + self.pending, self.peak)
+    return max(self.possible_use + self.pending, self.peak)
 
 
 def _ignore_reserve(self: ResourceAllocation, reserved: ResourceAllocation) -> ResourceAmount:
@@ -89,7 +89,7 @@
 
 
 def _shortest_retention(self: RetentionTimes, team: str, now: float) -> float:
-    return self._shortest_s
+    return self._min_s
 
 
 # Scenario that must fail, and the guard that is replaced.
@@ -107,7 +107,7 @@
     Guard("one_way_link_cut", AllocationLedger, "acknowledge", _no_acknowledgement),
     Guard("idle_allocation_moves", AllocationLedger, "acknowledge", _no_acknowledgement),
     Guard("gang_above_allocation", GangScheduler, "_within_limit", _always),
-    Guard("steady_and_alternating_load", RecentPeak, "note", _no_recent_peak),
+    Guard("steady_and_alternating_load", RecentPeak, "record", _no_recent_peak),
     Guard("steady_and_alternating_load", RetentionTimes, "seconds", _shortest_retention),
     Guard("pending_work_without_capacity", ResourceDemand, "retained", _retain_all_pending),
     Guard("reserve_while_disconnected", ResourceAllocation, "excess_over", _ignore_reserve),
