--- a/src/poppyhold/machines/arrivals.py
+++ b/src/poppyhold/machines/arrivals.py
@@ -71,8 +71,8 @@
     def forecast(self, now: float, ahead_s: float, factor: float) -> list[Demand]:
         """Return the tasks of the next ``ahead_s`` seconds to keep capacity for, by kind of job.
 
-        They are ``factor`` standard deviations of the arrivals, and the growth of services: in a new fleet
-        more replicas start than end.
+        They are ``factor`` standard deviations of the arrivals, and the growth of services: those of a new
+        fleet grow until as many replicas end as start.
         """
         self._drop_expired(now)
         if self._first_at is None:
--- a/src/poppyhold/machines/provisioning.py
+++ b/src/poppyhold/machines/provisioning.py
@@ -94,7 +94,7 @@
         return self._blocked_until.get(kind, 0.0) <= now
 
     def is_launchable(self, spec: Submission, machine_types: Iterable[MachineType], now: float) -> bool:
-        """Whether the cloud may provide a machine for a task: not all kinds that fit are blocked."""
+        """Whether the cloud may provide a machine for a task: an on-demand kind that fits is not blocked."""
         return any(
             self._is_unblocked(MachineKind(machine_type.name, zone, False), now)
             for machine_type in allowed_machine_types(spec, machine_types)
