--- a/src/poppyhold/quota/cell_view.py
+++ b/src/poppyhold/quota/cell_view.py
@@ -7,7 +7,7 @@
 from poppyhold.model.fleet import Fleet
 from poppyhold.model.resources import ACCELERATORS, CPUS
 from poppyhold.quota.alarms import Alarms
-from poppyhold.quota.amounts import TeamAmount, to_units
+from poppyhold.quota.amounts import TeamAmount, to_thousandths
 from poppyhold.quota.demand import TeamDemand
 from poppyhold.quota.ledger import AllocationLedger
 from poppyhold.quota.messages import CellView, PeerView, TeamView
@@ -40,7 +40,7 @@
             self._team_view(team, record, demands.get(team)) for team, record in self._ledger.records.items()
         ]
         peers = [
-            PeerView(cell, peer.sent, peer.applied, peer.in_transit)
+            PeerView(cell, peer.last_sent, peer.last_applied, peer.in_transit)
             for cell, peer in self._ledger.peers.items()
         ]
         return CellView(self._cell, self._ledger.incarnation, teams, peers, self._alarms.texts())
@@ -54,8 +54,8 @@
             team,
             record.allocation,
             record.total,
-            to_units(used[CPUS]),
-            to_units(used[ACCELERATORS]),
+            to_thousandths(used[CPUS]),
+            to_thousandths(used[ACCELERATORS]),
             spare.cpus,
             spare.accelerators,
         )
--- a/src/poppyhold/quota/endpoint.py
+++ b/src/poppyhold/quota/endpoint.py
@@ -23,7 +23,7 @@
 from poppyhold.settings import Settings
 
 # How long a link waits for a response, as a ratio to the lease.
-_LINK_TIMEOUT_RATIO = 0.1
+_LINK_TIMEOUT_LEASES = 0.1
 
 
 class QuotaEndpoint:
@@ -44,7 +44,7 @@
             cells.others,
             self._on_response,
             workers.heartbeat_interval_s,
-            workers.lease_s * _LINK_TIMEOUT_RATIO,
+            workers.lease_s * _LINK_TIMEOUT_LEASES,
             rng,
         )
         self._is_ready, self._is_stopped = threading.Event(), threading.Event()
@@ -69,7 +69,7 @@
         """On the decision thread: hand the links the current requests."""
         self._links.publish(self._quota.requests())
 
-    def answer(self, request: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
+    def handle_request(self, request: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
         """Have the decision thread answer another cell's leader or an operator; None: not in time."""
         if not self._is_ready.is_set():
             return None
@@ -88,7 +88,7 @@
     def _handle(self, request: QuotaRequest) -> QuotaResponse:
         match request:
             case TransferRequest():
-                return self._quota.answer(request)
+                return self._quota.handle_request(request)
             case StatusRequest():
                 return self._quota.status()
 
--- a/src/poppyhold/quota/status.py
+++ b/src/poppyhold/quota/status.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from poppyhold.quota.amounts import from_units
+from poppyhold.quota.amounts import from_thousandths
 from poppyhold.quota.consistency import (
     RESOURCES,
-    amounts_of,
-    are_of_one_moment,
-    parts_of,
+    allocations_by_resource,
+    amounts_by_resource,
+    is_consistent_snapshot,
     problems,
     transfers_in_transit,
 )
@@ -101,7 +101,7 @@
     ages = {own.cell: 0.0, **{other.view.cell: other.age_s for other in others}}
     views = {own.cell: own, **{other.view.cell: other.view for other in others}}
     incoming = _by_destination(views)
-    complete = not response.uncontacted and are_of_one_moment(views)
+    complete = not response.uncontacted and is_consistent_snapshot(views)
     return QuotaStatus(
         [_cell_status(view, ages[name], incoming.get(name, [])) for name, view in views.items()],
         response.uncontacted,
@@ -131,12 +131,17 @@
 def _team_status(team: TeamView, incoming: list[Transfer]) -> Iterator[ResourceStatus]:
     used = team.cpus_used, team.accelerators_used
     for index, name in enumerate(RESOURCES):
-        allocation, total = parts_of(team.allocation)[index], parts_of(team.total)[index]
+        allocation, total = (
+            allocations_by_resource(team.allocation)[index],
+            allocations_by_resource(team.total)[index],
+        )
         if not total.guaranteed and total.limit is None:
             continue
-        incoming_units = sum(amounts_of(transfer, team.team)[index].limit for transfer in incoming)
-        limit = None if allocation.limit is None else from_units(allocation.limit)
-        guaranteed, in_use, in_transit = map(from_units, (allocation.guaranteed, used[index], incoming_units))
+        incoming_amount = sum(amounts_by_resource(transfer, team.team)[index].limit for transfer in incoming)
+        limit = None if allocation.limit is None else from_thousandths(allocation.limit)
+        guaranteed, in_use, in_transit = map(
+            from_thousandths, (allocation.guaranteed, used[index], incoming_amount)
+        )
         yield ResourceStatus(team.team, name, guaranteed, limit, in_use, in_transit)
 
 
