--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -191,7 +191,7 @@
         return score
 
     @staticmethod
-    def machines_with_own_score(job: Job) -> set[str]:
+    def machines_with_job_specific_score(job: Job) -> set[str]:
         """Return the names of machines whose score for this job differs from that of equivalent jobs."""
         if job.is_service and job.spec.tasks > 1:
             return job.avoided_machines | {attempt.machine.name for attempt in job.active.values()}
@@ -277,7 +277,7 @@
         return found
 
     def _victim_order(self, attempt: Attempt) -> tuple[int, float, float]:
-        return -attempt.job.priority, self._preemption_cost_s(attempt), -attempt.sent_at
+        return -attempt.job.priority, self._preemption_cost_s(attempt), -attempt.created_at
 
     def preemption_cost_s(self, attempt: Attempt) -> float:
         """Return the seconds of work, or of waiting, that are lost if an attempt is preempted."""
@@ -293,7 +293,7 @@
                 if not self._may_preempt(job, other):
                     continue
                 for attempt in other.active.values():
-                    if attempt.stopping_at is None and attempt.status in STOPPABLE:
+                    if attempt.stop_requested_at is None and attempt.status in STOPPABLE:
                         found.setdefault(attempt.machine.name, []).append(attempt)
             self._preemptible_cache[key] = found
         return found
@@ -330,7 +330,8 @@
         stoppable = [
             attempt
             for attempt in candidates
-            if attempt.stopping_at is None and (excess is None or attempt.job.spec.team == job.spec.team)
+            if attempt.stop_requested_at is None
+            and (excess is None or attempt.job.spec.team == job.spec.team)
         ]
         max_free = free
         for attempt in stoppable:
@@ -339,14 +340,14 @@
             return None
         stoppable.sort(key=self._victim_order)
         chosen: list[Attempt] = []
-        cpus, accelerators = excess or (0.0, 0.0)
+        excess_cpus, excess_accelerators = excess or (0.0, 0.0)
         for attempt in stoppable:
             free = add_scaled(free, attempt.job.task_resources)
-            cpus -= attempt.job.task_resources[CPUS]
-            accelerators -= attempt.job.task_resources[ACCELERATORS]
+            excess_cpus -= attempt.job.task_resources[CPUS]
+            excess_accelerators -= attempt.job.task_resources[ACCELERATORS]
             chosen.append(attempt)
             if fits(job.task_resources, free) and (
-                excess is None or (cpus <= EPSILON and accelerators <= EPSILON)
+                excess is None or (excess_cpus <= EPSILON and excess_accelerators <= EPSILON)
             ):
                 return chosen
         return None
--- a/src/poppyhold/scheduling/plan_records.py
+++ b/src/poppyhold/scheduling/plan_records.py
@@ -24,8 +24,8 @@
 class PlanRecords:
     """Writes plan records, and loads those that earlier leaders wrote."""
 
-    def __init__(self, ctx: Context, quotas: Quotas, on_found_finalized: Callable[[Job], None]) -> None:
-        self._ctx, self._quotas, self._on_found_finalized = ctx, quotas, on_found_finalized
+    def __init__(self, ctx: Context, quotas: Quotas, on_job_already_finalized: Callable[[Job], None]) -> None:
+        self._ctx, self._quotas, self._on_job_already_finalized = ctx, quotas, on_job_already_finalized
         self._max_record_bytes = ctx.settings.deployment.state.lowest.value_bytes
 
     def write(self, job: Job) -> None:
@@ -42,16 +42,16 @@
                 self._ctx.scheduling_needed = True
             else:
                 # The job's record is gone: it was finalized, and the notification has not arrived yet.
-                self._on_found_finalized(job)
+                self._on_job_already_finalized(job)
 
-        conditions = {ACTIVE_JOB_PREFIX + job.id: job.version}
+        conditions = {ACTIVE_JOB_PREFIX + job.id: job.record_revision}
         self._ctx.outbound.commit(
             conditions, [Put(PLAN_PREFIX + job.id, data)], on_committed, self._plan_commit_priority(job)
         )
 
     def load(self, job: Job, data: Data) -> None:
         """Load the plan record that an earlier leader wrote for the job."""
-        job.never_started = False
+        job.not_started_by_earlier_leaders = False
         job.plan_durable = True
         record = convert(data, PlanRecord)
         job.plan = {int(slot): zones for slot, zones in record.slots.items()}
