--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -74,7 +74,7 @@
             return response
         return self._answer_without_leader(heartbeat) or self._redirect(heartbeat)
 
-    def reject(self) -> HttpResponse:
+    def make_rejection(self) -> HttpResponse:
         """Return 503 if this node leads but can't answer a heartbeat now, else a redirect to the leader."""
         if self._leader_term() is not None:
             return http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
@@ -85,7 +85,7 @@
         leader_term = self._leader_term()
         if leader_term is None:
             return None
-        return leader_term.heartbeats.handle(heartbeat, self._response_timeout_s) or self.reject()
+        return leader_term.heartbeats.handle(heartbeat, self._response_timeout_s) or self.make_rejection()
 
     def _answer_without_leader(self, heartbeat: Heartbeat) -> HttpResponse | None:
         """Renew the lease as the leader's delegate; None if this node may not."""
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -65,7 +65,7 @@
     def peer_image_hints(self) -> ImageHints:
         """The images on each machine, as the last leader sent them."""
 
-    def reject_heartbeat(self) -> HttpResponse:
+    def make_heartbeat_rejection(self) -> HttpResponse:
         """Return the response to a heartbeat that the leader can't answer."""
 
 
@@ -116,7 +116,7 @@
             self.controller,
             assignment,
             self.cancellations.may_renew_leases,
-            node.reject_heartbeat,
+            node.make_heartbeat_rejection,
         )
         self.relays = RelayServer(
             self.loop.post, self.heartbeats.answer, self.controller.last_response_at, assignment, workers
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/peer_handler.py
@@ -32,7 +32,7 @@
 _REFUSAL_INTERVAL_LEASES = 6
 
 
-class Membership:
+class NodePeerHandler:
     """Composes and handles pings and pongs; `Peers` transports them."""
 
     def __init__(
@@ -53,14 +53,14 @@
         self._forwarder, self._delegated_renewal = forwarder, delegated_renewal
         self._misdirected_workers = misdirected_workers
         self._leader_term, self._store_contact_at = leader_term, store_contact_at
-        self._better_connected_after_s = Durations(settings, options).delegated_renewal_after_s
+        self._transfer_after_unreachable_s = Durations(settings, options).delegated_renewal_after_s
         # Task counts by job and images by machine, from the leader's pings.
         self._peer_counts: dict[str, TaskCounts] = {}
         self.peer_image_hints: ImageHints = {}
         # When this node last expired the lease of a leader that refused connections.
-        self._lease_expired_at = float("-inf")
+        self._last_refusal_revocation_at = float("-inf")
         # A leader whose pong said that it does not lead.
-        self._suspected_leader: Leader | None = None
+        self._possibly_restarted_leader: Leader | None = None
         self._quota_server = quota_server
         self.peers = Peers(settings, self, quota_server.max_connections)
 
@@ -94,22 +94,27 @@
     def compose_ping(self) -> Ping:
         """Compose a ping without task counts and image hints, which each peer gets in batches."""
         term = self._election.term
-        state_age_s = time.monotonic() - self._store_contact_at()
-        workers = len(self._misdirected_workers.recent())
+        store_silence_s = time.monotonic() - self._store_contact_at()
+        misdirected_count = len(self._misdirected_workers.recent())
         leader_term = self._leader_term()
         delegation = (
             leader_term.cancellations.delegation if leader_term is not None and leader_term.alive else None
         )
         applied_revision = leader_term.authority.applied_revision if leader_term is not None else -1
-        listed, bound = self._confirmed_cancellations()
-        confirmed = bound if bound < 0 else max([bound, *(revision for _, revision in listed)])
+        listed, unlisted_revision = self._confirmed_cancellations()
+        # -1: unknown.
+        confirmed_revision = (
+            unlisted_revision
+            if unlisted_revision < 0
+            else max([unlisted_revision, *(revision for _, revision in listed)])
+        )
         return Ping(
             self._settings.member,
             term.fencing_token if term else 0,
             term is not None,
-            state_age_s,
-            confirmed,
-            workers,
+            store_silence_s,
+            confirmed_revision,
+            misdirected_count,
             delegation=delegation,
             applied_revision=applied_revision,
             accepts_relays=leader_term is not None and self._accepts_relays(leader_term),
@@ -182,12 +187,12 @@
         leader = self._election.leader
         if leader is None or leader.member != pong.member or pong.fencing_token:
             return
-        if self._suspected_leader == leader:
+        if self._possibly_restarted_leader == leader:
             # A second such pong rules out that the first one was sent just before the election.
-            self._suspected_leader = None
+            self._possibly_restarted_leader = None
             self._election.expire_lease(leader)
         else:
-            self._suspected_leader = leader
+            self._possibly_restarted_leader = leader
 
     def _transfer_to_better_connected_peer(self) -> None:
         """Transfer leadership to a controller that reaches more of the others than this one.
@@ -195,10 +200,13 @@
         If two zones can't reach each other while both reach a third, a leader in one of the two loses all
         tasks of the other to expired leases, and does not know for half a minute which of them still run.
         """
-        better = self.peers.connectivity.better_connected_peer(self._better_connected_after_s)
-        view = self.peers.views.get(better) if better is not None else None
+        better = self.peers.connectivity.better_connected_peer(self._transfer_after_unreachable_s)
+        peer_view = self.peers.views.get(better) if better is not None else None
         # The next leader must have had recent contact with the state service.
-        if view is not None and time.monotonic() - view.store_contact_at < self._election.lease_ttl_s:
+        if (
+            peer_view is not None
+            and time.monotonic() - peer_view.store_contact_at < self._election.lease_ttl_s
+        ):
             self._election.transfer_leadership(f"{better} reaches more controllers")
 
     def on_connection_refused(self, member: str) -> None:
@@ -211,10 +219,12 @@
         # in several leases, and otherwise only if workers have also left the leader.
         now = time.monotonic()
         lease_s = self._settings.deployment.workers.lease_s
-        since_last_s = now - self._lease_expired_at
-        workers_left = len(self._misdirected_workers.recent()) > 1
-        if since_last_s > _REFUSAL_INTERVAL_LEASES * lease_s or (since_last_s > lease_s and workers_left):
-            self._lease_expired_at = now
+        since_last_s = now - self._last_refusal_revocation_at
+        has_misdirected_workers = len(self._misdirected_workers.recent()) > 1
+        if since_last_s > _REFUSAL_INTERVAL_LEASES * lease_s or (
+            since_last_s > lease_s and has_misdirected_workers
+        ):
+            self._last_refusal_revocation_at = now
             self._election.expire_lease(leader)
 
     # -- relays --------------------------------------------------------------------------------------
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -19,7 +19,7 @@
 from poppyhold.node.heartbeat_router import HeartbeatRouter
 from poppyhold.node.leader_term import LeaderTerm
 from poppyhold.node.machine_catalog import MachineCatalog
-from poppyhold.node.membership import Membership
+from poppyhold.node.peer_handler import NodePeerHandler
 from poppyhold.node.readiness import ReadinessCheck
 from poppyhold.node.request_router import RequestRouter
 from poppyhold.node.user_api import UserApi
@@ -80,7 +80,7 @@
         readiness = ReadinessCheck(
             settings, self.store, self.catalog, lambda: self.peers.views, self._current_term
         )
-        self._membership = Membership(
+        self._peer_handler = NodePeerHandler(
             settings,
             options,
             self.election,
@@ -92,7 +92,7 @@
             self._current_term,
             readiness.store_contact_at,
         )
-        self.peers: Peers = self._membership.peers
+        self.peers: Peers = self._peer_handler.peers
         self.server = HttpServer(
             split_address(settings.client_listen),
             RequestRouter(self.user_api, self._heartbeats.handle, readiness.check).route,
@@ -144,19 +144,19 @@
     @property
     def peer_image_hints(self) -> ImageHints:
         """The images on each machine, as the last leader sent them."""
-        return self._membership.peer_image_hints
+        return self._peer_handler.peer_image_hints
 
-    def reject_heartbeat(self) -> HttpResponse:
+    def make_heartbeat_rejection(self) -> HttpResponse:
         """Return the response to a heartbeat that the leader can't answer."""
-        return self._heartbeats.reject()
+        return self._heartbeats.make_rejection()
 
     # -- callbacks of components that are constructed before those that they call ---------------------
 
     def _should_yield(self) -> bool:
-        return self._membership.should_yield()
+        return self._peer_handler.should_yield()
 
     def _is_unreachable(self, member: str) -> bool:
         return self.peers.connectivity.is_unreachable(member)
 
     def _task_counts(self, job_id: str) -> TaskCounts | None:
-        return self._membership.task_counts(job_id)
+        return self._peer_handler.task_counts(job_id)
