--- a/src/poppyhold/node/cancellation_tracker.py
+++ b/src/poppyhold/node/cancellation_tracker.py
@@ -59,14 +59,16 @@
         """Apply this node's own cancellations: the watch lacks them while the state service rejects it."""
         requested_at = time.monotonic()
         self._own_cancellations.acknowledge(self._authority.applied_revision)
-        listed, bound = self._own_cancellations.summarize(self._first_revision())
-        self._apply(self._member, listed, bound, requested_at)
+        listed, unlisted_revision = self._own_cancellations.summarize(self._first_revision())
+        self._apply(self._member, listed, unlisted_revision, requested_at)
 
-    def _apply(self, member: str, cancelled: Iterable[Cancellation], bound: int, requested_at: float) -> None:
+    def _apply(
+        self, member: str, listed: Iterable[Cancellation], unlisted_revision: int, requested_at: float
+    ) -> None:
         """Stop the cancelled jobs: each cancellation is durable, delivered by the watch or not."""
-        for job_id, _ in cancelled:
+        for job_id, _ in listed:
             self._controller.handle_job_removed(ACTIVE_JOB_PREFIX + job_id)
-        self._authority.observe_peer(member, requested_at, bound)
+        self._authority.observe_peer(member, requested_at, unlisted_revision)
 
     def update_delegation(self) -> None:
         """Update the delegation that other controllers use when they can't reach this leader."""
--- a/src/poppyhold/node/cloud_client.py
+++ b/src/poppyhold/node/cloud_client.py
@@ -24,6 +24,8 @@
 
 # Maximum number of machines on a page of the machine list.
 LIST_PAGE_SIZE = 500
+# Timeout of a request: a lease divided by this.
+_TIMEOUT_DIVISOR = 3
 
 T = TypeVar("T")
 
@@ -34,7 +36,7 @@
     def __init__(self, settings: Settings) -> None:
         host, port = split_address(settings.external_services.cloud)
         self._client = HttpClient(host, port, most_idle=2)
-        self._timeout_s = settings.deployment.workers.lease_s / 3
+        self._timeout_s = settings.deployment.workers.lease_s / _TIMEOUT_DIVISOR
 
     def fetch_machine_types(self) -> list[MachineType] | None:
         """Return the machine types; None without a valid response."""
--- a/src/poppyhold/node/decision_loop.py
+++ b/src/poppyhold/node/decision_loop.py
@@ -61,7 +61,7 @@
         """Accept no more events. The thread ends after its current event."""
         self.alive = False
 
-    def reject_waiting(self) -> None:
+    def reject_queued_heartbeats(self) -> None:
         """Close the queue of a stopped loop, and answer the heartbeats in it with a rejection."""
         for work in self._queue.close():
             work()
--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -58,7 +58,7 @@
             settings,
             lambda: election.leader,
             lambda: leader_term() is not None,
-            self._answer_without_leader,
+            self._answer_as_delegate,
             lambda: self._redirect_to(election.leader),
             rng,
         )
@@ -72,7 +72,7 @@
         response = self._answer_as_leader(heartbeat) or self.forwarder.handle(heartbeat)
         if response is not None:
             return response
-        return self._answer_without_leader(heartbeat) or self._redirect(heartbeat)
+        return self._answer_as_delegate(heartbeat) or self._redirect(heartbeat)
 
     def make_rejection(self) -> HttpResponse:
         """Return 503 if this node leads but can't answer a heartbeat now, else a redirect to the leader."""
@@ -87,7 +87,7 @@
             return None
         return leader_term.heartbeats.handle(heartbeat, self._response_timeout_s) or self.make_rejection()
 
-    def _answer_without_leader(self, heartbeat: Heartbeat) -> HttpResponse | None:
+    def _answer_as_delegate(self, heartbeat: Heartbeat) -> HttpResponse | None:
         """Renew the lease as the leader's delegate; None if this node may not."""
         if heartbeat.fencing_token:
             leader = self._election.leader
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -45,7 +45,11 @@
 log = logging.getLogger(__name__)
 
 # Share of the connections that workers without a relay may use; the rest is for users.
-DIRECT_SHARE = 0.85
+DIRECT_WORKERS_CONNECTION_SHARE = 0.85
+# A poll of the watch waits for changes for at most a lease divided by this.
+_WATCH_POLLS_PER_LEASE = 5
+# Pause after a failed read of the durable state: the state service's timeout divided by this.
+_READ_PAUSE_DIVISOR = 4
 
 
 class NodeContext(Protocol):
@@ -135,7 +139,7 @@
         return Assignment(
             relays.mode,
             connections * relays.from_share,
-            connections * DIRECT_SHARE,
+            connections * DIRECT_WORKERS_CONNECTION_SHARE,
             settings.member,
             settings.zone,
             durations,
@@ -176,7 +180,7 @@
             self._outbound.cloud.stop()
         if self._watch is not None:
             self._watch.stop()
-        self.loop.reject_waiting()
+        self.loop.reject_queued_heartbeats()
 
     def handle_quota_request(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
         """Answer another cell's leader or an operator; None if that is not possible in time."""
@@ -210,14 +214,14 @@
         self._watch = Watch(
             self._node.store,
             ACTIVE_JOB_PREFIX,
-            self._node.settings.deployment.workers.lease_s / 5,
+            self._node.settings.deployment.workers.lease_s / _WATCH_POLLS_PER_LEASE,
             self._on_active_jobs,
             self._on_job_change,
             on_caught_up=self.cancellations.on_caught_up,
         ).start()
         self.relays.update_machines(self.controller.ctx.fleet.machines.keys())
         log.info(
-            "leader ready: jobs=%d machines=%d read_s=%.1f prepare_s=%.1f",
+            "leader ready: jobs=%d machines=%d read_s=%.1f load_s=%.1f",
             len(snapshot.active_jobs),
             len(snapshot.machines),
             read_at - started_at,
@@ -236,7 +240,7 @@
                 return reader.read()
             except (StoreRejectedError, OutcomeUnknownError) as error:
                 log.debug("snapshot read failed, will retry: error=%s", error)
-                time.sleep(self._node.store.timeout_s / 4)
+                time.sleep(self._node.store.timeout_s / _READ_PAUSE_DIVISOR)
         return Snapshot()
 
     def _tick(self) -> None:
--- a/src/poppyhold/node/machine_catalog.py
+++ b/src/poppyhold/node/machine_catalog.py
@@ -21,6 +21,11 @@
 
 log = logging.getLogger(__name__)
 
+# Minimum pause between attempts to read machine types: the state service's timeout divided by this.
+_MIN_PAUSE_DIVISOR = 4
+# Maximum pause, as a multiple of the minimum.
+_MAX_PAUSE_RATIO = 3
+
 
 class MachineCatalog:
     """Machine types by name; without them a controller can neither validate jobs nor identify machines."""
@@ -34,7 +39,7 @@
 
     def await_machine_types(self, stop: threading.Event) -> None:
         """Query the state service and the cloud in turn until machine types are known or ``stop`` is set."""
-        pause_s = self._store.timeout_s / 4
+        min_pause_s = self._store.timeout_s / _MIN_PAUSE_DIVISOR
         while not self.types and not stop.is_set():
             try:
                 stored = read_machine_types(self._store)
@@ -47,7 +52,7 @@
             if machine_types:
                 self.update(machine_types)
                 return
-            stop.wait(self._rng.uniform(pause_s, pause_s * 3))
+            stop.wait(self._rng.uniform(min_pause_s, min_pause_s * _MAX_PAUSE_RATIO))
 
     def update(self, machine_types: Iterable[MachineType]) -> None:
         """Add or replace machine types, with their current prices."""
--- a/src/poppyhold/node/machine_lifecycle.py
+++ b/src/poppyhold/node/machine_lifecycle.py
@@ -12,7 +12,7 @@
 from poppyhold.wire.worker_messages import TaskState
 
 # Share of a preemption notice that is relied on: a machine may go after half of it.
-_USABLE_NOTICE_RATIO = 0.5
+_USABLE_NOTICE_SHARE = 0.5
 
 
 class MachineLifecycle:
@@ -57,7 +57,7 @@
         if machine.preemption_due_at is None or machine.preemption_notice_at is None:
             return math.inf
         notice_s = machine.preemption_due_at - machine.preemption_notice_at
-        return notice_s * _USABLE_NOTICE_RATIO - (now - machine.preemption_notice_at)
+        return notice_s * _USABLE_NOTICE_SHARE - (now - machine.preemption_notice_at)
 
     def _grace_s(self, attempt: Attempt) -> float:
         """Return the time that a task gets to save a checkpoint before it is stopped."""
--- a/src/poppyhold/node/readiness.py
+++ b/src/poppyhold/node/readiness.py
@@ -14,7 +14,7 @@
 from poppyhold.wire.http_server import HttpResponse, http_response
 
 # Maximum lag of a ready node's last contact with the state service behind any peer's, as a share of a lease.
-_MAX_LAG_RATIO = 0.35
+_MAX_CONTACT_LAG_LEASES = 0.35
 
 
 class ReadinessCheck:
@@ -30,7 +30,7 @@
     ) -> None:
         self._member, self._store, self._catalog = settings.member, store, catalog
         self._peer_views, self._leader_term = peer_views, leader_term
-        self._max_lag_s = settings.deployment.workers.lease_s * _MAX_LAG_RATIO
+        self._max_lag_s = settings.deployment.workers.lease_s * _MAX_CONTACT_LAG_LEASES
         self._started_at = time.monotonic()
 
     def store_contact_at(self) -> float:
--- a/src/poppyhold/node/user_api.py
+++ b/src/poppyhold/node/user_api.py
@@ -41,7 +41,7 @@
 # Users time out after two seconds on a query.
 _QUERY_TIMEOUT_S = 1.5
 # Queries within this share of a heartbeat interval are answered in one batch.
-_BATCH_WINDOW_RATIO = 0.05
+_BATCH_WINDOW_INTERVALS = 0.05
 # Share of the state service's request limit that the queries of all controllers may take. Without it, queries
 # of five controllers took twice the limit, and submissions, decisions and renewals were rejected.
 _QUERY_REQUEST_SHARE = 0.4
@@ -50,13 +50,13 @@
 # Cached final states per MB of the controller's memory limit.
 _FINAL_STATES_PER_RAM_MB = 100
 # Minimum number of concurrent requests to the state service.
-_MIN_STORE_SLOTS = 8
+_MIN_USER_REQUEST_SLOTS = 8
 
 
 def _query_rate_limiter(deployment: Deployment) -> RateLimiter:
     """Return the limiter of one controller's requests to the state service for queries."""
     per_second = deployment.state.lowest.rps * _QUERY_REQUEST_SHARE / deployment.controllers
-    return RateLimiter(per_second, burst=per_second * _BATCH_WINDOW_RATIO * 2)
+    return RateLimiter(per_second, burst=per_second * _BATCH_WINDOW_INTERVALS * 2)
 
 
 class UserApi:
@@ -72,28 +72,30 @@
         reads: BatchedJobReads | None = None,
     ) -> None:
         """``task_counts`` returns a job's done and running tasks; ``reads`` tells whether it is active."""
-        limits = settings.deployment
+        deployment = settings.deployment
         self._store, self._machine_types, self._clock = store, machine_types, clock
-        self._retry_after_s = max(1, round(limits.workers.heartbeat_interval_s))
+        self._retry_after_s = max(1, round(deployment.workers.heartbeat_interval_s))
         self._reads = reads or BatchedJobReads(
             store,
-            limits.workers.heartbeat_interval_s * _BATCH_WINDOW_RATIO,
+            deployment.workers.heartbeat_interval_s * _BATCH_WINDOW_INTERVALS,
             _QUERY_TIMEOUT_S,
-            rate_limiter=_query_rate_limiter(limits),
+            rate_limiter=_query_rate_limiter(deployment),
         )
-        self._policy = SubmissionPolicy(limits)
+        self._policy = SubmissionPolicy(deployment)
         # At most as many as the state service can write within the time limit of a cancellation.
         self.cancellations = Cancellations(
-            min(int(limits.state.write_rps * limits.workers.cancel_s), _MAX_LISTED_CANCELLATIONS)
+            min(int(deployment.state.write_rps * deployment.workers.cancel_s), _MAX_LISTED_CANCELLATIONS)
         )
         self.job_states = JobStates(
             store,
             self.cancellations,
             task_counts,
-            int(limits.machine_limits.ram_mb * _FINAL_STATES_PER_RAM_MB),
+            int(deployment.machine_limits.ram_mb * _FINAL_STATES_PER_RAM_MB),
         )
         # More concurrent requests would only wait for the state service's rate limit.
-        self._slots = threading.BoundedSemaphore(max(_MIN_STORE_SLOTS, int(limits.state.rps / 2)))
+        self._user_request_slots = threading.BoundedSemaphore(
+            max(_MIN_USER_REQUEST_SLOTS, int(deployment.state.rps / 2))
+        )
 
     # -- submissions ---------------------------------------------------------------------------------
 
@@ -118,10 +120,10 @@
             return http_response(HTTPStatus.UNPROCESSABLE_ENTITY, {"error": reason})
         data = self._policy.make_record(spec, machine_types)
         if not self._policy.can_store(data):
-            return self._reject_too_long(spec)
+            return self._answer_too_long(spec)
         return self._store_submission(spec, data)
 
-    def _reject_too_long(self, spec: Submission) -> HttpResponse:
+    def _answer_too_long(self, spec: Submission) -> HttpResponse:
         """Reject a submission that can never be stored, so that its user does not retry.
 
         If an earlier version stored it under larger limits, its state is returned instead.
@@ -150,7 +152,7 @@
                 continue
             except InvalidRequestError as error:
                 log.warning("submission rejected by the state service: job=%s error=%s", spec.name, error)
-                return self._reject_too_long(spec)
+                return self._answer_too_long(spec)
             except ConditionFailedError:
                 # The job exists, perhaps from an earlier attempt of this request: return its current state.
                 read_status_first = True
@@ -171,7 +173,7 @@
         if final is not None:
             return http_response(HTTPStatus.OK, self.job_states.describe_final(job_id, final))
         # A batched read needs no slot: its cost to the state service does not grow with the queries.
-        return self._or_try_later(lambda: self._poll(job_id))
+        return self._run_or_try_later(lambda: self._poll(job_id))
 
     def _poll(self, job_id: str) -> HttpResponse:
         # In this order, as a job moves from active to final and never back.
@@ -225,14 +227,14 @@
 
     def _with_slot(self, work: Callable[[], HttpResponse]) -> HttpResponse:
         # Without a free slot the request is rejected at once, with a time to retry.
-        if not self._slots.acquire(blocking=False):
+        if not self._user_request_slots.acquire(blocking=False):
             return self._try_later(HTTPStatus.TOO_MANY_REQUESTS)
         try:
-            return self._or_try_later(work)
+            return self._run_or_try_later(work)
         finally:
-            self._slots.release()
+            self._user_request_slots.release()
 
-    def _or_try_later(self, work: Callable[[], HttpResponse]) -> HttpResponse:
+    def _run_or_try_later(self, work: Callable[[], HttpResponse]) -> HttpResponse:
         try:
             return work()
         except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError) as error:
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -29,7 +29,7 @@
 from poppyhold.model.outbound import CommitPriority, MisdirectedWorker
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.controller import Controller
-from poppyhold.node.leader_term import DIRECT_SHARE
+from poppyhold.node.leader_term import DIRECT_WORKERS_CONNECTION_SHARE
 from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options, RelayMode
 from poppyhold.quota.records import PEER_PREFIX
@@ -133,7 +133,7 @@
         self.assignment = Assignment(
             world.relays if node.relays else RelayMode.OFF,
             world.relays_from,
-            node.settings.deployment.machine_limits.connections * DIRECT_SHARE,
+            node.settings.deployment.machine_limits.connections * DIRECT_WORKERS_CONNECTION_SHARE,
             node.member,
             node.zone,
             node.times,
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -89,5 +89,5 @@
         assert loop.post(DECISIONS, lambda: answered.append("decision"))
     loop.stop()
     assert not loop.post(DECISIONS, lambda: answered.append("late"))
-    loop.reject_waiting()
+    loop.reject_queued_heartbeats()
     assert answered == ["first", "second"]
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -203,7 +203,7 @@
 def test_what_cannot_be_taken_is_answered_at_once() -> None:
     world, _ = leading_world()
     users: Any = world.nodes[0].users
-    users._slots = NoSlot()
+    users._user_request_slots = NoSlot()
     body = encode(wire(world.jobs["job-000001"]))
     for answer in (users.abort("job-000001"), users.submit(body)):
         assert answer[0] == 429
