--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Admission control by OASiS: jobs are planned on priced capacity, and their plans are made durable."""
+"""Admission control (OASiS): plans jobs on capacity with a price per slot, and writes their plan records."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 
 
 class Admission:
-    """Plans jobs on priced capacity, and plans waiting jobs again when capacity is released."""
+    """Plans new jobs, and plans those that were not admitted again when capacity may have grown."""
 
     def __init__(self, ctx: Context, quotas: Quotas, on_job_already_finalized: Callable[[Job], None]) -> None:
         self._ctx = ctx
         design = ctx.options.design
+        # Maximum number of jobs planned in one call of `replan`.
         self._max_replans = design.work_units
         self._ledger = Ledger(design.horizon_slots)
         self.pricing = Pricing(design)
@@ -36,19 +37,23 @@
         self._next_replan_at = 0.0
 
     def _wall_clock_slot(self) -> int:
+        """Return the slot of the wall clock; the ledger's slot lags behind until `advance_slot`."""
         return int(self._ctx.wall_clock() / self._ctx.durations.slot_s)
 
     def add_machine(self, machine: Machine) -> None:
-        """Make a machine available to plans."""
+        """Add a machine to the ledger if it is new, and book its attempts that are not booked yet."""
         if self.bookings.add_machine(machine):
             self._capacity_may_have_grown = True
 
     def remove_machine(self, machine: Machine) -> None:
-        """Withdraw a machine from plans."""
+        """Remove a machine and the bookings on it from the ledger; jobs keep their plans."""
         self.bookings.remove_machine(machine)
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """Release an attempt's booking, and credit its checkpointed work to the next attempt of the task."""
+        """Release an attempt's booking, and add its work up to the last checkpoint to the task's saved work.
+
+        The last checkpoint is estimated from the checkpoint interval.
+        """
         job = attempt.job
         if job.spec.checkpoint_s > 0 and attempt.running_at is not None:
             ran_s = self._ctx.clock() - attempt.running_at
@@ -58,14 +63,15 @@
         self._capacity_may_have_grown = True
 
     def release_planned_starts(self, job: Job) -> None:
-        """Release the bookings of a job's plan, once the job is finalized or at fault."""
+        """Release the bookings of a job's unused planned starts, once the job is finalized or at fault."""
         self.bookings.release_planned_starts(job)
         self._capacity_may_have_grown = True
 
     def fault_changed(self, job: Job) -> None:
-        """Record for the next leader that a job was found to be at fault, or no longer is.
+        """Apply a change of a job's fault, and record it for the next leader unless the job is finalized.
 
-        A job at fault loses its plan and its bookings, and starts only on capacity that no plan books.
+        A job at fault appears to fail on every machine. It loses its plan and its bookings, and starts only on
+        capacity that no plan books.
         """
         if job.failures.at_fault:
             self.release_planned_starts(job)
@@ -83,7 +89,10 @@
         self._ctx.scheduling_needed = True
 
     def submit(self, job: Job) -> None:
-        """Admit a new job if its value exceeds the price of its capacity; otherwise it waits."""
+        """Admit a new job if the value of its best plan exceeds the cost.
+
+        Otherwise the job starts only on capacity that no plan books, and is planned again later.
+        """
         self._try_admit(job)
         self.records.write(job)
         spec = job.spec
@@ -110,13 +119,16 @@
         return True
 
     def remaining_planned_starts(self, job: Job) -> int:
-        """Return how many more tasks the plan lets start by now; a negative count stops no task."""
+        """Return the number of tasks planned up to the current slot, less those that are done or active.
+
+        It is negative if tasks were started outside the plan.
+        """
         current_slot = self._ledger.current_slot
         planned = sum(sum(zones.values()) for slot, zones in job.plan.items() if slot <= current_slot)
         return planned - job.done - len(job.active)
 
     def replan(self, not_admitted: list[Job], now: float) -> None:
-        """Plan waiting jobs again after capacity was released, in the order given.
+        """Plan the first jobs of those not admitted once more, if capacity may have grown.
 
         Every task that ends releases capacity, and planning is the scheduler's most expensive computation,
         so jobs are planned again at most once per heartbeat interval.
--- a/src/poppyhold/scheduling/bookings.py
+++ b/src/poppyhold/scheduling/bookings.py
@@ -17,7 +17,7 @@
         self._fleet, self._ledger, self._planner, self._estimates = fleet, ledger, planner, estimates
 
     def add_machine(self, machine: Machine) -> bool:
-        """Make a machine available to plans and book its attempts; return whether it is new to the ledger."""
+        """Add a machine to the ledger and book its attempts, where not done yet; return whether it is new."""
         is_new = machine.name not in self._ledger.machines
         if is_new:
             self._ledger.add_machine(
@@ -28,7 +28,7 @@
         return is_new
 
     def remove_machine(self, machine: Machine) -> None:
-        """Withdraw a machine from plans, and drop the bookings on it."""
+        """Remove a machine and the bookings on it from the ledger and from jobs; their plans stay."""
         if machine.name not in self._ledger.machines:
             return
         self._ledger.remove_machine(machine.name)
@@ -104,7 +104,7 @@
         return job.planned_task_s
 
     def advance_to(self, slot: int) -> None:
-        """Advance to a slot; unused starts and attempts that outrun their estimate are booked in it."""
+        """Advance the ledger to a slot; book unused starts and attempts that outrun their estimate in it."""
         late = self._release_late_starts(slot)
         self._ledger.advance_to(slot)
         for job, name, count in late:
@@ -139,7 +139,7 @@
         return set(job.booked.get(self._ledger.current_slot, ()))
 
     def booked_now(self) -> dict[str, Resources]:
-        """Return by machine the resources of unused starts that plans book in the current slot."""
+        """Return by machine name the resources of unused starts that plans book in the current slot."""
         reserved: dict[str, Resources] = {}
         for job in self._fleet.jobs.values():
             if job.phase is JobPhase.FINALIZED:
@@ -149,7 +149,7 @@
         return reserved
 
     def reserved_without_own_bookings(self, reserved: dict[str, Resources], job: Job) -> dict[str, Resources]:
-        """Return the reservations without those of the job itself in the current slot."""
+        """Return the reservations without the job's own bookings of the current slot."""
         others = dict(reserved)
         for name, count in job.booked.get(self._ledger.current_slot, {}).items():
             if name in others:
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: scheduling cycles over the waiting jobs, in which every task is started."""
+"""Dispatch: scheduling cycles, each of which starts pending tasks in the order of their jobs."""
 
 from __future__ import annotations
 
@@ -19,12 +19,16 @@
 from poppyhold.scheduling.task_starter import TaskStarter
 from poppyhold.settings import Objective
 
-# Time limit in heartbeat intervals of each half of a cycle: planned starts, then unplanned ones.
+# Time limit of each half of a cycle (planned starts, then unplanned ones), in heartbeat intervals.
 _HALF_CYCLE_LIMIT_HEARTBEAT_INTERVALS = 1 / 16
 
 
 class Dispatcher:
-    """Runs scheduling cycles: first starts planned tasks, then those that fit on unbooked capacity."""
+    """Runs scheduling cycles.
+
+    The first half of a cycle starts planned tasks and starved gangs; the second half starts tasks on capacity
+    that no plan books.
+    """
 
     def __init__(
         self, ctx: Context, reconciler: AttemptReconciler, quotas: Quotas, admission: Admission
@@ -45,11 +49,11 @@
             ctx, reconciler.lifecycle.gangs, quotas, self._gang_placement, self._order, starter
         )
         self._planned_capacity, self._unplanned_capacity = CapacityViews(), CapacityViews()
-        # Jobs that were visited since a cycle last visited all jobs in time.
+        # Ids of the jobs visited by unplanned halves since one last visited all jobs; the others go first.
         self._visited_job_ids: set[str] = set()
 
     def dispatch(self, all_machines_reconciled: bool) -> None:
-        """Run one scheduling cycle: start every task that may start now."""
+        """Run one scheduling cycle: start the tasks that may start now, within the time limits."""
         now = self._ctx.clock()
         jobs = self._ready_jobs(all_machines_reconciled, now)
         not_admitted = [job for job in jobs if not (job.admitted or job.failures.at_fault)]
@@ -71,7 +75,8 @@
             and job.phase is JobPhase.ACTIVE
             and job.retry_at <= now
             and job.plan_durable
-            # Tasks of a job that an earlier leader started may run on a machine that is not reconciled yet.
+            # Tasks that an earlier leader started may still run on a machine that is not reconciled yet;
+            # they would be started a second time.
             and (job.never_started or all_machines_reconciled)
         ]
         self._order.sort(jobs, now)
@@ -99,10 +104,10 @@
         return cycle
 
     def _half_cycle_end(self) -> float:
-        """Return when a half of a cycle that begins now has to end.
+        """Return the time after which a half of a cycle that begins now visits no further job.
 
         Scheduling a backlog on a thousand empty machines takes seconds, which would delay heartbeat
-        responses. The next cycle continues with the jobs that this one did not visit.
+        responses. The next cycle begins with the jobs that the unplanned half did not visit.
         """
         return (
             self._ctx.clock()
@@ -112,6 +117,7 @@
     def _run_planned_half(self, cycle: CycleState, jobs: list[Job], now: float) -> None:
         cycle.switch_capacity(self._planned_capacity, cycle.reserved)
         end_at = self._half_cycle_end()
+        # Jobs that the last unplanned halves did not visit go first.
         jobs.sort(key=lambda job: job.id in self._visited_job_ids)
         for job in jobs:
             if self._ctx.clock() <= end_at:
@@ -131,9 +137,9 @@
         self._visited_job_ids.clear()
 
     def _start_planned(self, cycle: CycleState, job: Job, now: float) -> None:
-        """Start the tasks that the job's plan lets start by now."""
+        """Start the tasks that are planned up to the current slot; a gang if all of its are, or starved."""
         if job.is_gang:
-            # A starved gang is treated like a planned one.
+            # In this half bookings of other jobs don't hold back a starved gang.
             is_planned = job.admitted and self._admission.remaining_planned_starts(job) >= job.pending
             if is_planned or self._order.is_starved(job, now):
                 self._gangs.start_gang(cycle, job, cycle.reserved)
@@ -141,7 +147,7 @@
             self._tasks.start_tasks(cycle, job, self._admission.remaining_planned_starts(job), cycle.reserved)
 
     def _start_unplanned(self, cycle: CycleState, job: Job, reserved: dict[str, Resources]) -> None:
-        """Start tasks on capacity that no other job's plan books in the current slot."""
+        """Start tasks on capacity that is not reserved, nor booked by other jobs in the current slot."""
         bookings = self._admission.bookings
         has_own_booking = bool(bookings.machines_booked_now(job))
         reserved_without_own = (
@@ -153,7 +159,7 @@
             self._tasks.start_tasks(cycle, job, job.pending, reserved_without_own, has_own_booking)
 
     def _reserved(self, cycle: CycleState) -> dict[str, Resources]:
-        """Return the unused bookings of the current slot, with the reservations for gangs and replicas."""
+        """Return by machine name the resources that plans book in the current slot or the cycle reserves."""
         reserved = self._admission.bookings.booked_now()
         for name, resources in cycle.reserved.items():
             reserve(reserved, name, resources)
@@ -161,7 +167,7 @@
 
 
 def _wait_objectives(objectives: list[Objective]) -> dict[str, float]:
-    """Return by job class the seconds within which its tasks should start."""
+    """Return the wait objectives: by job class, the seconds within which tasks should start."""
     return {
         objective.job_class: objective.within_s
         for objective in objectives
--- a/src/poppyhold/scheduling/plan_records.py
+++ b/src/poppyhold/scheduling/plan_records.py
@@ -29,7 +29,7 @@
         self._max_record_bytes = ctx.settings.deployment.state.lowest.value_bytes
 
     def write(self, job: Job) -> None:
-        """Write the job's plan record; its tasks may start once a record is durable."""
+        """Write the job's plan record unless a write is in flight; tasks may start once one is durable."""
         if job.plan_write_in_flight:
             return
         job.plan_write_in_flight = True
