--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -70,8 +70,8 @@
     def fault_changed(self, job: Job) -> None:
         """Apply a change of a job's fault, and record it for the next leader unless the job is finalized.
 
-        A job at fault appears to fail on every machine. It loses its plan and its bookings, and starts only on
-        capacity that no plan books.
+        A job at fault appears to fail on every machine. It loses its plan and its bookings, and starts only
+        on capacity that no plan books.
         """
         if job.failures.at_fault:
             self.release_planned_starts(job)
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -24,21 +24,21 @@
 from poppyhold.scheduling.quotas import QuotaExcess
 from poppyhold.wire.worker_messages import BEFORE_IMAGE, STOPPABLE
 
-# An image fetch may take up to a third longer than its nominal time.
+# An image fetch may take up to a third longer than estimated.
 _MAX_FETCH_SLOWDOWN = 4 / 3
 # Lower bound of fetch rates, for machine types that give none.
 _MIN_FETCH_GB_PER_S = 1e-3
 
-# Weight in a score of an image wait that meets the objective.
+# Factor on the image wait in a score if the wait meets the objective of the job's class.
 _IN_TIME_WAIT_WEIGHT = 0.3
-# Score, in parts of the objective, of a machine with the fastest fetch rate; slower ones score in proportion.
+# Penalty for the fastest fetch rate, as a fraction of the objective; for slower rates it is proportional.
 _FAST_FETCH_WEIGHT = 0.2
-# Scores in boot times: per share of capacity that stays free; for a spot task on a regular machine; for
-# each replica of the job that is on the machine already.
+# Penalties in boot times: per fraction of a needed resource that stays free; for another than a spot machine
+# if the task may run on spot machines; for each replica of the job that is on the machine already.
 _FREE_SHARE_WEIGHT = 0.02
-_SPOT_TASK_ON_REGULAR_WEIGHT = 0.2
+_NON_SPOT_MACHINE_WEIGHT = 0.2
 _COLOCATED_REPLICA_WEIGHT = 0.05
-# Cost of a preemption: weight of each lost second, and seconds for each victim.
+# Cost of a preemption in seconds, beside the image wait: per second lost, and per victim.
 _LOST_SECONDS_WEIGHT = 0.05
 _VICTIM_COST_S = 0.5
 
@@ -51,7 +51,7 @@
 
 
 class PreemptionOption(NamedTuple):
-    """A choice that preempts, with its cost and the index of its machine, which breaks ties."""
+    """A choice that preempts, its cost, and its machine's position in the search, which breaks ties."""
 
     cost: float
     machine_index: int
@@ -59,7 +59,7 @@
 
 
 class _CachedVictims(NamedTuple):
-    """The victims on a machine for a kind of job, valid for one version of the machine."""
+    """The victims on a machine for one cache key, valid for one version of the machine."""
 
     machine_version: int
     victims: list[Attempt] | None
@@ -85,14 +85,14 @@
 
 
 def copies_that_fit(job: Job, machine: Machine, reserved: dict[str, Resources]) -> int:
-    """Return how many of the job's pending tasks fit on a machine beside the reservations."""
+    """Return how many of the job's pending tasks fit in a machine's free and unreserved resources."""
     return max_copies(job.task_resources, machine.free_after_reservations(reserved), job.pending)
 
 
 def machines_in_best_zone(
     job: Job, machines: Collection[Machine], reserved: dict[str, Resources]
 ) -> list[Machine]:
-    """Return the machines of the zone that fits the most tasks of the job."""
+    """Return those of the machines that are in the zone where the most tasks of the job fit."""
     counts: dict[str, int] = {}
     for machine in machines:
         if may_use(job, machine):
@@ -102,7 +102,7 @@
 
 
 def image_wait_s(machine: Machine, job: Job) -> float:
-    """Return the estimated seconds until the machine has the job's image."""
+    """Return the estimated seconds until the machine has the image if a task of the job starts there now."""
     image = job.spec.image
     if image in machine.images:
         return 0.0
@@ -114,7 +114,8 @@
             fetching[attempt.job.spec.image] = attempt.job.spec.image_gb
     has_begun = image in fetching
     fetching[image] = job.spec.image_gb
-    # Concurrent fetches share the rate; one in progress is on average half done.
+    # Concurrent fetches share the rate. If this image's fetch is in progress, half of the total is done on
+    # average.
     return sum(fetching.values()) / rate_gb_per_s * (0.5 if has_begun else 1.0)
 
 
@@ -122,16 +123,16 @@
     """Scores machines by image wait and packing, and chooses the victims of preemptions."""
 
     def __init__(self, objectives_s: dict[str, float], preemption_cost_s: Callable[[Attempt], float]) -> None:
-        # Seconds within which tasks should start, by job class.
+        # Wait objectives in seconds, by job class; compared with image waits alone.
         self._objectives_s = objectives_s
         self._fastest_fetch_gb_per_s = 0.0
-        # Returns the seconds of work, or of waiting, that are lost if an attempt is preempted.
+        # Returns the cost in seconds of preempting an attempt: `PreemptionCost.cost_s`.
         self._preemption_cost_s = preemption_cost_s
-        # Preemptible attempts by machine name, for each team, priority and guarantee.
+        # Attempts by machine name that a job may preempt, by the job's team, priority and guarantee.
         self._preemptible_cache: dict[tuple[str, int, bool], dict[str, list[Attempt]]] = {}
-        # By kind of job and machine name.
+        # By team, priority, guarantee and resources of the preempting job, and machine name.
         self._victims_cache: dict[tuple[object, ...], _CachedVictims] = {}
-        # Resources by machine that preemptions of this cycle free before its later starts there.
+        # By machine name: resources that preemptions of this cycle will have freed before its later starts.
         self._freed_by_preemption: dict[str, Resources] = {}
         self._active_jobs: list[Job] = []
         self._rankings = RankingCache()
@@ -148,7 +149,7 @@
         self._freed_by_preemption.clear()
 
     def record_preemptions(self, choice: PlacementChoice) -> None:
-        """Record the resources that the victims of a choice free before any later start on the machine."""
+        """Count the resources of a choice's victims as free for later starts of this cycle on the machine."""
         name = choice.machine.name
         for victim in choice.victims:
             self._freed_by_preemption[name] = add_scaled(
@@ -156,17 +157,17 @@
             )
 
     def meets_objective(self, job: Job, wait_s: float) -> bool:
-        """Return whether a task that waits ``wait_s`` for its image starts within its class's objective."""
+        """Return whether an image wait, at the largest slowdown, is within the class's objective, if any."""
         return wait_s * _MAX_FETCH_SLOWDOWN <= self._objectives_s.get(job.spec.job_class, math.inf)
 
     def _shared_score(self, job: Job, machine: Machine, free: Resources) -> float:
-        """Return the part of a score, in seconds, that equivalent jobs share; lower is better."""
+        """Return the part of a score in seconds that jobs with equal ranking keys share; lower is better."""
         boot_s = machine.machine_type.boot_s
         score = image_wait_s(machine, job)
         objective_s = self._objectives_s.get(job.spec.job_class)
         if objective_s is not None and self.meets_objective(job, score):
-            # Waits within the objective count less. Machines with fast fetches are left to large images: when
-            # small images filled those machines, every large one took twice as long as its objective allows.
+            # Waits within the objective count less. Fast fetch rates are penalized to keep those machines for
+            # large images: with small images on them, each large one took twice its objective.
             fetch_gb_per_s = machine.machine_type.fetch_gb_per_s
             fastest_gb_per_s = max(self._fastest_fetch_gb_per_s, _MIN_FETCH_GB_PER_S)
             score = (
@@ -185,24 +186,24 @@
             default=0.0,
         )
         score += free_share * boot_s * _FREE_SHARE_WEIGHT
-        # Spot tasks leave regular machines to tasks that can't run on spot machines.
+        # Machines that are not spot machines are kept free for tasks that may not run on those.
         if job.spec.spot and not machine.spot:
-            score += boot_s * _SPOT_TASK_ON_REGULAR_WEIGHT
+            score += boot_s * _NON_SPOT_MACHINE_WEIGHT
         return score
 
     @staticmethod
     def machines_with_job_specific_score(job: Job) -> set[str]:
-        """Return the names of machines whose score for this job differs from that of equivalent jobs."""
+        """Return the names of machines whose score for this job differs from the shared score."""
         if job.is_service and job.spec.tasks > 1:
             return job.avoided_machines | {attempt.machine.name for attempt in job.active.values()}
         return job.avoided_machines
 
     @staticmethod
     def _job_score(job: Job, machine: Machine) -> float:
-        """Return the part of a score that applies to this job but not to equivalent ones."""
+        """Return the part of a score that applies to this job alone."""
         boot_s = machine.machine_type.boot_s
         score = boot_s if machine.name in job.avoided_machines else 0.0
-        # Colocated replicas are lost together.
+        # The loss of a machine stops all replicas on it, so they are spread.
         if job.is_service and job.spec.tasks > 1:
             score += (
                 boot_s
@@ -212,15 +213,15 @@
         return score
 
     def score_if_fits(self, job: Job, machine: Machine, reserved: dict[str, Resources]) -> float | None:
-        """Return the full score of a machine for the job; None if no task fits beside the reservations."""
+        """Return the full score of a machine for the job; None if no task fits in unreserved resources."""
         score = self._shared_score_if_fits(job, machine, reserved)
         return None if score is None else score + self._job_score(job, machine)
 
     def _shared_score_if_fits(
         self, job: Job, machine: Machine, reserved: dict[str, Resources]
     ) -> float | None:
-        """Return the score that equivalent jobs share; None if no task fits beside the reservations."""
-        # Most machines are full, and are excluded by three comparisons each.
+        """Return the shared part of a score; None if no task fits in unreserved resources."""
+        # Most machines are full, and excluded here by at most three comparisons each.
         free, need = machine.free, job.task_resources
         if not fits(need, free) or not may_use(job, machine):
             return None
@@ -228,7 +229,7 @@
         return self._shared_score(job, machine, free) if fits(need, free) else None
 
     def ranking(self, job: Job, view: FreeCapacityView) -> Ranking:
-        """Return the machines on which a task of the job or of an equivalent one fits, best first."""
+        """Return the machines on which a task of the job fits, best shared score first."""
         return self._rankings.ranking(
             view, job, lambda machine: self._shared_score_if_fits(job, machine, view.reserved)
         )
@@ -238,8 +239,8 @@
     ) -> PreemptionOption | None:
         """Return the option to preempt on a machine for a task of the job, or None.
 
-        If the team is at its limit, its own lower-priority work must free the ``excess``. One command carries
-        the stops and the start to the worker, so the limit holds throughout.
+        ``excess`` is set if the team is at its limit: then the victims are the team's own and must cover it.
+        The worker receives the stops and the start together, so the limit holds throughout.
         """
         candidates = self._preemptible_by_machine(job).get(machine.name)
         if candidates is None or not may_use(job, machine):
@@ -265,7 +266,10 @@
         return found
 
     def preemptible_on(self, job: Job, machine: Machine) -> list[Attempt]:
-        """Return preemptible attempts on a machine, in victim order; none if this cycle preempted there."""
+        """Return the attempts on a machine that the job may preempt, in the order in which to stop them.
+
+        Attempts of gangs are left out, and all if this cycle has preempted on the machine already.
+        """
         if machine.name in self._freed_by_preemption or not may_use(job, machine):
             return []
         found = [
@@ -277,14 +281,15 @@
         return found
 
     def _victim_order(self, attempt: Attempt) -> tuple[int, float, float]:
+        """Return the sort key of victims: lowest priority, then least cost, then latest start first."""
         return -attempt.job.priority, self._preemption_cost_s(attempt), -attempt.sent_at
 
     def preemption_cost_s(self, attempt: Attempt) -> float:
-        """Return the seconds of work, or of waiting, that are lost if an attempt is preempted."""
+        """Return the cost in seconds of preempting an attempt."""
         return self._preemption_cost_s(attempt)
 
     def _preemptible_by_machine(self, job: Job) -> dict[str, list[Attempt]]:
-        """Return by machine name what the job may preempt; it only shrinks during a cycle."""
+        """Return the attempts that the job may preempt by machine name; cached, as a cycle adds none."""
         key = (job.spec.team, job.priority, job.within_guarantee)
         found = self._preemptible_cache.get(key)
         if found is None:
@@ -301,10 +306,10 @@
     def _cached_victims(
         self, job: Job, machine: Machine, candidates: list[Attempt], excess: QuotaExcess | None
     ) -> list[Attempt] | None:
-        """Return the victims on a machine; equivalent jobs share them until the machine's version changes.
+        """Return the victims on a machine; without ``excess`` they are cached for a version of the machine.
 
-        Choosing them again on every machine for each task of each waiting job made a cycle take seconds
-        after a burst of jobs with 650 machines.
+        Choosing them again on every machine for each pending task made a cycle take seconds after a burst of
+        jobs on a fleet of 650 machines.
         """
         if excess is not None:
             return self._choose_victims(job, machine, candidates, excess)
@@ -318,12 +323,15 @@
     def _choose_victims(
         self, job: Job, machine: Machine, candidates: list[Attempt], excess: QuotaExcess | None
     ) -> list[Attempt] | None:
-        """Return the attempts to stop, in victim order; None if preemption is insufficient or not needed."""
+        """Return the attempts to stop, in order; None if preemption is insufficient or not needed.
+
+        Empty if the task fits in what earlier preemptions of this cycle free.
+        """
         free = machine.free
         if excess is None and fits(job.task_resources, free):
             return None
-        # What earlier preemptions of this cycle free counts as free; otherwise each further start on the
-        # machine would stop more victims than it needs.
+        # Add what earlier preemptions of this cycle free; otherwise each further start on the machine would
+        # stop more victims than it needs.
         free = add_scaled(free, self._freed_by_preemption.get(machine.name, NO_RESOURCES))
         if excess is None and fits(job.task_resources, free):
             return []
@@ -354,7 +362,9 @@
     @staticmethod
     def _may_preempt(job: Job, other: Job) -> bool:
         if other.spec.team == job.spec.team or other.within_guarantee == job.within_guarantee:
+            # The larger number is the lower priority.
             return other.priority > job.priority
-        # Between teams the guarantee precedes priority, in both directions. Otherwise two jobs could preempt
-        # each other forever: one by its priority, the other by its guarantee.
+        # Between teams the job within its guarantee may preempt the other one, whatever their priorities, and
+        # never the reverse. Otherwise two jobs could preempt each other forever: one by its priority, the
+        # other by its guarantee.
         return job.within_guarantee
