--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -77,7 +77,7 @@
             and job.plan_durable
             # Tasks that an earlier leader started may still run on a machine that is not reconciled yet;
             # they would be started a second time.
-            and (job.never_started or all_machines_reconciled)
+            and (job.not_started_by_earlier_leaders or all_machines_reconciled)
         ]
         self._order.sort(jobs, now)
         return jobs
@@ -94,7 +94,9 @@
             return None
         is_suspect = self._reconciler.failures.is_suspect
         reliable_machines = [
-            machine for machine in machines if machine.unreliable_until <= now and not is_suspect(machine)
+            machine
+            for machine in machines
+            if machine.connection_unreliable_until <= now and not is_suspect(machine)
         ]
         unaccounted = ctx.fleet.unaccounted_resources(self._reconciler.lease_expiry.unreconciled)
         cycle = CycleState(machines, reliable_machines, unaccounted)
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -281,8 +281,8 @@
         return found
 
     def _victim_order(self, attempt: Attempt) -> tuple[int, float, float]:
-        """Return the sort key of victims: lowest priority, then least cost, then latest start first."""
-        return -attempt.job.priority, self._preemption_cost_s(attempt), -attempt.sent_at
+        """Return the sort key of victims: lowest priority, then least cost, then newest first."""
+        return -attempt.job.priority, self._preemption_cost_s(attempt), -attempt.created_at
 
     def preemption_cost_s(self, attempt: Attempt) -> float:
         """Return the cost in seconds of preempting an attempt."""
@@ -298,7 +298,7 @@
                 if not self._may_preempt(job, other):
                     continue
                 for attempt in other.active.values():
-                    if attempt.stopping_at is None and attempt.status in STOPPABLE:
+                    if attempt.stop_requested_at is None and attempt.status in STOPPABLE:
                         found.setdefault(attempt.machine.name, []).append(attempt)
             self._preemptible_cache[key] = found
         return found
@@ -338,7 +338,8 @@
         stoppable = [
             attempt
             for attempt in candidates
-            if attempt.stopping_at is None and (excess is None or attempt.job.spec.team == job.spec.team)
+            if attempt.stop_requested_at is None
+            and (excess is None or attempt.job.spec.team == job.spec.team)
         ]
         max_free = free
         for attempt in stoppable:
