--- a/src/poppyhold/scheduling/cycle_state.py
+++ b/src/poppyhold/scheduling/cycle_state.py
@@ -60,8 +60,8 @@
 class CycleState:
     """Machines, reservations and results of one cycle. Free capacity only shrinks during a cycle.
 
-    So once no machine is found for a task, equivalent tasks are not searched for again. Searching a full
-    fleet of 200 machines for every waiting task at every event delayed heartbeat responses until leases
+    So once no machine is found for a task, none is searched for tasks with an equal key. Searching a full
+    fleet of 200 machines for every pending task at every event delayed heartbeat responses until leases
     expired.
     """
 
--- a/src/poppyhold/scheduling/free_capacity.py
+++ b/src/poppyhold/scheduling/free_capacity.py
@@ -1,8 +1,8 @@
-"""Machines with free capacity, ranked for each kind of job; rankings are kept between scheduling cycles.
+"""Machines with free capacity, ranked by their scores for jobs; rankings are kept between scheduling cycles.
 
-Equivalent jobs share a ranking, and only machines whose free capacity has changed are scored again. Scoring
-every machine for each waiting job took 30 ms a job with 4,000 machines that had free capacity, so that a
-cycle reached ten jobs and the fleet started nine tasks a second.
+Jobs with equal ranking keys share a ranking, and only machines whose free capacity has changed are scored
+again. Scoring every machine for each waiting job took 30 ms a job with 4,000 machines that had free capacity,
+so that a cycle reached ten jobs and the fleet started nine tasks a second.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from poppyhold.model.entities import Job, Machine
 from poppyhold.model.resources import Resources
 
-# Maximum number of cached rankings; each has an entry for every machine on which its kind of job fits.
+# Maximum number of cached rankings; each has an entry for every machine on which a task fits.
 _MAX_RANKINGS = 32
 # Maximum length of the change log, in entries per machine.
 _LOG_ENTRIES_PER_MACHINE = 4
 
-# Returns the score of a machine for a kind of job, lower is better; None if no task fits.
+# Returns the score of a machine for jobs with one ranking key, lower is better; None if no task fits.
 ScoreFunction = Callable[[Machine], float | None]
 
 
@@ -88,7 +88,7 @@
 
 
 class Ranking:
-    """The machines of a view on which a task of one kind of job fits, ordered by score."""
+    """The machines of a view on which a task of jobs with one ranking key fits, ordered by score."""
 
     def __init__(self, view: FreeCapacityView, score: ScoreFunction) -> None:
         self._view, self._score = view, score
@@ -159,7 +159,7 @@
         self._rankings.clear()
 
     def ranking(self, view: FreeCapacityView, job: Job, score: ScoreFunction) -> Ranking:
-        """Return the up-to-date ranking for the job and its equivalents."""
+        """Return the up-to-date ranking for jobs with the ranking key of this one."""
         spec = job.spec
         machine_types = None if spec.machine_types is None else tuple(spec.machine_types)
         key = _RankingKey(
--- a/src/poppyhold/scheduling/gang_placement.py
+++ b/src/poppyhold/scheduling/gang_placement.py
@@ -29,7 +29,7 @@
 
 
 class GangCandidate(msgspec.Struct, frozen=True):
-    """A machine for every task, in the order of the starts, with what decides the preference."""
+    """Machines for all tasks, in the order of the starts, and whether accelerators may become unusable."""
 
     strands_accelerators: bool
     machines: list[Machine]
@@ -56,7 +56,7 @@
     machine: Machine
     count: int
     victims: list[Attempt]
-    # Seconds lost by stopping the victims, per started task.
+    # Cost of preempting the victims in seconds, per started task.
     cost_s: float
 
 
@@ -77,7 +77,7 @@
         self._per_accelerator: Resources | None = None
 
     def begin_cycle(self, jobs: Iterable[Job]) -> None:
-        """Begin a scheduling cycle; these jobs decide how much is kept free beside accelerators."""
+        """Begin a scheduling cycle; these jobs decide how much is kept free per free accelerator."""
         self._jobs, self._per_accelerator = jobs, None
 
     def choose(
@@ -171,7 +171,7 @@
     def _choose_among(
         self, job: Job, machines: list[Machine], reserved: dict[str, Resources]
     ) -> GangCandidate | None:
-        # CPUs and memory beside free accelerators are used last: accelerators are unusable without them.
+        # CPUs and memory that free accelerators need are used last: accelerators are unusable without them.
         for keeps_accelerators_usable in (True, False) if job.task_resources[ACCELERATORS] <= 0 else (False,):
             chosen = self._fill(job, self._options(job, machines, reserved, keeps_accelerators_usable))
             if chosen is not None:
@@ -227,7 +227,11 @@
         return min(options, key=lambda option: self._option_key(job, option, remaining))
 
     def _option_key(self, job: Job, option: GangOption, remaining: int) -> tuple[object, ...]:
-        """Return the sort key of an option: first those that fit all remaining tasks, then the most."""
+        """Return the sort key of an option; the lowest is preferred.
+
+        Options that meet the same conditions are ordered by the number of tasks that fit (most first, unless
+        all fit), the image wait and, if all fit, by least spare capacity.
+        """
         count, machine = option
         wait_s = image_wait_s(machine, job)
         fits_all = count >= remaining
--- a/src/poppyhold/scheduling/gang_scheduler.py
+++ b/src/poppyhold/scheduling/gang_scheduler.py
@@ -30,7 +30,7 @@
         self._placement, self._order, self._starter = placement, order, starter
 
     def start_gang(self, cycle: CycleState, job: Job, reserved: dict[str, Resources]) -> None:
-        """Start all pending tasks of a gang if they fit beside the reservations."""
+        """Start all pending tasks of a gang if they fit in unreserved resources or by preemption."""
         if not self._gangs.may_start(job):
             return
         within_limit = self._within_limit(cycle, job)
--- a/src/poppyhold/scheduling/job_order.py
+++ b/src/poppyhold/scheduling/job_order.py
@@ -1,4 +1,4 @@
-"""The order in which a scheduling cycle visits waiting jobs."""
+"""The order in which a scheduling cycle visits jobs with pending tasks."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from poppyhold.model.entities import Job
 from poppyhold.scheduling.estimates import RunTimeEstimates
 
-# Leases after submission from which a job that has not started is starved, and precedes more valuable ones.
+# Leases after submission from which a job that has not started is starved, and goes first among jobs of equal
+# priority and guarantee.
 # With twice as many, large arrays on an overloaded small fleet started four minutes or more after submission.
 _STARVATION_THRESHOLD_LEASES = 6
 
@@ -40,7 +41,7 @@
         self._estimates = estimates
 
     def sort(self, jobs: list[Job], now: float) -> None:
-        """Sort waiting jobs in place, the most urgent first."""
+        """Sort jobs in place, the most urgent first."""
         jobs.sort(key=lambda job: self._key(job, now))
 
     def is_starved(self, job: Job, now: float) -> bool:
@@ -54,9 +55,9 @@
     def _key(self, job: Job, now: float) -> _OrderKey:
         """Return the sort key: starved jobs first, then jobs that can still meet their deadline.
 
-        A job that can't meet it has lost its value already, so waiting costs it nothing more. Within a class
-        the least remaining work goes first: under overload that completes the most jobs in time, whereas
-        earliest deadline first makes all of them late.
+        A job that can't meet its deadline misses it whether it waits or not. Within a class the least
+        remaining work goes first: under overload that completes the most jobs in time, whereas earliest
+        deadline first makes all of them late.
         """
         if job.is_service:
             return self._key_with(job, _Urgency.MEETS_DEADLINE, 0.0)
--- a/src/poppyhold/scheduling/ledger.py
+++ b/src/poppyhold/scheduling/ledger.py
@@ -1,4 +1,4 @@
-"""Booked resources g[h][r](t) per machine h, resource r and future slot t."""
+"""Booked resources g[h][r](t) per machine h, resource r and slot t from the current one on (OASiS)."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from poppyhold.model.resources import NO_RESOURCES, Resources, add_scaled
 
-# Stands for every slot: a booking of services, or a slot that has no bookings of its own.
+# Key of bookings in every slot (services), and of cached prices of slots that have no other bookings.
 EVERY_SLOT = -1
 
 # Amounts below this are rounding errors left by released bookings.
@@ -66,7 +66,7 @@
     def free_and_prices(
         self, slot: int, unit_prices: Callable[[Resources, Resources], Resources]
     ) -> FreeAndPrices:
-        """Return free resources and prices in a slot, or (``EVERY_SLOT``) in slots with no own bookings.
+        """Return free resources and prices in a slot, or (``EVERY_SLOT``) in slots with no other bookings.
 
         They are cached until the next booking, since every plan reads every slot of every machine.
         """
@@ -113,7 +113,7 @@
 
 
 class Ledger:
-    """The bookings of all machines that are available to plans."""
+    """The bookings of all machines on which jobs can be planned."""
 
     def __init__(self, horizon_slots: int) -> None:
         self.horizon_slots = horizon_slots
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -76,7 +76,7 @@
 
 
 def zone_allows(job: Job, zone: str) -> bool:
-    """Return whether the job's zone constraints allow one more task in the zone beside its active ones."""
+    """Return whether the job's zone constraints, given its active tasks, allow one more in the zone."""
     if job.spec.one_zone and any(
         count > 0 and occupied != zone for occupied, count in job.active_by_zone.items()
     ):
--- a/src/poppyhold/scheduling/planner.py
+++ b/src/poppyhold/scheduling/planner.py
@@ -27,7 +27,7 @@
     starts: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
 
     def tasks_by_zone(self, ledger: Ledger) -> dict[int, dict[str, int]]:
-        """Return task counts by slot and zone, the durable part of a plan."""
+        """Return task counts by slot and zone, as plan records hold them."""
         result: dict[int, dict[str, int]] = {}
         for slot, machines in self.starts.items():
             counts = result.setdefault(slot, {})
--- a/src/poppyhold/scheduling/preemption_cost.py
+++ b/src/poppyhold/scheduling/preemption_cost.py
@@ -8,7 +8,10 @@
 
 
 class PreemptionCost:
-    """Computes the seconds of work, and of waiting for a replacement, that a preemption loses."""
+    """Computes the cost of a preemption in seconds.
+
+    It is the lost work, plus a boot time for replicas, gangs and tasks that would miss their deadline.
+    """
 
     def __init__(self, ctx: Context, estimates: RunTimeEstimates) -> None:
         self._ctx, self._estimates = ctx, estimates
@@ -27,8 +30,8 @@
         ran_s = now - victim.running_at
         lost_s = ran_s % job.spec.checkpoint_s if job.spec.checkpoint_s > 0 else ran_s
         if job.due_at is not None:
-            # A task that would miss its deadline because of the preemption is preempted last. One that misses
-            # it anyway loses nothing more.
+            # A task that would miss its deadline because of the preemption costs more than the lost work; one
+            # that misses it anyway does not.
             remaining_s = max(
                 0.0, self._estimates.estimate_s(job) - job.saved_work_s.get(victim.index, 0.0) - ran_s
             )
--- a/src/poppyhold/scheduling/quotas.py
+++ b/src/poppyhold/scheduling/quotas.py
@@ -139,8 +139,8 @@
     def mark_guaranteed(self, jobs: Iterable[Job]) -> None:
         """Mark the jobs within their team's guarantee, in order of priority, submission time and id.
 
-        Once a job of a team does not fit, no later one is marked. So within a team no job is guaranteed while
-        one of higher priority is not, and preemption has no cycles.
+        Once the jobs of a team exceed its guarantee, no later one is marked. So within a team no job is
+        guaranteed while one of higher priority is not, and preemption has no cycles.
         """
         sums: dict[str, list[float]] = {}
         full: set[str] = set()
--- a/src/poppyhold/scheduling/relocation.py
+++ b/src/poppyhold/scheduling/relocation.py
@@ -33,7 +33,7 @@
 
 
 class Move(msgspec.Struct, eq=False):
-    """The move of a replica to a target machine, on which capacity is reserved for it, with its cost."""
+    """The move of a replica to a target machine, with its cost in seconds times the priority's weight."""
 
     attempt: Attempt
     target: Machine
@@ -67,6 +67,7 @@
         # Times of the moves within the last lease.
         self._moved_at: deque[float] = deque()
         self._remaining_searches = 0
+        # Image, resources and priority of this cycle's searches that found no moves cheaper than the wait.
         self._infeasible: set[tuple[str, Resources, int]] = set()
 
     def begin_cycle(self, reserved: dict[str, Resources]) -> None:
@@ -165,7 +166,10 @@
         return []
 
     def _may_move(self, job: Job, attempt: Attempt) -> bool:
-        """Return whether a replica may move for the job; a run that is stopped early is of no use."""
+        """Return whether a replica may move for the job.
+
+        It must have run for a while, since a run that is stopped early is of no use.
+        """
         replica_job = attempt.job
         return (
             replica_job.is_service
--- a/src/poppyhold/scheduling/search.py
+++ b/src/poppyhold/scheduling/search.py
@@ -37,9 +37,9 @@
         self._preemptions: list[PreemptionOption] | None = None
 
     def best(self) -> PlacementChoice | None:
-        """Return the best machine on which a task fits beside the reservations, if any."""
+        """Return the best machine on which a task fits in unreserved resources, if any."""
         open_zones = self._open_zones()
-        # Machines whose score differs from that for equivalent jobs are excluded from the shared ranking.
+        # Machines whose score or reservation differs for this job are excluded from the shared ranking.
         specific_score_machines = self._placement.machines_with_job_specific_score(self._job) | self._booked
         if self._ranking is None:
             self._ranking = self._placement.ranking(self._job, self._view)
--- a/src/poppyhold/scheduling/task_scheduler.py
+++ b/src/poppyhold/scheduling/task_scheduler.py
@@ -43,7 +43,7 @@
         reserved: dict[str, Resources],
         has_own_booking: bool = False,
     ) -> None:
-        """Start up to ``max_tasks`` tasks beside the reservations.
+        """Start up to ``max_tasks`` tasks in unreserved resources.
 
         ``has_own_booking``: ``reserved`` omits the job's own bookings; otherwise it is the same for all jobs.
         """
@@ -57,7 +57,8 @@
                 return
             in_use = cycle.in_use(self._ctx.fleet.used_by_team.get(team))
             at_limit = not self._quotas.allows(team, in_use, job.task_resources)
-            # The job's own booked capacity is free to no equivalent job; at the limit it doesn't matter.
+            # Only this job may use the capacity that it booked, so a result with it is not shared with jobs
+            # of equal keys; at the limit bookings are ignored.
             result_is_shared = at_limit or not has_own_booking
             key = cycle.scheduling_key(job, at_limit, bool(reserved) and not at_limit)
             if result_is_shared and key in cycle.infeasible:
