--- a/src/poppyhold/execution/lease_expiry.py
+++ b/src/poppyhold/execution/lease_expiry.py
@@ -1,4 +1,4 @@
-"""Proofs that machines hold no tasks: their last lease has expired, or they are deleted."""
+"""Removal of the attempts on machines whose last lease has expired, or that are deleted."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class LeaseExpiry:
-    """Terminates the attempts of machines whose leases have expired, and tracks the unreconciled machines."""
+    """Removes the attempts on machines whose leases have expired, and tracks the unreconciled machines."""
 
     def __init__(self, ctx: Context, lifecycle: AttemptLifecycle) -> None:
         self._ctx, self._lifecycle = ctx, lifecycle
         self.term_began_at = ctx.clock()
-        # Machines that may hold tasks of earlier terms, and are neither reconciled in this one nor proven
-        # empty.
+        # Names of machines that may run tasks of earlier terms: they are not reconciled in this term, and
+        # their leases may not have expired.
         self.unreconciled: set[str] = set()
         self._all_reconciled_logged = False
 
     def all_reconciled(self) -> bool:
-        """Whether every machine that may hold tasks of earlier terms is reconciled or proven empty."""
+        """Whether no unreconciled machine may run tasks of earlier terms."""
         if self.unreconciled:
             return False
         if not self._all_reconciled_logged:
@@ -32,15 +32,15 @@
         return True
 
     def expire_leases(self, machine: Machine, now: float) -> None:
-        """Terminate the attempts of a silent worker if its lease has expired, whoever renewed it last."""
+        """Remove the attempts on a silent worker if its lease has expired, whoever renewed it last."""
         durations = self._ctx.durations
         if machine.reconciled:
-            # The worker has adopted the term's fencing token, so only this leader and its delegates could
-            # renew its lease, as long as no other controller led.
-            renewed_at = max(machine.last_answered_at, self._ctx.outbound.delegated_leases_expire_at())
+            # The worker has the term's fencing token, so only this leader and its delegates could renew its
+            # lease, as long as no other controller led.
+            renewed_at = max(machine.last_answered_at, self._ctx.outbound.latest_delegated_renewal_at())
             bound = renewed_at + durations.lease_expired_s
         else:
-            # Earlier leaders may have renewed its lease: the bound assumes the latest moment they could.
+            # Earlier leaders may have renewed its lease: the bound assumes that they did as late as possible.
             bound = max(
                 self.term_began_at + durations.predecessors_expired_s,
                 machine.last_answered_at + durations.lease_expired_s,
@@ -54,7 +54,7 @@
         self.unreconciled.discard(machine.name)
 
     def machine_deleted(self, machine: Machine) -> None:
-        """Remove a machine that the cloud has deleted, and terminate its attempts."""
+        """Remove a machine that the cloud has deleted, and its attempts."""
         now = self._ctx.clock()
         for attempt in list(machine.attempts.values()):
             self._lifecycle.mark_terminated(attempt)
--- a/src/poppyhold/model/outbound.py
+++ b/src/poppyhold/model/outbound.py
@@ -16,19 +16,19 @@
 class CommitPriority(IntEnum):
     """Order of the leader's commits; those of one priority are first in, first out."""
 
-    # What starts the longest waits or blocks everything else: launches, fencing tokens, machine records.
+    # Commits that begin the longest waits or block all else: launches, fencing tokens, machine records.
     HIGHEST = 0
-    # Plans of urgent jobs. Many short jobs need more changes than the state service accepts; without this
-    # priority the plans of critical replicas waited for a minute behind theirs.
+    # Plans of urgent jobs. Many short jobs can need more commits than the state service accepts; without this
+    # priority the plans of critical services wait for a minute behind theirs.
     URGENT = 1
-    # What else users wait for: plans and final states of jobs; those of teams without a guarantee come later.
+    # Plans and final states of other jobs; those of teams without a guarantee have the next priority.
     NORMAL = 2
     UNGUARANTEED = 3
     BACKGROUND = 4
 
 
 class MisdirectedWorker(NamedTuple):
-    """A worker whose heartbeat reached a controller that is not the leader, and which heartbeat it was."""
+    """A worker whose heartbeat reached a controller that does not lead, and the heartbeat's numbers."""
 
     machine: str
     incarnation: int
@@ -65,14 +65,14 @@
     ) -> None:
         """POST commands to a worker, once.
 
-        Requests of the slow lane don't delay the others.
+        Requests with ``slow_lane`` are queued apart, so that they don't delay the others.
         """
 
     def launch_machines(self, body: Data, on_response: Callable[[RequestOutcome, list[str]], None]) -> None:
         """Ask the cloud for machines, once; ``on_response`` gets their names."""
 
     def delete_machines(self, names: list[str], on_deleted: Callable[[bool], None]) -> None:
-        """Ask the cloud to delete machines, once; ``on_deleted`` gets whether it has."""
+        """Ask the cloud to delete machines, once; ``on_deleted`` gets whether they are deleted."""
 
     def leadership_lost(self, fencing_token: int) -> None:
         """Record that a higher fencing token than this leader's was seen."""
@@ -95,5 +95,5 @@
     def leadership_confirmed_at(self) -> float:
         """Return the last time at which no other controller can have led."""
 
-    def delegated_leases_expire_at(self) -> float:
-        """Return the time after which no delegate renewed a worker's lease for this leader."""
+    def latest_delegated_renewal_at(self) -> float:
+        """Return the latest time at which a delegate may have renewed a worker's lease for this leader."""
--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -126,6 +126,6 @@
         """See `OutboundPort`."""
         return self._election.confirmed_at if self._loop.alive else float("-inf")
 
-    def delegated_leases_expire_at(self) -> float:
+    def latest_delegated_renewal_at(self) -> float:
         """See `OutboundPort`."""
         return self._delegations.latest_renewal_at(time.monotonic())
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -350,7 +350,7 @@
     def leadership_confirmed_at(self) -> float:
         return self.confirmed if self.alive else float("-inf")
 
-    def delegated_leases_expire_at(self) -> float:
+    def latest_delegated_renewal_at(self) -> float:
         return self.delegations.latest_renewal_at(self.world.now)
 
     def delegation(self) -> LeaseDelegation | None:
--- a/tests/test_reconciliation_proofs.py
+++ b/tests/test_reconciliation_proofs.py
@@ -260,11 +260,11 @@
     harness: ReconciliationHarness,
     now: float,
     confirmed_at: float,
-    delegated_leases_expire_at: float = float("-inf"),
+    latest_delegated_renewal_at: float = float("-inf"),
 ) -> bool:
     """Whether the machine's attempts are ended."""
     harness.term.leadership_confirmed_at = lambda: confirmed_at  # type: ignore[method-assign]
-    harness.term.delegated_leases_expire_at = lambda: delegated_leases_expire_at  # type: ignore[method-assign]
+    harness.term.latest_delegated_renewal_at = lambda: latest_delegated_renewal_at  # type: ignore[method-assign]
     harness.reconciler.lease_expiry.expire_leases(harness.machine, now)
     return not harness.machine.attempts
 
@@ -278,9 +278,9 @@
     assert not expire(harness, 1000.0 + over_s, 2000.0)
     # Somebody else may have led since we were confirmed last.
     assert not expire(harness, 1001.0 + over_s, 1000.0 + over_s)
-    assert not expire(harness, 1001.0 + over_s, 2000.0, delegated_leases_expire_at=1005.0)
+    assert not expire(harness, 1001.0 + over_s, 2000.0, latest_delegated_renewal_at=1005.0)
     assert harness.reconciler.lease_expiry.unreconciled
-    assert expire(harness, 1006.0 + over_s, 2000.0, delegated_leases_expire_at=1005.0)
+    assert expire(harness, 1006.0 + over_s, 2000.0, latest_delegated_renewal_at=1005.0)
     assert not harness.reconciler.lease_expiry.unreconciled
 
 
@@ -289,7 +289,7 @@
 ) -> None:
     harness.machine.last_answered_at = 1000.0
     assert not expire(
-        harness, 999.0 + harness.ctx.durations.lease_expired_s, 2000.0, delegated_leases_expire_at=990.0
+        harness, 999.0 + harness.ctx.durations.lease_expired_s, 2000.0, latest_delegated_renewal_at=990.0
     )
 
 
