--- a/src/poppyhold/execution/attempt_lifecycle.py
+++ b/src/poppyhold/execution/attempt_lifecycle.py
@@ -17,7 +17,7 @@
 
 
 class AttemptLifecycle:
-    """Starts, stops and removes attempts, and notifies their gangs."""
+    """Starts, stops and removes attempts, and notifies their gang attempts."""
 
     def __init__(
         self,
@@ -69,11 +69,11 @@
         return attempt
 
     def stop(self, attempt: Attempt, grace_s: float, now: float, direct: bool = True) -> None:
-        """Stop an attempt; the command is repeated until the attempt is proven terminated.
+        """Stop an attempt; heartbeat responses repeat the command until the attempt is proven terminated.
 
         Args:
             attempt: The attempt.
-            grace_s: Time in seconds that its task has to save.
+            grace_s: Seconds that its task has to save; an earlier, shorter grace period stays.
             now: The current time.
             direct: Whether to also send the command directly; heartbeat responses carry it in any case.
 
@@ -100,7 +100,7 @@
         if attempt.status != TaskState.SENT:
             return
         if outcome in (RequestOutcome.REJECTED, RequestOutcome.NOT_SENT):
-            # The start was not executed, and can't be later.
+            # The start was not executed, and won't be.
             self.mark_terminated(attempt)
         elif outcome == RequestOutcome.UNKNOWN:
             attempt.void_at_fencing_token = self._ctx.fencing_token + 1
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -1,4 +1,4 @@
-"""Commands that are sent to workers directly, and the fencing token that invalidates lost ones."""
+"""Direct requests to workers, and the fencing token that voids those whose outcome is unknown."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class DirectCommands:
-    """Sends requests to workers, one at a time for each machine; later commands wait for the next."""
+    """Sends requests to workers, one at a time for each machine; commands queued meanwhile go in the next."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
 
         Args:
             ctx: The context that the parts of the core share.
-            on_start_discarded: Called with an attempt whose queued start is not to be sent any more.
+            on_start_discarded: Called with an attempt that is to be stopped and whose start was not sent.
             on_response: Called with the outcome of each request.
 
         """
@@ -67,7 +67,7 @@
             self._send(machine, commands)
 
     def request_heartbeat(self, machine: Machine, now: float) -> None:
-        """Probe a worker without the term's fencing token, unless the fleet is large and the term new.
+        """Probe a worker that lacks the term's fencing token, unless the fleet is large and the term new.
 
         After a change of leader every worker sends a heartbeat within an interval anyway. Probing each of
         4,000 workers over its own connection delayed the handling of those heartbeats until leases expired.
@@ -111,18 +111,18 @@
 
     def _send(self, machine: Machine, commands: list[Command]) -> None:
         ctx = self._ctx
-        # A queued start may be obsolete: its incarnation ended and the task runs elsewhere, or it is to be
-        # stopped. An attempt whose start was never sent is terminated.
+        # A queued start may be obsolete: its incarnation ended and the task runs elsewhere, or its attempt is
+        # to be stopped.
         commands = [
             command
             for command in commands
-            if command.kind is not CommandKind.START or self._is_still_wanted(machine, command)
+            if command.kind is not CommandKind.START or self._should_send_start(machine, command)
         ]
         machine.command_in_flight = True
         starts = [command.task for command in commands if command.kind is CommandKind.START]
         sent = [machine.attempts[name] for name in starts if name in machine.attempts]
-        # An unreconciled worker's incarnation is unknown: a command for another one is answered but not
-        # executed.
+        # An unreconciled worker's incarnation is unknown: if the request names another one, the worker
+        # responds but executes nothing.
         request = DirectCommandsRequest(ctx.fencing_token, machine.incarnation or 1, commands)
         silent = ctx.clock() - machine.last_heartbeat_at > ctx.durations.silent_s
 
@@ -133,8 +133,8 @@
             machine.name, machine.endpoint, request.body(), on_response, silent and bool(machine.reconciled)
         )
 
-    def _is_still_wanted(self, machine: Machine, command: Command) -> bool:
-        """Whether to send a queued start; an attempt that is to be stopped is terminated instead."""
+    def _should_send_start(self, machine: Machine, command: Command) -> bool:
+        """Whether to send a queued start; if its attempt is to be stopped, the attempt is removed instead."""
         attempt = machine.attempts.get(command.task)
         if attempt is None or attempt.number != command.attempt:
             return False
@@ -144,18 +144,18 @@
         return True
 
     def discard(self, machine: Machine) -> None:
-        """Drop the queued commands for a machine that is deleted."""
+        """Drop the queued commands of a deleted machine."""
         self._outbox.pop(machine.name, None)
 
     def raise_fencing_token(self) -> None:
-        """Raise the fencing token if it is unknown whether a start was executed.
+        """Raise the fencing token if it is unknown whether some start was executed.
 
         A worker that has seen the new token rejects commands with the old one.
         """
         ctx = self._ctx
         if self._fencing_token_write_in_flight:
             return
-        wanted = max(
+        required_fencing_token = max(
             (
                 attempt.void_at_fencing_token or 0
                 for machine in ctx.fleet.machines.values()
@@ -163,7 +163,7 @@
             ),
             default=0,
         )
-        if wanted <= ctx.fencing_token:
+        if required_fencing_token <= ctx.fencing_token:
             return
         self._fencing_token_write_in_flight = True
         fencing_token = ctx.fencing_token + 1
--- a/src/poppyhold/execution/failures.py
+++ b/src/poppyhold/execution/failures.py
@@ -1,8 +1,8 @@
-"""Failed tasks: whether the job is at fault, which fails on every machine, or the machine.
+"""Failed tasks, and whether the job or the machine is at fault.
 
-A job at fault is retried with growing backoff, one task at a time, until its user cancels it. A machine at
-fault is deleted. Success tells them apart: a task that completed, or that has run for much longer elsewhere
-than the failed ones ran, shows that its job is healthy, and a completed one also that its machine is.
+A job at fault is retried with exponential backoff, one task at a time, until its user cancels it. A machine
+at fault is deleted. A completed task shows that its job and its machine are healthy; a task that has run for
+much longer on another machine than the failed ones ran shows that its job is.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
             # Tasks that were started together count once: backoff doesn't depend on the width of the array.
             record.failure_rounds += 1
         record.last_failed_at = now
-        # A healthy job's backoff is not doubled: its task only has to avoid the machine.
+        # The backoff of a job with a completed task is not doubled: its task only has to avoid the machine.
         doublings = 0 if job.done else min(record.failure_rounds, _MAX_BACKOFF_DOUBLINGS)
         job.retry_at = now + min(
             self._durations.heartbeat_interval_s * 2**doublings, self._durations.cancel_s
@@ -77,7 +77,7 @@
         return not job.done and len(job.failures.failed_machines) > _MAX_FAILED_MACHINES
 
     def load(self, job: Job) -> None:
-        """Adopt an earlier leader's finding that a job is at fault."""
+        """Track a job that an earlier leader found to be at fault."""
         if job.failures.at_fault:
             job.failures.failure_rounds = _MAX_BACKOFF_DOUBLINGS
             self._suspected[job.id] = job
@@ -111,7 +111,7 @@
         )
 
     def _mark_healthy(self, job: Job) -> None:
-        """Clear a job's failures, but not how long its tasks ran: the success may have been chance."""
+        """Clear a job's failures, but not the longest failed run: the success may have been chance."""
         del self._suspected[job.id]
         record = job.failures
         record.last_healthy_at = self._clock()
@@ -135,7 +135,7 @@
         return healthy >= _MIN_HEALTHY_JOBS or healthy + unproven >= _MIN_UNPROVEN_JOBS
 
     def is_suspect(self, machine: Machine) -> bool:
-        """Whether to use a machine last, until it is known whether the machine or the job is at fault."""
+        """Whether recent errors on a machine may be its own fault; placement then uses it last."""
         recent = self._clock() - self._durations.cancel_s
         return any(
             error.machine_may_be_at_fault and error.occurred_at > recent
--- a/src/poppyhold/execution/gangs.py
+++ b/src/poppyhold/execution/gangs.py
@@ -1,7 +1,8 @@
-"""Life cycle of a gang's attempt: the tasks of the job run all at the same time, or none does.
+"""Life cycle of gang attempts: the tasks of a gang run all at the same time, or none does.
 
-Tasks of a gang find one another by their attempt number. Each state below says what the controller may do;
-the status of a single task is known only from its worker's heartbeats, as for tasks of any other job.
+A gang is a job; a gang attempt is one joint start of its tasks. Their attempts share its number, by which the
+tasks find one another. The states below are the controller's view of a gang attempt; the status of a single
+task is known only from its worker's heartbeats, as for tasks of any other job.
 """
 
 from __future__ import annotations
@@ -20,21 +21,23 @@
 
 
 class GangState(Enum):
-    """The state of a gang's attempt."""
+    """The state of a gang attempt, or that a gang has none."""
 
     # No task is or may be on a machine; the scheduler searches for capacity for all of them.
     WAITING_FOR_CAPACITY = "waiting for capacity"
-    # Tasks were started and none is known to run; one that is proven lost is replaced under the same number.
+    # Tasks were started and none is known to run; one that is proven terminated is started again with the
+    # same attempt number.
     ASSEMBLING = "assembling"
-    # A task is known to run: the gang fails if it loses a task.
+    # A task is known to run: the attempt fails if a task terminates before the job is done.
     RUNNING = "running"
-    # Every task is being stopped, with a grace period to save.
+    # Every task is being stopped, with a grace period (possibly 0) to save.
     STOPPING = "stopping"
-    # The attempt can't complete: every task is stopped; the next attempt waits until all are terminated.
+    # The attempt can't complete: every task is being stopped without grace; no attempt begins until all are
+    # terminated.
     FAILED = "failed"
 
 
-# Exit causes of a task that fail its gang's attempt, whatever the status of the others.
+# If one task exits for one of these causes, its gang attempt fails, whatever the status of the other tasks.
 _FATAL_CAUSES = frozenset(
     {ExitCause.PEER_LOST, ExitCause.GANG_INCOMPLETE, ExitCause.ERROR, ExitCause.UNKNOWN_TASK}
 )
@@ -44,25 +47,25 @@
 
 
 class GangAttempt(msgspec.Struct, eq=False):
-    """An attempt of a gang, from its first start command until every task is proven terminated."""
+    """A gang attempt, from its first start command until every task is proven terminated."""
 
     job: Job
     number: int
     state: GangState = GangState.ASSEMBLING
-    # When a heartbeat first showed a task that waits for the others.
+    # When a heartbeat first showed a task that has its image and waits for the others.
     first_task_ready_at: float | None = None
 
 
 class Gangs:
-    """Tracks the attempts of all gangs."""
+    """Tracks the gang attempts."""
 
     def __init__(self, ctx: Context, stop_task: StopTask) -> None:
-        """Create the gangs of one term; ``stop_task`` stops a single task."""
+        """Create the tracker of one term; ``stop_task`` stops a single task."""
         self._ctx, self._stop_task = ctx, stop_task
         self._gang_attempts: dict[str, GangAttempt] = {}
 
     def state_of(self, job: Job) -> GangState:
-        """The state of a gang's attempt."""
+        """Return the state of a gang's attempt."""
         gang_attempt = self._gang_attempts.get(job.id)
         return GangState.WAITING_FOR_CAPACITY if gang_attempt is None else gang_attempt.state
 
@@ -71,7 +74,7 @@
         return self.state_of(job) in (GangState.WAITING_FOR_CAPACITY, GangState.ASSEMBLING)
 
     def attempt_number(self, job: Job) -> int:
-        """Return the attempt number for a task that is about to start; the first one begins an attempt."""
+        """Return the attempt number for a task that is about to start; begin an attempt if there is none."""
         gang_attempt = self._gang_attempts.get(job.id)
         if gang_attempt is None:
             gang_attempt = self._gang_attempts[job.id] = GangAttempt(job, self._ctx.next_unique_number())
@@ -81,13 +84,14 @@
         return gang_attempt.number
 
     def adopt(self, attempt: Attempt, now: float) -> None:
-        """Adopt a task that an earlier leader started, as a heartbeat showed it."""
+        """Add a task that an earlier leader started and that a heartbeat has shown."""
         job = attempt.job
         gang_attempt = self._gang_attempts.setdefault(job.id, GangAttempt(job, attempt.number))
         if attempt.number != gang_attempt.number:
-            # Not expected, as no attempt begins before the last is proven terminated. Either may lack tasks.
+            # Not expected, as no attempt begins before the previous one is proven terminated. Neither of the
+            # two is known to be complete, so all tasks are stopped.
             log.warning(
-                "gang has tasks of two attempts, failing it: job=%s attempt=%d other_attempt=%d",
+                "task of another gang attempt seen, failing the attempt: job=%s attempt=%d seen_attempt=%d",
                 job.id,
                 gang_attempt.number,
                 attempt.number,
@@ -104,7 +108,8 @@
         if gang_attempt.state is GangState.FAILED:
             self._stop_tasks(gang_attempt, 0.0, now)
         elif attempt.status == TaskState.SAVING and gang_attempt.state is not GangState.STOPPING:
-            # An earlier leader began to stop the gang: stop all tasks, so that its progress is saved.
+            # This leader did not stop the gang, so an earlier one began to: stop all tasks, so that they save
+            # their work.
             self.stop(attempt.job, now)
         elif gang_attempt.state is GangState.STOPPING:
             self._stop_tasks(gang_attempt, self._grace_s(gang_attempt.job), now)
@@ -114,18 +119,18 @@
             gang_attempt.first_task_ready_at = now
 
     def task_exited(self, attempt: Attempt, cause: str | None, now: float) -> None:
-        """Handle a task that ended without completing; it still counts as part of the attempt."""
+        """Handle a task that ended without completing; `task_terminated` follows once it is removed."""
         gang_attempt = self._gang_attempts.get(attempt.job.id)
         if gang_attempt is None or gang_attempt.state in (GangState.STOPPING, GangState.FAILED):
             return
         if cause in _FATAL_CAUSES:
             if cause == ExitCause.GANG_INCOMPLETE:
-                # Workers use the same time-out as `tick`, so either may notice first.
+                # Workers use the same time-out as `tick`, so an exit for this cause may come before it.
                 self._avoid_late_machines(gang_attempt)
             self._fail(gang_attempt, f"{attempt.name} ended: {cause}", now)
 
     def task_terminated(self, attempt: Attempt, now: float) -> None:
-        """Handle a task that is proven terminated and is no longer part of the attempt."""
+        """Handle a task that is proven terminated and has been removed from its job."""
         job = attempt.job
         gang_attempt = self._gang_attempts.get(job.id)
         if gang_attempt is None:
@@ -136,7 +141,7 @@
             self._fail(gang_attempt, f"{attempt.name} terminated", now)
 
     def stop(self, job: Job, now: float, grace_s: float | None = None) -> None:
-        """Stop all tasks in one step, with the time to save unless another grace period is given."""
+        """Stop all tasks at once, with ``grace_s`` to save; `_grace_s` if it is None."""
         gang_attempt = self._gang_attempts.get(job.id)
         if gang_attempt is None or gang_attempt.state is GangState.FAILED:
             return
@@ -152,7 +157,7 @@
             self._fail(gang_attempt, reason, now)
 
     def tick(self, now: float) -> None:
-        """Fail the attempts that waited too long for one of their tasks."""
+        """Fail assembling attempts in which a task has waited for the others longer than ``gang_wait_s``."""
         wait_s = self._ctx.settings.deployment.workers.gang_wait_s
         for gang_attempt in list(self._gang_attempts.values()):
             since = gang_attempt.first_task_ready_at
@@ -167,13 +172,19 @@
                 gang_attempt.job.avoided_machines.add(attempt.machine.name)
 
     def _grace_s(self, job: Job) -> float:
-        """Time for a task to save and to wait for the others, which may get their stop a moment later."""
+        """Return the seconds for a task to save and to wait for the others.
+
+        Those may get their stop up to a heartbeat interval later.
+        """
         workers = self._ctx.settings.deployment.workers
         return job.spec.save_s + workers.gang_peer_s + workers.heartbeat_interval_s
 
     def _fail(self, gang_attempt: GangAttempt, reason: str, now: float) -> None:
         log.debug(
-            "gang failed: job=%s attempt=%d reason=%s", gang_attempt.job.id, gang_attempt.number, reason
+            "gang attempt failed: job=%s attempt=%d reason=%s",
+            gang_attempt.job.id,
+            gang_attempt.number,
+            reason,
         )
         gang_attempt.state = GangState.FAILED
         self._stop_tasks(gang_attempt, 0.0, now)
--- a/src/poppyhold/execution/heartbeat_commands.py
+++ b/src/poppyhold/execution/heartbeat_commands.py
@@ -9,7 +9,7 @@
 
 
 def stop_command(attempt: Attempt, now: float) -> Command:
-    """Return the command that stops an attempt; without grace once its grace period has passed."""
+    """Return the command that stops an attempt, with a grace period of 0 once its own has passed."""
     grace_s = attempt.grace_s
     if attempt.stop_requested_at is not None and now > attempt.stop_requested_at + grace_s:
         grace_s = 0.0
@@ -17,13 +17,13 @@
 
 
 class HeartbeatCommands:
-    """Selects commands by comparing a heartbeat with the attempts that the machine should hold."""
+    """Selects commands by comparing a heartbeat with the attempts that are recorded for the machine."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
 
     def commands_for_new_heartbeat(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
-        """Return all commands that are due after a heartbeat that was applied."""
+        """Return all commands that are due in the response to a heartbeat that was applied."""
         commands: list[Command] = []
         for task in heartbeat.tasks:
             if task.status == TaskState.EXITED:
@@ -46,9 +46,9 @@
     def stop_commands(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
         """Return stops for all tasks that must not run: every response that renews a lease carries them.
 
-        A heartbeat that proves nothing may still be the worker's own, and its response the last one that
-        arrives: without these stops, a task cancelled long ago would run until the lease expires. A stop of a
-        task that is not on the machine has no effect, and the sender of a duplicate drops the response.
+        A worker may await the response to a heartbeat that is not applied, and it may be the last to arrive:
+        without these stops, a task cancelled long ago would run until the lease expires. A stop of a task
+        that is not on the machine has no effect, and the response to a duplicate is dropped.
         """
         commands = [
             stop_command(attempt, now)
--- a/src/poppyhold/execution/machine_records.py
+++ b/src/poppyhold/execution/machine_records.py
@@ -1,4 +1,4 @@
-"""Durable records of machines that may hold tasks, so that the next leader reconciles them first."""
+"""Durable records of machines that may run tasks, so that the next leader reconciles them first."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from poppyhold.model.entities import Machine, RecordState
 from poppyhold.model.outbound import CommitPriority
 
-# Bound once: an enum member lookup takes as long as the whole call, which each heartbeat makes.
+# Bound once: an enum member lookup takes as long as the rest of the call, which is made for each heartbeat.
 _NOT_RECORDED = RecordState.NOT_RECORDED
 
 
@@ -25,5 +25,6 @@
 
     record = MachineRecord(machine.endpoint, machine.machine_type, machine.zone, machine.spot)
     write = put_record(MACHINE_PREFIX + machine.name, record)
-    # No task starts on the machine before: without this record the next leader could not use a plan's.
+    # No task starts on the machine before this record is durable. Otherwise the next leader might start the
+    # same task elsewhere, as it would not know of a machine to reconcile.
     ctx.outbound.commit({}, [write], on_committed, CommitPriority.HIGHEST)
--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -1,4 +1,4 @@
-"""Reconciliation of the controller's state with heartbeats: which of them prove something, and what."""
+"""Applies heartbeats to the controller's state: which are new, and what a task missing in one proves."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class AttemptReconciler:
-    """Updates the state of every machine from its newest heartbeat, and from nothing older."""
+    """Updates the tasks of every machine from its newest heartbeat; older ones only get a response."""
 
     def __init__(
         self,
@@ -37,7 +37,11 @@
         self._heartbeat_commands = HeartbeatCommands(ctx)
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
-        """Return the response to a worker's heartbeat; None if it can't be answered."""
+        """Return the response to a worker's heartbeat; None if it gets none.
+
+        It gets none if another controller leads, if its machine is deleted or of an unknown type, or if its
+        lease is left to expire.
+        """
         ctx = self._ctx
         now = ctx.clock()
         if heartbeat.fencing_token > ctx.fencing_token:
@@ -58,8 +62,9 @@
             machine.up_at = now
             ctx.scheduling_needed = True
         request_machine_record(ctx, machine)
-        # A heartbeat with an earlier term's fencing token may be a duplicate of any age, and so may one whose
-        # sequence number is not above the last: it gets a response, but proves nothing.
+        # A heartbeat with an earlier term's fencing token, or whose incarnation and sequence number are not
+        # above the machine's, may be a duplicate of any age: it gets a response, but its tasks are not
+        # applied.
         if heartbeat.fencing_token < ctx.term_fencing_token:
             self.lifecycle.commands.request_heartbeat(machine, now)
             commands = self._heartbeat_commands.stop_commands(machine, heartbeat, now)
@@ -72,27 +77,29 @@
 
     @staticmethod
     def _is_newer(heartbeat: Heartbeat, machine: Machine) -> bool:
-        """Whether a heartbeat is newer than all before; duplicates and late ones, relayed or not, aren't."""
+        """Whether a heartbeat is newer than all applied before; duplicates and late ones are not."""
         return (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
 
     def _seems_to_miss_responses(self, machine: Machine, now: float) -> bool:
-        """Whether a worker from before this term seems to get no responses, so that its lease should expire.
+        """Whether responses seem not to reach an unreconciled worker, so that its lease is left to expire.
 
-        Its heartbeats arrive, but the term's fencing token does not reach it: every response would count as a
-        renewal of its lease, and tasks of all older jobs wait until it is reconciled or proven empty.
-        Duplicates of its old heartbeats look the same. Once its last lease has expired, it is answered again.
+        Its heartbeats still carry an earlier term's fencing token. Each response counts as a renewal of its
+        lease, and tasks of jobs that an earlier leader may have started wait until it is reconciled or its
+        lease has expired. Late duplicates of its heartbeats have the same effect. After the expiry it is no
+        longer unreconciled, and gets responses again.
         """
         if machine.name not in self.lease_expiry.unreconciled:
             return False
         if machine.first_outdated_heartbeat_at is None:
             machine.first_outdated_heartbeat_at = now
-        # A worker waits four seconds for a response that is lost, and another second before the retry.
+        # One lost response does not count: the worker waits 4 s for it, and sends the next heartbeat 1 s
+        # later.
         return now - machine.first_outdated_heartbeat_at > max(
             self._ctx.durations.lease_s / 2, 4 * self._ctx.durations.heartbeat_interval_s
         )
 
     def _add_unknown_machine(self, heartbeat: Heartbeat, now: float) -> Machine | None:
-        """Add a machine that was not known: one launched late, or one from before this term."""
+        """Add a machine that was not known: its launch took effect late, or was made in an earlier term."""
         ctx = self._ctx
         machine_type = ctx.machine_types.get(heartbeat.machine_type)
         if machine_type is None or heartbeat.machine in ctx.deleted_at:
@@ -107,7 +114,7 @@
     def _apply_heartbeat(
         self, machine: Machine, heartbeat: Heartbeat, now: float, is_unsolicited: bool
     ) -> None:
-        """Update a machine from a heartbeat that is newer than all before it.
+        """Update a machine from a heartbeat that is newer than all applied before.
 
         ``is_unsolicited``: the worker sent it on its own schedule, so it gets a response with commands;
         otherwise it came in the response to a direct request.
@@ -140,17 +147,18 @@
         self.lease_expiry.unreconciled.discard(machine.name)
 
     def _begin_incarnation(self, machine: Machine, incarnation: int, now: float) -> None:
-        """Terminate the attempts of earlier incarnations: a later one began with no tasks."""
+        """Remove the attempts of earlier incarnations, as each incarnation begins with no tasks."""
         durations = self._ctx.durations
         if machine.reconciled and now - machine.last_heartbeat_at < durations.lease_s / 2:
-            # Its heartbeats were answered until now, so responses do not reach it: treat it as unreliable.
+            # Its heartbeats arrived until now: if it lost its lease, the responses did not reach it. A start
+            # in a response reaches it only together with a renewal of its lease.
             machine.connection_unreliable_until = now + durations.cancel_s
         for attempt in list(machine.attempts.values()):
             if attempt.incarnation < incarnation:
                 self.lifecycle.mark_terminated(attempt)
 
     def _mark_absent(self, attempt: Attempt, now: float) -> None:
-        """Terminate an attempt that a heartbeat proves not to be on its machine."""
+        """Remove an attempt that a heartbeat proves not to be on its machine."""
         if attempt.status == TaskState.SENT and attempt.stop_requested_at is None:
             self._back_off_machine(attempt, now)
         self.lifecycle.mark_terminated(attempt)
@@ -159,12 +167,12 @@
         """Start nothing for a while on a machine that did not execute a start."""
         durations = self._ctx.durations
         if attempt.start_channel is StartChannel.HEARTBEAT_RESPONSE:
-            # Heartbeat responses do not reach the machine.
+            # The response that carried the start seems not to have reached the machine.
             attempt.machine.unschedulable_until = now + durations.lease_s / 2
         elif attempt.void_at_fencing_token is None:
-            # The machine got the command. Most likely it holds an earlier attempt that has ended, which the
-            # response to its next heartbeat removes. With immediate retries, its newest message would always
-            # be the response to a command instead of a heartbeat.
+            # The machine got the start. Most likely it still lists an earlier, exited attempt of the task,
+            # until a heartbeat response tells it to forget that. With immediate retries, its newest heartbeat
+            # would always come in the response to a direct request, and get no response itself.
             attempt.machine.unschedulable_until = now + 2 * durations.heartbeat_interval_s
 
     @staticmethod
@@ -175,11 +183,13 @@
         if attempt.start_in_flight:
             return False
         if attempt.void_at_fencing_token is not None:
-            # The start may be delayed in the network; a worker with a higher fencing token rejects it.
+            # The start may be delayed in the network; a worker that has seen this token or a higher one
+            # rejects it.
             return heartbeat.fencing_token >= attempt.void_at_fencing_token
         if attempt.start_channel is StartChannel.HEARTBEAT_RESPONSE:
             # A worker sends the next heartbeat only once the response has come or timed out. A start that was
-            # not sent yet goes in the response to this one; counted as lost, it left the machine idle.
+            # not sent yet (sequence -1) goes in the response to this heartbeat; counting it as lost would
+            # leave the machine idle.
             return is_unsolicited and 0 <= attempt.response_sequence < heartbeat.sequence
         return True
 
@@ -212,5 +222,6 @@
         ):
             self._apply_heartbeat(machine, heartbeat, now, is_unsolicited=False)
         elif heartbeat is not None and not machine.reconciled and heartbeat.incarnation > machine.incarnation:
-            # The request named another incarnation than the worker's: probe again with the right one.
+            # The request named another incarnation than the worker's, so it was not executed. The next probe
+            # names the right one, and may be sent at once.
             machine.incarnation, machine.next_probe_at = heartbeat.incarnation, 0.0
--- a/src/poppyhold/execution/task_observation.py
+++ b/src/poppyhold/execution/task_observation.py
@@ -1,4 +1,4 @@
-"""Handling of single tasks in a heartbeat: those that are on its machine, and those that have ended."""
+"""Handling of single tasks in a heartbeat: those that are on its machine, and those that have exited."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class TaskObserver:
-    """Updates attempts and jobs from the tasks of a heartbeat that is newer than all before it."""
+    """Updates attempts and jobs from the tasks of a heartbeat that is newer than all applied before."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
 
         Args:
             ctx: The context that the parts of the core share.
-            lifecycle: Removes the attempts that have ended.
+            lifecycle: Removes the attempts that have exited.
             failures: Tracks the tasks that ended with an error.
             on_task_completed: Called with a job and a task index once that task is known to be completed.
             on_run_completed: Called with a completed attempt, before it is removed, and the current time.
@@ -77,7 +77,7 @@
             attempt.machine.record_image_use(spec.image, spec.image_gb)
 
     def _adopt(self, attempt: Attempt, status: str, now: float) -> None:
-        """Adopt a task that an earlier leader started."""
+        """Add an attempt that an earlier leader started."""
         job, index = attempt.job, attempt.index
         completed = job.states[index] == TASK_DONE
         self._update_status(attempt, status, now)
@@ -85,20 +85,20 @@
         if completed:
             job.states[index] = TASK_DONE
         if completed or job.phase is JobPhase.FINALIZED:
-            # It uses resources, so it counts, but its result is not needed any more.
+            # It uses resources until it has stopped, but its result is not needed.
             attempt.stop_requested_at = now
         elif job.is_gang:
             self._lifecycle.gangs.adopt(attempt, now)
 
     def handle_exit(self, machine: Machine, task: TaskStatus, now: float) -> None:
-        """Handle a task that has ended: it is completed, or its attempt failed."""
+        """Handle a task that has exited: it is completed, or its attempt failed."""
         job_id, index = split_task(task.task)
         job = self._ctx.fleet.jobs.get(job_id)
         if job is None or not 0 <= index < job.spec.tasks:
             return
         attempt = machine.attempts.get(task.task)
         if attempt is not None and attempt.number != task.attempt:
-            # An earlier attempt of the same task: it says nothing about the known one.
+            # The exit of another attempt of the same task proves nothing about the recorded one.
             attempt = None
         if task.cause == ExitCause.DONE:
             self._handle_completion(machine, job, index, attempt, now)
