--- a/src/poppyhold/model/context.py
+++ b/src/poppyhold/model/context.py
@@ -34,11 +34,11 @@
     clock: Final[Callable[[], float]]
     wall_clock: Final[Callable[[], float]]
     rng: Final[random.Random]
-    # The fencing token that the term began with.
+    # The fencing token with which the term began.
     term_fencing_token: Final[int]
     # Largest fleet whose workers are probed for heartbeats as soon as a term begins.
     max_initial_probes: Final[float] = math.inf
-    # Probes of silent workers within one heartbeat interval.
+    # Largest number of probes of silent workers within one heartbeat interval.
     silent_probes_per_interval: Final[float] = 1e9
 
     # The fencing token sent with commands, raised within the term. Written by `execution.direct_commands`.
@@ -47,7 +47,7 @@
     fleet: Fleet = msgspec.field(default_factory=Fleet)
     # Written by `node.controller` as a term begins and when the cloud lists its machine types.
     machine_types: dict[str, MachineType] = msgspec.field(default_factory=dict)
-    # Times at which machines were deleted; old lists and heartbeats still name them. Added by
+    # When machines were deleted, by name: late lists and heartbeats may still name them. Added by
     # `execution.lease_expiry`, removed by `machines.machine_list` once no list can name the machine.
     deleted_at: dict[str, float] = msgspec.field(default_factory=dict)
     # The machines' images, as sent by the last leader. Written by `node.controller` as a term begins.
--- a/src/poppyhold/model/durations.py
+++ b/src/poppyhold/model/durations.py
@@ -7,9 +7,9 @@
 from poppyhold.options import Options
 from poppyhold.settings import Settings
 
-# A clock drifts by up to 0.05%, two clocks apart by up to 0.1%.
+# A clock drifts by up to 0.05%, two clocks by up to 0.1% relative to each other.
 _CLOCK_DRIFT_FACTOR: Final = 1.001
-# The same for a lease that is subtracted from ``cancel_s``, which another clock measures.
+# The same factor for a lease that is subtracted from ``cancel_s``, which another clock measures.
 _DOUBLE_CLOCK_DRIFT_FACTOR: Final = 1.002
 # Margin after the end of a lease before it counts as expired, in heartbeat intervals.
 _EXPIRY_MARGIN_INTERVALS: Final = 0.25
@@ -43,7 +43,7 @@
         # Silence after which a machine is presumed lost, unless most others are silent too.
         self.presumed_lost_s = workers.lease_s * _PRESUMED_LOST_LEASES
         # How long a leader that can't confirm its leadership may renew leases; then they have to expire.
-        # Counted from when the last confirming request was sent, so that transit time errs on the safe side.
+        # Counted from when the last confirming request was sent, so that its transit time ends this sooner.
         self.unconfirmed_renewal_s = (
             workers.cancel_s
             - workers.lease_s * _DOUBLE_CLOCK_DRIFT_FACTOR
--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -16,8 +16,9 @@
 from poppyhold.wire.user_messages import PRIORITIES, Submission
 from poppyhold.wire.worker_messages import IN_PROGRESS, Command, TaskState
 
-# Task states. They are plain integers because a job keeps one byte for each of its tasks in a bytearray,
-# which the search for the next pending task reads byte by byte.
+# The controller's state of a job's task; `TaskState` is the status that a heartbeat shows. They are plain
+# integers because a job keeps one byte for each of its tasks in a bytearray, which the search for the next
+# pending task reads byte by byte.
 TASK_PENDING: Final = 0
 TASK_ACTIVE: Final = 1
 TASK_DONE: Final = 2
@@ -35,11 +36,15 @@
 
 
 class RecordState(Enum):
-    """Whether a machine's record is durable: NOT_RECORDED -> REQUESTED -> DURABLE, or back if that fails."""
+    """Whether a machine's record is durable.
+
+    NOT_RECORDED -> REQUESTED -> DURABLE; a failed write returns it to NOT_RECORDED.
+    """
 
     NOT_RECORDED = "not recorded"
     REQUESTED = "requested"
-    # The next leader reconciles the machine before it starts tasks of older jobs.
+    # The next leader loads the machine, and reconciles it before it starts tasks of any job that an earlier
+    # leader may have started.
     DURABLE = "durable"
 
 
@@ -49,23 +54,28 @@
     ACTIVE = "active"
     # All its tasks are done, and its final record is being written.
     FINALIZING = "finalizing"
-    # Cancelled, or done and durable: kept only while an attempt of it may still run.
+    # Cancelled, or its final record is durable; kept only while an attempt of it may still run.
     FINALIZED = "finalized"
 
 
-# Bound once: an enum member lookup takes several times as long as the comparison, and every scheduling cycle
-# makes it for every machine.
+# Bound once: an enum member lookup takes several times as long as the comparison, and `is_schedulable` would
+# look it up for every machine in every scheduling cycle.
 _RECORD_IS_DURABLE = RecordState.DURABLE
 
 
 class Attempt(msgspec.Struct, eq=False):
-    """One attempt to run a task on a machine, from when its start may reach the worker."""
+    """One attempt to run a task on a machine.
+
+    It exists from the decision to start it, or from the first heartbeat that shows it, until it is proven
+    terminated.
+    """
 
     job: Job
     index: int
     number: int
     machine: Machine
     incarnation: int
+    # When the start was decided, or when a heartbeat first showed the attempt.
     created_at: float
     status: str = TaskState.SENT
     start_channel: StartChannel = StartChannel.OBSERVED
@@ -73,12 +83,15 @@
     response_sequence: int = -1
     # A direct start was sent and not answered yet.
     start_in_flight: bool = False
-    # Set if a direct start's outcome is unknown: it may be executed until the worker has seen this token.
+    # Set if a direct start's outcome is unknown: the start may still be executed until the worker has seen
+    # this fencing token or a higher one.
     void_at_fencing_token: int | None = None
     running_at: float | None = None
-    # When it was first to be stopped, and the grace period that its task has from then on to save.
+    # When its stop was first requested, and how many seconds its task then has to save.
     stop_requested_at: float | None = None
     grace_s: float = 0.0
+    # The last slot (inclusive) of its booking in the ledger, unless the job is a service; and whether it has
+    # a booking.
     last_booked_slot: int = 0
     booked: bool = False
 
@@ -91,14 +104,15 @@
 class JobFailures(msgspec.Struct, eq=False):
     """Failure history of a job; see `execution.failures`."""
 
-    # Failures since the job was last found healthy, counting tasks that were started together once, and the
-    # machines on which they occurred.
+    # Number of failures since the job was last found healthy; tasks that were started together count as one.
     failure_rounds: int = 0
+    # Names of the machines on which they occurred.
     failed_machines: set[str] = msgspec.field(default_factory=set)
     last_failed_at: float = float("-inf")
     # The longest run time of a failed task.
     longest_run_s: float = 0.0
-    # Whether it appears to fail on every machine, and when it was last found healthy.
+    # Whether it failed on so many machines without a success that it counts as the cause, and when it was
+    # last found healthy.
     at_fault: bool = False
     last_healthy_at: float = float("-inf")
 
@@ -108,9 +122,11 @@
 
     id: str
     spec: Submission
+    # Revision of its record in the state service, a condition of commits for it.
     record_revision: int
     submitted_at: float
     task_resources: Resources
+    # Index in `PRIORITIES`; 0 is the most urgent.
     priority: int
     due_at: float | None
     # ``TASK_PENDING``, ``TASK_ACTIVE`` or ``TASK_DONE`` for each task.
@@ -120,22 +136,27 @@
     done: int = 0
     # Indices of tasks whose completion is known but not durable yet.
     undurable_completions: set[int] = msgspec.field(default_factory=set)
-    # No task below this index is pending except those in the heap, which were active before.
+    # No task below ``next_index`` is pending except those in ``requeued``, a heap of indices of tasks that
+    # were active before.
     next_index: int = 0
     requeued: list[int] = msgspec.field(default_factory=list)
     # Work saved in checkpoints by task index, estimated from the run time that heartbeats showed.
     saved_work_s: dict[int, float] = msgspec.field(default_factory=dict)
+    # Whether it has a plan, whose starts may use the capacity booked for them.
     admitted: bool = False
     # Whether no earlier leader can have started a task of it.
     not_started_by_earlier_leaders: bool = True
-    # Whether any plan was made durable, and whether one is being written. Both can hold, as a durable plan
-    # may be written again.
+    # Whether a plan record, possibly an empty one, is durable, and whether one is being written. Both can
+    # hold, as a durable plan may be written again.
     plan_durable: bool = False
     plan_write_in_flight: bool = False
-    # Planned starts: slot -> zone -> tasks, and their bookings in the ledger: slot -> machine -> tasks.
+    # Planned starts: slot -> zone -> number of tasks, and their bookings in the ledger: slot -> machine ->
+    # number of tasks.
     plan: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
     booked: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
+    # Estimated run time of one task, for which its planned starts are booked.
     booked_run_time_s: float = 0.0
+    # Whether it fits into its team's guarantee, after the team's jobs of higher priority and earlier ones.
     within_guarantee: bool = False
     phase: JobPhase = JobPhase.ACTIVE
     # Whether records of its completed tasks are being written.
@@ -146,7 +167,7 @@
     # Machines on which its tasks failed or kept their gang waiting.
     avoided_machines: set[str] = msgspec.field(default_factory=set)
     retry_at: float = 0.0
-    # Until then it preempts nothing more, as gangs that it preempted are saving.
+    # Until then nothing more is preempted for it, as gangs that were preempted for it are saving.
     preemption_allowed_at: float = 0.0
     # Number of active attempts in each zone.
     active_by_zone: dict[str, int] = msgspec.field(default_factory=dict)
@@ -173,11 +194,11 @@
 
     @property
     def running(self) -> int:
-        """The number of running tasks, for display."""
+        """The number of tasks that run or save, for display."""
         return sum(1 for attempt in self.active.values() if attempt.status in IN_PROGRESS)
 
     def min_saved_work_s(self) -> float:
-        """Return the seconds of work that every pending task has saved; 0 if one of them never ran."""
+        """Return the least work in seconds saved by any pending task; 0 if one of them has saved none."""
         if not self.saved_work_s:
             return 0.0
         waiting = {index for index in self.requeued if self.states[index] == TASK_PENDING}
@@ -196,9 +217,10 @@
         return self.next_index if self.next_index < self.spec.tasks else None
 
     def startable(self, limit: int) -> int:
-        """Return how many of up to ``limit`` tasks may be started now: one at a time after a failure.
+        """Return how many tasks may be started now, at most ``limit``.
 
-        Tasks that were started before the failure don't count: they may still show that the job is healthy.
+        A job that has failed and completed no task gets one at a time, unless it is a gang. Attempts created
+        before its last failure don't count: they may still show that the job is healthy.
         """
         record = self.failures
         if not record.failure_rounds or self.done or self.is_gang:
@@ -209,7 +231,7 @@
         return min(limit, max(0, 1 - started_since_failure))
 
     def complete(self, index: int) -> bool:
-        """Mark a task as done; return whether that is new. A gang's tasks are done together."""
+        """Mark a task, or all tasks of a gang, as done; return whether the task was not done before."""
         if not 0 <= index < self.spec.tasks or self.states[index] == TASK_DONE:
             return False
         if self.is_gang:
@@ -234,12 +256,15 @@
 
     @property
     def job_is_healthy(self) -> bool:
-        """Whether the job has run successfully, so that the machine caused the error."""
+        """Whether the job is known to be healthy, so that the machine is the likely cause.
+
+        A task of it completed, or it was found healthy after this error.
+        """
         return self.job.done > 0 or self.job.failures.last_healthy_at > self.occurred_at
 
     @property
     def machine_may_be_at_fault(self) -> bool:
-        """Whether the machine may be at fault; a job at fault or finalized without success can't show it."""
+        """Whether the machine may be at fault: not if the job is, or was finalized before proven healthy."""
         return self.job_is_healthy or not (self.job.phase is JobPhase.FINALIZED or self.job.failures.at_fault)
 
 
@@ -248,15 +273,16 @@
 
 
 class Machine(msgspec.Struct, eq=False):
-    """A machine that the fleet holds or may hold."""
+    """A machine that exists, or may exist, in the cloud."""
 
     name: str
     machine_type: MachineType
     zone: str
     spot: bool
+    # Launch time by the cloud's list, or until that is known the time at which this leader first knew of it.
     estimated_launch_at: float
     endpoint: str = ""
-    # Whether it has sent a heartbeat in this term or an earlier one, and when the first of this term came.
+    # Whether it has ever sent a heartbeat, and when the first came; -inf if only its record shows that.
     is_up: bool = False
     up_at: float = float("-inf")
     record_state: RecordState = RecordState.NOT_RECORDED
@@ -268,39 +294,42 @@
     last_heartbeat_at: float = float("-inf")
     # When the cloud last listed it.
     listed_at: float = float("-inf")
-    # When a heartbeat of its worker was last answered.
+    # When this controller last answered a heartbeat of its worker.
     last_answered_at: float = float("-inf")
-    # When the first heartbeat with an earlier term's fencing token came in this term.
+    # When the first heartbeat with an earlier term's fencing token came while it was unreconciled.
     first_outdated_heartbeat_at: float | None = None
-    # When the cloud preempts it, and when the notice of that came.
+    # When the cloud will preempt it, and when the notice of that came.
     preemption_due_at: float | None = None
     preemption_notice_at: float | None = None
-    # At fault: it is drained and deleted.
+    # Found at fault by `execution.failures`: it is drained, then deleted.
     quarantined: bool = False
-    # Being drained to scale in: its replicas are moved one at a time.
+    # Being drained to scale in: the tasks of its services are moved one at a time.
     draining: bool = False
     # To be deleted: no task is started on it.
     deleting: bool = False
-    # Until then starts go in heartbeat responses, as direct commands may not reach it.
+    # Until then starts go in heartbeat responses: direct commands, or responses, seem not to reach it.
     connection_unreliable_until: float = 0.0
     command_in_flight: bool = False
     next_probe_at: float = 0.0
     attempts: dict[str, Attempt] = msgspec.field(default_factory=dict)
-    # Its resources in total, those that may be in use, and the rest. Every placement reads these of every
-    # machine.
+    # Its resources in total, those that may be in use, and the rest; stored, because every placement reads
+    # them of every machine.
     capacity: Resources = NO_RESOURCES
     used: Resources = NO_RESOURCES
     free: Resources = NO_RESOURCES
-    # Breaks ties between equal machines: the one that was known first goes first.
+    # Breaks ties between machines with equal placement scores: the one known first is preferred.
     number: int = msgspec.field(default_factory=lambda: next(_machine_numbers))
     # Incremented when its attempts, their status or its images change.
     version: int = 0
+    # Image -> size in GB, least recently used first: an estimate of the worker's cache.
     images: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
     # Commands to be sent to the worker directly.
     queued_commands: list[Command] = msgspec.field(default_factory=list)
-    # Errors on it by job; cleared when a task that was started after all of them completes.
+    # The newest error on it of each job; all are cleared when a task completes that was started after the
+    # newest one.
     task_errors: dict[str, TaskError] = msgspec.field(default_factory=dict)
-    # Tasks on it without a known attempt: they are stopped, and no task is started on it meanwhile.
+    # Names of tasks in its newest heartbeat that match no recorded attempt: they are stopped, and no task is
+    # started on it meanwhile.
     unknown_tasks: set[str] = msgspec.field(default_factory=set)
     # Until then no task is started on it.
     unschedulable_until: float = 0.0
@@ -336,7 +365,7 @@
         )
 
     def record_image_use(self, image: str, size_gb: float) -> None:
-        """Record that the worker used an image, and evict the least recently used ones as its cache does."""
+        """Record that the worker used an image, and remove those that its LRU cache has evicted by now."""
         if image not in self.images:
             self.version += 1
         self.images[image] = size_gb
