--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -44,7 +44,7 @@
 class Election:
     """One thread that campaigns and renews the lease, and another that watches the leader's key.
 
-    ``on_elected`` and ``on_leadership_lost`` are called on the threads that cause these events. While
+    ``on_elected`` and ``on_term_ended`` are called on the threads that cause these events. While
     ``should_yield`` says that a better connected controller should campaign first, this one does not
     campaign, for at most a lease.
     """
@@ -55,17 +55,17 @@
         options: Options,
         store: Store,
         on_elected: Callable[[Term], None],
-        on_leadership_lost: Callable[[], None],
+        on_term_ended: Callable[[], None],
         should_yield: Callable[[], bool],
         rng: random.Random,
     ) -> None:
         self._member = settings.member
         self._store, self._rng = store, rng
-        self._on_elected, self._on_leadership_lost = on_elected, on_leadership_lost
+        self._on_elected, self._on_term_ended = on_elected, on_term_ended
         self._should_yield = should_yield
         worker_lease_s = settings.deployment.workers.lease_s
-        self.lease_ttl_s = worker_lease_s * options.leadership.term_leases
-        self._renewal_interval_s = self.lease_ttl_s / options.leadership.renewals
+        self.leader_lease_s = worker_lease_s * options.leadership.term_leases
+        self._renewal_interval_s = self.leader_lease_s / options.leadership.renewals
         # How long a leader that resigned does not campaign.
         self._campaign_backoff_s = worker_lease_s
         self._campaign_backoff_until = 0.0
@@ -106,7 +106,7 @@
             self._revoke_lease(term.lease_id)
         self._wake.set()
 
-    def transfer_leadership(self, reason: str) -> None:
+    def resign_if_lease_revoked(self, reason: str) -> None:
         """Give up the term only if its lease is revoked: in an outage no other controller could be elected.
 
         A leader that resigned just as an outage began left the fleet without a leader until its end.
@@ -131,7 +131,7 @@
             self.term = None
             self.confirmed_at = float("-inf")
         log.info("stepped down: fencing_token=%d reason=%r", term.fencing_token, reason)
-        self._on_leadership_lost()
+        self._on_term_ended()
         self._wake.set()
 
     def observe_fencing_token(self, fencing_token: int) -> None:
@@ -146,7 +146,7 @@
             if self.term is not None:
                 self.term = self.term._replace(fencing_token=fencing_token)
 
-    def expire_lease(self, leader: Leader) -> None:
+    def revoke_leader_lease(self, leader: Leader) -> None:
         """Revoke the lease of a leader whose process is gone.
 
         This is safe even if the process still runs: every durable write of a leader is conditional on its
@@ -232,25 +232,25 @@
                 # An earlier process of this controller holds the key.
                 self._revoke_lease(leader.lease_id)
                 return self._renewal_interval_s / 2
-            return self.lease_ttl_s
-        if now - self.known_leader.vacant_since < self.lease_ttl_s and self._should_yield():
+            return self.leader_lease_s
+        if now - self.known_leader.vacant_since < self.leader_lease_s and self._should_yield():
             return self._renewal_interval_s / 2
         try:
-            lease_id = self._store.grant_lease(self.lease_ttl_s)
-            requested_at = time.monotonic()
-            self._claim_leadership(lease_id, requested_at)
+            lease_id = self._store.grant_lease(self.leader_lease_s)
+            claim_started_at = time.monotonic()
+            self._claim_leadership(lease_id, claim_started_at)
         except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError, ConditionFailedError) as error:
             log.debug("not elected: %s", error)
         return self._renewal_interval_s * self._rng.uniform(*_CAMPAIGN_PAUSE_RATIOS)
 
-    def _claim_leadership(self, lease_id: int, requested_at: float) -> None:
-        """Try to become the leader; ``requested_at`` is a time after the lease was granted."""
+    def _claim_leadership(self, lease_id: int, claim_started_at: float) -> None:
+        """Try to become the leader; ``claim_started_at`` is a time after the lease was granted."""
         leader = claim_leadership(self._store, self._member, lease_id)
         term = Term(leader.fencing_token, leader.key_revision, lease_id, time.monotonic())
         with self._lock:
             self.known_leader.record_own_election(leader)
             self.term = term
-            self.confirmed_at = requested_at
+            self.confirmed_at = claim_started_at
         log.info("elected: fencing_token=%d", term.fencing_token)
         self._on_elected(term)
-        self.known_leader.announce()
+        self.known_leader.notify_waiters()
--- a/src/poppyhold/cluster/known_leader.py
+++ b/src/poppyhold/cluster/known_leader.py
@@ -32,10 +32,10 @@
                 self._changed.notify_all()
 
     def record_own_election(self, leader: Leader) -> None:
-        """Record the election of this controller. `announce` wakes up waiting threads once it can serve."""
+        """Record this controller's election. `notify_waiters` wakes up threads once it can serve."""
         self.leader = leader
 
-    def announce(self) -> None:
+    def notify_waiters(self) -> None:
         """Wake up all waiting threads."""
         with self._changed:
             self._changed.notify_all()
--- a/src/poppyhold/node/membership.py
+++ b/src/poppyhold/node/membership.py
@@ -185,7 +185,7 @@
         if self._suspected_leader == leader:
             # A second such pong rules out that the first one was sent just before the election.
             self._suspected_leader = None
-            self._election.expire_lease(leader)
+            self._election.revoke_leader_lease(leader)
         else:
             self._suspected_leader = leader
 
@@ -198,8 +198,8 @@
         better = self.peers.connectivity.better_connected_peer(self._better_connected_after_s)
         view = self.peers.views.get(better) if better is not None else None
         # The next leader must have had recent contact with the state service.
-        if view is not None and time.monotonic() - view.store_contact_at < self._election.lease_ttl_s:
-            self._election.transfer_leadership(f"{better} reaches more controllers")
+        if view is not None and time.monotonic() - view.store_contact_at < self._election.leader_lease_s:
+            self._election.resign_if_lease_revoked(f"{better} reaches more controllers")
 
     def on_connection_refused(self, member: str) -> None:
         """Handle a refused connection to a controller: if it leads, its process may be gone."""
@@ -215,7 +215,7 @@
         workers_left = len(self._misdirected_workers.recent()) > 1
         if since_last_s > _REFUSAL_INTERVAL_LEASES * lease_s or (since_last_s > lease_s and workers_left):
             self._lease_expired_at = now
-            self._election.expire_lease(leader)
+            self._election.revoke_leader_lease(leader)
 
     # -- relays --------------------------------------------------------------------------------------
 
--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -118,8 +118,8 @@
         # Both the confirmation of leadership and the watch, which delivers cancellations, must be recent.
         return (
             self._loop.alive
-            and now - self._election.confirmed_at < self._election.lease_ttl_s
-            and now - self._authority.watch_caught_up_at < self._election.lease_ttl_s * 2
+            and now - self._election.confirmed_at < self._election.leader_lease_s
+            and now - self._authority.watch_caught_up_at < self._election.leader_lease_s * 2
         )
 
     def leadership_confirmed_at(self) -> float:
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -136,7 +136,7 @@
         world.rng,
     )
     election.term = Term(5, 40, 7, 0.0)
-    election.transfer_leadership("another one reaches more")
+    election.resign_if_lease_revoked("another one reaches more")
     assert (election.term is None, deposed, store.ended) == (
         (True, [True], [7]) if error is None else (False, [], [])
     )
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -123,14 +123,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     one = Candidate(monkeypatch, yields=True)
-    one.now += 10 * one.election.lease_ttl_s
+    one.now += 10 * one.election.leader_lease_s
     one.election._on_snapshot([OTHERS_KEY])
     one.election._on_change(DeletedKey(LEADER_KEY, 42))
     # Told once more that nobody leads: it counts from the first time.
-    one.now += one.election.lease_ttl_s * 0.9
+    one.now += one.election.leader_lease_s * 0.9
     assert not one.campaign()
     one.election._on_change(DeletedKey(LEADER_KEY, 43))
-    one.now += one.election.lease_ttl_s * 0.2
+    one.now += one.election.leader_lease_s * 0.2
     assert one.campaign()
 
 
@@ -143,10 +143,10 @@
     assert not candidate.campaign()
     # Nor does it end another leader's lease meanwhile.
     candidate.election._on_snapshot([OTHERS_KEY])
-    candidate.election.expire_lease(Leader("hive-1", 6, 8, 41))
+    candidate.election.revoke_leader_lease(Leader("hive-1", 6, 8, 41))
     assert candidate.store.revoked == [term.lease_id]
     candidate.now += 10.0
-    candidate.election.expire_lease(Leader("hive-1", 6, 8, 41))
+    candidate.election.revoke_leader_lease(Leader("hive-1", 6, 8, 41))
     assert candidate.store.revoked == [term.lease_id, 8]
     candidate.election._on_change(DeletedKey(LEADER_KEY, 42))
     assert candidate.campaign()
@@ -154,13 +154,13 @@
 
 def test_a_resignation_without_leading_revokes_no_lease(candidate: Candidate) -> None:
     candidate.election.resign("stopped")
-    candidate.election.transfer_leadership("another one reaches more")
+    candidate.election.resign_if_lease_revoked("another one reaches more")
     assert (candidate.store.revoked, candidate.terms_lost) == ([], 0)
 
 
 def test_a_leader_that_transferred_its_leadership_stands_back_for_a_lease(candidate: Candidate) -> None:
     term = candidate.lead()
-    candidate.election.transfer_leadership("another one reaches more")
+    candidate.election.resign_if_lease_revoked("another one reaches more")
     candidate.election._on_change(DeletedKey(LEADER_KEY, term.key_revision + 1))
     assert not candidate.campaign()
     candidate.now += 10.0
@@ -169,7 +169,7 @@
 
 def test_only_the_lease_of_the_known_leader_is_ended(candidate: Candidate) -> None:
     candidate.election._on_snapshot([OTHERS_KEY])
-    candidate.election.expire_lease(Leader("hive-2", 5, 7, 40))
+    candidate.election.revoke_leader_lease(Leader("hive-2", 5, 7, 40))
     assert candidate.store.revoked == []
 
 
@@ -303,7 +303,7 @@
     assert candidate.election.confirmed_at == 1000.0
     candidate.election._renew()
     assert candidate.store.renewed == []
-    candidate.now += candidate.election.lease_ttl_s / 2
+    candidate.now += candidate.election.leader_lease_s / 2
     asked = candidate.now
     renew_lease = candidate.store.renew_lease
 
@@ -323,7 +323,7 @@
 def test_only_an_expired_lease_ends_the_term(candidate: Candidate, error: Exception, leads: bool) -> None:
     candidate.lead()
     confirmed_at = candidate.election.confirmed_at
-    candidate.now += candidate.election.lease_ttl_s / 2
+    candidate.now += candidate.election.leader_lease_s / 2
     candidate.store.error = error
     candidate.election._renew()
     assert candidate.election.confirmed_at == (confirmed_at if leads else float("-inf"))
@@ -333,7 +333,7 @@
 @pytest.mark.parametrize("change", ["raised", "lost", "next-term"])
 def test_a_response_confirms_only_the_term_that_was_to_be_renewed(candidate: Candidate, change: str) -> None:
     candidate.lead()
-    candidate.now += candidate.election.lease_ttl_s / 2
+    candidate.now += candidate.election.leader_lease_s / 2
     asked = candidate.now
 
     def renew_lease(lease_id: int, timeout_s: float) -> None:
