--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -29,7 +29,7 @@
 # Units per transaction: if a condition of one of them fails, all are committed one by one.
 _MAX_UNITS = 8
 # The state service's limit on conditions, as a multiple of its limit on the writes of a transaction.
-_CONDITIONS_PER_WRITE = 4
+_CONDITION_LIMIT_RATIO = 4
 # Conditions of every transaction of a leader: on its key and on its write fence.
 _LEADER_CONDITIONS = 2
 
@@ -60,30 +60,30 @@
         # Two thirds of the allowed writes: the rest is for the nodes that serve users and the election. A
         # burst of up to a third of a second's writes is sent at once.
         self._rate_limiter = RateLimiter(limits.write_rps / 1.5, burst=self._max_writes / 2)
-        self._retry_pause_s = 2 / limits.rps
+        self._first_retry_pause_s = 2 / limits.rps
         self._max_retry_pause_s = max(
-            self._retry_pause_s, settings.deployment.workers.heartbeat_interval_s / 8
+            self._first_retry_pause_s, settings.deployment.workers.heartbeat_interval_s / 8
         )
         # By priority, each in the order of submission, so that a burst does not starve the oldest units.
         self._queues: dict[CommitPriority, deque[CommitUnit]] = {
             priority: deque() for priority in CommitPriority
         }
-        self._queued = threading.Condition()
+        self._queue_changed = threading.Condition()
         self._stopped = False
         self._thread = threading.Thread(target=self._run, name="committer", daemon=True)
         self._thread.start()
 
     def submit(self, unit: CommitUnit, priority: CommitPriority = CommitPriority.BACKGROUND) -> None:
         """Queue a unit; its ``on_committed`` is called on the committer's thread."""
-        with self._queued:
+        with self._queue_changed:
             self._queues[priority].append(unit)
-            self._queued.notify()
+            self._queue_changed.notify()
 
     def stop(self) -> None:
         """End the thread; queued units are dropped."""
-        with self._queued:
+        with self._queue_changed:
             self._stopped = True
-            self._queued.notify()
+            self._queue_changed.notify()
 
     def _first_queue(self) -> deque[CommitUnit] | None:
         """The non-empty queue of the highest priority."""
@@ -91,9 +91,9 @@
 
     def _next_batch(self) -> list[CommitUnit]:
         """Wait for units; returns those of the next transaction, or none if the thread is to end."""
-        with self._queued:
+        with self._queue_changed:
             while not (self._first_queue() or self._stopped):
-                self._queued.wait()
+                self._queue_changed.wait()
             units: list[CommitUnit] = []
             writes = conditions = 0
             keys: set[str] = set()
@@ -104,7 +104,7 @@
                 unit_keys = {write.key for write in unit.writes}
                 if units and (
                     writes > self._max_writes
-                    or conditions + _LEADER_CONDITIONS > _CONDITIONS_PER_WRITE * self._max_writes
+                    or conditions + _LEADER_CONDITIONS > _CONDITION_LIMIT_RATIO * self._max_writes
                     or len(units) >= _MAX_UNITS
                     # The protocol leaves the order of two writes of the same key in a transaction undefined.
                     or not keys.isdisjoint(unit_keys)
@@ -130,7 +130,7 @@
         for unit in units:
             conditions.update(unit.conditions)
             writes += unit.writes
-        pause_s = self._retry_pause_s
+        pause_s = self._first_retry_pause_s
         while units and not self._stopped:
             try:
                 self._writer.commit(conditions, writes)
