--- a/src/poppyhold/cluster/delegated_renewals.py
+++ b/src/poppyhold/cluster/delegated_renewals.py
@@ -53,7 +53,7 @@
         ):
             return None
         # The delegation may have arrived late: the wall-clock time in it tells its age.
-        expires_at_wall = delegation.known_until_wall + self._durations.unconfirmed_renewal_s
+        expires_at_wall = delegation.confirmed_until_wall + self._durations.unconfirmed_renewal_s
         if self._wall_clock() + 2 * self._skew_s > expires_at_wall:
             return None
         if not self._covers(delegation, heartbeat, known_fencing_token):
--- a/src/poppyhold/cluster/lease_delegation.py
+++ b/src/poppyhold/cluster/lease_delegation.py
@@ -22,7 +22,7 @@
 
     fencing_token: int
     # Wall-clock time up to which the leader is certain of its leadership and knows every cancellation.
-    known_until_wall: float
+    confirmed_until_wall: float
     # Machines with tasks that must be stopped: only the leader renews their leases.
     excluded_machines: Sequence[str]
 
@@ -38,32 +38,32 @@
         # By controller: when it was last granted a delegation; when it was last certain to renew nothing; and
         # the bound on its renewals up to its last response.
         self._granted_at: dict[str, float] = {}
-        self._idle_at: dict[str, float] = {}
-        self._renewed_until: dict[str, float] = {}
+        self._acknowledged_grant_at: dict[str, float] = {}
+        self._acknowledged_renewal_bounds: dict[str, float] = {}
 
     def record_grant(self, member: str, now: float) -> None:
         """Record that a controller is about to be granted a delegation."""
         self._granted_at[member] = now
-        self._idle_at.setdefault(member, now)
+        self._acknowledged_grant_at.setdefault(member, now)
 
     def record_response(self, member: str, granted_at: float) -> None:
         """Record the response to the grant of that time: the controller renewed nothing just then."""
         if member not in self._granted_at:
             return
-        self._renewed_until[member] = self._latest_renewal_at(member, granted_at)
-        self._idle_at[member] = max(granted_at, self._idle_at[member])
+        self._acknowledged_renewal_bounds[member] = self._latest_possible_renewal_by(member, granted_at)
+        self._acknowledged_grant_at[member] = max(granted_at, self._acknowledged_grant_at[member])
 
-    def latest_renewal_at(self, now: float) -> float:
+    def latest_possible_renewal_at(self, now: float) -> float:
         """No other controller has renewed a lease on this leader's behalf later than this."""
         return max(
-            (self._latest_renewal_at(member, now) for member in list(self._granted_at)),
+            (self._latest_possible_renewal_by(member, now) for member in list(self._granted_at)),
             default=float("-inf"),
         )
 
-    def _latest_renewal_at(self, member: str, now: float) -> float:
+    def _latest_possible_renewal_by(self, member: str, now: float) -> float:
         # Without a recent grant a controller may have renewed leases, even if it says that it did not: its
         # process may have restarted since.
-        renewed_until = self._renewed_until.get(member, float("-inf"))
-        if now - self._idle_at[member] <= self._durations.delegated_renewal_after_s:
-            return renewed_until
-        return max(renewed_until, min(now, self._granted_at[member] + self._max_grant_s))
+        acknowledged_bound = self._acknowledged_renewal_bounds.get(member, float("-inf"))
+        if now - self._acknowledged_grant_at[member] <= self._durations.delegated_renewal_after_s:
+            return acknowledged_bound
+        return max(acknowledged_bound, min(now, self._granted_at[member] + self._max_grant_s))
--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -128,4 +128,4 @@
 
     def delegated_leases_expire_at(self) -> float:
         """See `OutboundPort`."""
-        return self._delegations.latest_renewal_at(time.monotonic())
+        return self._delegations.latest_possible_renewal_at(time.monotonic())
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -351,7 +351,7 @@
         return self.confirmed if self.alive else float("-inf")
 
     def delegated_leases_expire_at(self) -> float:
-        return self.delegations.latest_renewal_at(self.world.now)
+        return self.delegations.latest_possible_renewal_at(self.world.now)
 
     def delegation(self) -> LeaseDelegation | None:
         """The grant under which other nodes may renew leases."""
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -126,7 +126,7 @@
     Guard("completions_durable_before_forgotten", HeartbeatCommands, "_may_forget_exit", _always),
     Guard("large_fleet", CycleState, "scheduling_key", _unique_key),
     Guard("isolated_zone", DelegatedRenewals, "renewal_fencing_token", _never),
-    Guard("zone_isolated_past_delegation", DelegationTracker, "latest_renewal_at", _never_renewed),
+    Guard("zone_isolated_past_delegation", DelegationTracker, "latest_possible_renewal_at", _never_renewed),
     Guard("cancelled_before_zone_isolation", Controller, "excluded_machines", _no_machines),
     Guard("limit_counts_cancelled_job", Fleet, "unaccounted_resources", _no_resources),
     Guard("silent_machines_and_duplicates", MachineMonitor, "_count_misdirected", _count_all_misdirected),
--- a/tests/test_lease_delegation.py
+++ b/tests/test_lease_delegation.py
@@ -153,22 +153,22 @@
     tracker = DelegationTracker(make_durations(), SKEW_S)
     # A response to an earlier leader.
     tracker.record_response("hive-1", 5.0)
-    assert tracker.latest_renewal_at(1000.0) == float("-inf")
+    assert tracker.latest_possible_renewal_at(1000.0) == float("-inf")
 
 
 def test_a_controller_that_responds_in_time_renewed_nothing() -> None:
     durations = make_durations()
     tracker = DelegationTracker(durations, SKEW_S)
     tracker.record_grant("hive-1", 0.0)
-    assert tracker.latest_renewal_at(durations.delegated_renewal_after_s) == float("-inf")
+    assert tracker.latest_possible_renewal_at(durations.delegated_renewal_after_s) == float("-inf")
     tracker.record_response("hive-1", 1.0)
     # A late response to an earlier grant takes nothing back.
     tracker.record_response("hive-1", 0.5)
-    assert tracker.latest_renewal_at(1.0 + durations.delegated_renewal_after_s) == float("-inf")
+    assert tracker.latest_possible_renewal_at(1.0 + durations.delegated_renewal_after_s) == float("-inf")
     # A grant does not show that it was received.
     tracker.record_grant("hive-1", 4.0)
     now = 1.2 + durations.delegated_renewal_after_s
-    assert tracker.latest_renewal_at(now) == now
+    assert tracker.latest_possible_renewal_at(now) == now
 
 
 def test_a_silent_controller_may_have_renewed_leases_for_as_long_as_its_grant_lasts() -> None:
@@ -177,11 +177,11 @@
     tracker.record_grant("hive-1", 0.0)
     tracker.record_grant("hive-2", 0.0)
     longest_s = durations.unconfirmed_renewal_s * 1.001 + 4 * SKEW_S
-    assert tracker.latest_renewal_at(longest_s - 1.0) == longest_s - 1.0
-    assert tracker.latest_renewal_at(longest_s + 50.0) == longest_s
+    assert tracker.latest_possible_renewal_at(longest_s - 1.0) == longest_s - 1.0
+    assert tracker.latest_possible_renewal_at(longest_s + 50.0) == longest_s
     # It responds again: the bound so far stays, and ends there.
     tracker.record_response("hive-1", longest_s - 2.0)
     tracker.record_response("hive-2", longest_s - 3.0)
-    assert tracker.latest_renewal_at(longest_s - 1.0) == longest_s - 2.0
+    assert tracker.latest_possible_renewal_at(longest_s - 1.0) == longest_s - 2.0
     # Silent once more, without a newer grant: never earlier than the bound that was found before.
-    assert tracker.latest_renewal_at(longest_s + 50.0) == longest_s
+    assert tracker.latest_possible_renewal_at(longest_s + 50.0) == longest_s
