--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -118,14 +118,14 @@
         # Both the confirmation of leadership and the watch, which delivers cancellations, must be recent.
         return (
             self._loop.alive
-            and now - self._election.confirmed_at < self._election.lease_ttl_s
-            and now - self._authority.watch_caught_up_at < self._election.lease_ttl_s * 2
+            and now - self._election.confirmed_at < self._election.leader_lease_s
+            and now - self._authority.watch_caught_up_at < self._election.leader_lease_s * 2
         )
 
     def leadership_confirmed_at(self) -> float:
         """See `OutboundPort`."""
         return self._election.confirmed_at if self._loop.alive else float("-inf")
 
-    def delegated_leases_expire_at(self) -> float:
+    def latest_delegated_renewal_at(self) -> float:
         """See `OutboundPort`."""
-        return self._delegations.latest_renewal_at(time.monotonic())
+        return self._delegations.latest_possible_renewal_at(time.monotonic())
--- a/src/poppyhold/node/peer_handler.py
+++ b/src/poppyhold/node/peer_handler.py
@@ -190,7 +190,7 @@
         if self._possibly_restarted_leader == leader:
             # A second such pong rules out that the first one was sent just before the election.
             self._possibly_restarted_leader = None
-            self._election.expire_lease(leader)
+            self._election.revoke_leader_lease(leader)
         else:
             self._possibly_restarted_leader = leader
 
@@ -205,9 +205,9 @@
         # The next leader must have had recent contact with the state service.
         if (
             peer_view is not None
-            and time.monotonic() - peer_view.store_contact_at < self._election.lease_ttl_s
+            and time.monotonic() - peer_view.store_contact_at < self._election.leader_lease_s
         ):
-            self._election.transfer_leadership(f"{better} reaches more controllers")
+            self._election.resign_if_lease_revoked(f"{better} reaches more controllers")
 
     def on_connection_refused(self, member: str) -> None:
         """Handle a refused connection to a controller: if it leads, its process may be gone."""
@@ -225,7 +225,7 @@
             since_last_s > lease_s and has_misdirected_workers
         ):
             self._last_refusal_revocation_at = now
-            self._election.expire_lease(leader)
+            self._election.revoke_leader_lease(leader)
 
     # -- relays --------------------------------------------------------------------------------------
 
