--- a/src/poppyhold/execution/failures.py
+++ b/src/poppyhold/execution/failures.py
@@ -19,7 +19,7 @@
 _MAX_FAILED_MACHINES = 2
 # Healthy jobs that fail on a machine before it is at fault; a single one may fail for another reason.
 _MIN_HEALTHY_JOBS = 2
-# The same where it is not known whether the jobs are healthy.
+# The same, if jobs that may be healthy count too.
 _MIN_UNPROVEN_JOBS = 3
 # A task that runs this many times as long as the failed ones did shows that its job is healthy.
 _HEALTHY_RUN_FACTOR = 2
--- a/src/poppyhold/execution/reconciliation.py
+++ b/src/poppyhold/execution/reconciliation.py
@@ -17,7 +17,7 @@
 
 
 class AttemptReconciler:
-    """Updates the tasks of every machine from its newest heartbeat; older ones only get a response."""
+    """Updates the tasks of every machine from its newest heartbeat only; older ones get a response."""
 
     def __init__(
         self,
@@ -164,7 +164,7 @@
         self.lifecycle.mark_terminated(attempt)
 
     def _back_off_machine(self, attempt: Attempt, now: float) -> None:
-        """Start nothing for a while on a machine that did not execute a start."""
+        """Exclude a machine that did not execute a start from scheduling for a while."""
         durations = self._ctx.durations
         if attempt.start_channel is StartChannel.HEARTBEAT_RESPONSE:
             # The response that carried the start seems not to have reached the machine.
--- a/src/poppyhold/model/entities.py
+++ b/src/poppyhold/model/entities.py
@@ -81,11 +81,12 @@
     start_channel: StartChannel = StartChannel.OBSERVED
     # The sequence number of the heartbeat whose response carried the start; -1 before that.
     response_sequence: int = -1
-    # A direct start was sent and not answered yet.
+    # Whether a direct start was queued or sent, and its outcome is not known yet.
     start_in_flight: bool = False
     # Set if a direct start's outcome is unknown: the start may still be executed until the worker has seen
     # this fencing token or a higher one.
     void_at_fencing_token: int | None = None
+    # When a heartbeat first showed the task running.
     running_at: float | None = None
     # When its stop was first requested, and how many seconds its task then has to save.
     stop_requested_at: float | None = None
@@ -109,7 +110,7 @@
     # Names of the machines on which they occurred.
     failed_machines: set[str] = msgspec.field(default_factory=set)
     last_failed_at: float = float("-inf")
-    # The longest run time of a failed task.
+    # The longest time for which a failed task ran.
     longest_run_s: float = 0.0
     # Whether it failed on so many machines without a success that it counts as the cause, and when it was
     # last found healthy.
@@ -164,10 +165,11 @@
     # Keys of the records that hold its completed tasks.
     completion_record_keys: set[str] = msgspec.field(default_factory=set)
     failures: JobFailures = msgspec.field(default_factory=JobFailures)
-    # Machines on which its tasks failed or kept their gang waiting.
+    # Names of machines on which its tasks failed or kept the other tasks of their gang waiting.
     avoided_machines: set[str] = msgspec.field(default_factory=set)
+    # Before this time no task of it is started.
     retry_at: float = 0.0
-    # Until then nothing more is preempted for it, as gangs that were preempted for it are saving.
+    # Before this time nothing more is preempted for it, as gangs that were preempted for it are saving.
     preemption_allowed_at: float = 0.0
     # Number of active attempts in each zone.
     active_by_zone: dict[str, int] = msgspec.field(default_factory=dict)
@@ -307,7 +309,7 @@
     draining: bool = False
     # To be deleted: no task is started on it.
     deleting: bool = False
-    # Until then starts go in heartbeat responses: direct commands, or responses, seem not to reach it.
+    # Before this time starts go in heartbeat responses: direct commands, or responses, seem not to reach it.
     connection_unreliable_until: float = 0.0
     command_in_flight: bool = False
     next_probe_at: float = 0.0
@@ -331,7 +333,7 @@
     # Names of tasks in its newest heartbeat that match no recorded attempt: they are stopped, and no task is
     # started on it meanwhile.
     unknown_tasks: set[str] = msgspec.field(default_factory=set)
-    # Until then no task is started on it.
+    # Before this time no task is started on it.
     unschedulable_until: float = 0.0
 
     def __post_init__(self) -> None:
--- a/src/poppyhold/model/outbound.py
+++ b/src/poppyhold/model/outbound.py
@@ -93,7 +93,7 @@
         """Whether this leadership was confirmed recently enough to start tasks."""
 
     def leadership_confirmed_at(self) -> float:
-        """Return the last time at which no other controller can have led."""
+        """Return the latest time at which certainly no other controller led."""
 
     def latest_delegated_renewal_at(self) -> float:
         """Return the latest time at which a delegate may have renewed a worker's lease for this leader."""
