--- a/src/poppyhold/node/cancellation_tracker.py
+++ b/src/poppyhold/node/cancellation_tracker.py
@@ -18,8 +18,8 @@
 class CancellationTracker:
     """Applies cancellations that controllers confirmed to users, whether or not the watch delivers them.
 
-    The leader may renew a lease only while it must know every confirmed cancellation; `RenewalAuthority`
-    computes that period.
+    The leader may renew leases only for a limited time after it has applied all confirmed cancellations;
+    `RenewalAuthority` computes that time.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._member, self._loop, self._controller = member, loop, controller
         self._authority, self._own_cancellations = authority, own_cancellations
         self._first_revision, self._leadership_confirmed_at = first_revision, leadership_confirmed_at
-        # Leases that other controllers may renew for this leader; None if it can grant no delegation.
+        # Allows other controllers to renew leases for this leader; None if it can grant no delegation.
         self.delegation: LeaseDelegation | None = None
 
     def may_renew_leases(self) -> bool:
@@ -45,7 +45,7 @@
 
     def on_caught_up(self, requested_at: float, revision: int) -> None:
         """Handle that the watch has delivered every change up to ``revision``."""
-        # Queued behind the changes up to this revision.
+        # Queued behind the removals of jobs up to this revision, which have the same priority.
         self._loop.post(DECISIONS, lambda: self._authority.observe_watch(requested_at, revision))
 
     def on_peer_response(self, pong: Pong, requested_at: float) -> None:
@@ -56,7 +56,7 @@
         )
 
     def apply_own_cancellations(self) -> None:
-        """Apply this node's own cancellations: the watch lacks them while the state service rejects it."""
+        """Apply this node's own cancellations: the watch lacks them while its requests are rejected."""
         requested_at = time.monotonic()
         self._own_cancellations.acknowledge(self._authority.applied_revision)
         listed, unlisted_revision = self._own_cancellations.summarize(self._first_revision())
@@ -65,7 +65,10 @@
     def _apply(
         self, member: str, listed: Iterable[Cancellation], unlisted_revision: int, requested_at: float
     ) -> None:
-        """Stop the cancelled jobs: each cancellation is durable, delivered by the watch or not."""
+        """Stop the listed jobs: their cancellations are durable, whether or not the watch delivered them.
+
+        ``unlisted_revision`` is the highest revision of the member's other cancellations; -1: unknown.
+        """
         for job_id, _ in listed:
             self._controller.handle_job_removed(ACTIVE_JOB_PREFIX + job_id)
         self._authority.observe_peer(member, requested_at, unlisted_revision)
--- a/src/poppyhold/node/cloud_client.py
+++ b/src/poppyhold/node/cloud_client.py
@@ -57,7 +57,7 @@
             return None
 
     def launch_machines(self, body: Data) -> tuple[RequestOutcome, list[str]]:
-        """Launch machines; returns their names if the outcome is OK. UNKNOWN ones may still be launched."""
+        """Launch machines; returns their names if the outcome is OK. If it is UNKNOWN, some may launch."""
         try:
             status, data = self._client.request("POST", "/machines", body, timeout_s=self._timeout_s)
             if status == HTTPStatus.OK:
--- a/src/poppyhold/node/cloud_dispatcher.py
+++ b/src/poppyhold/node/cloud_dispatcher.py
@@ -47,8 +47,8 @@
 class MachineListReader:
     """Reads the machine list one page at a time, so that other requests can be sent between pages.
 
-    A fleet of 4,000 machines takes eight pages. Read without interruption every half lag, they use up the
-    whole request rate of some clouds and delay deletions.
+    The list of 4,000 machines has eight pages. If they are read without interruption every half lag, they use
+    up the whole request rate of some clouds and delay deletions.
     """
 
     def __init__(self, client: CloudClient, lag_s: float, request_interval_s: float) -> None:
--- a/src/poppyhold/node/command_dispatcher.py
+++ b/src/poppyhold/node/command_dispatcher.py
@@ -31,8 +31,8 @@
     """Threads that send commands: added on demand up to a limit, and ended when idle.
 
     A command waits only while all threads are busy. Each unresponsive machine occupies a thread until the
-    timeout. A small fixed pool let 300 unreachable machines of a partitioned zone delay the commands to all
-    other machines by minutes.
+    timeout. With a small fixed pool, 300 unreachable machines of a partitioned zone delay the commands to
+    all other machines by minutes.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
         try:
             on_response(*self._post(endpoint, body))
         except Exception:
-            # The core needs an outcome for every command, and the sender thread must continue.
+            # Every command needs an outcome, and the sender thread must continue.
             log.exception("command or its callback failed, outcome unknown: endpoint=%s", endpoint)
             on_response(RequestOutcome.UNKNOWN, None)
 
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -1,4 +1,4 @@
-"""The decision core of one term: owns the fleet's state and does no I/O itself."""
+"""`Controller`, the decision core of one term: owns the fleet's state and does no I/O itself."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 class Controller:
     """Handles events in order, one at a time, and answers heartbeats.
 
-    The constructor connects the components of the core. The event handlers only delegate to the components
+    The constructor creates and connects the components. The event handlers only delegate to the components
     that an event concerns.
     """
 
@@ -110,7 +110,7 @@
     ) -> None:
         """Rebuild the state from durable records; workers' heartbeats complete it.
 
-        ``image_hints`` are the machines' images as the last leader sent them; they affect only preferences.
+        ``image_hints`` are the machines' images from earlier leaders' pings; they affect only preferences.
         """
         now = self.ctx.clock()
         self.ctx.image_hints = image_hints or {}
@@ -148,7 +148,7 @@
         self._jobs.handle_accepted(entry)
 
     def handle_job_removed(self, key: str) -> None:
-        """Handle the removal of an active job's key: the job was finalized."""
+        """Handle the removal of an active job's key: the job was cancelled, or all its tasks are done."""
         self._jobs.handle_finalized(key.removeprefix(ACTIVE_JOB_PREFIX))
 
     def reconcile_active_jobs(self, entries: list[Entry]) -> None:
@@ -209,7 +209,7 @@
     def excluded_machines(self) -> list[str] | None:
         """Return the machines whose leases only this leader may renew; None before all are reconciled.
 
-        They run tasks of finalized jobs or unknown tasks, which must end in time.
+        They run tasks of finalized jobs or unknown tasks, which must end in time: delegates must not renew.
         """
         if self.reconciler.lease_expiry.unreconciled:
             return None
--- a/src/poppyhold/node/decision_loop.py
+++ b/src/poppyhold/node/decision_loop.py
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, max_waiting_heartbeats: int, heartbeat_interval_s: float) -> None:
-        # Whether the term is still current. Once False, nothing is posted, answered or sent.
+        # False once `stop` was called: then no event is queued, no lease renewed and no task started.
         self.alive = True
         self._queue = PriorityQueue(max_waiting_heartbeats, heartbeat_interval_s / _COALESCING_DIVISOR)
         self._tick_s = heartbeat_interval_s / _TICKS_PER_INTERVAL
--- a/src/poppyhold/node/heartbeat_endpoint.py
+++ b/src/poppyhold/node/heartbeat_endpoint.py
@@ -26,7 +26,7 @@
         may_renew_leases: Callable[[], bool],
         make_rejection: Callable[[], HttpResponse],
     ) -> None:
-        """``make_rejection`` returns the response to a heartbeat that the leader can't answer."""
+        """``make_rejection`` returns the response to a heartbeat whose lease the leader can't renew now."""
         self._loop, self._controller, self._assignment = loop, controller, assignment
         self._may_renew_leases, self._make_rejection = may_renew_leases, make_rejection
         self._ready = threading.Event()
@@ -36,12 +36,12 @@
         self._ready.set()
 
     def handle(self, heartbeat: Heartbeat, timeout_s: float) -> DeferredResponse | None:
-        """Queue a direct heartbeat for the decision thread; None if the term is not ready in time."""
+        """Queue a direct heartbeat for the decision thread; None if the term isn't ready in time."""
         # A rejected worker retries after a second, when its lease may have expired, so heartbeats wait while
         # the leader reads the fleet's state.
         if not self._ready.wait(timeout_s):
             return None
-        # After this the worker has timed out; an answer would only delay the following heartbeats.
+        # After this the worker has timed out; a response would only delay the following heartbeats.
         deadline = time.monotonic() + timeout_s
 
         def defer(send: Callable[[HttpResponse], None]) -> None:
@@ -68,7 +68,7 @@
         return http_response(HTTPStatus.OK, response.body()) if response is not None else None
 
     def answer(self, heartbeat: Heartbeat, deadline: float) -> HeartbeatResponse | None:
-        """Answer a direct or relayed heartbeat, on the decision thread; None if the leader can't.
+        """Answer a direct or relayed heartbeat, on the decision thread; None if it can't renew the lease.
 
         After ``deadline`` the worker has timed out.
         """
--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -48,7 +48,7 @@
         self._member, self._store, self._election = settings.member, store, election
         self._delegated_renewal, self._misdirected_workers = delegated_renewal, misdirected_workers
         self._leader_term, self._is_unreachable = leader_term, is_unreachable
-        # After this the worker has timed out, according to the protocol.
+        # The worker's timeout for a response, according to the protocol.
         self._response_timeout_s = heartbeat_response_timeout_s(workers)
         # A worker that gets no leader's name tries another node a second later. After a restart of all nodes
         # leases can expire within that second; an election takes far less.
@@ -88,7 +88,7 @@
         return leader_term.heartbeats.handle(heartbeat, self._response_timeout_s) or self.make_rejection()
 
     def _answer_as_delegate(self, heartbeat: Heartbeat) -> HttpResponse | None:
-        """Renew the lease as the leader's delegate; None if this node may not."""
+        """Renew the lease as the leader's delegate; else record a misdirected worker, and return None."""
         if heartbeat.fencing_token:
             leader = self._election.leader
             renewed_fencing_token = self._delegated_renewal.renewal_fencing_token(
@@ -99,7 +99,7 @@
             )
             if renewed_fencing_token is not None:
                 return http_response(HTTPStatus.OK, HeartbeatResponse(renewed_fencing_token).body())
-            # Workers of new machines start with any node; one with a fencing token has left its leader.
+            # Workers of new machines start with any node; one with a fencing token was answered by a leader.
             self._misdirected_workers.record(heartbeat)
         return None
 
--- a/src/poppyhold/node/job_lifecycle.py
+++ b/src/poppyhold/node/job_lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle of jobs in the decision core, from acceptance to final state."""
+"""The lifecycle of jobs on the leader, from acceptance to final state."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from poppyhold.wire.codec import MalformedError
 from poppyhold.wire.user_messages import parse_submission
 
-# Finalized job IDs kept per MB of the controller's memory limit.
+# Number of finalized job IDs kept per MB of the controller's memory limit.
 _FINALIZED_IDS_PER_RAM_MB = 10
 
 
@@ -34,12 +34,12 @@
         autoscaler: Autoscaler,
         on_active_jobs_changed: Callable[[], None],
     ) -> None:
-        """``on_active_jobs_changed`` is called when a job is created or finalized: guarantees change."""
+        """``on_active_jobs_changed`` is called when a job is created or finalized, to update guarantees."""
         self._ctx, self._admission, self._reconciler = ctx, admission, reconciler
         self._completions, self._autoscaler = completions, autoscaler
         self._on_active_jobs_changed = on_active_jobs_changed
         # Finalized jobs, which a late submission must not create again: a cancellation may overtake it in the
-        # decision queue, or because another controller reports the cancellation first.
+        # decision queue, or because another controller's pong lists the cancellation first.
         max_ids = int(ctx.settings.deployment.machine_limits.ram_mb * _FINALIZED_IDS_PER_RAM_MB)
         self._finalized_ids: BoundedDict[bool] = BoundedDict(max_ids)
 
@@ -111,7 +111,8 @@
         def on_committed(committed: bool) -> None:
             if committed:
                 self._ctx.outbound.job_finalized(job.id, JobStatus.DONE, job.spec.tasks)
-            # Otherwise a cancellation or a retry of this commit finalized the job; the watch delivers which.
+            # Otherwise a cancellation or an earlier try of this commit finalized the job, with a final state
+            # that is unknown here.
             self.handle_finalized(job.id)
 
         self._ctx.outbound.commit(
--- a/src/poppyhold/node/job_states.py
+++ b/src/poppyhold/node/job_states.py
@@ -11,7 +11,7 @@
 from poppyhold.model.job_status import FinalState, JobStatus, TaskCounts
 from poppyhold.wire import field_names
 
-# Accepted job IDs kept: the number of cached final states divided by this.
+# Maximum number of cached IDs of accepted jobs: that of cached final states divided by this.
 _ACCEPTED_DIVISOR = 10
 
 
@@ -30,7 +30,7 @@
         # Durable final states, which never change. No other cached state is sent to users, so no node can
         # return an older state than another node has returned before.
         self.final_states: BoundedDict[FinalState] = BoundedDict(max_final_states)
-        # Accepted jobs; only a hint whether to read the state first when a submission is repeated.
+        # Some accepted jobs. If their submission is repeated, their state is read before any commit.
         self._accepted: BoundedDict[bool] = BoundedDict(max_final_states // _ACCEPTED_DIVISOR)
 
     def record_accepted(self, job_id: str) -> None:
@@ -38,14 +38,14 @@
         self._accepted.put(job_id, True)
 
     def probably_accepted(self, job_id: str) -> bool:
-        """Whether a submission of this job is probably a repeat. Only a hint."""
+        """Whether a submission of this job is probably a repeat; False if that is unknown."""
         return job_id in self._accepted or self._task_counts(job_id) is not None
 
     def read_status(self, job_id: str) -> dict[str, object] | None:
         """Return a job's state for its user; None if the job was never accepted."""
         final = self.final_states.get(job_id)
         if final is None:
-            # In this order, as a job moves from active to final and never back.
+            # The active key is read first: a job that is finalized in between is then found as final.
             if self._store.get(ACTIVE_JOB_PREFIX + job_id) is not None:
                 return self.describe_active(job_id)
             final = self.read_final(job_id)
@@ -64,7 +64,7 @@
 
     def record_final(self, job_id: str, final: FinalState, revision: int) -> None:
         """Cache a durable final state before it is sent to the user."""
-        # First: a leader that pings this node must receive the cancellation before any user does.
+        # Before the state is cached, and so sent to users: from then on, pongs must include the cancellation.
         if final.status == JobStatus.CANCELLED:
             self._cancellations.add(job_id, revision)
         self.final_states.put(job_id, final)
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -1,4 +1,4 @@
-"""One term of leadership: the decision core, the threads that serve it, and their connections."""
+"""One term of leadership: the controller, its decision loop, and the threads that exchange events with it."""
 
 from __future__ import annotations
 
@@ -44,7 +44,8 @@
 
 log = logging.getLogger(__name__)
 
-# Share of the connections that workers without a relay may use; the rest is for users.
+# Share of the controller's connections. While there are fewer direct workers, one of the leader's zone is not
+# redirected to a relay of another zone. The rest is for users.
 DIRECT_WORKERS_CONNECTION_SHARE = 0.85
 # A poll of the watch waits for changes for at most a lease divided by this.
 _WATCH_POLLS_PER_LEASE = 5
@@ -67,18 +68,18 @@
 
     @property
     def peer_image_hints(self) -> ImageHints:
-        """The images on each machine, as the last leader sent them."""
+        """The images on each machine, from leaders' pings; they may be out of date."""
 
     def make_heartbeat_rejection(self) -> HttpResponse:
-        """Return the response to a heartbeat that the leader can't answer."""
+        """Return the rejection of a heartbeat whose lease the leader can't renew now."""
 
 
 class LeaderTerm:
-    """Connects the decision core with its threads, from the election to the loss of leadership.
+    """Creates, connects and stops the components of one term.
 
-    The components own their threads: `loop` the decision thread; the committer, command dispatcher, cloud
-    dispatcher, watch, relay server and quota endpoint one or more each. Methods of this class that are passed
-    to `loop` run on the decision thread; `stop` may be called from any thread.
+    `loop` owns the decision thread. The committer, command dispatcher, cloud dispatcher, watch, relay server
+    and quota endpoint each own one or more threads. Methods of this class that are passed to `loop` run on
+    the decision thread; `stop` may be called from any thread.
     """
 
     def __init__(self, node: NodeContext, term: Term) -> None:
@@ -127,13 +128,13 @@
         )
         self.quota_endpoint = self._make_quota_endpoint()
         self._watch: Watch | None = None
-        # Snapshots of the last tick, for other threads.
+        # Computed by the last tick. Other threads may read them: each tick replaces the dicts.
         self.task_counts: dict[str, TaskCounts] = {}
         self.image_hints: ImageHints = {}
         self._start_loop()
 
     def _make_assignment(self, durations: Durations) -> Assignment:
-        """Create the assignment of workers to relays, which also decides whether relays are used."""
+        """Create the `Assignment`, which assigns workers to relays and decides whether relays are used."""
         settings, relays = self._node.settings, self._node.options.relays
         connections = settings.deployment.machine_limits.connections
         return Assignment(
@@ -148,7 +149,7 @@
         )
 
     def _make_quota_endpoint(self) -> QuotaEndpoint | None:
-        """Create the endpoint for other cells; None in a fleet of one cell."""
+        """Create the endpoint of other cells' and operators' quota requests; None in a fleet of one cell."""
         quota, cells = self.controller.quota, self._node.options.cells
         if quota is None or cells is None:
             return None
@@ -165,11 +166,11 @@
 
     @property
     def alive(self) -> bool:
-        """Whether the term is still current."""
+        """Whether `stop` has not been called yet."""
         return self.loop.alive
 
     def stop(self) -> None:
-        """End the term: it answers and sends nothing from now on."""
+        """End the term: stop its components, then reject the queued heartbeats."""
         self.loop.stop()
         self._committer.stop()
         self._commands.stop()
@@ -183,7 +184,7 @@
         self.loop.reject_queued_heartbeats()
 
     def handle_quota_request(self, message: QuotaRequest, timeout_s: float) -> QuotaResponse | None:
-        """Answer another cell's leader or an operator; None if that is not possible in time."""
+        """Answer another cell's leader or an operator; None after ``timeout_s`` or in a fleet of one cell."""
         return (
             self.quota_endpoint.handle_request(message, timeout_s)
             if self.quota_endpoint is not None
@@ -193,19 +194,20 @@
     # -- on the decision thread ----------------------------------------------------------------------
 
     def _prepare(self) -> bool:
-        """Rebuild the state and start the sources of its changes; False if the term is over."""
+        """Load the durable state, follow its changes, and accept heartbeats; False if the term has ended."""
         started_at = time.monotonic()
         try:
             snapshot = self._read_snapshot()
         except Exception:
-            # A leader that can't read the state must let another controller lead.
-            log.exception("snapshot failed, resigning leadership")
-            self._node.election.resign("the snapshot of the state could not be read")
+            # `_read_snapshot` retries failed requests. After any other error another controller must lead.
+            log.exception("reading the durable state failed, resigning leadership")
+            self._node.election.resign("the durable state could not be read")
             return False
         if not self.loop.alive:
             return False
         read_at = time.monotonic()
-        # First, so that relays with waiting workers connect while the rest is prepared.
+        # First, as the number of machines decides whether relays may connect. Heartbeats that wait at relays
+        # arrive while the rest is prepared.
         self.relays.update_machines(snapshot.machines.keys())
         self.controller.load(snapshot, self._node.catalog.types.values(), dict(self._node.peer_image_hints))
         self._outbound.cloud = CloudDispatcher(
@@ -233,13 +235,13 @@
         return True
 
     def _read_snapshot(self) -> Snapshot:
-        """Read the durable state, with retries; empty if the term ends before that."""
+        """Read the durable state, with retries; returns an empty snapshot if the term ends first."""
         reader = SnapshotReader(self._node.store, with_quota=self._node.options.cells is not None)
         while self.loop.alive:
             try:
                 return reader.read()
             except (StoreRejectedError, OutcomeUnknownError) as error:
-                log.debug("snapshot read failed, will retry: error=%s", error)
+                log.debug("reading the durable state failed, will retry: error=%s", error)
                 time.sleep(self._node.store.timeout_s / _READ_PAUSE_DIVISOR)
         return Snapshot()
 
@@ -263,7 +265,7 @@
         if isinstance(change, Entry):
             self.loop.post(SUBMISSIONS, lambda: self.controller.handle_job_accepted(change))
         else:
-            # A removal is a cancellation or a finalization, which is handled before submissions.
+            # The job was cancelled or finalized. Such events are processed before submissions.
             self.loop.post(DECISIONS, lambda: self.controller.handle_job_removed(change.key))
 
     def on_peer_response(self, pong: Pong, requested_at: float) -> None:
@@ -279,4 +281,4 @@
         self.loop.post(DECISIONS, lambda: self.controller.handle_machine_listing(listing))
 
     def _on_leader_key_lost(self) -> None:
-        self._node.election.step_down("a commit failed the condition on the leader key")
+        self._node.election.step_down("a commit was rejected: its condition on the leader key does not hold")
--- a/src/poppyhold/node/machine_lifecycle.py
+++ b/src/poppyhold/node/machine_lifecycle.py
@@ -11,7 +11,7 @@
 from poppyhold.scheduling.admission import Admission
 from poppyhold.wire.worker_messages import TaskState
 
-# Share of a preemption notice that is relied on: a machine may go after half of it.
+# Share of a preemption notice that is relied on: a machine may be removed after half of it.
 _USABLE_NOTICE_SHARE = 0.5
 
 
--- a/src/poppyhold/node/outbound_adapter.py
+++ b/src/poppyhold/node/outbound_adapter.py
@@ -1,4 +1,4 @@
-"""The decision core's outbound port, connected to the threads that do its I/O."""
+"""The outbound port of `Controller`, connected to the threads that do its I/O."""
 
 from __future__ import annotations
 
--- a/src/poppyhold/node/peer_handler.py
+++ b/src/poppyhold/node/peer_handler.py
@@ -1,4 +1,4 @@
-"""Messages that a controller exchanges with its peers, and changes of leadership that follow from them."""
+"""What a node sends to other controllers, and does on their messages and refused connections."""
 
 from __future__ import annotations
 
@@ -26,14 +26,18 @@
 from poppyhold.relay.messages import RelayHello
 from poppyhold.settings import Settings
 
-# Jobs whose task counts are kept from the leader's pings, per MB of the controller's memory limit.
+# Number of jobs whose task counts from leaders' pings are kept, per MB of the controller's memory limit.
 _COUNTS_PER_RAM_MB = 100
-# A refused connection alone expires the leader's lease at most once in so many worker leases.
+# Minimum time between two revocations of a leader's lease for which a refused connection is the only reason,
+# in leases of workers.
 _REFUSAL_INTERVAL_LEASES = 6
 
 
 class NodePeerHandler:
-    """Composes and handles pings and pongs; `Peers` transports them."""
+    """Implements `PeerHandler`: composes and handles pings and pongs, which `Peers` transports.
+
+    They also lead to changes of leadership. Connections of relays and quota requests are passed on.
+    """
 
     def __init__(
         self,
@@ -54,22 +58,22 @@
         self._misdirected_workers = misdirected_workers
         self._leader_term, self._store_contact_at = leader_term, store_contact_at
         self._transfer_after_unreachable_s = Durations(settings, options).delegated_renewal_after_s
-        # Task counts by job and images by machine, from the leader's pings.
+        # Task counts by job and images by machine, from leaders' pings.
         self._peer_counts: dict[str, TaskCounts] = {}
         self.peer_image_hints: ImageHints = {}
-        # When this node last expired the lease of a leader that refused connections.
+        # When this node last tried to revoke a leader's lease because of a refused connection.
         self._last_refusal_revocation_at = float("-inf")
-        # A leader whose pong said that it does not lead.
+        # The holder of the leader key, after a pong without a fencing token: its process may have restarted.
         self._possibly_restarted_leader: Leader | None = None
         self._quota_server = quota_server
         self.peers = Peers(settings, self, quota_server.max_connections)
 
     def should_yield(self) -> bool:
-        """Whether a better connected controller should campaign before this one."""
+        """Whether a peer that reaches more controllers than this node should campaign first."""
         return self.peers.connectivity.better_connected_peer() is not None
 
     def task_counts(self, job_id: str) -> TaskCounts | None:
-        """Return a job's done and running tasks, as this node's term or the leader's pings list them."""
+        """Return a job's task counts, from this node's term if it leads, else from pings; None if unknown."""
         leader_term = self._leader_term()
         counts = leader_term.task_counts if leader_term is not None else self._peer_counts
         return counts.get(job_id)
@@ -121,7 +125,7 @@
         )
 
     def _confirmed_cancellations(self) -> tuple[list[Cancellation], int]:
-        """Return the cancellations that this node confirmed to users, see `Cancellations.summarize`."""
+        """Return the listed confirmed cancellations, and the highest revision of the others; -1: unknown."""
         return self._user_api.cancellations.summarize(self._election.watch.first_revision)
 
     def handle_ping(self, ping: Ping) -> Pong:
@@ -134,7 +138,7 @@
         misdirected = self._misdirected_workers.recent() if ping.leading else []
         if ping.leading and ping.applied_revision >= 0:
             self._user_api.cancellations.acknowledge(ping.applied_revision)
-            # Read after `own`, so that cancellations confirmed in between are listed.
+            # Read again: the list lacks the acknowledged cancellations, and has those confirmed since `own`.
             listed, unlisted_revision = self._confirmed_cancellations()
         return Pong(
             own.member,
@@ -172,8 +176,8 @@
         if pong.leading:
             self._election.observe_fencing_token(pong.fencing_token)
             return
-        # Only from a peer that does not lead: a leader's bound does not cover what others confirm during its
-        # term.
+        # A leading peer's pong is not applied: its revision does not cover the cancellations that other
+        # controllers confirm during its term.
         leader_term = self._leader_term()
         if leader_term is not None:
             leader_term.on_peer_response(pong, requested_at)
@@ -183,22 +187,23 @@
     # -- changes of leadership -----------------------------------------------------------------------
 
     def _check_stale_leader_key(self, pong: Pong) -> None:
-        """Expire the lease of a leader that restarted: the key belongs to its previous process."""
+        """Revoke the leader's lease after two of its pongs without a fencing token: it has restarted."""
         leader = self._election.leader
         if leader is None or leader.member != pong.member or pong.fencing_token:
             return
         if self._possibly_restarted_leader == leader:
-            # A second such pong rules out that the first one was sent just before the election.
+            # The first pong may have been sent just before this leader was elected; the second was not.
             self._possibly_restarted_leader = None
             self._election.revoke_leader_lease(leader)
         else:
             self._possibly_restarted_leader = leader
 
     def _transfer_to_better_connected_peer(self) -> None:
-        """Transfer leadership to a controller that reaches more of the others than this one.
+        """Transfer leadership to a peer that reaches all peers of this node, and one that this node does not.
 
-        If two zones can't reach each other while both reach a third, a leader in one of the two loses all
-        tasks of the other to expired leases, and does not know for half a minute which of them still run.
+        While two zones can't reach each other but both reach a third, a leader in one of the two can't renew
+        the leases of workers in the other. Their tasks end, and the leader can't tell for half a minute which
+        of them still run. A leader in the third zone reaches all workers.
         """
         better = self.peers.connectivity.better_connected_peer(self._transfer_after_unreachable_s)
         peer_view = self.peers.views.get(better) if better is not None else None
@@ -207,16 +212,19 @@
             peer_view is not None
             and time.monotonic() - peer_view.store_contact_at < self._election.leader_lease_s
         ):
-            self._election.resign_if_lease_revoked(f"{better} reaches more controllers")
+            self._election.resign_if_lease_revoked(
+                f"{better} reaches all controllers that this one reaches, and more"
+            )
 
     def on_connection_refused(self, member: str) -> None:
-        """Handle a refused connection to a controller: if it leads, its process may be gone."""
+        """Handle a refused connection to a controller: if it leads, its process may have ended."""
         leader = self._election.leader
         if leader is None or leader.member != member or self._election.term is not None:
             return
-        # A refusal alone proves nothing: a packet filter refuses as well, and three nodes that each expire
-        # every leader they can't reach would leave the fleet without one. So a refusal is sufficient once
-        # in several leases, and otherwise only if workers have also left the leader.
+        # The process may still run: a packet filter refuses connections as well. If three nodes each revoked
+        # the lease of every leader that they can't reach, the fleet would have no leader. So a refusal is
+        # sufficient only once in `_REFUSAL_INTERVAL_LEASES` leases, or once in a lease if at least two
+        # workers recently sent their heartbeats here instead of to the leader.
         now = time.monotonic()
         lease_s = self._settings.deployment.workers.lease_s
         since_last_s = now - self._last_refusal_revocation_at
@@ -230,12 +238,12 @@
     # -- relays --------------------------------------------------------------------------------------
 
     def _accepts_relays(self, leader_term: LeaderTerm) -> bool:
-        """Whether a term accepts relays; before it knows the number of machines, as the last leader did."""
+        """Whether relays may connect; until the machines are loaded, as the last leader's ping said."""
         relays = leader_term.relays
         return relays.relays_wanted or (not relays.knows_machines and self._forwarder.is_wanted())
 
     def serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
-        """Serve a relay's connection until it ends, if this node's term accepts relays."""
+        """Serve a relay's connection until it ends; returns at once unless relays may connect."""
         leader_term = self._leader_term()
         if leader_term is not None and self._accepts_relays(leader_term):
             leader_term.relays.serve(connection, hello)
--- a/src/poppyhold/node/readiness.py
+++ b/src/poppyhold/node/readiness.py
@@ -13,7 +13,7 @@
 from poppyhold.settings import Settings
 from poppyhold.wire.http_server import HttpResponse, http_response
 
-# Maximum lag of a ready node's last contact with the state service behind any peer's, as a share of a lease.
+# Maximum lag of a ready node's last contact with the state service behind any peer's, in leases.
 _MAX_CONTACT_LAG_LEASES = 0.35
 
 
@@ -49,7 +49,7 @@
         return http_response(HTTPStatus.OK, body)
 
     def _lags_behind_peers(self) -> bool:
-        """Whether this node has lost the state service while a peer has not.
+        """Whether a peer's last contact with the state service is much later than this node's.
 
         In an outage of the state service all nodes stay ready, as load balancers are slow to readmit a node.
         Nodes contact the state service at different times, so only a lag above the threshold counts.
--- a/src/poppyhold/node/scheduling_cycle.py
+++ b/src/poppyhold/node/scheduling_cycle.py
@@ -8,7 +8,8 @@
 from poppyhold.scheduling.dispatch import Dispatcher
 from poppyhold.scheduling.quotas import Quotas
 
-# Pause after a cycle, as a multiple of the cycle's duration: cycles take at most a seventh of the time.
+# Pause after a cycle, as a multiple of the cycle's duration: within its bounds, cycles take a seventh of the
+# time.
 _PAUSE_RATIO = 6
 # Bounds of the pause, as divisors of the heartbeat interval.
 _MIN_PAUSE_DIVISOR = 25
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -28,7 +28,7 @@
 from poppyhold.settings import Settings
 from poppyhold.wire.http_server import HttpResponse, HttpServer
 
-# Limit of misdirected workers, by the size of a message between controllers.
+# Maximum number of listed misdirected workers: a message between controllers must hold them.
 _MAX_MISDIRECTED_WORKERS = 20_000
 
 
@@ -143,11 +143,11 @@
 
     @property
     def peer_image_hints(self) -> ImageHints:
-        """The images on each machine, as the last leader sent them."""
+        """The images on each machine, from leaders' pings; they may be out of date."""
         return self._peer_handler.peer_image_hints
 
     def make_heartbeat_rejection(self) -> HttpResponse:
-        """Return the response to a heartbeat that the leader can't answer."""
+        """Return the rejection of a heartbeat whose lease the leader can't renew now."""
         return self._heartbeats.make_rejection()
 
     # -- callbacks of components that are constructed before those that they call ---------------------
--- a/src/poppyhold/node/state_loader.py
+++ b/src/poppyhold/node/state_loader.py
@@ -1,4 +1,4 @@
-"""Rebuilding of the core's state at the start of a term, from the records of earlier leaders."""
+"""Rebuilding of the leader's state at the start of a term, from the records of earlier leaders."""
 
 from __future__ import annotations
 
--- a/src/poppyhold/node/submission_policy.py
+++ b/src/poppyhold/node/submission_policy.py
@@ -36,7 +36,7 @@
         return None
 
     def make_record(self, spec: Submission, machine_types: dict[str, MachineType]) -> Data:
-        """Make the record of a submission; a list of machine types too long for it keeps existing ones."""
+        """Make the record of a submission; if its machine types are too long for it, only known ones stay."""
         data: Data = {"spec": msgspec.to_builtins(spec), "at": time.time()}
         if spec.machine_types is not None and not self.can_store(data):
             data["spec"][field_names.MACHINE_TYPES] = sorted(machine_types.keys() & set(spec.machine_types))
--- a/src/poppyhold/node/user_api.py
+++ b/src/poppyhold/node/user_api.py
@@ -1,4 +1,4 @@
-"""The users' interface: served by every node, with the state service as the only source of truth."""
+"""The users' interface, served by every node. Only the state service determines which jobs exist or ended."""
 
 from __future__ import annotations
 
@@ -36,20 +36,20 @@
 log = logging.getLogger(__name__)
 
 _MAX_ATTEMPTS = 3
-# Latest start of an attempt: users time out after five seconds, and an attempt takes up to two.
+# Latest start of an attempt after the request: users time out after 5 s, and an attempt takes up to 2 s.
 _LAST_ATTEMPT_START_S = 2.0
-# Users time out after two seconds on a query.
+# Users time out after 2 s on a query.
 _QUERY_TIMEOUT_S = 1.5
-# Queries within this share of a heartbeat interval are answered in one batch.
+# Minimum time between the starts of two batches of queries under load, in heartbeat intervals.
 _BATCH_WINDOW_INTERVALS = 0.05
 # Share of the state service's request limit that the queries of all controllers may take. Without it, queries
-# of five controllers took twice the limit, and submissions, decisions and renewals were rejected.
+# of five controllers can take twice the limit, so that submissions, decisions and renewals are rejected.
 _QUERY_REQUEST_SHARE = 0.4
-# Limit of listed cancellations, by the size of a message between controllers.
+# Maximum number of listed cancellations: a message between controllers must hold them.
 _MAX_LISTED_CANCELLATIONS = 10_000
-# Cached final states per MB of the controller's memory limit.
+# Number of cached final states per MB of the controller's memory limit.
 _FINAL_STATES_PER_RAM_MB = 100
-# Minimum number of concurrent requests to the state service.
+# Lower bound of the limit on concurrent requests of users.
 _MIN_USER_REQUEST_SLOTS = 8
 
 
@@ -71,7 +71,10 @@
         clock: Callable[[], float] = time.monotonic,
         reads: BatchedJobReads | None = None,
     ) -> None:
-        """``task_counts`` returns a job's done and running tasks; ``reads`` tells whether it is active."""
+        """``task_counts`` returns a job's done and running tasks, ``reads`` whether it is active.
+
+        By default, ``reads`` reads from ``store``.
+        """
         deployment = settings.deployment
         self._store, self._machine_types, self._clock = store, machine_types, clock
         self._retry_after_s = max(1, round(deployment.workers.heartbeat_interval_s))
@@ -82,7 +85,7 @@
             rate_limiter=_query_rate_limiter(deployment),
         )
         self._policy = SubmissionPolicy(deployment)
-        # At most as many as the state service can write within the time limit of a cancellation.
+        # No more cancellations are listed than the state service can write within `cancel_s`.
         self.cancellations = Cancellations(
             min(int(deployment.state.write_rps * deployment.workers.cancel_s), _MAX_LISTED_CANCELLATIONS)
         )
@@ -92,7 +95,7 @@
             task_counts,
             int(deployment.machine_limits.ram_mb * _FINAL_STATES_PER_RAM_MB),
         )
-        # More concurrent requests would only wait for the state service's rate limit.
+        # The requests that the state service accepts in half a second: more would only exceed its rate limit.
         self._user_request_slots = threading.BoundedSemaphore(
             max(_MIN_USER_REQUEST_SLOTS, int(deployment.state.rps / 2))
         )
@@ -111,7 +114,7 @@
         machine_types = self._machine_types()
         reason = self._policy.infeasible_reason(spec, machine_types)
         if reason is not None or not machine_types:
-            # A repeat of an accepted job is answered with its state, even if it would be rejected now.
+            # If the job was accepted before, its state is returned even if it would be rejected now.
             known = self.job_states.read_status(spec.name)
             if known is not None:
                 return http_response(HTTPStatus.OK, known)
@@ -124,9 +127,9 @@
         return self._store_submission(spec, data)
 
     def _answer_too_long(self, spec: Submission) -> HttpResponse:
-        """Reject a submission that can never be stored, so that its user does not retry.
+        """Answer a submission that is too long to be stored with status 400, so that the user does not retry.
 
-        If an earlier version stored it under larger limits, its state is returned instead.
+        If the job was accepted before, under larger limits, its state is returned instead.
         """
         known = self.job_states.read_status(spec.name)
         if known is not None:
@@ -134,8 +137,8 @@
         return http_response(HTTPStatus.BAD_REQUEST, {"error": "too long"})
 
     def _store_submission(self, spec: Submission, data: Data) -> HttpResponse:
-        # A failed condition counts against the state service's write limit: repeats of accepted submissions
-        # must not use up the writes that decisions need.
+        # A commit counts against the state service's write limit even if its condition fails. The state of a
+        # job that was probably accepted is read first, to leave the writes to decisions.
         read_status_first = self.job_states.probably_accepted(spec.name)
         for _ in self._attempts():
             if read_status_first or self.job_states.final_states.get(spec.name) is not None:
@@ -148,13 +151,13 @@
                     [Put(ACTIVE_JOB_PREFIX + spec.name, data)],
                 )
             except OutcomeUnknownError:
-                # The commit may have succeeded: the next attempt finds out.
+                # The commit may have succeeded: then the condition of the next one fails.
                 continue
             except InvalidRequestError as error:
                 log.warning("submission rejected by the state service: job=%s error=%s", spec.name, error)
                 return self._answer_too_long(spec)
             except ConditionFailedError:
-                # The job exists, perhaps from an earlier attempt of this request: return its current state.
+                # The job exists, perhaps from an earlier attempt: the next attempt reads its state.
                 read_status_first = True
             else:
                 self.job_states.record_accepted(spec.name)
@@ -172,11 +175,11 @@
         final = self.job_states.final_states.get(job_id)
         if final is not None:
             return http_response(HTTPStatus.OK, self.job_states.describe_final(job_id, final))
-        # A batched read needs no slot: its cost to the state service does not grow with the queries.
+        # A batched read needs no slot: more queries in a batch cause no more requests to the state service.
         return self._run_or_try_later(lambda: self._poll(job_id))
 
     def _poll(self, job_id: str) -> HttpResponse:
-        # In this order, as a job moves from active to final and never back.
+        # The active key is read first: a job that is finalized in between is then found as final.
         if self._reads.is_active(job_id):
             return http_response(HTTPStatus.OK, self.job_states.describe_active(job_id))
         return self._with_slot(lambda: self._poll_final(job_id))
@@ -204,6 +207,7 @@
             if entry is None:
                 if self.job_states.read_status(job_id) is None:
                     return _unknown_job()
+                # The final state is cached now, or the job has become active: look again.
                 continue
             try:
                 tasks = entry.data["spec"][field_names.TASKS]
@@ -221,12 +225,12 @@
     # -- limits and retries --------------------------------------------------------------------------
 
     def _attempts(self) -> Iterator[int]:
-        """Yield a few attempts, none of which starts if its user could time out before it ends."""
+        """Yield up to `_MAX_ATTEMPTS` numbers, none later than `_LAST_ATTEMPT_START_S` after this call."""
         began_at = self._clock()
         return (number for number in range(_MAX_ATTEMPTS) if self._clock() - began_at < _LAST_ATTEMPT_START_S)
 
     def _with_slot(self, work: Callable[[], HttpResponse]) -> HttpResponse:
-        # Without a free slot the request is rejected at once, with a time to retry.
+        # Without a free slot the request is rejected at once with status 429 and a delay in `Retry-After`.
         if not self._user_request_slots.acquire(blocking=False):
             return self._try_later(HTTPStatus.TOO_MANY_REQUESTS)
         try:
