--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -26,8 +26,8 @@
 
 log = logging.getLogger(__name__)
 
-# Range of the random pause between campaigns, as a share of the renewal interval, so that two controllers
-# don't collide repeatedly.
+# Bounds of the random pause after a claim of leadership, as ratios to the renewal interval: two controllers
+# whose claims made each other fail then claim at different times.
 _CAMPAIGN_PAUSE_RATIOS = 0.3, 0.7
 
 
@@ -44,9 +44,10 @@
 class Election:
     """One thread that campaigns and renews the lease, and another that watches the leader's key.
 
-    ``on_elected`` and ``on_term_ended`` are called on the threads that cause these events. While
-    ``should_yield`` says that a better connected controller should campaign first, this one does not
-    campaign, for at most a lease.
+    To campaign is to get a lease and write the leader's key on it, while no leader is known. ``on_elected``
+    is called on the election thread, ``on_term_ended`` on the thread that ends the term. While
+    ``should_yield`` returns that a better connected controller should campaign first, this one does not,
+    for at most `leader_lease_s` after the last leader's key was gone.
     """
 
     def __init__(
@@ -64,6 +65,7 @@
         self._on_elected, self._on_term_ended = on_elected, on_term_ended
         self._should_yield = should_yield
         worker_lease_s = settings.deployment.workers.lease_s
+        # Time to live of the lease that the leader's key is on.
         self.leader_lease_s = worker_lease_s * options.leadership.term_leases
         self._renewal_interval_s = self.leader_lease_s / options.leadership.renewals
         # How long a leader that resigned does not campaign.
@@ -73,32 +75,36 @@
         self._wake = threading.Event()
         self._stopped = False
         self.known_leader = KnownLeader()
-        # Whether there is a leader is unknown before the key was read.
+        # While False, `leader` being None does not mean that no controller leads.
         self._leader_key_read = False
         self.term: Term | None = None
-        # The term was certainly valid at this time.
+        # When the last successful claim or renewal began, on the monotonic clock: the lease was valid then.
+        # -inf without a term.
         self.confirmed_at = float("-inf")
         self.watch = Watch(store, LEADER_PREFIX, worker_lease_s / 5, self._on_snapshot, self._on_change)
         self._thread = threading.Thread(target=self._run, name="election", daemon=True)
 
     @property
     def leader(self) -> Leader | None:
-        """The last known leader."""
+        """The leader that the key named when it was last read or changed; None if there was no key."""
         return self.known_leader.leader
 
     def start(self) -> None:
-        """Start to campaign. The watch is started earlier, so that requests are forwarded to the leader."""
+        """Start to campaign. The caller starts `watch` earlier, to know the leader and forward requests."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Resign and end the threads."""
+        """Resign, and ask both threads to end without waiting for them."""
         self._stopped = True
         self.known_leader.stop()
         self.watch.stop()
         self.resign("stopped")
 
     def resign(self, reason: str) -> None:
-        """Give up the term so that another controller can lead, and don't campaign for one lease."""
+        """End any term and revoke its lease, so that another controller can lead.
+
+        With or without a term, this controller does not campaign for the length of a worker's lease.
+        """
         self._campaign_backoff_until = time.monotonic() + self._campaign_backoff_s
         term = self.term
         self.step_down(reason)
@@ -107,9 +113,10 @@
         self._wake.set()
 
     def resign_if_lease_revoked(self, reason: str) -> None:
-        """Give up the term only if its lease is revoked: in an outage no other controller could be elected.
+        """Revoke the term's lease, and end the term only if that succeeded.
 
-        A leader that resigned just as an outage began left the fleet without a leader until its end.
+        Otherwise a leader that resigns as an outage of the state service begins would leave the fleet
+        without a leader until the outage ends: no other controller can be elected meanwhile.
         """
         term = self.term
         if term is None:
@@ -117,13 +124,13 @@
         try:
             self._store.revoke_lease(term.lease_id)
         except (StoreRejectedError, OutcomeUnknownError) as error:
-            log.debug("leadership not transferred: lease=%d: %s", term.lease_id, error)
+            log.debug("lease not confirmed as revoked, term continues: lease=%d: %s", term.lease_id, error)
             return
         self._campaign_backoff_until = time.monotonic() + self._campaign_backoff_s
         self.step_down(reason)
 
     def step_down(self, reason: str) -> None:
-        """End this controller's term."""
+        """End this controller's term, if any, without revoking its lease and without a pause in campaigns."""
         with self._lock:
             term = self.term
             if term is None:
@@ -135,33 +142,33 @@
         self._wake.set()
 
     def observe_fencing_token(self, fencing_token: int) -> None:
-        """Step down if another controller holds a higher fencing token."""
+        """Step down if a fencing token that a peer or a worker sent is higher than this term's."""
         term = self.term
         if term is not None and fencing_token > term.fencing_token:
             self.step_down(f"higher fencing token {fencing_token} was observed")
 
     def record_fencing_token(self, fencing_token: int) -> None:
-        """Record that this term's fencing token was raised."""
+        """Record this term's new, durable fencing token. The leader's key keeps the old one."""
         with self._lock:
             if self.term is not None:
                 self.term = self.term._replace(fencing_token=fencing_token)
 
     def revoke_leader_lease(self, leader: Leader) -> None:
-        """Revoke the lease of a leader whose process is gone.
+        """Revoke the lease of the known leader, whose process is presumably gone; other leaders are ignored.
 
-        This is safe even if the process still runs: every durable write of a leader is conditional on its
-        key, and workers follow the highest fencing token.
+        This is safe even if the process still runs: each transaction of a leader is conditional on the
+        leader's key, and workers accept commands only with the highest fencing token that they received.
+        During its pause after a resignation this controller revokes no lease.
         """
         if self.leader == leader and time.monotonic() >= self._campaign_backoff_until:
-            log.info("revoking the lease of a leader whose process is gone: member=%s", leader.member)
+            log.info("revoking the leader's lease, its process is presumably gone: member=%s", leader.member)
             self._revoke_lease(leader.lease_id)
 
     def _revoke_lease(self, lease_id: int) -> None:
         try:
             self._store.revoke_lease(lease_id)
         except (StoreRejectedError, OutcomeUnknownError) as error:
-            # The lease expires by itself.
-            log.debug("lease not revoked: lease=%d: %s", lease_id, error)
+            log.debug("lease not confirmed as revoked, left to expire: lease=%d: %s", lease_id, error)
 
     def _on_snapshot(self, entries: list[Entry]) -> None:
         self._leader_key_read = True
@@ -176,12 +183,12 @@
                 self._observe_key(None)
 
     def _observe_key(self, entry: Entry | None) -> None:
-        """Handle a read or deletion of the leader's key; what is older than this term is ignored."""
+        """Handle the leader's key as read or changed, None if absent; one older than this term is ignored."""
         leader = decode_leader(entry) if entry is not None else None
         term = self.term
         if term is not None and (leader is None or leader.key_revision > term.key_revision):
             self.known_leader.observe(leader)
-            self.step_down("the leader's key changed")
+            self.step_down("the leader's key changed or was deleted")
         elif term is None or (leader is not None and leader.key_revision == term.key_revision):
             self.known_leader.observe(leader)
         self._wake.set()
@@ -191,8 +198,11 @@
             try:
                 pause_s = self._renew() if self.term is not None else self._campaign()
             except Exception:
-                # Thread boundary: without this thread the controller would never lead again.
-                log.exception("election failed, to be retried")
+                # Thread boundary: without this thread the controller would neither renew its lease nor
+                # campaign.
+                log.exception(
+                    "campaign or renewal failed, to be retried: pause_s=%.1f", self._renewal_interval_s
+                )
                 pause_s = self._renewal_interval_s
             self._wake.wait(pause_s)
             self._wake.clear()
@@ -211,8 +221,9 @@
             self.step_down("lease expired")
             return 0.0
         except (StoreRejectedError, OutcomeUnknownError) as error:
-            # An outage and a rejection of this controller alone look the same: keep the term for now.
-            # `authority` bounds what a leader may do without confirmation.
+            # This controller can't tell an outage from a rejection of its requests alone: the term continues
+            # until the key changes or the lease is found expired. Meanwhile `RenewalAuthority` bounds the
+            # renewals of workers' leases, and `OutboundPort.may_start_tasks` the starts of tasks.
             log.debug("lease not renewed: lease=%d: %s", term.lease_id, error)
             return self._renewal_interval_s / 2
         if self.term is term or (self.term is not None and self.term.lease_id == term.lease_id):
@@ -229,7 +240,8 @@
         leader = self.leader
         if leader is not None:
             if leader.member == self._member:
-                # An earlier process of this controller holds the key.
+                # The key is of an earlier process or term of this controller, or of a claim whose outcome
+                # was unknown.
                 self._revoke_lease(leader.lease_id)
                 return self._renewal_interval_s / 2
             return self.leader_lease_s
@@ -240,11 +252,11 @@
             claim_started_at = time.monotonic()
             self._claim_leadership(lease_id, claim_started_at)
         except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError, ConditionFailedError) as error:
-            log.debug("not elected: %s", error)
+            log.debug("claim of leadership failed, or its outcome is unknown: %s", error)
         return self._renewal_interval_s * self._rng.uniform(*_CAMPAIGN_PAUSE_RATIOS)
 
     def _claim_leadership(self, lease_id: int, claim_started_at: float) -> None:
-        """Try to become the leader; ``claim_started_at`` is a time after the lease was granted."""
+        """Try to become the leader; `confirmed_at` is then ``claim_started_at``, after the lease's grant."""
         leader = claim_leadership(self._store, self._member, lease_id)
         term = Term(leader.fencing_token, leader.key_revision, lease_id, time.monotonic())
         with self._lock:
--- a/src/poppyhold/cluster/known_leader.py
+++ b/src/poppyhold/cluster/known_leader.py
@@ -1,4 +1,4 @@
-"""The leader as last known to this controller, for threads that wait for one."""
+"""The leader as last known to this controller, for threads that wait for an election."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class KnownLeader:
-    """Which controller leads and since when that is known, or since when none leads."""
+    """Which controller leads, as far as this one knows, and since when; or since when none leads."""
 
     def __init__(self) -> None:
         self.leader: Leader | None = None
         now = time.monotonic()
-        # When this leader became known, and when the last one ceased to lead.
+        # When this leader became known, and when the last leader's key was last seen to be gone.
         self.leader_since, self.vacant_since = now, now
         self._changed = threading.Condition()
         self._stopped = False
@@ -41,7 +41,7 @@
             self._changed.notify_all()
 
     def stop(self) -> None:
-        """From now on no thread starts to wait."""
+        """Let no more threads wait; those that already wait are not woken up."""
         self._stopped = True
 
     def await_leader(self, timeout_s: float) -> Leader | None:
