--- a/src/poppyhold/durable/committer.py
+++ b/src/poppyhold/durable/committer.py
@@ -1,4 +1,4 @@
-"""The leader's group commit: many durable steps to a transaction, each conditional on its leadership."""
+"""The leader's group commit: several units per transaction, conditional on its key and its write fence."""
 
 from __future__ import annotations
 
@@ -26,25 +26,27 @@
 
 log = logging.getLogger(__name__)
 
-# Units per transaction: if a condition of one of them fails, all are committed one by one.
+# Largest number of units per transaction: if a condition of one of them fails, or the transaction exceeds a
+# limit, each is committed in a transaction of its own.
 _MAX_UNITS = 8
-# The state service's limit on conditions, as a multiple of its limit on the writes of a transaction.
+# The limit on the conditions of a transaction, as a multiple of the limit on its writes (`txn_ops`).
 _CONDITION_LIMIT_RATIO = 4
-# Conditions of every transaction of a leader: on its key and on its write fence.
+# Conditions that `FencedWriter` adds to every transaction: on the leader's key and on the write fence.
 _LEADER_CONDITIONS = 2
 
 
 class CommitUnit(NamedTuple):
-    """One durable step of the leader, committed atomically."""
+    """Writes of the leader that are committed atomically, and their conditions."""
 
     conditions: dict[str, int]
     writes: Sequence[Write]
-    # Called with True once the step is durable, with False if one of its conditions failed.
+    # Called with True once the unit is durable, with False if one of its conditions failed, perhaps because
+    # an earlier attempt was committed; not called if the committer stops first.
     on_committed: Callable[[bool], None]
 
 
 class Committer:
-    """A thread that commits the leader's units, many to a transaction, until its leadership is lost."""
+    """A thread that commits the leader's units until it is stopped or the leader's key has changed."""
 
     def __init__(
         self,
@@ -57,30 +59,33 @@
         self._on_leadership_lost = on_leadership_lost
         limits = settings.deployment.state.lowest
         self._max_writes = limits.txn_ops
-        # Two thirds of the allowed writes: the rest is for the nodes that serve users and the election. A
-        # burst of up to a third of a second's writes is sent at once.
+        # First attempts use two thirds of the allowed writes a second. The rest is for retries, the election
+        # and the writes for users of all controllers. A transaction starts while earlier ones exceed that
+        # rate by at most half of `txn_ops` writes.
         self._rate_limiter = RateLimiter(limits.write_rps / 1.5, burst=self._max_writes / 2)
+        # The pause before the first retry; it doubles up to the longest one.
         self._first_retry_pause_s = 2 / limits.rps
         self._max_retry_pause_s = max(
             self._first_retry_pause_s, settings.deployment.workers.heartbeat_interval_s / 8
         )
-        # By priority, each in the order of submission, so that a burst does not starve the oldest units.
+        # Highest priority first; within one, first in, first out: new units don't delay older ones.
         self._queues: dict[CommitPriority, deque[CommitUnit]] = {
             priority: deque() for priority in CommitPriority
         }
+        # Guards `_queues`; notified when a unit is queued or the thread has to end.
         self._queue_changed = threading.Condition()
         self._stopped = False
         self._thread = threading.Thread(target=self._run, name="committer", daemon=True)
         self._thread.start()
 
     def submit(self, unit: CommitUnit, priority: CommitPriority = CommitPriority.BACKGROUND) -> None:
-        """Queue a unit; its ``on_committed`` is called on the committer's thread."""
+        """Queue a unit, last of its priority; ``on_committed`` is called on the committer's thread."""
         with self._queue_changed:
             self._queues[priority].append(unit)
             self._queue_changed.notify()
 
     def stop(self) -> None:
-        """End the thread; queued units are dropped."""
+        """Ask the thread to end after its current request or pause; queued units are dropped."""
         with self._queue_changed:
             self._stopped = True
             self._queue_changed.notify()
@@ -90,7 +95,7 @@
         return next((queue for queue in self._queues.values() if queue), None)
 
     def _next_batch(self) -> list[CommitUnit]:
-        """Wait for units; returns those of the next transaction, or none if the thread is to end."""
+        """Wait for units; returns those of the next transaction, an empty list if the thread has to end."""
         with self._queue_changed:
             while not (self._first_queue() or self._stopped):
                 self._queue_changed.wait()
@@ -106,7 +111,7 @@
                     writes > self._max_writes
                     or conditions + _LEADER_CONDITIONS > _CONDITION_LIMIT_RATIO * self._max_writes
                     or len(units) >= _MAX_UNITS
-                    # The protocol leaves the order of two writes of the same key in a transaction undefined.
+                    # The state service defines no order of two writes of the same key in a transaction.
                     or not keys.isdisjoint(unit_keys)
                 ):
                     break
@@ -124,7 +129,7 @@
             self._commit(units)
 
     def _commit(self, units: list[CommitUnit]) -> None:
-        """Commit units in one transaction, and retry it until its outcome is certain."""
+        """Commit units in one transaction; retry it while it is rejected or its outcome is unknown."""
         conditions: dict[str, int] = {}
         writes: list[Write] = []
         for unit in units:
@@ -137,14 +142,19 @@
             except ConditionFailedError as error:
                 self._on_condition_failed(units, error)
             except InvalidRequestError as error:
-                log.warning("commit rejected: units=%d writes=%d: %s", len(units), len(writes), error)
+                log.warning(
+                    "commit invalid or above a limit, to be split or retried: units=%d writes=%d: %s",
+                    len(units),
+                    len(writes),
+                    error,
+                )
                 self._on_rejected(units)
             except (StoreRejectedError, OutcomeUnknownError, LeaseExpiredError) as error:
-                # Every unit may be retried: its writes are idempotent, and its conditions fail if the first
-                # attempt was committed after all, which the unit's owner resolves.
+                # Every unit may be retried. If an earlier attempt was committed, the retry writes the same
+                # values again, or fails the unit's own conditions: then the submitter finds out the outcome.
                 log.debug("commit to be retried: units=%d writes=%d: %s", len(units), len(writes), error)
-                # Retries at a constant rate during an outage used half of the requests that the state service
-                # allows, at the expense of lease renewals and users.
+                # The pause doubles: in an outage, retries at a constant first pause would use half of the
+                # requests that the state service allows (`rps`), which lease renewals and users need.
                 time.sleep(pause_s)
                 pause_s = min(2 * pause_s, self._max_retry_pause_s)
                 continue
@@ -154,7 +164,7 @@
             return
 
     def _on_condition_failed(self, units: list[CommitUnit], error: ConditionFailedError) -> None:
-        """Handle a failed condition: the one on the leadership, or one of a unit."""
+        """Stop if the leader's key has changed; else report a single unit, or commit several separately."""
         if LEADER_KEY in error.failed_keys:
             self._stopped = True
             self._on_leadership_lost()
@@ -164,12 +174,12 @@
             self._commit_separately(units)
 
     def _on_rejected(self, units: list[CommitUnit]) -> None:
-        """Handle a transaction above a limit, perhaps one that was lowered without notice."""
+        """Handle an invalid transaction: most likely it exceeds a limit, which may be below the settings'."""
         if len(units) > 1:
             self._commit_separately(units)
             return
-        # The unit can't be dropped: its owner relies on the outcome. It goes to the end of the queue, so that
-        # no other unit waits for it.
+        # The unit can't be dropped: its submitter waits for the outcome. It is queued last, at the lowest
+        # priority, so that other units wait only for this pause.
         time.sleep(self._max_retry_pause_s)
         self.submit(units[0])
 
