--- a/src/poppyhold/cluster/lease_delegation.py
+++ b/src/poppyhold/cluster/lease_delegation.py
@@ -1,12 +1,12 @@
-"""Lease delegation: the leader lets other controllers renew workers' leases where a partition separates it.
+"""Lease delegation: other controllers renew the leases of workers that a partition keeps from the leader.
 
-A zone that is cut off keeps working internally, but only while a controller there renews its workers' leases.
-With each ping the leader grants every controller a `LeaseDelegation`: up to when it is sure of its leadership
-and knows every cancellation. A controller that then loses the leader, and either the state service as well or
-only the path to the leader, may renew leases under the leader's fencing token (`cluster.delegated_renewals`),
-without any commands, for as long as the leader itself might: while a lease renewed now ends within `cancel_s`
-of that time. The leader treats no lease as expired that such a renewal may have extended: `DelegationTracker`
-bounds them.
+The tasks of a zone that is cut off run on only while a controller in the zone renews its workers' leases. The
+leader's pings carry a `LeaseDelegation`, except before all machines are reconciled. A controller that got no
+ping for `delegated_renewal_after_s` may renew leases under the leader's fencing token, without any commands
+(`cluster.delegated_renewals`), if the state service has not responded for as long either, or if the key still
+names a leader that it can't reach. It may do so as long as a lease renewed at that moment ends within
+`cancel_s` of `confirmed_until_wall`. `DelegationTracker` bounds the time of such renewals, and the leader
+treats no lease as expired that one of them may have extended.
 """
 
 from __future__ import annotations
@@ -18,51 +18,58 @@
 
 
 class LeaseDelegation(NamedTuple):
-    """What a leader grants the other controllers."""
+    """The permission to renew workers' leases for a leader; sent with its pings."""
 
     fencing_token: int
-    # Wall-clock time up to which the leader is certain of its leadership and knows every cancellation.
+    # Wall-clock time up to which the leadership is confirmed and every cancellation in the state service is
+    # applied. The delegation ends `unconfirmed_renewal_s` later.
     confirmed_until_wall: float
-    # Machines with tasks that must be stopped: only the leader renews their leases.
+    # Machines with tasks of finalized jobs or unknown tasks: only the leader, which stops these tasks, renews
+    # their leases.
     excluded_machines: Sequence[str]
 
 
 class DelegationTracker:
-    """The leader's side: bounds until when other controllers may have renewed leases on its behalf."""
+    """The leader's upper bound on when other controllers last renewed a worker's lease for it."""
 
     def __init__(self, durations: Durations, skew_s: float) -> None:
         self._durations = durations
-        # A grant is used no longer than this after it was sent: the wall clocks of both ends may be off, and
-        # time passes between composing and sending.
+        # A delegation is used no longer than this after `record_grant`: the clocks of the leader and the
+        # delegate drift (0.1%) and their wall clocks may each be off by ``skew_s``; the rest is a margin for
+        # the time from `record_grant` to the composition of the ping.
         self._max_grant_s = durations.unconfirmed_renewal_s * 1.001 + 4 * skew_s
-        # By controller: when it was last granted a delegation; when it was last certain to renew nothing; and
-        # the bound on its renewals up to its last response.
+        # By controller: when the last ping to it was about to be composed.
         self._granted_at: dict[str, float] = {}
+        # When the last ping that it answered was recorded by `record_grant`; before, the first such time.
         self._acknowledged_grant_at: dict[str, float] = {}
+        # Upper bound on its renewals before that ping.
         self._acknowledged_renewal_bounds: dict[str, float] = {}
 
     def record_grant(self, member: str, now: float) -> None:
-        """Record that a controller is about to be granted a delegation."""
+        """Record that a ping, which may grant a delegation, is about to be composed for a controller."""
         self._granted_at[member] = now
         self._acknowledged_grant_at.setdefault(member, now)
 
     def record_response(self, member: str, granted_at: float) -> None:
-        """Record the response to the grant of that time: the controller renewed nothing just then."""
+        """Record that a controller answered the ping recorded at ``granted_at``.
+
+        Once it has received a ping, it renews nothing for `delegated_renewal_after_s`.
+        """
         if member not in self._granted_at:
             return
         self._acknowledged_renewal_bounds[member] = self._latest_possible_renewal_by(member, granted_at)
         self._acknowledged_grant_at[member] = max(granted_at, self._acknowledged_grant_at[member])
 
     def latest_possible_renewal_at(self, now: float) -> float:
-        """No other controller has renewed a lease on this leader's behalf later than this."""
+        """No other controller renewed a lease for this leader later than this; -inf if none can have."""
         return max(
             (self._latest_possible_renewal_by(member, now) for member in list(self._granted_at)),
             default=float("-inf"),
         )
 
     def _latest_possible_renewal_by(self, member: str, now: float) -> float:
-        # Without a recent grant a controller may have renewed leases, even if it says that it did not: its
-        # process may have restarted since.
+        # If the last answered ping is older, the controller may have renewed leases since. Only time bounds
+        # these renewals: a restarted process would not know those of the previous one.
         acknowledged_bound = self._acknowledged_renewal_bounds.get(member, float("-inf"))
         if now - self._acknowledged_grant_at[member] <= self._durations.delegated_renewal_after_s:
             return acknowledged_bound
