--- a/src/poppyhold/scheduling/admission.py
+++ b/src/poppyhold/scheduling/admission.py
@@ -121,14 +121,14 @@
     def remaining_planned_starts(self, job: Job) -> int:
         """Return the number of tasks planned up to the current slot, less those that are done or active.
 
-        It is negative if tasks were started outside the plan.
+        It is negative if tasks were started outside the plan; callers then start none.
         """
         current_slot = self._ledger.current_slot
         planned = sum(sum(zones.values()) for slot, zones in job.plan.items() if slot <= current_slot)
         return planned - job.done - len(job.active)
 
     def replan(self, not_admitted: list[Job], now: float) -> None:
-        """Plan the first jobs of those not admitted once more, if capacity may have grown.
+        """Plan again the first of the jobs that were not admitted, if capacity may have grown.
 
         Every task that ends releases capacity, and planning is the scheduler's most expensive computation,
         so jobs are planned again at most once per heartbeat interval.
--- a/src/poppyhold/scheduling/cycle_state.py
+++ b/src/poppyhold/scheduling/cycle_state.py
@@ -78,7 +78,7 @@
         self.infeasible: set[SchedulingKey] = set()
         # Teams whose remaining quota is reserved for a starved gang.
         self.reserved_teams: set[str] = set()
-        # Resources by machine that are reserved for starved gangs and relocating replicas.
+        # By machine name: resources reserved for starved gangs and relocating replicas.
         self.reserved: dict[str, Resources] = {}
         self._capacity = CapacityViews()
 
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: scheduling cycles, each of which starts pending tasks in the order of their jobs."""
+"""Dispatch: scheduling cycles, which start pending tasks. No task is started elsewhere."""
 
 from __future__ import annotations
 
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -33,8 +33,8 @@
 _IN_TIME_WAIT_WEIGHT = 0.3
 # Penalty for the fastest fetch rate, as a fraction of the objective; for slower rates it is proportional.
 _FAST_FETCH_WEIGHT = 0.2
-# Penalties in boot times: per fraction of a needed resource that stays free; for another than a spot machine
-# if the task may run on spot machines; for each replica of the job that is on the machine already.
+# Penalties in boot times: for the largest fraction of a needed resource that stays free; for a machine that
+# is not a spot machine, if the task may run on those; for each replica of the job on the machine already.
 _FREE_SHARE_WEIGHT = 0.02
 _NON_SPOT_MACHINE_WEIGHT = 0.2
 _COLOCATED_REPLICA_WEIGHT = 0.05
@@ -289,7 +289,7 @@
         return self._preemption_cost_s(attempt)
 
     def _preemptible_by_machine(self, job: Job) -> dict[str, list[Attempt]]:
-        """Return the attempts that the job may preempt by machine name; cached, as a cycle adds none."""
+        """Return by machine name the attempts that the job may preempt; cached, as a cycle adds none."""
         key = (job.spec.team, job.priority, job.within_guarantee)
         found = self._preemptible_cache.get(key)
         if found is None:
