--- a/src/poppyhold/cluster/authority.py
+++ b/src/poppyhold/cluster/authority.py
@@ -1,4 +1,4 @@
-"""Bounds how long a leader that lost the state service may renew workers' leases."""
+"""Bounds how long a leader that can't reach the state service may renew workers' leases."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class RenewalAuthority:
-    """Tracks which cancellations the leader has applied, to bound renewals without the state service.
+    """Tracks up to which time the leader has applied all cancellations, to bound its renewals.
 
-    A cancellation that the leader has not applied was confirmed to its user after the leader had last caught
-    up with the state service, and by a controller that has not been queried since. So the leader may renew
-    leases as long as a lease renewed now ends within `cancel_s` of its watermark: the last time at which
-    every controller, the leader included, had been queried and had confirmed no cancellation that the leader
-    had not applied.
+    A cancellation that the leader has not applied was confirmed to its user after the leader's watch had last
+    caught up with the state service, and by a controller that has not answered a query since. So the leader
+    may renew leases as long as a lease renewed at that moment ends within `cancel_s` of its watermark: the
+    later of the time of the watch, and the earliest of all controllers' last queries (the leader's own
+    included) whose answers named no cancellation that the leader had not applied.
     """
 
     def __init__(self, unconfirmed_renewal_s: float, members: Iterable[str], began_at: float) -> None:
@@ -30,8 +30,8 @@
     def observe_peer(self, member: str, requested_at: float, bound: int) -> None:
         """Record that a controller's listed cancellations are applied; ``bound`` bounds its other ones.
 
-        The time of the request counts: since its response the controller may have confirmed more. A bound of
-        -1 means that the controller does not know.
+        The time of the request counts: after responding the controller may have confirmed more. With a bound
+        of -1 (unknown) or above the applied revision, nothing is recorded.
         """
         if 0 <= bound <= self.applied_revision:
             self._peer_watermarks[member] = max(requested_at, self._peer_watermarks[member])
@@ -39,10 +39,10 @@
     def cancellation_watermark(self, confirmed_at: float) -> float:
         """Every cancellation that was confirmed before this time is applied.
 
-        ``confirmed_at`` is when this leader's leadership was last confirmed. The next leader relies on this
-        one's renewals to end within `cancel_s` of its election, and the state service may still send job
-        changes to this one after that. A controller that is queried has not become leader by then, or this
-        leader steps down on its response.
+        ``confirmed_at`` is when this leader's leadership was last confirmed. It limits the time of the watch:
+        the next leader relies on this one's renewals to end within `cancel_s` of its election, and the watch
+        may still deliver job changes after that. Queries need no such limit: on the response of a controller
+        that has become the leader, this one steps down.
         """
         return max(min(self.watch_caught_up_at, confirmed_at), min(self._peer_watermarks.values()))
 
--- a/src/poppyhold/cluster/cancellations.py
+++ b/src/poppyhold/cluster/cancellations.py
@@ -1,4 +1,4 @@
-"""Cancellations confirmed to users, for a leader that can't read them from the state service."""
+"""Cancellations confirmed to users, sent to a leader that may not reach the state service."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     """The cancellations that a controller confirmed to users, as sent to the leader."""
 
     listed: list[Cancellation]
-    # The highest revision of all that are not listed; -1: unknown.
+    # No unlisted cancellation has a higher revision; -1: unknown.
     unlisted_revision: int
 
 
 class Cancellations:
     """Cancellations that this controller confirmed: a bounded list, and the highest revision of the others.
 
-    A cancellation is durable before it is confirmed, so any leader may apply it at once. One that is not
-    listed counts through its revision: a leader that has not applied every change up to it stops renewing
-    leases in time.
+    A cancellation is durable before it is confirmed, so any leader may apply it at once. For those that are
+    not listed the leader gets their highest revision: unless it has applied every change up to it, it stops
+    renewing leases in time for `cancel_s` (`cluster.authority`).
     """
 
     def __init__(self, max_listed: int) -> None:
--- a/src/poppyhold/cluster/connectivity.py
+++ b/src/poppyhold/cluster/connectivity.py
@@ -1,7 +1,8 @@
 """Which controllers reach which others, and whether a peer is better connected to lead.
 
-Where two zones cannot reach each other while both reach a third, a leader in one of the two loses the workers
-of the other: their leases expire, though a controller in the third zone would receive all heartbeats.
+Where two zones cannot reach each other while both reach a third, a leader in one of the two receives no
+heartbeats from the other: leases there expire, although a controller in the third zone would receive all
+heartbeats.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
     """The links between all controllers, as known to one of them."""
 
     def __init__(self, member: str, fresh_s: float, clock: Callable[[], float]) -> None:
-        """A response counts as recent for ``fresh_s``."""
+        """A peer counts as reachable for ``fresh_s`` after a response."""
         self._member, self._fresh_s, self._clock = member, fresh_s, clock
         self._began_at = clock()
         # The last response of each peer whose connection has not broken since.
         self._reachability: dict[str, _PeerReachability] = {}
         # When each peer last responded, also those whose connection broke.
         self._responded_at: dict[str, float] = {}
-        # Peers whose connections time out; a refused connection is a sign of life.
+        # Peers whose last connection timed out; one that refuses connections is not among them.
         self._unreachable: set[str] = set()
 
     def record_response(self, member: str, reachable_peers: Iterable[str]) -> None:
@@ -39,7 +40,7 @@
         self._unreachable.discard(member)
 
     def connection_lost(self, member: str, timed_out: bool) -> None:
-        """Record that the connection to a peer broke; a time-out means that no packets get through."""
+        """Record that the connection to a peer broke; after a time-out the peer counts as unreachable."""
         self._reachability.pop(member, None)
         if timed_out:
             self._unreachable.add(member)
@@ -47,7 +48,7 @@
             self._unreachable.discard(member)
 
     def is_unreachable(self, member: str) -> bool:
-        """Whether no packets get through to a peer. A peer that refuses connections is reachable."""
+        """Whether the last connection to a peer timed out. A peer that refuses connections is reachable."""
         return member in self._unreachable
 
     def reachable_peers(self) -> list[str]:
@@ -60,7 +61,10 @@
         ]
 
     def better_connected_peer(self, unreachable_s: float = 0.0) -> str | None:
-        """A peer that reaches this controller, its reachable peers, and one missed for ``unreachable_s``."""
+        """A peer that reaches this controller, all that this one reaches, and at least one other.
+
+        The other one must not have responded to this controller for ``unreachable_s``.
+        """
         reached = set(self.reachable_peers())
         since = self._clock() - unreachable_s
         for member in sorted(reached):
--- a/src/poppyhold/cluster/delegated_renewals.py
+++ b/src/poppyhold/cluster/delegated_renewals.py
@@ -30,7 +30,10 @@
         self._renewing = False
 
     def observe_leader(self, fencing_token: int, delegation: LeaseDelegation | None) -> None:
-        """Record a leader's ping. One without a delegation, as after a failover, revokes any earlier one."""
+        """Record a leader's ping. One without a delegation, as after a failover, revokes an earlier one.
+
+        Pings with a lower fencing token than that of the delegation are ignored.
+        """
         if self._delegation is None or fencing_token >= self._delegation.fencing_token:
             self._delegation, self._last_ping_at = delegation, self._clock()
             self._renewing = False
@@ -44,15 +47,16 @@
     ) -> int | None:
         """The fencing token to renew a worker's lease with; None if this controller must not renew it.
 
-        ``store_contact_at`` is when the state service last responded here, ``known_fencing_token`` that of
-        the leader's key, and ``leader_unreachable`` whether no packets get from here to the leader.
+        ``store_contact_at`` is when the state service last responded to this controller,
+        ``known_fencing_token`` is the leader's, 0 if no leader is known, and ``leader_unreachable`` whether
+        connections from this controller to the leader time out.
         """
         delegation = self._delegation
         if delegation is None or not self._is_due(
             delegation, heartbeat, store_contact_at, known_fencing_token, leader_unreachable
         ):
             return None
-        # The delegation may have arrived late: the wall-clock time in it tells its age.
+        # By the wall clock, as the ping with the delegation may have been in transit for long.
         expires_at_wall = delegation.confirmed_until_wall + self._durations.unconfirmed_renewal_s
         if self._wall_clock() + 2 * self._skew_s > expires_at_wall:
             return None
@@ -71,7 +75,10 @@
         known_fencing_token: int,
         leader_unreachable: bool,
     ) -> bool:
-        """Whether no ping of the leader came for long enough, and the worker may not reach it either."""
+        """Whether the leader's pings have been missing for long enough, and workers may not reach it either.
+
+        The latter is assumed if the state service does not respond to this controller, or in a partition.
+        """
         now, renewal_after_s = self._clock(), self._durations.delegated_renewal_after_s
         if now - self._last_ping_at <= renewal_after_s:
             return False
@@ -101,9 +108,10 @@
 
     @staticmethod
     def _is_partition(delegation: LeaseDelegation, known_fencing_token: int) -> bool:
-        """Whether the leader still leads though its pings are lost: its workers here may not reach it either.
+        """Whether the delegating leader still leads, so that its missing pings indicate a partition.
 
         Where two zones can't reach each other and the third is cut off, both reach the state service, and no
-        controller could lead for all: leases in the zone without the leader expired after ten seconds.
+        controller reaches all workers: without these renewals, leases in the zone without the leader would
+        expire after `lease_s` (10 s).
         """
         return known_fencing_token == delegation.fencing_token
--- a/src/poppyhold/cluster/leader_key.py
+++ b/src/poppyhold/cluster/leader_key.py
@@ -1,4 +1,4 @@
-"""The leader's key in the state service: decoding it, and a candidate's claim."""
+"""The leader's key in the state service: decoding it, and claiming leadership by writing it."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
     """Write the leader's key, on a lease, and the next fencing token, if there is no leader.
 
     Raises:
-        ConditionFailedError: another candidate was first.
+        ConditionFailedError: another controller leads, or issued a fencing token in the meantime.
         OutcomeUnknownError: the claim may still be committed, but only while the lease is valid.
         StoreRejectedError, LeaseExpiredError: the claim was not committed.
 
     """
-    held = store.get(FENCING_TOKEN_KEY)
-    fencing_token = (convert(held.data, FencingTokenRecord).fencing_token if held else 0) + 1
-    conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: held.revision if held else 0}
+    issued = store.get(FENCING_TOKEN_KEY)
+    fencing_token = (convert(issued.data, FencingTokenRecord).fencing_token if issued else 0) + 1
+    conditions = {LEADER_KEY: 0, FENCING_TOKEN_KEY: issued.revision if issued else 0}
     writes = [
         put_record(LEADER_KEY, LeaderRecord(member, fencing_token, lease_id), lease_id),
         put_record(FENCING_TOKEN_KEY, FencingTokenRecord(fencing_token)),
--- a/src/poppyhold/cluster/misdirected_workers.py
+++ b/src/poppyhold/cluster/misdirected_workers.py
@@ -1,4 +1,4 @@
-"""Workers that follow a leader and recently sent a heartbeat to this controller, which does not lead."""
+"""Workers with a leader's fencing token that recently sent a heartbeat to this controller, not the leader."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class MisdirectedWorkers:
-    """Keeps the last ``max_workers`` of them, for the responses to the leader's pings."""
+    """The last ``max_workers`` misdirected workers, for the responses to the leader's pings."""
 
     def __init__(self, max_workers: int, recent_s: float) -> None:
         self._max_workers, self._recent_s = max_workers, recent_s
--- a/src/poppyhold/cluster/peer_client.py
+++ b/src/poppyhold/cluster/peer_client.py
@@ -22,14 +22,13 @@
 
 log = logging.getLogger(__name__)
 
-# Entries per ping: a message may be no larger than `frames` allows, and the first one to a newly started
-# controller names every job and every machine. The rest goes with the next pings, which are sent this many
-# times as fast.
+# Largest numbers of entries per ping, as `wire.frames` limits the size of a message: a new connection begins
+# with every job and every machine. The rest is sent with the next pings, this many per interval.
 _MAX_TASK_COUNTS, _MAX_IMAGE_HINTS, _BATCHES_PER_INTERVAL = 4000, 1000, 8
 
 
 class PeerTimes(NamedTuple):
-    """The interval of pings, and the time-out of each step."""
+    """The interval of pings, and the time-out of each connect, send and receive."""
 
     interval_s: float
     timeout_s: float
--- a/src/poppyhold/cluster/peer_handler.py
+++ b/src/poppyhold/cluster/peer_handler.py
@@ -1,4 +1,4 @@
-"""The interface of this controller for its links to others."""
+"""What the connections to other controllers, relays and other cells call on this controller."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class PeerHandler(Protocol):
-    """Handles messages of other controllers, and composes those to them; called on the links' threads."""
+    """Composes and handles messages; called on the threads of `PeerClient` and `PeerServer`."""
 
     def compose_ping(self) -> Ping:
-        """The state of this controller; the links add changed task counts and image hints."""
+        """The state of this controller; `PeerClient` adds changed task counts and image hints."""
 
     def task_counts_if_leading(self) -> dict[str, TaskCounts]:
         """Completed and running tasks by job; empty unless this controller leads."""
@@ -26,7 +26,7 @@
         """The machines' images; empty unless this controller leads."""
 
     def delegation_tracker(self) -> DelegationTracker | None:
-        """The tracker of delegated leases; None unless this controller leads."""
+        """The tracker of delegated renewals; None unless this controller leads."""
 
     def handle_ping(self, ping: Ping) -> Pong:
         """Handle the ping of another controller; returns the response."""
@@ -35,7 +35,7 @@
         """Handle the response of another controller to a ping that was sent at ``requested_at``."""
 
     def on_connection_refused(self, member: str) -> None:
-        """Handle that another controller's process refuses connections."""
+        """Handle that a connection to another controller was refused."""
 
     def serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
         """Serve a relay on its connection, until the relay or the connection ends."""
--- a/src/poppyhold/cluster/peer_messages.py
+++ b/src/poppyhold/cluster/peer_messages.py
@@ -43,7 +43,7 @@
     task_counts: list[JobTaskCounts] = []
     # Machines whose images changed: the next leader starts from them.
     image_hints: list[MachineImages] = []
-    # A leader's grant to a controller that may have to renew leases on its behalf.
+    # The leader's permission to renew workers' leases for it (`cluster.lease_delegation`).
     delegation: LeaseDelegation | None = None
     # Revision up to which a leader has applied every cancellation; -1: not the leader, or not stated.
     applied_revision: int = -1
--- a/src/poppyhold/cluster/peer_server.py
+++ b/src/poppyhold/cluster/peer_server.py
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 _BACKLOG = 16
-# Connections per other controller, and spare ones for senders that are not yet known.
+# Connections per other controller, and spare ones, as the sender is unknown until its first message.
 _CONNECTIONS_PER_PEER, _SPARE_CONNECTIONS = 4, 4
 
 
--- a/src/poppyhold/cluster/redirect_backoff.py
+++ b/src/poppyhold/cluster/redirect_backoff.py
@@ -1,25 +1,25 @@
-"""Delays redirects of workers that contact this controller although their leader still leads."""
+"""Delays redirects of workers that contact this controller although the leader that they know still leads."""
 
 from __future__ import annotations
 
 from poppyhold.concurrency.bounded_dict import BoundedDict
 from poppyhold.wire.worker_messages import Heartbeat
 
-# How long such a worker waits for the next leader, as a share of a lease.
+# How long such a worker waits for the next leader, as a ratio to `lease_s`.
 _WAIT_RATIO = 0.25
-# How long workers take to find a new leader, as a share of a lease.
+# How long workers take to find a new leader, as a ratio to `lease_s`.
 _DISCOVERY_RATIO = 0.5
 
 
 class RedirectBackoff:
     """Decides how long a worker waits for a failover before it is redirected to the same leader.
 
-    Where the leader's path to the workers drops packets, a worker waits four seconds for a response and
-    contacts another controller a second later. Redirected at once, it waited four seconds more, and its lease
-    expired: in a fleet of 200 machines 400 tasks were lost though the next leader was ready before the
-    leases ended. The leader resigns once most workers contact other controllers, within two seconds of the
-    first ones. A worker that returns within a lease has already waited without a failover, and its lease may
-    be about to expire: it is redirected at once.
+    Where the leader's path to the workers drops packets, a worker waits 4 s for a response and contacts
+    another controller 1 s later. If it were redirected at once, it would wait for the unreachable leader for
+    another 4 s, and its lease would expire (400 tasks in a fleet of 200 machines), although the leader
+    resigns once most workers contact other controllers, within 2 s of the first ones, and the next leader is
+    ready before the leases end. A worker that contacts this controller again within `lease_s` has already
+    waited without a failover, and its lease may be about to expire: it is redirected at once.
     """
 
     def __init__(self, lease_s: float, max_workers: int) -> None:
@@ -31,8 +31,8 @@
     def wait_s(self, heartbeat: Heartbeat, leader_fencing_token: int, leading_s: float, now: float) -> float:
         """How long to wait; zero for workers that may not have found this leader yet.
 
-        After a failover they get its fencing token with direct commands before they send it heartbeats.
-        ``leading_s`` is how long the leader has led.
+        These have a lower fencing token, or the leader has led for only a short time (``leading_s``): with
+        direct commands workers get its fencing token before they send it heartbeats.
         """
         if heartbeat.fencing_token < leader_fencing_token or leading_s <= self._discovery_s:
             return 0.0
