--- a/src/poppyhold/concurrency/bounded_dict.py
+++ b/src/poppyhold/concurrency/bounded_dict.py
@@ -9,7 +9,7 @@
 
 
 class BoundedDict(Generic[V]):
-    """Entries by name; beyond ``max_entries`` the oldest one is evicted. Thread-safe."""
+    """Entries by name; beyond ``max_entries`` the one that was added first is evicted. Thread-safe."""
 
     def __init__(self, max_entries: int) -> None:
         self._max_entries = max(1, max_entries)
--- a/src/poppyhold/concurrency/priority_queue.py
+++ b/src/poppyhold/concurrency/priority_queue.py
@@ -16,8 +16,8 @@
 class PriorityQueue:
     """Work for one thread, lowest number first, and FIFO within a priority.
 
-    After some work the thread pauses briefly instead of being woken for the next: at hundreds of events per
-    second, a wake-up for each costs more than the work itself.
+    When the queue becomes empty, the thread sleeps for ``coalescing_s`` before it waits to be woken: at
+    hundreds of events per second, a wake-up for each costs more than the work itself.
     """
 
     def __init__(self, max_heartbeats: int, coalescing_s: float) -> None:
--- a/src/poppyhold/concurrency/rate_limiter.py
+++ b/src/poppyhold/concurrency/rate_limiter.py
@@ -12,7 +12,7 @@
     def __init__(self, per_second: float, burst: float) -> None:
         self._interval_s = 1.0 / per_second
         self._burst_s = burst * self._interval_s
-        # When all units consumed so far would have been consumed at an even rate.
+        # When all units consumed so far would have been consumed at the rate, without a burst.
         self._theoretical_arrival_at = float("-inf")
 
     def ready_at(self) -> float:
--- a/src/poppyhold/durable/changes.py
+++ b/src/poppyhold/durable/changes.py
@@ -13,7 +13,7 @@
 
 
 class Put(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A write that sets a key. A key on a lease is deleted when the lease ends."""
+    """A write that sets a key. A key on a lease is deleted when the lease expires or is revoked."""
 
     key: str = msgspec.field(name=names.PUT_KEY)
     data: Data
--- a/src/poppyhold/durable/errors.py
+++ b/src/poppyhold/durable/errors.py
@@ -10,7 +10,7 @@
 
 
 class StoreRejectedError(StoreError):
-    """The request was certainly not carried out: it may be retried."""
+    """The request was certainly not carried out, and may be retried."""
 
 
 class InvalidRequestError(StoreRejectedError):
@@ -21,9 +21,10 @@
 
 
 class OutcomeUnknownError(StoreError):
-    """The request may have been carried out, or may be later.
+    """The request may have been carried out, or may still be carried out later.
 
-    Only an idempotent request can be retried as it is; others have to be fenced first.
+    Only an idempotent request may be retried as it is. Before any other, a late commit of the first attempt
+    must be ruled out (`FencedWriter`).
     """
 
 
@@ -36,7 +37,7 @@
 
 
 class LeaseExpiredError(StoreError):
-    """A lease has expired, and its keys are deleted: the holder must get another one."""
+    """A lease has expired or was revoked, and its keys are deleted: its owner needs a new lease."""
 
     def __init__(self, lease_id: int | None = None) -> None:
         super().__init__("the lease has expired" if lease_id is None else f"lease {lease_id} has expired")
@@ -44,7 +45,7 @@
 
 
 class WatchCompactedError(StoreError):
-    """The state service no longer has the changes after a revision: the prefix must be read again."""
+    """The state service no longer has all changes after a revision: the prefix must be read again."""
 
     def __init__(self, prefix: str, revision: int) -> None:
         super().__init__(f"changes of {prefix} after revision {revision} are compacted")
--- a/src/poppyhold/durable/fenced_writer.py
+++ b/src/poppyhold/durable/fenced_writer.py
@@ -14,9 +14,9 @@
 class FencedWriter:
     """A leader's transactions, one at a time: each is conditional on the leader's key and on the write fence.
 
-    A transaction whose outcome is unknown may be committed late, after newer ones of the same leader: it
-    would restore an old plan, launch, machine or record of completions, or lower the fencing token. So the
-    write fence is changed before the next transaction, which voids every earlier attempt.
+    A transaction whose outcome is unknown could be committed late, after newer ones of the same leader, and
+    restore an old plan, launch, machine or record of completions, or lower the fencing token. So the write
+    fence is changed before the next transaction: the condition on it fails for every earlier attempt.
     """
 
     def __init__(self, store: Store, leader_key_revision: int) -> None:
@@ -29,11 +29,11 @@
     def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> None:
         """Try a transaction once. After `OutcomeUnknownError` it may be retried.
 
-        If it was committed after all, the retry writes the same values again, or fails its own conditions.
+        If the first attempt was committed, the retry writes the same values again, or its conditions fail.
 
         Raises:
-            ConditionFailedError: a condition of the transaction failed, or the one on the leader's key: then
-                another controller leads.
+            ConditionFailedError: one of ``conditions`` failed, or the one on the leader's key: then this
+                controller no longer leads.
             StoreRejectedError: the transaction was not committed, and may be retried.
             OutcomeUnknownError: the transaction may have been committed.
 
@@ -51,9 +51,9 @@
             raise
         except ConditionFailedError as error:
             if WRITE_FENCE_KEY in error.failed_keys and LEADER_KEY not in error.failed_keys:
-                # Only this leader changes the fence, so an earlier attempt of it did: read it again.
+                # Only this leader changes the fence, so a change of unknown outcome was committed late.
                 self._fence_revision = None
-                raise StoreRejectedError("the write fence has changed") from error
+                raise StoreRejectedError("the write fence has changed, to be read again") from error
             raise
 
     def _advance_fence(self) -> None:
@@ -65,8 +65,8 @@
             except ConditionFailedError as error:
                 if LEADER_KEY in error.failed_keys:
                     raise
-                # An earlier attempt to change the fence, whose outcome was unknown, was committed: that has
-                # the same effect.
+                # An earlier change of the fence, whose outcome was unknown, was committed: it has the same
+                # effect.
             else:
                 self._outcome_unknown = False
                 return
--- a/src/poppyhold/durable/keys.py
+++ b/src/poppyhold/durable/keys.py
@@ -12,7 +12,7 @@
 LEADER_KEY = LEADER_PREFIX + "lead"
 # The highest fencing token that was issued.
 FENCING_TOKEN_KEY = ROOT_PREFIX + "b"
-# Changed by a leader to void its earlier transactions whose outcome is unknown.
+# Changed by a leader so that its earlier transactions of unknown outcome can't be committed any more.
 WRITE_FENCE_KEY = ROOT_PREFIX + "c"
 
 # The cloud's machine types. Those that don't fit into the first record are below the prefix, which older
--- a/src/poppyhold/durable/prefix_reader.py
+++ b/src/poppyhold/durable/prefix_reader.py
@@ -9,8 +9,8 @@
 class PageCollector:
     """Collects the pages of one prefix in order.
 
-    Several pages are no snapshot: a key of a later page may be newer than the revision. A watch that
-    continues from that revision receives every later change, some of them for the second time.
+    Several pages are not a consistent snapshot: entries of later pages may be newer than `revision`. A watch
+    that continues from `revision` receives every later change, some of which the entries already contain.
     """
 
     def __init__(self) -> None:
@@ -20,7 +20,7 @@
         self.after = ""
         # Revision of the first page, -1 before it; every entry is read at this revision or later.
         self.revision = -1
-        # Revision of the last page: no entry is newer than a watch that has reached it.
+        # Revision of the last page: every change in the entries has at most this revision.
         self.last_revision = -1
 
     def add(self, page: Page) -> None:
@@ -35,7 +35,7 @@
 
 
 class PrefixReader(PageCollector):
-    """Reads all keys with a prefix once. A page that fails is requested again, not those before it."""
+    """Reads all keys with a prefix once. After an error, `read` continues with the page that failed."""
 
     def __init__(self, store: Store, prefix: str) -> None:
         super().__init__()
--- a/src/poppyhold/durable/records.py
+++ b/src/poppyhold/durable/records.py
@@ -28,7 +28,7 @@
 
 
 class WriteFenceRecord(msgspec.Struct, frozen=True):
-    """The write fence: only its revision matters; the previous one is kept for diagnosis."""
+    """The write fence: only the revision of its key matters; the previous one is stored for diagnosis."""
 
     previous_revision: int = msgspec.field(name="behind")
 
@@ -60,10 +60,10 @@
 
 
 class PlanRecord(msgspec.Struct, frozen=True):
-    """Allows tasks of a job to start: counts per slot and zone; without slots, on spare capacity alone."""
+    """Allows tasks of a job to start: numbers per slot and zone; without slots, only on spare capacity."""
 
     slots: dict[str, dict[str, int]] = msgspec.field(name="s")
-    # The job appears to fail on every machine.
+    # Whether the job appears to fail on every machine.
     at_fault: bool = msgspec.field(name="x", default=False)
 
 
@@ -76,7 +76,7 @@
 def final_writes(job_id: str, status: str, tasks: int) -> list[Write]:
     """The writes that move a job's record from the active jobs to the final ones.
 
-    The job's plan has no effect without an active job: the leader removes it once it sees the change.
+    The job's plan has no effect without an active job: the leader deletes it once its watch delivers this.
     """
     return [
         Delete(ACTIVE_JOB_PREFIX + job_id),
--- a/src/poppyhold/durable/snapshot.py
+++ b/src/poppyhold/durable/snapshot.py
@@ -52,12 +52,12 @@
 class SnapshotReader:
     """Reads a snapshot page by page. After a failed page it continues with that page.
 
-    Only the leader writes the prefixes after that of the active jobs, so they don't change while they are
-    read; the watch that continues from here reads the active jobs once more.
+    Only the leader, which is still reading, writes the other prefixes, so they don't change meanwhile. The
+    leader's watch then reads the active jobs once more.
     """
 
     def __init__(self, store: Store, with_quota: bool = False) -> None:
-        """``with_quota``: read quota allocations, as for one cell of several."""
+        """``with_quota``: also read quota allocations, which only a cell among several has."""
         prefixes = (*_PREFIXES, QUOTA_PREFIX) if with_quota else _PREFIXES
         self._readers = {prefix: PrefixReader(store, prefix) for prefix in prefixes}
 
--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -54,7 +54,7 @@
 
 
 class Store:
-    """Typed calls to the state service. It never retries: only the callers know if a retry is safe.
+    """Typed calls to the state service, without retries: only the callers know whether a retry is safe.
 
     Every call raises `StoreRejectedError` if it certainly had no effect, and `OutcomeUnknownError` if it may
     have had one or may still have one.
@@ -64,7 +64,7 @@
         host, port = split_address(settings.external_services.state)
         self._client = HttpClient(host, port, most_idle=_IDLE_CONNECTIONS)
         self._clock = clock
-        # A response usually takes milliseconds, occasionally some hundreds.
+        # Most responses take a few milliseconds, some take hundreds.
         self.timeout_s = settings.deployment.workers.lease_s / 8
         # When the state service last responded.
         self.contact_at = float("-inf")
@@ -93,7 +93,7 @@
         return Entry(key, data["data"], data[names.KEY_REVISION])
 
     def page(self, prefix: str, after: str, max_entries: int = _MAX_PAGE_ENTRIES) -> Page:
-        """Read the keys with a prefix that sort after a key; the empty string gives the first page."""
+        """Read keys with a prefix that sort after the key ``after``; an empty one gives the first page."""
         since = f"&since={after}" if after else ""
         path = f"/kv?prefix={prefix}{since}&most={max_entries}"
         status, data = self._call("GET", path, None, self.timeout_s * 2)
@@ -104,7 +104,7 @@
     def revision(self) -> int:
         """The store's revision at some time after the call began.
 
-        A list of keys contains it, as PROTOCOL says; the response for an existing key has only that key's.
+        A page of keys contains it; the response for an existing key has only that key's revision.
         """
         return self.page(EMPTY_PREFIX, "", max_entries=1).revision
 
@@ -129,7 +129,7 @@
         raise InvalidRequestError(f"/commit: status {status}: {data}")
 
     def grant_lease(self, ttl_s: float) -> int:
-        """Get a lease with a time to live, and return its ID."""
+        """Get a new lease with a time to live, and return its ID."""
         body = {names.LEASE_MS: max(_MIN_LEASE_MS, int(ttl_s * 1000))}
         status, data = self._call("POST", "/leases", body, self.timeout_s)
         _check_ok(status, data, "/leases")
@@ -139,7 +139,7 @@
         """Renew a lease for its time to live.
 
         Raises:
-            LeaseExpiredError: the lease has already expired.
+            LeaseExpiredError: the lease has expired or was revoked.
 
         """
         path = f"/leases/{lease_id}/extend"
@@ -149,7 +149,7 @@
         _check_ok(status, data, path)
 
     def revoke_lease(self, lease_id: int) -> None:
-        """Revoke a lease, which deletes the keys on it."""
+        """Revoke a lease, which deletes the keys on it; no error if it has already expired."""
         self._call("DELETE", f"/leases/{lease_id}", None, self.timeout_s)
 
     def poll_changes(self, prefix: str, since: int, poll_timeout_s: float) -> Changes:
--- a/src/poppyhold/durable/watch.py
+++ b/src/poppyhold/durable/watch.py
@@ -14,15 +14,16 @@
 
 log = logging.getLogger(__name__)
 
-# No revision yet, or changes are missing: the whole prefix must be read.
+# In place of a revision: the whole prefix must be read, at first or because changes are missing.
 _UNREAD = -1
 
 
 class Watch:
-    """A thread that follows a prefix: a snapshot first, then every change in order.
+    """A thread that delivers a snapshot of a prefix, then every change in order.
 
-    The callbacks are called on this thread. ``on_caught_up`` gets the time of a request and the revision up
-    to which every change that the state service had at that time has been delivered.
+    The callbacks are called on this thread. ``on_caught_up(requested_at, revision)``: every change that the
+    state service had at ``requested_at`` has been delivered, and every one up to ``revision``. Where changes
+    are missing or a callback fails, a new snapshot is delivered.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
                 log.debug("watch to be retried: prefix=%s revision=%d: %s", self._prefix, revision, error)
                 self._stop.wait(self._poll_timeout_s / 10)
             except Exception:
-                # Thread boundary: without the watch the node would miss every change, so it restarts.
+                # Thread boundary: without this thread the node would miss every further change.
                 log.exception("watch failed, restarts from a snapshot: prefix=%s", self._prefix)
                 revision = _UNREAD
                 self._stop.wait(self._poll_timeout_s / 10)
