--- a/tests/test_lease_delegation.py
+++ b/tests/test_lease_delegation.py
@@ -17,8 +17,8 @@
 
 SKEW_S = 0.5
 FENCING_TOKEN = 7
-# When the leader was last sure of everything.
-KNOWN_WALL = 1000.0
+# Wall-clock time up to which the leader's delegation is confirmed.
+CONFIRMED_UNTIL_WALL = 1000.0
 
 
 def make_durations() -> Durations:
@@ -37,14 +37,16 @@
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.wall = KNOWN_WALL
+        self.wall = CONFIRMED_UNTIL_WALL
 
 
 def delegate(clocks: Clocks) -> tuple[DelegatedRenewals, Durations]:
     """A delegate that was pinged by the leader just now."""
     durations = make_durations()
     renewals = DelegatedRenewals(durations, SKEW_S, lambda: clocks.now, lambda: clocks.wall)
-    renewals.observe_leader(FENCING_TOKEN, LeaseDelegation(FENCING_TOKEN, KNOWN_WALL, ["vm-excluded"]))
+    renewals.observe_leader(
+        FENCING_TOKEN, LeaseDelegation(FENCING_TOKEN, CONFIRMED_UNTIL_WALL, ["vm-excluded"])
+    )
     return renewals, durations
 
 
@@ -69,7 +71,7 @@
     clocks = Clocks()
     renewals, durations = delegate(clocks)
     clocks.now += 2 * durations.delegated_renewal_after_s
-    renewals.observe_leader(FENCING_TOKEN - 1, LeaseDelegation(FENCING_TOKEN - 1, KNOWN_WALL, []))
+    renewals.observe_leader(FENCING_TOKEN - 1, LeaseDelegation(FENCING_TOKEN - 1, CONFIRMED_UNTIL_WALL, []))
     assert renewals.renewal_fencing_token(heartbeat(), LONG_AGO, FENCING_TOKEN, True) == FENCING_TOKEN
     assert renewals.renewal_fencing_token(heartbeat(FENCING_TOKEN - 1), LONG_AGO, FENCING_TOKEN, True) is None
 
@@ -109,7 +111,7 @@
     renewals, durations = delegate(clocks)
     clocks.now += 2 * durations.delegated_renewal_after_s
     worker = heartbeat()
-    clocks.wall = KNOWN_WALL + durations.unconfirmed_renewal_s - 2 * SKEW_S
+    clocks.wall = CONFIRMED_UNTIL_WALL + durations.unconfirmed_renewal_s - 2 * SKEW_S
     assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) == FENCING_TOKEN
     clocks.wall += 0.1
     assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) is None
@@ -142,7 +144,7 @@
             clocks.now += 2 * durations.delegated_renewal_after_s
             for _ in range(3):
                 renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True)
-            renewals.observe_leader(FENCING_TOKEN, LeaseDelegation(FENCING_TOKEN, KNOWN_WALL, []))
+            renewals.observe_leader(FENCING_TOKEN, LeaseDelegation(FENCING_TOKEN, CONFIRMED_UNTIL_WALL, []))
     assert len(caplog.records) == 2
 
 
