--- a/src/poppyhold/node/command_dispatcher.py
+++ b/src/poppyhold/node/command_dispatcher.py
@@ -41,7 +41,7 @@
         self._max_threads, self._idle_s, self._send = max_threads, idle_s, send
         self._queue: deque[tuple[str, Data, ResponseCallback]] = deque()
         self._wake = threading.Condition(threading.Lock())
-        self._threads = self._idle = 0
+        self._thread_count = self._idle_count = 0
         self._stopped = False
 
     def submit(self, endpoint: str, body: Data, on_response: ResponseCallback) -> None:
@@ -50,10 +50,10 @@
             if self._stopped:
                 return
             self._queue.append((endpoint, body, on_response))
-            if len(self._queue) <= self._idle or self._threads >= self._max_threads:
+            if len(self._queue) <= self._idle_count or self._thread_count >= self._max_threads:
                 self._wake.notify()
                 return
-            self._threads += 1
+            self._thread_count += 1
         threading.Thread(target=self._run, name="sender", daemon=True).start()
 
     def stop(self) -> None:
@@ -67,12 +67,12 @@
         """Return the next command; None if the thread must end, idle for too long or stopped."""
         with self._wake:
             if not self._queue and not self._stopped:
-                self._idle += 1
+                self._idle_count += 1
                 self._wake.wait(self._idle_s)
-                self._idle -= 1
+                self._idle_count -= 1
             if self._queue:
                 return self._queue.popleft()
-            self._threads -= 1
+            self._thread_count -= 1
             return None
 
     def _run(self) -> None:
--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -37,7 +37,7 @@
         settings: Settings,
         store: Store,
         election: Election,
-        delegated_renewal: DelegatedRenewals,
+        delegated_renewals: DelegatedRenewals,
         misdirected_workers: MisdirectedWorkers,
         leader_term: Callable[[], LeaderTerm | None],
         is_unreachable: Callable[[str], bool],
@@ -46,7 +46,7 @@
         """``is_unreachable`` returns whether this node can't reach another controller."""
         workers = settings.deployment.workers
         self._member, self._store, self._election = settings.member, store, election
-        self._delegated_renewal, self._misdirected_workers = delegated_renewal, misdirected_workers
+        self._delegated_renewals, self._misdirected_workers = delegated_renewals, misdirected_workers
         self._leader_term, self._is_unreachable = leader_term, is_unreachable
         # The worker's timeout for a response, according to the protocol.
         self._response_timeout_s = heartbeat_response_timeout_s(workers)
@@ -91,7 +91,7 @@
         """Renew the lease as the leader's delegate; else record a misdirected worker, and return None."""
         if heartbeat.fencing_token:
             leader = self._election.leader
-            renewed_fencing_token = self._delegated_renewal.renewal_fencing_token(
+            renewed_fencing_token = self._delegated_renewals.renewal_fencing_token(
                 heartbeat,
                 self._store.contact_at,
                 leader.fencing_token if leader else 0,
--- a/src/poppyhold/node/peer_handler.py
+++ b/src/poppyhold/node/peer_handler.py
@@ -27,7 +27,7 @@
 from poppyhold.settings import Settings
 
 # Number of jobs whose task counts from leaders' pings are kept, per MB of the controller's memory limit.
-_COUNTS_PER_RAM_MB = 100
+_TASK_COUNTS_PER_RAM_MB = 100
 # Minimum time between two revocations of a leader's lease for which a refused connection is the only reason,
 # in leases of workers.
 _REFUSAL_INTERVAL_LEASES = 6
@@ -46,7 +46,7 @@
         election: Election,
         user_api: UserApi,
         forwarder: HeartbeatForwarder,
-        delegated_renewal: DelegatedRenewals,
+        delegated_renewals: DelegatedRenewals,
         misdirected_workers: MisdirectedWorkers,
         quota_server: QuotaServer,
         leader_term: Callable[[], LeaderTerm | None],
@@ -54,12 +54,12 @@
     ) -> None:
         """``store_contact_at`` is when the state service last answered this node."""
         self._settings, self._election, self._user_api = settings, election, user_api
-        self._forwarder, self._delegated_renewal = forwarder, delegated_renewal
+        self._forwarder, self._delegated_renewals = forwarder, delegated_renewals
         self._misdirected_workers = misdirected_workers
         self._leader_term, self._store_contact_at = leader_term, store_contact_at
         self._transfer_after_unreachable_s = Durations(settings, options).delegated_renewal_after_s
         # Task counts by job and images by machine, from leaders' pings.
-        self._peer_counts: dict[str, TaskCounts] = {}
+        self._peer_task_counts: dict[str, TaskCounts] = {}
         self.peer_image_hints: ImageHints = {}
         # When this node last tried to revoke a leader's lease because of a refused connection.
         self._last_refusal_revocation_at = float("-inf")
@@ -75,7 +75,7 @@
     def task_counts(self, job_id: str) -> TaskCounts | None:
         """Return a job's task counts, from this node's term if it leads, else from pings; None if unknown."""
         leader_term = self._leader_term()
-        counts = leader_term.task_counts if leader_term is not None else self._peer_counts
+        counts = leader_term.task_counts if leader_term is not None else self._peer_task_counts
         return counts.get(job_id)
 
     # -- outgoing messages ---------------------------------------------------------------------------
@@ -158,13 +158,13 @@
     def _apply_leader_ping(self, ping: Ping) -> None:
         self._election.observe_fencing_token(ping.fencing_token)
         self._forwarder.note_ping(ping.fencing_token, ping.accepts_relays)
-        self._delegated_renewal.observe_leader(ping.fencing_token, ping.delegation)
+        self._delegated_renewals.observe_leader(ping.fencing_token, ping.delegation)
         limits = self._settings.deployment.machine_limits
-        counts = dict(self._peer_counts)
+        counts = dict(self._peer_task_counts)
         counts.update({job: TaskCounts(done, running) for job, done, running in ping.task_counts})
-        while len(counts) > limits.ram_mb * _COUNTS_PER_RAM_MB:
+        while len(counts) > limits.ram_mb * _TASK_COUNTS_PER_RAM_MB:
             counts.pop(next(iter(counts)))
-        self._peer_counts = counts
+        self._peer_task_counts = counts
         for machine, images in ping.image_hints:
             self.peer_image_hints.pop(machine, None)
             self.peer_image_hints[machine] = images
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -30,6 +30,8 @@
 
 # Maximum number of listed misdirected workers: a message between controllers must hold them.
 _MAX_MISDIRECTED_WORKERS = 20_000
+# Time since a worker's last heartbeat to this node during which it counts as misdirected, in leases.
+_MISDIRECTED_RECENT_LEASES = 0.5
 
 
 class Node:
@@ -60,17 +62,17 @@
             self.rng,
         )
         # Heartbeats, on the leader and on other controllers.
-        delegated_renewal = DelegatedRenewals(
+        delegated_renewals = DelegatedRenewals(
             Durations(settings, options), settings.deployment.skew_ms / 1000, time.monotonic, time.time
         )
         misdirected_workers = MisdirectedWorkers(
-            min(limits.machines, _MAX_MISDIRECTED_WORKERS), workers.lease_s / 2
+            min(limits.machines, _MAX_MISDIRECTED_WORKERS), workers.lease_s * _MISDIRECTED_RECENT_LEASES
         )
         self._heartbeats = HeartbeatRouter(
             settings,
             self.store,
             self.election,
-            delegated_renewal,
+            delegated_renewals,
             misdirected_workers,
             self._current_term,
             self._is_unreachable,
@@ -86,7 +88,7 @@
             self.election,
             self.user_api,
             self._heartbeats.forwarder,
-            delegated_renewal,
+            delegated_renewals,
             misdirected_workers,
             QuotaServer(settings, options.cells, self._current_term, lambda: self.election.leader),
             self._current_term,
