--- a/src/poppyhold/relay/link.py
+++ b/src/poppyhold/relay/link.py
@@ -55,7 +55,7 @@
         self._queue = HeartbeatQueue(max_pending, timings.response_timeout_s)
         self._wake = threading.Condition(threading.Lock())
         self._connected = False
-        self._reconnection = ReconnectionWindow(timings.reconnect_s, timings.longest_reconnect_s)
+        self._reconnection = ReconnectionWindow(timings.reconnect_window_s, timings.max_reconnect_window_s)
         # When each batch was sent that has no responses yet, and the last round trips.
         self._in_flight: deque[float] = deque()
         self._round_trips: deque[float] = deque(maxlen=_ROUND_TRIPS)
@@ -98,13 +98,13 @@
             elif target is None and not self.is_open():
                 self._fail_all()
             self._expire()
-            self._stop.wait(self._timings.retry_s * self._rng.uniform(0.5, 1.5))
+            self._stop.wait(self._timings.retry_interval_s * self._rng.uniform(0.5, 1.5))
         self._fail_all()
 
     def _connect(self, target: str) -> None:
         try:
-            with open_connection(self._addresses[target], self._timings.connect_s) as connection:
-                connection.settimeout(self._timings.keepalive_s + self._timings.stalled_s)
+            with open_connection(self._addresses[target], self._timings.connect_timeout_s) as connection:
+                connection.settimeout(self._timings.keepalive_interval_s + self._timings.stall_timeout_s)
                 send_message(connection, self._hello)
                 self._serve(connection, target)
         except (OSError, ValueError) as error:
@@ -135,15 +135,15 @@
         timings = self._timings
         with self._wake:
             if not self._queue.unsent and self._round_trips:
-                self._wake.wait(timings.keepalive_s)
+                self._wake.wait(timings.keepalive_interval_s)
             elif not self._queue.unsent:
                 # The first batches measure the round trip.
-                self._wake.wait(timings.gather_s)
+                self._wake.wait(timings.batch_delay_s)
         if self._queue.unsent:
-            self._stop.wait(timings.gather_s)
+            self._stop.wait(timings.batch_delay_s)
         now = time.monotonic()
         with self._wake:
-            if self._in_flight and now - self._in_flight[0] > timings.stalled_s:
+            if self._in_flight and now - self._in_flight[0] > timings.stall_timeout_s:
                 raise TimeoutError("no responses")
             batch = self._queue.next_batch(now, _MAX_BATCH_SIZE, min(self._round_trips, default=0.0))
             self._in_flight.append(now)
--- a/src/poppyhold/relay/reconnection.py
+++ b/src/poppyhold/relay/reconnection.py
@@ -10,17 +10,17 @@
     redirected to it meanwhile, by the thousand, took all its connections, and the rest lost their leases.
     """
 
-    def __init__(self, window_s: float, longest_s: float) -> None:
-        """``window_s`` for a leader that stays the same, ``longest_s`` in total for one that changes."""
-        self._window_s, self._longest_s = window_s, longest_s
-        self._until = self._longest_until = float("-inf")
+    def __init__(self, window_s: float, max_total_s: float) -> None:
+        """``window_s`` for a leader that stays the same, ``max_total_s`` in total for one that changes."""
+        self._window_s, self._max_total_s = window_s, max_total_s
+        self._open_until = self._latest_end = float("-inf")
         self._lost_leader: str | None = None
 
     def connection_lost(self, leader: str | None, now: float) -> None:
         """The connection to a leader was lost."""
         self._lost_leader = leader
-        self._until = now + self._window_s
-        self._longest_until = now + self._longest_s
+        self._open_until = now + self._window_s
+        self._latest_end = now + self._max_total_s
 
     def note_leader(self, leader: str | None, now: float) -> None:
         """Note who is named as the leader now; None: nobody.
@@ -41,8 +41,8 @@
     def _extend(self, now: float) -> None:
         """Extend an open window by its length again, up to the longest time."""
         if self.is_open(now):
-            self._until = min(now + self._window_s, self._longest_until)
+            self._open_until = min(now + self._window_s, self._latest_end)
 
     def is_open(self, now: float) -> bool:
         """Whether heartbeats are accepted for the next connection."""
-        return now < self._until
+        return now < self._open_until
--- a/src/poppyhold/relay/timings.py
+++ b/src/poppyhold/relay/timings.py
@@ -20,18 +20,18 @@
         # A heartbeat that has waited so long is not answered any more: its worker times out soon.
         self.response_timeout_s = response_timeout_s
         # Heartbeats that arrive within this time go in one batch.
-        self.gather_s = heartbeat_interval_s / 20
+        self.batch_delay_s = heartbeat_interval_s / 20
         # Without heartbeats, an empty batch is sent this often to check that the leader is there.
-        self.keepalive_s = heartbeat_interval_s / 2
+        self.keepalive_interval_s = heartbeat_interval_s / 2
         # If a batch has no responses for so long, the leader is unreachable, and workers should go elsewhere.
-        self.stalled_s = response_timeout_s / 2
+        self.stall_timeout_s = response_timeout_s / 2
         # After a connection is lost, heartbeats are accepted for so long for the next one. At the end of it a
         # delegate may renew leases: workers of an isolated zone were sent to a leader that they could not
         # reach.
-        self.reconnect_s = response_timeout_s
+        self.reconnect_window_s = response_timeout_s
         # The same if the leader changes: an election takes a quarter of a lease at the most, and loading the
         # state a second or two. The rest of a worker's lease must suffice to reach the leader itself.
-        self.longest_reconnect_s = max(response_timeout_s, 0.4 * lease_s)
-        self.retry_s = heartbeat_interval_s / 20
+        self.max_reconnect_window_s = max(response_timeout_s, 0.4 * lease_s)
+        self.retry_interval_s = heartbeat_interval_s / 20
         # Nothing that waits expires meanwhile, so this adds to its response timeout at the most.
-        self.connect_s = response_timeout_s / 6
+        self.connect_timeout_s = response_timeout_s / 6
--- a/tests/sim_relay.py
+++ b/tests/sim_relay.py
@@ -34,7 +34,9 @@
         self._queue = HeartbeatQueue(_MOST, self._timings.response_timeout_s)
         self._term: SimLeaderTerm | None = None
         self._state: ConnectedRelay | None = None
-        self._reconnection = ReconnectionWindow(self._timings.reconnect_s, self._timings.longest_reconnect_s)
+        self._reconnection = ReconnectionWindow(
+            self._timings.reconnect_window_s, self._timings.max_reconnect_window_s
+        )
         self._sent_at: float | None = None
         self._round_trip_s = 0.0
         self._gathering = False
@@ -81,7 +83,7 @@
         if self._term is not None and self._node.reaches_state() and leader not in (None, self._term.node):
             # The key names another leader.
             self._lost()
-        if self._sent_at is not None and now - self._sent_at > self._timings.stalled_s:
+        if self._sent_at is not None and now - self._sent_at > self._timings.stall_timeout_s:
             self._lost()
         if self._term is None:
             self._reconnection.note_leader(leader.member if leader is not None else None, now)
@@ -139,7 +141,7 @@
     def _gather(self) -> None:
         if not self._gathering:
             self._gathering = True
-            self._world.after(self._timings.gather_s, self._send)
+            self._world.after(self._timings.batch_delay_s, self._send)
 
     def _send(self) -> None:
         self._gathering = False
