--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -106,7 +106,11 @@
     def _redirect(self, heartbeat: Heartbeat) -> HttpResponse | DeferredResponse:
         """Wait briefly for a leader, and redirect the worker to it."""
         leader = self._election.known_leader.await_leader(self._await_leader_s)
-        if leader is not None and leader.member != self._member and not self.forwarder.is_wanted():
+        if (
+            leader is not None
+            and leader.member != self._member
+            and not self.forwarder.leader_accepts_relays()
+        ):
             now = time.monotonic()
             wait_s = self._redirect_backoff.wait_s(
                 heartbeat, leader.fencing_token, now - self._election.known_leader.leader_since, now
--- a/src/poppyhold/node/peer_handler.py
+++ b/src/poppyhold/node/peer_handler.py
@@ -153,7 +153,7 @@
 
     def _apply_leader_ping(self, ping: Ping) -> None:
         self._election.observe_fencing_token(ping.fencing_token)
-        self._forwarder.note_ping(ping.fencing_token, ping.accepts_relays)
+        self._forwarder.record_ping(ping.fencing_token, ping.accepts_relays)
         self._delegated_renewal.observe_leader(ping.fencing_token, ping.delegation)
         limits = self._settings.deployment.machine_limits
         counts = dict(self._peer_counts)
@@ -232,7 +232,9 @@
     def _accepts_relays(self, leader_term: LeaderTerm) -> bool:
         """Whether a term accepts relays; before it knows the number of machines, as the last leader did."""
         relays = leader_term.relays
-        return relays.relays_wanted or (not relays.knows_machines and self._forwarder.is_wanted())
+        return relays.accepts_relays or (
+            not relays.machine_count_known and self._forwarder.leader_accepts_relays()
+        )
 
     def serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
         """Serve a relay's connection until it ends, if this node's term accepts relays."""
--- a/src/poppyhold/relay/assignment.py
+++ b/src/poppyhold/relay/assignment.py
@@ -79,7 +79,7 @@
         self._health = RelayHealth(durations, clock)
         self._budget = RedirectBudget(durations.lease_s, clock())
         # Whether controllers are asked to relay.
-        self.relays_wanted = mode is RelayMode.FORCED
+        self.accepts_relays = mode is RelayMode.FORCED
 
     # -- relays and machines -----------------------------------------------------------------------
 
@@ -102,8 +102,8 @@
         """Adapt to the machines that exist now."""
         self._workers = len(machines)
         if self._mode is RelayMode.AUTO:
-            threshold = self._from_workers * (_OFF_SHARE if self.relays_wanted else 1.0)
-            self.relays_wanted = self._workers >= threshold
+            threshold = self._from_workers * (_OFF_SHARE if self.accepts_relays else 1.0)
+            self.accepts_relays = self._workers >= threshold
         for machine in [machine for machine in self._relay_of if machine not in machines]:
             self._unassign(machine)
         self._direct &= machines
@@ -137,7 +137,7 @@
         now = self._clock()
         self._note_return(machine, now)
         self._direct.add(machine)
-        if not self.relays_wanted or not self._zones or not self._may_redirect(answered_at, now):
+        if not self.accepts_relays or not self._zones or not self._may_redirect(answered_at, now):
             return None
         backoff = self._backoffs.get(machine)
         if backoff is not None and now < backoff.direct_until:
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -42,7 +42,7 @@
         workers = settings.deployment.workers
         self._lease_s = workers.lease_s
         # When a leader last asked for heartbeats to be relayed.
-        self._wanted_at = float("-inf")
+        self._accepted_at = float("-inf")
         self._highest_fencing_token = 0
         connections = settings.deployment.machine_limits.connections
         self._overflow = OverflowRedirector(
@@ -69,14 +69,14 @@
         """Stop the thread."""
         self._link.stop()
 
-    def note_ping(self, fencing_token: int, wants_relays: bool) -> None:
+    def record_ping(self, fencing_token: int, accepts_relays: bool) -> None:
         """A leader's ping arrived."""
         self._highest_fencing_token = max(self._highest_fencing_token, fencing_token)
-        self._wanted_at = time.monotonic() if wants_relays else float("-inf")
+        self._accepted_at = time.monotonic() if accepts_relays else float("-inf")
 
-    def is_wanted(self) -> bool:
+    def leader_accepts_relays(self) -> bool:
         """Whether a leader wanted heartbeats to be relayed within the last lease."""
-        return time.monotonic() - self._wanted_at < self._lease_s
+        return time.monotonic() - self._accepted_at < self._lease_s
 
     def handle(self, heartbeat: Heartbeat) -> HttpResponse | DeferredResponse | None:
         """Forward a heartbeat to the leader, or redirect its worker; None if none is relayed now."""
@@ -122,7 +122,7 @@
     def _target(self) -> str | None:
         """The leader, if it accepts relays: as it said itself, or as the one before it did."""
         leader = self._leader()
-        if self.is_wanted() and leader is not None and not self._is_leading():
+        if self.leader_accepts_relays() and leader is not None and not self._is_leading():
             return leader.member
         return None
 
--- a/src/poppyhold/relay/server.py
+++ b/src/poppyhold/relay/server.py
@@ -49,17 +49,17 @@
         self._relays: dict[str, ConnectedRelay] = {}
         self._lock = threading.Lock()
         self._closed = False
-        self._knows_machines = False
+        self._machine_count_known = False
 
     @property
-    def relays_wanted(self) -> bool:
+    def accepts_relays(self) -> bool:
         """Whether controllers are asked to relay."""
-        return self._assignment.relays_wanted
+        return self._assignment.accepts_relays
 
     @property
-    def knows_machines(self) -> bool:
+    def machine_count_known(self) -> bool:
         """Whether it is known how many machines there are, and so whether relays are wanted."""
-        return self._knows_machines
+        return self._machine_count_known
 
     def serve(self, connection: socket.socket, hello: RelayHello) -> None:
         """Answer a relay's batches until its connection ends, or the term does."""
@@ -79,7 +79,7 @@
     def update_machines(self, machines: Set[str]) -> None:
         """On the decision thread: adapt to the machines that exist now."""
         self._assignment.update_machines(machines)
-        self._knows_machines = True
+        self._machine_count_known = True
         for relay in self._relays.values():
             relay.drop_others(machines)
 
--- a/tests/sim_relay.py
+++ b/tests/sim_relay.py
@@ -113,7 +113,7 @@
         if leader is None or leader is self._node or leader.leader_term is None or not self._reaches(leader):
             return
         term = leader.leader_term
-        if not term.assignment.relays_wanted or leader.frozen or not self._node.relays:
+        if not term.assignment.accepts_relays or leader.frozen or not self._node.relays:
             return
         self._round_trip_s = 0.0
         self._term, self._state = term, ConnectedRelay(self._node.member, self._node.zone)
--- a/tests/test_relay_assignment.py
+++ b/tests/test_relay_assignment.py
@@ -142,10 +142,10 @@
     wanted = []
     for count in (99, 100, 60, 50, 49, 99):
         fleet.update_machines({f"vm-{index}" for index in range(count)})
-        wanted.append(fleet.relays_wanted)
+        wanted.append(fleet.accepts_relays)
     assert wanted == [False, True, True, True, False, False]
     off = AssignedFleet(RelayMode.OFF)
-    assert not off.assignment.relays_wanted
+    assert not off.assignment.accepts_relays
     assert all(off.direct(machine) is None for machine in MACHINES)
 
 
