--- a/src/poppyhold/relay/assignment.py
+++ b/src/poppyhold/relay/assignment.py
@@ -19,9 +19,9 @@
 # No relay is assigned more than this times its even share of the workers.
 MAX_LOAD_RATIO = 1.25
 # The longest time for which a worker is not assigned to relays, in leases.
-_LONGEST_BACKOFF_LEASES = 8
+_MAX_BACKOFF_LEASES = 8
 # Relaying ends below this share of the count from which on it begins.
-_OFF_SHARE = 0.5
+_DISABLE_RATIO = 0.5
 
 
 class LoadAdvice(NamedTuple):
@@ -51,27 +51,31 @@
     def __init__(
         self,
         mode: RelayMode,
-        from_workers: float,
-        max_direct: float,
+        enable_threshold: float,
+        max_direct_workers: float,
         member: str,
         zone: str,
         durations: Durations,
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        """With `AUTO`, relaying begins with ``from_workers`` machines.
+        """With `AUTO`, relaying begins with ``enable_threshold`` machines.
 
-        The leader keeps up to ``max_direct`` workers that should not depend on relays of other zones.
+        The leader keeps up to ``max_direct_workers`` workers that should not depend on relays of other zones.
         ``member`` and ``zone`` are the leader's own.
         """
-        self._mode, self._from_workers, self._max_direct = mode, from_workers, max_direct
+        self._mode, self._enable_threshold, self._max_direct_workers = (
+            mode,
+            enable_threshold,
+            max_direct_workers,
+        )
         self._member, self._zone = member, zone
         self._durations, self._clock, self._rng = durations, clock, rng
         # Connected relays, and their zones.
-        self._zones: dict[str, str] = {}
-        self._workers = 0
-        self._relay_of: dict[str, str] = {}
-        self._load: Counter[str] = Counter()
+        self._zone_by_relay: dict[str, str] = {}
+        self._worker_count = 0
+        self._relay_by_machine: dict[str, str] = {}
+        self._worker_count_by_relay: Counter[str] = Counter()
         # Workers that send their heartbeats directly.
         self._direct: set[str] = set()
         self._pending_redirects: dict[str, _PendingRedirect] = {}
@@ -85,26 +89,26 @@
 
     def relay_connected(self, member: str, zone: str) -> None:
         """A controller connected as a relay."""
-        self._zones[member] = zone
+        self._zone_by_relay[member] = zone
 
     def relay_disconnected(self, member: str) -> None:
         """A relay's connection is lost, and with it the assignments to the relay."""
-        self._zones.pop(member, None)
+        self._zone_by_relay.pop(member, None)
         self._health.forget_round_trip(member)
-        for machine in [machine for machine, relay in self._relay_of.items() if relay == member]:
+        for machine in [machine for machine, relay in self._relay_by_machine.items() if relay == member]:
             self._unassign(machine)
 
-    def note_round_trip(self, member: str, round_trip_s: float) -> None:
+    def record_round_trip(self, member: str, round_trip_s: float) -> None:
         """Note how long a relay's batches take at the least; 0: it does not know yet."""
-        self._health.note_round_trip(member, round_trip_s, member in self._zones)
+        self._health.record_round_trip(member, round_trip_s, member in self._zone_by_relay)
 
     def update_machines(self, machines: Set[str]) -> None:
         """Adapt to the machines that exist now."""
-        self._workers = len(machines)
+        self._worker_count = len(machines)
         if self._mode is RelayMode.AUTO:
-            threshold = self._from_workers * (_OFF_SHARE if self.accepts_relays else 1.0)
-            self.accepts_relays = self._workers >= threshold
-        for machine in [machine for machine in self._relay_of if machine not in machines]:
+            threshold = self._enable_threshold * (_DISABLE_RATIO if self.accepts_relays else 1.0)
+            self.accepts_relays = self._worker_count >= threshold
+        for machine in [machine for machine in self._relay_by_machine if machine not in machines]:
             self._unassign(machine)
         self._direct &= machines
         for by_machine in (self._pending_redirects, self._backoffs):
@@ -112,21 +116,21 @@
                 del by_machine[machine]
 
     def _unassign(self, machine: str) -> None:
-        relay = self._relay_of.pop(machine, None)
+        relay = self._relay_by_machine.pop(machine, None)
         if relay is not None:
-            self._load[relay] -= 1
+            self._worker_count_by_relay[relay] -= 1
 
     # -- heartbeats --------------------------------------------------------------------------------
 
-    def note_relayed_heartbeat(self, machine: str, relay: str) -> None:
+    def record_relayed_heartbeat(self, machine: str, relay: str) -> None:
         """The leader answered a heartbeat that came through a relay."""
         self._pending_redirects.pop(machine, None)
         self._backoffs.pop(machine, None)
         self._direct.discard(machine)
-        if self._relay_of.get(machine) != relay:
+        if self._relay_by_machine.get(machine) != relay:
             self._unassign(machine)
-            self._relay_of[machine] = relay
-            self._load[relay] += 1
+            self._relay_by_machine[machine] = relay
+            self._worker_count_by_relay[relay] += 1
 
     def assign(self, machine: str, zone: str, answered_at: float) -> str | None:
         """The relay to which to redirect a worker that sent a direct heartbeat; None: answer it.
@@ -135,9 +139,9 @@
         if the relay fails it: half a second to get there, four without a response, and one to the next node.
         """
         now = self._clock()
-        self._note_return(machine, now)
+        self._record_return(machine, now)
         self._direct.add(machine)
-        if not self.accepts_relays or not self._zones or not self._may_redirect(answered_at, now):
+        if not self.accepts_relays or not self._zone_by_relay or not self._may_redirect(answered_at, now):
             return None
         backoff = self._backoffs.get(machine)
         if backoff is not None and now < backoff.direct_until:
@@ -158,9 +162,11 @@
         """
         now = self._clock()
         is_slow = self._health.is_slow(relay, now)
-        returns_to_leader = self._should_stay_direct(zone, relay) and zone not in self._zones.values()
-        is_overloaded = self._load[relay] > self._max_load()
-        if self._relay_of.get(machine) != relay or not (is_slow or is_overloaded or returns_to_leader):
+        returns_to_leader = self._should_stay_direct(zone, relay) and zone not in self._zone_by_relay.values()
+        is_overloaded = self._worker_count_by_relay[relay] > self._max_workers()
+        if self._relay_by_machine.get(machine) != relay or not (
+            is_slow or is_overloaded or returns_to_leader
+        ):
             return None
         if not self._may_redirect(answered_at, now):
             return None
@@ -179,9 +185,14 @@
     def load_advice(self, member: str) -> LoadAdvice:
         """What a relay needs to redirect workers that come to it beyond its share."""
         now = self._clock()
-        even_share = self._workers / max(1, len(self._zones))
-        others = (other for other in self._zones if other != member and self._health.is_healthy(other, now))
-        return LoadAdvice(self._max_load(), [other for other in others if self._load[other] < even_share])
+        even_share = self._worker_count / max(1, len(self._zone_by_relay))
+        others = (
+            other for other in self._zone_by_relay if other != member and self._health.is_healthy(other, now)
+        )
+        return LoadAdvice(
+            self._max_workers(),
+            [other for other in others if self._worker_count_by_relay[other] < even_share],
+        )
 
     def _should_stay_direct(self, zone: str, relay: str) -> bool:
         """Whether a worker of the leader's zone would depend on another zone, without a relay in its own.
@@ -190,24 +201,24 @@
         leases: five seconds until they abandoned a relay, and five more for the next. So they stay, as long
         as there are connections for them.
         """
-        depends_on_other_zone = zone == self._zone and self._zones.get(relay) != zone
-        return depends_on_other_zone and len(self._direct) <= self._max_direct
+        depends_on_other_zone = zone == self._zone and self._zone_by_relay.get(relay) != zone
+        return depends_on_other_zone and len(self._direct) <= self._max_direct_workers
 
-    def _note_return(self, machine: str, now: float) -> None:
+    def _record_return(self, machine: str, now: float) -> None:
         """A worker that should be at a relay sent a direct heartbeat: the relay failed it.
 
         Whatever the leader answered through that relay did not reach the worker in time.
         """
         pending = self._pending_redirects.pop(machine, None)
-        relay = pending.relay if pending is not None else self._relay_of.get(machine)
+        relay = pending.relay if pending is not None else self._relay_by_machine.get(machine)
         self._unassign(machine)
         if relay is None:
             return
         backoff = self._backoffs.setdefault(machine, _RelayBackoff())
         backoff.failures += 1
-        leases = min(2.0 ** (backoff.failures - 1), _LONGEST_BACKOFF_LEASES) * self._rng.uniform(1.0, 2.0)
+        leases = min(2.0 ** (backoff.failures - 1), _MAX_BACKOFF_LEASES) * self._rng.uniform(1.0, 2.0)
         backoff.direct_until = now + leases * self._durations.lease_s
-        self._health.note_failure(relay, now)
+        self._health.record_failure(relay, now)
 
     # -- choice ------------------------------------------------------------------------------------
 
@@ -217,21 +228,30 @@
         Each worker orders the relays in its own way. When one connects or disconnects, only those workers
         move that order it first, or that are assigned to it.
         """
-        max_load = self._max_load()
+        max_workers = self._max_workers()
         by_preference = sorted(
-            (member for member in self._zones if member != exclude and self._health.is_healthy(member, now)),
-            key=lambda member: (self._zones[member] == zone, rendezvous_weight(member, machine)),
+            (
+                member
+                for member in self._zone_by_relay
+                if member != exclude and self._health.is_healthy(member, now)
+            ),
+            key=lambda member: (self._zone_by_relay[member] == zone, rendezvous_weight(member, machine)),
             reverse=True,
         )
         pending = Counter(redirect.relay for redirect in self._pending_redirects.values())
         return next(
-            (member for member in by_preference if self._load[member] + pending[member] < max_load), None
+            (
+                member
+                for member in by_preference
+                if self._worker_count_by_relay[member] + pending[member] < max_workers
+            ),
+            None,
         )
 
-    def _max_load(self) -> int:
-        return math.ceil(MAX_LOAD_RATIO * self._workers / max(1, len(self._zones)))
+    def _max_workers(self) -> int:
+        return math.ceil(MAX_LOAD_RATIO * self._worker_count / max(1, len(self._zone_by_relay)))
 
     def _may_redirect(self, answered_at: float, now: float) -> bool:
         """Whether a worker that was answered at that moment may be redirected now."""
         was_answered_recently = now - answered_at <= 2 * self._durations.heartbeat_interval_s
-        return self._budget.has_any(self._workers, now) and was_answered_recently
+        return self._budget.allows_redirect(self._worker_count, now) and was_answered_recently
--- a/src/poppyhold/relay/batch_handler.py
+++ b/src/poppyhold/relay/batch_handler.py
@@ -29,7 +29,7 @@
 
     def handle(self, relay: ConnectedRelay, batch: HeartbeatBatch, received_at: float) -> ResponseBatch:
         """Answer each heartbeat of a batch that arrived at that moment."""
-        self._assignment.note_round_trip(relay.member, batch.round_trip_ms / 1000)
+        self._assignment.record_round_trip(relay.member, batch.round_trip_ms / 1000)
         responses = list(self._responses(relay, batch, received_at))
         advice = self._assignment.load_advice(relay.member)
         return ResponseBatch(responses, advice.max_workers, advice.underloaded_relays)
@@ -59,5 +59,5 @@
         response = self._answer_heartbeat(heartbeat, deadline)
         if response is None:
             return RelayedResponse(number, RelayOutcome.REJECTED)
-        self._assignment.note_relayed_heartbeat(heartbeat.machine, relay.member)
+        self._assignment.record_relayed_heartbeat(heartbeat.machine, relay.member)
         return RelayedResponse(number, RelayOutcome.ANSWERED, response.fencing_token, response.commands)
--- a/src/poppyhold/relay/redirect_budget.py
+++ b/src/poppyhold/relay/redirect_budget.py
@@ -13,10 +13,10 @@
         self._lease_s = lease_s
         self._available, self._refilled_at = 0.0, now
 
-    def has_any(self, workers: int, now: float) -> bool:
-        """Whether a worker may be redirected now, with so many workers in total."""
-        burst = max(1.0, workers * _BURST_SHARE)
-        rate = max(1.0, workers / self._lease_s)
+    def allows_redirect(self, worker_count: int, now: float) -> bool:
+        """Whether a worker may be redirected now, with a fleet of ``worker_count`` workers."""
+        burst = max(1.0, worker_count * _BURST_SHARE)
+        rate = max(1.0, worker_count / self._lease_s)
         self._available = min(burst, self._available + (now - self._refilled_at) * rate)
         self._refilled_at = now
         return self._available >= 1
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -82,11 +82,11 @@
 
 
 def assignment(
-    clock: Callable[[], float], mode: RelayMode = RelayMode.FORCED, from_workers: float = 8.0
+    clock: Callable[[], float], mode: RelayMode = RelayMode.FORCED, enable_threshold: float = 8.0
 ) -> Assignment:
     """An assignment of a leader in zone a."""
     times = Durations(World(1, 10.0, 30.0, []).settings, Options())
-    return Assignment(mode, from_workers, 8.0, "hive-0", "a", times, clock, random.Random(1))
+    return Assignment(mode, enable_threshold, 8.0, "hive-0", "a", times, clock, random.Random(1))
 
 
 ZONES = {"hive-1": "a", "hive-2": "a", "hive-3": "b", "hive-4": "b", "hive-5": "c"}
@@ -96,9 +96,9 @@
 class AssignedFleet:
     """An assignment, and workers that follow its redirects."""
 
-    def __init__(self, mode: RelayMode = RelayMode.FORCED, from_workers: float = 8.0) -> None:
+    def __init__(self, mode: RelayMode = RelayMode.FORCED, enable_threshold: float = 8.0) -> None:
         self.now = 100.0
-        self.assignment = assignment(lambda: self.now, mode, from_workers)
+        self.assignment = assignment(lambda: self.now, mode, enable_threshold)
         for member, zone in ZONES.items():
             self.connect(member, zone)
         self.assignment.update_machines(set(MACHINES))
@@ -109,14 +109,14 @@
     def connect(self, member: str, zone: str) -> None:
         """A relay connects, and its round trip is known."""
         self.assignment.relay_connected(member, zone)
-        self.assignment.note_round_trip(member, 0.01)
+        self.assignment.record_round_trip(member, 0.01)
 
     def direct(self, machine: str, answered_ago: float = 1.0) -> str | None:
         """A worker sends a direct heartbeat; it follows a redirect."""
         relay = self.assignment.assign(machine, MACHINES[machine], self.now - answered_ago)
         if relay is not None:
             self.at[machine] = relay
-            self.assignment.note_relayed_heartbeat(machine, relay)
+            self.assignment.record_relayed_heartbeat(machine, relay)
         return relay
 
     def settle(self, spans: int = 200) -> None:
@@ -133,4 +133,4 @@
                     self.at.pop(machine)
                     if target != "hive-0":
                         self.at[machine] = target
-                        self.assignment.note_relayed_heartbeat(machine, target)
+                        self.assignment.record_relayed_heartbeat(machine, target)
--- a/tests/test_relay_assignment.py
+++ b/tests/test_relay_assignment.py
@@ -78,7 +78,7 @@
         relay = fleet.assignment.assign(machine, "b", fleet.now)
         assert relay is not None
         if heard:
-            fleet.assignment.note_relayed_heartbeat(machine, relay)
+            fleet.assignment.record_relayed_heartbeat(machine, relay)
         began = fleet.now = fleet.now + 1.0
         while fleet.assignment.assign(machine, "b", fleet.now) is None:
             fleet.now += 1.0
@@ -104,11 +104,11 @@
     fleet.settle()
     assert "hive-5" in fleet.at.values()
     for _ in range(200):
-        fleet.assignment.note_round_trip("hive-5", 0.3)
+        fleet.assignment.record_round_trip("hive-5", 0.3)
         fleet.settle(1)
     assert "hive-5" not in fleet.at.values()
     for member in ZONES:
-        fleet.assignment.note_round_trip(member, 0.3)
+        fleet.assignment.record_round_trip(member, 0.3)
     relay = next(iter(fleet.at.values()))
     machine = next(machine for machine, there in fleet.at.items() if there == relay)
     # No other is left: the worker returns to the leader.
@@ -121,9 +121,9 @@
         fleet.assignment.relay_disconnected(member)
     machine = next(machine for machine, zone in MACHINES.items() if zone == "b")
     fleet.assignment.relay_connected("hive-3", "b")
-    fleet.assignment.note_round_trip("hive-3", 0.0)
+    fleet.assignment.record_round_trip("hive-3", 0.0)
     assert fleet.direct(machine) is None
-    fleet.assignment.note_round_trip("hive-3", 0.01)
+    fleet.assignment.record_round_trip("hive-3", 0.01)
     assert fleet.direct(machine) == "hive-3"
 
 
@@ -138,7 +138,7 @@
 
 
 def test_relaying_begins_and_ends_with_the_fleets_size() -> None:
-    fleet = assignment(lambda: 0.0, RelayMode.AUTO, from_workers=100.0)
+    fleet = assignment(lambda: 0.0, RelayMode.AUTO, enable_threshold=100.0)
     wanted = []
     for count in (99, 100, 60, 50, 49, 99):
         fleet.update_machines({f"vm-{index}" for index in range(count)})
@@ -152,7 +152,7 @@
 def test_the_leader_advises_relays_of_underloaded_ones() -> None:
     fleet = AssignedFleet()
     for number in range(math.ceil(len(MACHINES) / len(ZONES))):
-        fleet.assignment.note_relayed_heartbeat(f"vm-{number:04d}", "hive-1")
+        fleet.assignment.record_relayed_heartbeat(f"vm-{number:04d}", "hive-1")
     most, roomy = fleet.assignment.load_advice("hive-1")
     assert most == math.ceil(1.25 * len(MACHINES) / len(ZONES))
     assert set(roomy) == set(ZONES) - {"hive-1"}
