--- a/src/poppyhold/relay/connected_relay.py
+++ b/src/poppyhold/relay/connected_relay.py
@@ -33,7 +33,7 @@
             return None
         return msgspec.structs.replace(full, sequence=unchanged.sequence)
 
-    def drop_others(self, machines: Set[str]) -> None:
+    def retain_machines(self, machines: Set[str]) -> None:
         """Drop the heartbeats of machines that no longer exist; ``machines`` are those that do."""
         for machine in [machine for machine in self._full if machine not in machines]:
             del self._full[machine]
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -18,7 +18,7 @@
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, Redirect
 
 # Share of a relay's connections that workers may take; the rest is for users and for redirected workers.
-_WORKERS_SHARE = 0.9
+_WORKER_CONNECTIONS_SHARE = 0.9
 
 
 class HeartbeatForwarder:
@@ -46,7 +46,7 @@
         self._highest_fencing_token = 0
         connections = settings.deployment.machine_limits.connections
         self._overflow = OverflowRedirector(
-            int(connections * _WORKERS_SHARE), workers.lease_s, time.monotonic
+            int(connections * _WORKER_CONNECTIONS_SHARE), workers.lease_s, time.monotonic
         )
         self._link = RelayLink(
             RelayHello(settings.member, settings.zone),
--- a/src/poppyhold/relay/link.py
+++ b/src/poppyhold/relay/link.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from poppyhold.relay.messages import RelayHello, ResponseBatch
-from poppyhold.relay.queue import HeartbeatQueue, OnResponse, Response
+from poppyhold.relay.queue import Delivery, HeartbeatQueue, OnResponse
 from poppyhold.relay.reconnection import ReconnectionWindow
 from poppyhold.relay.timings import RelayTimings
 from poppyhold.wire.frames import open_connection, receive_message, send_message, shut_down
@@ -26,7 +26,7 @@
 # too.
 _MAX_BATCH_SIZE = 64
 # The fastest of so many batches tells whether the way to the leader is slow: one may wait for a decision.
-_ROUND_TRIPS = 4
+_ROUND_TRIP_SAMPLES = 4
 
 
 class RelayLink:
@@ -37,7 +37,7 @@
         hello: RelayHello,
         addresses: dict[str, tuple[str, int]],
         target: Callable[[], str | None],
-        lowest_fencing_token: Callable[[], int],
+        min_fencing_token: Callable[[], int],
         timings: RelayTimings,
         max_pending: int,
         rng: random.Random,
@@ -45,12 +45,12 @@
     ) -> None:
         """``target`` names the controller to which to relay now.
 
-        ``lowest_fencing_token`` is the highest one seen: responses with a lower one do not count.
+        ``min_fencing_token`` is the highest one seen: responses with a lower one do not count.
         ``on_advice`` is called with the most workers that a relay should have, and the underloaded relays.
         """
         self._on_advice = on_advice
         self._hello, self._addresses = hello, addresses
-        self._target, self._lowest_fencing_token = target, lowest_fencing_token
+        self._target, self._min_fencing_token = target, min_fencing_token
         self._timings, self._rng = timings, rng
         self._queue = HeartbeatQueue(max_pending, timings.response_timeout_s)
         self._wake = threading.Condition(threading.Lock())
@@ -58,7 +58,7 @@
         self._reconnection = ReconnectionWindow(timings.reconnect_window_s, timings.max_reconnect_window_s)
         # When each batch was sent that has no responses yet, and the last round trips.
         self._in_flight: deque[float] = deque()
-        self._round_trips: deque[float] = deque(maxlen=_ROUND_TRIPS)
+        self._round_trips: deque[float] = deque(maxlen=_ROUND_TRIP_SAMPLES)
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, name="relay", daemon=True)
 
@@ -92,7 +92,7 @@
     def _run(self) -> None:
         while not self._stop.is_set():
             target = self._target()
-            self._reconnection.note_leader(target, time.monotonic())
+            self._reconnection.record_leader(target, time.monotonic())
             if target in self._addresses:
                 self._connect(target)
             elif target is None and not self.is_open():
@@ -134,12 +134,12 @@
     def _send_next(self, connection: socket.socket) -> None:
         timings = self._timings
         with self._wake:
-            if not self._queue.unsent and self._round_trips:
+            if not self._queue.unsent_count and self._round_trips:
                 self._wake.wait(timings.keepalive_interval_s)
-            elif not self._queue.unsent:
+            elif not self._queue.unsent_count:
                 # The first batches measure the round trip.
                 self._wake.wait(timings.batch_delay_s)
-        if self._queue.unsent:
+        if self._queue.unsent_count:
             self._stop.wait(timings.batch_delay_s)
         now = time.monotonic()
         with self._wake:
@@ -170,10 +170,10 @@
             self._connected = True
             if self._in_flight:
                 self._round_trips.append(time.monotonic() - self._in_flight.popleft())
-            responses = self._queue.match_responses(batch, time.monotonic(), self._lowest_fencing_token())
-            if self._queue.unsent:
+            deliveries = self._queue.match_responses(batch, time.monotonic(), self._min_fencing_token())
+            if self._queue.unsent_count:
                 self._wake.notify()
-        self._deliver(responses)
+        self._deliver(deliveries)
 
     def _connection_lost(self, target: str) -> None:
         with self._wake:
@@ -185,21 +185,21 @@
 
     def _expire(self) -> None:
         with self._wake:
-            responses = self._queue.expire(time.monotonic())
-        self._deliver(responses)
+            deliveries = self._queue.expire(time.monotonic())
+        self._deliver(deliveries)
 
     def _fail_all(self) -> None:
         with self._wake:
-            responses = self._queue.fail_all()
-        self._deliver(responses)
+            deliveries = self._queue.fail_all()
+        self._deliver(deliveries)
 
     @staticmethod
-    def _deliver(responses: Iterable[Response]) -> None:
-        for response in responses:
+    def _deliver(deliveries: Iterable[Delivery]) -> None:
+        for delivery in deliveries:
             try:
-                response.deliver()
+                delivery.deliver()
             except Exception:
                 # One worker's callback must not keep the others' responses from them.
                 log.exception(
-                    "delivery of a relayed response failed: machine=%s", response.pending.heartbeat.machine
+                    "delivery of a relayed response failed: machine=%s", delivery.pending.heartbeat.machine
                 )
--- a/src/poppyhold/relay/queue.py
+++ b/src/poppyhold/relay/queue.py
@@ -36,7 +36,7 @@
     on_response: OnResponse
 
 
-class Response(NamedTuple):
+class Delivery(NamedTuple):
     """The response to a worker that waits; None: there is none."""
 
     pending: PendingHeartbeat
@@ -64,7 +64,7 @@
         return len(self._pending)
 
     @property
-    def unsent(self) -> int:
+    def unsent_count(self) -> int:
         """Heartbeats that are in no batch yet."""
         return len(self._unsent)
 
@@ -118,14 +118,14 @@
         self._full.clear()
         self._unsent = deque(self._pending)
 
-    def match_responses(self, batch: ResponseBatch, now: float, lowest_fencing_token: int) -> list[Response]:
+    def match_responses(self, batch: ResponseBatch, now: float, min_fencing_token: int) -> list[Delivery]:
         """Match responses with the heartbeats that wait.
 
         A response that comes too late counts as none: its worker has timed out, and counts its lease from the
-        heartbeat before. So does one of a leader that has lost its leadership, ``lowest_fencing_token`` being
+        heartbeat before. So does one of a leader that has lost its leadership, ``min_fencing_token`` being
         the highest one that this controller has seen: a former leader must not renew leases through us.
         """
-        matched = []
+        deliveries = []
         for response in batch.responses:
             pending = self._pending.get(response.number)
             if pending is None:
@@ -137,12 +137,12 @@
             del self._pending[response.number]
             is_late = now - pending.arrived_at > self._response_timeout_s
             lost_leadership = (
-                response.outcome is RelayOutcome.ANSWERED and response.fencing_token < lowest_fencing_token
+                response.outcome is RelayOutcome.ANSWERED and response.fencing_token < min_fencing_token
             )
-            matched.append(Response(pending, None if is_late or lost_leadership else response))
-        return matched
+            deliveries.append(Delivery(pending, None if is_late or lost_leadership else response))
+        return deliveries
 
-    def expire(self, now: float) -> list[Response]:
+    def expire(self, now: float) -> list[Delivery]:
         """Remove the heartbeats that have waited too long; they get no response."""
         expired = []
         for pending in self._pending.values():
@@ -151,12 +151,12 @@
             expired.append(pending)
         for pending in expired:
             del self._pending[pending.number]
-        return [Response(pending, None) for pending in expired]
+        return [Delivery(pending, None) for pending in expired]
 
-    def fail_all(self) -> list[Response]:
+    def fail_all(self) -> list[Delivery]:
         """Remove every heartbeat: there is no leader to which to forward them."""
-        responses = [Response(pending, None) for pending in self._pending.values()]
+        deliveries = [Delivery(pending, None) for pending in self._pending.values()]
         self._pending.clear()
         self._unsent.clear()
         self._full.clear()
-        return responses
+        return deliveries
--- a/src/poppyhold/relay/reconnection.py
+++ b/src/poppyhold/relay/reconnection.py
@@ -22,7 +22,7 @@
         self._open_until = now + self._window_s
         self._latest_end = now + self._max_total_s
 
-    def note_leader(self, leader: str | None, now: float) -> None:
+    def record_leader(self, leader: str | None, now: float) -> None:
         """Note who is named as the leader now; None: nobody.
 
         If it is the same and remains unreachable, we may be partitioned from it. A worker must not be passed
--- a/src/poppyhold/relay/server.py
+++ b/src/poppyhold/relay/server.py
@@ -63,25 +63,25 @@
 
     def serve(self, connection: socket.socket, hello: RelayHello) -> None:
         """Answer a relay's batches until its connection ends, or the term does."""
-        if not self._begin(connection, hello.member):
+        if not self._register(connection, hello.member):
             return
         relay = ConnectedRelay(hello.member, hello.zone)
-        self._post(DECISIONS, lambda: self._connected(relay))
+        self._post(DECISIONS, lambda: self._on_connected(relay))
         try:
             # A relay that is silent for longer than its own keepalives take is gone.
             connection.settimeout(self._idle_timeout_s)
             while not self._closed:
-                self._queue(connection, relay, receive_message(connection, _decoder))
+                self._enqueue(connection, relay, receive_message(connection, _decoder))
         finally:
             relay.alive = False
-            self._end(connection, hello.member)
+            self._unregister(connection, hello.member)
 
     def update_machines(self, machines: Set[str]) -> None:
         """On the decision thread: adapt to the machines that exist now."""
         self._assignment.update_machines(machines)
         self._machine_count_known = True
         for relay in self._relays.values():
-            relay.drop_others(machines)
+            relay.retain_machines(machines)
 
     def close(self) -> None:
         """End every connection: relays look for the next leader."""
@@ -91,15 +91,15 @@
         for connection in connections:
             shut_down(connection)
 
-    def _connected(self, relay: ConnectedRelay) -> None:
+    def _on_connected(self, relay: ConnectedRelay) -> None:
         self._relays[relay.member] = relay
         self._assignment.relay_connected(relay.member, relay.zone)
 
-    def _disconnected(self, member: str) -> None:
+    def _on_disconnected(self, member: str) -> None:
         self._relays.pop(member, None)
         self._assignment.relay_disconnected(member)
 
-    def _begin(self, connection: socket.socket, member: str) -> bool:
+    def _register(self, connection: socket.socket, member: str) -> bool:
         with self._lock:
             if self._closed:
                 return False
@@ -110,14 +110,14 @@
             shut_down(previous)
         return True
 
-    def _end(self, connection: socket.socket, member: str) -> None:
+    def _unregister(self, connection: socket.socket, member: str) -> None:
         with self._lock:
             if self._connections.get(member) is not connection:
                 return
             del self._connections[member]
-        self._post(DECISIONS, lambda: self._disconnected(member))
+        self._post(DECISIONS, lambda: self._on_disconnected(member))
 
-    def _queue(self, connection: socket.socket, relay: ConnectedRelay, batch: HeartbeatBatch) -> None:
+    def _enqueue(self, connection: socket.socket, relay: ConnectedRelay, batch: HeartbeatBatch) -> None:
         received_at = time.monotonic()
 
         def work() -> None:
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -45,10 +45,10 @@
         return self.queue.put(taken, now, self.responses.append)
 
     def answers(
-        self, *answers: RelayedResponse, now: float = 0.1, lowest_fencing_token: int = FENCING_TOKEN
+        self, *answers: RelayedResponse, now: float = 0.1, min_fencing_token: int = FENCING_TOKEN
     ) -> None:
         """The leader's responses arrive."""
-        for response in self.queue.match_responses(ResponseBatch(list(answers)), now, lowest_fencing_token):
+        for response in self.queue.match_responses(ResponseBatch(list(answers)), now, min_fencing_token):
             response.deliver()
 
 
--- a/tests/sim_relay.py
+++ b/tests/sim_relay.py
@@ -7,7 +7,7 @@
 
 from poppyhold.relay.connected_relay import ConnectedRelay
 from poppyhold.relay.messages import HeartbeatBatch, RelayedResponse, RelayOutcome, ResponseBatch
-from poppyhold.relay.queue import HeartbeatQueue, Response
+from poppyhold.relay.queue import Delivery, HeartbeatQueue
 from poppyhold.relay.reconnection import ReconnectionWindow
 from poppyhold.relay.timings import RelayTimings, heartbeat_response_timeout_s
 from poppyhold.scale.responses import Data
@@ -86,14 +86,14 @@
         if self._sent_at is not None and now - self._sent_at > self._timings.stall_timeout_s:
             self._lost()
         if self._term is None:
-            self._reconnection.note_leader(leader.member if leader is not None else None, now)
+            self._reconnection.record_leader(leader.member if leader is not None else None, now)
             self._connect()
-        if self._term is not None and self._sent_at is None and not self._queue.unsent:
+        if self._term is not None and self._sent_at is None and not self._queue.unsent_count:
             self._send_batch(self._term)
         self._deliver(self._queue.expire(now))
         if not self.is_open():
             self._deliver(self._queue.fail_all())
-        if self._queue.unsent:
+        if self._queue.unsent_count:
             self._gather()
 
     def _reaches(self, other: SimNode) -> bool:
@@ -145,7 +145,7 @@
 
     def _send(self) -> None:
         self._gathering = False
-        if not self._node.alive or self._term is None or not self._queue.unsent:
+        if not self._node.alive or self._term is None or not self._queue.unsent_count:
             return
         if self._node.frozen:
             self._gather()
@@ -191,6 +191,6 @@
         self._deliver(self._queue.match_responses(answers, now, self._node.lowest_fencing_token()))
 
     @staticmethod
-    def _deliver(responses: list[Response]) -> None:
-        for response in responses:
-            response.deliver()
+    def _deliver(deliveries: list[Delivery]) -> None:
+        for delivery in deliveries:
+            delivery.deliver()
--- a/tests/test_relay_queue.py
+++ b/tests/test_relay_queue.py
@@ -87,7 +87,7 @@
     relay.put(heartbeat(sequence=1))
     relay.put(heartbeat(sequence=2))
     relay.answers(
-        answered(1, FENCING_TOKEN), answered(2, FENCING_TOKEN + 1), lowest_fencing_token=FENCING_TOKEN + 1
+        answered(1, FENCING_TOKEN), answered(2, FENCING_TOKEN + 1), min_fencing_token=FENCING_TOKEN + 1
     )
     assert relay.responses == [None, answered(2, FENCING_TOKEN + 1)]
 
--- a/tests/test_relay_reconnection.py
+++ b/tests/test_relay_reconnection.py
@@ -13,21 +13,21 @@
 
 def test_an_unreachable_leader_is_awaited_no_longer_than_one_window() -> None:
     window = _reconnection()
-    window.note_leader("hive-0", 102.0)
+    window.record_leader("hive-0", 102.0)
     assert window.is_open(102.9)
     assert not window.is_open(103.1)
 
 
 def test_a_changing_leader_is_awaited_within_a_bound() -> None:
     window = _reconnection()
-    window.note_leader(None, 102.0)
+    window.record_leader(None, 102.0)
     assert window.is_open(104.9)
-    window.note_leader("hive-1", 104.9)
+    window.record_leader("hive-1", 104.9)
     assert window.is_open(105.9)
     # However often it changes.
-    window.note_leader(None, 105.9)
+    window.record_leader(None, 105.9)
     assert not window.is_open(106.1)
-    window.note_leader("hive-2", 106.1)
+    window.record_leader("hive-2", 106.1)
     assert not window.is_open(106.2)
 
 
