--- a/src/poppyhold/durable/store.py
+++ b/src/poppyhold/durable/store.py
@@ -62,7 +62,7 @@
 
     def __init__(self, settings: Settings, clock: Callable[[], float] = time.monotonic) -> None:
         host, port = split_address(settings.external_services.state)
-        self._client = HttpClient(host, port, most_idle=_IDLE_CONNECTIONS)
+        self._client = HttpClient(host, port, max_idle=_IDLE_CONNECTIONS)
         self._clock = clock
         # Most responses take a few milliseconds, some take hundreds.
         self.timeout_s = settings.deployment.workers.lease_s / 8
--- a/src/poppyhold/node/cloud_client.py
+++ b/src/poppyhold/node/cloud_client.py
@@ -35,7 +35,7 @@
 
     def __init__(self, settings: Settings) -> None:
         host, port = split_address(settings.external_services.cloud)
-        self._client = HttpClient(host, port, most_idle=2)
+        self._client = HttpClient(host, port, max_idle=2)
         self._timeout_s = settings.deployment.workers.lease_s / _TIMEOUT_DIVISOR
 
     def fetch_machine_types(self) -> list[MachineType] | None:
--- a/src/poppyhold/node/command_dispatcher.py
+++ b/src/poppyhold/node/command_dispatcher.py
@@ -119,7 +119,7 @@
             return RequestOutcome.NOT_SENT, None
         # A new connection per command: on a reused one, a lost command can't be told from a closed
         # connection, and the outcome of a lost command stays unknown until its timeout.
-        client = HttpClient(host, port, most_idle=0)
+        client = HttpClient(host, port, max_idle=0)
         try:
             status, data = client.request("POST", "/do", body, timeout_s=self._timeout_s)
         except NotSentError as error:
--- a/src/poppyhold/wire/codec.py
+++ b/src/poppyhold/wire/codec.py
@@ -7,7 +7,7 @@
 import cbor2
 import msgspec
 
-BODY_LIMIT = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 
 T = TypeVar("T")
 
--- a/src/poppyhold/wire/frames.py
+++ b/src/poppyhold/wire/frames.py
@@ -11,7 +11,7 @@
 import msgspec
 
 _LENGTH = struct.Struct("!I")
-_LARGEST_BYTES = 1 << 20
+_MAX_MESSAGE_BYTES = 1 << 20
 
 T = TypeVar("T")
 
@@ -66,7 +66,7 @@
 
     """
     size = _LENGTH.unpack(_receive_bytes(connection, _LENGTH.size))[0]
-    if size > _LARGEST_BYTES:
+    if size > _MAX_MESSAGE_BYTES:
         raise MalformedMessageError(f"a message of {size} bytes is too large")
     body = _receive_bytes(connection, size)
     try:
--- a/src/poppyhold/wire/http_client.py
+++ b/src/poppyhold/wire/http_client.py
@@ -13,9 +13,9 @@
 from poppyhold.wire.http_fields import read_fields
 
 # A connection that has been idle for so long is not used again: the server may close it meanwhile.
-_LONGEST_IDLE_S = 15.0
+_MAX_IDLE_S = 15.0
 # What is left for a request whose deadline has nearly passed.
-_SHORTEST_TIMEOUT_S = 0.01
+_MIN_TIMEOUT_S = 0.01
 
 
 class HttpRequestError(Exception):
@@ -54,15 +54,15 @@
     """A connection that is kept open, and since when it is idle."""
 
     connection: socket.socket
-    since: float
+    idle_since: float
 
 
 class HttpClient:
     """Connections to one address, kept open between requests and never pipelined."""
 
-    def __init__(self, host: str, port: int, most_idle: int = 4) -> None:
-        """At most ``most_idle`` connections are kept open."""
-        self._host, self._port, self._most_idle = host, port, most_idle
+    def __init__(self, host: str, port: int, max_idle: int = 4) -> None:
+        """At most ``max_idle`` connections are kept open."""
+        self._host, self._port, self._max_idle = host, port, max_idle
         self._idle: list[_IdleConnection] = []
         self._lock = threading.Lock()
         self._closed = False
@@ -92,7 +92,7 @@
         payload = encode(body) if body is not None else b""
         connection = self._take_idle() or self._connect(timeout_s)
         try:
-            connection.settimeout(max(_SHORTEST_TIMEOUT_S, deadline - time.monotonic()))
+            connection.settimeout(max(_MIN_TIMEOUT_S, deadline - time.monotonic()))
             connection.sendall(self._head(method, path, payload) + payload)
             response = _Response(connection, method=method)
             response.begin()
@@ -127,15 +127,15 @@
         now = time.monotonic()
         with self._lock:
             while self._idle:
-                connection, since = self._idle.pop()
-                if now - since < _LONGEST_IDLE_S:
+                connection, idle_since = self._idle.pop()
+                if now - idle_since < _MAX_IDLE_S:
                     return connection
                 connection.close()
         return None
 
     def _keep_idle(self, connection: socket.socket) -> None:
         with self._lock:
-            if len(self._idle) < self._most_idle and not self._closed:
+            if len(self._idle) < self._max_idle and not self._closed:
                 self._idle.append(_IdleConnection(connection, time.monotonic()))
                 return
         connection.close()
--- a/src/poppyhold/wire/http_fields.py
+++ b/src/poppyhold/wire/http_fields.py
@@ -5,7 +5,7 @@
 from io import BufferedIOBase
 
 # Bounds of the header fields that are read.
-_MOST_FIELDS, _LONGEST_FIELD_BYTES = 100, 8192
+_MAX_FIELDS, _MAX_FIELD_BYTES = 100, 8192
 
 
 def read_fields(stream: BufferedIOBase) -> dict[str, str] | None:
@@ -15,11 +15,11 @@
     or a request to the state service does. Only a few of them matter here.
     """
     fields: dict[str, str] = {}
-    for _ in range(_MOST_FIELDS):
-        line = stream.readline(_LONGEST_FIELD_BYTES + 1)
+    for _ in range(_MAX_FIELDS):
+        line = stream.readline(_MAX_FIELD_BYTES + 1)
         if line in (b"\r\n", b"\n", b""):
             return fields
-        if len(line) > _LONGEST_FIELD_BYTES:
+        if len(line) > _MAX_FIELD_BYTES:
             return None
         name, _, value = line.partition(b":")
         fields[str(name, "iso-8859-1").strip().lower()] = str(value, "iso-8859-1").strip()
--- a/src/poppyhold/wire/http_server.py
+++ b/src/poppyhold/wire/http_server.py
@@ -14,7 +14,7 @@
 from http import HTTPStatus
 from typing import Any, NamedTuple
 
-from poppyhold.wire.codec import BODY_LIMIT, encode
+from poppyhold.wire.codec import MAX_BODY_BYTES, encode
 from poppyhold.wire.http_fields import read_fields
 
 log = logging.getLogger(__name__)
@@ -36,9 +36,9 @@
 # Whoever gets a response on this path is a worker: its connection is not closed to make room for another one.
 _HEARTBEAT_PATH = "/hello"
 # Method, path and version.
-_REQUEST_LINE_WORDS = 3
+_REQUEST_LINE_PARTS = 3
 # A connection that is silent for so many times the grace of a worker's was left by whoever opened it.
-_IDLE_GRACES = 4
+_IDLE_TIMEOUT_GRACES = 4
 
 
 def http_response(status: int, body: dict[str, Any] | None = None, **headers: str) -> HttpResponse:
@@ -58,7 +58,7 @@
 
     def setup(self) -> None:
         super().setup()
-        self.connection.settimeout(self.server.idle_s)
+        self.connection.settimeout(self.server.idle_timeout_s)
 
     def do_GET(self) -> None:
         self._serve()
@@ -72,26 +72,28 @@
         """Read the request line and the header fields."""
         self.requestline = str(self.raw_requestline, "iso-8859-1").rstrip("\r\n")
         self.close_connection = True
-        words = self.requestline.split()
-        if len(words) != _REQUEST_LINE_WORDS or words[2] not in ("HTTP/1.1", "HTTP/1.0"):
+        parts = self.requestline.split()
+        if len(parts) != _REQUEST_LINE_PARTS or parts[2] not in ("HTTP/1.1", "HTTP/1.0"):
             self.command, self.request_version = "", "HTTP/1.0"
             self.send_error(HTTPStatus.BAD_REQUEST, "Bad request syntax")
             return False
-        self.command, self.path, self.request_version = words
+        self.command, self.path, self.request_version = parts
         fields = read_fields(self.rfile)
         if fields is None:
             self.send_error(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "Too many header fields")
             return False
         self.fields = fields
-        kept = fields.get("connection", "").lower()
-        self.close_connection = kept == "close" or (words[2] == "HTTP/1.0" and kept != "keep-alive")
+        connection_option = fields.get("connection", "").lower()
+        self.close_connection = connection_option == "close" or (
+            parts[2] == "HTTP/1.0" and connection_option != "keep-alive"
+        )
         return True
 
     def _serve(self) -> None:
         body = self._read_body()
         if body is None:
             return
-        self.server.record_request(self.connection, by_worker=False)
+        self.server.record_activity(self.connection, is_worker=False)
         try:
             response = self.server.handle_http(self.command, self.path, body)
         except Exception:
@@ -103,7 +105,7 @@
         elif not self.close_connection:
             # Heartbeats come by the hundred a second: to wait here for the decision thread, be woken by it
             # and only then respond took a good part of a leader's time at 650 machines.
-            response(self._send_at_once)
+            response(self._send_without_waiting)
         else:
             self._await_response(response)
 
@@ -113,9 +115,11 @@
             length = int(self.fields.get("content-length") or 0)
         except ValueError:
             length = -1
-        if length < 0 or length > BODY_LIMIT or self.fields.get("transfer-encoding"):
+        if length < 0 or length > MAX_BODY_BYTES or self.fields.get("transfer-encoding"):
             self.close_connection = True
-            status = HTTPStatus.REQUEST_ENTITY_TOO_LARGE if length > BODY_LIMIT else HTTPStatus.BAD_REQUEST
+            status = (
+                HTTPStatus.REQUEST_ENTITY_TOO_LARGE if length > MAX_BODY_BYTES else HTTPStatus.BAD_REQUEST
+            )
             self.wfile.write(self._encode(http_response(status, {"error": "body"})))
             return None
         body = self.rfile.read(length) if length else b""
@@ -129,13 +133,13 @@
         sent = threading.Event()
 
         def send(response: HttpResponse) -> None:
-            self._send_at_once(response)
+            self._send_without_waiting(response)
             sent.set()
 
         deferred(send)
-        sent.wait(self.server.idle_s)
+        sent.wait(self.server.idle_timeout_s)
 
-    def _send_at_once(self, response: HttpResponse) -> None:
+    def _send_without_waiting(self, response: HttpResponse) -> None:
         """Send without ever waiting: whoever does not take its responses loses the connection."""
         data = self._encode(response)
         try:
@@ -150,7 +154,7 @@
         if status == HTTPStatus.OK and self.path == _HEARTBEAT_PATH:
             # Whatever else is sent there, malformed or to a controller that leads nobody, makes nobody a
             # worker.
-            self.server.record_request(self.connection, by_worker=True)
+            self.server.record_activity(self.connection, is_worker=True)
         payload = encode(body)
         head = (
             f"HTTP/1.1 {status} {http.client.responses.get(status, '')}\r\n"
@@ -170,7 +174,7 @@
 
 
 class HttpServer(socketserver.ThreadingMixIn, http.server.HTTPServer):
-    """One thread per connection, at most ``limit`` connections.
+    """One thread per connection, at most ``max_connections`` connections.
 
     At the limit the connection that has been silent longest makes room, those of workers aside: many silent
     or half-open ones would otherwise keep the workers out, and their leases would expire. A worker's
@@ -183,15 +187,19 @@
     allow_reuse_address = True
 
     def __init__(
-        self, address: tuple[str, int], handler: RequestHandler, limit: int, worker_grace_s: float = 15.0
+        self,
+        address: tuple[str, int],
+        handler: RequestHandler,
+        max_connections: int,
+        worker_grace_s: float = 15.0,
     ) -> None:
         self.handle_http = handler
-        self._limit, self._worker_grace_s = limit, worker_grace_s
-        self.idle_s = worker_grace_s * _IDLE_GRACES
+        self._max_connections, self._worker_grace_s = max_connections, worker_grace_s
+        self.idle_timeout_s = worker_grace_s * _IDLE_TIMEOUT_GRACES
         # After a restart all workers and users come at one moment.
-        self.request_queue_size = limit
+        self.request_queue_size = max_connections
         # Until when each connection is spared, at the least: a worker's for a while after its heartbeat.
-        self._spared_until: dict[socket.socket, float] = {}
+        self._protected_until: dict[socket.socket, float] = {}
         self._lock = threading.Lock()
         super().__init__(address, _Handler)
 
@@ -204,30 +212,30 @@
     def verify_request(self, request: Any, client_address: Any) -> bool:
         """Whether to take a connection; at the limit the one that is silent longest makes room."""
         with self._lock:
-            if len(self._spared_until) >= self._limit:
-                oldest = min(self._spared_until, key=lambda connection: self._spared_until[connection])
-                if self._spared_until[oldest] > time.monotonic():
+            if len(self._protected_until) >= self._max_connections:
+                oldest = min(self._protected_until, key=lambda connection: self._protected_until[connection])
+                if self._protected_until[oldest] > time.monotonic():
                     return False
-                del self._spared_until[oldest]
+                del self._protected_until[oldest]
                 try:
                     # Its thread wakes up, and closes it.
                     oldest.shutdown(socket.SHUT_RDWR)
                 except OSError:
                     log.debug("a silent connection was closed already")
-            self._spared_until[request] = time.monotonic()
+            self._protected_until[request] = time.monotonic()
         return True
 
-    def record_request(self, connection: socket.socket, by_worker: bool) -> None:
-        """A request came in on a connection; ``by_worker`` once it got the response to a heartbeat."""
+    def record_activity(self, connection: socket.socket, is_worker: bool) -> None:
+        """A request came in on a connection; ``is_worker`` once it got the response to a heartbeat."""
         with self._lock:
-            if connection in self._spared_until:
-                grace_s = self._worker_grace_s if by_worker else 0.0
-                self._spared_until[connection] = time.monotonic() + grace_s
+            if connection in self._protected_until:
+                grace_s = self._worker_grace_s if is_worker else 0.0
+                self._protected_until[connection] = time.monotonic() + grace_s
 
     def shutdown_request(self, request: Any) -> None:
         """End a connection."""
         with self._lock:
-            self._spared_until.pop(request, None)
+            self._protected_until.pop(request, None)
         super().shutdown_request(request)
 
     def handle_error(self, request: Any, client_address: Any) -> None:
@@ -240,7 +248,7 @@
         self.shutdown()
         self.server_close()
         with self._lock:
-            connections = list(self._spared_until)
+            connections = list(self._protected_until)
         for connection in connections:
             try:
                 connection.shutdown(socket.SHUT_RDWR)
--- a/src/poppyhold/wire/task_names.py
+++ b/src/poppyhold/wire/task_names.py
@@ -6,7 +6,7 @@
 
 JOB_ID = re.compile(r"job-[0-9]{6,18}\Z", re.ASCII)
 # Digits of a task's index: the highest index of a job with the most tasks (100,000) has no more than these.
-_MOST_INDEX_DIGITS = 6
+_MAX_INDEX_DIGITS = 6
 
 
 def task_name(job_id: str, index: int) -> str:
@@ -17,6 +17,6 @@
 def split_task(name: str) -> tuple[str, int]:
     """Job and index of a task's name; index -1 if the name is none of ours."""
     job_id, _, index = name.rpartition("/")
-    if JOB_ID.match(job_id) and index.isascii() and index.isdigit() and len(index) <= _MOST_INDEX_DIGITS:
+    if JOB_ID.match(job_id) and index.isascii() and index.isdigit() and len(index) <= _MAX_INDEX_DIGITS:
         return job_id, int(index)
     return name, -1
--- a/src/poppyhold/wire/user_messages.py
+++ b/src/poppyhold/wire/user_messages.py
@@ -14,8 +14,8 @@
 PriorityName = Literal["critical", "high", "standard", "best_effort"]
 PRIORITIES: tuple[PriorityName, ...] = ("critical", "high", "standard", "best_effort")
 
-_LONGEST_TEXT = 200
-_MOST_TASKS = 100_000
+_MAX_TEXT_CHARACTERS = 200
+_MAX_TASKS = 100_000
 
 
 class Submission(msgspec.Struct, frozen=True, kw_only=True):
@@ -43,18 +43,18 @@
     deadline_s: float | None = msgspec.field(name=names.DEADLINE_S, default=None)
 
 
-def _amount(name: str, value: float | None) -> None:
+def _check_amount(name: str, value: float | None) -> None:
     if value is not None and not (math.isfinite(value) and value >= 0):
         raise MalformedError(f"{name} must be a finite amount, not negative")
 
 
-def _encoded(*attributes: str) -> list[tuple[str, str]]:
+def _with_encoded_names(*attributes: str) -> list[tuple[str, str]]:
     """Attributes of a submission with the names that users know them by."""
     names = {field.name: field.encode_name for field in msgspec.structs.fields(Submission)}
     return [(attribute, names[attribute]) for attribute in attributes]
 
 
-_AMOUNTS = _encoded(
+_AMOUNTS = _with_encoded_names(
     "cpus",
     "accelerators",
     "memory_gb",
@@ -64,7 +64,7 @@
     "save_s",
     "deadline_s",
 )
-_TEXTS = _encoded("job_class", "team", "image")
+_TEXTS = _with_encoded_names("job_class", "team", "image")
 
 
 def parse_submission(value: object) -> Submission:
@@ -72,11 +72,11 @@
     job = convert(value, Submission)
     if not JOB_ID.match(job.name):
         raise MalformedError("nameId is not of the form job-000412")
-    if not 1 <= job.tasks <= _MOST_TASKS:
+    if not 1 <= job.tasks <= _MAX_TASKS:
         raise MalformedError("chores must be within 1 and 100000")
     for attribute, encoded in _AMOUNTS:
-        _amount(encoded, getattr(job, attribute))
+        _check_amount(encoded, getattr(job, attribute))
     for attribute, encoded in _TEXTS:
-        if len(getattr(job, attribute)) > _LONGEST_TEXT:
+        if len(getattr(job, attribute)) > _MAX_TEXT_CHARACTERS:
             raise MalformedError(f"{encoded} is too long")
     return job
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -109,7 +109,7 @@
             self.worker.step()
             body, sent_at, shift = self.worker.heartbeat(), time.monotonic(), self.worker.incarnation
         try:
-            status, answer = HttpClient("127.0.0.1", port, most_idle=0).request(
+            status, answer = HttpClient("127.0.0.1", port, max_idle=0).request(
                 "POST", "/hello", body, timeout_s=4.0
             )
         except (NotSentError, NoResponseError):
