--- a/src/poppyhold/cluster/election.py
+++ b/src/poppyhold/cluster/election.py
@@ -46,8 +46,8 @@
 
     To campaign is to get a lease and write the leader's key on it, while no leader is known. ``on_elected``
     is called on the election thread, ``on_term_ended`` on the thread that ends the term. While
-    ``should_yield`` returns that a better connected controller should campaign first, this one does not,
-    for at most `leader_lease_s` after the last leader's key was gone.
+    ``should_yield`` returns that a better connected controller (`cluster.connectivity`) should campaign
+    first, this one does not, for at most `leader_lease_s` after the last leader's key was gone.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         # Time to live of the lease that the leader's key is on.
         self.leader_lease_s = worker_lease_s * options.leadership.term_leases
         self._renewal_interval_s = self.leader_lease_s / options.leadership.renewals
-        # How long a leader that resigned does not campaign.
+        # Pause in this controller's campaigns after it resigned, as a leader or not.
         self._campaign_backoff_s = worker_lease_s
         self._campaign_backoff_until = 0.0
         self._lock = threading.Lock()
@@ -183,7 +183,10 @@
                 self._observe_key(None)
 
     def _observe_key(self, entry: Entry | None) -> None:
-        """Handle the leader's key as read or changed, None if absent; one older than this term is ignored."""
+        """Handle the leader's key as read or changed; one older than this term is ignored.
+
+        None, for an absent key, ends a term.
+        """
         leader = decode_leader(entry) if entry is not None else None
         term = self.term
         if term is not None and (leader is None or leader.key_revision > term.key_revision):
--- a/src/poppyhold/cluster/known_leader.py
+++ b/src/poppyhold/cluster/known_leader.py
@@ -14,7 +14,7 @@
     def __init__(self) -> None:
         self.leader: Leader | None = None
         now = time.monotonic()
-        # When this leader became known, and when the last leader's key was last seen to be gone.
+        # When this leader became known, and when the last leader's key was found absent.
         self.leader_since, self.vacant_since = now, now
         self._changed = threading.Condition()
         self._stopped = False
