--- a/src/poppyhold/node/peer_handler.py
+++ b/src/poppyhold/node/peer_handler.py
@@ -157,7 +157,7 @@
 
     def _apply_leader_ping(self, ping: Ping) -> None:
         self._election.observe_fencing_token(ping.fencing_token)
-        self._forwarder.note_ping(ping.fencing_token, ping.accepts_relays)
+        self._forwarder.record_ping(ping.fencing_token, ping.accepts_relays)
         self._delegated_renewals.observe_leader(ping.fencing_token, ping.delegation)
         limits = self._settings.deployment.machine_limits
         counts = dict(self._peer_task_counts)
@@ -240,7 +240,9 @@
     def _accepts_relays(self, leader_term: LeaderTerm) -> bool:
         """Whether relays may connect; until the machines are loaded, as the last leader's ping said."""
         relays = leader_term.relays
-        return relays.relays_wanted or (not relays.knows_machines and self._forwarder.is_wanted())
+        return relays.accepts_relays or (
+            not relays.machine_count_known and self._forwarder.leader_accepts_relays()
+        )
 
     def serve_relay(self, connection: socket.socket, hello: RelayHello) -> None:
         """Serve a relay's connection until it ends; returns at once unless relays may connect."""
