--- a/tests/test_apportionment.py
+++ b/tests/test_apportionment.py
@@ -64,7 +64,7 @@
     assert not quota.covers(4.0, 1.0)
 
 
-def test_a_guarantee_above_the_limit_is_refused() -> None:
+def test_a_guarantee_above_the_limit_is_rejected() -> None:
     with pytest.raises(ConfigError, match=r"settings\.teams\.alpha\.gpus"):
         total_allocation(Team("alpha", accelerators=5, accelerators_max=4))
 
--- a/tests/test_cell_options.py
+++ b/tests/test_cell_options.py
@@ -17,34 +17,34 @@
 
 def test_without_cells_no_quota_record_is_read_or_written() -> None:
     scenario = Scenario((FOLDER / "limit_counts_unreachable_machines.txt").read_text(), 1)
-    read: list[str] = []
+    scanned_prefixes: list[str] = []
     state = scenario.world.state
     scan = state.scan
 
-    def noted(prefix: str, after: str, most: int) -> tuple[int, dict[str, object]]:
-        read.append(prefix)
+    def recorded_scan(prefix: str, after: str, most: int) -> tuple[int, dict[str, object]]:
+        scanned_prefixes.append(prefix)
         return scan(prefix, after, most)
 
-    state.scan = noted  # type: ignore[method-assign]
+    state.scan = recorded_scan  # type: ignore[method-assign]
     scenario.play()
     assert scenario.world.violations + scenario.failures == []
-    assert set(read) == {f"ph/{name}/" for name in ("a", "p", "d", "e", "h", "m", "none")}
+    assert set(scanned_prefixes) == {f"ph/{name}/" for name in ("a", "p", "d", "e", "h", "m", "none")}
     assert not [key for key in state.keys if key.startswith(QUOTA_PREFIX)]
     leader = scenario.world.leader()
     assert leader is not None
     assert leader.leader_term is not None
     assert leader.leader_term.controller.quota is None
     # With the file it is one prefix more.
-    read.clear()
+    scanned_prefixes.clear()
     SnapshotReader(leader.store, with_quota=True).read()
-    assert QUOTA_PREFIX in read
+    assert QUOTA_PREFIX in scanned_prefixes
 
 
-FILE = Path(__file__).resolve().parent.parent / "deploy" / "cells.txtpb"
+EXAMPLE_FILE = Path(__file__).resolve().parent.parent / "deploy" / "cells.txtpb"
 
 
 def test_the_example_names_three_cells() -> None:
-    cells = parse_options(FILE.read_text()).cells
+    cells = parse_options(EXAMPLE_FILE.read_text()).cells
     assert cells is not None
     assert [cells.name, *(cell.name for cell in cells.others)] == ["east", "north", "west"]
     assert cells.keep_leases == Cells("", 0, ()).keep_leases
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    ("right", "wrong", "field"),
+    ("valid", "invalid", "field"),
     [
         ('name: "north"', 'name: "east"', "cells.others.name"),
         ('name: "north"', 'name: "no rth"', "cells.others.name"),
@@ -66,11 +66,11 @@
         ("# reserve: 0", "reserve: 1.5", "cells.reserve"),
     ],
 )
-def test_a_bad_file_is_rejected_with_the_field(right: str, wrong: str, field: str) -> None:
-    text = FILE.read_text()
-    assert right in text
+def test_an_invalid_file_is_rejected_with_the_field(valid: str, invalid: str, field: str) -> None:
+    text = EXAMPLE_FILE.read_text()
+    assert valid in text
     with pytest.raises(ConfigError) as caught:
-        parse_options(text.replace(right, wrong, 1))
+        parse_options(text.replace(valid, invalid, 1))
     assert field in str(caught.value)
     assert "\n" not in str(caught.value)
 
@@ -104,7 +104,7 @@
 def test_with_cells_a_guarantee_above_the_limit_is_rejected(
     config: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert main(["check-config", "--config", str(config), "--options", str(FILE)]) == 2
+    assert main(["check-config", "--config", str(config), "--options", str(EXAMPLE_FILE)]) == 2
     assert "settings.teams.alpha.gpus" in capsys.readouterr().err
 
 
@@ -120,5 +120,5 @@
     config: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     config.write_text(CONFIG.replace("9.0", "4.0"))
-    assert main(["quota", "status", "--config", str(config), "--options", str(FILE)]) == 1
+    assert main(["quota", "status", "--config", str(config), "--options", str(EXAMPLE_FILE)]) == 1
     assert capsys.readouterr().err.count("\n") == 1
--- a/tests/test_cell_service.py
+++ b/tests/test_cell_service.py
@@ -87,7 +87,7 @@
         pytest.param((9, 99), (2, 4), id="more-than-there-is"),
     ],
 )
-def test_the_part_of_an_idle_allocation_that_is_requested_is_debited(
+def test_the_requested_part_of_an_idle_allocation_is_debited(
     requested: tuple[int, int], amount: tuple[int, int]
 ) -> None:
     world, quota = leading_cell()
@@ -125,7 +125,7 @@
     assert list(transfer.amounts) == [names[-1], *names[:9]]
 
 
-def test_a_request_without_a_transfer_consumes_nothing_of_the_rate() -> None:
+def test_a_request_without_a_transfer_does_not_count_against_the_rate_limit() -> None:
     _, quota = leading_cell()
     for _ in range(5):
         quota.handle_request(request(quota, UnmetDemand("nobody", accelerators_limit=UNIT)))
@@ -139,7 +139,7 @@
     assert len(quota.alarms.texts()) == 1
 
 
-def test_the_view_is_as_new_as_the_last_commit_and_the_last_measurement(
+def test_the_view_is_renewed_after_each_commit_and_measurement(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world, quota = leading_cell()
@@ -159,7 +159,9 @@
     assert quota.handle_request(request(quota, last_applied=1)).view is not after
 
 
-def test_what_no_cell_requests_or_this_one_lacks_is_not_debited(caplog: pytest.LogCaptureFixture) -> None:
+def test_nothing_is_debited_without_a_request_for_an_allocation_of_this_cell(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     world, quota = leading_cell()
     with caplog.at_level(logging.INFO, "poppyhold.quota.cell_service"):
         assert transferred(world, quota) is None
@@ -190,7 +192,7 @@
     [{"layout": "north=1"}, {"to_incarnation": "e0"}, {"incarnation": ""}, {"incarnation": "w2"}],
     ids=["other-layout", "other-records-here", "no-records-there", "other-records-there"],
 )
-def test_a_rejected_request_starts_and_learns_of_no_transfer(changes: dict[str, object]) -> None:
+def test_a_rejected_request_neither_starts_nor_returns_a_transfer(changes: dict[str, object]) -> None:
     world, quota = leading_cell()
     first = transferred(world, quota, unmet_demand(0, 1))
     assert first is not None
@@ -225,12 +227,12 @@
     assert quota.alarms.texts() == []
 
 
-def test_a_broken_message_raises_an_alarm_until_a_sound_one_comes() -> None:
+def test_an_invalid_message_raises_an_alarm_until_a_valid_one_arrives() -> None:
     world, quota = leading_cell()
     one = TeamAmount(accelerators=ResourceAmount(0, UNIT))
-    for broken in (Transfer(2, {"alpha": one}), None):
-        if broken is not None:
-            quota.handle_response(TransferResponse("west", "w1", broken))
+    for invalid in (Transfer(2, {"alpha": one}), None):
+        if invalid is not None:
+            quota.handle_response(TransferResponse("west", "w1", invalid))
         else:
             quota.handle_request(request(quota, last_applied=7))
         assert len(quota.alarms.texts()) == 1
@@ -246,7 +248,7 @@
     assert quota.alarms.texts() == []
 
 
-def test_the_score_of_cells_reads_credits_from_the_log(caplog: pytest.LogCaptureFixture) -> None:
+def test_the_scale_run_parses_credits_from_the_log(caplog: pytest.LogCaptureFixture) -> None:
     world, quota = leading_cell()
     one = TeamAmount(accelerators=ResourceAmount(0, UNIT))
     with caplog.at_level(logging.INFO, "poppyhold.quota.cell_service"):
@@ -258,7 +260,7 @@
     assert "accelerators=1 cpus=0 source_cell=west" in caplog.messages[0]
 
 
-def test_the_view_follows_a_transfer_at_once() -> None:
+def test_the_view_includes_a_transfer_at_once() -> None:
     world, quota = leading_cell()
     view = quota.handle_request(request(quota)).view
     assert view is not None
@@ -295,7 +297,7 @@
     assert not other.ledger.commit_in_progress
 
 
-def test_what_has_started_since_the_last_measurement_is_not_debited() -> None:
+def test_allocations_used_since_the_last_measurement_are_not_debited() -> None:
     world, quota = leading_cell()
     term_of(world).controller.ctx.fleet.used_by_team["alpha"] = [0.0, 5.0]
     quota.handle_request(request(quota, unmet_demand(9, 99)))
@@ -305,7 +307,9 @@
 
 
 @pytest.mark.parametrize(("cell", "is_debited"), [("afar", True), ("west", False)])
-def test_a_stalled_team_leaves_its_idle_allocation_to_cells_before_ours(cell: str, is_debited: bool) -> None:
+def test_a_stalled_team_yields_its_idle_allocation_to_cells_earlier_by_name(
+    cell: str, is_debited: bool
+) -> None:
     # Two cells that each hold half of what a gang needs: one of them has to transfer it, and not both.
     _, quota = leading_cell()
     demand = quota._demands["alpha"]
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -32,7 +32,7 @@
         leader.ledger.credit("east", "east-1", Transfer(2, {TEAM: amount}))
 
 
-def test_more_than_was_ever_debited_cannot_be_acknowledged() -> None:
+def test_an_acknowledgement_beyond_the_last_debit_is_rejected() -> None:
     fleet = Fleet()
     leader = fleet.cells[0].leader
     assert leader is not None
@@ -43,7 +43,7 @@
         leader.ledger.acknowledge("north", "north-1", 2)
 
 
-def test_records_of_a_new_incarnation_are_rejected() -> None:
+def test_transfers_with_an_unknown_incarnation_are_rejected() -> None:
     fleet = Fleet()
     transfer(fleet)
     source, destination = fleet.cells[0].leader, fleet.cells[1].leader
@@ -129,7 +129,7 @@
 FIRST_ALLOCATION = InitialAllocation(WHOLE, WHOLE)
 
 
-def lonely_leader() -> Leader:
+def leader_without_records() -> Leader:
     """The leader of a cell whose state service holds no allocation records yet."""
     cell = Fleet().cells[0]
     cell.state.keys = {key: value for key, value in cell.state.keys.items() if "/q/" not in key}
@@ -138,16 +138,16 @@
     return cell.leader
 
 
-def test_a_cell_without_teams_under_quota_has_an_incarnation_as_well() -> None:
-    leader = lonely_leader()
+def test_a_cell_without_teams_under_quota_creates_its_incarnation() -> None:
+    leader = leader_without_records()
     assert leader.ledger.create_missing({}, 10)
     leader.carry_out()
     assert leader.ledger.incarnation
     assert not leader.ledger.create_missing({}, 10)
 
 
-def test_records_are_created_once_and_so_many_at_a_time() -> None:
-    leader = lonely_leader()
+def test_records_are_created_once_and_in_bounded_commits() -> None:
+    leader = leader_without_records()
     allocations = dict.fromkeys(("alpha", "beta", "gamma", "delta"), FIRST_ALLOCATION)
     changes = []
     while leader.ledger.create_missing(allocations, 2):
@@ -164,8 +164,8 @@
 
 
 @pytest.mark.parametrize("allocations", [{}, {"beta": FIRST_ALLOCATION}], ids=["identity", "allocation"])
-def test_no_record_that_is_there_is_written_over(allocations: dict[str, InitialAllocation]) -> None:
-    leader = lonely_leader() if not allocations else Fleet().cells[0].leader
+def test_existing_records_are_not_overwritten(allocations: dict[str, InitialAllocation]) -> None:
+    leader = leader_without_records() if not allocations else Fleet().cells[0].leader
     assert leader is not None
     key = allocation_key("beta") if allocations else IDENTITY_KEY
     leader.ledger.create_missing(allocations, 10)
@@ -175,15 +175,15 @@
     assert leader.cell.state.keys[key][0] == {"made": "meanwhile"}
 
 
-def test_what_is_durable_is_planned_against_from_the_beginning() -> None:
+def test_loading_reports_the_teams_with_durable_allocations() -> None:
     cell = Fleet().cells[0]
-    heard: list[str] = []
+    reported_teams: list[str] = []
     ledger = AllocationLedger(
-        "east", str, lambda conditions, writes, done: None, heard.append, lambda why: None
+        "east", str, lambda conditions, writes, done: None, reported_teams.append, lambda why: None
     )
     entries = cell.state.scan(QUOTA_PREFIX, "", 1000)[1]["entries"]
     ledger.load(Entry(each["key"], each["data"], each["stamp"]) for each in entries)
-    assert heard == [TEAM]
+    assert reported_teams == [TEAM]
 
 
 @pytest.mark.parametrize(
@@ -194,7 +194,7 @@
         pytest.param({TEAM: TeamAmount(accelerators=ResourceAmount(0, 9 * UNIT))}, id="more-than-it-holds"),
     ],
 )
-def test_only_what_the_cell_holds_is_debited(amounts: dict[str, TeamAmount]) -> None:
+def test_an_empty_debit_or_one_above_the_allocation_is_rejected(amounts: dict[str, TeamAmount]) -> None:
     leader = Fleet().cells[0].leader
     assert leader is not None
     before = leader.limit()
@@ -202,7 +202,7 @@
     assert (leader.limit(), leader.steps, leader.ledger.commit_in_progress) == (before, [], False)
 
 
-def test_no_transfer_between_cells_without_known_records() -> None:
+def test_no_transfer_between_cells_of_unknown_incarnation() -> None:
     fleet = Fleet()
     transfer(fleet)
     source, destination = fleet.cells[0].leader, fleet.cells[1].leader
@@ -221,7 +221,7 @@
     assert (source.steps, destination.steps) == ([], [])
 
 
-def test_a_transfer_is_acknowledged_only_once_it_is_durable_and_forgotten_once() -> None:
+def test_a_transfer_is_acknowledged_once_and_only_after_it_is_durable() -> None:
     fleet = Fleet()
     source = fleet.cells[0].leader
     assert source is not None
@@ -249,7 +249,7 @@
     assert source.steps == []
 
 
-def test_a_transfer_of_a_team_without_an_allocation_here_has_to_be_sent_again() -> None:
+def test_a_transfer_for_a_team_without_an_allocation_is_not_credited() -> None:
     """Its record is being created, most likely: amounts credited to nothing would be lost."""
     destination = Fleet().cells[1].leader
     assert destination is not None
@@ -263,7 +263,7 @@
     assert len(destination.steps) == 1
 
 
-def test_records_of_another_cell_let_nothing_start() -> None:
+def test_records_of_another_cell_are_rejected() -> None:
     cell = Fleet().cells[0]
     ledger = AllocationLedger(
         "west", str, lambda conditions, writes, done: None, lambda team: None, lambda why: None
--- a/tests/test_ledger_search.py
+++ b/tests/test_ledger_search.py
@@ -152,11 +152,11 @@
 TestLedgers = LedgerMachine.TestCase
 
 
-def repeated(fleet: Fleet) -> None:
+def deliver_transfer_twice(fleet: Fleet) -> None:
     transfer(fleet, again=2)
 
 
-def started_before_the_debit(fleet: Fleet) -> None:
+def start_tasks_during_a_debit(fleet: Fleet) -> None:
     """Everything that the allocation allows is started while a debit is being committed."""
     cell = fleet.cells[0]
     assert cell.leader is not None
@@ -165,7 +165,7 @@
     cell.leader.carry_out()
 
 
-def started_before_the_credit(fleet: Fleet) -> None:
+def start_tasks_before_the_credit(fleet: Fleet) -> None:
     """A destination plans with a credit, and ends before that is durable."""
     source, destination = fleet.cells[0].leader, fleet.cells[1]
     assert source is not None
@@ -178,7 +178,7 @@
     destination.running += destination.leader.idle()
 
 
-def sent_before_it_was_durable(fleet: Fleet) -> None:
+def request_before_the_debit_is_durable(fleet: Fleet) -> None:
     """A source ends before its debit is durable; the destination has asked meanwhile."""
     source, destination = fleet.cells[0], fleet.cells[1]
     assert source.leader is not None
@@ -191,7 +191,7 @@
     source.crash()
 
 
-def frozen_in_a_debit(fleet: Fleet) -> None:
+def freeze_during_a_debit(fleet: Fleet) -> None:
     """A source freezes between planning and commit; its successor debits the same again."""
     source = fleet.cells[0]
     frozen = source.leader
@@ -204,7 +204,7 @@
     frozen.carry_out()
 
 
-def committed_late(fleet: Fleet) -> None:
+def commit_a_debit_late(fleet: Fleet) -> None:
     """A debit without a response is retried, and its first try arrives after a second debit."""
     source, destination = fleet.cells[0], fleet.cells[1]
     assert source.leader is not None
@@ -226,50 +226,56 @@
     return None
 
 
-def _without_lead(writer: FencedWriter, conditions: dict[str, int], writes: Sequence[Write]) -> None:
+def _without_leader_key_condition(
+    writer: FencedWriter, conditions: dict[str, int], writes: Sequence[Write]
+) -> None:
     writer._store.commit(conditions, writes)
 
 
-def _without_fence(writer: FencedWriter, conditions: dict[str, int], writes: Sequence[Write]) -> None:
+def _without_fence_condition(
+    writer: FencedWriter, conditions: dict[str, int], writes: Sequence[Write]
+) -> None:
     writer._store.commit({LEADER_KEY: writer._leader_key_revision, **conditions}, writes)
 
 
 GUARDS = [
-    pytest.param(repeated, AllocationLedger, "_is_next_in_sequence", always_next, id="sequence"),
     pytest.param(
-        started_before_the_debit, AllocationLedger, "_apply_debits", _debit_later, id="debit-before-commit"
+        deliver_transfer_twice, AllocationLedger, "_is_next_in_sequence", always_next, id="sequence"
+    ),
+    pytest.param(
+        start_tasks_during_a_debit, AllocationLedger, "_apply_debits", _debit_later, id="debit-before-commit"
     ),
     pytest.param(
-        started_before_the_credit,
+        start_tasks_before_the_credit,
         AllocationLedger,
         "_commit_credits",
         credit_before_durable,
         id="credit-after-commit",
     ),
     pytest.param(
-        sent_before_it_was_durable,
+        request_before_the_debit_is_durable,
         AllocationLedger,
         "transfer_in_transit_to",
         send_before_durable,
         id="durable-first",
     ),
-    pytest.param(frozen_in_a_debit, FencedWriter, "commit", _without_lead, id="lead"),
-    pytest.param(committed_late, FencedWriter, "commit", _without_fence, id="fence"),
+    pytest.param(freeze_during_a_debit, FencedWriter, "commit", _without_leader_key_condition, id="lead"),
+    pytest.param(commit_a_debit_late, FencedWriter, "commit", _without_fence_condition, id="fence"),
 ]
 
 
-@pytest.mark.parametrize(("play", "owner", "method", "stub"), GUARDS)
-def test_each_guard_keeps_the_sum(
-    play: Callable[[Fleet], None],
+@pytest.mark.parametrize(("scenario", "owner", "method", "stub"), GUARDS)
+def test_each_guard_preserves_the_total(
+    scenario: Callable[[Fleet], None],
     owner: type,
     method: str,
     stub: Callable[..., object],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     fleet = Fleet()
-    play(fleet)
+    scenario(fleet)
     assert fleet.problems() == []
-    without = Fleet()
+    unguarded = Fleet()
     replace_guard(monkeypatch, owner, method, stub)
-    play(without)
-    assert without.problems() != []
+    scenario(unguarded)
+    assert unguarded.problems() != []
--- a/tests/test_quota_links.py
+++ b/tests/test_quota_links.py
@@ -31,7 +31,7 @@
 
     def __init__(self, *answers: msgspec.Struct | bytes) -> None:
         self.answers = list(answers)
-        self.asked = 0
+        self.request_count = 0
         self.listener = socket.create_server(("127.0.0.1", 0))
         threading.Thread(target=self._serve, daemon=True).start()
 
@@ -47,8 +47,8 @@
                 try:
                     while True:
                         receive_message(connection, decoder)
-                        answer = self.answers[min(self.asked, len(self.answers) - 1)]
-                        self.asked += 1
+                        answer = self.answers[min(self.request_count, len(self.answers) - 1)]
+                        self.request_count += 1
                         if isinstance(answer, bytes):
                             connection.sendall(answer)
                         else:
@@ -57,21 +57,23 @@
                     continue
 
 
-def links(replies: list[TransferResponse], **peers: ScriptedController) -> CellLinks:
+def links(responses: list[TransferResponse], **peers: ScriptedController) -> CellLinks:
     controllers = tuple(CellController(member, peer.address) for member, peer in peers.items())
-    made = CellLinks((Cell("west", 0.5, controllers),), replies.append, 0.05, 0.5, random.Random(1)).start()
-    made.publish({"west": REQUEST})
-    return made
+    cell_links = CellLinks(
+        (Cell("west", 0.5, controllers),), responses.append, 0.05, 0.5, random.Random(1)
+    ).start()
+    cell_links.publish({"west": REQUEST})
+    return cell_links
 
 
 def test_a_link_finds_the_leader_by_any_controller() -> None:
-    reply = TransferResponse("west", "w1")
-    replies: list[TransferResponse] = []
-    leading, other = ScriptedController(reply), ScriptedController(NotLeading("two"))
-    made = links(replies, one=other, two=leading)
-    eventually(lambda: len(replies) > 2)
-    made.stop()
-    assert replies[0] == reply
+    response = TransferResponse("west", "w1")
+    responses: list[TransferResponse] = []
+    leading, other = ScriptedController(response), ScriptedController(NotLeading("two"))
+    cell_links = links(responses, one=other, two=leading)
+    eventually(lambda: len(responses) > 2)
+    cell_links.stop()
+    assert responses[0] == response
 
 
 @pytest.mark.parametrize(
@@ -87,12 +89,12 @@
 def test_a_bad_response_is_logged_once_until_the_link_is_restored(
     bad: msgspec.Struct | bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    replies: list[TransferResponse] = []
+    responses: list[TransferResponse] = []
     peer = ScriptedController(bad, bad, bad, TransferResponse("west", "w1"))
     with caplog.at_level(logging.INFO, "poppyhold.quota.link"):
-        made = links(replies, one=peer)
-        eventually(lambda: bool(replies))
-        made.stop()
+        cell_links = links(responses, one=peer)
+        eventually(lambda: bool(responses))
+        cell_links.stop()
     lines = [record.message for record in caplog.records]
     assert len([line for line in lines if "link to cell lost" in line]) == 1
-    assert replies[0].cell == "west"
+    assert responses[0].cell == "west"
--- a/tests/test_quota_status.py
+++ b/tests/test_quota_status.py
@@ -25,9 +25,9 @@
 
 
 def status(own: CellView, *others: CellView) -> tuple[int, list[str], bool]:
-    found = summarize(StatusResponse(own, [RemoteCellView(other, 2.0) for other in others]))
-    assert "alpha" in render(found)
-    return found.exit_status, found.problems, found.added_up
+    summary = summarize(StatusResponse(own, [RemoteCellView(other, 2.0) for other in others]))
+    assert "alpha" in render(summary)
+    return summary.exit_status, summary.problems, summary.added_up
 
 
 IN_TRANSIT = PeerView("west", 1, 0, TRANSFER)
@@ -46,16 +46,16 @@
     assert status(east, west) == (0, [], True)
 
 
-def test_what_does_not_add_up_is_a_problem() -> None:
+def test_allocations_that_do_not_add_up_are_a_problem() -> None:
     code, problems, _ = status(view("east", 3), view("west", 4))
     assert code == 1
     assert problems == ["team alpha, gpus: limits add up to 9 of 8"]
 
 
-def test_views_of_different_moments_are_not_added_up() -> None:
+def test_views_of_different_times_are_not_added_up() -> None:
     # The source's view is from before its debit.
     assert status(view("east", 3), view("west", 4, APPLIED)) == (0, [], False)
 
 
-def test_an_alarm_is_an_exit_status() -> None:
+def test_an_alarm_sets_the_exit_status() -> None:
     assert status(view("east", 3, alarms=["use above share"]), view("west", 3))[0] == 1
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -14,12 +14,12 @@
 
 def test_an_allocation_that_returns_is_retained_longer_each_time_up_to_a_bound() -> None:
     retention = RetentionTimes(LONGEST_S)
-    found = [retention.seconds(TEAM, 0.0)]
+    retention_s = [retention.seconds(TEAM, 0.0)]
     for now in (1.0, 2.0, 3.0):
         retention.record_debit(TEAM, now)
         retention.record_unmet_demand([TEAM], now + 0.5)
-        found.append(retention.seconds(TEAM, now + 0.5))
-    assert found == [SHORTEST_S, 4.0, LONGEST_S, LONGEST_S]
+        retention_s.append(retention.seconds(TEAM, now + 0.5))
+    assert retention_s == [SHORTEST_S, 4.0, LONGEST_S, LONGEST_S]
     assert retention.seconds(OTHER, 3.5) == SHORTEST_S
 
 
@@ -28,8 +28,8 @@
     for now in (0.0, 1.0):
         retention.record_debit(TEAM, now)
         retention.record_unmet_demand([TEAM], now)
-    found = [retention.seconds(TEAM, 1.0 + periods * LONGEST_S) for periods in (0.99, 1, 2, 3, 40)]
-    assert found == [LONGEST_S, 4.0, 2.0, SHORTEST_S, SHORTEST_S]
+    retention_s = [retention.seconds(TEAM, 1.0 + periods * LONGEST_S) for periods in (0.99, 1, 2, 3, 40)]
+    assert retention_s == [LONGEST_S, 4.0, 2.0, SHORTEST_S, SHORTEST_S]
 
 
 def test_a_debit_counts_once_and_only_if_it_is_recent() -> None:
