--- a/tests/test_relay_assignment.py
+++ b/tests/test_relay_assignment.py
@@ -23,11 +23,11 @@
     # A few of the leader's zone may stay; no relay has more than a quarter above the even share.
     assert len(fleet.at) >= len(MACHINES) - 9
     assert max(load.values()) <= 1.25 * len(MACHINES) / len(ZONES)
-    near = sum(ZONES[relay] == MACHINES[machine] for machine, relay in fleet.at.items())
-    assert near >= 0.8 * len(fleet.at)
+    in_zone = sum(ZONES[relay] == MACHINES[machine] for machine, relay in fleet.at.items())
+    assert in_zone >= 0.8 * len(fleet.at)
 
 
-def test_few_workers_move_when_a_relay_disconnects_or_connects() -> None:
+def test_few_workers_are_reassigned_when_a_relay_disconnects_or_connects() -> None:
     fleet = AssignedFleet()
     fleet.settle()
     before = dict(fleet.at)
@@ -37,10 +37,10 @@
     fleet.settle()
     stayed = sum(fleet.at.get(machine) == relay for machine, relay in before.items() if relay != "hive-3")
     assert stayed >= 0.95 * sum(relay != "hive-3" for relay in before.values())
-    gone = dict(fleet.at)
+    after_disconnect = dict(fleet.at)
     fleet.connect("hive-3", "b")
     fleet.settle()
-    moved = sum(fleet.at.get(machine) != relay for machine, relay in gone.items())
+    moved = sum(fleet.at.get(machine) != relay for machine, relay in after_disconnect.items())
     assert moved <= 1.25 * len(MACHINES) / len(ZONES)
 
 
@@ -68,29 +68,29 @@
 
 
 @pytest.mark.parametrize(
-    "heard", [False, True], ids=["no heartbeat through it", "its responses did not arrive"]
+    "is_relayed", [False, True], ids=["no heartbeat through it", "its responses did not arrive"]
 )
-def test_a_worker_that_returns_is_answered_directly(heard: bool) -> None:
+def test_a_worker_that_returns_is_answered_directly(is_relayed: bool) -> None:
     fleet = AssignedFleet()
     machine = next(machine for machine, zone in MACHINES.items() if zone == "b")
-    rests = []
+    direct_periods_s = []
     for _ in range(3):
         relay = fleet.assignment.assign(machine, "b", fleet.now)
         assert relay is not None
-        if heard:
+        if is_relayed:
             fleet.assignment.record_relayed_heartbeat(machine, relay)
         began = fleet.now = fleet.now + 1.0
         while fleet.assignment.assign(machine, "b", fleet.now) is None:
             fleet.now += 1.0
         fleet.assignment._pending_redirects.clear()
-        rests.append(fleet.now - began)
-    assert min(rests) >= 10.0
-    if not heard:
+        direct_periods_s.append(fleet.now - began)
+    assert min(direct_periods_s) >= 10.0
+    if not is_relayed:
         # Ever longer, as long as no heartbeat of it comes through the relay.
-        assert rests[0] < rests[1] < rests[2]
+        assert direct_periods_s[0] < direct_periods_s[1] < direct_periods_s[2]
 
 
-def test_a_relay_from_which_workers_return_is_assigned_no_more_for_a_while() -> None:
+def test_a_relay_from_which_workers_return_is_not_assigned_workers_for_a_time() -> None:
     fleet = AssignedFleet()
     of_zone = [machine for machine, zone in MACHINES.items() if zone == "c"]
     for machine in of_zone[:2]:
@@ -139,11 +139,11 @@
 
 def test_relaying_begins_and_ends_with_the_fleets_size() -> None:
     fleet = assignment(lambda: 0.0, RelayMode.AUTO, enable_threshold=100.0)
-    wanted = []
+    accepted = []
     for count in (99, 100, 60, 50, 49, 99):
         fleet.update_machines({f"vm-{index}" for index in range(count)})
-        wanted.append(fleet.accepts_relays)
-    assert wanted == [False, True, True, True, False, False]
+        accepted.append(fleet.accepts_relays)
+    assert accepted == [False, True, True, True, False, False]
     off = AssignedFleet(RelayMode.OFF)
     assert not off.assignment.accepts_relays
     assert all(off.direct(machine) is None for machine in MACHINES)
@@ -153,8 +153,8 @@
     fleet = AssignedFleet()
     for number in range(math.ceil(len(MACHINES) / len(ZONES))):
         fleet.assignment.record_relayed_heartbeat(f"vm-{number:04d}", "hive-1")
-    most, roomy = fleet.assignment.load_advice("hive-1")
-    assert most == math.ceil(1.25 * len(MACHINES) / len(ZONES))
-    assert set(roomy) == set(ZONES) - {"hive-1"}
+    max_workers, underloaded = fleet.assignment.load_advice("hive-1")
+    assert max_workers == math.ceil(1.25 * len(MACHINES) / len(ZONES))
+    assert set(underloaded) == set(ZONES) - {"hive-1"}
     # With an even share it is not advised.
     assert set(fleet.assignment.load_advice("hive-2")[1]) == set(ZONES) - {"hive-1", "hive-2"}
--- a/tests/test_relay_batch_handler.py
+++ b/tests/test_relay_batch_handler.py
@@ -18,7 +18,7 @@
 from scenario import Scenario
 
 
-def test_unchanged_heartbeats_stand_for_the_last_full_one() -> None:
+def test_unchanged_heartbeats_are_expanded_from_the_last_full_one() -> None:
     leader, relay = LeadingNode(), RelayQueue()
     tasks = [TaskStatus("job-000001/0", 1, "running")]
     for sequence in (1, 2):
@@ -62,7 +62,7 @@
     assert leader.taken == []
 
 
-def test_a_leader_that_may_not_answer_rejects() -> None:
+def test_a_leader_that_may_not_answer_rejects_heartbeats() -> None:
     leader, relay = LeadingNode(), RelayQueue()
     leader.answer = None
     relay.put(heartbeat())
--- a/tests/test_relay_link.py
+++ b/tests/test_relay_link.py
@@ -113,7 +113,7 @@
     assert all(answer is not None and answer.outcome is RelayOutcome.ANSWERED for answer in relayed.responses)
 
 
-def test_heartbeats_survive_a_lost_connection_and_are_sent_again(relayed: RelayedConnection) -> None:
+def test_heartbeats_are_sent_again_after_a_lost_connection(relayed: RelayedConnection) -> None:
     eventually(relayed.link.is_open)
     relayed.send(1)
     eventually(lambda: len(relayed.responses) == 1)
--- a/tests/test_relay_options.py
+++ b/tests/test_relay_options.py
@@ -25,7 +25,7 @@
         parse_options("relays { mode: SOMETIMES }")
 
 
-def test_a_version_without_relays_closes_a_relays_connection_and_asks_for_none() -> None:
+def test_a_version_without_relays_closes_a_relays_connection_and_accepts_no_relays() -> None:
     old: msgspec.msgpack.Decoder[Ping | Pong] = msgspec.msgpack.Decoder(Ping | Pong)
     with pytest.raises(msgspec.MsgspecError):
         old.decode(msgspec.msgpack.encode(RelayHello("hive-1", "a")))
--- a/tests/test_relay_queue.py
+++ b/tests/test_relay_queue.py
@@ -18,7 +18,7 @@
 )
 
 
-def test_unchanged_heartbeats_take_a_few_bytes() -> None:
+def test_unchanged_heartbeats_take_less_than_twenty_bytes() -> None:
     relay = RelayQueue()
     tasks = [TaskStatus(f"job-00000{index}/0", 1, "running") for index in range(8)]
     relay.put(heartbeat(sequence=1, tasks=tasks))
@@ -75,14 +75,14 @@
     assert relay.responses == [answered(1), answered(2)]
 
 
-def test_late_responses_do_not_count() -> None:
+def test_late_responses_are_dropped() -> None:
     relay = RelayQueue()
     relay.put(heartbeat(), now=0.0)
     relay.answers(answered(1), now=RESPONSE_TIMEOUT_S + 0.01)
     assert relay.responses == [None]
 
 
-def test_responses_of_a_former_leader_do_not_count() -> None:
+def test_responses_of_a_former_leader_are_dropped() -> None:
     relay = RelayQueue()
     relay.put(heartbeat(sequence=1))
     relay.put(heartbeat(sequence=2))
