--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -67,7 +67,7 @@
 # -- connections ---------------------------------------------------------------------------------------
 
 
-def test_connections_follow_sockets_and_memory() -> None:
+def test_max_connections_follow_sockets_and_memory() -> None:
     assert MachineLimits(max_sockets=6500, ram_mb=326.0).connections > MACHINES
     # What small deployments had, they have.
     assert MachineLimits(max_sockets=700, ram_mb=146.0).connections == 476
@@ -103,7 +103,7 @@
 # -- messages between controllers ------------------------------------------------------------------------
 
 
-def test_a_first_ping_of_a_large_fleet_goes_in_pieces_that_fit() -> None:
+def test_first_pings_of_a_large_fleet_fit_the_frame_limit() -> None:
     images = {
         f"vm-{number:06d}": tuple((f"registry/team-{kind}/image:{number}", 12.5) for kind in range(12))
         for number in range(MACHINES)
@@ -111,33 +111,33 @@
     counts = {f"job-{number:06d}": (number, number) for number in range(26_000)}
     image_feed: ChangeFeed[Any] = ChangeFeed(_MAX_IMAGE_HINTS)
     count_feed: ChangeFeed[Any] = ChangeFeed(_MAX_TASK_COUNTS)
-    told_images: dict[str, Any] = {}
-    told_counts: dict[str, Any] = {}
-    near, far = socket.socketpair()
-    with near, far:
+    received_images: dict[str, Any] = {}
+    received_counts: dict[str, Any] = {}
+    sender_socket, receiver_socket = socket.socketpair()
+    with sender_socket, receiver_socket:
         for _ in range(30):
-            image_piece, count_piece = image_feed.next_batch(images), count_feed.next_batch(counts)
+            image_batch, count_batch = image_feed.next_batch(images), count_feed.next_batch(counts)
             ping = Ping(
-                "hive-0", 1, True, 0.0, 0, 0, [(job, *pair) for job, pair in count_piece], image_piece
+                "hive-0", 1, True, 0.0, 0, 0, [(job, *pair) for job, pair in count_batch], image_batch
             )
-            with_receiver(near, far, ping)
-            told_images.update(image_piece)
-            told_counts.update(count_piece)
+            send_and_check(sender_socket, receiver_socket, ping)
+            received_images.update(image_batch)
+            received_counts.update(count_batch)
             if not (image_feed.has_more or count_feed.has_more):
                 break
-    assert told_images == images
-    assert told_counts == counts
+    assert received_images == images
+    assert received_counts == counts
     assert image_feed.next_batch(images) == []
     images["vm-000001"] = ()
     del images["vm-000002"]
     assert image_feed.next_batch(images) == [("vm-000001", ())]
 
 
-def with_receiver(near: socket.socket, far: socket.socket, ping: Ping) -> None:
+def send_and_check(sender_socket: socket.socket, receiver_socket: socket.socket, ping: Ping) -> None:
     """Send a message through a socket pair, and check that it arrives."""
-    sender = threading.Thread(target=send_message, args=(near, ping))
+    sender = threading.Thread(target=send_message, args=(sender_socket, ping))
     sender.start()
-    received = receive_peer_message(far)
+    received = receive_peer_message(receiver_socket)
     sender.join(10.0)
     assert received == ping
 
@@ -166,7 +166,7 @@
         return Page(entries, len(later) > max_entries, 100 + self.pages)
 
 
-def test_a_page_that_fails_is_asked_for_again_and_no_other() -> None:
+def test_only_a_failed_page_is_requested_again() -> None:
     store = PagedStore({3})
     reader = PrefixReader(store, MACHINE_PREFIX)
     with pytest.raises(StoreRejectedError):
@@ -179,7 +179,7 @@
     assert (reader.revision, reader.last_revision) == (101, 105)
 
 
-def test_a_new_leader_reads_a_large_fleet_through_refusals() -> None:
+def test_a_new_leader_reads_a_large_fleet_despite_rejected_pages() -> None:
     store = PagedStore({2, 5, 8, 9})
     reader = SnapshotReader(store)
     failures = 0
@@ -206,29 +206,29 @@
     """A cloud whose list has eight pages; it notes what it is asked for, in order."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.requests: list[str] = []
 
     def fetch_machine_page(self, since: str) -> ListPage:
-        self.asked.append("page")
+        self.requests.append("page")
         first = int(since.removeprefix("vm-") or 0) + 1 if since else 1
         names = range(first, min(first + 500, MACHINES + 1))
         machines = [_listed(f"vm-{number:06d}") for number in names]
         return ListPage(machines, more=first + 500 <= MACHINES)
 
     def fetch_machine_types(self) -> list[MachineType]:
-        self.asked.append("types")
+        self.requests.append("types")
         return []
 
     def launch_machines(self, body: dict[str, Any]) -> tuple[str, list[str]]:
-        self.asked.append("hire")
+        self.requests.append("launch")
         return "ok", []
 
     def delete_machines(self, names: list[str]) -> bool:
-        self.asked.append("delete")
+        self.requests.append("delete")
         return True
 
 
-def test_a_long_list_is_as_old_as_its_first_page_and_the_next_one_waits_as_long() -> None:
+def test_a_machine_list_dates_from_its_first_page_and_delays_the_next() -> None:
     cloud: Any = ListingCloud()
     reader = MachineListReader(cloud, lag_s=0.01, request_interval_s=0.02)
     before = time.monotonic()
@@ -241,7 +241,7 @@
     assert reader.due_at >= listing.began_at + 8 * 0.02 / 0.5
 
 
-def test_deletions_and_launches_go_between_the_pages_of_a_list() -> None:
+def test_deletions_and_launches_are_sent_between_list_pages() -> None:
     cloud: Any = ListingCloud()
     deployed = World(1, 10.0, 30.0, []).settings
     limits = msgspec.structs.replace(deployed.deployment.cloud, rps=20.0, list_lag_s=0.2)
@@ -249,17 +249,17 @@
         deployed, deployment=msgspec.structs.replace(deployed.deployment, cloud=limits)
     )
     listings: list[Any] = []
-    thread = CloudDispatcher(deployed, cloud, lambda types: None, listings.append)
+    dispatcher = CloudDispatcher(deployed, cloud, lambda types: None, listings.append)
     try:
-        _until(lambda: "page" in cloud.asked)
+        _until(lambda: "page" in cloud.requests)
         done: list[str] = []
-        thread.launch({}, lambda outcome, names: done.append("hire"))
-        thread.delete(["vm-000001"], lambda gone: done.append("delete"))
+        dispatcher.launch({}, lambda outcome, names: done.append("launch"))
+        dispatcher.delete(["vm-000001"], lambda gone: done.append("delete"))
         _until(lambda: len(done) == 2)
         assert not listings, "the list went before the changes"
         _until(lambda: bool(listings))
     finally:
-        thread.stop()
+        dispatcher.stop()
     assert len(listings[0].machines) == MACHINES
 
 
@@ -281,7 +281,7 @@
     return msgspec.structs.replace(settings_, deployment=deployment)
 
 
-def test_what_cannot_carry_the_configured_size_is_named() -> None:
+def test_limits_too_low_for_the_configured_size_are_named() -> None:
     options = parse_options("fleet { machines: 4000 }")
     assert shortfalls(_deployed(), parse_options("")) == []
     lines = shortfalls(_deployed(core_share=0.3, ram_mb=100.0, max_sockets=700), options)
@@ -303,7 +303,7 @@
 
 
 @pytest.mark.parametrize("value", ["-1", "many", "1.5", "100001"])
-def test_an_impossible_size_is_one_line_that_names_it(
+def test_an_invalid_size_is_reported_in_one_line(
     value: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with pytest.raises(ConfigError):
@@ -342,9 +342,7 @@
     st.lists(st.tuples(st.integers(0, 9), st.integers(0, 16), st.booleans()), max_size=40),
     st.integers(1, 8),
 )
-def test_a_kept_ranking_is_what_a_search_of_all_machines_finds(
-    changes: list[tuple[int, int, bool]], need: int
-) -> None:
+def test_an_incremental_ranking_equals_a_full_search(changes: list[tuple[int, int, bool]], need: int) -> None:
     """Room that is taken and freed, and machines that come and go, between the passes of one ranking."""
     machines = {index: _machine(f"vm-{index:06d}", "ab"[index % 2], 0.0) for index in range(10)}
     present = set(machines)
@@ -370,7 +368,7 @@
         assert (None if found is None else found[:2]) == expected
 
 
-def test_a_ranking_without_looking_at_changes_goes_wrong() -> None:
+def test_a_ranking_without_refreshed_machines_is_outdated() -> None:
     machine = _machine("vm-000001", "a", 0.0)
     view = FreeCapacityView()
     view.begin_cycle([machine], {})
@@ -384,7 +382,7 @@
     assert ranking.best({"a"}, set()) is None
 
 
-def test_plans_group_machines_by_what_is_booked_now() -> None:
+def test_machines_are_grouped_by_their_current_bookings() -> None:
     ledger, rng = Ledger(8), random.Random(3)
     for number in range(60):
         ledger.add_machine(f"vm-{number:06d}", (16.0, 2.0, 64.0), "ab"[number % 2], "large", False)
@@ -408,33 +406,33 @@
     st.lists(st.tuples(st.integers(1, 8), st.integers(1, 9), st.sampled_from([None, "a", "b"])), max_size=12),
 )
 @example([(2, True), (3, True)], [(1, 1, "b"), (1, 1, None), (1, 1, "a"), (1, 1, None)])
-def test_spaces_serve_demands_as_a_look_at_each_would(
-    spaces: list[tuple[int, bool]], demands: list[tuple[int, int, str | None]]
+def test_the_capacity_index_serves_demands_like_a_linear_scan(
+    slots: list[tuple[int, bool]], demands: list[tuple[int, int, str | None]]
 ) -> None:
-    def built() -> list[CapacitySlot]:
+    def make_slots() -> list[CapacitySlot]:
         return [
             CapacitySlot(None, LARGE, "ab"[index % 2], spot, (float(free), 2.0, 64.0))
-            for index, (free, spot) in enumerate(spaces)
+            for index, (free, spot) in enumerate(slots)
         ]
 
-    indexed, plain = built(), built()
+    indexed, plain = make_slots(), make_slots()
     index = CapacityIndex(indexed)
     for cpus, tasks, zone in demands:
         job = _job(1, float(cpus), 0.0, paddock=zone, loaners=True)
         demand = Demand(job.spec, job.task_resources, tasks, {})
         left = _serve(index, demand)
-        assert left == _serve_plainly(plain, demand)
-    assert sorted(space.free for space in indexed) == sorted(space.free for space in plain)
+        assert left == _serve_by_linear_scan(plain, demand)
+    assert sorted(slot.free for slot in indexed) == sorted(slot.free for slot in plain)
 
 
 def _serve(index: CapacityIndex, demand: Demand) -> int:
     left = demand.tasks
 
-    def use(space: CapacitySlot) -> bool:
+    def use(slot: CapacitySlot) -> bool:
         nonlocal left
-        take = max_copies(demand.need, space.free, left)
-        space.free = add_scaled(space.free, demand.need, -take)
-        space.used = space.used or take > 0
+        take = max_copies(demand.need, slot.free, left)
+        slot.free = add_scaled(slot.free, demand.need, -take)
+        slot.used = slot.used or take > 0
         left -= take
         return left > 0
 
@@ -442,21 +440,21 @@
     return left
 
 
-def _serve_plainly(spaces: list[CapacitySlot], demand: Demand) -> int:
+def _serve_by_linear_scan(slots: list[CapacitySlot], demand: Demand) -> int:
     left = demand.tasks
-    for space in sorted(spaces, key=lambda space: (not space.spot, not space.used)):
+    for slot in sorted(slots, key=lambda slot: (not slot.spot, not slot.used)):
         if not left:
             break
-        if demand.spec.zone not in (None, space.zone) or not fits(demand.need, space.free):
+        if demand.spec.zone not in (None, slot.zone) or not fits(demand.need, slot.free):
             continue
-        take = max_copies(demand.need, space.free, left)
-        space.free = add_scaled(space.free, demand.need, -take)
-        space.used = space.used or take > 0
+        take = max_copies(demand.need, slot.free, left)
+        slot.free = add_scaled(slot.free, demand.need, -take)
+        slot.used = slot.used or take > 0
         left -= take
     return left
 
 
-def test_a_limit_on_what_a_task_does_not_need_keeps_nothing_from_starting() -> None:
+def test_a_limit_on_a_resource_that_a_task_does_not_use_is_ignored() -> None:
     quotas = Quotas([Team("alpha", cpus_max=64.0, accelerators_max=8.0)])
     # Machines that were not heard yet may hold more than the limit.
     assert quotas.allows("alpha", (0.0, 4000.0), (1.0, 0.0, 1.0))
@@ -465,14 +463,14 @@
     assert quotas.allows("alpha", (63.0, 8.0), (1.0, 0.0, 1.0))
 
 
-def test_silent_workers_are_asked_at_a_pace() -> None:
-    now, asked = [0.0], []
+def test_silent_workers_are_probed_at_a_limited_rate() -> None:
+    now, probed = [0.0], []
     machines = {f"vm-{number:06d}": _machine(f"vm-{number:06d}", "a", 0.0) for number in range(1000)}
     for machine in machines.values():
         machine.endpoint = "127.0.0.1:9"
 
     def send_commands(machine: str, endpoint: str, body: Any, on_response: Any, slow_lane: bool) -> None:
-        asked.append(machine)
+        probed.append(machine)
 
     ctx: Any = SimpleNamespace(
         clock=lambda: now[0],
@@ -486,13 +484,13 @@
     commands = DirectCommands(ctx, lambda attempt: None, lambda *answered: None)
     for machine in machines.values():
         commands.probe_silent_worker(machine, now[0])
-    assert len(asked) == 100
+    assert len(probed) == 100
     now[0] = 1.0
     for machine in machines.values():
         commands.probe_silent_worker(machine, now[0])
     # Half an interval on, half as many more, and nobody whose answer is still out.
-    assert len(asked) == len(set(asked)) == 150
+    assert len(probed) == len(set(probed)) == 150
     # As a term of few machines begins, all are asked at once.
     for machine in machines.values():
         commands.request_heartbeat(machine, now[0])
-    assert len(asked) == 1000
+    assert len(probed) == 1000
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -87,7 +87,7 @@
     assert pricing.price(4.0, 8.0) == pytest.approx((pricing.min_price * pricing.max_price) ** 0.5)
 
 
-def test_full_machines_admit_nothing_and_half_full_ones_only_what_is_worth_it() -> None:
+def test_full_machines_admit_nothing_and_nearly_full_ones_only_high_priority() -> None:
     planner, ledger, _ = make_planner(horizon=2, machines=1)
     ledger.book("m0", (4.0, 1.0, 10.0), 0, 1, 3)
     low = planner.plan(make_job(submission(rank="best_effort", chores=1), 1, 0.0), 1, 60.0, 0.0)
@@ -117,7 +117,7 @@
     assert len(plan.starts) >= 200 // 16
 
 
-def test_a_cycle_that_runs_out_of_time_goes_on_where_it_was() -> None:
+def test_dispatch_resumes_where_the_time_budget_ended() -> None:
     # A clock that moves on with each look at it: every cycle runs out of time after the first job or two.
     fleet = world.World(1, 10.0, 30.0, [Team("alpha")])
     for _ in range(4):
@@ -127,9 +127,9 @@
     assert leader is not None
     assert leader.leader_term is not None
     dispatcher = leader.leader_term.controller.dispatcher
-    ticking = itertools.count(fleet.now, 0.02)
+    advancing_clock = itertools.count(fleet.now, 0.02)
     started: list[str] = []
-    dispatcher._ctx.clock = lambda: next(ticking)
+    dispatcher._ctx.clock = lambda: next(advancing_clock)
     dispatcher._start_unplanned = lambda cycle, job, reserved: started.append(job.id)  # type: ignore[method-assign]
     for number in range(1, 7):
         fleet.submit(jobs.submission(f"job-{number:06d}", {}))
