--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -20,7 +20,7 @@
 from poppyhold.execution.completions import RecordLayout, decode_bits
 from poppyhold.model.entities import make_job
 from poppyhold.options_file import load_options, parse_options
-from poppyhold.scale.jobs import build_data as world_build
+from poppyhold.scale.jobs import build_data as machine_type_data
 from poppyhold.scale.jobs import submission
 from poppyhold.scale.jobs import wire as as_sent
 from poppyhold.settings import AnnouncedStateLimits, StateLimits, Team
@@ -37,7 +37,7 @@
     return as_sent(submission("job-000001", fields))
 
 
-BAD = [
+INVALID_SUBMISSIONS = [
     {"nameId": "job-1"},
     {"nameId": "job-00000a"},
     {"nameId": 7},
@@ -55,14 +55,14 @@
 ]
 
 
-@pytest.mark.parametrize("fields", BAD, ids=str)
-def test_bad_submissions_are_refused(fields: dict[str, object]) -> None:
+@pytest.mark.parametrize("fields", INVALID_SUBMISSIONS, ids=str)
+def test_invalid_submissions_are_rejected(fields: dict[str, object]) -> None:
     with pytest.raises(MalformedError):
         parse_submission(wire() | fields)
 
 
 @pytest.mark.parametrize("missing", ["lot", "chores", "cpus", "samePlace", "guessS"])
-def test_missing_fields_are_refused(missing: str) -> None:
+def test_missing_fields_are_rejected(missing: str) -> None:
     body = wire()
     del body[missing]
     with pytest.raises(MalformedError):
@@ -76,7 +76,7 @@
     assert parse_submission(body).machine_types is None
 
 
-def test_users_get_the_status_that_protocol_says() -> None:
+def test_users_get_the_status_of_the_protocol() -> None:
     world = World(1, 10.0, 30.0, [Team("alpha", accelerators_max=6)])
     users = world.nodes[0].users
     assert users.submit(b"\xff\xff")[0] == 400
@@ -96,9 +96,9 @@
     assert users.abort("job-000009")[0] == 404
     assert users.poll("nonsense")[0] == 404
     world.state.down = True
-    later = users.submit(encode(wire(nameId="job-000002")))
-    assert later[0] == 503
-    assert "Retry-After" in later[2]
+    unavailable = users.submit(encode(wire(nameId="job-000002")))
+    assert unavailable[0] == 503
+    assert "Retry-After" in unavailable[2]
     assert users.poll("job-000001")[0] == 503
 
 
@@ -119,7 +119,7 @@
     [{}, {"box": "vm"}, {"box": 1, "tally": "x"}, {**HEARTBEAT, "box": "no key"}, {**HEARTBEAT, "shift": 0}],
     ids=str,
 )
-def test_malformed_heartbeats_are_refused(body: dict[str, object]) -> None:
+def test_malformed_heartbeats_are_rejected(body: dict[str, object]) -> None:
     with pytest.raises(MalformedError):
         parse_heartbeat(body)
     assert parse_heartbeat(HEARTBEAT).machine == "vm-1"
@@ -154,7 +154,7 @@
     assert len(world.finished) > 32
 
 
-def test_submissions_fit_the_limits_to_come() -> None:
+def test_submissions_fit_announced_limits() -> None:
     world = World(1, 10.0, 30.0, [Team("alpha")], AnnouncedStateLimits(value_kb=2.0, txn_ops=4))
     world.state.lower_limits(4, 2.0)
     users = world.nodes[0].users
@@ -162,16 +162,16 @@
     names = ["small", *(f"type-{number:04d}" for number in range(400))]
     assert users.submit(encode(wire(builds=names)))[0] == 201
     assert world.state.keys["ph/a/job-000001"][0]["spec"]["builds"] == ["small"]
-    face = "\U0001f600"
-    for_ever = wire(nameId="job-000002", bundle=face * 200, lot=face * 200)
-    assert users.submit(encode(for_ever))[0] == 400
+    four_byte_character = "\U0001f600"
+    oversized = wire(nameId="job-000002", bundle=four_byte_character * 200, lot=four_byte_character * 200)
+    assert users.submit(encode(oversized))[0] == 400
     # The same from a version that stored it under larger limits is known.
-    world.state.keys["ph/a/job-000002"] = ({"spec": for_ever, "at": 0.0}, 1, None)
-    assert users.submit(encode(for_ever))[0] == 200
+    world.state.keys["ph/a/job-000002"] = ({"spec": oversized, "at": 0.0}, 1, None)
+    assert users.submit(encode(oversized))[0] == 200
 
 
 def test_machine_types_are_stored_within_the_limit_and_read_again() -> None:
-    data = world_build("small", 4, 10.0)
+    data = machine_type_data("small", 4, 10.0)
     builds = [convert({**data, "name": f"type-{number}"}, MachineType) for number in range(20)]
     records = machine_type_writes(builds, 2048)
     assert len(records) > 1
@@ -183,7 +183,7 @@
     assert len(machine_type_writes(builds[:2], 8192)) == 1
 
 
-def test_limits_are_the_smaller_of_now_and_next() -> None:
+def test_the_lowest_of_current_and_announced_limits_applies() -> None:
     limits = StateLimits(
         value_kb=8.0, txn_ops=20, write_rps=25.0, announced=AnnouncedStateLimits(value_kb=2.0, txn_ops=30)
     )
@@ -211,7 +211,7 @@
 TEAM = '[[settings.teams]]\nname = "{}"\ngpus_max = {}\n'
 
 
-def test_settings_name_the_field_that_is_wrong(tmp_path: Path) -> None:
+def test_settings_errors_name_the_invalid_field(tmp_path: Path) -> None:
     good = """
 member = "a"
 domain = "z"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -29,7 +29,7 @@
 
 Data = dict[str, Any]
 CANCEL_S = 20.0
-PATIENCE_S = 120.0
+EXIT_TIMEOUT_S = 120.0
 SMALL = PROFILES / "small.toml"
 
 
@@ -69,14 +69,14 @@
         ("troubles = [{ at_s = 1.0, kind = 'flood' }]", "troubles[0].kind"),
     ],
 )
-def test_a_bad_profile_is_named_in_one_line(
+def test_an_invalid_profile_field_is_named_in_one_line(
     change: str, named: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     field = change.split(" = ", maxsplit=1)[0]
-    sound = (
+    valid = (
         Path(sys.modules[load_profile.__module__].__file__ or "").parent / "profiles" / "small.toml"
     ).read_text()
-    lines = [line for line in sound.splitlines() if not line.startswith(f"{field} = ")]
+    lines = [line for line in valid.splitlines() if not line.startswith(f"{field} = ")]
     bad = tmp_path / "bad.toml"
     bad.write_text("\n".join([change, *lines]))
     with pytest.raises(ProfileError):
@@ -87,18 +87,18 @@
     assert named in error
 
 
-def test_a_run_stops_at_its_bound_of_time(tmp_path: Path) -> None:
-    sound = (
+def test_a_run_stops_at_its_time_limit(tmp_path: Path) -> None:
+    valid = (
         Path(sys.modules[load_profile.__module__].__file__ or "").parent / "profiles" / "small.toml"
     ).read_text()
     short = tmp_path / "short.toml"
-    short.write_text(sound.replace("most_s = 120.0", "most_s = 5.0"))
+    short.write_text(valid.replace("most_s = 120.0", "most_s = 5.0"))
     written = tmp_path / "result.json"
     assert main([str(short), "--json", str(written)]) == 1
     assert "most_s" in msgspec.json.decode(written.read_bytes())["stopped"]
 
 
-def test_an_interrupt_ends_all_that_was_started(tmp_path: Path) -> None:
+def test_an_interrupt_ends_all_child_processes(tmp_path: Path) -> None:
     command, environment = _command("small", "--logs", str(tmp_path))
     with subprocess.Popen(
         command, env=environment, stderr=subprocess.PIPE, stdout=subprocess.PIPE
@@ -114,7 +114,7 @@
         drain.start()
         assert process.stdout is not None
         output = process.stdout.read()
-        assert process.wait(PATIENCE_S) == 1
+        assert process.wait(EXIT_TIMEOUT_S) == 1
         drain.join()
     assert b"interrupted" in output
     assert not any(child.is_running() for child in children)
@@ -156,7 +156,7 @@
         self.workers[worker].step()
 
 
-def test_checks_pass_what_is_right() -> None:
+def test_checks_accept_a_correct_run() -> None:
     fleet = CheckedFleet(limit=2.0)
     fleet.run(0, 0)
     fleet.run(1, 1)
@@ -183,7 +183,7 @@
     assert "quota" in fleet.checks.violations.messages[0]
 
 
-def test_checks_find_a_cancelled_task_that_lives_on() -> None:
+def test_checks_find_a_cancelled_task_that_keeps_running() -> None:
     fleet = CheckedFleet()
     fleet.run(0, 0)
     fleet.checks.answered("job-000001", 200, {"status": "cancelled"})
@@ -210,7 +210,7 @@
     assert rule in fleet.checks.violations.messages[0]
 
 
-def test_rate_limits_refuse_what_is_above_them() -> None:
+def test_rate_limits_reject_requests_above_them() -> None:
     limit = RateLimit(1e-6, 3e6)
     assert [limit.take() for _ in range(4)] == [True, True, True, False]
 
@@ -229,7 +229,7 @@
     return msgspec.json.decode(written.read_bytes(), type=CellsResult)
 
 
-def test_cells_hold_limits_while_leaders_and_links_fail(tmp_path: Path) -> None:
+def test_cells_keep_within_limits_while_leaders_and_links_fail(tmp_path: Path) -> None:
     """A leader is killed, one frozen, a way between two cells cut: shares move, no limit is passed."""
     result = _cells(tmp_path)
     assert result.broken == []
@@ -249,7 +249,7 @@
     assert "<svg" in (tmp_path / "plot.svg").read_text()
 
 
-def test_the_checker_of_cells_finds_a_build_without_shares(
+def test_cell_checks_find_controllers_that_ignore_allocations(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Controllers that plan starts against the whole limit, whatever their share is, are found out."""
@@ -266,7 +266,7 @@
     assert not result.ok
 
 
-def test_a_way_that_two_cuts_hold_opens_with_the_last_of_them() -> None:
+def test_a_link_cut_twice_is_restored_when_both_cuts_are_healed() -> None:
     network = CellNetwork()
     there, back = (0, 1), (1, 0)
 
@@ -290,7 +290,7 @@
     assert network.is_whole
 
 
-def test_use_with_links_up_and_cut_is_added_up_apart() -> None:
+def test_limit_use_is_the_quotient_of_the_sums() -> None:
     use = LimitUse()
     assert use.part is None
     use.add(3.0, 4.0)
@@ -298,7 +298,7 @@
     assert use.part == 0.5
 
 
-def test_samples_keep_to_their_interval_from_the_measured_time_on() -> None:
+def test_samples_are_one_interval_apart_from_the_measured_time_on() -> None:
     history = CellHistory(1.0)
     history.note(100.0, True, [CellSample(2.0, 1.0)])
     history.begin(200.0)
@@ -315,7 +315,7 @@
         ("small", "plot.svg", "--plot: small is a run of one cell"),
     ],
 )
-def test_a_plot_that_cannot_be_made_is_refused_before_the_run(
+def test_an_invalid_plot_path_is_rejected_before_the_run(
     profile: str, plot: str, named: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     try:
@@ -335,9 +335,9 @@
         ("cells = 1\ntroubles = [{ at_s = 1.0, kind = 'cut_links' }]", "troubles[0].kind"),
     ],
 )
-def test_a_bad_profile_of_cells_is_named(change: str, named: str, tmp_path: Path) -> None:
-    sound = (PROFILES / "cells_small.toml").read_text()
-    text = re.sub(r"(?ms)^troubles = \[.*?^\]\n", "", sound)
+def test_an_invalid_profile_field_of_cells_is_named(change: str, named: str, tmp_path: Path) -> None:
+    valid = (PROFILES / "cells_small.toml").read_text()
+    text = re.sub(r"(?ms)^troubles = \[.*?^\]\n", "", valid)
     for line in change.splitlines():
         text = re.sub(rf"(?m)^{line.split(' = ')[0]} = .*\n", "", text)
     bad = tmp_path / "bad.toml"
@@ -347,8 +347,8 @@
     assert named in str(caught.value)
 
 
-def test_no_port_is_given_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_port_is_allocated_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("poppyhold.scale.controllers._PORTS", range(15_000, 15_040))
     monkeypatch.setattr("poppyhold.scale.controllers._given_ports", set())
-    given = [free_port() for _ in range(20)]
-    assert len(set(given)) == len(given)
+    allocated = [free_port() for _ in range(20)]
+    assert len(set(allocated)) == len(allocated)
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -19,7 +19,7 @@
     return found & modules
 
 
-def test_no_module_is_part_of_an_import_circle() -> None:
+def test_no_module_is_part_of_an_import_cycle() -> None:
     paths = {
         ".".join(path.relative_to(SOURCES).with_suffix("").parts): path
         for path in (SOURCES / "poppyhold").rglob("*.py")
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -36,7 +36,7 @@
     "trust": "delegation",
     "hints": "image hints",
 }
-# Words of the protocols' own: no name holds them, and as strings they stand only in `EDGE`.
+# Words that only the protocols use: not in names, and as strings only in `PACKAGES_OF_PROTOCOL_WORDS`.
 PROTOCOL_WORDS = [
     "baton",
     "bookmark",
@@ -58,7 +58,7 @@
     "tally",
 ]
 # What maps the protocols' words to names, and the tool whose stand-ins speak the protocols as others do.
-EDGE = ("wire", "scale")
+PACKAGES_OF_PROTOCOL_WORDS = ("wire", "scale")
 # A name may hold these although a part of it is withdrawn.
 ALLOWED = {
     # The operators' option of that name.
@@ -120,10 +120,10 @@
 
 @pytest.mark.parametrize(
     "path",
-    [path for path in _modules() if path.relative_to(SOURCES).parts[0] not in EDGE],
+    [path for path in _modules() if path.relative_to(SOURCES).parts[0] not in PACKAGES_OF_PROTOCOL_WORDS],
     ids=lambda path: str(path.relative_to(SOURCES)),
 )
-def test_words_of_the_protocols_are_mapped_at_the_edge(path: Path) -> None:
+def test_protocol_words_are_confined_to_the_packages_that_map_them(path: Path) -> None:
     found = {
         text: line for text, line in _strings(path).items() if text in {*PROTOCOL_WORDS, "nameId", "builds"}
     }
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -49,7 +49,7 @@
 ANY_MESSAGE: Any = Union[tuple(MESSAGES.values())]  # noqa: UP007 (of a table)
 
 
-def _again(value: object, kind: Any) -> Any:
+def _round_trip(value: object, kind: Any) -> Any:
     """Read a map and write it again, as the program does with records and bodies."""
     return decode(encode(msgspec.to_builtins(convert(value, kind))))
 
@@ -61,7 +61,7 @@
     return [_shape(each) for each in value] if isinstance(value, list) else type(value).__name__
 
 
-def _message_again(data: bytes) -> bytes:
+def _message_round_trip(data: bytes) -> bytes:
     return msgspec.msgpack.encode(msgspec.msgpack.decode(data, type=ANY_MESSAGE))
 
 
@@ -71,13 +71,13 @@
 def _map_forms(name: str) -> Any:
     kind = MAPS[name]
     least = sample(kind, only_required=True)
-    return {"full": sample(kind), "least": least, "least_written": _again(least, kind)}
+    return {"full": sample(kind), "least": least, "least_written": _round_trip(least, kind)}
 
 
 @pytest.mark.parametrize("name", MAPS)
 def test_map_is_read_and_written_as_recorded(name: str) -> None:
     recorded = FIXTURE["maps"][name]
-    assert _again(recorded["full"], MAPS[name]) == recorded["full"]
+    assert _round_trip(recorded["full"], MAPS[name]) == recorded["full"]
     assert cbor2.loads(encode(recorded["full"])) == recorded["full"]
     assert json.loads(msgspec.json.encode(convert(recorded["full"], MAPS[name]))) == recorded["full"]
 
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize("name", MAPS)
 def test_map_has_its_recorded_defaults(name: str) -> None:
     recorded = FIXTURE["maps"][name]
-    assert _again(recorded["least"], MAPS[name]) == recorded["least_written"]
+    assert _round_trip(recorded["least"], MAPS[name]) == recorded["least_written"]
     for field in recorded["least"]:
         with pytest.raises(msgspec.ValidationError):
             msgspec.convert({k: v for k, v in recorded["least"].items() if k != field}, MAPS[name])
@@ -106,7 +106,7 @@
     return {
         "full": msgspec.msgpack.encode(sample(MESSAGES[name])).hex(),
         "least": least.hex(),
-        "least_written": _message_again(least).hex(),
+        "least_written": _message_round_trip(least).hex(),
     }
 
 
@@ -123,11 +123,11 @@
 def test_message_has_its_recorded_defaults(name: str) -> None:
     recorded = FIXTURE["messages"][name]
     least = bytes.fromhex(recorded["least"])
-    assert _message_again(least).hex() == recorded["least_written"]
+    assert _message_round_trip(least).hex() == recorded["least_written"]
     values = msgspec.msgpack.decode(least)
     if len(values) > 1:
         with pytest.raises(msgspec.ValidationError):
-            _message_again(msgspec.msgpack.encode(values[:-1]))
+            _message_round_trip(msgspec.msgpack.encode(values[:-1]))
 
 
 @pytest.mark.parametrize("name", MESSAGES)
@@ -204,7 +204,7 @@
         yield path
 
 
-def _settings_answer(values: Any, folder: Path) -> str:
+def _settings_result(values: Any, folder: Path) -> str:
     """What the program says of a settings file: what is wrong with it, or that it can be used."""
     file = folder / "settings.toml"
     file.write_text("".join(f"{name} = {_toml(value)}\n" for name, value in values.items()))
@@ -215,21 +215,21 @@
     return "ok"
 
 
-def _settings_answers(folder: Path) -> dict[str, str]:
+def _settings_results(folder: Path) -> dict[str, str]:
     """What is said of each field with a value that can't be: below 0, no address, a name that is empty."""
-    found = {"": _settings_answer(SETTINGS, folder)}
+    found = {"": _settings_result(SETTINGS, folder)}
     for path in _leaves(SETTINGS):
         values = json.loads(json.dumps(SETTINGS))
         holder = values
         for key in path[:-1]:
             holder = holder[key]
         holder[path[-1]] = -1 if isinstance(holder[path[-1]], int | float) else ""
-        found[".".join(map(str, path))] = _settings_answer(values, folder)
+        found[".".join(map(str, path))] = _settings_result(values, folder)
     return found
 
 
 def test_settings_are_checked_by_their_recorded_names(tmp_path: Path) -> None:
-    assert _settings_answers(tmp_path) == FIXTURE["settings_answers"]
+    assert _settings_results(tmp_path) == FIXTURE["settings_answers"]
 
 
 def _option_fields(message: Any, prefix: str = "") -> Iterator[tuple[str, Any]]:
@@ -278,7 +278,7 @@
     ]
 
 
-def _out_of_bounds(name: str) -> str:
+def _out_of_bounds_result(name: str) -> str:
     """What is said of a value that is out of bounds."""
     try:
         parse_options(_option_text(name, 1_000_000_000))
@@ -289,12 +289,12 @@
 
 
 def test_options_are_checked_by_their_recorded_names() -> None:
-    assert {name: _out_of_bounds(name) for name in _scalar_options()} == FIXTURE["option_answers"]
+    assert {name: _out_of_bounds_result(name) for name in _scalar_options()} == FIXTURE["option_answers"]
     assert FIXTURE["option_defaults"].keys() == FIXTURE["option_answers"].keys()
 
 
 @pytest.mark.parametrize("name", FIXTURE.get("option_defaults", ()))
-def test_option_has_its_recorded_default_and_is_taken(name: str) -> None:
+def test_option_has_its_recorded_default_and_takes_effect(name: str) -> None:
     default, other = FIXTURE["option_defaults"][name]
     unset = parse_options(_option_text(name))
     assert parse_options(_option_text(name, default)) == unset
@@ -334,33 +334,33 @@
 }"""
 
 
-def _serve_once(listener: socket.socket, answer: bytes, asked: list[bytes]) -> None:
+def _serve_once(listener: socket.socket, answer: bytes, requests: list[bytes]) -> None:
     """Take one frame, and answer with another."""
     connection, _ = listener.accept()
     with connection, connection.makefile("rb") as stream:
-        asked.append(stream.read(int.from_bytes(stream.read(4), "big")))
+        requests.append(stream.read(int.from_bytes(stream.read(4), "big")))
         connection.sendall(len(answer).to_bytes(4, "big") + answer)
 
 
 def _status_json(folder: Path) -> tuple[str, str]:
     """What `quota status --json` asks a controller, as hexadecimal, and prints of the recorded answer."""
-    asked: list[bytes] = []
+    requests: list[bytes] = []
     with socket.create_server(("127.0.0.1", 0)) as listener:
         back = f"127.0.0.1:{listener.getsockname()[1]}"
-        _settings_answer({**SETTINGS, "back": back}, folder)
+        _settings_result({**SETTINGS, "back": back}, folder)
         (folder / "options").write_text(STATUS_OPTIONS)
         answer = msgspec.msgpack.encode(sample(MESSAGES["share!"]))
-        server = threading.Thread(target=_serve_once, args=(listener, answer, asked), daemon=True)
+        server = threading.Thread(target=_serve_once, args=(listener, answer, requests), daemon=True)
         server.start()
         files = ["--config", str(folder / "settings.toml"), "--options", str(folder / "options")]
         output = io.StringIO()
         with contextlib.redirect_stdout(output):
             main(["quota", "status", "--json", *files])
         server.join()
-    return asked[0].hex(), output.getvalue().strip()
+    return requests[0].hex(), output.getvalue().strip()
 
 
-def test_quota_status_asks_and_prints_as_recorded(tmp_path: Path) -> None:
+def test_quota_status_requests_and_prints_as_recorded(tmp_path: Path) -> None:
     assert list(_status_json(tmp_path)) == FIXTURE["quota_status"]
 
 
@@ -386,10 +386,10 @@
         "messages": {name: _message_forms(name) for name in MESSAGES},
         "words": {name: words(kind) for name, kind in WORDS.items()},
         "keys": _keys(),
-        "settings_answers": _settings_answers(folder),
+        "settings_answers": _settings_results(folder),
         "options": _options(),
         "options_proto": _proto_lines(),
-        "option_answers": {name: _out_of_bounds(name) for name in _scalar_options()},
+        "option_answers": {name: _out_of_bounds_result(name) for name in _scalar_options()},
         "option_defaults": _option_defaults(),
         "commands": {name: _usage(name) for name in COMMANDS},
         "quota_status": list(_status_json(folder)),
