--- a/tests/test_batched_job_reads.py
+++ b/tests/test_batched_job_reads.py
@@ -51,7 +51,7 @@
     assert store.requests == ["get", "get"]
 
 
-def test_nothing_is_answered_from_memory_while_the_store_rejects_requests() -> None:
+def test_no_query_is_answered_from_the_view_while_the_store_rejects_requests() -> None:
     store = CountingStore()
     reads = BatchedJobReads(store, batch_window_s=0.0, timeout_s=10.0, min_batch_size=1)
     assert reads.is_active(JOBS[0])
--- a/tests/test_completions.py
+++ b/tests/test_completions.py
@@ -55,7 +55,7 @@
     return f"{prefix}{JOB}/{number}"
 
 
-def test_records_that_will_not_fit_are_split_and_no_others() -> None:
+def test_only_records_above_the_announced_limit_are_split() -> None:
     # Tasks up to 355: the last range is short.
     records = Records(some_job(356))
     records.complete(0, 70, 300)
@@ -105,7 +105,7 @@
         pytest.param("phase", JobPhase.FINALIZED, JobPhase.ACTIVE, id="finalized"),
     ],
 )
-def test_nothing_is_saved_of_a_job_that_is_being_saved_finalizing_or_finalized(
+def test_no_completions_are_saved_for_a_job_that_is_saving_finalizing_or_finalized(
     field: str, prevents: bool | JobPhase, allows: bool | JobPhase
 ) -> None:
     records = Records(some_job())
@@ -116,7 +116,7 @@
     assert records.save() == [[key(COMPLETION_RANGES_PREFIX, 0)]]
 
 
-def test_what_completes_while_records_are_written_is_saved_by_the_next_ones() -> None:
+def test_completions_during_a_save_are_written_by_the_next_save() -> None:
     records = Records(some_job())
     records.complete(5)
     records.save()
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("outcomes", [(True, True), (False, True), (True, False)], ids=str)
-def test_tasks_are_saved_once_every_record_of_theirs_is(outcomes: tuple[bool, bool]) -> None:
+def test_completions_are_durable_once_every_record_is_committed(outcomes: tuple[bool, bool]) -> None:
     records = Records(some_job())
     records.complete(0, 70, 130)
     assert [len(keys) for keys in records.save()] == [2, 1]
@@ -144,7 +144,7 @@
     assert records.job.undurable_completions == (set() if all(outcomes) else {0, 70, 130})
 
 
-def test_records_are_deleted_in_batches_also_those_whose_write_has_no_outcome_yet() -> None:
+def test_records_are_deleted_in_batches_including_those_with_a_write_in_flight() -> None:
     records = Records(some_job())
     records.complete(0, 70, 130)
     records.save()
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -23,7 +23,7 @@
         return self.now
 
 
-def test_peer_that_reaches_all_that_we_reach_and_more_is_better_connected() -> None:
+def test_peer_that_reaches_a_strict_superset_is_better_connected() -> None:
     links = Connectivity("a", 2.0, Clock())
     links.record_response("b", ["a", "c"])
     assert links.better_connected_peer() == "b"
@@ -32,14 +32,14 @@
     assert links.better_connected_peer() is None
 
 
-def test_peer_that_reaches_others_but_not_all_of_ours_is_not_better_connected() -> None:
+def test_peer_that_misses_a_reachable_controller_is_not_better_connected() -> None:
     links = Connectivity("a", 2.0, Clock())
     links.record_response("b", ["a", "d"])
     links.record_response("c", ["a"])
     assert links.better_connected_peer() is None
 
 
-def test_peer_that_does_not_reach_us_or_lists_nobody_is_not_better_connected() -> None:
+def test_peer_that_does_not_reach_this_node_or_lists_no_peers_is_not_better_connected() -> None:
     links = Connectivity("a", 2.0, Clock())
     links.record_response("b", ["c", "d"])
     assert links.better_connected_peer() is None
@@ -111,12 +111,12 @@
 
     def __init__(self, error: Exception | None) -> None:
         self.error = error
-        self.ended: list[int] = []
+        self.revoked: list[int] = []
 
     def revoke_lease(self, lease_id: int) -> None:
         if self.error is not None:
             raise self.error
-        self.ended.append(lease_id)
+        self.revoked.append(lease_id)
 
 
 @pytest.mark.parametrize("error", [None, StoreRejectedError("503"), OutcomeUnknownError("lost")], ids=str)
@@ -124,19 +124,19 @@
     error: Exception | None,
 ) -> None:
     # In a run a leader resigned as an outage began, and nobody led for 50 s.
-    store, deposed = RevocableLeaseStore(error), []
+    store, leadership_lost = RevocableLeaseStore(error), []
     world = World(1, 10.0, 30.0, [Team("alpha")])
     election = Election(
         world.settings,
         Options(),
         store,
         lambda term: None,
-        lambda: deposed.append(True),
+        lambda: leadership_lost.append(True),
         lambda: False,
         world.rng,
     )
     election.term = Term(5, 40, 7, 0.0)
     election.resign_if_lease_revoked("another one reaches more")
-    assert (election.term is None, deposed, store.ended) == (
+    assert (election.term is None, leadership_lost, store.revoked) == (
         (True, [True], [7]) if error is None else (False, [], [])
     )
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -10,7 +10,7 @@
 from poppyhold.concurrency.priority_queue import DECISIONS, HEARTBEATS, SUBMISSIONS
 from poppyhold.node.decision_loop import DecisionLoop
 
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 INTERVAL_S = 0.2
 
 
@@ -32,7 +32,7 @@
     loop.start(prepare, tick, due_at, cycle, publish)
 
 
-def test_events_that_wait_are_taken_by_priority_and_cycles_only_run_when_none_waits(
+def test_queued_events_are_handled_by_priority_and_cycles_run_only_on_an_empty_queue(
     loop: DecisionLoop,
 ) -> None:
     order: list[str] = []
@@ -45,11 +45,11 @@
         done.set()
 
     start(loop, cycle=cycle)
-    assert done.wait(PATIENCE_S)
+    assert done.wait(TIMEOUT_S)
     assert order[:4] == ["heartbeat", "decision", "submission", "cycle"]
 
 
-def test_an_event_that_fails_ends_neither_the_thread_nor_its_ticks(loop: DecisionLoop) -> None:
+def test_a_failing_event_stops_neither_the_thread_nor_its_ticks(loop: DecisionLoop) -> None:
     handled, ticked = threading.Event(), threading.Event()
 
     def fail() -> None:
@@ -58,27 +58,27 @@
     loop.post(DECISIONS, fail)
     loop.post(DECISIONS, handled.set)
     start(loop, tick=ticked.set)
-    assert handled.wait(PATIENCE_S)
-    assert ticked.wait(PATIENCE_S)
+    assert handled.wait(TIMEOUT_S)
+    assert ticked.wait(TIMEOUT_S)
 
 
-def test_no_event_is_taken_before_the_state_is_rebuilt_or_if_it_can_not_be(loop: DecisionLoop) -> None:
-    handled, prepared, go_on = threading.Event(), threading.Event(), threading.Event()
+def test_no_event_is_handled_before_the_state_is_rebuilt_or_if_rebuilding_fails(loop: DecisionLoop) -> None:
+    handled, prepared, resume = threading.Event(), threading.Event(), threading.Event()
     loop.post(HEARTBEATS, handled.set)
 
     def prepare() -> bool:
         prepared.set()
-        go_on.wait(PATIENCE_S)
+        resume.wait(TIMEOUT_S)
         return False
 
     start(loop, prepare=prepare)
-    assert prepared.wait(PATIENCE_S)
+    assert prepared.wait(TIMEOUT_S)
     assert not handled.is_set()
-    go_on.set()
+    resume.set()
     assert not handled.wait(2 * INTERVAL_S)
 
 
-def test_only_heartbeats_are_bounded_and_those_that_wait_at_the_end_are_answered(
+def test_only_heartbeats_are_bounded_and_queued_ones_are_answered_when_the_loop_stops(
     loop: DecisionLoop,
 ) -> None:
     answered: list[str] = []
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -110,7 +110,7 @@
     )
 
 
-def test_an_earlier_key_of_our_own_is_deleted_before_we_campaign(candidate: Candidate) -> None:
+def test_a_stale_leader_key_of_this_node_is_deleted_before_it_campaigns(candidate: Candidate) -> None:
     candidate.election._on_snapshot([OWN_KEY])
     assert not candidate.campaign()
     assert candidate.store.revoked == [7]
@@ -119,7 +119,7 @@
     assert candidate.store.revoked == [7]
 
 
-def test_a_candidate_that_yields_waits_for_the_others_for_a_lease_of_a_term(
+def test_a_yielding_candidate_waits_one_leader_lease_before_it_campaigns(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     one = Candidate(monkeypatch, yields=True)
@@ -134,7 +134,7 @@
     assert one.campaign()
 
 
-def test_a_leader_that_resigned_stands_back_for_a_lease(candidate: Candidate) -> None:
+def test_a_leader_that_resigned_does_not_campaign_for_one_leader_lease(candidate: Candidate) -> None:
     term = candidate.lead()
     candidate.election.resign("told to")
     assert (candidate.election.term, candidate.terms_lost) == (None, 1)
@@ -158,7 +158,9 @@
     assert (candidate.store.revoked, candidate.terms_lost) == ([], 0)
 
 
-def test_a_leader_that_transferred_its_leadership_stands_back_for_a_lease(candidate: Candidate) -> None:
+def test_a_leader_that_transferred_leadership_does_not_campaign_for_one_leader_lease(
+    candidate: Candidate,
+) -> None:
     term = candidate.lead()
     candidate.election.resign_if_lease_revoked("another one reaches more")
     candidate.election._on_change(DeletedKey(LEADER_KEY, term.key_revision + 1))
@@ -167,7 +169,7 @@
     assert candidate.campaign()
 
 
-def test_only_the_lease_of_the_known_leader_is_ended(candidate: Candidate) -> None:
+def test_only_the_lease_of_the_known_leader_is_revoked(candidate: Candidate) -> None:
     candidate.election._on_snapshot([OTHERS_KEY])
     candidate.election.revoke_leader_lease(Leader("hive-2", 5, 7, 40))
     assert candidate.store.revoked == []
@@ -197,11 +199,11 @@
     assert [term.fencing_token for term in candidate.won] == [10]
 
 
-def test_a_claim_of_unknown_outcome_is_won_only_if_the_key_is_ours(candidate: Candidate) -> None:
+def test_a_claim_of_unknown_outcome_is_won_only_if_the_key_names_this_node(candidate: Candidate) -> None:
     candidate.election._on_snapshot([])
     # It was not carried out, and somebody else leads.
     candidate.store.commit({}, [Put(LEADER_KEY, {"member": "hive-1", "baton": 3, "permit": 99})])
-    candidate.store.fates.append("late")
+    candidate.store.commit_outcomes.append("late")
     assert candidate.campaign()
     assert candidate.won == []
 
@@ -209,7 +211,7 @@
 # -- what the watch tells -------------------------------------------------------------------------------
 
 
-def test_changes_before_our_claim_do_not_end_our_term(candidate: Candidate) -> None:
+def test_changes_older_than_the_claim_do_not_end_the_term(candidate: Candidate) -> None:
     candidate.election.term = TERM
     candidate.election.known_leader.observe(Leader("hive-0", 5, 7, 40))
     for old in (
@@ -229,7 +231,7 @@
 @pytest.mark.parametrize(
     "change", [OTHERS_KEY, DeletedKey(LEADER_KEY, 41)], ids=["another-leader", "deleted"]
 )
-def test_a_change_after_our_claim_ends_our_term(candidate: Candidate, change: WatchEvent) -> None:
+def test_a_change_after_the_claim_ends_the_term(candidate: Candidate, change: WatchEvent) -> None:
     candidate.election.term = TERM
     candidate.election.known_leader.observe(Leader("hive-0", 5, 7, 40))
     candidate.election.confirmed_at = candidate.now
@@ -244,13 +246,13 @@
     assert candidate.terms_lost == 1
 
 
-def test_a_snapshot_without_our_key_ends_our_term(candidate: Candidate) -> None:
+def test_a_snapshot_without_the_leader_key_ends_the_term(candidate: Candidate) -> None:
     candidate.lead()
     candidate.election._on_snapshot([])
     assert (candidate.election.term, candidate.election.leader, candidate.terms_lost) == (None, None, 1)
 
 
-def test_only_a_higher_fencing_token_than_ours_ends_our_term(candidate: Candidate) -> None:
+def test_only_a_higher_fencing_token_ends_the_term(candidate: Candidate) -> None:
     candidate.election.observe_fencing_token(9)
     candidate.election.term = TERM
     candidate.election.observe_fencing_token(TERM.fencing_token)
@@ -264,7 +266,7 @@
     assert candidate.election.term is None
 
 
-def test_since_when_a_leader_leads_counts_from_its_first_sight(candidate: Candidate) -> None:
+def test_leader_since_is_when_the_leader_was_first_observed(candidate: Candidate) -> None:
     candidate.election._on_snapshot([OTHERS_KEY])
     assert candidate.election.known_leader.leader_since == 1000.0
     candidate.now += 5.0
@@ -274,7 +276,7 @@
     assert candidate.election.known_leader.leader_since == 1005.0
 
 
-def test_a_known_leader_is_told_without_waiting(candidate: Candidate) -> None:
+def test_await_leader_returns_a_known_leader_without_waiting(candidate: Candidate) -> None:
     candidate.election._on_snapshot([OTHERS_KEY])
     waited: list[float | None] = []
 
--- a/tests/test_meetings.py
+++ b/tests/test_fault_combinations.py
@@ -23,7 +23,7 @@
 from world import World
 
 
-def next_leader(world: World) -> SimLeaderTerm:
+def fail_over(world: World) -> SimLeaderTerm:
     """The leader ends, and another node leads; its machines have not been heard yet."""
     old = world.leader()
     assert old is not None
@@ -35,14 +35,14 @@
     return leader.leader_term
 
 
-def test_answers_that_renew_a_lease_stop_what_must_be_gone() -> None:
+def test_responses_to_stale_heartbeats_stop_cancelled_tasks() -> None:
     # A report with an older token proves nothing, but its answer renews a lease: were a task that was
     # cancelled long ago left out of it, and the machine to hang right then, the task would outlive cancel_s.
     world, _ = leading_world()
     world.cancel("job-000001")
     old = world.workers["vm-000001"].heartbeat()
     assert [chore["status"] for chore in old["chores"]] == ["running"]
-    leader_term = next_leader(world)
+    leader_term = fail_over(world)
     answer = leader_term.controller.handle_heartbeat(parse_heartbeat(old))
     assert answer is not None
     assert [(order["verb"], order["chore"]) for order in answer.body()["orders"]] == [
@@ -50,10 +50,10 @@
     ]
 
 
-def test_old_heartbeat_at_a_new_leader_proves_nothing() -> None:
+def test_stale_heartbeat_does_not_reconcile_a_worker_with_a_new_leader() -> None:
     world, _ = leading_world()
     old = world.workers["vm-000001"].heartbeat()
-    leader_term = next_leader(world)
+    leader_term = fail_over(world)
     attempts = leader_term.controller.reconciler
     assert attempts.lease_expiry.unreconciled == {"vm-000001"}
     answer = leader_term.controller.handle_heartbeat(parse_heartbeat(old))
@@ -75,7 +75,7 @@
     assert other.handle_heartbeat({**old, "baton": leader_term.fencing_token})[0] == 200
 
 
-def test_cancellation_that_overtakes_its_submission() -> None:
+def test_cancellation_handled_before_its_submission() -> None:
     # The decision thread takes cancellations before submissions, and other controllers tell of them.
     _, leader_term = leading_world()
     controller = leader_term.controller
@@ -85,7 +85,7 @@
     assert "job-000007" not in controller.ctx.fleet.jobs
 
 
-def test_job_whose_record_is_gone_is_over() -> None:
+def test_job_whose_record_was_deleted_is_removed() -> None:
     # Its news came in an order that let it come into being: the plan that can't be made durable ends it, or
     # machines would be rented for it for ever.
     world, leader_term = leading_world()
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("via", [StartChannel.DIRECT, StartChannel.HEARTBEAT_RESPONSE])
-def test_nothing_starts_on_a_machine_before_its_record_is_durable(via: StartChannel) -> None:
+def test_no_task_starts_on_a_machine_before_its_record_is_durable(via: StartChannel) -> None:
     # It is up at once and has room, while writes lag; the leader may end at any moment, and the next one
     # would not know that the machine holds anything.
     world, leader_term = leading_world()
@@ -122,7 +122,7 @@
     assert world.violations == []
 
 
-def test_conflict_with_ones_own_first_try() -> None:
+def test_retry_that_conflicts_with_its_own_first_attempt_succeeds() -> None:
     # The transaction is carried out and its answer lost: the repeat fails on what the first try wrote.
     world, leader_term = leading_world()
     node = next(node for node in world.nodes if node.leader_term is None)
@@ -153,7 +153,7 @@
     return Election(world.settings, Options(), store, won.append, lambda: None, lambda: False, world.rng)
 
 
-def test_election_whose_answer_is_lost_is_won() -> None:
+def test_election_with_a_lost_commit_response_is_won() -> None:
     store = UnreliableStore("lost")
     won: list[Term] = []
     permit = store.state.lease(2500)[1]["permit"]
@@ -162,19 +162,19 @@
     assert store.state.keys[LEADER_KEY][1] == won[0].key_revision
 
 
-def test_claim_that_is_carried_out_late_takes_the_lead_from_nobody() -> None:
+def test_claim_that_is_committed_late_does_not_replace_the_leader() -> None:
     store = UnreliableStore("late")
     won: list[Term] = []
     first, second = (store.state.lease(2500)[1]["permit"] for _ in range(2))
     with pytest.raises(OutcomeUnknownError):
         candidate(store, won)._claim_leadership(first, 0.0)
     candidate(store, won)._claim_leadership(second, 0.0)
-    assert store.carry_out_late() == [409]
+    assert store.apply_late_transactions() == [409]
     assert [term.lease_id for term in won] == [second]
     assert store.state.keys[LEADER_KEY][0]["permit"] == second
 
 
-def test_repeats_cost_no_changes() -> None:
+def test_repeated_submissions_cost_no_changes() -> None:
     # Failing conditions count as changes: users that repeat what is accepted, at any node that knows of it,
     # would eat up what the leader needs.
     world, leader_term = leading_world()
@@ -191,7 +191,7 @@
     assert world.work["changes"] <= before + 1
 
 
-class NoSlot:
+class ExhaustedSlots:
     """Every slot is taken, and nobody may wait for one."""
 
     def acquire(self, blocking: bool = True, timeout: float | None = None) -> bool:
@@ -200,10 +200,10 @@
         return False
 
 
-def test_what_cannot_be_taken_is_answered_at_once() -> None:
+def test_requests_without_a_free_slot_are_rejected_at_once() -> None:
     world, _ = leading_world()
     users: Any = world.nodes[0].users
-    users._user_request_slots = NoSlot()
+    users._user_request_slots = ExhaustedSlots()
     body = encode(wire(world.jobs["job-000001"]))
     for answer in (users.abort("job-000001"), users.submit(body)):
         assert answer[0] == 429
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -57,7 +57,7 @@
         (ExitCause.STOPPED, GangState.ASSEMBLING),
     ],
 )
-def test_ends_of_a_task_that_end_the_attempt(cause: ExitCause, state: GangState) -> None:
+def test_exit_causes_that_fail_the_attempt(cause: ExitCause, state: GangState) -> None:
     world, gangs, job_id = assembling_world()
     job = job_of(world, job_id)
     gangs.task_exited(job.active[1], cause, world.now)
@@ -67,7 +67,7 @@
     assert all((attempt.stop_requested_at is not None) is failed for attempt in job.active.values())
 
 
-def test_whole_stop_gives_every_task_the_time_to_save() -> None:
+def test_stop_of_a_gang_gives_every_task_time_to_save() -> None:
     world, gangs, job_id = assembling_world()
     job = job_of(world, job_id)
     world.run(world.now + 12.0)
@@ -85,7 +85,7 @@
 # -- each condition by itself --------------------------------------------------------------------------
 
 
-class Assembling:
+class AssemblingGang:
     """A gang of three whose tasks are all sent, and the stops that are asked for."""
 
     def __init__(self) -> None:
@@ -94,9 +94,9 @@
         self.now = self.world.now
         self.stops: list[tuple[int, float]] = []
         self._stop_task = self.gangs._stop_task
-        self.gangs._stop_task = self._noted
+        self.gangs._stop_task = self._record_stop
 
-    def _noted(self, attempt: Attempt, grace_s: float, now: float) -> None:
+    def _record_stop(self, attempt: Attempt, grace_s: float, now: float) -> None:
         self.stops.append((attempt.index, grace_s))
         attempt.stop_requested_at, attempt.grace_s = now, grace_s
 
@@ -120,13 +120,13 @@
 
 
 @pytest.fixture
-def assembling() -> Assembling:
-    one = Assembling()
-    assert (one.state(), len(one.job.active)) == (GangState.ASSEMBLING, 3)
-    return one
+def assembling() -> AssemblingGang:
+    gang = AssemblingGang()
+    assert (gang.state(), len(gang.job.active)) == (GangState.ASSEMBLING, 3)
+    return gang
 
 
-def test_tasks_of_two_attempts_end_the_attempt(assembling: Assembling) -> None:
+def test_tasks_of_two_attempts_fail_the_attempt(assembling: AssemblingGang) -> None:
     first = assembling.job.active[0]
     assembling.gangs.adopt(first, assembling.now)
     assert assembling.state() is GangState.ASSEMBLING
@@ -136,8 +136,8 @@
     assert assembling.stops == [(0, 0.0), (1, 0.0), (2, 0.0)]
 
 
-def test_a_task_that_is_seen_to_save_shows_that_an_earlier_leader_began_to_stop(
-    assembling: Assembling,
+def test_a_saving_task_shows_that_an_earlier_leader_began_to_stop_the_gang(
+    assembling: AssemblingGang,
 ) -> None:
     assembling.observe(0, TaskState.RUNNING)
     assert assembling.state() is GangState.RUNNING
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("failed", [False, True])
-def test_a_task_that_is_seen_after_the_stop_is_stopped_as_well(assembling: Assembling, failed: bool) -> None:
+def test_a_task_observed_after_the_stop_is_stopped_as_well(assembling: AssemblingGang, failed: bool) -> None:
     if failed:
         assembling.gangs.abandon(assembling.job, "no capacity", assembling.now)
     else:
@@ -160,7 +160,7 @@
     assert assembling.state() is before
 
 
-def test_a_stop_is_repeated_only_with_less_time(assembling: Assembling) -> None:
+def test_a_stop_is_repeated_only_with_a_shorter_grace_period(assembling: AssemblingGang) -> None:
     assembling.gangs.stop(assembling.job, assembling.now)
     assembling.stops.clear()
     assembling.gangs.stop(assembling.job, assembling.now)
@@ -170,7 +170,7 @@
     assert assembling.stops == [(0, 0.5), (1, 0.5), (2, 0.5)]
 
 
-def test_an_attempt_that_failed_stays_so(assembling: Assembling) -> None:
+def test_a_failed_attempt_stays_failed(assembling: AssemblingGang) -> None:
     assembling.gangs.task_exited(assembling.job.active[0], ExitCause.ERROR, assembling.now)
     assembling.gangs.stop(assembling.job, assembling.now)
     assert assembling.state() is GangState.FAILED
@@ -179,7 +179,7 @@
     assert assembling.job.avoided_machines == set()
 
 
-def test_an_end_while_all_are_stopped_fails_nothing(assembling: Assembling) -> None:
+def test_an_exit_during_a_stop_does_not_fail_the_attempt(assembling: AssemblingGang) -> None:
     assembling.gangs.stop(assembling.job, assembling.now)
     assembling.gangs.task_exited(assembling.job.active[0], ExitCause.PEER_LOST, assembling.now)
     assembling.gangs.abandon(assembling.job, "no capacity", assembling.now)
@@ -187,8 +187,8 @@
 
 
 @pytest.mark.parametrize("cause", [ExitCause.GANG_INCOMPLETE, ExitCause.ERROR])
-def test_machines_of_late_tasks_are_avoided_where_the_others_waited_too_long(
-    assembling: Assembling, cause: ExitCause
+def test_machines_of_late_tasks_are_avoided_after_the_other_tasks_waited_too_long(
+    assembling: AssemblingGang, cause: ExitCause
 ) -> None:
     first, second, third = (assembling.job.active[index] for index in range(3))
     first.status, second.status, third.status = TaskState.WAITING, TaskState.WAITING, TaskState.SENT
@@ -198,7 +198,7 @@
     assert assembling.job.avoided_machines == ({"vm-late"} if cause is ExitCause.GANG_INCOMPLETE else set())
 
 
-def test_only_a_running_gang_fails_without_one_of_its_tasks(assembling: Assembling) -> None:
+def test_only_a_running_gang_fails_when_it_loses_a_task(assembling: AssemblingGang) -> None:
     assembling.lose(0)
     assert assembling.state() is GangState.ASSEMBLING
     assembling.observe(1, TaskState.RUNNING)
@@ -207,7 +207,7 @@
     assert assembling.stops == [(2, 0.0)]
 
 
-def test_a_gang_of_which_nothing_is_left_to_do_does_not_fail(assembling: Assembling) -> None:
+def test_a_gang_without_remaining_tasks_does_not_fail(assembling: AssemblingGang) -> None:
     assembling.observe(0, TaskState.RUNNING)
     for index in range(3):
         assembling.job.complete(index)
@@ -217,7 +217,9 @@
     assert assembling.stops == []
 
 
-def test_an_attempt_is_abandoned_so_long_after_its_first_task_began_to_wait(assembling: Assembling) -> None:
+def test_an_attempt_is_abandoned_gang_wait_s_after_its_first_task_began_to_wait(
+    assembling: AssemblingGang,
+) -> None:
     wait_s = assembling.world.settings.deployment.workers.gang_wait_s
     third = assembling.job.active[2]
     # All three were put on the same machine.
@@ -234,7 +236,7 @@
     assert assembling.job.avoided_machines == {"vm-late"}
 
 
-def test_a_gang_that_runs_is_not_abandoned(assembling: Assembling) -> None:
+def test_a_running_gang_is_not_abandoned(assembling: AssemblingGang) -> None:
     assembling.observe(0, TaskState.WAITING)
     assembling.observe(1, TaskState.RUNNING)
     assembling.gangs.tick(assembling.now + 1e6)
--- a/tests/test_lease_delegation.py
+++ b/tests/test_lease_delegation.py
@@ -53,7 +53,7 @@
 LONG_AGO = float("-inf")
 
 
-def test_no_lease_is_renewed_while_the_leader_is_heard() -> None:
+def test_no_lease_is_renewed_while_pings_of_the_leader_arrive() -> None:
     clocks = Clocks()
     renewals, durations = delegate(clocks)
     worker = heartbeat()
@@ -84,7 +84,7 @@
         pytest.param(FENCING_TOKEN - 1, True, None, id="another-key"),
     ],
 )
-def test_with_the_state_service_leases_are_renewed_in_a_partition_only(
+def test_with_a_reachable_state_service_leases_are_renewed_only_in_a_partition(
     known_fencing_token: int, unreachable: bool, expected: int | None
 ) -> None:
     clocks = Clocks()
@@ -106,7 +106,7 @@
     )
 
 
-def test_a_delegation_ends_by_its_own_time_of_day() -> None:
+def test_a_delegation_expires_by_the_wall_clock() -> None:
     clocks = Clocks()
     renewals, durations = delegate(clocks)
     clocks.now += 2 * durations.delegated_renewal_after_s
@@ -117,7 +117,7 @@
     assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) is None
 
 
-def test_only_workers_of_that_leader_whose_machine_is_not_excluded_are_renewed() -> None:
+def test_only_leases_of_that_leaders_workers_on_machines_not_excluded_are_renewed() -> None:
     clocks = Clocks()
     renewals, durations = delegate(clocks)
     clocks.now += 2 * durations.delegated_renewal_after_s
@@ -151,14 +151,14 @@
 # -- the leader's side ----------------------------------------------------------------------------------
 
 
-def test_a_controller_that_was_granted_nothing_renewed_nothing() -> None:
+def test_a_controller_without_a_grant_has_renewed_no_lease() -> None:
     tracker = DelegationTracker(make_durations(), SKEW_S)
     # A response to an earlier leader.
     tracker.record_response("hive-1", 5.0)
     assert tracker.latest_possible_renewal_at(1000.0) == float("-inf")
 
 
-def test_a_controller_that_responds_in_time_renewed_nothing() -> None:
+def test_a_controller_that_responds_in_time_has_renewed_no_lease() -> None:
     durations = make_durations()
     tracker = DelegationTracker(durations, SKEW_S)
     tracker.record_grant("hive-1", 0.0)
--- a/tests/test_linearizable_reads.py
+++ b/tests/test_linearizable_reads.py
@@ -152,7 +152,7 @@
     )
 
 
-def test_no_answer_is_older_than_one_before_its_query() -> None:
+def test_no_answer_is_older_than_an_answer_given_before_its_query() -> None:
     _search(Reads, 250)
 
 
@@ -173,7 +173,7 @@
         yield from advance_view(view)
 
 
-def _one_follow(view: ActiveJobsView) -> Any:
+def _one_poll(view: ActiveJobsView) -> Any:
     """One follow is taken for enough, however late it is."""
     yield ReadRevision()
     if view.revision < 0:
@@ -238,13 +238,13 @@
 # Plans without a guard, and the late changes and changes kept that show it.
 BROKEN_PLANS = [
     pytest.param(_without_revision, 0, 9, id="without-revision"),
-    pytest.param(_one_follow, 3, 9, id="one-follow"),
+    pytest.param(_one_poll, 3, 9, id="one-poll"),
     pytest.param(_gap_is_skipped, 0, 0, id="gap-is-skipped"),
 ]
 
 
 @pytest.mark.parametrize(("broken", "lag", "kept"), BROKEN_PLANS)
-def test_checker_finds_a_plan_without_a_guard(broken: Any, lag: int, kept: int) -> None:
+def test_checker_detects_a_plan_without_a_guard(broken: Any, lag: int, kept: int) -> None:
     # A search for the sequence came out differently with what other modules were loaded: it draws constants
     # from their sources as well. These sequences are the ones that it found.
     query_after_a_write(Reads(), lag, kept)
@@ -303,7 +303,7 @@
     return step
 
 
-def test_pages_that_are_not_a_snapshot_are_followed_to_the_newest_of_them() -> None:
+def test_changes_are_polled_up_to_the_newest_revision_of_the_pages() -> None:
     assert not _through_a_change_between_pages(advance_view)
     assert _through_a_change_between_pages(_pages_as_snapshot)
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -28,21 +28,20 @@
 from poppyhold.wire.codec import encode
 from poppyhold.wire.frames import send_message
 from poppyhold.wire.http_server import HttpResponse, http_response
-from test_smoke import Outside as OutsideStandIns
-from test_smoke import eventually
+from test_smoke import ExternalStandIns, eventually
 from world import World
 
 PING = ["ping", "hive-1", 7, True, 0.5, 40, 3]
 PONG = ["pong", "hive-1", 0, False, 0.5, 40, 3]
 
 
-class Handler:
+class PingHandler:
     """A controller that takes part in nothing but pings."""
 
     def __init__(self) -> None:
         self.ping = Ping("hive-0", 0, False, 0.0, -1, 0)
         self.pong = Pong("hive-0", 0, False, 0.0, -1, 0)
-        self.taken: list[Pong] = []
+        self.pongs: list[Pong] = []
 
     def compose_ping(self) -> Ping:
         return self.ping
@@ -60,7 +59,7 @@
         return self.pong
 
     def handle_pong(self, pong: Pong, requested_at: float) -> None:
-        self.taken.append(pong)
+        self.pongs.append(pong)
 
     def on_connection_refused(self, member: str) -> None:
         pass
@@ -72,7 +71,7 @@
         raise ValueError("this fleet has one cell")
 
 
-def over_a_connection(message: list[Any]) -> PeerMessage:
+def receive_encoded(message: list[Any]) -> PeerMessage:
     """What is received of a message that another version sent."""
     ours, theirs = socket.socketpair()
     with ours, theirs:
@@ -81,27 +80,27 @@
         return receive_peer_message(ours)
 
 
-def test_messages_of_other_versions_are_taken() -> None:
-    old = over_a_connection(PONG)
+def test_messages_of_older_and_newer_versions_are_decoded() -> None:
+    old = receive_encoded(PONG)
     assert isinstance(old, Pong)
     # A version that names nothing: all that it told came by the one revision that it says.
     assert (old.cancellations, old.cancellations_bound, old.reachable_peers) == ([], 40, [])
-    newer = over_a_connection(
+    newer = receive_encoded(
         [*PONG, [["job-000001", 41]], 12, [["vm-1", 1, 7]], ["hive-2"], "a further field", {"and": "more"}]
     )
     assert isinstance(newer, Pong)
     assert (newer.cancellations, newer.cancellations_bound) == ([("job-000001", 41)], 12)
     assert newer.misdirected_workers == [("vm-1", 1, 7)]
     assert newer.reachable_peers == ["hive-2"]
-    ping = over_a_connection(PING)
+    ping = receive_encoded(PING)
     assert isinstance(ping, Ping)
     assert ping.applied_revision == -1
     # A version that says nothing of relays never takes reports from them.
     assert not ping.accepts_relays
-    assert isinstance(over_a_connection([*PING, [], [], None, 39, True, "a further field"]), Ping)
+    assert isinstance(receive_encoded([*PING, [], [], None, 39, True, "a further field"]), Ping)
 
 
-def test_an_older_version_reads_what_we_send() -> None:
+def test_an_older_version_decodes_messages_of_this_version() -> None:
     class OldPong(msgspec.Struct, frozen=True, array_like=True, tag="pong"):
         member: str
         fencing_token: int
@@ -118,13 +117,13 @@
 
 
 @pytest.mark.parametrize("message", [[], ["pong"], [*PONG[:5], "x", 3], ["pang", 1], {"a": 1}], ids=str)
-def test_malformed_messages_are_refused(message: list[Any]) -> None:
+def test_malformed_messages_are_rejected(message: list[Any]) -> None:
     # Of all kinds that the codec raises for a malformed message.
     with pytest.raises(ValueError):  # noqa: PT011
-        over_a_connection(message)
+        receive_encoded(message)
 
 
-def test_unlisted_cancellations_bound_what_a_leader_knows() -> None:
+def test_unlisted_cancellations_raise_the_bound_revision() -> None:
     confirmed = Cancellations(2)
     assert confirmed.summarize(-1) == ([], -1)
     assert confirmed.summarize(5) == ([], 5)
@@ -183,13 +182,13 @@
     assert acted_on.summarize(0) == ([], 12)
 
 
-class Impostor:
+class WrongResponder:
     """A controller's address at which something else answers pings."""
 
     def __init__(self, *answers: Any) -> None:
         self._answers = answers
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.asked = 0
+        self.requests = 0
         threading.Thread(target=self._serve, daemon=True).start()
 
     def _serve(self) -> None:
@@ -201,47 +200,47 @@
             with connection:
                 try:
                     receive_peer_message(connection)
-                    body = msgspec.msgpack.encode(self._answers[self.asked % len(self._answers)])
-                    self.asked += 1
+                    body = msgspec.msgpack.encode(self._answers[self.requests % len(self._answers)])
+                    self.requests += 1
                     connection.sendall(len(body).to_bytes(4, "big") + body)
                     connection.recv(1)
                 except (OSError, ValueError):
                     continue
 
 
-def test_responses_of_others_prove_nothing_and_end_no_thread() -> None:
-    impostor = Impostor(["pong", "hive-9", *PONG[2:]], {"a": 1}, ["pong", "hive-1"], PING, PONG)
+def test_responses_of_other_senders_are_discarded_and_pings_continue() -> None:
+    responder = WrongResponder(["pong", "hive-9", *PONG[2:]], {"a": 1}, ["pong", "hive-1"], PING, PONG)
     settings = msgspec.structs.replace(
         World(1, 10.0, 30.0, [Team("alpha")]).settings,
         peer_listen=f"127.0.0.1:{free_port()}",
-        peers=[PeerController("hive-1", "a", f"127.0.0.1:{impostor.listener.getsockname()[1]}")],
+        peers=[PeerController("hive-1", "a", f"127.0.0.1:{responder.listener.getsockname()[1]}")],
     )
-    handler = Handler()
+    handler = PingHandler()
     peers = Peers(settings, handler)
     peers.start()
     try:
         # Only the last of them is an answer of hive-1; it is asked again and again behind the others.
-        eventually(lambda: len(handler.taken) == 2)
-        assert impostor.asked >= 2 * 5
-        assert {pong.member for pong in handler.taken} == {"hive-1"}
+        eventually(lambda: len(handler.pongs) == 2)
+        assert responder.requests >= 2 * 5
+        assert {pong.member for pong in handler.pongs} == {"hive-1"}
     finally:
         peers.stop()
-        impostor.listener.close()
+        responder.listener.close()
 
 
-class RejectingServices(OutsideStandIns):
+class RejectingServices(ExternalStandIns):
     """The state service can refuse watches alone, those that are open too, or everything."""
 
     def __init__(self) -> None:
-        self.blind = self.down = False
+        self.rejects_watches = self.rejects_all = False
         super().__init__()
 
     def _state(self, method: str, path: str, body: bytes) -> HttpResponse:
-        answered = http_response(503) if self.down else super()._state(method, path, body)
-        return http_response(503) if self.blind and path.startswith("/follow") else answered
+        answered = http_response(503) if self.rejects_all else super()._state(method, path, body)
+        return http_response(503) if self.rejects_watches and path.startswith("/follow") else answered
 
 
-def test_leader_stops_what_its_own_user_api_cancelled() -> None:
+def test_leader_stops_tasks_that_its_own_user_api_cancelled() -> None:
     """It confirms a cancellation, and the state service never tells it of that: it knows all the same."""
     world = RejectingServices()
     settings = msgspec.structs.replace(
@@ -270,9 +269,9 @@
             body = encode(wire(job))
             eventually(lambda body=body: node.user_api.submit(body)[0] in (200, 201))  # type: ignore[misc]
         eventually(lambda: len(world.worker.on_machine()) == 2)
-        world.blind = True
+        world.rejects_watches = True
         eventually(lambda: node.user_api.abort("job-000001")[0] == 200)
-        world.down = True
+        world.rejects_all = True
         eventually(lambda: world.worker.on_machine() == ["job-000002/0"])
         # It was stopped; had the lease ended instead, the other one would be gone as well.
         assert world.worker.incarnation == 1
@@ -291,11 +290,11 @@
         pytest.param(b"\x00\x00", True, id="half a length"),
     ],
 )
-def test_a_bad_message_ends_its_connection_and_no_other(data: bytes, waits_for_more: bool) -> None:
+def test_a_malformed_message_closes_only_its_own_connection(data: bytes, waits_for_more: bool) -> None:
     settings = msgspec.structs.replace(
         World(1, 10.0, 30.0, []).settings, peer_listen=f"127.0.0.1:{free_port()}", peers=[]
     )
-    handler = Handler()
+    handler = PingHandler()
     peers = Peers(settings, handler)
     peers.start()
     address = split_address(settings.peer_listen)
--- a/tests/test_program_forms.py
+++ b/tests/test_program_forms.py
@@ -36,7 +36,7 @@
 from poppyhold.scale.controllers import free_port
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.wire.http_server import HttpResponse, http_response
-from test_smoke import PATIENCE_S, ROOT, Outside, eventually
+from test_smoke import ROOT, TIMEOUT_S, ExternalStandIns, eventually
 
 FIXTURE_FILE = Path(__file__).parent / "fixtures" / "program_forms.json"
 Data = dict[str, Any]
@@ -124,7 +124,7 @@
                 self.counts += value[7]
 
 
-class RecordedOutside(Outside):
+class RecordedOutside(ExternalStandIns):
     """State service, cloud and worker that note what they are asked."""
 
     def __init__(self, recorder: Recorder) -> None:
@@ -157,9 +157,9 @@
         self.recorder.note(_general(f"cloud: {method} {path}"), cbor2.loads(body) if body else {})
         return super()._cloud(method, path, body)
 
-    def _do(self, method: str, path: str, body: bytes) -> HttpResponse:
+    def _command(self, method: str, path: str, body: bytes) -> HttpResponse:
         self.recorder.note(f"worker: {method} {path}", cbor2.loads(body))
-        return super()._do(method, path, body)
+        return super()._command(method, path, body)
 
 
 class Listener:
@@ -258,7 +258,7 @@
                 outside.worker.answered(answer, sent_at, shift)
 
 
-def _job(outside: Outside, job_id: str, **fields: object) -> Data:
+def _job(outside: ExternalStandIns, job_id: str, **fields: object) -> Data:
     job = submission(job_id, {"crew": TEAM, "sizeGb": 0.1, **fields})
     outside.jobs[job_id] = job
     return wire(job)
@@ -369,7 +369,7 @@
             _with_another_leader(program)
             threading.Thread(target=report, daemon=True).start()
             _leading(program)
-            deadline = time.monotonic() + PATIENCE_S
+            deadline = time.monotonic() + TIMEOUT_S
             while not finished(recorder.lines) and time.monotonic() < deadline:
                 time.sleep(0.1)
         finally:
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -25,7 +25,7 @@
     return world, leader.leader_term
 
 
-def test_start_that_waited_through_the_end_of_an_incarnation_is_not_sent() -> None:
+def test_start_queued_before_a_new_incarnation_is_not_sent() -> None:
     # Seen on a drawn day: the worker's lease expired while a start waited for the response to the
     # command before it. The task was started elsewhere, and then the old start was sent as well, under the
     # new incarnation, and executed.
--- a/tests/test_reconciliation_proofs.py
+++ b/tests/test_reconciliation_proofs.py
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("heartbeat_interval_s", [1.0, 2.0])
-def test_a_worker_that_seems_to_miss_responses_gets_none_after_a_while(
+def test_an_unreconciled_worker_seems_to_miss_responses_only_after_a_while(
     harness: ReconciliationHarness, heartbeat_interval_s: float
 ) -> None:
     harness.ctx.durations.heartbeat_interval_s = heartbeat_interval_s
@@ -150,7 +150,7 @@
 # -- responses to commands -----------------------------------------------------------------------------
 
 
-def test_a_response_of_a_deleted_machine_shows_nothing(harness: ReconciliationHarness) -> None:
+def test_a_response_of_a_deleted_machine_is_ignored(harness: ReconciliationHarness) -> None:
     heartbeat = harness.heartbeat()
     harness.reconciler.lease_expiry.machine_deleted(harness.machine)
     harness.reconciler._handle_command_response(harness.machine, [], RequestOutcome.OK, heartbeat)
@@ -158,7 +158,7 @@
     assert not harness.machine.attempts
 
 
-def test_a_response_with_a_higher_fencing_token_ends_the_term_and_shows_nothing_else(
+def test_a_response_with_a_higher_fencing_token_ends_the_term_and_is_otherwise_ignored(
     harness: ReconciliationHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     seen: list[int] = []
@@ -188,7 +188,7 @@
         ),
     ],
 )
-def test_what_the_outcome_of_a_start_says_of_its_attempt(
+def test_effect_of_the_outcome_of_a_start_on_its_attempt(
     harness: ReconciliationHarness,
     outcome: RequestOutcome,
     status: str,
@@ -206,7 +206,7 @@
     assert not harness.machine.command_in_flight
 
 
-def test_an_outcome_is_that_of_the_attempt_that_was_sent(harness: ReconciliationHarness) -> None:
+def test_an_outcome_applies_only_to_the_attempt_that_was_sent(harness: ReconciliationHarness) -> None:
     before = msgspec.structs.replace(harness.attempt, status=TaskState.SENT)
     harness.reconciler._handle_command_response(harness.machine, [before], RequestOutcome.REJECTED, None)
     assert harness.job.active[0] is harness.attempt
@@ -269,7 +269,7 @@
     return not harness.machine.attempts
 
 
-def test_attempts_of_a_silent_worker_end_with_the_last_lease_that_we_or_a_delegate_renewed(
+def test_attempts_of_a_silent_worker_end_with_the_last_lease_that_the_leader_or_a_delegate_renewed(
     harness: ReconciliationHarness,
 ) -> None:
     over_s = harness.ctx.durations.lease_expired_s
@@ -284,7 +284,7 @@
     assert not harness.reconciler.lease_expiry.unreconciled
 
 
-def test_a_lease_that_we_renewed_counts_though_no_delegate_renewed_one(
+def test_a_lease_renewed_by_the_leader_counts_without_a_delegated_renewal(
     harness: ReconciliationHarness,
 ) -> None:
     harness.machine.last_answered_at = 1000.0
@@ -311,7 +311,7 @@
 # -- commands ------------------------------------------------------------------------------------------
 
 
-def test_one_request_at_a_time_goes_to_a_machine_with_so_many_commands(
+def test_a_machine_gets_one_request_at_a_time_with_a_bounded_number_of_commands(
     harness: ReconciliationHarness,
 ) -> None:
     commands = harness.reconciler.lifecycle.commands
@@ -352,7 +352,7 @@
     ("field", "value"),
     [("command_in_flight", True), ("next_probe_at", 1e9), ("endpoint", ""), ("deleting", True)],
 )
-def test_a_worker_that_cannot_be_probed_now_is_not(
+def test_a_worker_that_cannot_be_probed_now_is_not_probed(
     harness: ReconciliationHarness, field: str, value: Any
 ) -> None:
     harness.machine.next_probe_at = 0.0
@@ -403,7 +403,7 @@
     [(True, 100.0, 4, True, 4), (True, 0.0, 4, False, 4), (False, 100.0, 0, False, 1)],
     ids=["silent", "heard-lately", "unreconciled"],
 )
-def test_a_silent_worker_holds_up_no_other_and_an_unreconciled_one_is_asked_for_its_incarnation(
+def test_silent_workers_use_the_slow_lane_and_unreconciled_ones_are_asked_for_their_incarnation(
     harness: ReconciliationHarness,
     is_reconciled: bool,
     silent_s: float,
--- a/tests/test_request_router.py
+++ b/tests/test_request_router.py
@@ -74,7 +74,7 @@
         ("GET", "/api/jobs/job-000001/abort", "POST"),
     ],
 )
-def test_other_methods_are_answered_with_the_one_allowed(
+def test_other_methods_get_405_with_the_allowed_method(
     api: RecordingUserApi, method: str, path: str, allowed: str
 ) -> None:
     assert router(api).route(method, path, b"") == (405, {"error": "method"}, {"Allow": allowed})
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("path", ["/", "/api", "/api/jobsx", "/api/jobs/job-000001/start", "/hello/"])
-def test_other_paths_are_unknown(api: RecordingUserApi, path: str) -> None:
+def test_unknown_paths_get_404(api: RecordingUserApi, path: str) -> None:
     for method in ("GET", "POST"):
         assert router(api).route(method, path, b"") == (404, {"error": "no such path"}, {})
     assert not api.calls
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -32,19 +32,19 @@
 from world import World
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE_S = 60.0
+TIMEOUT_S = 60.0
 Data = dict[str, Any]
 
 
 def eventually(what: Callable[[], object]) -> None:
     """Wait until something holds."""
-    deadline = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + TIMEOUT_S
     while not what():
         assert time.monotonic() < deadline, "did not come about"
         time.sleep(0.1)
 
 
-class Outside:
+class ExternalStandIns:
     """State service, cloud and one worker, each on a port of loopback."""
 
     def __init__(self) -> None:
@@ -67,7 +67,7 @@
         )
         self.lock = threading.Lock()
         self.servers = [
-            HttpServer(("127.0.0.1", 0), route, 50) for route in (self._state, self._cloud, self._do)
+            HttpServer(("127.0.0.1", 0), route, 50) for route in (self._state, self._cloud, self._command)
         ]
         self.ports = [server.server_port for server in self.servers]
         self.worker.endpoint = f"127.0.0.1:{self.ports[2]}"
@@ -99,7 +99,7 @@
             self.cloud.remember()
             return http_response(*cloud_route(self.cloud, method, path, body))
 
-    def _do(self, method: str, path: str, body: bytes) -> HttpResponse:
+    def _command(self, method: str, path: str, body: bytes) -> HttpResponse:
         with self.lock:
             return http_response(*self.worker.do(decode(body)))
 
@@ -120,8 +120,8 @@
 
 
 @pytest.fixture
-def outside() -> Iterator[Outside]:
-    world = Outside()
+def outside() -> Iterator[ExternalStandIns]:
+    world = ExternalStandIns()
     yield world
     world.close()
 
@@ -129,7 +129,7 @@
 class Program:
     """One controller as a process."""
 
-    def __init__(self, outside: Outside, folder: Path) -> None:
+    def __init__(self, outside: ExternalStandIns, folder: Path) -> None:
         self.port = free_port()
         settings = folder / "settings.toml"
         settings.write_text(
@@ -174,12 +174,12 @@
         self.client.close()
 
 
-def test_program_serves_and_comes_back(outside: Outside, tmp_path: Path) -> None:
+def test_program_serves_jobs_and_recovers_after_a_kill(outside: ExternalStandIns, tmp_path: Path) -> None:
     program = Program(outside, tmp_path)
-    reporting = threading.Event()
+    stopped = threading.Event()
 
     def heartbeat() -> None:
-        while not reporting.wait(0.3):
+        while not stopped.wait(0.3):
             outside.heartbeat(program.port)
 
     try:
@@ -200,9 +200,9 @@
         assert program.ask("POST", "/api/jobs", {"nameId": "job-000003"})[0] == 400
         assert program.ask("DELETE", "/api/jobs")[0] == 405
         assert program.ask("GET", "/elsewhere")[0] == 404
-        with socket.create_connection(("127.0.0.1", program.port)) as rude:
-            rude.sendall(b"POST /api/jobs HTTP/1.1\r\nContent-Length: 9999999\r\n\r\n")
-            assert rude.recv(100).startswith(b"HTTP/1.1 413")
+        with socket.create_connection(("127.0.0.1", program.port)) as oversized:
+            oversized.sendall(b"POST /api/jobs HTTP/1.1\r\nContent-Length: 9999999\r\n\r\n")
+            assert oversized.recv(100).startswith(b"HTTP/1.1 413")
         program.kill()
         program = Program(outside, tmp_path)
         eventually(lambda: program.ask("GET", "/api/jobs/job-000001")[1].get("status") == "done")
@@ -211,7 +211,7 @@
         assert outside.started.count("job-000002/0") == 1
         assert program.process.poll() is None
     finally:
-        reporting.set()
+        stopped.set()
         program.kill()
 
 
@@ -231,7 +231,7 @@
     assert "domain" in result.stderr
 
 
-def test_server_outlives_what_peers_send() -> None:
+def test_server_survives_malformed_and_failing_requests() -> None:
     calls: list[str] = []
 
     def route(method: str, path: str, body: bytes) -> HttpResponse:
@@ -257,7 +257,7 @@
     assert calls == ["/fail", "/fine"]
 
 
-def test_silent_connections_make_room_and_workers_stay() -> None:
+def test_silent_connections_are_closed_for_new_ones_and_worker_connections_are_kept() -> None:
     server = HttpServer(("127.0.0.1", 0), lambda method, path, body: http_response(200), 3)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     clients = [HttpClient("127.0.0.1", server.server_port) for _ in range(4)]
@@ -280,7 +280,7 @@
         server.close_all()
 
 
-def test_old_connections_of_workers_make_room() -> None:
+def test_worker_connections_past_their_grace_period_are_closed_for_new_ones() -> None:
     server = HttpServer(
         ("127.0.0.1", 0), lambda method, path, body: http_response(200), 1, worker_grace_s=0.2
     )
@@ -297,7 +297,7 @@
         server.close_all()
 
 
-def test_the_largest_fleet_has_a_connection_each() -> None:
+def test_every_worker_of_the_largest_fleet_keeps_a_connection() -> None:
     limits = MachineLimits(max_sockets=1900)
     workers = 1000
     # Both ends are in this process.
@@ -314,7 +314,7 @@
     try:
         for _ in range(2):
             for number, client in enumerate(clients):
-                status, body = client.request("POST", "/hello", {"box": number}, timeout_s=PATIENCE_S)
+                status, body = client.request("POST", "/hello", {"box": number}, timeout_s=TIMEOUT_S)
                 assert (status, body) == (200, {"of": number})
         assert workers <= threading.active_count() - before <= workers + 10
     finally:
@@ -324,14 +324,14 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def test_silent_machines_hold_up_no_commands() -> None:
+def test_silent_machines_delay_no_commands_to_other_machines() -> None:
     busy = threading.Event()
     sent: list[str] = []
 
     def send(endpoint: str, body: Data, on_response: ResponseCallback) -> None:
         sent.append(endpoint)
         if endpoint == "silent":
-            busy.wait(PATIENCE_S)
+            busy.wait(TIMEOUT_S)
 
     pool = SenderPool(41, 1.0, send)
     for _ in range(40):
@@ -344,7 +344,7 @@
         busy.set()
 
 
-def test_limits_that_do_not_go_together_are_named() -> None:
+def test_inconsistent_limits_are_named_in_warnings() -> None:
     settings = World(1, 10.0, 30.0, []).settings
     assert limit_warnings(settings) == []
     small = msgspec.structs.replace(
@@ -366,6 +366,6 @@
     assert "carries about 500 of 680 connections" in limit_warnings(large)[0]
 
 
-def test_handler_is_the_standard_one() -> None:
+def test_server_is_the_standard_library_http_server() -> None:
     assert issubclass(HttpServer, http.server.HTTPServer)
     assert decode(encode({"a": 1})) == {"a": 1}
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -42,9 +42,9 @@
 class UnreliableStore(Store):
     """A state service that does with each transaction what it is told to."""
 
-    def __init__(self, *fates: str) -> None:
+    def __init__(self, *commit_outcomes: str) -> None:
         self.state = StateStandIn(lambda: 0.0)
-        self.fates = deque(fates)
+        self.commit_outcomes = deque(commit_outcomes)
         self.late: list[Data] = []
 
     def get(self, key: str) -> Entry | None:
@@ -53,29 +53,29 @@
 
     def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
         body = transaction_body(conditions, writes)
-        fate = self.fates.popleft() if self.fates else "answered"
-        if fate == "refused":
+        outcome = self.commit_outcomes.popleft() if self.commit_outcomes else "answered"
+        if outcome == "refused":
             raise StoreRejectedError("503")
-        if fate == "late":
+        if outcome == "late":
             self.late.append(body)
             raise OutcomeUnknownError("late")
         status, answer = self.state.commit(body)
-        if fate == "lost":
+        if outcome == "lost":
             raise OutcomeUnknownError("lost")
         if status == 409:
             raise ConditionFailedError(answer["failed"])
         return int(answer["ledger"])
 
-    def carry_out_late(self) -> list[int]:
+    def apply_late_transactions(self) -> list[int]:
         """What had no answer reaches the service now."""
         return [self.state.commit(body)[0] for body in self.late]
 
 
-def leader(*fates: str) -> tuple[UnreliableStore, FencedWriter]:
+def leader(*commit_outcomes: str) -> tuple[UnreliableStore, FencedWriter]:
     """A store with a leader's key, and that leader's writer."""
     store = UnreliableStore()
     stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
-    store.fates.extend(fates)
+    store.commit_outcomes.extend(commit_outcomes)
     return store, FencedWriter(store, stamp)
 
 
@@ -91,7 +91,7 @@
     raise AssertionError("never certain")
 
 
-FATES = [
+COMMIT_OUTCOMES = [
     ["late", "answered", "answered"],
     ["late", "late", "answered", "answered"],
     ["late", "lost", "answered", "answered"],
@@ -101,15 +101,15 @@
 ]
 
 
-@pytest.mark.parametrize("fates", FATES, ids=" ".join)
+@pytest.mark.parametrize("commit_outcomes", COMMIT_OUTCOMES, ids=" ".join)
 @pytest.mark.parametrize("key", [FENCING_TOKEN_KEY, PLAN_PREFIX + "job-000001"])
-def test_late_transactions_undo_nothing_newer(fates: list[str], key: str) -> None:
-    store, writer = leader(*fates)
+def test_late_transactions_overwrite_no_newer_value(commit_outcomes: list[str], key: str) -> None:
+    store, writer = leader(*commit_outcomes)
     for value in (1, 2, 3):
         write_until_certain(writer, key, value)
         assert store.state.keys[key][0] == {"v": value}
-    assert store.late or "late" not in fates
-    assert 200 not in store.carry_out_late()
+    assert store.late or "late" not in commit_outcomes
+    assert 200 not in store.apply_late_transactions()
     assert store.state.keys[key][0] == {"v": 3}
     # The leader goes on behind them.
     write_until_certain(writer, key, 4)
@@ -123,7 +123,7 @@
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
     store = UnreliableStore()
     stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
-    store.fates.extend(["refused"] * 12)
+    store.commit_outcomes.extend(["refused"] * 12)
     done = threading.Event()
     committer = Committer(store, settings, stamp, lambda: None)
     committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], lambda result: done.set()))
@@ -134,7 +134,7 @@
     assert pauses[-1] == settings.deployment.workers.heartbeat_interval_s / 8
 
 
-def test_transactions_keep_to_the_rate_of_writes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_transactions_do_not_exceed_the_write_rate(monkeypatch: pytest.MonkeyPatch) -> None:
     settings = World(1, 10.0, 30.0, []).settings
     now = [0.0]
 
@@ -146,15 +146,15 @@
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
     store = UnreliableStore()
     stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
-    left = threading.Semaphore(0)
+    finished = threading.Semaphore(0)
     committer = Committer(store, settings, stamp, lambda: None)
     changes = 0
     for unit in range(20):
         writes = [Put(f"{PLAN_PREFIX}{unit}-{number}", {}) for number in range(10)]
         changes += len(writes)
-        committer.submit(CommitUnit({}, writes, lambda result: left.release()))
+        committer.submit(CommitUnit({}, writes, lambda result: finished.release()))
     for _ in range(20):
-        assert left.acquire(timeout=20.0)
+        assert finished.acquire(timeout=20.0)
     committer.stop()
     # A burst goes out at once, and the last transaction when those before it have been paid for.
     state = settings.deployment.state
@@ -164,23 +164,25 @@
 class LimitedStore(UnreliableStore):
     """A state service whose limits were lowered without notice."""
 
-    def __init__(self, most_changes: int, largest: int) -> None:
+    def __init__(self, max_writes: int, max_value: int) -> None:
         super().__init__()
-        self.most_changes, self.largest = most_changes, largest
+        self.max_writes, self.max_value = max_writes, max_value
 
     def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
-        too_large = any(isinstance(write, Put) and write.data.get("v", 0) > self.largest for write in writes)
-        if len(writes) > self.most_changes or too_large:
+        too_large = any(
+            isinstance(write, Put) and write.data.get("v", 0) > self.max_value for write in writes
+        )
+        if len(writes) > self.max_writes or too_large:
             raise InvalidRequestError("400")
         return super().commit(conditions, writes)
 
 
-def test_a_unit_above_a_limit_holds_up_no_other_unit(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_unit_above_a_limit_blocks_no_other_unit(monkeypatch: pytest.MonkeyPatch) -> None:
     # By reading: a transaction that got 400 was repeated for ever, and every later one of the leader waited.
     settings = World(1, 10.0, 30.0, []).settings
     clock = SimpleNamespace(monotonic=time.monotonic, sleep=lambda seconds: time.sleep(seconds / 100))
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
-    store = LimitedStore(most_changes=1, largest=9)
+    store = LimitedStore(max_writes=1, max_value=9)
     stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     committer = Committer(store, settings, stamp, lambda: None)
     outcomes: list[tuple[int, bool]] = []
@@ -209,7 +211,7 @@
         old.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})])
     stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-1"})])
     write_until_certain(FencedWriter(store, stamp), FENCING_TOKEN_KEY, 2)
-    assert store.carry_out_late() == [409]
+    assert store.apply_late_transactions() == [409]
     with pytest.raises(ConditionFailedError, match=LEADER_KEY):
         old.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 3})])
     assert store.state.keys[FENCING_TOKEN_KEY][0] == {"v": 2}
@@ -220,18 +222,18 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.reached, self.go_on = threading.Event(), threading.Event()
+        self.reached, self.resume = threading.Event(), threading.Event()
         self.order: list[str] = []
 
     def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
         if conditions:
             self.reached.set()
-            assert self.go_on.wait(60.0)
+            assert self.resume.wait(60.0)
             self.order += [write.key for write in writes]
         return super().commit(conditions, writes)
 
 
-class Recording(BlockingStore):
+class RecordingStore(BlockingStore):
     """Records the keys of each transaction of a leader."""
 
     def __init__(self) -> None:
@@ -254,44 +256,44 @@
         stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
         settings = World(1, 10.0, 30.0, []).settings
         self.committer = Committer(store, settings, stamp, self.leadership_lost.set)
-        self._left = threading.Semaphore(0)
+        self._finished = threading.Semaphore(0)
         self.submit("first", ["first"])
         assert store.reached.wait(60.0)
 
     def submit(self, name: str, keys: list[str], conditions: dict[str, int] | None = None) -> None:
         def done(result: bool) -> None:
             self.outcomes[name] = result
-            self._left.release()
+            self._finished.release()
 
         self.committer.submit(
             CommitUnit(conditions or {}, [Put(PLAN_PREFIX + key, {}) for key in keys], done)
         )
 
     def finish(self, units: int) -> None:
-        self.store.go_on.set()
+        self.store.resume.set()
         for _ in range(units):
-            assert self._left.acquire(timeout=20.0)
+            assert self._finished.acquire(timeout=20.0)
         self.committer.stop()
 
 
-def keys_of(first: str, number: int) -> list[str]:
+def make_keys(first: str, number: int) -> list[str]:
     return [f"{first}{index}" for index in range(number)]
 
 
 @pytest.mark.parametrize(
     ("units", "conditions", "sizes"),
     [
-        pytest.param([keys_of(unit, 8) for unit in "abc"], 0, [16, 8], id="changes"),
+        pytest.param([make_keys(unit, 8) for unit in "abc"], 0, [16, 8], id="changes"),
         pytest.param([["a"], ["b"], ["c"]], 39, [2, 1], id="conditions"),
         pytest.param([[unit] for unit in "abcdefghi"], 0, [8, 1], id="units"),
         pytest.param([["a"], ["b", "a"], ["c"]], 0, [1, 3], id="a-key-of-both"),
-        pytest.param([keys_of("a", 30), ["b"]], 0, [30, 1], id="one-unit-above-the-limit"),
+        pytest.param([make_keys("a", 30), ["b"]], 0, [30, 1], id="one-unit-above-the-limit"),
     ],
 )
 def test_units_share_a_transaction_within_its_limits(
     units: list[list[str]], conditions: int, sizes: list[int]
 ) -> None:
-    store = Recording()
+    store = RecordingStore()
     # The service may allow more than the settings say.
     store.state.lower_limits(30, 8.0)
     backlog = Backlog(store)
@@ -304,8 +306,8 @@
     assert [key for keys in store.transactions[1:] for key in keys] == [key for unit in units for key in unit]
 
 
-def test_a_unit_whose_condition_fails_is_told_and_takes_no_other_with_it() -> None:
-    store = Recording()
+def test_a_unit_whose_condition_fails_does_not_fail_other_units() -> None:
+    store = RecordingStore()
     backlog = Backlog(store)
     backlog.submit("before", ["before"])
     backlog.submit("failing", ["failing"], {LEADER_KEY + "/other": 7})
@@ -315,12 +317,12 @@
     assert PLAN_PREFIX + "failing" not in store.state.keys
 
 
-def test_a_leader_that_lost_its_leadership_writes_no_more_and_says_so() -> None:
-    store = Recording()
+def test_a_committer_stops_and_signals_when_leadership_is_lost() -> None:
+    store = RecordingStore()
     backlog = Backlog(store)
     store.state.commit(transaction_body({}, [Put(LEADER_KEY, {"member": "hive-1"})]))
     backlog.submit("second", ["second"])
-    store.go_on.set()
+    store.resume.set()
     assert backlog.leadership_lost.wait(20.0)
     backlog.committer._thread.join(20.0)
     assert not backlog.committer._thread.is_alive()
@@ -329,7 +331,7 @@
     assert store.transactions == [["first"]]
 
 
-def test_a_transaction_whose_lease_expired_is_repeated() -> None:
+def test_a_transaction_whose_lease_expired_is_retried() -> None:
     class Expiring(UnreliableStore):
         tries = 0
 
@@ -345,17 +347,17 @@
     outcomes: list[bool] = []
     done = threading.Event()
 
-    def noted(result: bool) -> None:
+    def on_outcome(result: bool) -> None:
         outcomes.append(result)
         done.set()
 
-    committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], noted))
+    committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], on_outcome))
     assert done.wait(60.0)
     committer.stop()
     assert (outcomes, store.tries) == ([True], 2)
 
 
-def test_a_committer_that_is_stopped_in_an_outage_tries_no_more() -> None:
+def test_a_committer_that_is_stopped_in_an_outage_stops_retrying() -> None:
     class RejectingServices(UnreliableStore):
         tried = threading.Event()
 
@@ -390,26 +392,28 @@
 
 
 @pytest.mark.parametrize(
-    "fates", [["late"], ["answered", "late"], ["answered", "late", "lost"]], ids=" ".join
+    "commit_outcomes", [["late"], ["answered", "late"], ["answered", "late", "lost"]], ids=" ".join
 )
-def test_the_write_fence_is_raised_once_for_each_transaction_of_unknown_outcome(fates: list[str]) -> None:
-    store, writer = leader(*fates)
+def test_the_write_fence_is_raised_once_for_each_transaction_of_unknown_outcome(
+    commit_outcomes: list[str],
+) -> None:
+    store, writer = leader(*commit_outcomes)
     for value in range(5):
         write_until_certain(writer, FENCING_TOKEN_KEY, value)
     # The leader's key, five values, and one change of the write fence.
     assert store.state.ledger == 7
 
 
-def test_launches_go_before_the_plans_of_a_backlog() -> None:
+def test_launches_are_committed_before_queued_plans() -> None:
     # A hundred plans at two thirds of 25 changes a second kept the first hires of a fleet back for 11 s.
     settings = World(1, 10.0, 30.0, []).settings
     store = BlockingStore()
     stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     committer = Committer(store, settings, stamp, lambda: None)
-    left = threading.Semaphore(0)
+    finished = threading.Semaphore(0)
 
     def submit(key: str, priority: CommitPriority) -> None:
-        committer.submit(CommitUnit({}, [Put(key, {})], lambda result: left.release()), priority)
+        committer.submit(CommitUnit({}, [Put(key, {})], lambda result: finished.release()), priority)
 
     submit(f"{PLAN_PREFIX}first", CommitPriority.NORMAL)
     assert store.reached.wait(60.0)
@@ -417,20 +421,20 @@
     for number in range(20):
         submit(f"{PLAN_PREFIX}{number:02d}", CommitPriority.NORMAL)
     submit(f"{LAUNCH_PREFIX}r-1", CommitPriority.HIGHEST)
-    store.go_on.set()
+    store.resume.set()
     for _ in range(23):
-        assert left.acquire(timeout=60.0)
+        assert finished.acquire(timeout=60.0)
     committer.stop()
     plans = [f"{PLAN_PREFIX}{number:02d}" for number in range(20)]
     assert store.order == [f"{PLAN_PREFIX}first", f"{LAUNCH_PREFIX}r-1", *plans, "records"]
 
 
-def test_plans_of_urgent_jobs_go_first_and_those_without_a_guarantee_last(
+def test_plans_of_urgent_jobs_have_the_highest_commit_priority_and_unguaranteed_ones_the_lowest(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Six one-task jobs a second of a guest team kept plans of critical replicas back for a minute.
     world = World(1, 10.0, 30.0, [Team("alpha", accelerators=8), Team("gamma")])
-    ranks: dict[str, CommitPriority] = {}
+    priorities: dict[str, CommitPriority] = {}
     inner = SimLeaderTerm.commit
 
     def commit(
@@ -440,7 +444,7 @@
         done: Any,
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
-        ranks.update(
+        priorities.update(
             {
                 write.key: priority
                 for write in writes
@@ -456,7 +460,7 @@
     for job_id, (team, priority) in jobs.items():
         world.submit(submission(job_id, {"crew": team, "rank": priority}))
     world.run(8.0)
-    assert [ranks[PLAN_PREFIX + job_id] for job_id in jobs] == [
+    assert [priorities[PLAN_PREFIX + job_id] for job_id in jobs] == [
         CommitPriority.UNGUARANTEED,
         CommitPriority.NORMAL,
         CommitPriority.URGENT,
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(("kind", "expected"), [("ping", PING), ("pong", PONG)])
-def test_messages_are_those_of_the_production_version(kind: str, expected: Message) -> None:
+def test_messages_match_those_of_the_production_version(kind: str, expected: Message) -> None:
     recorded = bytes.fromhex(FIXTURE["messages"][kind])
     decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Ping | Pong)
     assert decoder.decode(recorded) == expected
@@ -103,7 +103,7 @@
     assert not any(required for *_, required in fields[len(recorded) :])
 
 
-def _as_it_was_left(next_limits: AnnouncedStateLimits | None) -> World:
+def _restore_production_world(next_limits: AnnouncedStateLimits | None) -> World:
     """A world that goes on where the production version's was: its leader has just ended."""
     world = World(5, 10.0, 30.0, TEAMS, next_limits)
     world.now = FIXTURE["at"]
@@ -144,8 +144,8 @@
 @pytest.mark.parametrize(
     "next_limits", [None, AnnouncedStateLimits(value_kb=2.0, txn_ops=4)], ids=["same limits", "lower limits"]
 )
-def test_what_production_stored_goes_on(next_limits: AnnouncedStateLimits | None) -> None:
-    world = _as_it_was_left(next_limits)
+def test_state_stored_by_production_is_continued(next_limits: AnnouncedStateLimits | None) -> None:
+    world = _restore_production_world(next_limits)
     world.run(world.now + 6.0)
     if next_limits is not None:
         world.state.lower_limits(4, 2.0)
@@ -160,14 +160,14 @@
     assert "job-000001/0" not in world.starts
 
 
-def _reader(key: str) -> tuple[str, str] | None:
+def _recorded_family(key: str) -> tuple[str, str] | None:
     """The family of a key, and a recorded key of that family."""
     family = key.split("/")[1]
     recorded = next((name for name in FIXTURE["keys"] if name.split("/")[1] == family), None)
     return (family, recorded) if recorded is not None else None
 
 
-DAY = """
+SCENARIO = """
 world next_txn_ops=4 next_value_kb=2
 machines small a on_demand 3
 machines small b spot 2
@@ -181,13 +181,13 @@
 """
 
 
-def test_what_is_stored_is_read_by_production() -> None:
-    scenario = Scenario(DAY, 3)
+def test_stored_records_are_readable_by_production() -> None:
+    scenario = Scenario(SCENARIO, 3)
     scenario.play()
     assert scenario.failures + scenario.world.violations == []
     added = set()
     for key, (data, _, _) in scenario.world.state.keys.items():
-        found = _reader(key)
+        found = _recorded_family(key)
         if found is None:
             added.add(key.split("/")[1])
             continue
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -24,7 +24,7 @@
     def __init__(self, *answers: Changes | Exception) -> None:
         self.answers = deque(answers)
         self.pages = 0
-        self.asked_from: list[int] = []
+        self.polled_since: list[int] = []
         self.stop: Callable[[], None] = lambda: None
 
     def page(self, prefix: str, after: str, max_entries: int = 1000) -> Page:
@@ -32,7 +32,7 @@
         return Page([Entry(f"{PREFIX}old", {"page": self.pages}, 5)], False, 10 * self.pages)
 
     def poll_changes(self, prefix: str, since: int, poll_timeout_s: float) -> Changes:
-        self.asked_from.append(since)
+        self.polled_since.append(since)
         if not self.answers:
             self.stop()
             return Changes([SET], 99)
@@ -42,7 +42,7 @@
         return answer
 
 
-class Heard:
+class WatchRecorder:
     """What a watch hands on."""
 
     def __init__(self) -> None:
@@ -58,91 +58,91 @@
         self.changes.append((change.key, change.revision))
 
 
-def watch(store: ScriptedStore, heard: Heard, **replaced: Callable[..., None]) -> Watch:
+def watch(store: ScriptedStore, recorder: WatchRecorder, **replaced: Callable[..., None]) -> Watch:
     """A watch that ends with the script, run in this thread; its clock counts its requests."""
     ticks = count(1)
-    made = Watch(
+    watcher = Watch(
         store,
         PREFIX,
         0.01,
-        replaced.get("on_snapshot", heard.on_snapshot),
-        replaced.get("on_change", heard.on_change),
+        replaced.get("on_snapshot", recorder.on_snapshot),
+        replaced.get("on_change", recorder.on_change),
         lambda: float(next(ticks)),
-        lambda asked, revision: heard.caught_up.append((asked, revision)),
+        lambda requested_at, revision: recorder.caught_up.append((requested_at, revision)),
     )
-    store.stop = made.stop
-    return made
+    store.stop = watcher.stop
+    return watcher
 
 
 def test_a_snapshot_comes_first_and_then_every_change_in_order() -> None:
-    store, heard = ScriptedStore(Changes([SET, DELETE], 13), Changes([], 14)), Heard()
-    made = watch(store, heard)
-    made._run()
-    assert heard.snapshots == [1]
-    assert heard.changes == [(f"{PREFIX}new", 12), (f"{PREFIX}old", 13)]
-    assert store.asked_from == [10, 13, 14]
+    store, recorder = ScriptedStore(Changes([SET, DELETE], 13), Changes([], 14)), WatchRecorder()
+    watcher = watch(store, recorder)
+    watcher._run()
+    assert recorder.snapshots == [1]
+    assert recorder.changes == [(f"{PREFIX}new", 12), (f"{PREFIX}old", 13)]
+    assert store.polled_since == [10, 13, 14]
     # Caught up as of the moment of each request, and after a stop no more.
-    assert heard.caught_up == [(1.0, 10), (2.0, 13), (3.0, 14)]
-    assert made.first_revision == 10
+    assert recorder.caught_up == [(1.0, 10), (2.0, 13), (3.0, 14)]
+    assert watcher.first_revision == 10
 
 
 @pytest.mark.parametrize("error", [StoreRejectedError("503"), OutcomeUnknownError("lost")], ids=str)
-def test_a_request_that_failed_is_repeated(error: Exception) -> None:
-    store, heard = ScriptedStore(Changes([], 13), error), Heard()
-    watch(store, heard)._run()
-    assert (heard.snapshots, store.asked_from) == ([1], [10, 13, 13])
+def test_a_failed_request_is_retried(error: Exception) -> None:
+    store, recorder = ScriptedStore(Changes([], 13), error), WatchRecorder()
+    watch(store, recorder)._run()
+    assert (recorder.snapshots, store.polled_since) == ([1], [10, 13, 13])
 
 
 def test_a_compacted_watch_reads_a_new_snapshot() -> None:
-    store, heard = ScriptedStore(WatchCompactedError(PREFIX, 10)), Heard()
-    made = watch(store, heard)
-    made._run()
-    assert (heard.snapshots, store.asked_from) == ([1, 2], [10, 20])
+    store, recorder = ScriptedStore(WatchCompactedError(PREFIX, 10)), WatchRecorder()
+    watcher = watch(store, recorder)
+    watcher._run()
+    assert (recorder.snapshots, store.polled_since) == ([1, 2], [10, 20])
     # What the process saw first stays what it was.
-    assert made.first_revision == 10
+    assert watcher.first_revision == 10
 
 
-def test_a_change_that_cannot_be_handled_starts_the_watch_over() -> None:
-    store, heard = ScriptedStore(Changes([SET], 13)), Heard()
+def test_a_change_whose_handler_fails_restarts_the_watch() -> None:
+    store, recorder = ScriptedStore(Changes([SET], 13)), WatchRecorder()
 
     def on_change(change: WatchEvent) -> None:
         raise KeyError("of a version to come")
 
-    watch(store, heard, on_change=on_change)._run()
-    assert (heard.snapshots, store.asked_from) == ([1, 2], [10, 20])
+    watch(store, recorder, on_change=on_change)._run()
+    assert (recorder.snapshots, store.polled_since) == ([1, 2], [10, 20])
 
 
-def test_after_a_stop_nothing_is_handed_on() -> None:
-    store, heard = ScriptedStore(Changes([SET, DELETE], 13)), Heard()
+def test_no_change_is_delivered_after_a_stop() -> None:
+    store, recorder = ScriptedStore(Changes([SET, DELETE], 13)), WatchRecorder()
 
     def on_change(change: WatchEvent) -> None:
-        heard.on_change(change)
-        made.stop()
+        recorder.on_change(change)
+        watcher.stop()
 
-    made = watch(store, heard, on_change=on_change)
-    made._run()
-    assert heard.changes == [(f"{PREFIX}new", 12)]
+    watcher = watch(store, recorder, on_change=on_change)
+    watcher._run()
+    assert recorder.changes == [(f"{PREFIX}new", 12)]
     # Not every change was handed on: nobody is told that we have caught up.
-    assert heard.caught_up == [(1.0, 10)]
+    assert recorder.caught_up == [(1.0, 10)]
 
 
 def test_a_snapshot_that_was_read_as_the_watch_was_stopped_is_dropped() -> None:
-    store, heard = ScriptedStore(), Heard()
-    made = watch(store, heard)
+    store, recorder = ScriptedStore(), WatchRecorder()
+    watcher = watch(store, recorder)
     read = store.page
 
     def page(prefix: str, after: str, max_entries: int = 1000) -> Page:
-        made.stop()
+        watcher.stop()
         return read(prefix, after, max_entries)
 
     store.page = page  # type: ignore[method-assign]
-    made._run()
-    assert (heard.snapshots, heard.caught_up, made.first_revision) == ([], [], -1)
+    watcher._run()
+    assert (recorder.snapshots, recorder.caught_up, watcher.first_revision) == ([], [], -1)
 
 
-def test_a_watch_needs_no_callback_for_having_caught_up() -> None:
-    store, heard = ScriptedStore(), Heard()
-    made = Watch(store, PREFIX, 0.01, heard.on_snapshot, heard.on_change)
-    store.stop = made.stop
-    made._run()
-    assert (heard.snapshots, store.asked_from) == ([1], [10])
+def test_the_caught_up_callback_is_optional() -> None:
+    store, recorder = ScriptedStore(), WatchRecorder()
+    watcher = Watch(store, PREFIX, 0.01, recorder.on_snapshot, recorder.on_change)
+    store.stop = watcher.stop
+    watcher._run()
+    assert (recorder.snapshots, store.polled_since) == ([1], [10])
