--- a/src/poppyhold/relay/__init__.py
+++ b/src/poppyhold/relay/__init__.py
@@ -1,7 +1,6 @@
-"""Heartbeat relays: every controller may accept workers' heartbeats for the leader, which alone answers them.
+"""Heartbeat relays: any controller may accept workers' heartbeats and forward them to the leader.
 
-A relay (`queue`, `link`) forwards heartbeats in batches and hands each worker the leader's response to that
-very heartbeat. The leader (`server`, `batch_handler`) answers batches as it answers direct heartbeats, and
-decides which worker sends its heartbeats to which relay (`assignment`). A relay decides nothing and grants no
-lease of its own.
+A relay (`queue`, `link`) forwards heartbeats in batches and returns to each worker the leader's response to
+that same heartbeat. The leader (`server`, `batch_handler`) answers batches as it answers direct heartbeats,
+and assigns workers to relays (`assignment`). A relay makes no decisions and grants no leases of its own.
 """
--- a/src/poppyhold/relay/assignment.py
+++ b/src/poppyhold/relay/assignment.py
@@ -1,4 +1,4 @@
-"""Which worker sends its heartbeats to which relay: stable, balanced, near, and never many at one step."""
+"""Assigns workers to relays: stable, balanced, in the same zone first, and with a limited redirect rate."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 from poppyhold.relay.redirect_budget import RedirectBudget
 from poppyhold.relay.rendezvous import rendezvous_weight
 
-# No relay is assigned more than this times its even share of the workers.
+# Most workers of a relay, as a multiple of an even share.
 MAX_LOAD_RATIO = 1.25
-# The longest time for which a worker is not assigned to relays, in leases.
+# Longest time for which a worker is not assigned to relays, in leases, before jitter.
 _MAX_BACKOFF_LEASES = 8
-# Relaying ends below this share of the count from which on it begins.
+# Relaying is disabled below this share of the number of workers that enables it.
 _DISABLE_RATIO = 0.5
 
 
 class LoadAdvice(NamedTuple):
-    """The most workers that a relay should have, and other relays with less than an even share."""
+    """A relay's maximum number of workers, and other healthy relays with less than an even share."""
 
     max_workers: int
     underloaded_relays: list[str]
 
 
 class _PendingRedirect(msgspec.Struct, frozen=True):
-    """A worker that was redirected to a relay, and has sent no heartbeat through it yet."""
+    """A worker that was redirected to a relay but has not sent a heartbeat through it yet."""
 
     relay: str
     at: float
 
 
 class _RelayBackoff(msgspec.Struct, eq=False):
-    """A worker that returned from a relay without a response: it is answered directly for a time."""
+    """Backoff of a worker that returned from a relay without a response; the leader answers it meanwhile."""
 
     failures: int = 0
     direct_until: float = 0.0
@@ -59,10 +59,10 @@
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        """With `AUTO`, relaying begins with ``enable_threshold`` machines.
+        """Create the assignment for the leader ``member`` in ``zone``.
 
-        The leader keeps up to ``max_direct_workers`` workers that should not depend on relays of other zones.
-        ``member`` and ``zone`` are the leader's own.
+        With `AUTO`, relaying is enabled from ``enable_threshold`` machines on. While the leader has at most
+        ``max_direct_workers`` direct workers, those of its zone aren't redirected to relays of other zones.
         """
         self._mode, self._enable_threshold, self._max_direct_workers = (
             mode,
@@ -71,7 +71,7 @@
         )
         self._member, self._zone = member, zone
         self._durations, self._clock, self._rng = durations, clock, rng
-        # Connected relays, and their zones.
+        # The connected relays' zones.
         self._zone_by_relay: dict[str, str] = {}
         self._worker_count = 0
         self._relay_by_machine: dict[str, str] = {}
@@ -82,28 +82,28 @@
         self._backoffs: dict[str, _RelayBackoff] = {}
         self._health = RelayHealth(durations, clock)
         self._budget = RedirectBudget(durations.lease_s, clock())
-        # Whether controllers are asked to relay.
+        # Whether the leader accepts relays.
         self.accepts_relays = mode is RelayMode.FORCED
 
     # -- relays and machines -----------------------------------------------------------------------
 
     def relay_connected(self, member: str, zone: str) -> None:
-        """A controller connected as a relay."""
+        """Add a connected relay."""
         self._zone_by_relay[member] = zone
 
     def relay_disconnected(self, member: str) -> None:
-        """A relay's connection is lost, and with it the assignments to the relay."""
+        """Remove a relay whose connection was lost, and its assignments."""
         self._zone_by_relay.pop(member, None)
         self._health.forget_round_trip(member)
         for machine in [machine for machine, relay in self._relay_by_machine.items() if relay == member]:
             self._unassign(machine)
 
     def record_round_trip(self, member: str, round_trip_s: float) -> None:
-        """Note how long a relay's batches take at the least; 0: it does not know yet."""
+        """Record the shortest recent round trip of a relay's batches; 0: none is known yet."""
         self._health.record_round_trip(member, round_trip_s, member in self._zone_by_relay)
 
     def update_machines(self, machines: Set[str]) -> None:
-        """Adapt to the machines that exist now."""
+        """Update the number of workers and drop machines that no longer exist."""
         self._worker_count = len(machines)
         if self._mode is RelayMode.AUTO:
             threshold = self._enable_threshold * (_DISABLE_RATIO if self.accepts_relays else 1.0)
@@ -123,7 +123,7 @@
     # -- heartbeats --------------------------------------------------------------------------------
 
     def record_relayed_heartbeat(self, machine: str, relay: str) -> None:
-        """The leader answered a heartbeat that came through a relay."""
+        """Record that the leader answered a heartbeat from a relay: the worker is assigned to it."""
         self._pending_redirects.pop(machine, None)
         self._backoffs.pop(machine, None)
         self._direct.discard(machine)
@@ -133,10 +133,10 @@
             self._worker_count_by_relay[relay] += 1
 
     def assign(self, machine: str, zone: str, answered_at: float) -> str | None:
-        """The relay to which to redirect a worker that sent a direct heartbeat; None: answer it.
+        """Return the relay to which to redirect a worker that sent a direct heartbeat; None: answer it.
 
-        Only a worker that was answered recently is redirected, so that its lease lasts until it returns here
-        if the relay fails it: half a second to get there, four without a response, and one to the next node.
+        Only a recently answered worker is redirected, so that its lease outlasts a relay that does not
+        respond: 0.5 s to reach the relay, 4 s without a response, and 1 s to reach the next controller.
         """
         now = self._clock()
         self._record_return(machine, now)
@@ -155,10 +155,10 @@
         return relay
 
     def reassign(self, machine: str, zone: str, relay: str, answered_at: float) -> str | None:
-        """Another controller for a worker that should leave its relay; None: it stays.
+        """Return another controller for a worker that should leave its relay; None: it stays.
 
-        Either its relay is slow or has more than its share, or the worker is of the leader's zone and depends
-        on another zone.
+        It should leave a slow or overloaded relay, or one in another zone if the worker is in the leader's
+        zone, which has no relay.
         """
         now = self._clock()
         is_slow = self._health.is_slow(relay, now)
@@ -183,7 +183,7 @@
         return target
 
     def load_advice(self, member: str) -> LoadAdvice:
-        """What a relay needs to redirect workers that come to it beyond its share."""
+        """Return what a relay needs to redirect workers in excess of its share."""
         now = self._clock()
         even_share = self._worker_count / max(1, len(self._zone_by_relay))
         others = (
@@ -195,19 +195,18 @@
         )
 
     def _should_stay_direct(self, zone: str, relay: str) -> bool:
-        """Whether a worker of the leader's zone would depend on another zone, without a relay in its own.
+        """Whether a worker of the leader's zone should use no relay of another zone.
 
-        Where all relays were in a zone that was partitioned off, workers of the leader's own zone lost their
-        leases: five seconds until they abandoned a relay, and five more for the next. So they stay, as long
-        as there are connections for them.
+        If all relays are in a zone that is partitioned off, redirected workers lose their leases: each relay
+        costs them 5 s before they try the next. So they stay while the leader has connections for them.
         """
         depends_on_other_zone = zone == self._zone and self._zone_by_relay.get(relay) != zone
         return depends_on_other_zone and len(self._direct) <= self._max_direct_workers
 
     def _record_return(self, machine: str, now: float) -> None:
-        """A worker that should be at a relay sent a direct heartbeat: the relay failed it.
+        """Record a failure of the relay of a worker that sent a direct heartbeat instead.
 
-        Whatever the leader answered through that relay did not reach the worker in time.
+        The leader's responses through that relay did not reach the worker in time.
         """
         pending = self._pending_redirects.pop(machine, None)
         relay = pending.relay if pending is not None else self._relay_by_machine.get(machine)
@@ -220,13 +219,13 @@
         backoff.direct_until = now + leases * self._durations.lease_s
         self._health.record_failure(relay, now)
 
-    # -- choice ------------------------------------------------------------------------------------
+    # -- choice of a relay -------------------------------------------------------------------------
 
     def _choose(self, machine: str, zone: str, now: float, exclude: str = "") -> str | None:
-        """By rendezvous hashing, relays of the worker's zone first; none above its share.
+        """Choose a relay below its maximum by rendezvous hashing, those of the worker's zone first.
 
-        Each worker orders the relays in its own way. When one connects or disconnects, only those workers
-        move that order it first, or that are assigned to it.
+        Each worker has its own order of relays. When a relay connects or disconnects, only workers that rank
+        it first or are assigned to it move.
         """
         max_workers = self._max_workers()
         by_preference = sorted(
@@ -252,6 +251,6 @@
         return math.ceil(MAX_LOAD_RATIO * self._worker_count / max(1, len(self._zone_by_relay)))
 
     def _may_redirect(self, answered_at: float, now: float) -> bool:
-        """Whether a worker that was answered at that moment may be redirected now."""
+        """Whether a worker that was last answered at ``answered_at`` may be redirected now."""
         was_answered_recently = now - answered_at <= 2 * self._durations.heartbeat_interval_s
         return self._budget.allows_redirect(self._worker_count, now) and was_answered_recently
--- a/src/poppyhold/relay/batch_handler.py
+++ b/src/poppyhold/relay/batch_handler.py
@@ -1,4 +1,4 @@
-"""The leader's side: batches of heartbeats, answered as direct heartbeats are."""
+"""The leader's handling of relayed batches: heartbeats in them are answered like direct ones."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class BatchHandler:
-    """Answers batches, on the decision thread."""
+    """Answers batches; used on the decision thread only."""
 
     def __init__(
         self,
@@ -20,15 +20,15 @@
         assignment: Assignment,
         response_timeout_s: float,
     ) -> None:
-        """``answer`` takes a heartbeat and the moment after which nobody waits for its response.
+        """``answer`` takes a heartbeat and the time at which its response is no longer awaited.
 
-        ``answered_at`` tells when a machine's worker was last answered.
+        ``answered_at`` returns when a machine's worker was last answered.
         """
         self._answer_heartbeat, self._answered_at = answer, answered_at
         self._assignment, self._response_timeout_s = assignment, response_timeout_s
 
     def handle(self, relay: ConnectedRelay, batch: HeartbeatBatch, received_at: float) -> ResponseBatch:
-        """Answer each heartbeat of a batch that arrived at that moment."""
+        """Answer each heartbeat of a batch that arrived at ``received_at``."""
         self._assignment.record_round_trip(relay.member, batch.round_trip_ms / 1000)
         responses = list(self._responses(relay, batch, received_at))
         advice = self._assignment.load_advice(relay.member)
@@ -54,7 +54,7 @@
         target = self._assignment.reassign(heartbeat.machine, heartbeat.zone, relay.member, answered_at)
         if target is not None:
             return RelayedResponse(number, RelayOutcome.REDIRECTED, controller=target)
-        # The relay's clock only tells how long the heartbeat waited there: clocks need not agree.
+        # The relay sends a duration, not a time, since the two clocks may differ.
         deadline = received_at + self._response_timeout_s - waited_ms / 1000
         response = self._answer_heartbeat(heartbeat, deadline)
         if response is None:
--- a/src/poppyhold/relay/connected_relay.py
+++ b/src/poppyhold/relay/connected_relay.py
@@ -1,4 +1,4 @@
-"""What the leader keeps of one relay's connection."""
+"""The leader's state of one relay's connection."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ConnectedRelay:
-    """One relay's connection, with the full heartbeats sent on it; a new connection starts without any."""
+    """A relay's connection and the full heartbeats sent on it; a new connection starts without any."""
 
     def __init__(self, member: str, zone: str) -> None:
         self.member, self.zone = member, zone
@@ -20,11 +20,11 @@
         self._full: dict[str, Heartbeat] = {}
 
     def cache_full(self, heartbeat: Heartbeat) -> None:
-        """Keep a full heartbeat: unchanged ones may refer to it from now on."""
+        """Store a full heartbeat, to which unchanged ones may refer from now on."""
         self._full[heartbeat.machine] = heartbeat
 
     def restore(self, unchanged: UnchangedHeartbeat) -> Heartbeat | None:
-        """The heartbeat that an unchanged one stands for; None if the full one is not known here."""
+        """Return the heartbeat that an unchanged one represents; None if the full one is not cached."""
         full = self._full.get(unchanged.machine)
         if full is None or (full.incarnation, full.sequence) != (
             unchanged.incarnation,
@@ -34,6 +34,6 @@
         return msgspec.structs.replace(full, sequence=unchanged.sequence)
 
     def retain_machines(self, machines: Set[str]) -> None:
-        """Drop the heartbeats of machines that no longer exist; ``machines`` are those that do."""
+        """Drop the heartbeats of all machines but ``machines``, the existing ones."""
         for machine in [machine for machine in self._full if machine not in machines]:
             del self._full[machine]
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -1,4 +1,4 @@
-"""A controller as a relay: whether it forwards heartbeats, to whom, and how it then answers workers."""
+"""A controller as a relay: when it forwards heartbeats, to which leader, and how it answers workers."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from poppyhold.wire.http_server import DeferredResponse, HttpResponse, http_response
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse, Redirect
 
-# Share of a relay's connections that workers may take; the rest is for users and for redirected workers.
+# Share of a relay's connections for workers; the rest is for users and for workers that it redirects.
 _WORKER_CONNECTIONS_SHARE = 0.9
 
 
 class HeartbeatForwarder:
-    """Forwards workers' heartbeats while a leader wants it."""
+    """Forwards workers' heartbeats while the leader accepts relays."""
 
     def __init__(
         self,
@@ -33,15 +33,15 @@
         redirect_to_leader: Callable[[], HttpResponse],
         rng: random.Random,
     ) -> None:
-        """``is_leading``: whether this node leads itself.
+        """``is_leading``: whether this node is the leader.
 
-        ``answer_without_leader`` answers what the leader did not, if that is allowed.
+        ``answer_without_leader`` answers a heartbeat that the leader did not, if this node may.
         """
         self._leader, self._is_leading = leader, is_leading
         self._answer_without_leader, self._redirect_to_leader = answer_without_leader, redirect_to_leader
         workers = settings.deployment.workers
         self._lease_s = workers.lease_s
-        # When a leader last asked for heartbeats to be relayed.
+        # When a leader's ping last said that it accepts relays.
         self._accepted_at = float("-inf")
         self._highest_fencing_token = 0
         connections = settings.deployment.machine_limits.connections
@@ -62,24 +62,24 @@
         )
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the link's thread."""
         self._link.start()
 
     def stop(self) -> None:
-        """Stop the thread."""
+        """Stop the link's thread."""
         self._link.stop()
 
     def record_ping(self, fencing_token: int, accepts_relays: bool) -> None:
-        """A leader's ping arrived."""
+        """Record a leader's ping."""
         self._highest_fencing_token = max(self._highest_fencing_token, fencing_token)
         self._accepted_at = time.monotonic() if accepts_relays else float("-inf")
 
     def leader_accepts_relays(self) -> bool:
-        """Whether a leader wanted heartbeats to be relayed within the last lease."""
+        """Whether a leader said within the last lease that it accepts relays."""
         return time.monotonic() - self._accepted_at < self._lease_s
 
     def handle(self, heartbeat: Heartbeat) -> HttpResponse | DeferredResponse | None:
-        """Forward a heartbeat to the leader, or redirect its worker; None if none is relayed now."""
+        """Forward a heartbeat to the leader or redirect its worker; None if this node does not relay now."""
         if not self._link.is_open():
             return None
         target = self._overflow.redirect(heartbeat.machine)
@@ -96,7 +96,7 @@
         return defer
 
     def _answer(self, heartbeat: Heartbeat, response: RelayedResponse | None) -> HttpResponse:
-        """The answer to a worker after the leader's response, or without one."""
+        """Build the response to a worker from the leader's; None: the leader did not respond."""
         if response is None:
             return self._answer_without_leader(heartbeat) or self._unanswered()
         if response.outcome is RelayOutcome.ANSWERED:
@@ -108,25 +108,25 @@
         return http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
 
     def _unanswered(self) -> HttpResponse:
-        """Where to send a worker for which there was no response.
+        """Build the response to a worker that got none from the leader.
 
-        After a change of leader it goes to another relay, because the next leader loads the durable state
-        before it accepts any: redirected to it by the hundred, workers took most of its connections. That
-        lasts for one response timeout only. Otherwise a worker could be passed between relays that are all
-        partitioned from a leader which it can reach itself.
+        While the link reconnects it is a 503, which makes the worker try another relay: a new leader first
+        loads the durable state, and hundreds of redirected workers would take most of its connections. That
+        ends with the reconnection window, so that a worker isn't passed around for long between relays that
+        are partitioned from a leader which it can reach itself.
         """
         if self._link.is_reconnecting():
             return http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "no leader to pass this on to"})
         return self._redirect_to_leader()
 
     def _target(self) -> str | None:
-        """The leader, if it accepts relays: as it said itself, or as the one before it did."""
+        """Return the leader to relay to, if it or its predecessor has said that it accepts relays."""
         leader = self._leader()
         if self.leader_accepts_relays() and leader is not None and not self._is_leading():
             return leader.member
         return None
 
     def _highest_seen_fencing_token(self) -> int:
-        """The highest fencing token that this node knows."""
+        """Return the highest fencing token that this node has seen."""
         leader = self._leader()
         return max(self._highest_fencing_token, leader.fencing_token if leader is not None else 0)
--- a/src/poppyhold/relay/link.py
+++ b/src/poppyhold/relay/link.py
@@ -1,4 +1,4 @@
-"""The relay's connection to the leader: one thread that sends batches, one that reads responses."""
+"""The relay's connection to the leader: one thread sends batches, another reads responses."""
 
 from __future__ import annotations
 
@@ -22,15 +22,14 @@
 log = logging.getLogger(__name__)
 
 _decoder = msgspec.msgpack.Decoder(ResponseBatch)
-# Heartbeats in a batch: what arrives while one is in progress, bounded so that the leader does other things
-# too.
+# Most heartbeats of a batch, so that a batch does not keep the leader from other work.
 _MAX_BATCH_SIZE = 64
-# The fastest of so many batches tells whether the way to the leader is slow: one may wait for a decision.
+# The minimum of this many round trips is reported, since a batch may wait for a scheduling decision.
 _ROUND_TRIP_SAMPLES = 4
 
 
 class RelayLink:
-    """Forwards heartbeats to the leader, while that one wants relays."""
+    """Forwards heartbeats to the leader while it accepts relays."""
 
     def __init__(
         self,
@@ -43,10 +42,10 @@
         rng: random.Random,
         on_advice: Callable[[int, list[str]], None] = lambda max_workers, underloaded: None,
     ) -> None:
-        """``target`` names the controller to which to relay now.
+        """``target`` returns the controller to which to relay now.
 
-        ``min_fencing_token`` is the highest one seen: responses with a lower one do not count.
-        ``on_advice`` is called with the most workers that a relay should have, and the underloaded relays.
+        ``min_fencing_token`` returns the highest token seen: responses with a lower one are dropped.
+        ``on_advice`` is called with a relay's maximum number of workers and the underloaded relays.
         """
         self._on_advice = on_advice
         self._hello, self._addresses = hello, addresses
@@ -56,7 +55,7 @@
         self._wake = threading.Condition(threading.Lock())
         self._connected = False
         self._reconnection = ReconnectionWindow(timings.reconnect_window_s, timings.max_reconnect_window_s)
-        # When each batch was sent that has no responses yet, and the last round trips.
+        # When each batch without a response was sent, and the last round trips.
         self._in_flight: deque[float] = deque()
         self._round_trips: deque[float] = deque(maxlen=_ROUND_TRIP_SAMPLES)
         self._stop = threading.Event()
@@ -67,21 +66,21 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop the thread; whatever waits gets no response."""
+        """Stop the thread; pending heartbeats get no response."""
         self._stop.set()
         with self._wake:
             self._wake.notify_all()
 
     def is_open(self) -> bool:
-        """Whether heartbeats are relayed now."""
+        """Whether heartbeats are accepted for relaying now."""
         return self._connected or self.is_reconnecting()
 
     def is_reconnecting(self) -> bool:
-        """Whether the connection was lost just now, and heartbeats wait for the next one."""
+        """Whether the connection was lost recently and heartbeats wait for the next one."""
         return not self._connected and self._reconnection.is_open(time.monotonic())
 
     def offer(self, heartbeat: Heartbeat, on_response: OnResponse) -> bool:
-        """Forward a heartbeat; False if it is rejected at once, as too many wait."""
+        """Queue a heartbeat to be forwarded; False if the queue is full."""
         with self._wake:
             accepted = self._queue.put(heartbeat, time.monotonic(), on_response)
             self._wake.notify()
@@ -110,7 +109,7 @@
         except (OSError, ValueError) as error:
             log.debug("relay connection ended: leader=%s error=%r", target, str(error))
         except Exception:
-            # The thread has to go on for as long as the process: the next connection starts anew.
+            # The thread must run as long as the process; it opens a new connection next.
             log.exception("relay connection failed unexpectedly: leader=%s", target)
 
     def _serve(self, connection: socket.socket, target: str) -> None:
@@ -125,8 +124,7 @@
             while not self._stop.is_set() and self._target() == target and reader.is_alive():
                 self._send_next(connection)
         finally:
-            # If it were closed while the reader uses it, the descriptor could be another connection's by the
-            # time it reads on.
+            # Closed only after the reader has ended: its descriptor could be reused for another connection.
             shut_down(connection)
             reader.join()
             self._connection_lost(target)
@@ -137,14 +135,14 @@
             if not self._queue.unsent_count and self._round_trips:
                 self._wake.wait(timings.keepalive_interval_s)
             elif not self._queue.unsent_count:
-                # The first batches measure the round trip.
+                # Without heartbeats, empty batches are sent to measure the round trip.
                 self._wake.wait(timings.batch_delay_s)
         if self._queue.unsent_count:
             self._stop.wait(timings.batch_delay_s)
         now = time.monotonic()
         with self._wake:
             if self._in_flight and now - self._in_flight[0] > timings.stall_timeout_s:
-                raise TimeoutError("no responses")
+                raise TimeoutError("leader did not answer a batch in time")
             batch = self._queue.next_batch(now, _MAX_BATCH_SIZE, min(self._round_trips, default=0.0))
             self._in_flight.append(now)
         send_message(connection, batch)
@@ -155,18 +153,18 @@
             while True:
                 self._handle_responses(receive_message(connection, _decoder))
         except (OSError, ValueError) as error:
-            log.debug("relayed responses ended: error=%r", str(error))
+            log.debug("relay response reader ended: error=%r", str(error))
         except Exception:
-            # The sending thread has to learn of the end, whatever it was: it closes the connection.
-            log.exception("relayed responses failed unexpectedly")
+            # The sending thread has to be woken after any failure: it closes the connection.
+            log.exception("relay response reader failed unexpectedly")
         with self._wake:
-            # The sending thread checks whether this one is alive.
+            # The sending thread then finds that this thread has ended.
             self._wake.notify()
 
     def _handle_responses(self, batch: ResponseBatch) -> None:
         self._on_advice(batch.max_workers, batch.underloaded_relays)
         with self._wake:
-            # The first responses show that the leader accepts this relay.
+            # The first response shows that the leader accepts this relay.
             self._connected = True
             if self._in_flight:
                 self._round_trips.append(time.monotonic() - self._in_flight.popleft())
@@ -199,7 +197,7 @@
             try:
                 delivery.deliver()
             except Exception:
-                # One worker's callback must not keep the others' responses from them.
+                # An error in one worker's callback must not prevent the other deliveries.
                 log.exception(
                     "delivery of a relayed response failed: machine=%s", delivery.pending.heartbeat.machine
                 )
--- a/src/poppyhold/relay/messages.py
+++ b/src/poppyhold/relay/messages.py
@@ -1,6 +1,6 @@
-"""The messages between relays and the leader, over a connection of their own between controllers.
+"""Messages between relays and the leader, on a separate connection between controllers.
 
-The fields go by position: their order and the tags must stay.
+Fields are encoded by position: their order and the tags must not change.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 
 class RelayHello(msgspec.Struct, frozen=True, array_like=True, tag="relay"):
-    """The first message on the connection: who relays. Older versions close a connection that begins so."""
+    """First message on a connection, which identifies the relay. Versions without relays close it then."""
 
     member: str
     zone: str
 
 
 class FullHeartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """A heartbeat that differs from the last full one of its machine on this connection."""
+    """A heartbeat that differs from its machine's last full one on this connection."""
 
-    # Counts up on the relay; the response carries it.
+    # Serial number from the relay; the response repeats it.
     number: int
     # How long the heartbeat has waited at the relay, in milliseconds.
     waited_ms: int
@@ -30,23 +30,23 @@
 
 
 class UnchangedHeartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """A heartbeat that differs in nothing but its sequence number from one that was sent in full."""
+    """A heartbeat that differs only in its sequence number from one that was sent in full."""
 
     number: int
     waited_ms: int
     machine: str
     incarnation: int
     sequence: int
-    # The sequence number of that full heartbeat, of the same incarnation.
+    # Sequence number of that full heartbeat, which has the same incarnation.
     full_sequence: int
 
 
 class HeartbeatBatch(msgspec.Struct, frozen=True, array_like=True, tag="reports"):
-    """Heartbeats that arrived since the last batch. An empty one checks whether the leader is there."""
+    """Heartbeats that arrived since the last batch; an empty batch is a keepalive."""
 
     heartbeats: list[FullHeartbeat] = []
     unchanged: list[UnchangedHeartbeat] = []
-    # The shortest recent round trip of a batch, in milliseconds; 0: none is known yet.
+    # Shortest recent round trip of a batch, in milliseconds; 0: none is known yet.
     round_trip_ms: int = 0
 
 
@@ -56,9 +56,9 @@
     ANSWERED = 0
     # The leader may not answer, or the heartbeat has waited too long.
     REJECTED = 1
-    # The leader does not have the full heartbeat to which an unchanged one refers.
+    # The leader has not cached the full heartbeat to which an unchanged one refers.
     FULL_HEARTBEAT_REQUIRED = 2
-    # The worker should send its heartbeats to another controller.
+    # The worker is redirected to another controller.
     REDIRECTED = 3
 
 
@@ -77,7 +77,7 @@
     """The leader's responses to one batch, in any order."""
 
     responses: list[RelayedResponse] = []
-    # The most workers that the relay should have, and relays with less than an even share for those that come
-    # to it beyond that; 0 from a version before these fields.
+    # The relay's maximum number of workers, and underloaded relays to which to redirect those in excess; 0
+    # from versions without these fields.
     max_workers: int = 0
     underloaded_relays: list[str] = []
--- a/src/poppyhold/relay/overflow_redirect.py
+++ b/src/poppyhold/relay/overflow_redirect.py
@@ -1,7 +1,7 @@
-"""Redirects workers that come to a relay beyond its share to less loaded relays.
+"""Redirects workers in excess of a relay's share to less loaded relays.
 
-When a relay ends, all its workers go to one and the same next controller, the one after it in their lists.
-That one then had twice its share, and closed connections for which it had no capacity.
+When a relay fails, all its workers go to the same next controller in their lists. That one would have twice
+its share and close the connections that exceed its limit.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 
 
 class OverflowRedirector:
-    """A relay's own count of its workers, and the leader's advice on which relays are underloaded."""
+    """Redirects by a relay's own count of its workers and the leader's advice on underloaded relays."""
 
     def __init__(self, max_workers: int, lease_s: float, clock: Callable[[], float]) -> None:
-        """``max_workers``: the most workers that this controller may have at all."""
+        """``max_workers``: this controller's own limit, whatever the leader advises."""
         self._max_workers, self._lease_s, self._clock = max_workers, lease_s, clock
         self._advised_max_workers, self._underloaded = 0, tuple[str, ...]()
-        # When each worker's last heartbeat came here, and when it was last redirected; oldest first.
+        # When each worker's last heartbeat arrived, and when it was last redirected; oldest first.
         self._last_heartbeats: dict[str, float] = {}
         self._redirected: dict[str, float] = {}
         self._lock = threading.Lock()
 
     def update_advice(self, max_workers: int, underloaded: Sequence[str]) -> None:
-        """Take the leader's advice: a relay's maximum of workers, and relays with fewer; 0: no advice."""
+        """Set the leader's advice: a relay's maximum number of workers (0: no advice), underloaded relays."""
         with self._lock:
             self._advised_max_workers, self._underloaded = max_workers, tuple(underloaded)
 
     def redirect(self, machine: str) -> str | None:
-        """Another controller for a worker that sent a heartbeat; None: it is accepted here.
+        """Return another controller for a worker that sent a heartbeat; None: accept it here.
 
-        A worker that is here already stays. One that was redirected and returns is accepted, so that no two
-        relays redirect a worker to each other until its lease expires.
+        A known worker stays. A redirected one that returns is accepted, so that two relays can't redirect a
+        worker to each other until its lease expires.
         """
         now = self._clock()
         with self._lock:
--- a/src/poppyhold/relay/queue.py
+++ b/src/poppyhold/relay/queue.py
@@ -1,6 +1,6 @@
-"""Heartbeats that wait at a relay for the leader's response: bounded in number and in time.
+"""A relay's queue of heartbeats that wait for the leader's response: bounded in number and time.
 
-Not safe for use by several threads at a time; `link` holds a lock around it.
+Not thread-safe; `link` holds a lock while it uses the queue.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 )
 from poppyhold.wire.worker_messages import Heartbeat
 
-# Called once for each heartbeat: with the leader's response, or with None if there is none in time.
+# Called once for each heartbeat: with the leader's response, or None if it did not arrive in time.
 OnResponse = Callable[[RelayedResponse | None], None]
 
 
 class PendingHeartbeat(msgspec.Struct, frozen=True, eq=False):
-    """A heartbeat whose worker waits for a response."""
+    """A heartbeat that waits for the leader's response."""
 
     number: int
     heartbeat: Heartbeat
@@ -37,27 +37,27 @@
 
 
 class Delivery(NamedTuple):
-    """The response to a worker that waits; None: there is none."""
+    """The response to deliver for a pending heartbeat; None: there is none."""
 
     pending: PendingHeartbeat
     response: RelayedResponse | None
 
     def deliver(self) -> None:
-        """Hand it to the worker's connection."""
+        """Call the heartbeat's callback with the response."""
         self.pending.on_response(self.response)
 
 
 class HeartbeatQueue:
-    """The relay's heartbeats, from their arrival to their response."""
+    """A relay's heartbeats, from arrival to response."""
 
     def __init__(self, max_pending: int, response_timeout_s: float) -> None:
-        """At most ``max_pending`` heartbeats wait, none of them for more than ``response_timeout_s``."""
+        """At most ``max_pending`` heartbeats wait, each for at most ``response_timeout_s``."""
         self._max_pending, self._response_timeout_s = max_pending, response_timeout_s
         self._last_number = 0
-        # By number, which is in the order of their arrival.
+        # By number, in order of arrival.
         self._pending: dict[int, PendingHeartbeat] = {}
         self._unsent: deque[int] = deque()
-        # What was sent in full on this connection, by machine.
+        # The last heartbeat sent in full on this connection, by machine.
         self._full: dict[str, Heartbeat] = {}
 
     def __len__(self) -> int:
@@ -65,11 +65,11 @@
 
     @property
     def unsent_count(self) -> int:
-        """Heartbeats that are in no batch yet."""
+        """Number of heartbeats that are to be sent in the next batches."""
         return len(self._unsent)
 
     def put(self, heartbeat: Heartbeat, now: float, on_response: OnResponse) -> bool:
-        """Add a heartbeat; False if too many wait."""
+        """Add a heartbeat; False if the queue is full."""
         if len(self._pending) >= self._max_pending:
             return False
         self._last_number += 1
@@ -79,9 +79,9 @@
         return True
 
     def next_batch(self, now: float, max_heartbeats: int, round_trip_s: float = 0.0) -> HeartbeatBatch:
-        """A batch of what has not been sent yet, at most ``max_heartbeats``.
+        """Take a batch of at most ``max_heartbeats`` unsent heartbeats.
 
-        It carries the recent round trip of batches, 0 if that is not known.
+        It carries the shortest recent round trip of batches; 0 if none is known.
         """
         batch = HeartbeatBatch([], [], math.ceil(round_trip_s * 1000))
         while self._unsent and len(batch.heartbeats) + len(batch.unchanged) < max_heartbeats:
@@ -111,19 +111,19 @@
         batch.heartbeats.append(FullHeartbeat(pending.number, waited_ms, heartbeat))
 
     def connection_lost(self) -> None:
-        """Send everything that waits again on the next connection, and in full.
+        """Mark all pending heartbeats to be sent again, in full, on the next connection.
 
-        What the leader had answered by then counts as a repeat there, which proves nothing.
+        The leader answers those that it has answered before as duplicates, whose tasks it does not apply.
         """
         self._full.clear()
         self._unsent = deque(self._pending)
 
     def match_responses(self, batch: ResponseBatch, now: float, min_fencing_token: int) -> list[Delivery]:
-        """Match responses with the heartbeats that wait.
+        """Match responses with pending heartbeats.
 
-        A response that comes too late counts as none: its worker has timed out, and counts its lease from the
-        heartbeat before. So does one of a leader that has lost its leadership, ``min_fencing_token`` being
-        the highest one that this controller has seen: a former leader must not renew leases through us.
+        A late response counts as none: its worker has timed out, and its lease runs from its previous
+        heartbeat. So does an answer with a fencing token below ``min_fencing_token``, the highest that this
+        controller has seen: a former leader must not renew leases through this relay.
         """
         deliveries = []
         for response in batch.responses:
@@ -143,7 +143,7 @@
         return deliveries
 
     def expire(self, now: float) -> list[Delivery]:
-        """Remove the heartbeats that have waited too long; they get no response."""
+        """Remove the heartbeats whose response timeout has passed; they get no response."""
         expired = []
         for pending in self._pending.values():
             if now - pending.arrived_at <= self._response_timeout_s:
@@ -154,7 +154,7 @@
         return [Delivery(pending, None) for pending in expired]
 
     def fail_all(self) -> list[Delivery]:
-        """Remove every heartbeat: there is no leader to which to forward them."""
+        """Remove all heartbeats; they get no response, as there is no leader to forward them to."""
         deliveries = [Delivery(pending, None) for pending in self._pending.values()]
         self._pending.clear()
         self._unsent.clear()
--- a/src/poppyhold/relay/rendezvous.py
+++ b/src/poppyhold/relay/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: each worker orders the relays in its own way."""
+"""Rendezvous hashing: each worker has its own order of the relays."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def rendezvous_weight(member: str, machine: str) -> float:
-    """A weight that is the same in every process.
+    """Return a weight that is the same in every process.
 
-    A string as a seed is hashed with SHA-512, which `random` has loaded; `hashlib` would bring all of OpenSSL
-    into each controller, for 6 ms of its start and 3 MB.
+    `random` hashes a string seed with SHA-512, which it has loaded; importing `hashlib` would load OpenSSL
+    into each controller, which costs 6 ms at start and 3 MB.
     """
     return random.Random(f"{member} {machine}").random()
--- a/src/poppyhold/relay/server.py
+++ b/src/poppyhold/relay/server.py
@@ -1,4 +1,4 @@
-"""The leader's connections with relays: each has a thread that reads batches; the decision thread answers."""
+"""The leader's connections with relays: a thread for each reads batches, the decision thread answers them."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class RelayServer:
-    """Accepts relays' connections for one term."""
+    """Serves relays' connections during one term."""
 
     def __init__(
         self,
@@ -39,13 +39,13 @@
         assignment: Assignment,
         workers: WorkerTimings,
     ) -> None:
-        """``post`` queues work for the decision thread; False if it takes no more."""
+        """``post`` queues work for the decision thread; False if its queue is full."""
         self._post, self._assignment = post, assignment
         response_timeout_s = heartbeat_response_timeout_s(workers)
         self._idle_timeout_s = workers.heartbeat_interval_s + response_timeout_s
         self._handler = BatchHandler(answer, answered_at, assignment, response_timeout_s)
         self._connections: dict[str, socket.socket] = {}
-        # The connected relays; only the decision thread uses it.
+        # The connected relays; used on the decision thread only.
         self._relays: dict[str, ConnectedRelay] = {}
         self._lock = threading.Lock()
         self._closed = False
@@ -53,22 +53,22 @@
 
     @property
     def accepts_relays(self) -> bool:
-        """Whether controllers are asked to relay."""
+        """Whether the leader accepts relays."""
         return self._assignment.accepts_relays
 
     @property
     def machine_count_known(self) -> bool:
-        """Whether it is known how many machines there are, and so whether relays are wanted."""
+        """Whether the number of machines is known, which decides whether relays are accepted."""
         return self._machine_count_known
 
     def serve(self, connection: socket.socket, hello: RelayHello) -> None:
-        """Answer a relay's batches until its connection ends, or the term does."""
+        """Answer a relay's batches until its connection or the term ends."""
         if not self._register(connection, hello.member):
             return
         relay = ConnectedRelay(hello.member, hello.zone)
         self._post(DECISIONS, lambda: self._on_connected(relay))
         try:
-            # A relay that is silent for longer than its own keepalives take is gone.
+            # The relay sends keepalives: one that sends nothing for this long is disconnected.
             connection.settimeout(self._idle_timeout_s)
             while not self._closed:
                 self._enqueue(connection, relay, receive_message(connection, _decoder))
@@ -77,14 +77,14 @@
             self._unregister(connection, hello.member)
 
     def update_machines(self, machines: Set[str]) -> None:
-        """On the decision thread: adapt to the machines that exist now."""
+        """Update the assignment and the relays' caches to the existing machines, on the decision thread."""
         self._assignment.update_machines(machines)
         self._machine_count_known = True
         for relay in self._relays.values():
             relay.retain_machines(machines)
 
     def close(self) -> None:
-        """End every connection: relays look for the next leader."""
+        """Close all connections, so that the relays connect to the next leader."""
         with self._lock:
             self._closed = True
             connections = list(self._connections.values())
@@ -106,7 +106,7 @@
             previous = self._connections.get(member)
             self._connections[member] = connection
         if previous is not None:
-            # Its process has restarted, or has lost the connection that we still hold.
+            # The relay has restarted, or lost a connection whose end has not been noticed here.
             shut_down(previous)
         return True
 
@@ -121,7 +121,7 @@
         received_at = time.monotonic()
 
         def work() -> None:
-            # Batches of a connection that is lost are dropped: nobody waits for them here.
+            # Batches of a lost connection are dropped, as their responses can't be sent.
             if relay.alive and not try_send_message(
                 connection, self._handler.handle(relay, batch, received_at)
             ):
@@ -132,6 +132,6 @@
 
 
 def _rejected(batch: HeartbeatBatch) -> ResponseBatch:
-    """Too much waits here already: workers should learn of it at once."""
+    """Reject all heartbeats of a batch at once, as the decision thread's queue is full."""
     numbers = [full.number for full in batch.heartbeats] + [same.number for same in batch.unchanged]
     return ResponseBatch([RelayedResponse(number, RelayOutcome.REJECTED) for number in numbers])
