--- a/tests/test_program_forms.py
+++ b/tests/test_program_forms.py
@@ -36,7 +36,7 @@
 from poppyhold.scale.controllers import free_port
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.wire.http_server import HttpResponse, http_response
-from test_smoke import PATIENCE_S, ROOT, Outside, eventually
+from test_smoke import ROOT, TIMEOUT_S, ExternalStandIns, eventually
 
 FIXTURE_FILE = Path(__file__).parent / "fixtures" / "program_forms.json"
 Data = dict[str, Any]
@@ -124,7 +124,7 @@
                 self.counts += value[7]
 
 
-class RecordedOutside(Outside):
+class RecordingStandIns(ExternalStandIns):
     """State service, cloud and worker that record what they are asked."""
 
     def __init__(self, recorder: Recorder) -> None:
@@ -157,9 +157,9 @@
         self.recorder.record(_normalized(f"cloud: {method} {path}"), cbor2.loads(body) if body else {})
         return super()._cloud(method, path, body)
 
-    def _do(self, method: str, path: str, body: bytes) -> HttpResponse:
+    def _command(self, method: str, path: str, body: bytes) -> HttpResponse:
         self.recorder.record(f"worker: {method} {path}", cbor2.loads(body))
-        return super()._do(method, path, body)
+        return super()._command(method, path, body)
 
 
 class RecordingListener:
@@ -196,7 +196,7 @@
 class Program:
     """The program as a process, and what others ask of it."""
 
-    def __init__(self, recorder: Recorder, outside: RecordedOutside, folder: Path) -> None:
+    def __init__(self, recorder: Recorder, outside: RecordingStandIns, folder: Path) -> None:
         self.recorder, self.outside = recorder, outside
         self.port, self.back = free_port(), free_port()
         pong = ["pong", "hive-1", FENCING_TOKEN, False, 0.0, 0, 0, [], 0, [], ["hive-0"]]
@@ -260,7 +260,7 @@
                 outside.worker.answered(answer, sent_at, shift)
 
 
-def _job(outside: Outside, job_id: str, **fields: object) -> Data:
+def _job(outside: ExternalStandIns, job_id: str, **fields: object) -> Data:
     job = submission(job_id, {"crew": TEAM, "sizeGb": 0.1, **fields})
     outside.jobs[job_id] = job
     return wire(job)
@@ -268,7 +268,7 @@
 
 @contextmanager
 def _program(recorder: Recorder, folder: Path) -> Iterator[Program]:
-    outside = RecordedOutside(recorder)
+    outside = RecordingStandIns(recorder)
     permit = outside.state.lease(3_600_000)[1]["permit"]
     stored = _job(outside, STORED_JOB, chores=1, guessS=0.5)
     lead = {"member": "hive-1", "baton": FENCING_TOKEN, "permit": permit}
@@ -353,7 +353,7 @@
     assert [heard[0] for heard in status[2]] == [view]
 
 
-def _launched(outside: RecordedOutside) -> list[Data]:
+def _launched(outside: RecordingStandIns) -> list[Data]:
     """Machines but the worker's."""
     with outside.lock:
         return [machine for name, machine in outside.cloud.machines.items() if name != outside.worker.name]
@@ -373,7 +373,7 @@
             _run_as_follower(program)
             threading.Thread(target=send_heartbeat, daemon=True).start()
             _run_as_leader(program)
-            deadline = time.monotonic() + PATIENCE_S
+            deadline = time.monotonic() + TIMEOUT_S
             while not finished(recorder.lines) and time.monotonic() < deadline:
                 time.sleep(0.1)
         finally:
