--- a/tests/test_apportionment.py
+++ b/tests/test_apportionment.py
@@ -1,4 +1,4 @@
-"""Dividing limits and guarantees among cells: exact sums, whole units, reserves."""
+"""Apportionment of limits and guarantees to cells: exact sums, whole units, reserves."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     whole_units = amount // UNIT * UNIT
     fraction = amount - whole_units
     for cell, part in parts.items():
-        # The fraction of a unit is in one cell's part alone.
+        # Only one cell's part holds the fraction of a unit.
         units = part if part % UNIT == 0 else part - fraction
         assert abs(units - whole_units * weights[cell] / total_weight) < UNIT
 
@@ -54,7 +54,7 @@
     assert not quotas.allows("bound", (0.0, 0.0), task)
     assert not quotas.has_guarantee("bound")
     assert not quotas.within_guarantee("bound", 1.0, 1.0)
-    # Nothing is said of CPUs: work that takes no accelerator is not bound.
+    # CPUs have no limit: a task without accelerators is allowed.
     assert quotas.allows("bound", (100.0, 0.0), (1.0, 0.0, 1.0))
 
 
@@ -76,5 +76,5 @@
     assert initial_reserve(first, 0.0) == first.zeroed()
     assert first.cpus.excess_over(reserved.cpus) == ResourceAmount(2 * UNIT, 0)
     assert first.accelerators.excess_over(reserved.accelerators) == ResourceAmount(UNIT, 3 * UNIT)
-    # An allocation below its reserve, or from before there was one, has no excess.
+    # An allocation below its reserve, or older than the reserve, has no excess.
     assert ResourceAllocation(0, UNIT).excess_over(reserved.accelerators) == ResourceAmount(0, 0)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page's products, recomputed from its own slopes."""
+"""The totals of the capacity page, recomputed from its slopes, counts and constants."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def _rows() -> list[list[str]]:
-    """Every row of a table that has the page's header."""
+    """Every row of the tables with the expected header."""
     rows: list[list[str]] = []
     inside = False
     for line in PAGE.splitlines():
--- a/tests/test_cell_options.py
+++ b/tests/test_cell_options.py
@@ -1,4 +1,4 @@
-"""The section `cells` of the options, and a deployment without it."""
+"""The `cells` section of the options, and a deployment without it."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     assert leader is not None
     assert leader.leader_term is not None
     assert leader.leader_term.controller.quota is None
-    # With the file it is one prefix more.
+    # With cells the quota prefix is read as well.
     scanned_prefixes.clear()
     SnapshotReader(leader.store, with_quota=True).read()
     assert QUOTA_PREFIX in scanned_prefixes
@@ -95,7 +95,7 @@
 
 @pytest.fixture
 def config(tmp_path: Path) -> Path:
-    """A settings file in which a guarantee is above the limit."""
+    """A settings file in which a team's guarantee is above its limit."""
     path = tmp_path / "settings.toml"
     path.write_text(CONFIG)
     return path
--- a/tests/test_cell_service.py
+++ b/tests/test_cell_service.py
@@ -24,12 +24,12 @@
 from world import World
 
 CONTROLLERS = (CellController("hive-0", "127.0.0.1:1"),)
-# Initially each cell has two guaranteed accelerators of the team's limit, and four above them.
+# Each of two cells initially has two guaranteed accelerators, and four above the guarantee.
 TEAMS = [Team("alpha", accelerators=4, accelerators_max=12)]
 
 
 def new_cell(reserve: float = 0.0, teams: list[Team] | None = None) -> World:
-    """A cell that nobody leads yet."""
+    """A cell without a leader yet."""
     cells = Cells("east", 0.5, (Cell("west", 0.5, CONTROLLERS),), reserve=reserve)
     return World(1, 10.0, 30.0, teams or TEAMS, options=Options(cells=check_cells(cells)))
 
@@ -49,7 +49,7 @@
 
 
 def leading_cell(reserve: float = 0.0, teams: list[Team] | None = None) -> tuple[World, CellQuotaService]:
-    """A cell whose allocations are known, and idle."""
+    """A cell with a leader whose allocations are known and idle."""
     world = new_cell(reserve, teams)
     world.run(6.0)
     quota = quota_of(world)
@@ -58,7 +58,7 @@
 
 
 def request(quota: CellQuotaService, *unmet: UnmetDemand, **changes: object) -> TransferRequest:
-    """A request of the other cell's leader."""
+    """A transfer request from the other cell's leader."""
     sent = TransferRequest(
         PROTOCOL_VERSION, "west", "east", quota._cells.layout, "w1", quota.ledger.incarnation, 0, list(unmet)
     )
@@ -121,7 +121,7 @@
     unmet.append(UnmetDemand(names[-1], accelerators_guaranteed=UNIT, accelerators_limit=UNIT))
     transfer = transferred(world, quota, *unmet)
     assert transfer is not None
-    # Each takes a change, and the peer's record one more, of the twenty that a transaction may hold.
+    # A transaction holds twenty changes: one for each team, and one for the peer's record.
     assert list(transfer.amounts) == [names[-1], *names[:9]]
 
 
@@ -169,7 +169,7 @@
         assert transferred(world, quota, UnmetDemand("nobody", accelerators_limit=UNIT)) is None
         assert not quota.ledger.peers
         assert caplog.records == []
-        # A transfer is logged here: the lines above are not missed.
+        # A transfer is logged here, so the log level did not hide earlier ones.
         assert transferred(world, quota, unmet_demand(0, 1)) is not None
         assert len(caplog.records) == 1
 
@@ -179,7 +179,7 @@
     first = transferred(world, quota, unmet_demand(0, 1))
     assert first is not None
     assert transferred(world, quota, unmet_demand(0, 1)) == first
-    # It was applied, and the next one may start once the rate limit of transfers allows.
+    # The transfer is acknowledged; the next one starts only when the rate limit allows it.
     quota.handle_request(request(quota, last_applied=1))
     while quota.ledger.peers["west"].in_transit is not None:
         world.run(world.now + 0.05)
@@ -201,7 +201,7 @@
     assert answer.transfer is None
     world.run(world.now + 1.0)
     assert quota.ledger.transfer_in_transit_to("west") == first
-    # The first request of a cell names no incarnation of our records.
+    # A cell's first request names no incarnation of the records here.
     answer = quota.handle_request(request(quota, to_incarnation=""))
     assert (answer.rejection, answer.transfer) == ("", first)
     assert quota.alarms.texts() == []
@@ -222,7 +222,7 @@
     world.run(6.0)
     assert controller._quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
     assert set(quota.requests()) == {"west"}
-    # A leader that does not know its allocations yet is no reason for an alarm.
+    # A leader that does not know its allocations yet raises no alarm.
     quota.handle_response(TransferResponse("west"))
     assert quota.alarms.texts() == []
 
@@ -253,7 +253,7 @@
     one = TeamAmount(accelerators=ResourceAmount(0, UNIT))
     with caplog.at_level(logging.INFO, "poppyhold.quota.cell_service"):
         quota.handle_response(TransferResponse("west", "w1", Transfer(1, {"alpha": one})))
-        # Not before it is durable.
+        # The credit is not logged before it is durable.
         assert caplog.messages == []
         world.run(world.now + 1.0)
     assert [bool(CREDIT_LINE.search(line)) for line in caplog.messages] == [True]
@@ -310,7 +310,7 @@
 def test_a_stalled_team_yields_its_idle_allocation_to_cells_earlier_by_name(
     cell: str, is_debited: bool
 ) -> None:
-    # Two cells that each hold half of what a gang needs: one of them has to transfer it, and not both.
+    # Two cells each hold half of what a gang needs: exactly one of them has to transfer its half.
     _, quota = leading_cell()
     demand = quota._demands["alpha"]
     demand.is_stalled = True
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -57,7 +57,7 @@
 
 
 def test_a_record_that_appears_while_it_is_created_ends_the_term() -> None:
-    """A first try without an answer made the records: what is there is read anew, not guessed."""
+    """An earlier attempt without a response may have created the records: the next term reads them."""
     cell = Fleet().cells[0]
     cell.state.keys = {key: value for key, value in cell.state.keys.items() if "/q/" not in key}
     cell.crash()
@@ -75,7 +75,7 @@
 
 
 def test_a_commit_in_progress_does_not_delay_a_cell_with_all_its_records() -> None:
-    """While a state service is away for long, demand and alarms must still be measured."""
+    """Demand and alarms are measured also while the state service is unavailable."""
     fleet = Fleet()
     cell = fleet.cells[0]
     assert cell.leader is not None
@@ -111,7 +111,7 @@
 
 
 def test_one_transfer_at_a_time_is_in_transit_to_a_cell() -> None:
-    """The peer's record holds one: a second one would replace the first."""
+    """A peer's record holds one transfer: a second would overwrite the first."""
     fleet = Fleet()
     source = fleet.cells[0].leader
     assert source is not None
@@ -151,15 +151,15 @@
     allocations = dict.fromkeys(("alpha", "beta", "gamma", "delta"), FIRST_ALLOCATION)
     changes = []
     while leader.ledger.create_missing(allocations, 2):
-        # One commit at a time: it is in progress, and no second one starts.
+        # While a commit is in progress, no second one starts.
         assert leader.ledger.create_missing(allocations, 2)
         assert len(leader.steps) == 1
         changes.append(len(leader.steps[0][1]))
         leader.carry_out()
-    # The identity counts as well.
+    # The identity record counts against the bound as well.
     assert changes == [2, 2, 1]
     assert leader.ledger.records.keys() == allocations.keys()
-    # None of them was created again by a later commit.
+    # No later commit created any of them again.
     assert {record.version for record in leader.ledger.records.values()} == {0}
 
 
@@ -215,7 +215,7 @@
             source.ledger.check_peer("north", incarnation)
         with pytest.raises(UnknownIncarnationError):
             source.ledger.debit("north", incarnation, {TEAM: ONE_LIMIT})
-    # A cell without earlier transfers: it has to name its incarnation all the same.
+    # A cell without earlier transfers must name its incarnation as well.
     with pytest.raises(UnknownIncarnationError):
         destination.ledger.credit("west", "", Transfer(1, {TEAM: ONE_LIMIT}))
     assert (source.steps, destination.steps) == ([], [])
@@ -225,7 +225,7 @@
     fleet = Fleet()
     source = fleet.cells[0].leader
     assert source is not None
-    # There was no transfer, and the other cell says so.
+    # No transfer was sent, and the other cell acknowledges none.
     source.ledger.acknowledge("north", "north-1", 0)
     source.debit(fleet.cells[1], UNIT)
     assert source.ledger.transfer_in_transit_to("north") is None
@@ -234,7 +234,7 @@
     source.carry_out()
     in_transit = source.ledger.transfer_in_transit_to("north")
     assert in_transit is not None
-    # Requested before it arrived, and while another commit is in progress: it stays in transit.
+    # A request sent before the transfer arrived, or during another commit, leaves it in transit.
     source.ledger.acknowledge("north", "north-1", 0)
     source.debit(fleet.cells[2], UNIT)
     source.ledger.acknowledge("north", "north-1", 1)
@@ -250,13 +250,13 @@
 
 
 def test_a_transfer_for_a_team_without_an_allocation_is_not_credited() -> None:
-    """Its record is being created, most likely: amounts credited to nothing would be lost."""
+    """The team's record may still be being created: a credit without a record would be lost."""
     destination = Fleet().cells[1].leader
     assert destination is not None
     assert not destination.ledger.credit("east", "east-1", Transfer(1, {"beta": ONE_LIMIT}))
     assert not destination.ledger.commit_in_progress
     assert destination.ledger.create_missing({"beta": FIRST_ALLOCATION}, 10)
-    # Nor is anything credited while another commit is in progress.
+    # Nothing is credited while another commit is in progress.
     assert not destination.ledger.credit("east", "east-1", Transfer(1, {TEAM: ONE_LIMIT}))
     destination.carry_out()
     assert destination.ledger.credit("east", "east-1", Transfer(1, {"beta": ONE_LIMIT}))
--- a/tests/test_ledger_search.py
+++ b/tests/test_ledger_search.py
@@ -1,4 +1,4 @@
-"""A stateful search for a sequence of failures that loses or duplicates an amount, and its guards."""
+"""Stateful search for failure sequences that lose or duplicate an amount, and the guards against them."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Three cells with changing leaders, bad links and stores that lose answers or carry out late."""
+    """Three cells with changing leaders, faulty links, lost commit responses and late commits."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -88,18 +88,18 @@
         try:
             self.fleet.deliver(which, again, to_former)
         except QuotaProtocolError:
-            # A former leader may be outdated. The one that leads never is.
+            # Only a former leader can be outdated.
             assert to_former or any(cell.former for cell in self.fleet.cells)
 
     @rule(cell=CELL, peer=CELL, units=st.integers(1, 8))
     def debit_durably(self, cell: int, peer: int, units: int) -> None:
-        """A debit that the state service commits at once."""
+        """Debit, and commit it at once."""
         self.debit(cell, peer, units)
         self.carry_out(cell, Outcome.ANSWERED)
 
     @rule(cell=CELL, peer=CELL)
     def exchange(self, cell: int, peer: int) -> None:
-        """Over a good link a question and its answer arrive at once; a credit is not yet durable."""
+        """Deliver a request and its response at once; a credit is not yet durable."""
         if cell != peer:
             self.fleet.ask(cell, peer)
             self.deliver(-1, again=False, to_former=False)
@@ -107,13 +107,13 @@
 
     @rule(cell=CELL, peer=CELL, units=st.integers(1, 8))
     def transfer_until_received(self, cell: int, peer: int, units: int) -> None:
-        """A transfer that arrives at once, and whose credit is not yet durable."""
+        """Deliver a transfer at once; its credit is not yet durable."""
         self.debit_durably(cell, peer, units)
         self.exchange(peer, cell)
 
     @rule(cell=CELL)
     def carry_out_all(self, cell: int) -> None:
-        """The state service commits everything that waits."""
+        """Commit everything that is queued."""
         leader = self.fleet.cells[cell].leader
         assert leader is not None
         for _ in range(len(leader.steps)):
@@ -135,7 +135,7 @@
         self._meet_unmet_demand()
 
     def _meet_unmet_demand(self) -> None:
-        """Idle amounts of any cell reach the cell that needs them."""
+        """Assert that idle amounts of all cells reach the cell that needs them."""
         first = self.fleet.cells[0]
         for cell in self.fleet.cells:
             cell.running = 0
@@ -157,7 +157,7 @@
 
 
 def start_tasks_during_a_debit(fleet: Fleet) -> None:
-    """Everything that the allocation allows is started while a debit is being committed."""
+    """A cell starts all tasks that its allocation allows while a debit is being committed."""
     cell = fleet.cells[0]
     assert cell.leader is not None
     cell.leader.debit(fleet.cells[1], 2 * UNIT)
@@ -166,7 +166,7 @@
 
 
 def start_tasks_before_the_credit(fleet: Fleet) -> None:
-    """A destination plans with a credit, and ends before that is durable."""
+    """A destination starts tasks against a credit that is not yet durable."""
     source, destination = fleet.cells[0].leader, fleet.cells[1]
     assert source is not None
     source.debit(destination, UNIT)
@@ -179,7 +179,7 @@
 
 
 def request_before_the_debit_is_durable(fleet: Fleet) -> None:
-    """A source ends before its debit is durable; the destination has asked meanwhile."""
+    """A source crashes before its debit is durable, and after the destination requested it."""
     source, destination = fleet.cells[0], fleet.cells[1]
     assert source.leader is not None
     assert destination.leader is not None
@@ -192,7 +192,7 @@
 
 
 def freeze_during_a_debit(fleet: Fleet) -> None:
-    """A source freezes between planning and commit; its successor debits the same again."""
+    """A source freezes between planning and commit; its successor debits the same amount again."""
     source = fleet.cells[0]
     frozen = source.leader
     assert frozen is not None
@@ -205,7 +205,7 @@
 
 
 def commit_a_debit_late(fleet: Fleet) -> None:
-    """A debit without a response is retried, and its first try arrives after a second debit."""
+    """A debit without a response is retried; its first attempt is applied after a second debit."""
     source, destination = fleet.cells[0], fleet.cells[1]
     assert source.leader is not None
     assert destination.leader is not None
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""No fixed limit below 4,000 machines: connections, messages, reads in pages, lists, and what is computed."""
+"""No fixed limit below 4,000 machines: connections, messages, paged reads, lists and computations."""
 
 from __future__ import annotations
 
@@ -64,22 +64,19 @@
 )
 
 
-# -- connections ---------------------------------------------------------------------------------------
-
-
 def test_max_connections_follow_sockets_and_memory() -> None:
     assert MachineLimits(max_sockets=6500, ram_mb=326.0).connections > MACHINES
-    # What small deployments had, they have.
+    # Small deployments keep their earlier limits.
     assert MachineLimits(max_sockets=700, ram_mb=146.0).connections == 476
     assert MachineLimits(max_sockets=1819, ram_mb=326.0).connections == 1236
-    # Sockets that memory can't carry are not counted on.
+    # Memory limits the connections below the number of sockets.
     assert MachineLimits(max_sockets=6500, ram_mb=146.0).connections == 1933
 
 
 def test_more_than_four_thousand_connections_are_served() -> None:
     limit = MachineLimits(max_sockets=6500, ram_mb=326.0).connections
     wanted = MACHINES + 200
-    # Both ends are in this process.
+    # Both ends of each connection are sockets of this process.
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 2 * wanted + 200)), hard))
     server = HttpServer(("127.0.0.1", 0), lambda method, path, body: http_response(200), limit)
@@ -89,7 +86,7 @@
         clients.extend(
             socket.create_connection(("127.0.0.1", server.server_port), timeout=30.0) for _ in range(wanted)
         )
-        # Each is still there once the last has come.
+        # Every connection is still open after the last was accepted.
         for client in clients:
             client.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
         for client in clients:
@@ -100,9 +97,6 @@
         server.close_all()
 
 
-# -- messages between controllers ------------------------------------------------------------------------
-
-
 def test_first_pings_of_a_large_fleet_fit_the_frame_limit() -> None:
     images = {
         f"vm-{number:06d}": tuple((f"registry/team-{kind}/image:{number}", 12.5) for kind in range(12))
@@ -142,11 +136,8 @@
     assert received == ping
 
 
-# -- reads in pages --------------------------------------------------------------------------------------
-
-
 class PagedStore(Store):
-    """Machines' records in pages of a thousand; some pages fail first."""
+    """A store that returns machine records in pages of 1,000 and rejects the reads in ``failing``."""
 
     def __init__(self, failing: set[int]) -> None:
         self._failing = failing
@@ -190,20 +181,17 @@
         except StoreRejectedError:
             failures += 1
     assert len(snapshot.machines) == MACHINES
-    # Nine pages in all, five of them empty ones, and the four that were refused.
+    # Nine pages, five of them empty, and the four rejected reads.
     assert (failures, store.pages) == (4, 13)
 
 
-# -- the cloud's lists -----------------------------------------------------------------------------------
-
-
 def _listed(name: str) -> ListedMachine:
-    """A machine of the list."""
+    """A running machine as the cloud lists it."""
     return ListedMachine(name, machine_type="large", zone="a", spot=False, status="running")
 
 
 class ListingCloud:
-    """A cloud whose list has eight pages; it notes what it is asked for, in order."""
+    """A cloud whose machine list has eight pages; it records its requests in order."""
 
     def __init__(self) -> None:
         self.requests: list[str] = []
@@ -237,7 +225,7 @@
         listing = reader.read_next_page()
     assert len(listing.machines) == MACHINES
     assert before <= listing.began_at <= time.monotonic()
-    # Eight pages are half of what the cloud takes in twice as many gaps.
+    # The list uses half of the request rate: eight pages take sixteen request intervals.
     assert reader.due_at >= listing.began_at + 8 * 0.02 / 0.5
 
 
@@ -256,7 +244,7 @@
         dispatcher.launch({}, lambda outcome, names: done.append("launch"))
         dispatcher.delete(["vm-000001"], lambda gone: done.append("delete"))
         _until(lambda: len(done) == 2)
-        assert not listings, "the list went before the changes"
+        assert not listings, "the list was complete before the changes were sent"
         _until(lambda: bool(listings))
     finally:
         dispatcher.stop()
@@ -270,9 +258,6 @@
         time.sleep(0.005)
 
 
-# -- what a configured size needs ------------------------------------------------------------------------
-
-
 def _deployed(**limits: Any) -> Deployed:
     settings_ = World(1, 15.0, 45.0, []).settings
     deployment = msgspec.structs.replace(
@@ -321,9 +306,6 @@
     assert "machines" in lines[0]
 
 
-# -- what is computed ------------------------------------------------------------------------------------
-
-
 def _job(number: int, cpus: float, accelerators: float, **fields: object) -> Job:
     spec = submission(
         f"job-{number:06d}", {"cpus": cpus, "accelerators": accelerators, "memGb": 1.0, **fields}
@@ -343,7 +325,7 @@
     st.integers(1, 8),
 )
 def test_an_incremental_ranking_equals_a_full_search(changes: list[tuple[int, int, bool]], need: int) -> None:
-    """Room that is taken and freed, and machines that come and go, between the passes of one ranking."""
+    """Resources are taken and released, and machines added and removed, between updates of one ranking."""
     machines = {index: _machine(f"vm-{index:06d}", "ab"[index % 2], 0.0) for index in range(10)}
     present = set(machines)
 
@@ -375,7 +357,7 @@
     ranking = Ranking(view, lambda m: m.free[0] if m.free[0] >= 4 else None)
     ranking.update()
     machine.set_used((16.0, 0.0, 0.0))
-    # Its guard: a machine that something starts on is reported to the view.
+    # The guard against it: a machine on which a task starts is refreshed in the view.
     assert ranking.best({"a"}, set()) is not None
     view.refresh_machine(machine)
     ranking.update()
@@ -456,7 +438,7 @@
 
 def test_a_limit_on_a_resource_that_a_task_does_not_use_is_ignored() -> None:
     quotas = Quotas([Team("alpha", cpus_max=64.0, accelerators_max=8.0)])
-    # Machines that were not heard yet may hold more than the limit.
+    # Tasks on unreconciled machines may exceed the limit.
     assert quotas.allows("alpha", (0.0, 4000.0), (1.0, 0.0, 1.0))
     assert not quotas.allows("alpha", (0.0, 4000.0), (1.0, 1.0, 1.0))
     assert not quotas.allows("alpha", (64.0, 0.0), (1.0, 0.0, 1.0))
@@ -488,9 +470,9 @@
     now[0] = 1.0
     for machine in machines.values():
         commands.probe_silent_worker(machine, now[0])
-    # Half an interval on, half as many more, and nobody whose answer is still out.
+    # Half an interval later half as many more are probed, and none whose response is outstanding.
     assert len(probed) == len(set(probed)) == 150
-    # As a term of few machines begins, all are asked at once.
+    # At the start of a term with few machines all are probed at once.
     for machine in machines.values():
         commands.request_heartbeat(machine, now[0])
     assert len(probed) == 1000
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Planner and pricing against brute force on small cases."""
+"""Planner and pricing, compared with brute force on small cases."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 def submission(**changes: object) -> Submission:
-    """A plain job; ``changes`` replace fields."""
+    """A submission with default fields; ``changes`` replace fields."""
     return parse_submission(jobs.submission("job-000001", changes))
 
 
 def make_planner(horizon: int, machines: int, units: int = 16) -> tuple[Planner, Ledger, Pricing]:
-    """Machines of four accelerators each, in two zones by turns."""
+    """A planner for machines of four accelerators each, alternating between two zones."""
     ledger = Ledger(horizon)
     for number in range(machines):
         ledger.add_machine(f"m{number}", (16.0, 4.0, 64.0), "ab"[number % 2], "type", False)
@@ -118,7 +118,7 @@
 
 
 def test_dispatch_resumes_where_the_time_budget_ended() -> None:
-    # A clock that moves on with each look at it: every cycle runs out of time after the first job or two.
+    # Each reading advances the clock: every cycle exceeds its time budget after one or two jobs.
     fleet = world.World(1, 10.0, 30.0, [Team("alpha")])
     for _ in range(4):
         fleet.add_worker(fleet.cloud.add("large", "a", False, "running"))
--- a/tests/test_quota_demand.py
+++ b/tests/test_quota_demand.py
@@ -1,4 +1,4 @@
-"""The demand of a team: what is unmet, what can be spared, and what is idle."""
+"""A team's demand: its unmet, spare and idle amounts."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         pytest.param(
             ResourceDemand(possible_use=3, pending=4, startable=4), False, (0, 3), id="above-what-fits"
         ),
-        # Work without free capacity here keeps the guarantee, which preempts others, and nothing borrowed.
+        # Pending work without free capacity retains only the guarantee, which can preempt other work.
         pytest.param(
             ResourceDemand(possible_use=3, pending=4), False, (0, 6), id="pending-that-does-not-fit"
         ),
--- a/tests/test_quota_links.py
+++ b/tests/test_quota_links.py
@@ -1,4 +1,4 @@
-"""Links to other cells over real sockets: finding the leader, bad responses and recovery."""
+"""Links to other cells over real sockets: finding the leader, invalid responses and recovery."""
 
 from __future__ import annotations
 
--- a/tests/test_quota_server.py
+++ b/tests/test_quota_server.py
@@ -23,7 +23,7 @@
 
 
 class TermStub:
-    """A term that answers every request alike, or is not ready."""
+    """A term that gives every request the same response, or is not ready."""
 
     def __init__(self, answer: QuotaResponse | None) -> None:
         self._answer = answer
--- a/tests/test_quota_status.py
+++ b/tests/test_quota_status.py
@@ -53,7 +53,7 @@
 
 
 def test_views_of_different_times_are_not_added_up() -> None:
-    # The source's view is from before its debit.
+    # The source's view predates its debit.
     assert status(view("east", 3), view("west", 4, APPLIED)) == (0, [], False)
 
 
--- a/tests/test_relay_assignment.py
+++ b/tests/test_relay_assignment.py
@@ -1,4 +1,4 @@
-"""Which worker is assigned to which relay."""
+"""The assignment of workers to relays: balance, zones, failures and size thresholds."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     fleet = AssignedFleet()
     fleet.settle()
     load = Counter(fleet.at.values())
-    # A few of the leader's zone may stay; no relay has more than a quarter above the even share.
+    # A few workers of the leader's zone may stay; no relay exceeds the even share by more than a quarter.
     assert len(fleet.at) >= len(MACHINES) - 9
     assert max(load.values()) <= 1.25 * len(MACHINES) / len(ZONES)
     in_zone = sum(ZONES[relay] == MACHINES[machine] for machine, relay in fleet.at.items())
@@ -86,7 +86,7 @@
         direct_periods_s.append(fleet.now - began)
     assert min(direct_periods_s) >= 10.0
     if not is_relayed:
-        # Ever longer, as long as no heartbeat of it comes through the relay.
+        # The period grows while none of its heartbeats arrives through the relay.
         assert direct_periods_s[0] < direct_periods_s[1] < direct_periods_s[2]
 
 
@@ -111,7 +111,7 @@
         fleet.assignment.record_round_trip(member, 0.3)
     relay = next(iter(fleet.at.values()))
     machine = next(machine for machine, there in fleet.at.items() if there == relay)
-    # No other is left: the worker returns to the leader.
+    # No other relay is healthy: the worker returns to the leader.
     assert fleet.assignment.reassign(machine, MACHINES[machine], relay, fleet.now) == "hive-0"
 
 
@@ -133,7 +133,7 @@
         fleet.assignment.relay_disconnected(member)
     of_zone = [machine for machine, zone in MACHINES.items() if zone == "a"]
     assert [fleet.direct(machine) for machine in of_zone[:8]] == [None] * 8
-    # Above the bound connections count more.
+    # Above that number of direct workers, relays of other zones are assigned.
     assert fleet.direct(of_zone[8]) is not None
 
 
@@ -156,5 +156,5 @@
     max_workers, underloaded = fleet.assignment.load_advice("hive-1")
     assert max_workers == math.ceil(1.25 * len(MACHINES) / len(ZONES))
     assert set(underloaded) == set(ZONES) - {"hive-1"}
-    # With an even share it is not advised.
+    # A relay with its even share is not underloaded.
     assert set(fleet.assignment.load_advice("hive-2")[1]) == set(ZONES) - {"hive-1", "hive-2"}
--- a/tests/test_relay_batch_handler.py
+++ b/tests/test_relay_batch_handler.py
@@ -32,7 +32,7 @@
     relay.put(heartbeat(sequence=1))
     leader.handle(relay)
     relay.put(heartbeat(sequence=2))
-    # A new leader, or one that received another full heartbeat of the machine meanwhile.
+    # A new leader, or a leader that has since received another full heartbeat of the machine.
     for state in (ConnectedRelay("hive-1", "a"), ConnectedRelay("hive-1", "a")):
         leader.relay = state
     leader.relay.cache_full(heartbeat(sequence=9, incarnation=2))
@@ -87,7 +87,7 @@
     assert state is not None
     answers = term.batch_handler.handle(state, batch, world.now)
     assert [answer.outcome for answer in answers.responses] == [RelayOutcome.ANSWERED]
-    # Another one takes the lead while the answers are on their way.
+    # Another node becomes leader while the responses are in transit.
     held = world.state.keys[LEADER_KEY]
     world.state.keys[LEADER_KEY] = ({**held[0], "baton": held[0]["baton"] + 1}, *held[1:])
     node.relay._answered(state, term, answers)
--- a/tests/test_relay_link.py
+++ b/tests/test_relay_link.py
@@ -1,4 +1,4 @@
-"""The relay's link and the leader's server over real connections."""
+"""A relay's link and the leader's server over real connections."""
 
 from __future__ import annotations
 
@@ -91,7 +91,7 @@
         self.server = self._server()
 
     def close(self) -> None:
-        """End both."""
+        """Close the link, the server and the listener."""
         self.link.stop()
         self.server.close()
         self.listener.close()
@@ -131,7 +131,7 @@
     relayed.frozen.set()
     relayed.send(1)
     eventually(lambda: relayed.responses == [None])
-    # The connection is closed, so that nothing more is relayed until there is a response again.
+    # The connection is closed, so nothing more is relayed until the leader responds again.
     eventually(lambda: not relayed.link.is_open())
     relayed.frozen.clear()
     eventually(relayed.link.is_open)
--- a/tests/test_relay_options.py
+++ b/tests/test_relay_options.py
@@ -1,4 +1,4 @@
-"""Relays in the options and between versions."""
+"""Relays in the options, and with versions that have none."""
 
 from __future__ import annotations
 
@@ -29,6 +29,6 @@
     old: msgspec.msgpack.Decoder[Ping | Pong] = msgspec.msgpack.Decoder(Ping | Pong)
     with pytest.raises(msgspec.MsgspecError):
         old.decode(msgspec.msgpack.encode(RelayHello("hive-1", "a")))
-    # Its pings end before the field that asks for relays.
+    # Such a version's pings end before the field `accepts_relays`.
     ping = msgspec.msgpack.encode(["ping", "hive-0", 7, True, 0.5, 12, 2, [], [], None, 41])
     assert old.decode(ping) == Ping("hive-0", 7, True, 0.5, 12, 2, [], [], None, 41, accepts_relays=False)
--- a/tests/test_relay_overflow_redirect.py
+++ b/tests/test_relay_overflow_redirect.py
@@ -18,14 +18,14 @@
     own = [f"vm-{number:06d}" for number in range(800)]
     assert set(redirect_all(overflow, own).values()) == {None}
     overflow.update_advice(1000, ["hive-3", "hive-4", "hive-5"])
-    # Another relay ends, and its 800 workers come here one by one.
+    # Another relay ends, and its 800 workers connect to this one.
     arriving = [f"vm-{number:06d}" for number in range(1000, 1800)]
     sent = redirect_all(overflow, arriving)
     assert sum(other is None for other in sent.values()) == 200
     spread = Counter(other for other in sent.values() if other is not None)
     assert set(spread) == {"hive-3", "hive-4", "hive-5"}
     assert max(spread.values()) < 1.25 * 600 / 3
-    # Those that were here stay, and so does one that returns.
+    # This relay's earlier workers stay, and so does a worker that returns.
     assert set(redirect_all(overflow, own).values()) == {None}
     returning = next(machine for machine, other in sent.items() if other is not None)
     assert overflow.redirect(returning) is None
--- a/tests/test_relay_queue.py
+++ b/tests/test_relay_queue.py
@@ -1,4 +1,4 @@
-"""The relay's queue: what is sent in full, which responses count, and its bounds."""
+"""The relay's queue: what is sent in full, which responses are dropped, and its bounds."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
     relay.put(heartbeat(sequence=2))
     relay.queue.connection_lost()
     batch = relay.queue.next_batch(0.1, 64)
-    # The first one is sent in full, and the second may refer to it.
+    # The first heartbeat is sent in full, and the second refers to it.
     assert [full.heartbeat.sequence for full in batch.heartbeats] == [1]
     assert [beat.sequence for beat in batch.unchanged] == [2]
 
@@ -111,5 +111,5 @@
         response.deliver()
     assert relay.responses == [None]
     assert relay.put(heartbeat("vm-3"), now=3.0)
-    # An expired heartbeat is not sent any more.
+    # An expired heartbeat is not sent.
     assert [full.heartbeat.machine for full in relay.queue.next_batch(3.0, 64).heartbeats] == ["vm-1", "vm-3"]
--- a/tests/test_relay_reconnection.py
+++ b/tests/test_relay_reconnection.py
@@ -1,4 +1,4 @@
-"""How long heartbeats are accepted after a lost connection."""
+"""How long a relay accepts heartbeats after its connection to the leader is lost."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     assert window.is_open(104.9)
     window.record_leader("hive-1", 104.9)
     assert window.is_open(105.9)
-    # However often it changes.
+    # Further changes do not extend the bound.
     window.record_leader(None, 105.9)
     assert not window.is_open(106.1)
     window.record_leader("hive-2", 106.1)
@@ -37,6 +37,6 @@
     assert window.is_open(104.9)
     window.connection_accepted(104.9)
     assert not window.is_open(106.1)
-    # Once the window is closed, a connection alone does not open it.
+    # A connection alone does not reopen a closed window.
     window.connection_accepted(106.2)
     assert not window.is_open(106.3)
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -1,4 +1,4 @@
-"""Retention of what a team used: short at first, longer while its allocation moves back and forth."""
+"""Retention of a team's recent use: short at first, longer while its allocation moves back and forth."""
 
 from __future__ import annotations
 
