--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -1,4 +1,4 @@
-"""What invalid input is answered, and the large jobs that are valid."""
+"""Rejection of invalid input from users, workers and files, and the limits of valid large jobs."""
 
 from __future__ import annotations
 
@@ -85,12 +85,12 @@
     assert users.submit(encode(wire(builds=["huge"])))[0] == 422
     assert users.submit(encode(wire(accelerators=9.0)))[0] == 422
     assert users.submit(encode(wire(shape="service", chores=7)))[0] == 422
-    # A gang runs whole or not at all, so all of it counts.
+    # All tasks of a gang start together, so all of them count against the limit.
     assert users.submit(encode(wire(shape="group", chores=7)))[0] == 422
     assert users.submit(encode(wire(shape="group", chores=6, nameId="job-000006")))[0] == 201
     assert users.submit(encode(wire(shape="array", chores=7)))[0] == 201
     assert users.submit(encode(wire(shape="array", chores=7)))[0] == 200
-    # What was accepted stays accepted, whatever a repeat says.
+    # An accepted job stays accepted, whatever a repeated submission says.
     assert users.submit(encode(wire(crew="nobody")))[0] == 200
     assert users.poll("job-000009")[0] == 404
     assert users.abort("job-000009")[0] == 404
@@ -143,7 +143,7 @@
 
 
 def test_largest_job_runs_within_the_limits() -> None:
-    # The state service's stand-in refuses values and transactions above the limits.
+    # The state service's stand-in rejects values and transactions above the limits.
     world = World(1, 10.0, 30.0, [Team("alpha")])
     for _ in range(4):
         world.add_worker(world.cloud.add("large", "a", False, "running"))
@@ -158,14 +158,14 @@
     world = World(1, 10.0, 30.0, [Team("alpha")], AnnouncedStateLimits(value_kb=2.0, txn_ops=4))
     world.state.lower_limits(4, 2.0)
     users = world.nodes[0].users
-    # Machine types that don't exist allow nothing: they are left out of a record that is too long with them.
+    # Unknown machine types match no machine: they are left out of a record that is too long with them.
     names = ["small", *(f"type-{number:04d}" for number in range(400))]
     assert users.submit(encode(wire(builds=names)))[0] == 201
     assert world.state.keys["ph/a/job-000001"][0]["spec"]["builds"] == ["small"]
     four_byte_character = "\U0001f600"
     oversized = wire(nameId="job-000002", bundle=four_byte_character * 200, lot=four_byte_character * 200)
     assert users.submit(encode(oversized))[0] == 400
-    # The same from a version that stored it under larger limits is known.
+    # The same job, stored by a version with larger limits, is known.
     world.state.keys["ph/a/job-000002"] = ({"spec": oversized, "at": 0.0}, 1, None)
     assert users.submit(encode(oversized))[0] == 200
 
@@ -196,7 +196,7 @@
     root = Path(__file__).resolve().parent.parent
     shipped = (root / "deploy" / "poppyhold.txtpb").read_text()
     assert parse_options(shipped) == load_options(None)
-    # The figures that are commented out are the defaults.
+    # The values that are commented out are the defaults.
     lines = [line.removeprefix("# ") for line in shipped.splitlines()[2:]]
     assert parse_options("\n".join(lines)) == load_options(None)
     assert parse_options("provisioning { headroom: 2 }").provisioning.headroom == 2.0
@@ -231,7 +231,7 @@
     path = tmp_path / "settings.toml"
     path.write_text(good)
     assert load_settings(path).deployment.workers.cancel_s == 30.0
-    # Three zones with a controller each, a team without limits, an objective of a class that none belongs to.
+    # Three zones with a controller each, a team without limits, an objective of a class without a team.
     path.write_text(
         good.replace("[outside]", KNOWN.format("b", "y") + KNOWN.format("c", "x") + "[outside]")
         .replace('zones = ["z"]', 'zones = ["z", "y", "x"]')
--- a/tests/test_program_forms.py
+++ b/tests/test_program_forms.py
@@ -1,11 +1,10 @@
-"""What a running controller stores, sends and answers has the names and forms that were recorded.
+"""What a running controller stores, sends and answers has the recorded names and types.
 
-The real program plays a short day on loopback: another controller leads at first, and then it does. All that
-it sends is noted as lines, one for each name with the type of what stands there. The fixture
-`program_forms.json` holds those of commit 5d1323a, the last one before attributes, types and modules were
-renamed: lines that each of its runs had, and lines that some had. No attribute of what is sent is named here.
-What is read in the wrong order from a tuple between controllers is not noticed, as long as it is written in
-the right one.
+The real program runs on loopback, first as a follower, then as the leader. Everything that it sends is
+recorded as lines: one for each name, with the type of its value. The fixture `program_forms.json` holds the
+lines of commit 5d1323a, the last one before attributes, types and modules were renamed: the lines of all its
+runs, and the lines of only some. No attribute of the messages is named here. Fields of a tuple between
+controllers that are written in the right order but read in the wrong one are not detected.
 
 A form that is added on purpose is recorded by `python tests/test_program_forms.py`, which adds a run's lines.
 """
@@ -61,7 +60,7 @@
 }}
 """
 TEAM = "alpha/1 x"
-# A job that was submitted, and one that was cancelled, before the program began.
+# A job that was submitted, and one that was cancelled, before the program started.
 STORED_JOB, CANCELLED_JOB = "job-000090", "job-000091"
 ARRAY, SERVICE, ABORTED, LARGE = "job-000001", "job-000002", "job-000003", "job-000004"
 FENCING_TOKEN = 41
@@ -77,7 +76,7 @@
     "recallS": None,
     "chores": [],
 }
-# Names that differ from run to run, and what stands for them.
+# Names that differ between runs, and their placeholders.
 _NAMES = [
     (re.compile(r"job-\d+"), "JOB"),
     (re.compile(r"vm-\d+"), "MACHINE"),
@@ -93,12 +92,12 @@
 
 
 def lines(where: str, value: object) -> Iterator[str]:
-    """A line for each name in a value, with the type of what stands there."""
+    """Yield a line for each name in a value, with the type of its value."""
     if isinstance(value, dict) and value:
         for name, each in value.items():
             yield from lines(f"{where}.{_normalized(str(name))}", each)
     elif isinstance(value, list) and value:
-        # A tuple between controllers has a type for each place, a list one for all.
+        # A tuple between controllers has a type for each position, a list one type for all.
         is_tuple = isinstance(value[0], str) and not all(isinstance(each, str) for each in value)
         for place, each in enumerate(value):
             yield from lines(f"{where}[{place}]" if is_tuple else f"{where}[]", each)
@@ -107,12 +106,12 @@
 
 
 class Recorder:
-    """Lines of all that was seen, and what was seen last of each kind."""
+    """The lines of all values recorded, and the last value of each kind."""
 
     def __init__(self) -> None:
         self.lines: set[str] = set()
         self.last: Data = {}
-        # Jobs' done and running tasks that pings told of: each only as it changed.
+        # Done and running tasks of jobs as in pings, which send each only when it changes.
         self.counts: list[Any] = []
         self._lock = threading.Lock()
 
@@ -125,7 +124,7 @@
 
 
 class RecordingStandIns(ExternalStandIns):
-    """State service, cloud and worker that record what they are asked."""
+    """State service, cloud and worker that record their requests."""
 
     def __init__(self, recorder: Recorder) -> None:
         self.recorder = recorder
@@ -148,7 +147,7 @@
             self.recorder.record(f"state: {'set' if 'set' in write else 'remove'} {_normalized(key)}", write)
         answer = super()._state(method, path, body)
         if self.unanswered_commits and any("/p/" in str(write.get("set")) for write in asked["writes"]):
-            # Carried out, as far as the program can tell, or not: it makes what may come late void.
+            # Applied, but the program cannot tell: it must prevent the commit from being applied late.
             self.unanswered_commits -= 1
             return http_response(500)
         return answer
@@ -163,7 +162,7 @@
 
 
 class RecordingListener:
-    """Another controller: notes each frame that it gets, and answers with what it is told to."""
+    """Another controller: records each frame that it receives, and sends the given response."""
 
     def __init__(self, recorder: Recorder, kind: str, answer: list[Any]) -> None:
         self._recorder, self._kind, self._answer = recorder, kind, answer
@@ -194,17 +193,17 @@
 
 
 class Program:
-    """The program as a process, and what others ask of it."""
+    """The program as a process, and a client for requests to it."""
 
-    def __init__(self, recorder: Recorder, outside: RecordingStandIns, folder: Path) -> None:
-        self.recorder, self.outside = recorder, outside
+    def __init__(self, recorder: Recorder, stand_ins: RecordingStandIns, folder: Path) -> None:
+        self.recorder, self.stand_ins = recorder, stand_ins
         self.port, self.back = free_port(), free_port()
         pong = ["pong", "hive-1", FENCING_TOKEN, False, 0.0, 0, 0, [], 0, [], ["hive-0"]]
         self.peer = RecordingListener(recorder, "peer: ping", pong)
         self.cell = RecordingListener(
             recorder, "cell: asked", ["shared", "west", "w1", None, False, None, "not now"]
         )
-        cloud, state = outside.ports[1], outside.ports[0]
+        cloud, state = stand_ins.ports[1], stand_ins.ports[0]
         settings, options = folder / "settings.toml", folder / "options"
         settings.write_text(
             SETTINGS.format(port=self.port, back=self.back, peer=self.peer.port, cloud=cloud, state=state)
@@ -225,7 +224,7 @@
         self.cell.listener.close()
 
     def request(self, method: str, path: str, body: Data | None = None) -> tuple[int, Data]:
-        """A request of a user or a worker; its answer is noted."""
+        """Send a request of a user or a worker, and record the response."""
         connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=5.0)
         try:
             connection.request(method, path, cbor2.dumps(body) if body is not None else None)
@@ -240,7 +239,7 @@
         return response.status, answer
 
     def send_message(self, kind: str, message: list[Any]) -> list[Any]:
-        """A message of another controller; its answer is noted."""
+        """Send a message of another controller, and record the response."""
         with socket.create_connection(("127.0.0.1", self.back), timeout=5.0) as connection:
             connection.sendall(_frame(message))
             with connection.makefile("rb") as stream:
@@ -249,30 +248,34 @@
         return answer
 
     def send_heartbeat(self) -> None:
-        """The worker's heartbeat, and what the answer brings."""
-        outside = self.outside
-        with outside.lock:
-            outside.worker.step()
-            body, sent_at, shift = outside.worker.heartbeat(), time.monotonic(), outside.worker.incarnation
+        """Send the worker's heartbeat, and carry out the response's commands."""
+        stand_ins = self.stand_ins
+        with stand_ins.lock:
+            stand_ins.worker.step()
+            body, sent_at, incarnation = (
+                stand_ins.worker.heartbeat(),
+                time.monotonic(),
+                stand_ins.worker.incarnation,
+            )
         status, answer = self.request("POST", "/hello", body)
         if status == 200:
-            with outside.lock:
-                outside.worker.answered(answer, sent_at, shift)
+            with stand_ins.lock:
+                stand_ins.worker.answered(answer, sent_at, incarnation)
 
 
-def _job(outside: ExternalStandIns, job_id: str, **fields: object) -> Data:
+def _job(stand_ins: ExternalStandIns, job_id: str, **fields: object) -> Data:
     job = submission(job_id, {"crew": TEAM, "sizeGb": 0.1, **fields})
-    outside.jobs[job_id] = job
+    stand_ins.jobs[job_id] = job
     return wire(job)
 
 
 @contextmanager
 def _program(recorder: Recorder, folder: Path) -> Iterator[Program]:
-    outside = RecordingStandIns(recorder)
-    permit = outside.state.lease(3_600_000)[1]["permit"]
-    stored = _job(outside, STORED_JOB, chores=1, guessS=0.5)
+    stand_ins = RecordingStandIns(recorder)
+    permit = stand_ins.state.lease(3_600_000)[1]["permit"]
+    stored = _job(stand_ins, STORED_JOB, chores=1, guessS=0.5)
     lead = {"member": "hive-1", "baton": FENCING_TOKEN, "permit": permit}
-    outside.state.commit(
+    stand_ins.state.commit(
         {
             "if": [],
             "writes": [
@@ -283,16 +286,16 @@
             ],
         }
     )
-    program = Program(recorder, outside, folder)
+    program = Program(recorder, stand_ins, folder)
     try:
         yield program
     finally:
         program.close()
-        outside.close()
+        stand_ins.close()
 
 
 def _run_as_follower(program: Program) -> None:
-    """Another controller leads: workers are sent to it, and it is told what reached this one."""
+    """The program follows: it redirects workers to the leader, and reports misdirected ones to it."""
     eventually(lambda: program.request("GET", "/ready")[0] == 200)
     eventually(
         lambda: program.request("POST", "/hello", MISDIRECTED_HEARTBEAT) == (421, {"foreman": "hive-1"})
@@ -319,16 +322,16 @@
 
 
 def _run_as_leader(program: Program) -> None:
-    """It leads, with jobs of each kind, a machine that is hired, and another cell that asks."""
-    recorder, outside = program.recorder, program.outside
-    with outside.lock:
-        outside.state.end(outside.state.keys["ph/l/lead"][0]["permit"])
+    """The program leads, with jobs of each kind, a launched machine and requests of another cell."""
+    recorder, stand_ins = program.recorder, program.stand_ins
+    with stand_ins.lock:
+        stand_ins.state.end(stand_ins.state.keys["ph/l/lead"][0]["permit"])
     eventually(lambda: program.request("GET", "/ready")[1].get("shares"))
     for body in (
-        _job(outside, ARRAY, chores=9, guessS=0.5),
-        _job(outside, SERVICE, shape="service", chores=1, rank="critical"),
-        _job(outside, ABORTED, chores=3, guessS=100.0, stashS=0.2, bookmarkS=5.0),
-        _job(outside, LARGE, chores=8, guessS=100.0, builds=["small"], paddock="a", dueS=500.0),
+        _job(stand_ins, ARRAY, chores=9, guessS=0.5),
+        _job(stand_ins, SERVICE, shape="service", chores=1, rank="critical"),
+        _job(stand_ins, ABORTED, chores=3, guessS=100.0, stashS=0.2, bookmarkS=5.0),
+        _job(stand_ins, LARGE, chores=8, guessS=100.0, builds=["small"], paddock="a", dueS=500.0),
     ):
         eventually(lambda body=body: program.request("POST", "/api/jobs", body)[0] == 201)  # type: ignore[misc]
         assert program.request("POST", "/api/jobs", body)[0] == 200
@@ -337,8 +340,8 @@
     eventually(lambda: recorder.last["peer: ping"][1:4] == ["hive-0", FENCING_TOKEN + 1, True])
     eventually(lambda: [SERVICE, 0, 1] in recorder.counts)
     eventually(lambda: program.request("GET", f"/api/jobs/{ABORTED}")[1]["status"] == "running")
-    # A machine that was hired for the backlog fails, and is deleted.
-    eventually(lambda: [machine.update(status="failed") for machine in _launched(outside)])
+    # A machine that was launched for the backlog fails, and is deleted.
+    eventually(lambda: [machine.update(status="failed") for machine in _launched(stand_ins)])
     for job_id in (ABORTED, LARGE):
         eventually(lambda job=job_id: program.request("POST", f"/api/jobs/{job}/abort")[0] == 200)  # type: ignore[misc]
     own = recorder.last["cell: asked"]
@@ -353,14 +356,16 @@
     assert [heard[0] for heard in status[2]] == [view]
 
 
-def _launched(outside: RecordingStandIns) -> list[Data]:
-    """Machines but the worker's."""
-    with outside.lock:
-        return [machine for name, machine in outside.cloud.machines.items() if name != outside.worker.name]
+def _launched(stand_ins: RecordingStandIns) -> list[Data]:
+    """The machines other than the worker's."""
+    with stand_ins.lock:
+        return [
+            machine for name, machine in stand_ins.cloud.machines.items() if name != stand_ins.worker.name
+        ]
 
 
 def _run_scenario(folder: Path, finished: Callable[[set[str]], object]) -> set[str]:
-    """Play the day until what was seen is complete; all lines of it."""
+    """Run the scenario until ``finished`` holds for the recorded lines, and return them."""
     recorder = Recorder()
     with _program(recorder, folder) as program:
         stop = threading.Event()
@@ -382,7 +387,7 @@
 
 
 def _kind(line: str) -> str:
-    """What a line is about: a call, an answer, or a write with the family of its key."""
+    """The kind of a line: a request, a response, or a write with the prefix of its key."""
     return re.split(r"[.\[]|: (?=dict$)", line, maxsplit=1)[0]
 
 
@@ -391,13 +396,13 @@
     always, sometimes = set(recorded["always"]), set(recorded["sometimes"])
     seen = _run_scenario(tmp_path, lambda lines: always <= lines)
     assert always - seen == set()
-    # Beyond them only calls that a slow machine brings about, but no name in a form that is known.
+    # A slow machine may cause further kinds of calls, but no unrecorded name in a recorded kind.
     kinds = {_kind(line) for line in always | sometimes}
     assert {line for line in seen - always - sometimes if _kind(line) in kinds} == set()
 
 
 def _record() -> None:
-    """Play once more: what this run had beyond, or had not, is what only some runs have."""
+    """Run once more, and record the lines that differ between runs under "sometimes"."""
     with tempfile.TemporaryDirectory() as folder:
         began = time.monotonic()
         seen = _run_scenario(Path(folder), lambda _: time.monotonic() - began > 18.0)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run: its smallest profile, its checks, its bounds."""
+"""The scale run: its smallest profiles, checks and bounds, with one cell and with several."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def test_small_profile(tmp_path: Path) -> None:
-    """Three controllers, the leader killed, workers restarted: no rule breaks, and work goes on."""
+    """With a killed leader and restarted workers, three controllers violate no rule and jobs complete."""
     written = tmp_path / "result.json"
     assert main(["small", "--json", str(written)]) == 0
     result = msgspec.json.decode(written.read_bytes())
@@ -104,7 +104,7 @@
         command, env=environment, stderr=subprocess.PIPE, stdout=subprocess.PIPE
     ) as process:
         assert process.stderr is not None
-        # The first lines say that the controllers run.
+        # The controllers run once a line says that they are ready.
         while b"ready" not in process.stderr.readline():
             pass
         children = psutil.Process(process.pid).children()
@@ -120,11 +120,8 @@
     assert not any(child.is_running() for child in children)
 
 
-# -- the checks themselves: each is shown what it must find ------------------------------------------
-
-
 class CheckedFleet:
-    """Two worker stand-ins and one job under the checks."""
+    """Two worker stand-ins and one job under the rule checks, which must find each violation."""
 
     def __init__(self, limit: float = 100.0) -> None:
         self.now = 0.0
@@ -215,11 +212,8 @@
     assert [limit.take() for _ in range(4)] == [True, True, True, False]
 
 
-# -- several cells -------------------------------------------------------------------------------------
-
-
 def _cells(folder: Path, **changes: object) -> CellsResult:
-    """The result of the small profile of several cells."""
+    """Run the small profile of several cells with ``changes``, and return its result."""
     written, own = folder / "result.json", folder / "cells.toml"
     text = (PROFILES / "cells_small.toml").read_text()
     for field, value in changes.items():
@@ -230,7 +224,7 @@
 
 
 def test_cells_keep_within_limits_while_leaders_and_links_fail(tmp_path: Path) -> None:
-    """A leader is killed, one frozen, a way between two cells cut: shares move, no limit is passed."""
+    """A leader is killed, one frozen, a link cut one way: allocations move, no limit is exceeded."""
     result = _cells(tmp_path)
     assert result.broken == []
     assert result.ok
@@ -252,16 +246,16 @@
 def test_cell_checks_find_controllers_that_ignore_allocations(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Controllers that plan starts against the whole limit, whatever their share is, are found out."""
+    """The checks find controllers that plan starts against the whole limit instead of their allocation."""
     build = tmp_path / "build"
     build.mkdir()
     patch = "from poppyhold.scheduling.quotas import Quotas\nQuotas.set = lambda self, team, quota: None\n"
     (build / "sitecustomize.py").write_text(patch)
-    # Controllers inherit the path that modules are loaded from.
+    # Controllers inherit the module search path.
     monkeypatch.syspath_prepend(str(build))
     result = _cells(tmp_path, troubles="[]", measured_s="8.0")
     assert any(line.startswith("quota over all cells") for line in result.broken)
-    # Each cell by itself as well: its tasks are above what is stored as its share.
+    # Each cell's own check finds it as well: its tasks exceed its stored allocation.
     assert any(line.startswith("share: ") for line in result.broken)
     assert not result.ok
 
@@ -281,7 +275,7 @@
     assert not backward.asking.is_set()
     network.heal([there, back])
     assert backward.asking.is_set()
-    # What is sent that way is also the answers to the other cell's questions.
+    # The direction that is still cut also carries the responses to the other cell's requests.
     assert not forward.asking.is_set()
     assert not backward.answering.is_set()
     assert not network.is_whole
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -1,4 +1,4 @@
-"""How the modules of the package depend on one another."""
+"""The import graph of the package has no cycle."""
 
 import ast
 from graphlib import TopologicalSorter
@@ -8,7 +8,7 @@
 
 
 def _imports(path: Path, modules: set[str]) -> set[str]:
-    """The project's modules that a module loads, be it as it is loaded itself or later."""
+    """The project's modules that a module imports, at import time or later."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.ImportFrom) and node.module is not None and node.level == 0:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""The words that the code no longer uses: each concept has one term, which docs/glossary.md gives."""
+"""Words withdrawn from names in the code: each concept has one term, which docs/glossary.md defines."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 SOURCES = Path(__file__).resolve().parent.parent / "src" / "poppyhold"
 
-# Withdrawn word in a name -> the term. Several words stand side by side as they do in a name.
+# Withdrawn word in a name -> the term to use.
 WITHDRAWN = {
     "report": "heartbeat",
     "reports": "heartbeats",
@@ -57,21 +57,21 @@
     "stash",
     "tally",
 ]
-# What maps the protocols' words to names, and the tool whose stand-ins speak the protocols as others do.
+# `wire` maps protocol words to names; the stand-ins of `scale` implement the other side of the protocols.
 PACKAGES_OF_PROTOCOL_WORDS = ("wire", "scale")
-# A name may hold these although a part of it is withdrawn.
+# Allowed in names although a part is withdrawn.
 ALLOWED = {
-    # The operators' option of that name.
+    # An option's name.
     "silent_reports",
-    # The platform's setting, which a generated settings file writes.
+    # A setting's name in generated settings files.
     "report_s",
-    # Its first part says of what.
+    # The first part says which hints.
     "image_hints",
 }
 
 
 def _names(path: Path) -> dict[str, int]:
-    """Every name in a module, with the line on which it stands first."""
+    """Every name in a module, with the line of its first use."""
     names: dict[str, int] = {}
     for token in tokenize.generate_tokens(io.StringIO(path.read_text(encoding="utf-8")).readline):
         if token.type == tokenize.NAME:
@@ -80,7 +80,7 @@
 
 
 def _parts(name: str) -> list[str]:
-    """The words of a name, be it in snake case or in camel case."""
+    """The words of a name in snake case or camel case."""
     return re.sub(r"(?<=[a-z0-9])(?=[A-Z])", "_", name).lower().strip("_").split("_")
 
 
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -1,12 +1,12 @@
-"""What is stored, sent, read from files or written as JSON keeps its names and forms.
+"""Stored records, messages, files and JSON output keep their names and types.
 
 `fixtures/wire_forms.json` was written by the code of commit 5d1323a, the last one before attributes, types
-and modules were renamed. Nothing here names an attribute: a recorded form is read and written again, and has
-to be the same. Two fields of one type that change places in a tuple between controllers are not noticed by
-that. `test_program_forms.py` has what a running controller writes without a type of its own.
+and modules were renamed. No attribute is named here: a recorded form is decoded and encoded again, and must
+be unchanged. Two fields of one type that change places in a tuple between controllers are not detected.
+`test_program_forms.py` covers what a running controller writes without a type of its own.
 
-A form that is added on purpose is recorded by `python tests/test_wire_forms.py`, which adds what the fixture
-does not have and changes nothing that it has.
+A form that is added on purpose is recorded by `python tests/test_wire_forms.py`, which adds the forms that
+the fixture lacks and changes no recorded one.
 """
 
 from __future__ import annotations
@@ -50,12 +50,12 @@
 
 
 def _round_trip(value: object, kind: Any) -> Any:
-    """Read a map and write it again, as the program does with records and bodies."""
+    """Decode a map and encode it again, as the program does with records and bodies."""
     return decode(encode(msgspec.to_builtins(convert(value, kind))))
 
 
 def _shape(value: Any) -> Any:
-    """The names in a value and the types of what they stand for."""
+    """The names in a value, with the types of their values."""
     if isinstance(value, dict):
         return {name: _shape(each) for name, each in value.items()}
     return [_shape(each) for each in value] if isinstance(value, list) else type(value).__name__
@@ -65,9 +65,6 @@
     return msgspec.msgpack.encode(msgspec.msgpack.decode(data, type=ANY_MESSAGE))
 
 
-# -- maps --------------------------------------------------------------------------------------------------
-
-
 def _map_forms(name: str) -> Any:
     kind = MAPS[name]
     least = sample(kind, only_required=True)
@@ -98,9 +95,6 @@
     assert _shape(least) == _shape(FIXTURE["maps"][name]["least"])
 
 
-# -- messages between controllers --------------------------------------------------------------------------
-
-
 def _message_forms(name: str) -> Any:
     least = msgspec.msgpack.encode(sample(MESSAGES[name], only_required=True))
     return {
@@ -135,16 +129,13 @@
     assert msgspec.msgpack.encode(sample(MESSAGES[name])).hex() == FIXTURE["messages"][name]["full"]
 
 
-# -- words and keys ----------------------------------------------------------------------------------------
-
-
 @pytest.mark.parametrize("name", WORDS)
 def test_words_are_those_recorded(name: str) -> None:
     assert words(WORDS[name]) == FIXTURE["words"][name]
 
 
 def _keys() -> list[str]:
-    """Every key and prefix of keys that the state service knows, whatever its constant is called."""
+    """Every key and key prefix in the state service, whatever its constant is named."""
     texts = [value for module in (keys, records) for value in vars(module).values()]
     return sorted({text for text in texts if isinstance(text, str) and text.startswith("ph/")})
 
@@ -153,8 +144,6 @@
     assert _keys() == FIXTURE["keys"]
 
 
-# -- files -------------------------------------------------------------------------------------------------
-
 SETTINGS: dict[str, Any] = {
     "member": "hive-0",
     "domain": "a",
@@ -205,7 +194,7 @@
 
 
 def _settings_result(values: Any, folder: Path) -> str:
-    """What the program says of a settings file: what is wrong with it, or that it can be used."""
+    """The error that the program reports for a settings file, or "ok"."""
     file = folder / "settings.toml"
     file.write_text("".join(f"{name} = {_toml(value)}\n" for name, value in values.items()))
     try:
@@ -216,7 +205,7 @@
 
 
 def _settings_results(folder: Path) -> dict[str, str]:
-    """What is said of each field with a value that can't be: below 0, no address, a name that is empty."""
+    """The result for each field with an invalid value: a negative number, or an empty address or name."""
     found = {"": _settings_result(SETTINGS, folder)}
     for path in _leaves(SETTINGS):
         values = json.loads(json.dumps(SETTINGS))
@@ -249,7 +238,7 @@
 
 
 def _proto_lines() -> list[str]:
-    """The lines of options.proto that define something, without what they say for readers."""
+    """The lines of options.proto, without comments and blank lines."""
     text = (Path(poppyhold.__file__).parent / "options.proto").read_text()
     lines = (re.sub(r"//.*", "", line).strip() for line in text.splitlines())
     return [line for line in lines if line]
@@ -261,7 +250,7 @@
 
 
 def _option_text(name: str, value: object = None) -> str:
-    """An options file that sets one option, and what its section can't be without."""
+    """An options file that sets one option and the required fields of its section."""
     section, field = name.split(".")
     cells = 'name: "x" part: 0.5 others { name: "y" part: 0.5 controllers { member: "m" address: "h:1" } }'
     setting = f"{field}: {value}" if value is not None else ""
@@ -269,7 +258,7 @@
 
 
 def _scalar_options() -> list[str]:
-    """Options that are a number or a word; a cell's own part is bound to those of the others."""
+    """Options with a number or an enum value, but for `cells.part`, which depends on other cells' parts."""
     return [
         name
         for name, field in _option_fields(OptionsMessage.DESCRIPTOR)
@@ -279,11 +268,11 @@
 
 
 def _out_of_bounds_result(name: str) -> str:
-    """What is said of a value that is out of bounds."""
+    """The error for a value out of bounds, "not parsed", or "ok"."""
     try:
         parse_options(_option_text(name, 1_000_000_000))
     except ConfigError as error:
-        # What is no value at all is refused in the words of the library.
+        # A value of the wrong type is rejected with the parser's own message.
         return str(error) if str(error).startswith(name) else "not parsed"
     return "ok"
 
@@ -301,8 +290,6 @@
     assert parse_options(_option_text(name, other)) != unset
 
 
-# -- commands ----------------------------------------------------------------------------------------------
-
 COMMANDS = {
     "": main,
     "quota": main,
@@ -314,7 +301,7 @@
 
 
 def _usage(name: str) -> str:
-    """The names in a command's usage: its subcommands and flags, and which of them are needed."""
+    """A command's usage line: its subcommands and flags, and which of them are required."""
     words_given = [] if name == "scale" else name.split()
     output = io.StringIO()
     wide = mock.patch.dict(os.environ, {"COLUMNS": "10000"})
@@ -335,7 +322,7 @@
 
 
 def _serve_once(listener: socket.socket, answer: bytes, requests: list[bytes]) -> None:
-    """Take one frame, and answer with another."""
+    """Receive one frame, and respond with another."""
     connection, _ = listener.accept()
     with connection, connection.makefile("rb") as stream:
         requests.append(stream.read(int.from_bytes(stream.read(4), "big")))
@@ -343,7 +330,7 @@
 
 
 def _status_json(folder: Path) -> tuple[str, str]:
-    """What `quota status --json` asks a controller, as hexadecimal, and prints of the recorded answer."""
+    """The request of `quota status --json`, as hexadecimal, and its output for the recorded response."""
     requests: list[bytes] = []
     with socket.create_server(("127.0.0.1", 0)) as listener:
         back = f"127.0.0.1:{listener.getsockname()[1]}"
@@ -364,11 +351,8 @@
     assert list(_status_json(tmp_path)) == FIXTURE["quota_status"]
 
 
-# -- recording ---------------------------------------------------------------------------------------------
-
-
 def _option_defaults() -> dict[str, Any]:
-    """Each option's default, and another value that it may have."""
+    """Each option's default, and another valid value."""
     found: dict[str, Any] = {}
     for name in _scalar_options():
         section, field = name.split(".")
@@ -397,7 +381,7 @@
 
 
 def _record() -> None:
-    """Add to the fixture what it does not have."""
+    """Add the forms that the fixture lacks."""
     with tempfile.TemporaryDirectory() as folder:
         forms = _forms(Path(folder))
     for name, entries in forms.items():
