--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -80,19 +80,19 @@
         if now < self._next_decision_at or not ctx.machine_types:
             return
         self._next_decision_at = now + ctx.durations.heartbeat_interval_s
-        slots = self._supply(now)
+        slots = self._usable_slots(now)
         if self._launches.in_flight:
             # The cloud's request rate is low: one round of launches at a time, for all unmet demand.
             return
         demands = self._estimator.demand(now)
         launch_specs = self._provisioning.decide(ctx.machine_types, slots, demands, now)
         for launch_spec in launch_specs:
-            self._launches.launch(launch_spec)
+            self._launches.request(launch_spec)
         self._scale_in(slots, now)
         if not launch_specs:
             self._consolidator.consolidate(slots, now)
 
-    def _supply(self, now: float) -> list[CapacitySlot]:
+    def _usable_slots(self, now: float) -> list[CapacitySlot]:
         """Return the capacity of the machines that are held or expected, without unusable ones."""
         held = [machine for machine in self._ctx.fleet.machines.values() if not machine.deleting]
         overdue = self._boot_tracker.overdue(held, now)
--- a/src/poppyhold/machines/capacity_index.py
+++ b/src/poppyhold/machines/capacity_index.py
@@ -111,7 +111,7 @@
         for candidates in self._candidates.values():
             candidates.add(len(self.slots) - 1, slot)
 
-    def serve(self, demand: Demand, use: Callable[[CapacitySlot], bool]) -> None:
+    def offer(self, demand: Demand, use: Callable[[CapacitySlot], bool]) -> None:
         """Offer the eligible slots for a demand, best first, until ``use`` returns False."""
         key = _key_of(demand)
         candidates = self._candidates.get(key)
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -36,7 +36,7 @@
     spot: bool
     count: int
     # The machines' names, once the cloud has returned them.
-    machines: list[str] | None = None
+    machine_names: list[str] | None = None
     in_flight: bool = False
     retry_at: float = 0.0
 
@@ -62,7 +62,7 @@
         """Yield the capacity of requested machines that have no names yet."""
         for launch in self._launches.values():
             machine_type = self._ctx.machine_types.get(launch.machine_type)
-            if launch.machines is None and machine_type is not None:
+            if launch.machine_names is None and machine_type is not None:
                 for _ in range(launch.count):
                     yield CapacitySlot(
                         None, machine_type, launch.zone, launch.spot, machine_type_capacity(machine_type)
@@ -73,25 +73,25 @@
         record = convert(data, LaunchRecord)
         launch = Launch(name, record.machine_type, record.zone, record.spot, record.number, record.machines)
         self._launches[name] = launch
-        if launch.machines is not None:
+        if launch.machine_names is not None:
             self._add_machines(launch)
 
-    def launch(self, spec: LaunchSpec) -> None:
+    def request(self, spec: LaunchSpec) -> None:
         """Launch machines, once the request is durable."""
         name = f"r-{self._ctx.next_unique_number()}"
-        launch = Launch(name, spec.machine_type, spec.zone, spec.spot, spec.number, in_flight=True)
+        launch = Launch(name, spec.machine_type, spec.zone, spec.spot, spec.machine_count, in_flight=True)
         log.info(
             "launch requested: launch=%s machine_type=%s zone=%s spot=%s count=%d",
             name,
             spec.machine_type,
             spec.zone,
             spec.spot,
-            spec.number,
+            spec.machine_count,
         )
         self._launches[name] = launch
 
-        def on_committed(done: bool) -> None:
-            if done:
+        def on_committed(is_durable: bool) -> None:
+            if is_durable:
                 self._send_request(launch)
             else:
                 self._launches.pop(name, None)
@@ -103,13 +103,15 @@
         )
 
     def _record(self, launch: Launch) -> Data:
-        record = LaunchRecord(launch.machine_type, launch.zone, launch.spot, launch.count, launch.machines)
+        record = LaunchRecord(
+            launch.machine_type, launch.zone, launch.spot, launch.count, launch.machine_names
+        )
         data: Data = msgspec.to_builtins(record)
         if stored_bytes(data) <= self._ctx.settings.deployment.state.lowest.value_bytes:
             return data
         # Without the names, the next leader retries the request, which launches nothing and returns them.
-        nameless: Data = msgspec.to_builtins(msgspec.structs.replace(record, machines=None))
-        return nameless
+        without_names: Data = msgspec.to_builtins(msgspec.structs.replace(record, machines=None))
+        return without_names
 
     def _send_request(self, launch: Launch) -> None:
         launch.in_flight = True
@@ -125,7 +127,7 @@
         now = self._ctx.clock()
         log.info("launch response: launch=%s outcome=%s machines=%d", launch.name, outcome.value, len(names))
         if outcome == RequestOutcome.OK:
-            launch.machines = names
+            launch.machine_names = names
             self._ctx.outbound.commit(
                 {}, [Put(LAUNCH_PREFIX + launch.name, self._record(launch))], lambda done: None
             )
@@ -152,7 +154,7 @@
         """Add the booting machines of a launch to the fleet."""
         machine_type = self._ctx.machine_types.get(launch.machine_type)
         now = self._ctx.clock()
-        for name in launch.machines or []:
+        for name in launch.machine_names or []:
             if (
                 machine_type is not None
                 and name not in self._ctx.fleet.machines
@@ -165,10 +167,10 @@
         """Retry requests without an outcome, and discard those whose machines are all recorded or gone."""
         now = self._ctx.clock()
         for launch in list(self._launches.values()):
-            if launch.machines is None:
+            if launch.machine_names is None:
                 if not launch.in_flight and launch.retry_at <= now:
                     self._send_request(launch)
-            elif all(self._is_recorded_or_gone(name) for name in launch.machines):
+            elif all(self._is_recorded_or_gone(name) for name in launch.machine_names):
                 self._discard(launch)
 
     def _is_recorded_or_gone(self, name: str) -> bool:
--- a/src/poppyhold/machines/provisioning.py
+++ b/src/poppyhold/machines/provisioning.py
@@ -21,7 +21,7 @@
 from poppyhold.wire.cloud_messages import MachineType
 from poppyhold.wire.user_messages import Submission
 
-MAX_LAUNCH_COUNT = 50
+MAX_MACHINES_PER_REQUEST = 50
 # More tasks than fit on any machine.
 _UNBOUNDED = 1 << 30
 # Relative surcharge on the price per task for unused capacity, in proportion to its part of the machine.
@@ -42,7 +42,7 @@
     machine_type: str
     zone: str
     spot: bool
-    number: int
+    machine_count: int
 
 
 class _LaunchOption(NamedTuple):
@@ -122,19 +122,22 @@
         # Pending tasks before forecasts, and the largest first.
         for demand in sorted(demands, key=lambda d: (d.is_forecast, -d.need[ACCELERATORS], -d.need[CPUS])):
             if demand.spec.shape == "group" and demand.spec.one_zone and not demand.is_forecast:
-                demand.required_zone = self._gang_zone(demand, decision)
-            demand.tasks = self._use_supply(demand, decision.index)
+                demand.required_zone = self._required_zone(demand, decision)
+            demand.tasks = self._use_capacity(demand, decision.index)
             if demand.tasks:
                 # Later demands use what is left on these machines: when each job launched machines of its
                 # own, a fleet that began empty launched two and a half times its need.
                 self._plan_launches(demand, decision)
-        return [LaunchSpec(*kind, min(count, MAX_LAUNCH_COUNT)) for kind, count in decision.launches.items()]
+        return [
+            LaunchSpec(*kind, min(count, MAX_MACHINES_PER_REQUEST))
+            for kind, count in decision.launches.items()
+        ]
 
-    def _gang_zone(self, demand: Demand, decision: _Decision) -> str | None:
+    def _required_zone(self, demand: Demand, decision: _Decision) -> str | None:
         """Return the zone for a gang that must be in one: where it fits, else where launches are possible."""
-        held = [zone for zone, count in demand.zones.items() if count > 0]
-        if held:
-            return held[0]
+        zones_with_tasks = [zone for zone, count in demand.zones.items() if count > 0]
+        if zones_with_tasks:
+            return zones_with_tasks[0]
         tasks_by_zone: Counter[str] = Counter()
         for slot in decision.index.slots:
             if allowed(demand, slot):
@@ -159,12 +162,12 @@
         )
 
     @staticmethod
-    def _use_supply(demand: Demand, index: CapacityIndex) -> int:
+    def _use_capacity(demand: Demand, index: CapacityIndex) -> int:
         """Use held and expected capacity; return how many tasks don't fit."""
         remaining = demand.tasks
         limit = zone_limit(demand.spec)
 
-        def use(slot: CapacitySlot) -> bool:
+        def use_slot(slot: CapacitySlot) -> bool:
             nonlocal remaining
             max_tasks = remaining
             if not demand.is_forecast:
@@ -179,7 +182,7 @@
             return remaining > 0
 
         if remaining > 0:
-            index.serve(demand, use)
+            index.offer(demand, use_slot)
         return max(0, remaining)
 
     def _plan_launches(self, demand: Demand, decision: _Decision) -> None:
@@ -197,26 +200,26 @@
 
     def _launch_options(self, demand: Demand, decision: _Decision) -> Iterator[_LaunchOption]:
         """Yield the kinds of machines that a demand can use and that may be launched now."""
-        for machine_type, kind in self._serving_kinds(demand, decision.machine_types):
+        for machine_type, kind in self._usable_kinds(demand, decision.machine_types):
             if (
                 not self._is_unblocked(kind, decision.now)
-                or decision.launches.get(kind, 0) >= MAX_LAUNCH_COUNT
+                or decision.launches.get(kind, 0) >= MAX_MACHINES_PER_REQUEST
             ):
                 continue
             price = self._price_per_task(demand, machine_type, kind.spot)
             yield _LaunchOption(price, decision.machines_by_zone[kind.zone], *kind)
 
     @staticmethod
-    def _serving_kinds(
+    def _usable_kinds(
         demand: Demand, machine_types: dict[str, MachineType]
     ) -> Iterator[tuple[MachineType, MachineKind]]:
         """Yield the kinds of machines that a demand can use."""
         spec, limit = demand.spec, zone_limit(demand.spec)
         for machine_type in allowed_machine_types(spec, machine_types.values()):
             for zone in machine_type.zones:
-                elsewhere = spec.zone not in (None, zone) or demand.required_zone not in (None, zone)
-                full = not demand.is_forecast and demand.zones.get(zone, 0) >= limit
-                if elsewhere or full:
+                excluded = spec.zone not in (None, zone) or demand.required_zone not in (None, zone)
+                at_zone_limit = not demand.is_forecast and demand.zones.get(zone, 0) >= limit
+                if excluded or at_zone_limit:
                     continue
                 if spec.spot:
                     yield machine_type, MachineKind(machine_type.name, zone, True)
@@ -225,10 +228,10 @@
     @staticmethod
     def _price_per_task(demand: Demand, machine_type: MachineType, spot: bool) -> float:
         """Return the price per task; that of a nearly empty machine is raised by up to half."""
-        full = max_copies(demand.need, machine_type_capacity(machine_type), _UNBOUNDED)
-        used = min(full, demand.tasks)
+        tasks_if_full = max_copies(demand.need, machine_type_capacity(machine_type), _UNBOUNDED)
+        tasks_placed = min(tasks_if_full, demand.tasks)
         price = machine_type.spot_price if spot else machine_type.price
-        return price / full * (1.0 + _UNUSED_CAPACITY_SURCHARGE * (1 - used / full))
+        return price / tasks_if_full * (1.0 + _UNUSED_CAPACITY_SURCHARGE * (1 - tasks_placed / tasks_if_full))
 
     @staticmethod
     def _use_planned(demand: Demand, planned: list[CapacitySlot], limit: int) -> None:
--- a/src/poppyhold/reads/batched_job_reads.py
+++ b/src/poppyhold/reads/batched_job_reads.py
@@ -64,7 +64,7 @@
         # The earliest start of the next batch under load, and the arrival times of the last queries.
         self._next_start_at = float("-inf")
         self._arrivals: deque[float] = deque(maxlen=min_batch_size)
-        self._changed = threading.Condition()
+        self._batch_ended = threading.Condition()
 
     def is_active(self, job_id: str) -> bool:
         """Whether a job is active, at a moment after the start of this call.
@@ -77,7 +77,7 @@
         outcome = self._await_batch()
         if outcome is BatchOutcome.CURRENT:
             # The view is only replaced by newer ones after the batch.
-            with self._changed:
+            with self._batch_ended:
                 return job_id in self._view
         if outcome is BatchOutcome.READ_INDIVIDUALLY:
             return self._store.get(ACTIVE_JOB_PREFIX + job_id) is not None
@@ -85,7 +85,7 @@
 
     def _await_batch(self) -> BatchOutcome:
         """Wait for the first batch that starts from now on, or run it."""
-        with self._changed:
+        with self._batch_ended:
             number = self._batches.join()
             now = self._clock()
             deadline = now + self._timeout_s
@@ -96,14 +96,14 @@
                 # Other batches may have started, and consumed the rate, since this query arrived.
                 start_at = max(start_at, self._rate_limiter.ready_at())
                 if not self._batches.running and now >= start_at:
-                    started = self._start_batch(now)
+                    batch = self._start_batch(now)
                     break
                 wake_at = deadline if self._batches.running else min(deadline, start_at)
-                self._changed.wait(wake_at - now)
+                self._batch_ended.wait(wake_at - now)
                 now = self._clock()
             else:
                 return outcome
-        return self._run_batch(started)
+        return self._run_batch(batch)
 
     def _earliest_start(self, now: float) -> float:
         """Return when a batch may start for a query that arrives now: at once, except under load."""
@@ -115,10 +115,10 @@
 
     def _start_batch(self, now: float) -> ReadBatch:
         """Start a batch, and consume the rate of the requests that it is expected to send."""
-        started = self._batches.start()
+        batch = self._batches.start()
         self._next_start_at = now + self._batch_window_s
-        self._rate_limiter.consume(min(started.queries, _REQUESTS_PER_BATCH), now)
-        return started
+        self._rate_limiter.consume(min(batch.queries, _REQUESTS_PER_BATCH), now)
+        return batch
 
     def _run_batch(self, batch: ReadBatch) -> BatchOutcome:
         """Run a batch, and wake the queries that wait for it."""
@@ -127,23 +127,23 @@
             is_small = batch.queries < self._min_batch_size
             outcome = BatchOutcome.READ_INDIVIDUALLY if is_small else self._advance_view()
         finally:
-            with self._changed:
+            with self._batch_ended:
                 self._batches.finish()
                 self._outcomes.put(str(batch.number), outcome)
-                self._changed.notify_all()
+                self._batch_ended.notify_all()
         return outcome
 
     def _advance_view(self) -> BatchOutcome:
         """Advance the view to the store's present revision."""
         # Earlier queries read the old view until the new one replaces it as a whole.
-        fresh = self._view.copy()
+        advanced = self._view.copy()
         try:
-            execute(advance_view(fresh), self._store)
+            execute(advance_view(advanced), self._store)
         except (StoreRejectedError, OutcomeUnknownError, WatchCompactedError):
             return BatchOutcome.FAILED
         except LaggingChangesError:
             # Reads of single keys are linearizable, even if polled changes lag.
             return BatchOutcome.READ_INDIVIDUALLY
-        with self._changed:
-            self._view = fresh
+        with self._batch_ended:
+            self._view = advanced
         return BatchOutcome.CURRENT
--- a/src/poppyhold/reads/read_batches.py
+++ b/src/poppyhold/reads/read_batches.py
@@ -34,10 +34,10 @@
         """Start the batch that queries have joined; later ones join the next batch."""
         assert not self.running
         self.running = True
-        started = ReadBatch(self._next, self._joined)
+        batch = ReadBatch(self._next, self._joined)
         self._next += 1
         self._joined = 0
-        return started
+        return batch
 
     def finish(self) -> None:
         """Record that the running batch has ended."""
--- a/tests/test_batched_job_reads.py
+++ b/tests/test_batched_job_reads.py
@@ -109,7 +109,7 @@
 def test_queries_send_requests_no_faster_than_their_rate(min_batch_size: int) -> None:
     store, waiting, rate_limiter = CountingStore(), VirtualCondition(), RateLimiter(5.0, burst=4.0)
     reads = BatchedJobReads(store, 0.0, 10.0, min_batch_size, lambda: waiting.now, rate_limiter)
-    reads._changed = waiting
+    reads._batch_ended = waiting
     for _ in range(200):
         reads.is_active(JOBS[0])
     # The first read of all jobs is one request more than batches are taken to cost.
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -436,7 +436,7 @@
         left -= take
         return left > 0
 
-    index.serve(demand, use)
+    index.offer(demand, use)
     return left
 
 
