--- a/tests/test_batched_job_reads.py
+++ b/tests/test_batched_job_reads.py
@@ -1,4 +1,4 @@
-"""Batched reads by threads: what they share, what they cost, and what fails with the store."""
+"""Batched reads by threads: requests that queries share, their rate, and failures of the store."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     reads = BatchedJobReads(store, batch_window_s=0.05, timeout_s=10.0)
     threading.Timer(0.3, store.gate.set).start()
     assert query_at_once(reads, 60) == [True] * 60
-    # The first ones may ask alone; the rest are a few batches of two requests, and one reading of all jobs.
+    # The first queries may read alone; the rest are a few batches of two requests, and one read of all jobs.
     assert len(store.requests) <= 12, store.requests
 
 
@@ -77,7 +77,7 @@
 
 
 class LaggingStore(CountingStore):
-    """Its follows never come up to its own revision."""
+    """A store whose polls of changes never reach its revision."""
 
     def revision(self) -> int:
         return super().revision() + 100
@@ -93,7 +93,7 @@
 
 
 class VirtualCondition(threading.Condition):
-    """Waits by moving a clock on."""
+    """A condition whose wait advances a virtual clock."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -112,6 +112,6 @@
     reads._changed = waiting
     for _ in range(200):
         reads.is_active(JOBS[0])
-    # The first read of all jobs is one request more than batches are taken to cost.
+    # The first read of all jobs is one request above the cost that the limiter charges for a batch.
     assert len(store.requests) <= 5.0 * waiting.now + 4.0 + 3.0
     assert len(store.requests) >= 200
--- a/tests/test_completions.py
+++ b/tests/test_completions.py
@@ -1,4 +1,4 @@
-"""The durable record of completed tasks: which records, when they are written, and when they are deleted."""
+"""Records of completed tasks: their ranges, when they are written, and when they are deleted."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from poppyhold.settings import AnnouncedStateLimits, StateLimits
 from poppyhold.wire.user_messages import parse_submission
 
-# Records of 256 tasks now; after the change those of more than 192 don't fit, and go to ones of 64.
+# A record holds 256 tasks; under the announced limit one with more than 192 is split into records of 64.
 LIMITS = StateLimits(value_kb=0.25, txn_ops=2, announced=AnnouncedStateLimits(value_kb=0.0625))
 JOB = "job-000001"
 
@@ -27,7 +27,7 @@
 
 
 class Records:
-    """The records of a job, and the transactions that are asked for."""
+    """The completion records of a job, and the transactions that saving them requests."""
 
     def __init__(self, job: Job, limits: StateLimits = LIMITS) -> None:
         self.job = job
@@ -45,7 +45,7 @@
             self.job.undurable_completions.add(index)
 
     def save(self) -> list[list[str]]:
-        """Keys of the transactions that this asks for."""
+        """Saves, and returns the keys of each transaction that this requests."""
         self.commits.clear()
         self.completions.save()
         return [[write.key for write in writes] for _, writes, _ in self.commits]
@@ -82,7 +82,7 @@
         258,
     ]
     assert records.commits == []
-    # What is there is not written again, and holds up nothing that completes later.
+    # Loaded completions are not written again and do not block the saving of later ones.
     assert records.save() == []
     assert not records.job.completions_save_in_flight
     records.completions.remove(records.job)
@@ -121,7 +121,7 @@
     records.complete(5)
     records.save()
     conditions, _, done = records.commits[0]
-    # On the condition that the job is what it was: nothing is written of one that is finalized.
+    # Conditional on the job's revision: no record is written for a finalized job.
     assert conditions == {ACTIVE_JOB_PREFIX + JOB: 7}
     records.complete(6)
     done(True)
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -1,4 +1,4 @@
-"""Which controller is placed best to lead."""
+"""When a peer is better connected than the leader, and when leadership is transferred to it."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     links = Connectivity("a", 2.0, Clock())
     links.record_response("b", ["a", "c"])
     assert links.better_connected_peer() == "b"
-    # Now we reach all that it reaches.
+    # Now "a" reaches all that "b" reaches.
     links.record_response("c", ["a", "b"])
     assert links.better_connected_peer() is None
 
@@ -43,7 +43,7 @@
     links = Connectivity("a", 2.0, Clock())
     links.record_response("b", ["c", "d"])
     assert links.better_connected_peer() is None
-    # A version before this one.
+    # An earlier version lists no peers.
     links.record_response("b", [])
     assert links.better_connected_peer() is None
 
@@ -72,7 +72,7 @@
     clock.now = 2.5
     links.record_response("b", ["a", "c"])
     assert links.better_connected_peer(unreachable_s=2.5) == "b"
-    # Who comes back just then, after a cut of its own, has not to be waited for once more.
+    # "b" was cut off in between: its return does not restart the time that "c" has been unreachable.
     links.connection_lost("b", timed_out=False)
     clock.now = 10.0
     assert links.better_connected_peer(unreachable_s=2.5) is None
@@ -98,7 +98,7 @@
     links.connection_lost("b", timed_out=True)
     links.connection_lost("c", timed_out=False)
     assert (links.is_unreachable("b"), links.is_unreachable("c")) == (True, False)
-    # It is there, and refuses us: perhaps a packet filter, or its process has just ended.
+    # "b" refuses the connection, so its host is reachable: a packet filter, or its process has just ended.
     links.connection_lost("b", timed_out=False)
     assert not links.is_unreachable("b")
     links.connection_lost("b", timed_out=True)
@@ -107,7 +107,7 @@
 
 
 class RevocableLeaseStore(Store):
-    """A state service that takes back leases, or does not."""
+    """A state service that revokes leases, or fails with the given error."""
 
     def __init__(self, error: Exception | None) -> None:
         self.error = error
@@ -123,7 +123,7 @@
 def test_leadership_is_transferred_only_if_the_state_service_revokes_the_lease(
     error: Exception | None,
 ) -> None:
-    # In a run a leader resigned as an outage began, and nobody led for 50 s.
+    # A leader that resigned as an outage of the state service began left the cell without a leader for 50 s.
     store, leadership_lost = RevocableLeaseStore(error), []
     world = World(1, 10.0, 30.0, [Team("alpha")])
     election = Election(
@@ -136,7 +136,7 @@
         world.rng,
     )
     election.term = Term(5, 40, 7, 0.0)
-    election.resign_if_lease_revoked("another one reaches more")
+    election.resign_if_lease_revoked("a peer is better connected")
     assert (election.term is None, leadership_lost, store.revoked) == (
         (True, [True], [7]) if error is None else (False, [], [])
     )
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -1,4 +1,4 @@
-"""The decision thread: what it runs when, and what of it outlives an error or the end of a term."""
+"""The decision thread: the order of its events and cycles, and what it does after an error or a stop."""
 
 from __future__ import annotations
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -1,4 +1,4 @@
-"""An election step by step: who campaigns when, what the leader's key tells, and how a term ends."""
+"""The steps of an election: when a node campaigns, what changes of the leader key do, how a term ends."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class LeaseStore(UnreliableStore):
-    """A state service with leases; it notes what is asked for."""
+    """A state service with leases that records the granted, renewed and revoked ones."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -49,7 +49,7 @@
 
 
 class Candidate:
-    """A node's election whose threads are not started, in a time that the test sets."""
+    """A node's election whose threads are not started, on a clock that the test sets."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, yields: bool = False) -> None:
         self.now = 1000.0
@@ -76,13 +76,13 @@
         self.terms_lost += 1
 
     def campaign(self) -> bool:
-        """One step; whether it asked for a lease to lead on."""
+        """Runs one campaign step and returns whether it requested a leader lease."""
         before = len(self.store.granted)
         assert self.election._campaign() > 0
         return len(self.store.granted) > before
 
     def lead(self) -> Term:
-        """It is elected."""
+        """Wins an election and returns the term."""
         self.election._on_snapshot([])
         assert self.campaign()
         term = self.election.term
@@ -122,26 +122,26 @@
 def test_a_yielding_candidate_waits_one_leader_lease_before_it_campaigns(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    one = Candidate(monkeypatch, yields=True)
-    one.now += 10 * one.election.leader_lease_s
-    one.election._on_snapshot([OTHERS_KEY])
-    one.election._on_change(DeletedKey(LEADER_KEY, 42))
-    # Told once more that nobody leads: it counts from the first time.
-    one.now += one.election.leader_lease_s * 0.9
-    assert not one.campaign()
-    one.election._on_change(DeletedKey(LEADER_KEY, 43))
-    one.now += one.election.leader_lease_s * 0.2
-    assert one.campaign()
-
-
-def test_a_leader_that_resigned_does_not_campaign_for_one_leader_lease(candidate: Candidate) -> None:
+    candidate = Candidate(monkeypatch, yields=True)
+    candidate.now += 10 * candidate.election.leader_lease_s
+    candidate.election._on_snapshot([OTHERS_KEY])
+    candidate.election._on_change(DeletedKey(LEADER_KEY, 42))
+    # A second deletion of the leader key does not restart the wait, which began with the first one.
+    candidate.now += candidate.election.leader_lease_s * 0.9
+    assert not candidate.campaign()
+    candidate.election._on_change(DeletedKey(LEADER_KEY, 43))
+    candidate.now += candidate.election.leader_lease_s * 0.2
+    assert candidate.campaign()
+
+
+def test_a_leader_that_resigned_does_not_campaign_for_one_worker_lease(candidate: Candidate) -> None:
     term = candidate.lead()
-    candidate.election.resign("told to")
+    candidate.election.resign("requested")
     assert (candidate.election.term, candidate.terms_lost) == (None, 1)
     assert candidate.store.revoked == [term.lease_id]
     candidate.election._on_change(DeletedKey(LEADER_KEY, term.key_revision + 1))
     assert not candidate.campaign()
-    # Nor does it end another leader's lease meanwhile.
+    # During that time it does not revoke another leader's lease either.
     candidate.election._on_snapshot([OTHERS_KEY])
     candidate.election.revoke_leader_lease(Leader("hive-1", 6, 8, 41))
     assert candidate.store.revoked == [term.lease_id]
@@ -154,15 +154,15 @@
 
 def test_a_resignation_without_leading_revokes_no_lease(candidate: Candidate) -> None:
     candidate.election.resign("stopped")
-    candidate.election.resign_if_lease_revoked("another one reaches more")
+    candidate.election.resign_if_lease_revoked("a peer is better connected")
     assert (candidate.store.revoked, candidate.terms_lost) == ([], 0)
 
 
-def test_a_leader_that_transferred_leadership_does_not_campaign_for_one_leader_lease(
+def test_a_leader_that_transferred_leadership_does_not_campaign_for_one_worker_lease(
     candidate: Candidate,
 ) -> None:
     term = candidate.lead()
-    candidate.election.resign_if_lease_revoked("another one reaches more")
+    candidate.election.resign_if_lease_revoked("a peer is better connected")
     candidate.election._on_change(DeletedKey(LEADER_KEY, term.key_revision + 1))
     assert not candidate.campaign()
     candidate.now += 10.0
@@ -177,38 +177,38 @@
 
 def test_a_claim_is_conditional_on_the_leaders_key_and_on_the_fencing_token(candidate: Candidate) -> None:
     candidate.election._on_snapshot([])
-    # Somebody else leads, and we have not heard.
+    # Another node leads, and this node's watch has not delivered its key yet.
     candidate.store.commit({}, [Put(LEADER_KEY, {"member": "hive-1", "baton": 3, "permit": 99})])
     assert candidate.campaign()
     assert (candidate.won, candidate.election.term) == ([], None)
     assert candidate.store.state.keys[LEADER_KEY][0]["member"] == "hive-1"
-    # The fencing token rises between our look at it and the claim.
+    # The fencing token is raised between the read of it and the claim.
     candidate.store.commit({}, [Delete(LEADER_KEY)])
-    look = candidate.store.get
+    read_key = candidate.store.get
 
     def get(key: str) -> Entry | None:
-        entry = look(key)
+        entry = read_key(key)
         candidate.store.commit({}, [Put(FENCING_TOKEN_KEY, {"baton": 9})])
         return entry
 
     candidate.store.get = get  # type: ignore[method-assign]
     assert candidate.campaign()
     assert candidate.won == []
-    candidate.store.get = look  # type: ignore[method-assign]
+    candidate.store.get = read_key  # type: ignore[method-assign]
     assert candidate.campaign()
     assert [term.fencing_token for term in candidate.won] == [10]
 
 
 def test_a_claim_of_unknown_outcome_is_won_only_if_the_key_names_this_node(candidate: Candidate) -> None:
     candidate.election._on_snapshot([])
-    # It was not carried out, and somebody else leads.
+    # The claim was not committed, and another node leads.
     candidate.store.commit({}, [Put(LEADER_KEY, {"member": "hive-1", "baton": 3, "permit": 99})])
     candidate.store.commit_outcomes.append("late")
     assert candidate.campaign()
     assert candidate.won == []
 
 
-# -- what the watch tells -------------------------------------------------------------------------------
+# -- changes that the watch delivers --------------------------------------------------------------------
 
 
 def test_changes_older_than_the_claim_do_not_end_the_term(candidate: Candidate) -> None:
@@ -223,7 +223,7 @@
         assert candidate.election.leader == Leader("hive-0", 5, 7, 40)
     candidate.election._on_change(OWN_KEY)
     assert (candidate.election.term, candidate.terms_lost) == (TERM, 0)
-    # Other keys beside the leader's.
+    # A key that only begins with the leader key is not the leader key.
     candidate.election._on_change(DeletedKey(LEADER_KEY + "er", 50))
     assert candidate.election.term == TERM
 
@@ -241,7 +241,7 @@
     leader = candidate.election.leader
     assert (leader.member if leader is not None else None) == ("hive-1" if change is OTHERS_KEY else None)
     assert candidate.election.term is None
-    # Told again, it is no second end.
+    # A repeated step-down does not end the term twice.
     candidate.election.step_down("once more")
     assert candidate.terms_lost == 1
 
@@ -295,7 +295,7 @@
     assert waited == [5.0]
 
 
-# -- renewing -------------------------------------------------------------------------------------------
+# -- lease renewal --------------------------------------------------------------------------------------
 
 
 def test_a_renewal_confirms_the_term_as_of_its_request_and_is_not_sent_early(
@@ -306,7 +306,7 @@
     candidate.election._renew()
     assert candidate.store.renewed == []
     candidate.now += candidate.election.leader_lease_s / 2
-    asked = candidate.now
+    requested_at = candidate.now
     renew_lease = candidate.store.renew_lease
 
     def slow(lease_id: int, timeout_s: float) -> None:
@@ -316,7 +316,7 @@
     candidate.store.renew_lease = slow  # type: ignore[method-assign]
     candidate.election._renew()
     assert candidate.store.renewed == [term.lease_id]
-    assert candidate.election.confirmed_at == asked
+    assert candidate.election.confirmed_at == requested_at
 
 
 @pytest.mark.parametrize(
@@ -336,7 +336,7 @@
 def test_a_response_confirms_only_the_term_that_was_to_be_renewed(candidate: Candidate, change: str) -> None:
     candidate.lead()
     candidate.now += candidate.election.leader_lease_s / 2
-    asked = candidate.now
+    requested_at = candidate.now
 
     def renew_lease(lease_id: int, timeout_s: float) -> None:
         if change == "raised":
@@ -348,4 +348,4 @@
 
     candidate.store.renew_lease = renew_lease  # type: ignore[method-assign]
     candidate.election._renew()
-    assert candidate.election.confirmed_at == (asked if change == "raised" else float("-inf"))
+    assert candidate.election.confirmed_at == (requested_at if change == "raised" else float("-inf"))
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,4 +1,4 @@
-"""Meetings of troubles that a scenario would reach only by luck: each step by itself."""
+"""Combinations of faults that a scenario reaches only by chance, played step by step."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def fail_over(world: World) -> SimLeaderTerm:
-    """The leader ends, and another node leads; its machines have not been heard yet."""
+    """Crashes the leader and returns the next leader's term, in which no worker is reconciled yet."""
     old = world.leader()
     assert old is not None
     for worker in world.workers.values():
@@ -36,8 +36,8 @@
 
 
 def test_responses_to_stale_heartbeats_stop_cancelled_tasks() -> None:
-    # A report with an older token proves nothing, but its answer renews a lease: were a task that was
-    # cancelled long ago left out of it, and the machine to hang right then, the task would outlive cancel_s.
+    # A heartbeat with an older token proves nothing, but its response renews the lease. Without a stop of a
+    # task cancelled long ago in it, the task would outlive cancel_s if the machine hung right then.
     world, _ = leading_world()
     world.cancel("job-000001")
     old = world.workers["vm-000001"].heartbeat()
@@ -58,14 +58,14 @@
     assert attempts.lease_expiry.unreconciled == {"vm-000001"}
     answer = leader_term.controller.handle_heartbeat(parse_heartbeat(old))
     machine = leader_term.controller.ctx.fleet.machines["vm-000001"]
-    # No order but stops, nothing adopted, not heard, and what it holds still counts as unknown.
+    # No command but stops, no attempt adopted, and the worker still counts as unreconciled.
     assert answer is not None
     assert answer.body() == {"baton": leader_term.fencing_token, "orders": []}
     assert not machine.reconciled
     assert not machine.attempts
     assert attempts.lease_expiry.unreconciled == {"vm-000001"}
     assert not attempts.lease_expiry.all_reconciled()
-    # Nor does a node that may stand in for this leader take it.
+    # A delegate of this leader does not accept the heartbeat either.
     other = next(node for node in world.nodes if node.alive and node.leader_term is None)
     other.delegated_renewal.observe_leader(
         leader_term.fencing_token, LeaseDelegation(leader_term.fencing_token, world.now, [])
@@ -76,7 +76,7 @@
 
 
 def test_cancellation_handled_before_its_submission() -> None:
-    # The decision thread takes cancellations before submissions, and other controllers tell of them.
+    # The decision thread handles cancellations before submissions, and other controllers announce them too.
     _, leader_term = leading_world()
     controller = leader_term.controller
     job = wire(submission("job-000007", {"chores": 1}))
@@ -86,8 +86,8 @@
 
 
 def test_job_whose_record_was_deleted_is_removed() -> None:
-    # Its news came in an order that let it come into being: the plan that can't be made durable ends it, or
-    # machines would be rented for it for ever.
+    # The submission was applied after the deletion of its record: the plan that can't be made durable removes
+    # the job; otherwise machines would be launched for it forever.
     world, leader_term = leading_world()
     controller = leader_term.controller
     job = wire(submission("job-000007", {"chores": 1}))
@@ -99,8 +99,8 @@
 
 @pytest.mark.parametrize("via", [StartChannel.DIRECT, StartChannel.HEARTBEAT_RESPONSE])
 def test_no_task_starts_on_a_machine_before_its_record_is_durable(via: StartChannel) -> None:
-    # It is up at once and has room, while writes lag; the leader may end at any moment, and the next one
-    # would not know that the machine holds anything.
+    # The machine is up and has free capacity while writes lag. If the leader ended now, the next one would
+    # not know that the machine holds a task.
     world, leader_term = leading_world()
     world.submit(submission("job-000010", {"chores": 7, "sizeGb": 0.1, "guessS": 200.0}))
     world.run(world.now + 2.0)
@@ -123,7 +123,7 @@
 
 
 def test_retry_that_conflicts_with_its_own_first_attempt_succeeds() -> None:
-    # The transaction is carried out and its answer lost: the repeat fails on what the first try wrote.
+    # The transaction is committed and its response lost: the retry fails on what the first attempt wrote.
     world, leader_term = leading_world()
     node = next(node for node in world.nodes if node.leader_term is None)
     job = submission("job-000002", {"chores": 2, "guessS": 3.0})
@@ -134,10 +134,11 @@
     node.commit_responses_to_lose = 1
     status, body, _ = node.users.abort("job-000002")
     assert (status, body["status"]) == (200, "cancelled")
-    # Named to the leader by the revision that it has, though its own commit never told it.
-    named, _ = node.users.cancellations.summarize(0)
-    assert named == [("job-000002", world.state.keys[FINAL_JOB_PREFIX + "job-000002"][1])]
-    # The leader's writes: the last completion is told as done, a plan and the token are simply there.
+    # Listed for the leader with its revision, though the lost response never delivered that revision.
+    listed, _ = node.users.cancellations.summarize(0)
+    assert listed == [("job-000002", world.state.keys[FINAL_JOB_PREFIX + "job-000002"][1])]
+    # Lost responses to the leader's writes: the last completion still makes the job done, and the plan and
+    # the token are found as written.
     third = submission("job-000003", {"chores": 1, "guessS": 2.0, "sizeGb": 0.1})
     leader_term.node.commit_responses_to_lose = 3
     world.submit(third)
@@ -148,7 +149,7 @@
 
 
 def candidate(store: UnreliableStore, won: list[Term]) -> Election:
-    """A node that stands for the lead."""
+    """The election of a node that campaigns."""
     world = World(1, 10.0, 30.0, [Team("alpha")])
     return Election(world.settings, Options(), store, won.append, lambda: None, lambda: False, world.rng)
 
@@ -175,8 +176,8 @@
 
 
 def test_repeated_submissions_cost_no_changes() -> None:
-    # Failing conditions count as changes: users that repeat what is accepted, at any node that knows of it,
-    # would eat up what the leader needs.
+    # Failing conditions count as changes: repeated submissions of an accepted job, at any node that knows it,
+    # would use up the write rate that the leader needs.
     world, leader_term = leading_world()
     world.run(world.now + 1.0)
     before = world.work["changes"]
@@ -187,12 +188,12 @@
     other = next(node for node in world.nodes if node.leader_term is None)
     for _ in range(20):
         assert other.users.submit(body)[0] == 200
-    # One failing condition at the most at a node that had not heard of the job.
+    # At most one failing condition at a node that did not know the job yet.
     assert world.work["changes"] <= before + 1
 
 
 class ExhaustedSlots:
-    """Every slot is taken, and nobody may wait for one."""
+    """No slot is free, and a request that waits for one fails the test."""
 
     def acquire(self, blocking: bool = True, timeout: float | None = None) -> bool:
         assert not blocking, "a user is kept waiting"
@@ -205,11 +206,11 @@
     users: Any = world.nodes[0].users
     users._user_request_slots = ExhaustedSlots()
     body = encode(wire(world.jobs["job-000001"]))
-    for answer in (users.abort("job-000001"), users.submit(body)):
-        assert answer[0] == 429
-        assert int(answer[2]["Retry-After"]) >= 1
-    # A shared read takes no slot, for any number of questions; one that needs a request of its own does.
+    for response in (users.abort("job-000001"), users.submit(body)):
+        assert response[0] == 429
+        assert int(response[2]["Retry-After"]) >= 1
+    # A shared read takes no slot, for any number of queries; a query that needs its own request takes one.
     assert users.poll("job-000001")[0] == 200
-    answer = users.poll("job-000999")
-    assert answer[0] == 429
-    assert int(answer[2]["Retry-After"]) >= 1
+    response = users.poll("job-000999")
+    assert response[0] == 429
+    assert int(response[2]["Retry-After"]) >= 1
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,4 +1,4 @@
-"""The states of a gang's attempt, step by step."""
+"""The state transitions of a gang's attempt: which events fail it, stop it or leave it as it is."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def job_of(world: World, job_id: str) -> Job:
-    """The leader's picture of a job."""
+    """The leader's record of a job."""
     leader = world.leader()
     assert leader is not None
     assert leader.leader_term is not None
@@ -35,7 +35,7 @@
     job = job_of(world, job_id)
     assert gangs.state_of(job) is GangState.ASSEMBLING
     assert len({attempt.number for attempt in job.active.values()}) == 1
-    # Users are told of tasks that run, not of those that wait.
+    # The job status counts running tasks, not waiting ones.
     assert job.running == 0
     world.run(world.now + 12.0)
     assert gangs.state_of(job) is GangState.RUNNING
@@ -75,18 +75,18 @@
     grace = job.spec.save_s + world.settings.deployment.workers.gang_peer_s
     assert {attempt.stop_requested_at for attempt in job.active.values()} == {world.now}
     assert all(attempt.grace_s >= grace for attempt in job.active.values())
-    # A task that is seen to save shows a new leader that the stop has begun, and changes nothing here.
+    # A saving task shows a new leader that the stop has begun, and changes nothing at this one.
     first = job.active[0]
     first.status = TaskState.SAVING
     gangs.task_status_changed(first, world.now)
     assert gangs.state_of(job) is GangState.STOPPING
 
 
-# -- each condition by itself --------------------------------------------------------------------------
+# -- single conditions ---------------------------------------------------------------------------------
 
 
 class AssemblingGang:
-    """A gang of three whose tasks are all sent, and the stops that are asked for."""
+    """A gang of three tasks that are all sent, and the stops that are requested."""
 
     def __init__(self) -> None:
         self.world, self.gangs, job_id = assembling_world()
@@ -105,7 +105,7 @@
 
     @property
     def grace_s(self) -> float:
-        """The time to save, and to wait for the others."""
+        """The time to save, and to wait for the gang's other tasks."""
         workers = self.world.settings.deployment.workers
         return self.job.spec.save_s + workers.gang_peer_s + workers.heartbeat_interval_s
 
@@ -174,7 +174,7 @@
     assembling.gangs.task_exited(assembling.job.active[0], ExitCause.ERROR, assembling.now)
     assembling.gangs.stop(assembling.job, assembling.now)
     assert assembling.state() is GangState.FAILED
-    # Its other ends are held against no machine.
+    # Exits of its other tasks do not mark machines as avoided.
     assembling.gangs.task_exited(assembling.job.active[1], ExitCause.GANG_INCOMPLETE, assembling.now)
     assert assembling.job.avoided_machines == set()
 
--- a/tests/test_lease_delegation.py
+++ b/tests/test_lease_delegation.py
@@ -33,7 +33,7 @@
 
 
 class Clocks:
-    """A monotonic clock and a time of day that the test sets."""
+    """A monotonic clock and a wall clock that the test sets."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -41,7 +41,7 @@
 
 
 def delegate(clocks: Clocks) -> tuple[DelegatedRenewals, Durations]:
-    """A delegate that was pinged by the leader just now."""
+    """A delegate that has just received a ping of the leader."""
     durations = make_durations()
     renewals = DelegatedRenewals(durations, SKEW_S, lambda: clocks.now, lambda: clocks.wall)
     renewals.observe_leader(
@@ -61,7 +61,7 @@
     assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) is None
     clocks.now += 0.1
     assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) == FENCING_TOKEN
-    # It is heard again, and delegates nothing yet.
+    # The leader pings again, without a delegation yet.
     renewals.observe_leader(FENCING_TOKEN, None)
     clocks.now += 2 * durations.delegated_renewal_after_s
     assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) is None
@@ -97,7 +97,7 @@
         )
         == expected
     )
-    # Without it for as long as without the leader nothing else is asked for.
+    # With the state service unreachable for as long as the leader, neither of the two conditions applies.
     assert (
         renewals.renewal_fencing_token(
             worker, clocks.now - 1.1 * durations.delegated_renewal_after_s, known_fencing_token, unreachable
@@ -153,7 +153,7 @@
 
 def test_a_controller_without_a_grant_has_renewed_no_lease() -> None:
     tracker = DelegationTracker(make_durations(), SKEW_S)
-    # A response to an earlier leader.
+    # A response to a ping of an earlier leader.
     tracker.record_response("hive-1", 5.0)
     assert tracker.latest_possible_renewal_at(1000.0) == float("-inf")
 
@@ -164,7 +164,7 @@
     tracker.record_grant("hive-1", 0.0)
     assert tracker.latest_possible_renewal_at(durations.delegated_renewal_after_s) == float("-inf")
     tracker.record_response("hive-1", 1.0)
-    # A late response to an earlier grant takes nothing back.
+    # A late response to an earlier grant does not lower the time of the last response.
     tracker.record_response("hive-1", 0.5)
     assert tracker.latest_possible_renewal_at(1.0 + durations.delegated_renewal_after_s) == float("-inf")
     # A grant does not show that it was received.
@@ -181,9 +181,9 @@
     longest_s = durations.unconfirmed_renewal_s * 1.001 + 4 * SKEW_S
     assert tracker.latest_possible_renewal_at(longest_s - 1.0) == longest_s - 1.0
     assert tracker.latest_possible_renewal_at(longest_s + 50.0) == longest_s
-    # It responds again: the bound so far stays, and ends there.
+    # Both respond again: the bound stays at the latest response.
     tracker.record_response("hive-1", longest_s - 2.0)
     tracker.record_response("hive-2", longest_s - 3.0)
     assert tracker.latest_possible_renewal_at(longest_s - 1.0) == longest_s - 2.0
-    # Silent once more, without a newer grant: never earlier than the bound that was found before.
+    # Silent again without a newer grant: the bound does not go back.
     assert tracker.latest_possible_renewal_at(longest_s + 50.0) == longest_s
--- a/tests/test_linearizable_reads.py
+++ b/tests/test_linearizable_reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads: no answer is older than any that was given before its query arrived."""
+"""Linearizable reads: no answer is older than an answer that was given before its query arrived."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class Reads(RuleBasedStateMachine):
-    """Writes, follows, cuts and queries on several controllers, in any order."""
+    """Writes, polls of changes, failed requests and queries on several controllers, in any order."""
 
     def batches(self) -> ReadBatches:
         return ReadBatches()
@@ -60,7 +60,7 @@
 
     @rule(job_id=st.sampled_from(JOBS), lost=st.booleans())
     def write(self, job_id: str, lost: bool) -> None:
-        """A submission, or an end; its answer may be lost, while others read what it wrote."""
+        """A submission or a final record; its answer may be lost while other nodes read what it wrote."""
         if self.store.states[job_id] == OVER:
             return
         state = self.store.write(job_id)
@@ -76,7 +76,7 @@
 
     @rule(index=st.integers(0, NODES - 1), lag=st.integers(0, 3), halves=st.integers(1, 8))
     def advance(self, index: int, lag: int, halves: int) -> None:
-        """A controller comes so many half steps further; half of a step is a request, half its answer."""
+        """Advances a controller by half steps: the request is one half of a step, its answer the other."""
         for _ in range(halves):
             self._advance(self.nodes[index], lag)
 
@@ -88,12 +88,12 @@
                 self._finish(node, answered=True)
         elif node.answer is not None:
             try:
-                over = node.deliver()
+                finished = node.deliver()
             except LaggingChangesError:
-                # Each query asks for its own key instead, which is a write's own order.
+                # Each query reads its own key instead, which is linearizable with the writes of that key.
                 self._finish(node, answered=False)
                 return
-            if over:
+            if finished:
                 self._finish(node, answered=True)
         elif node.step is not None:
             try:
@@ -133,12 +133,12 @@
     @precondition(lambda self: self.store.log)
     @rule(kept=st.integers(0, 3))
     def compact(self, kept: int) -> None:
-        """The store drops changes but the last few."""
+        """The store compacts all changes but the last few."""
         self.store.kept_from = max(self.store.kept_from, self.store.revision - kept)
 
 
 def _search(machine: type[Reads], examples: int) -> None:
-    # The same examples each time: the verdict must not depend on chance. One that fails is shown as it is.
+    # The examples are the same in each run, so the result is reproducible; a failing one is not shrunk.
     run_state_machine_as_test(
         machine,
         settings=settings(
@@ -156,11 +156,11 @@
     _search(Reads, 250)
 
 
-# -- the checker finds each guard that is taken out --------------------------------------------------
+# -- the checker detects each removed guard ------------------------------------------------------------
 
 
 class JoinsRunningBatch(ReadBatches):
-    """A query joins the batch that is under way."""
+    """Broken: a query joins the batch that is running."""
 
     def join(self) -> int:
         number = super().join()
@@ -168,13 +168,13 @@
 
 
 def _without_revision(view: ActiveJobsView) -> Any:
-    """A view that is there is taken for current."""
+    """Broken: an existing view is taken for current."""
     if view.revision < 0:
         yield from advance_view(view)
 
 
 def _one_poll(view: ActiveJobsView) -> Any:
-    """One follow is taken for enough, however late it is."""
+    """Broken: one poll of changes is taken for enough, however far it lags."""
     yield ReadRevision()
     if view.revision < 0:
         yield from advance_view(view)
@@ -187,7 +187,7 @@
 
 
 def _pages_as_snapshot(view: ActiveJobsView) -> Any:
-    """Several pages are taken for a snapshot as of the first one, and replayed from there in part."""
+    """Broken: several pages are taken for a snapshot as of the first one, and only a part is replayed."""
     present = yield ReadRevision()
     while view.revision < present:
         if view.revision < 0:
@@ -209,7 +209,7 @@
 
 
 def _gap_is_skipped(view: ActiveJobsView) -> Any:
-    """Changes that the store has dropped are taken for none."""
+    """Broken: compacted changes are taken for no changes."""
     present = yield ReadRevision()
     while view.revision < present:
         if view.revision < 0:
@@ -222,9 +222,9 @@
 
 
 def query_after_a_write(machine: Reads, lag: int, kept: int) -> None:
-    """A controller that has read all jobs is asked for one that was accepted elsewhere since.
+    """A controller that has read all jobs gets a query for one that another node accepted since.
 
-    Its next follow is ``lag`` changes late, and the store has kept only its last ``kept`` changes.
+    Its next poll lags by ``lag`` changes, and the store has kept only its last ``kept`` changes.
     """
     machine.begin()
     machine.query(JOBS[1], 0)
@@ -235,7 +235,7 @@
     machine.advance(0, lag=lag, halves=20)
 
 
-# Plans without a guard, and the late changes and changes kept that show it.
+# Plans without a guard, with the lag and the number of kept changes that expose each one.
 BROKEN_PLANS = [
     pytest.param(_without_revision, 0, 9, id="without-revision"),
     pytest.param(_one_poll, 3, 9, id="one-poll"),
@@ -245,8 +245,8 @@
 
 @pytest.mark.parametrize(("broken", "lag", "kept"), BROKEN_PLANS)
 def test_checker_detects_a_plan_without_a_guard(broken: Any, lag: int, kept: int) -> None:
-    # A search for the sequence came out differently with what other modules were loaded: it draws constants
-    # from their sources as well. These sequences are the ones that it found.
+    # Fixed sequences that a search found: hypothesis also draws constants from the sources of loaded modules,
+    # so the result of a search would depend on which modules are loaded.
     query_after_a_write(Reads(), lag, kept)
     machine = type("Broken", (Reads,), {"plan": staticmethod(broken)})
     with pytest.raises(AssertionError):
@@ -254,9 +254,9 @@
 
 
 def query_during_a_batch(machine: Reads) -> None:
-    """A job is accepted at one controller while another's batch has read the revision; then a query."""
+    """A job is accepted after a running batch has read the revision, and is then queried."""
     machine.begin()
-    # A first batch reads all jobs; the second finds nothing new behind its revision.
+    # The first batch reads all jobs; the second finds no change after its revision.
     machine.query(JOBS[1], 0)
     machine.advance(0, lag=0, halves=6)
     machine.query(JOBS[1], 0)
@@ -274,23 +274,23 @@
 
 
 def _through_a_change_between_pages(plan: Any) -> bool:
-    """Whether a job is active in the view that a read of two pages leaves behind."""
+    """Whether a job is active in the view after a read of two pages."""
     view = ActiveJobsView()
     running = plan(view)
     assert isinstance(next(running), ReadRevision)
     assert isinstance(running.send(1), ReadPage)
-    # A job of the second page is accepted at 2 and over at 3, between the pages.
+    # A job of the second page is accepted at revision 2 and final at 3, between the pages.
     first = Page([Entry(ACTIVE_JOB_PREFIX + JOBS[0], {}, 1)], True, 1)
     assert isinstance(running.send(first), ReadPage)
     step = _send(running, Page([], False, 3))
     if step is not None:
         assert step == PollChanges(1)
-        # A follow that is late shows the job's beginning and not its end: another one must come.
+        # A lagging poll returns the job's submission and not its end: another poll has to follow.
         late = Changes([Entry(ACTIVE_JOB_PREFIX + JOBS[1], {}, 2)], 2)
         assert _send(running, late) == PollChanges(2)
         assert _send(running, Changes([DeletedKey(ACTIVE_JOB_PREFIX + JOBS[1], 3)], 3)) is None
     else:
-        # The next query's batch meets the late follow.
+        # The lagging poll comes in the batch of the next query.
         view.apply(Changes([Entry(ACTIVE_JOB_PREFIX + JOBS[1], {}, 2)], 2))
     return JOBS[1] in view
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""What controllers tell one another: across versions, and of cancellations that a leader can't see."""
+"""Messages between controllers: across versions, malformed, and of cancellations that a leader can't see."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class PingHandler:
-    """A controller that takes part in nothing but pings."""
+    """A controller that handles nothing but pings."""
 
     def __init__(self) -> None:
         self.ping = Ping("hive-0", 0, False, 0.0, -1, 0)
@@ -72,18 +72,18 @@
 
 
 def receive_encoded(message: list[Any]) -> PeerMessage:
-    """What is received of a message that another version sent."""
-    ours, theirs = socket.socketpair()
-    with ours, theirs:
+    """The message that this version decodes from one that another version sent."""
+    receiver, sender = socket.socketpair()
+    with receiver, sender:
         body = msgspec.msgpack.encode(message)
-        theirs.sendall(len(body).to_bytes(4, "big") + body)
-        return receive_peer_message(ours)
+        sender.sendall(len(body).to_bytes(4, "big") + body)
+        return receive_peer_message(receiver)
 
 
 def test_messages_of_older_and_newer_versions_are_decoded() -> None:
     old = receive_encoded(PONG)
     assert isinstance(old, Pong)
-    # A version that names nothing: all that it told came by the one revision that it says.
+    # A version that lists no cancellations: its one revision bounds all that it confirmed.
     assert (old.cancellations, old.cancellations_bound, old.reachable_peers) == ([], 40, [])
     newer = receive_encoded(
         [*PONG, [["job-000001", 41]], 12, [["vm-1", 1, 7]], ["hive-2"], "a further field", {"and": "more"}]
@@ -95,7 +95,7 @@
     ping = receive_encoded(PING)
     assert isinstance(ping, Ping)
     assert ping.applied_revision == -1
-    # A version that says nothing of relays never takes reports from them.
+    # A version without the relay field accepts no heartbeats from relays.
     assert not ping.accepts_relays
     assert isinstance(receive_encoded([*PING, [], [], None, 39, True, "a further field"]), Ping)
 
@@ -109,16 +109,16 @@
         told: int
         workers: int
 
-    ours, theirs = socket.socketpair()
-    with ours, theirs:
-        send_message(ours, Pong("hive-1", 0, False, 0.5, 41, 3, [Cancellation("job-000001", 41)], 12))
-        size = int.from_bytes(theirs.recv(4), "big")
-        assert msgspec.msgpack.decode(theirs.recv(size), type=OldPong).told == 41
+    sender, receiver = socket.socketpair()
+    with sender, receiver:
+        send_message(sender, Pong("hive-1", 0, False, 0.5, 41, 3, [Cancellation("job-000001", 41)], 12))
+        size = int.from_bytes(receiver.recv(4), "big")
+        assert msgspec.msgpack.decode(receiver.recv(size), type=OldPong).told == 41
 
 
 @pytest.mark.parametrize("message", [[], ["pong"], [*PONG[:5], "x", 3], ["pang", 1], {"a": 1}], ids=str)
 def test_malformed_messages_are_rejected(message: list[Any]) -> None:
-    # Of all kinds that the codec raises for a malformed message.
+    # The codec raises several kinds of ValueError for a malformed message.
     with pytest.raises(ValueError):  # noqa: PT011
         receive_encoded(message)
 
@@ -130,12 +130,12 @@
     confirmed.add("job-000001", 10)
     confirmed.add("job-000002", 11)
     assert confirmed.summarize(5) == ([("job-000001", 10), ("job-000002", 11)], 5)
-    # One too many: the oldest counts by its revision alone.
+    # Above the maximum number listed, the oldest one only raises the bound to its revision.
     confirmed.add("job-000003", 12)
     assert confirmed.summarize(5) == ([("job-000002", 11), ("job-000003", 12)], 10)
     confirmed.acknowledge(11)
     assert confirmed.summarize(5) == ([("job-000003", 12)], 11)
-    # A process that has seen no revision can't know what the one before it confirmed.
+    # A process that has seen no revision does not know which cancellations its predecessor confirmed.
     assert confirmed.summarize(-1) == ([("job-000003", 12)], -1)
 
 
@@ -146,14 +146,14 @@
     assert authority.cancellation_watermark(50.0) == 1.0
     authority.observe_peer("b", 25.0, 9)
     assert authority.cancellation_watermark(50.0) == 25.0
-    # It confirmed something that was not acted on, or can't know: the moment stays where it was.
+    # "b" confirmed a revision that is not applied yet, or knows none: the watermark does not advance.
     authority.observe_peer("b", 40.0, 11)
     authority.observe_peer("b", 41.0, -1)
     assert authority.may_renew_leases(45.0, 50.0)
     assert not authority.may_renew_leases(45.1, 50.0)
     authority.observe_watch(42.0, 11)
     assert authority.may_renew_leases(62.0, 50.0)
-    # Who still hears of jobs but not that it leads has perhaps been followed by another.
+    # A leader whose watch advances while its leadership is unconfirmed may have been replaced.
     assert not authority.may_renew_leases(62.0, 41.0)
 
 
@@ -170,20 +170,20 @@
     confirmed.add("job-000001", 12)
     confirmed.add("job-000002", 10)
     assert confirmed.summarize(0) == ([("job-000002", 10)], 12)
-    # What that covers need not be listed, and displaces nothing else.
+    # A revision below the bound is not listed and displaces no other cancellation.
     confirmed.add("job-000003", 11)
     assert confirmed.summarize(0) == ([("job-000002", 10)], 12)
     confirmed.add("job-000004", 13)
     assert confirmed.summarize(0) == ([("job-000004", 13)], 12)
-    acted_on = Cancellations(5)
-    acted_on.add("job-000001", 12)
-    acted_on.add("job-000002", 10)
-    acted_on.acknowledge(12)
-    assert acted_on.summarize(0) == ([], 12)
+    applied = Cancellations(5)
+    applied.add("job-000001", 12)
+    applied.add("job-000002", 10)
+    applied.acknowledge(12)
+    assert applied.summarize(0) == ([], 12)
 
 
 class WrongResponder:
-    """A controller's address at which something else answers pings."""
+    """A server at a controller's address that answers pings with other messages."""
 
     def __init__(self, *answers: Any) -> None:
         self._answers = answers
@@ -219,7 +219,7 @@
     peers = Peers(settings, handler)
     peers.start()
     try:
-        # Only the last of them is an answer of hive-1; it is asked again and again behind the others.
+        # Only the last answer is a pong of hive-1: each of them takes a cycle of five pings.
         eventually(lambda: len(handler.pongs) == 2)
         assert responder.requests >= 2 * 5
         assert {pong.member for pong in handler.pongs} == {"hive-1"}
@@ -229,7 +229,7 @@
 
 
 class RejectingServices(ExternalStandIns):
-    """The state service can refuse watches alone, those that are open too, or everything."""
+    """A state service that can reject watches alone, open ones included, or every request."""
 
     def __init__(self) -> None:
         self.rejects_watches = self.rejects_all = False
@@ -241,7 +241,7 @@
 
 
 def test_leader_stops_tasks_that_its_own_user_api_cancelled() -> None:
-    """It confirms a cancellation, and the state service never tells it of that: it knows all the same."""
+    """The leader's watch never delivers a cancellation that its own user API confirmed."""
     world = RejectingServices()
     settings = msgspec.structs.replace(
         World(1, 10.0, 30.0, [Team("alpha")]).settings,
@@ -273,7 +273,7 @@
         eventually(lambda: node.user_api.abort("job-000001")[0] == 200)
         world.rejects_all = True
         eventually(lambda: world.worker.on_machine() == ["job-000002/0"])
-        # It was stopped; had the lease ended instead, the other one would be gone as well.
+        # The task was stopped by a command: an expired lease would have ended the other task too.
         assert world.worker.incarnation == 1
     finally:
         stop.set()
@@ -301,10 +301,10 @@
     try:
         with socket.create_connection(address, 5.0) as good, socket.create_connection(address, 5.0) as bad:
             bad.sendall(data)
-            # What is bad by itself ends the connection at once: it may be reset before we could end our side.
+            # Oversized or malformed data closes the connection at once, maybe before this side's shutdown.
             if waits_for_more:
                 bad.shutdown(socket.SHUT_WR)
-            # Closed with some of it unread, it is reset.
+            # A connection that is closed with unread data is reset.
             with contextlib.suppress(ConnectionResetError):
                 assert bad.recv(1) == b""
             send_message(good, Ping("hive-1", 0, False, 0.0, -1, 0))
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -1,4 +1,4 @@
-"""Guards of single steps that scenarios reach only by luck."""
+"""Queued starts that must not be sent, in states that scenarios reach only by chance."""
 
 from __future__ import annotations
 
@@ -26,9 +26,8 @@
 
 
 def test_start_queued_before_a_new_incarnation_is_not_sent() -> None:
-    # Seen on a drawn day: the worker's lease expired while a start waited for the response to the
-    # command before it. The task was started elsewhere, and then the old start was sent as well, under the
-    # new incarnation, and executed.
+    # The worker's lease expired while a start waited for the response to the command before it. The task was
+    # started elsewhere, and then the old start was sent under the new incarnation and executed as well.
     world, leader_term = leading_world()
     controller = leader_term.controller
     machine = controller.ctx.fleet.machines["vm-000001"]
--- a/tests/test_reconciliation_proofs.py
+++ b/tests/test_reconciliation_proofs.py
@@ -20,7 +20,7 @@
 
 
 class ReconciliationHarness:
-    """A leader with a running task, and what its parts know of it."""
+    """A leader with a running task, and that task's machine, job and attempt."""
 
     def __init__(self) -> None:
         self.world, self.term = leading_world()
@@ -48,7 +48,7 @@
         )
 
     def started(self, **fields: Any) -> Attempt:
-        """The task's attempt as it is before it is seen on its machine."""
+        """The task's attempt as it is before a heartbeat shows it."""
         self.attempt.status = TaskState.SENT
         for name, value in fields.items():
             setattr(self.attempt, name, value)
@@ -253,7 +253,7 @@
     )
 
 
-# -- proofs by time ------------------------------------------------------------------------------------
+# -- lease expiry --------------------------------------------------------------------------------------
 
 
 def expire(
@@ -262,7 +262,7 @@
     confirmed_at: float,
     latest_delegated_renewal_at: float = float("-inf"),
 ) -> bool:
-    """Whether the machine's attempts are ended."""
+    """Expires leases and returns whether the machine's attempts have ended."""
     harness.term.leadership_confirmed_at = lambda: confirmed_at  # type: ignore[method-assign]
     harness.term.latest_delegated_renewal_at = lambda: latest_delegated_renewal_at  # type: ignore[method-assign]
     harness.reconciler.lease_expiry.expire_leases(harness.machine, now)
@@ -272,15 +272,15 @@
 def test_attempts_of_a_silent_worker_end_with_the_last_lease_that_the_leader_or_a_delegate_renewed(
     harness: ReconciliationHarness,
 ) -> None:
-    over_s = harness.ctx.durations.lease_expired_s
+    expired_s = harness.ctx.durations.lease_expired_s
     harness.reconciler.lease_expiry.unreconciled.add(harness.machine.name)
     harness.machine.last_answered_at = 1000.0
-    assert not expire(harness, 1000.0 + over_s, 2000.0)
-    # Somebody else may have led since we were confirmed last.
-    assert not expire(harness, 1001.0 + over_s, 1000.0 + over_s)
-    assert not expire(harness, 1001.0 + over_s, 2000.0, latest_delegated_renewal_at=1005.0)
+    assert not expire(harness, 1000.0 + expired_s, 2000.0)
+    # Another leader may have renewed the lease since this leadership was last confirmed.
+    assert not expire(harness, 1001.0 + expired_s, 1000.0 + expired_s)
+    assert not expire(harness, 1001.0 + expired_s, 2000.0, latest_delegated_renewal_at=1005.0)
     assert harness.reconciler.lease_expiry.unreconciled
-    assert expire(harness, 1006.0 + over_s, 2000.0, latest_delegated_renewal_at=1005.0)
+    assert expire(harness, 1006.0 + expired_s, 2000.0, latest_delegated_renewal_at=1005.0)
     assert not harness.reconciler.lease_expiry.unreconciled
 
 
@@ -300,12 +300,12 @@
     harness.machine.reconciled = False
     harness.reconciler.lease_expiry.term_began_at = 1000.0
     harness.machine.last_answered_at = 900.0
-    others_until = 1000.0 + durations.predecessors_expired_s
-    assert not expire(harness, others_until, 9000.0)
-    # We have responded to it as well.
-    harness.machine.last_answered_at = others_until
-    assert not expire(harness, others_until + durations.lease_expired_s, 9000.0)
-    assert expire(harness, others_until + durations.lease_expired_s + 0.1, 9000.0)
+    predecessors_until = 1000.0 + durations.predecessors_expired_s
+    assert not expire(harness, predecessors_until, 9000.0)
+    # This leader has renewed the lease too.
+    harness.machine.last_answered_at = predecessors_until
+    assert not expire(harness, predecessors_until + durations.lease_expired_s, 9000.0)
+    assert expire(harness, predecessors_until + durations.lease_expired_s + 0.1, 9000.0)
 
 
 # -- commands ------------------------------------------------------------------------------------------
@@ -377,7 +377,7 @@
     harness.machine.command_in_flight, harness.machine.next_probe_at = False, 0.0
     commands.probe_silent_worker(harness.machine, harness.world.now)
     assert len(harness.sent) == 1
-    # A long time without any of them does not add up.
+    # Probe credit does not accumulate over a long time without probes.
     for later in (1000.0, 1000.001):
         harness.machine.command_in_flight, harness.machine.next_probe_at = False, 0.0
         commands.probe_silent_worker(harness.machine, harness.world.now + later)
@@ -401,7 +401,7 @@
 @pytest.mark.parametrize(
     ("is_reconciled", "silent_s", "incarnation", "slow_lane", "sent_incarnation"),
     [(True, 100.0, 4, True, 4), (True, 0.0, 4, False, 4), (False, 100.0, 0, False, 1)],
-    ids=["silent", "heard-lately", "unreconciled"],
+    ids=["silent", "recent-heartbeat", "unreconciled"],
 )
 def test_silent_workers_use_the_slow_lane_and_unreconciled_ones_are_asked_for_their_incarnation(
     harness: ReconciliationHarness,
@@ -444,7 +444,7 @@
     commands.raise_fencing_token()
     commands.raise_fencing_token()
     assert len(commits) == 1
-    # It failed: the fencing token is what it was, and the next try may begin.
+    # The commit failed: the fencing token is unchanged, and the next call may retry.
     commits.pop()(False)
     assert (harness.ctx.fencing_token, raised) == (fencing_token, [])
     commands.raise_fencing_token()
--- a/tests/test_request_router.py
+++ b/tests/test_request_router.py
@@ -1,4 +1,4 @@
-"""Which requests the HTTP interface knows, and what it answers to all others."""
+"""Requests that the HTTP API serves, and its responses to all others."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RecordingUserApi:
-    """Notes which calls it gets."""
+    """Records its calls."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[object, ...]] = []
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -1,4 +1,4 @@
-"""The real program on loopback, against stand-ins served over HTTP."""
+"""The real program on loopback, against stand-ins served over HTTP; and its HTTP server under faults."""
 
 from __future__ import annotations
 
@@ -36,16 +36,16 @@
 Data = dict[str, Any]
 
 
-def eventually(what: Callable[[], object]) -> None:
-    """Wait until something holds."""
+def eventually(condition: Callable[[], object]) -> None:
+    """Waits until a condition holds."""
     deadline = time.monotonic() + TIMEOUT_S
-    while not what():
-        assert time.monotonic() < deadline, "did not come about"
+    while not condition():
+        assert time.monotonic() < deadline, "condition did not hold in time"
         time.sleep(0.1)
 
 
 class ExternalStandIns:
-    """State service, cloud and one worker, each on a port of loopback."""
+    """Stand-ins for the state service, the cloud and one worker, each on a loopback port."""
 
     def __init__(self) -> None:
         self.state = StateStandIn(time.monotonic)
@@ -75,7 +75,7 @@
             threading.Thread(target=server.serve_forever, daemon=True).start()
 
     def close(self) -> None:
-        """End the servers."""
+        """Closes the servers."""
         for server in self.servers:
             server.close_all()
 
@@ -85,11 +85,11 @@
         with self.lock:
             return http_response(*state_route(self.state, method, path, body))
 
-    def _follow(self, asked: dict[str, str]) -> HttpResponse:
-        deadline = time.monotonic() + float(asked["holdMs"]) / 1000
+    def _follow(self, query: dict[str, str]) -> HttpResponse:
+        deadline = time.monotonic() + float(query["holdMs"]) / 1000
         while True:
             with self.lock:
-                events = self.state.changes(asked["prefix"], int(asked["since"]))
+                events = self.state.changes(query["prefix"], int(query["since"]))
                 if events or time.monotonic() >= deadline:
                     return http_response(200, {"ledger": self.state.ledger, "events": events})
             time.sleep(0.02)
@@ -104,10 +104,10 @@
             return http_response(*self.worker.do(decode(body)))
 
     def heartbeat(self, port: int) -> None:
-        """The worker's report to a node, and what the answer brings."""
+        """Sends the worker's heartbeat to a node and applies the response."""
         with self.lock:
             self.worker.step()
-            body, sent_at, shift = self.worker.heartbeat(), time.monotonic(), self.worker.incarnation
+            body, sent_at, incarnation = self.worker.heartbeat(), time.monotonic(), self.worker.incarnation
         try:
             status, answer = HttpClient("127.0.0.1", port, max_idle=0).request(
                 "POST", "/hello", body, timeout_s=4.0
@@ -116,7 +116,7 @@
             return
         if status == 200:
             with self.lock:
-                self.worker.answered(answer, sent_at, shift)
+                self.worker.answered(answer, sent_at, incarnation)
 
 
 @pytest.fixture
@@ -155,20 +155,20 @@
         )
         command = [sys.executable, str(ROOT / "run.py"), "serve", "--config", str(settings)]
         paths = [path for path in sys.path if path]
-        # The checkout's own dependencies may not be built here: those of the tests serve as well.
+        # The checkout may have no built dependencies of its own, so the program uses those of the tests.
         environment = {**os.environ, "PYTHONPATH": os.pathsep.join(paths), "LOG_LEVEL": "debug"}
         self.process = subprocess.Popen(command, env=environment, stderr=subprocess.DEVNULL)
         self.client = HttpClient("127.0.0.1", self.port)
 
     def ask(self, method: str, path: str, body: Data | None = None) -> tuple[int, Data]:
-        """One request of a user."""
+        """Sends a user's request; a failed one has status 0."""
         try:
             return self.client.request(method, path, body, timeout_s=5.0)
         except (NotSentError, NoResponseError):
             return 0, {}
 
     def kill(self) -> None:
-        """End it without a word."""
+        """Kills the process without a shutdown."""
         self.process.kill()
         self.process.wait()
         self.client.close()
@@ -237,7 +237,7 @@
     def route(method: str, path: str, body: bytes) -> HttpResponse:
         calls.append(path)
         if path == "/fail":
-            raise RuntimeError("a mistake")
+            raise RuntimeError("handler failed")
         return http_response(200)
 
     server = HttpServer(("127.0.0.1", 0), route, 10)
@@ -265,11 +265,11 @@
     try:
         assert clients[0].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
         silent.extend(socket.create_connection(("127.0.0.1", server.server_port)) for _ in range(20))
-        # The worker's connection was the oldest, and is there still: it is used again, not opened anew.
+        # The worker's connection is the oldest and still open: it is reused.
         assert clients[0].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
         assert clients[1].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
         assert clients[2].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
-        # Three workers fill it: nobody is turned out for a fourth.
+        # Three workers use all connections: none is closed for a fourth client.
         with pytest.raises((NoResponseError, NotSentError)):
             clients[3].request("GET", "/ready", timeout_s=5.0)
     finally:
@@ -287,7 +287,7 @@
     threading.Thread(target=server.serve_forever, daemon=True).start()
     clients = [HttpClient("127.0.0.1", server.server_port) for _ in range(2)]
     try:
-        # It was a worker's, but its zone was cut off, and it has come back over another one.
+        # This worker's zone was cut off, and the worker reconnected through another zone.
         assert clients[0].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
         time.sleep(0.3)
         assert clients[1].request("POST", "/hello", {}, timeout_s=5.0)[0] == 200
@@ -300,7 +300,7 @@
 def test_every_worker_of_the_largest_fleet_keeps_a_connection() -> None:
     limits = MachineLimits(max_sockets=1900)
     workers = 1000
-    # Both ends are in this process.
+    # Both ends of each connection are in this process.
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 2 * workers + 200)), hard))
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""A leader's transactions when answers are lost and old ones are carried out late."""
+"""A leader's transactions: lost responses, late commits, order, limits and loss of leadership."""
 
 from __future__ import annotations
 
@@ -40,7 +40,10 @@
 
 
 class UnreliableStore(Store):
-    """A state service that does with each transaction what it is told to."""
+    """A state service with a scripted outcome for each transaction: answered, refused, lost or late.
+
+    A lost one is committed without a response; `apply_late_transactions` commits the late ones.
+    """
 
     def __init__(self, *commit_outcomes: str) -> None:
         self.state = StateStandIn(lambda: 0.0)
@@ -67,20 +70,20 @@
         return int(answer["ledger"])
 
     def apply_late_transactions(self) -> list[int]:
-        """What had no answer reaches the service now."""
+        """Commits the late transactions and returns their statuses."""
         return [self.state.commit(body)[0] for body in self.late]
 
 
 def leader(*commit_outcomes: str) -> tuple[UnreliableStore, FencedWriter]:
     """A store with a leader's key, and that leader's writer."""
     store = UnreliableStore()
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     store.commit_outcomes.extend(commit_outcomes)
-    return store, FencedWriter(store, stamp)
+    return store, FencedWriter(store, key_revision)
 
 
 def write_until_certain(writer: FencedWriter, key: str, value: int) -> None:
-    """Write as the committer does: repeat what had no answer."""
+    """Writes as the committer does: retries until the outcome is known."""
     for _ in range(10):
         try:
             writer.commit({}, [Put(key, {"v": value})])
@@ -88,7 +91,7 @@
             continue
         else:
             return
-    raise AssertionError("never certain")
+    raise AssertionError("write has no known outcome after 10 attempts")
 
 
 COMMIT_OUTCOMES = [
@@ -111,7 +114,7 @@
     assert store.late or "late" not in commit_outcomes
     assert 200 not in store.apply_late_transactions()
     assert store.state.keys[key][0] == {"v": 3}
-    # The leader goes on behind them.
+    # The leader can still write after them.
     write_until_certain(writer, key, 4)
     assert store.state.keys[key][0] == {"v": 4}
 
@@ -122,10 +125,10 @@
     clock = SimpleNamespace(monotonic=time.monotonic, sleep=pauses.append)
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
     store = UnreliableStore()
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     store.commit_outcomes.extend(["refused"] * 12)
     done = threading.Event()
-    committer = Committer(store, settings, stamp, lambda: None)
+    committer = Committer(store, settings, key_revision, lambda: None)
     committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], lambda result: done.set()))
     assert done.wait(60.0)
     committer.stop()
@@ -145,9 +148,9 @@
     clock = SimpleNamespace(monotonic=lambda: now[0], sleep=sleep)
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
     store = UnreliableStore()
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
     finished = threading.Semaphore(0)
-    committer = Committer(store, settings, stamp, lambda: None)
+    committer = Committer(store, settings, key_revision, lambda: None)
     changes = 0
     for unit in range(20):
         writes = [Put(f"{PLAN_PREFIX}{unit}-{number}", {}) for number in range(10)]
@@ -156,7 +159,7 @@
     for _ in range(20):
         assert finished.acquire(timeout=20.0)
     committer.stop()
-    # A burst goes out at once, and the last transaction when those before it have been paid for.
+    # A burst is sent at once; the last transaction waits until the rate covers those before it.
     state = settings.deployment.state
     assert now[0] >= (changes - 2 * state.txn_ops) / (state.write_rps / 1.5)
 
@@ -178,17 +181,17 @@
 
 
 def test_a_unit_above_a_limit_blocks_no_other_unit(monkeypatch: pytest.MonkeyPatch) -> None:
-    # By reading: a transaction that got 400 was repeated for ever, and every later one of the leader waited.
+    # A transaction that was rejected with 400 was retried forever and blocked every later one of the leader.
     settings = World(1, 10.0, 30.0, []).settings
     clock = SimpleNamespace(monotonic=time.monotonic, sleep=lambda seconds: time.sleep(seconds / 100))
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
     store = LimitedStore(max_writes=1, max_value=9)
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
-    committer = Committer(store, settings, stamp, lambda: None)
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    committer = Committer(store, settings, key_revision, lambda: None)
     outcomes: list[tuple[int, bool]] = []
     last = threading.Event()
 
-    def note(value: int) -> Callable[[bool], None]:
+    def record(value: int) -> Callable[[bool], None]:
         def done(result: bool) -> None:
             outcomes.append((value, result))
             if value == 4:
@@ -196,9 +199,9 @@
 
         return done
 
-    # The second is too large by itself, and all of them are too many for one transaction.
+    # The second unit is too large by itself, and together they are too many for one transaction.
     for value in (1, 10, 3, 4):
-        committer.submit(CommitUnit({}, [Put(f"{PLAN_PREFIX}{value}", {"v": value})], note(value)))
+        committer.submit(CommitUnit({}, [Put(f"{PLAN_PREFIX}{value}", {"v": value})], record(value)))
     assert last.wait(60.0)
     committer.stop()
     assert outcomes == [(1, True), (3, True), (4, True)]
@@ -209,8 +212,8 @@
     store, old = leader("late")
     with pytest.raises(OutcomeUnknownError):
         old.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})])
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-1"})])
-    write_until_certain(FencedWriter(store, stamp), FENCING_TOKEN_KEY, 2)
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-1"})])
+    write_until_certain(FencedWriter(store, key_revision), FENCING_TOKEN_KEY, 2)
     assert store.apply_late_transactions() == [409]
     with pytest.raises(ConditionFailedError, match=LEADER_KEY):
         old.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 3})])
@@ -218,7 +221,7 @@
 
 
 class BlockingStore(UnreliableStore):
-    """A state service that keeps the first transaction of a leader waiting."""
+    """A state service that blocks a leader's first transaction until `resume` is set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -247,15 +250,15 @@
 
 
 class Backlog:
-    """A committer whose first transaction is held until all units are queued; it notes how each one ends."""
+    """A committer whose first transaction blocks until all units are queued; records each unit's outcome."""
 
     def __init__(self, store: BlockingStore) -> None:
         self.store = store
         self.outcomes: dict[str, bool] = {}
         self.leadership_lost = threading.Event()
-        stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+        key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
         settings = World(1, 10.0, 30.0, []).settings
-        self.committer = Committer(store, settings, stamp, self.leadership_lost.set)
+        self.committer = Committer(store, settings, key_revision, self.leadership_lost.set)
         self._finished = threading.Semaphore(0)
         self.submit("first", ["first"])
         assert store.reached.wait(60.0)
@@ -326,7 +329,7 @@
     assert backlog.leadership_lost.wait(20.0)
     backlog.committer._thread.join(20.0)
     assert not backlog.committer._thread.is_alive()
-    # Whether a step of a former leader is durable is its successor's to find out.
+    # Its successor determines whether a former leader's write is durable.
     assert backlog.outcomes == {}
     assert store.transactions == [["first"]]
 
@@ -342,8 +345,8 @@
             return super().commit(conditions, writes)
 
     store = Expiring()
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
-    committer = Committer(store, World(1, 10.0, 30.0, []).settings, stamp, lambda: None)
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    committer = Committer(store, World(1, 10.0, 30.0, []).settings, key_revision, lambda: None)
     outcomes: list[bool] = []
     done = threading.Event()
 
@@ -368,8 +371,8 @@
             return super().commit(conditions, writes)
 
     store = RejectingServices()
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
-    committer = Committer(store, World(1, 10.0, 30.0, []).settings, stamp, lambda: None)
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    committer = Committer(store, World(1, 10.0, 30.0, []).settings, key_revision, lambda: None)
     committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], lambda result: None))
     assert store.tried.wait(20.0)
     committer.stop()
@@ -385,7 +388,7 @@
         writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 2})])
     writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 3})])
     assert store.state.keys[FENCING_TOKEN_KEY][0] == {"v": 3}
-    # With a new leader's key as well: that it leads no more is what counts.
+    # With a new leader key as well, the failed condition on the leader key is raised.
     store.commit({}, [Put(LEADER_KEY, {"member": "hive-1"}), Put(WRITE_FENCE_KEY, {"moved": "again"})])
     with pytest.raises(ConditionFailedError, match=LEADER_KEY):
         writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 4})])
@@ -405,11 +408,11 @@
 
 
 def test_launches_are_committed_before_queued_plans() -> None:
-    # A hundred plans at two thirds of 25 changes a second kept the first hires of a fleet back for 11 s.
+    # 100 plans at two thirds of 25 changes/s delayed the first launches of a fleet by 11 s.
     settings = World(1, 10.0, 30.0, []).settings
     store = BlockingStore()
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
-    committer = Committer(store, settings, stamp, lambda: None)
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    committer = Committer(store, settings, key_revision, lambda: None)
     finished = threading.Semaphore(0)
 
     def submit(key: str, priority: CommitPriority) -> None:
@@ -429,10 +432,10 @@
     assert store.order == [f"{PLAN_PREFIX}first", f"{LAUNCH_PREFIX}r-1", *plans, "records"]
 
 
-def test_plans_of_urgent_jobs_have_the_highest_commit_priority_and_unguaranteed_ones_the_lowest(
+def test_plan_commits_have_the_priority_of_their_job(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Six one-task jobs a second of a guest team kept plans of critical replicas back for a minute.
+    # Six one-task jobs/s of a team without a guarantee delayed plans of critical replicas by a minute.
     world = World(1, 10.0, 30.0, [Team("alpha", accelerators=8), Team("gamma")])
     priorities: dict[str, CommitPriority] = {}
     inner = SimLeaderTerm.commit
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,9 +1,9 @@
 """Old and new versions side by side: each reads what the other stores and sends.
 
 `fixtures/production_1e58d14.json` was written by the code of commit 1e58d14, the version in production when
-gangs were added: its own scenario world (seed 5) was played for 13.8 s with arrays, services, a gang, a
-cancellation and a hire. `keys` is what its controllers had stored by then, `workers` what its stand-ins for
-workers held, `messages` one message of each kind as its encoder wrote it, and `reads` the fields of its
+gangs were added: its own scenario world (seed 5) ran for 13.8 s with arrays, services, a gang, a
+cancellation and a launch. `keys` is what its controllers had stored by then, `workers` the state of its
+simulated workers, `messages` one message of each kind as its encoder wrote it, and `reads` the fields of its
 decoders, in order.
 """
 
@@ -29,7 +29,7 @@
 
 Data = dict[str, Any]
 FIXTURE: Data = json.loads((Path(__file__).parent / "fixtures" / "production_1e58d14.json").read_text())
-# Types whose names were others in the production version; names of types are not sent.
+# Types that had other names in the production version; type names are not sent.
 RECORDED_TYPE_NAMES = {LeaseDelegation.__name__: "Trust"}
 TEAMS = [Team("alpha", accelerators=8, accelerators_max=0), Team("beta", accelerators=8, accelerators_max=0)]
 
@@ -63,19 +63,19 @@
     recorded = bytes.fromhex(FIXTURE["messages"][kind])
     decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Ping | Pong)
     assert decoder.decode(recorded) == expected
-    # Its decoders read a message by position and ignore what comes behind the last field that they know.
+    # Its decoders read a message by position and ignore fields after the last one that they know.
     old = msgspec.msgpack.decode(recorded)
     new = msgspec.msgpack.decode(msgspec.msgpack.encode(expected))
     assert new[: len(old)] == old
 
 
 def _without_modules(text: str) -> str:
-    """A field's type without the modules that its parts stand in, which nothing that is sent shows."""
+    """A field's type without module names, which are not sent."""
     return re.sub(r"\b(?:typing|poppyhold(?:\.[a-z_]+)+)\.", "", text)
 
 
 def _as_sent(text: str) -> str:
-    """A field's type with what a named tuple is on the wire, which shows its fields' types and no names."""
+    """A field's type with named tuples as plain tuples, as on the wire."""
     sent = _without_modules(text)
     for named in (MisdirectedWorker, Cancellation):
         types = ", ".join(kind.__name__ for kind in get_type_hints(named).values())
@@ -96,7 +96,7 @@
         for field in msgspec.structs.fields(kind)
     ]
     if kind in (Ping, Pong):
-        # They are sent by position: names are not seen by the other side.
+        # They are sent by position, without field names.
         fields = [field[1:] for field in fields]
         recorded = [field[1:] for field in recorded]
     assert fields[: len(recorded)] == recorded
@@ -104,18 +104,18 @@
 
 
 def _restore_production_world(next_limits: AnnouncedStateLimits | None) -> World:
-    """A world that goes on where the production version's was: its leader has just ended."""
+    """A world that continues from the production version's state, just after its leader has ended."""
     world = World(5, 10.0, 30.0, TEAMS, next_limits)
     world.now = FIXTURE["at"]
     world.jobs, world.observed_status = dict(FIXTURE["jobs"]), dict(FIXTURE["told"])
     world.cancelled_at = {
-        job: world.now for job, told in world.observed_status.items() if told == "cancelled"
+        job: world.now for job, status in world.observed_status.items() if status == "cancelled"
     }
     state = world.state
     state.ledger = FIXTURE["ledger"]
     state.keys = {key: (held["data"], held["stamp"], None) for key, held in FIXTURE["keys"].items()}
     state.keys["ph/l/lead"] = (*state.keys["ph/l/lead"][:2], 1)
-    # Ids of leases are not used again.
+    # Lease ids are not reused.
     state.leases[state.lease(2500)[1]["permit"]] = [world.now + 2.5, 2.5]
     for name, held in sorted(FIXTURE["workers"].items()):
         added = world.cloud.add(held["build"], held["zone"], held["spot"], "running")
@@ -133,9 +133,9 @@
             if chore.get("cause") == "done":
                 world.finished.add(task)
             if job["shape"] == "group" and chore["status"] == "running":
-                # That version's stand-ins played the tasks of a gang one by one.
+                # That version's simulated workers ran the tasks of a gang independently of one another.
                 worker.tasks[task].update(status="waiting", until=world.now + 30.0)
-    # Completions that were reported, recorded and removed from the reports by then.
+    # Completions that were recorded and no longer listed in heartbeats by then.
     done = int(state.keys["ph/d/job-000001/0"][0]["d"], 16)
     world.finished |= {f"job-000001/{index}" for index in range(40) if done >> index & 1}
     return world
@@ -195,6 +195,6 @@
         for name, value in FIXTURE["keys"][recorded]["data"].items():
             assert name in data, key
             assert data[name] is None or type(data[name]) is type(value), key
-    # Families that the production version reads nothing of: the fence had not been needed there, and
-    # completions of very large jobs are recorded apart where limits are lowered.
+    # Key families that the fixture has none of: the write fence was not needed there, and completions of very
+    # large jobs have their own records where limits are lowered.
     assert added <= {"c", "e"}
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""Following a prefix: what is handed on, in which order, and where it goes on after each kind of failure."""
+"""Watching a prefix: what is delivered, in which order, and where it resumes after each failure."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ScriptedStore(Store):
-    """A state service whose answers to a watch are listed; after the last one the watch is stopped."""
+    """A state service with scripted answers to a watch, which is stopped after the last one."""
 
     def __init__(self, *answers: Changes | Exception) -> None:
         self.answers = deque(answers)
@@ -43,7 +43,7 @@
 
 
 class WatchRecorder:
-    """What a watch hands on."""
+    """Records what a watch delivers."""
 
     def __init__(self) -> None:
         self.snapshots: list[int] = []
@@ -59,7 +59,7 @@
 
 
 def watch(store: ScriptedStore, recorder: WatchRecorder, **replaced: Callable[..., None]) -> Watch:
-    """A watch that ends with the script, run in this thread; its clock counts its requests."""
+    """A watch that stops at the end of the script; its clock counts its requests."""
     ticks = count(1)
     watcher = Watch(
         store,
@@ -81,7 +81,7 @@
     assert recorder.snapshots == [1]
     assert recorder.changes == [(f"{PREFIX}new", 12), (f"{PREFIX}old", 13)]
     assert store.polled_since == [10, 13, 14]
-    # Caught up as of the moment of each request, and after a stop no more.
+    # It has caught up as of the time of each request, and no more after a stop.
     assert recorder.caught_up == [(1.0, 10), (2.0, 13), (3.0, 14)]
     assert watcher.first_revision == 10
 
@@ -98,7 +98,7 @@
     watcher = watch(store, recorder)
     watcher._run()
     assert (recorder.snapshots, store.polled_since) == ([1, 2], [10, 20])
-    # What the process saw first stays what it was.
+    # The first revision that the process saw does not change.
     assert watcher.first_revision == 10
 
 
@@ -122,7 +122,7 @@
     watcher = watch(store, recorder, on_change=on_change)
     watcher._run()
     assert recorder.changes == [(f"{PREFIX}new", 12)]
-    # Not every change was handed on: nobody is told that we have caught up.
+    # Not every change was delivered, so the watch does not signal that it has caught up.
     assert recorder.caught_up == [(1.0, 10)]
 
 
