--- a/src/poppyhold/wire/__init__.py
+++ b/src/poppyhold/wire/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP, the outside protocols and the frames between controllers."""
+"""HTTP, the message types of the external protocols, and framed messages between controllers."""
--- a/src/poppyhold/wire/cloud_messages.py
+++ b/src/poppyhold/wire/cloud_messages.py
@@ -1,4 +1,4 @@
-"""The cloud's protocol: machine types, the list of machines and launches."""
+"""The cloud's protocol: machine types, the list of machines, launches and deletions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """A machine type: what its machines have, what they cost and where they can be launched."""
+    """A machine type: resources, prices and zones of its machines."""
 
     name: str
     cpus: float
@@ -30,7 +30,7 @@
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
-    """A machine on the cloud's list."""
+    """A machine in the cloud's list."""
 
     name: str = msgspec.field(name=names.NAME)
     machine_type: str = msgspec.field(name=names.MACHINE_TYPE)
@@ -49,9 +49,9 @@
 
 
 class MachineListing(msgspec.Struct, frozen=True):
-    """All pages of the cloud's list, and when the first of them was asked for, on our monotonic clock.
+    """All pages of the cloud's list, and when the first was requested, on this node's monotonic clock.
 
-    A long list takes a while to read: what it says may be older than its beginning by the cloud's lag.
+    Reading all pages takes time, and the contents may be older than ``began_at`` by the cloud's lag.
     """
 
     machines: list[ListedMachine]
@@ -59,7 +59,7 @@
 
 
 class LaunchRequest(Body, frozen=True):
-    """POST /machines: a launch, whose request ID makes a repeat idempotent."""
+    """POST /machines: a launch; its request ID makes retries idempotent."""
 
     request_id: str = msgspec.field(name=names.LAUNCH_REQUEST_ID)
     machine_type: str = msgspec.field(name=names.MACHINE_TYPE)
--- a/src/poppyhold/wire/codec.py
+++ b/src/poppyhold/wire/codec.py
@@ -1,4 +1,4 @@
-"""The codec of bodies on the outside protocols: CBOR maps, checked against message types."""
+"""Codec of the external protocols' bodies: CBOR maps, validated against message types."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class MalformedError(Exception):
-    """A body is not what the protocol says; its sender has to change it."""
+    """A body violates the protocol; sending it again will not help."""
 
 
 class Body(msgspec.Struct, frozen=True):
-    """A message type that is sent as the body of a request or a response."""
+    """Base of message types that are sent as the body of a request or a response."""
 
     def body(self) -> dict[str, Any]:
-        """The map that is sent."""
+        """Return the map to be encoded."""
         body: dict[str, Any] = msgspec.to_builtins(self)
         return body
 
@@ -34,12 +34,12 @@
     """Decode a body, which must be a CBOR map.
 
     Raises:
-        MalformedError: it is not CBOR, or no map.
+        MalformedError: it is not CBOR, or not a map.
 
     """
     try:
         value = cbor2.loads(body)
-    except Exception as error:  # cbor2 raises many kinds on hostile input
+    except Exception as error:  # cbor2 raises many types on malformed input
         raise MalformedError("not CBOR") from error
     if not isinstance(value, dict):
         raise MalformedError("not a map")
@@ -47,10 +47,10 @@
 
 
 def convert(value: object, kind: type[T]) -> T:
-    """Check a decoded body against a message type.
+    """Convert a decoded body to a message type.
 
     Raises:
-        MalformedError: a field is missing, or has another type.
+        MalformedError: a field is missing or has the wrong type.
 
     """
     try:
--- a/src/poppyhold/wire/field_names.py
+++ b/src/poppyhold/wire/field_names.py
@@ -1,13 +1,13 @@
-"""The words of the protocols, each with the name that it has in this program.
+"""Field names of the protocols and stored records, by their names in this program.
 
-Message and record types name their attributes in the program's terms, and say the word that is sent or stored
-with ``msgspec.field(name=...)``. This is the only place that maps one to the other. Words that are the
-same in both, such as ``endpoint``, are not listed.
+Message and record types use this program's names for attributes, and set the name that is sent or stored with
+``msgspec.field(name=...)``. This is the only module that maps one to the other. Names that are the same in
+both, such as ``endpoint``, are not listed.
 """
 
 from __future__ import annotations
 
-# -- jobs, as users and the state service's records name them
+# -- jobs, in submissions and in stored records
 NAME = "nameId"
 JOB_CLASS = "lot"
 TEAM = "crew"
--- a/src/poppyhold/wire/frames.py
+++ b/src/poppyhold/wire/frames.py
@@ -1,4 +1,4 @@
-"""Frames: messages between controllers, tagged tuples (msgspec arrays), each preceded by its length."""
+"""Messages between controllers: tagged msgspec arrays in MessagePack, each preceded by its length."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class MalformedMessageError(ValueError):
-    """What came is no message of the protocol: the connection can't go on."""
+    """The received bytes are no message of the protocol: the connection must be closed."""
 
 
 def open_connection(address: tuple[str, int], timeout_s: float) -> socket.socket:
-    """Open a connection for frames: each message is sent at once, without waiting to be joined to others.
+    """Open a connection for messages, with TCP_NODELAY so that small ones are sent without delay.
 
     Raises:
-        OSError: the other side cannot be reached within the timeout, which then holds for each operation.
+        OSError: the peer cannot be reached within the timeout, which also applies to each later operation.
 
     """
     connection = socket.create_connection(address, timeout=timeout_s)
@@ -36,14 +36,14 @@
     """Send one message.
 
     Raises:
-        OSError: the connection broke, or the message was not taken in time.
+        OSError: the connection was lost, or the send timed out.
 
     """
     connection.sendall(_encode(message))
 
 
 def try_send_message(connection: socket.socket, message: msgspec.Struct) -> bool:
-    """Send one message without ever waiting; False if it was not taken whole: the connection must end."""
+    """Send one message without blocking; False if not all was written: the connection must be closed."""
     data = _encode(message)
     try:
         return os.write(connection.fileno(), data) == len(data)
@@ -52,7 +52,7 @@
 
 
 def shut_down(connection: socket.socket) -> None:
-    """End a connection; threads that wait for it wake up, and whoever opened it closes it."""
+    """Shut a connection down: threads blocked on it wake up. Its owner still has to close it."""
     with contextlib.suppress(OSError):
         connection.shutdown(socket.SHUT_RDWR)
 
@@ -61,13 +61,13 @@
     """Receive one message.
 
     Raises:
-        MalformedMessageError: it is too large or none of the decoder's types.
-        OSError: the connection broke, or nothing came in time.
+        MalformedMessageError: it is too large, or not of the decoder's types.
+        OSError: the connection was lost, or the receive timed out.
 
     """
     size = _LENGTH.unpack(_receive_bytes(connection, _LENGTH.size))[0]
     if size > _MAX_MESSAGE_BYTES:
-        raise MalformedMessageError(f"a message of {size} bytes is too large")
+        raise MalformedMessageError(f"message of {size} bytes exceeds the limit of 1 MiB")
     body = _receive_bytes(connection, size)
     try:
         return decoder.decode(body)
--- a/src/poppyhold/wire/http_client.py
+++ b/src/poppyhold/wire/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1: a pooled client with deadlines."""
+"""HTTP/1.1 client with a connection pool and deadlines."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from poppyhold.wire.codec import MalformedError, decode, encode
 from poppyhold.wire.http_fields import read_fields
 
-# A connection that has been idle for so long is not used again: the server may close it meanwhile.
+# A connection that has been idle for this long is not reused, as the server may be closing it.
 _MAX_IDLE_S = 15.0
-# What is left for a request whose deadline has nearly passed.
+# Least timeout of a request whose deadline has almost passed.
 _MIN_TIMEOUT_S = 0.01
 
 
 class HttpRequestError(Exception):
-    """A request got no response that can be used."""
+    """A request got no usable response."""
 
 
 class NotSentError(HttpRequestError):
-    """The request certainly did not reach the server, and may be repeated."""
+    """The request did not reach the server, and is safe to retry."""
 
 
 class NoResponseError(HttpRequestError):
-    """No usable response came: the request may have been carried out, or may be later."""
+    """No usable response arrived: the request may have been executed, or may be later."""
 
 
 class _Response(http.client.HTTPResponse):
-    """The library's response, but for how its head is read."""
+    """The standard library's response with a faster parser of the header."""
 
     def begin(self) -> None:
         version, status, reason = self._read_status()  # type: ignore[attr-defined]
@@ -51,17 +51,17 @@
 
 
 class _IdleConnection(NamedTuple):
-    """A connection that is kept open, and since when it is idle."""
+    """An open connection, and since when it has been idle."""
 
     connection: socket.socket
     idle_since: float
 
 
 class HttpClient:
-    """Connections to one address, kept open between requests and never pipelined."""
+    """A pool of connections to one address, without pipelining."""
 
     def __init__(self, host: str, port: int, max_idle: int = 4) -> None:
-        """At most ``max_idle`` connections are kept open."""
+        """Keep at most ``max_idle`` idle connections open."""
         self._host, self._port, self._max_idle = host, port, max_idle
         self._idle: list[_IdleConnection] = []
         self._lock = threading.Lock()
@@ -78,14 +78,14 @@
     def request(
         self, method: str, path: str, body: dict[str, Any] | None = None, *, timeout_s: float
     ) -> tuple[int, dict[str, Any]]:
-        """Send one request and wait for its response, at most ``timeout_s`` seconds in all.
+        """Send one request and wait for its response, ``timeout_s`` seconds at most.
 
         Returns:
             The status and the decoded body.
 
         Raises:
-            NotSentError: the server could not be connected to.
-            NoResponseError: the connection broke, the response was malformed, or none came in time.
+            NotSentError: the connection to the server failed.
+            NoResponseError: the connection was lost, the response was malformed, or none arrived in time.
 
         """
         deadline = time.monotonic() + timeout_s
@@ -141,7 +141,7 @@
         connection.close()
 
     def close(self) -> None:
-        """Close the connections that are kept open, and keep none open from now on."""
+        """Close the idle connections, and keep none open from now on."""
         with self._lock:
             self._closed = True
             idle, self._idle = self._idle, []
--- a/src/poppyhold/wire/http_fields.py
+++ b/src/poppyhold/wire/http_fields.py
@@ -1,18 +1,18 @@
-"""Header fields of HTTP/1.1, for the server and the client."""
+"""Parser of HTTP/1.1 header fields, for the server and the client."""
 
 from __future__ import annotations
 
 from io import BufferedIOBase
 
-# Bounds of the header fields that are read.
+# A header may have at most this many fields, each of at most this many bytes.
 _MAX_FIELDS, _MAX_FIELD_BYTES = 100, 8192
 
 
 def read_fields(stream: BufferedIOBase) -> dict[str, str] | None:
     """Read header fields up to the empty line; None if there are too many or one is too long.
 
-    The library's own way makes a mail message of them, which takes a third of all the time that a heartbeat
-    or a request to the state service does. Only a few of them matter here.
+    The standard library parses them as an email message, which takes a third of the time of a heartbeat or
+    of a request to the state service. Only a few fields are needed here.
     """
     fields: dict[str, str] = {}
     for _ in range(_MAX_FIELDS):
--- a/src/poppyhold/wire/http_server.py
+++ b/src/poppyhold/wire/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1: the threaded server of a controller, with CBOR bodies."""
+"""A controller's threaded HTTP/1.1 server, with CBOR bodies."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
     headers: dict[str, str]
 
 
-# A response that another thread will give: it is handed the means to send it, and never has to wait for that.
+# A response from another thread: it is called with a function that sends the response without blocking.
 DeferredResponse = Callable[[Callable[[HttpResponse], None]], None]
 # Handles a request's method, path and body.
 RequestHandler = Callable[[str, str, bytes], HttpResponse | DeferredResponse]
 
-# Whoever gets a response on this path is a worker: its connection is not closed to make room for another one.
+# A client that gets a 200 on this path is a worker: its connection is not closed in favour of another one.
 _HEARTBEAT_PATH = "/hello"
 # Method, path and version.
 _REQUEST_LINE_PARTS = 3
-# A connection that is silent for so many times the grace of a worker's was left by whoever opened it.
+# A connection that sends nothing for this multiple of a worker's grace is abandoned, and is closed.
 _IDLE_TIMEOUT_GRACES = 4
 
 
@@ -49,7 +49,7 @@
 
 
 class _Handler(http.server.BaseHTTPRequestHandler):
-    """Serves the requests of one connection, on its thread."""
+    """Serves one connection's requests, on its thread."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
@@ -66,7 +66,7 @@
     def do_POST(self) -> None:
         self._serve()
 
-    do_PUT = do_DELETE = do_PATCH = do_HEAD = do_OPTIONS = do_GET  # noqa: N815 (the library's names)
+    do_PUT = do_DELETE = do_PATCH = do_HEAD = do_OPTIONS = do_GET  # noqa: N815 (names of the base class)
 
     def parse_request(self) -> bool:
         """Read the request line and the header fields."""
@@ -97,20 +97,20 @@
         try:
             response = self.server.handle_http(self.command, self.path, body)
         except Exception:
-            # Thread boundary: nothing that a peer sends may end the process or go unanswered.
+            # Thread boundary: whatever a client sends, it gets a response and the process goes on.
             log.exception("request failed: method=%s path=%s", self.command, self.path)
             response = http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "internal"}, Retry_After="1")
         if not callable(response):
             self.wfile.write(self._encode(response))
         elif not self.close_connection:
-            # Heartbeats come by the hundred a second: to wait here for the decision thread, be woken by it
-            # and only then respond took a good part of a leader's time at 650 machines.
+            # The other thread sends the response: at hundreds of heartbeats per second (650 machines), waking
+            # this thread for each one would take a large part of a leader's time.
             response(self._send_without_waiting)
         else:
             self._await_response(response)
 
     def _read_body(self) -> bytes | None:
-        """The request's body; None if there is none that can be read, and the connection ends."""
+        """Read the request's body; None if it can't be read: the connection is then closed."""
         try:
             length = int(self.fields.get("content-length") or 0)
         except ValueError:
@@ -140,7 +140,7 @@
         sent.wait(self.server.idle_timeout_s)
 
     def _send_without_waiting(self, response: HttpResponse) -> None:
-        """Send without ever waiting: whoever does not take its responses loses the connection."""
+        """Send without blocking; a connection that can't take the whole response is shut down."""
         data = self._encode(response)
         try:
             if os.write(self.connection.fileno(), data) == len(data):
@@ -152,8 +152,8 @@
     def _encode(self, response: HttpResponse) -> bytes:
         status, body, headers = response
         if status == HTTPStatus.OK and self.path == _HEARTBEAT_PATH:
-            # Whatever else is sent there, malformed or to a controller that leads nobody, makes nobody a
-            # worker.
+            # Other responses, to malformed heartbeats or from a controller that doesn't lead, don't mark the
+            # client as a worker.
             self.server.record_activity(self.connection, is_worker=True)
         payload = encode(body)
         head = (
@@ -166,7 +166,7 @@
             head += "Connection: close\r\n"
         return head.encode("latin-1") + b"\r\n" + payload
 
-    def log_message(self, format: str, *args: Any) -> None:  # noqa: A002 (the base class names it so)
+    def log_message(self, format: str, *args: Any) -> None:  # noqa: A002 (name of the base class)
         log.debug("client=%s: %s", self.address_string(), format % args)
 
     def address_string(self) -> str:
@@ -174,12 +174,12 @@
 
 
 class HttpServer(socketserver.ThreadingMixIn, http.server.HTTPServer):
-    """One thread per connection, at most ``max_connections`` connections.
+    """Serves at most ``max_connections`` connections, with one thread each.
 
-    At the limit the connection that has been silent longest makes room, those of workers aside: many silent
-    or half-open ones would otherwise keep the workers out, and their leases would expire. A worker's
-    connection that has been silent for ``worker_grace_s`` is one like any other: when a zone that was cut off
-    is back, its workers come over new connections, and they never close the old ones.
+    At the limit, the connection that has been idle longest is closed for a new one, except workers': idle or
+    half-open connections could otherwise lock workers out until their leases expire. A worker's connection
+    loses this protection when idle for ``worker_grace_s``: after a network partition of a zone its workers
+    open new connections, and never close the old ones.
     """
 
     daemon_threads = True
@@ -196,21 +196,20 @@
         self.handle_http = handler
         self._max_connections, self._worker_grace_s = max_connections, worker_grace_s
         self.idle_timeout_s = worker_grace_s * _IDLE_TIMEOUT_GRACES
-        # After a restart all workers and users come at one moment.
+        # After a restart all workers and users connect at once.
         self.request_queue_size = max_connections
-        # Until when each connection is spared, at the least: a worker's for a while after its heartbeat.
+        # When each connection becomes closable: a worker's after its grace, others' at their last request.
         self._protected_until: dict[socket.socket, float] = {}
         self._lock = threading.Lock()
         super().__init__(address, _Handler)
 
     def server_bind(self) -> None:
-        """Bind without a name look-up."""
-        # HTTPServer looks up the host's name here; these networks have no name look-ups.
+        """Bind without the host name look-up of the base class, as these networks have no DNS."""
         socketserver.TCPServer.server_bind(self)
         self.server_name, self.server_port = str(self.server_address[0]), int(self.server_address[1])
 
     def verify_request(self, request: Any, client_address: Any) -> bool:
-        """Whether to take a connection; at the limit the one that is silent longest makes room."""
+        """Whether to accept a connection; at the limit, the longest idle unprotected one is closed for it."""
         with self._lock:
             if len(self._protected_until) >= self._max_connections:
                 oldest = min(self._protected_until, key=lambda connection: self._protected_until[connection])
@@ -218,33 +217,33 @@
                     return False
                 del self._protected_until[oldest]
                 try:
-                    # Its thread wakes up, and closes it.
+                    # Its thread wakes up and closes it.
                     oldest.shutdown(socket.SHUT_RDWR)
                 except OSError:
-                    log.debug("a silent connection was closed already")
+                    log.debug("idle connection not shut down: already closed")
             self._protected_until[request] = time.monotonic()
         return True
 
     def record_activity(self, connection: socket.socket, is_worker: bool) -> None:
-        """A request came in on a connection; ``is_worker`` once it got the response to a heartbeat."""
+        """Record a request on a connection; ``is_worker``: it is being answered as a worker's heartbeat."""
         with self._lock:
             if connection in self._protected_until:
                 grace_s = self._worker_grace_s if is_worker else 0.0
                 self._protected_until[connection] = time.monotonic() + grace_s
 
     def shutdown_request(self, request: Any) -> None:
-        """End a connection."""
+        """Close a connection."""
         with self._lock:
             self._protected_until.pop(request, None)
         super().shutdown_request(request)
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Log what ended a connection; its client may have sent anything."""
-        # The server calls this in its handler of the exception.
+        """Log the exception that ended a connection, at debug level, as clients may send anything."""
+        # The base class calls this in its exception handler.
         log.debug("connection ended: client=%s", client_address, exc_info=True)  # noqa: LOG014
 
     def close_all(self) -> None:
-        """Stop accepting and end every connection."""
+        """Stop accepting connections and close all."""
         self.shutdown()
         self.server_close()
         with self._lock:
--- a/src/poppyhold/wire/user_messages.py
+++ b/src/poppyhold/wire/user_messages.py
@@ -1,4 +1,4 @@
-"""The users' protocol: submissions."""
+"""The users' protocol: job submissions."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def _with_encoded_names(*attributes: str) -> list[tuple[str, str]]:
-    """Attributes of a submission with the names that users know them by."""
+    """Return attributes of a submission, each with its name in the protocol."""
     names = {field.name: field.encode_name for field in msgspec.structs.fields(Submission)}
     return [(attribute, names[attribute]) for attribute in attributes]
 
@@ -68,7 +68,7 @@
 
 
 def parse_submission(value: object) -> Submission:
-    """Check a submission: everything that PROTOCOL answers with 400."""
+    """Validate a submission; a `MalformedError` is answered with 400, as PROTOCOL says."""
     job = convert(value, Submission)
     if not JOB_ID.match(job.name):
         raise MalformedError("nameId is not of the form job-000412")
--- a/src/poppyhold/wire/worker_messages.py
+++ b/src/poppyhold/wire/worker_messages.py
@@ -1,4 +1,4 @@
-"""The workers' protocol: heartbeats, their responses and direct commands."""
+"""The workers' protocol: heartbeats, responses to them, and direct commands."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from poppyhold.wire import field_names as names
 from poppyhold.wire.codec import Body, MalformedError, convert
 
-# Machines' names become keys of the state service: one that can't be a key would be tried there for ever.
+# Machine names become keys of the state service: a write with an invalid key would be retried forever.
 _MACHINE_NAME = re.compile(r"[A-Za-z0-9._:-]{1,120}\Z")
 
 
 class TaskState(StrEnum):
-    """State of a task in a heartbeat; `SENT`, which is never sent, is an attempt that none has shown yet."""
+    """State of a task in a heartbeat; `SENT`, never sent, is an attempt that no heartbeat has shown yet."""
 
     SENT = "sent"
     FETCHING = "pulling"
@@ -27,11 +27,11 @@
 
 # Tasks whose machine does not have their image yet.
 BEFORE_IMAGE = frozenset({TaskState.SENT, TaskState.FETCHING})
-# Tasks whose machine has their image, once they are seen.
+# Tasks in these states show that their machine has their image.
 HAS_IMAGE = frozenset({TaskState.WAITING, TaskState.RUNNING})
 # Tasks that may be stopped to free capacity.
 STOPPABLE = frozenset({TaskState.FETCHING, TaskState.WAITING, TaskState.RUNNING})
-# Tasks that users are told of as running.
+# Tasks that are reported to users as running.
 IN_PROGRESS = frozenset({TaskState.RUNNING, TaskState.SAVING})
 
 
@@ -59,7 +59,7 @@
 
 
 class CommandKind(StrEnum):
-    """What a worker is told to do with a task."""
+    """What a worker is to do with a task."""
 
     START = "run"
     STOP = "stop"
@@ -72,7 +72,7 @@
     kind: CommandKind = msgspec.field(name=names.COMMAND_KIND)
     task: str = msgspec.field(name=names.TASK)
     attempt: int = msgspec.field(name=names.ATTEMPT)
-    # Time to save, in seconds; with every stop.
+    # Time to save, in seconds; set in every stop command.
     grace_s: float | None = msgspec.field(name=names.GRACE_S, default=None)
 
 
@@ -84,13 +84,13 @@
 
 
 class Redirect(Body, frozen=True):
-    """The response to a heartbeat that another controller takes: the leader, or a relay."""
+    """The response that redirects a worker to another controller: the leader or a relay."""
 
     controller: str = msgspec.field(name=names.CONTROLLER)
 
 
 class DirectCommandsRequest(Body, frozen=True):
-    """POST /do: commands that go straight to a worker, void for any other incarnation of it."""
+    """POST /do: direct commands to a worker, which any other incarnation of it ignores."""
 
     fencing_token: int = msgspec.field(name=names.FENCING_TOKEN)
     incarnation: int = msgspec.field(name=names.INCARNATION)
@@ -113,10 +113,10 @@
 
 
 def parse_heartbeat(value: object) -> Heartbeat:
-    """Check a worker's heartbeat.
+    """Validate a worker's heartbeat.
 
     Raises:
-        MalformedError: it is not of the protocol's form, or a number is out of range.
+        MalformedError: a field is missing or of the wrong type, a number out of range or the name invalid.
 
     """
     heartbeat = convert(value, Heartbeat)
