--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -86,8 +86,8 @@
 
 
 def test_job_whose_record_was_deleted_is_removed() -> None:
-    # The submission was applied after the deletion of its record: the plan that can't be made durable removes
-    # the job; otherwise machines would be launched for it forever.
+    # The submission was applied after its record was deleted: the job is removed as its plan can't be made
+    # durable; otherwise machines would be launched for it forever.
     world, leader_term = leading_world()
     controller = leader_term.controller
     job = wire(submission("job-000007", {"chores": 1}))
