--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -41,8 +41,8 @@
         self._answer_without_leader, self._redirect_to_leader = answer_without_leader, redirect_to_leader
         workers = settings.deployment.workers
         self._lease_s = workers.lease_s
-        # When a leader's ping last said that it accepts relays.
-        self._accepted_at = float("-inf")
+        # When a ping from a leader that accepts relays last arrived; -inf after one that doesn't.
+        self._accepting_ping_at = float("-inf")
         self._highest_fencing_token = 0
         connections = settings.deployment.machine_limits.connections
         self._overflow = OverflowRedirector(
@@ -72,11 +72,11 @@
     def record_ping(self, fencing_token: int, accepts_relays: bool) -> None:
         """Record a leader's ping."""
         self._highest_fencing_token = max(self._highest_fencing_token, fencing_token)
-        self._accepted_at = time.monotonic() if accepts_relays else float("-inf")
+        self._accepting_ping_at = time.monotonic() if accepts_relays else float("-inf")
 
     def leader_accepts_relays(self) -> bool:
-        """Whether a leader said within the last lease that it accepts relays."""
-        return time.monotonic() - self._accepted_at < self._lease_s
+        """Whether the last ping is from a leader that accepts relays, and at most a lease old."""
+        return time.monotonic() - self._accepting_ping_at < self._lease_s
 
     def handle(self, heartbeat: Heartbeat) -> HttpResponse | DeferredResponse | None:
         """Forward a heartbeat to the leader or redirect its worker; None if this node does not relay now."""
@@ -120,7 +120,7 @@
         return self._redirect_to_leader()
 
     def _target(self) -> str | None:
-        """Return the leader to relay to, if it or its predecessor has said that it accepts relays."""
+        """Return the leader to relay to, if it or the leader before it accepts relays by its ping."""
         leader = self._leader()
         if self.leader_accepts_relays() and leader is not None and not self._is_leading():
             return leader.member
