--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -195,6 +195,6 @@
         for name, value in FIXTURE["keys"][recorded]["data"].items():
             assert name in data, key
             assert data[name] is None or type(data[name]) is type(value), key
-    # Key families of which the production version reads nothing: the write fence was not needed in the fixture,
+    # Key families of which the production version reads nothing: the write fence was not needed there,
     # and completions of very large jobs have their own records where limits are lowered.
     assert added <= {"c", "e"}
