--- a/tests/test_cell_service.py
+++ b/tests/test_cell_service.py
@@ -292,8 +292,8 @@
     assert not quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
     assert other.requests() == {}
     assert len(other.alarms.texts()) == 1
-    asked = request(other, unmet_demand(0, 1))
-    assert other.handle_request(asked).rejection
+    transfer_request = request(other, unmet_demand(0, 1))
+    assert other.handle_request(transfer_request).rejection
     assert not other.ledger.commit_in_progress
 
 
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -212,7 +212,7 @@
 
 
 def test_settings_errors_name_the_invalid_field(tmp_path: Path) -> None:
-    good = """
+    valid_settings = """
 member = "a"
 domain = "z"
 client_listen = "127.0.0.1:1"
@@ -229,11 +229,11 @@
 cancel_s = 30.0
 """
     path = tmp_path / "settings.toml"
-    path.write_text(good)
+    path.write_text(valid_settings)
     assert load_settings(path).deployment.workers.cancel_s == 30.0
-    # Three zones with a controller each, a team without limits, an objective of a class without a team.
+    # Three zones with a controller each, a team without limits, an objective for a job class without jobs.
     path.write_text(
-        good.replace("[outside]", KNOWN.format("b", "y") + KNOWN.format("c", "x") + "[outside]")
+        valid_settings.replace("[outside]", KNOWN.format("b", "y") + KNOWN.format("c", "x") + "[outside]")
         .replace('zones = ["z"]', 'zones = ["z", "y", "x"]')
         .replace("[settings.workers]", "[[settings.teams]]\nname = 't'\n[settings.workers]")
         + "[[settings.objectives]]\nkind = 'wait'\nclass = 'nobody'\n"
@@ -262,6 +262,6 @@
         ("cancel_s = 30.0", "cancel_s = 30.0\n" + TEAM.format("t", -1.0), "settings.teams.t.gpus_max"),
         ("cancel_s = 30.0", "cancel_s = 30.0\n" + TEAM.format("t", "inf"), "settings.teams.t.gpus_max"),
     ):
-        path.write_text(good.replace(old, new))
+        path.write_text(valid_settings.replace(old, new))
         with pytest.raises(ConfigError, match=name):
             load_settings(path)
--- a/tests/test_ledger_search.py
+++ b/tests/test_ledger_search.py
@@ -39,14 +39,14 @@
 
     @rule(cell=CELL, units=st.integers(1, 8))
     def start_tasks(self, cell: int, units: int) -> None:
-        one = self.fleet.cells[cell]
-        assert one.leader is not None
-        one.running += min(units * UNIT, one.leader.idle())
+        model_cell = self.fleet.cells[cell]
+        assert model_cell.leader is not None
+        model_cell.running += min(units * UNIT, model_cell.leader.idle())
 
     @rule(cell=CELL, units=st.integers(1, 8))
     def end_tasks(self, cell: int, units: int) -> None:
-        one = self.fleet.cells[cell]
-        one.running -= min(units * UNIT, one.running)
+        model_cell = self.fleet.cells[cell]
+        model_cell.running -= min(units * UNIT, model_cell.running)
 
     @rule(cell=CELL, peer=CELL, units=st.integers(1, 8))
     def debit(self, cell: int, peer: int, units: int) -> None:
@@ -120,7 +120,7 @@
             leader.carry_out()
 
     @rule(which=MESSAGE)
-    def lose(self, which: int) -> None:
+    def drop_message(self, which: int) -> None:
         if self.fleet.network:
             self.fleet.network.pop(which % len(self.fleet.network))
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -41,7 +41,7 @@
 from poppyhold.scheduling.ledger import Ledger
 from poppyhold.scheduling.quotas import Quotas
 from poppyhold.settings import MachineLimits, Team
-from poppyhold.settings import Settings as Deployed
+from poppyhold.settings import Settings as DeploymentSettings
 from poppyhold.wire.cloud_messages import ListedMachine, MachineType
 from poppyhold.wire.cloud_messages import MachineListPage as ListPage
 from poppyhold.wire.frames import send_message
@@ -75,16 +75,17 @@
 
 def test_more_than_four_thousand_connections_are_served() -> None:
     limit = MachineLimits(max_sockets=6500, ram_mb=326.0).connections
-    wanted = MACHINES + 200
+    connection_count = MACHINES + 200
     # Both ends of each connection are sockets of this process.
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 2 * wanted + 200)), hard))
+    resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 2 * connection_count + 200)), hard))
     server = HttpServer(("127.0.0.1", 0), lambda method, path, body: http_response(200), limit)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     clients: list[socket.socket] = []
     try:
         clients.extend(
-            socket.create_connection(("127.0.0.1", server.server_port), timeout=30.0) for _ in range(wanted)
+            socket.create_connection(("127.0.0.1", server.server_port), timeout=30.0)
+            for _ in range(connection_count)
         )
         # Every connection is still open after the last was accepted.
         for client in clients:
@@ -258,7 +259,7 @@
         time.sleep(0.005)
 
 
-def _deployed(**limits: Any) -> Deployed:
+def _deployed(**limits: Any) -> DeploymentSettings:
     settings_ = World(1, 15.0, 45.0, []).settings
     deployment = msgspec.structs.replace(
         settings_.deployment, controllers=6, machine_limits=MachineLimits(**limits)
--- a/tests/test_program_forms.py
+++ b/tests/test_program_forms.py
@@ -315,8 +315,8 @@
         ("GET", "/api/jobs/job-999999"),
         ("POST", "/api/jobs/job-999999/abort"),
     ):
-        refused, answer = program.request(method, path, {"nameId": 1})
-        assert refused in (400, 404)
+        status_code, answer = program.request(method, path, {"nameId": 1})
+        assert status_code in (400, 404)
         assert answer.keys() == {"error"}
     assert program.send_message("cell: elsewhere", ["share?"]) == ["elsewhere", "hive-1"]
 
@@ -344,16 +344,28 @@
     eventually(lambda: [machine.update(status="failed") for machine in _launched(stand_ins)])
     for job_id in (ABORTED, LARGE):
         eventually(lambda job=job_id: program.request("POST", f"/api/jobs/{job}/abort")[0] == 200)  # type: ignore[misc]
-    own = recorder.last["cell: asked"]
-    assert own[:4] == ["share", 1, "east", "west"]
+    transfer_request = recorder.last["cell: asked"]
+    assert transfer_request[:4] == ["share", 1, "east", "west"]
     view = ["west", "w1", [], [["east", 0, 0, None]], []]
     reply = program.send_message(
-        "cell: reply", ["share", 1, "west", "east", own[4], "w1", own[5], 0, [[TEAM, 0, 0, 8000, 0]], view]
+        "cell: reply",
+        [
+            "share",
+            1,
+            "west",
+            "east",
+            transfer_request[4],
+            "w1",
+            transfer_request[5],
+            0,
+            [[TEAM, 0, 0, 8000, 0]],
+            view,
+        ],
     )
-    assert reply[:3] == ["shared", "east", own[5]]
+    assert reply[:3] == ["shared", "east", transfer_request[5]]
     status = program.send_message("cell: status", ["share?"])
-    assert (status[0], status[1][:2]) == ("share!", ["east", own[5]])
-    assert [heard[0] for heard in status[2]] == [view]
+    assert (status[0], status[1][:2]) == ("share!", ["east", transfer_request[5]])
+    assert [remote_view[0] for remote_view in status[2]] == [view]
 
 
 def _launched(stand_ins: RecordingStandIns) -> list[Data]:
--- a/tests/test_quota_links.py
+++ b/tests/test_quota_links.py
@@ -29,8 +29,8 @@
 class ScriptedController:
     """A controller of another cell that sends the given responses, one to a request."""
 
-    def __init__(self, *answers: msgspec.Struct | bytes) -> None:
-        self.answers = list(answers)
+    def __init__(self, *responses: msgspec.Struct | bytes) -> None:
+        self.responses = list(responses)
         self.request_count = 0
         self.listener = socket.create_server(("127.0.0.1", 0))
         threading.Thread(target=self._serve, daemon=True).start()
@@ -47,12 +47,12 @@
                 try:
                     while True:
                         receive_message(connection, decoder)
-                        answer = self.answers[min(self.request_count, len(self.answers) - 1)]
+                        response = self.responses[min(self.request_count, len(self.responses) - 1)]
                         self.request_count += 1
-                        if isinstance(answer, bytes):
-                            connection.sendall(answer)
+                        if isinstance(response, bytes):
+                            connection.sendall(response)
                         else:
-                            send_message(connection, answer)
+                            send_message(connection, response)
                 except (OSError, ValueError):
                     continue
 
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         pytest.param((2**31).to_bytes(4, "big") + b"x" * 64, id="oversized"),
         pytest.param((3).to_bytes(4, "big") + b"\xff\xff\xff", id="malformed"),
@@ -86,11 +86,11 @@
         pytest.param(NotLeading("nobody"), id="unknown-leader"),
     ],
 )
-def test_a_bad_response_is_logged_once_until_the_link_is_restored(
-    bad: msgspec.Struct | bytes, caplog: pytest.LogCaptureFixture
+def test_an_invalid_response_is_logged_once_until_the_link_is_restored(
+    invalid: msgspec.Struct | bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     responses: list[TransferResponse] = []
-    peer = ScriptedController(bad, bad, bad, TransferResponse("west", "w1"))
+    peer = ScriptedController(invalid, invalid, invalid, TransferResponse("west", "w1"))
     with caplog.at_level(logging.INFO, "poppyhold.quota.link"):
         cell_links = links(responses, one=peer)
         eventually(lambda: bool(responses))
--- a/tests/test_quota_server.py
+++ b/tests/test_quota_server.py
@@ -62,12 +62,12 @@
 def test_a_request_for_another_cell_ends_its_link_with_one_log_line(
     changes: dict[str, object], caplog: pytest.LogCaptureFixture
 ) -> None:
-    one = server(TermStub(TransferResponse("west")))
+    quota_server = server(TermStub(TransferResponse("west")))
     for _ in range(3):
         with pytest.raises(QuotaRequestError, match=r"."):
-            one.handle_request(msgspec.structs.replace(REQUEST, **changes))
+            quota_server.handle_request(msgspec.structs.replace(REQUEST, **changes))
     assert len(caplog.records) == 1
-    assert one.handle_request(REQUEST) == TransferResponse("west")
+    assert quota_server.handle_request(REQUEST) == TransferResponse("west")
 
 
 def test_a_leader_that_is_not_ready_ends_the_link() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -77,11 +77,11 @@
         Path(sys.modules[load_profile.__module__].__file__ or "").parent / "profiles" / "small.toml"
     ).read_text()
     lines = [line for line in valid.splitlines() if not line.startswith(f"{field} = ")]
-    bad = tmp_path / "bad.toml"
-    bad.write_text("\n".join([change, *lines]))
+    invalid_profile = tmp_path / "invalid_profile.toml"
+    invalid_profile.write_text("\n".join([change, *lines]))
     with pytest.raises(ProfileError):
-        load_profile(str(bad))
-    assert main([str(bad)]) == 2
+        load_profile(str(invalid_profile))
+    assert main([str(invalid_profile)]) == 2
     error = capsys.readouterr().err
     assert error.count("\n") == 1
     assert named in error
@@ -314,8 +314,8 @@
 ) -> None:
     try:
         status = main([profile, "--plot", str(tmp_path / plot)])
-    except SystemExit as refused:
-        status = int(str(refused.code))
+    except SystemExit as exit_request:
+        status = int(str(exit_request.code))
     assert status == 2
     assert named in capsys.readouterr().err
 
@@ -334,10 +334,10 @@
     text = re.sub(r"(?ms)^troubles = \[.*?^\]\n", "", valid)
     for line in change.splitlines():
         text = re.sub(rf"(?m)^{line.split(' = ')[0]} = .*\n", "", text)
-    bad = tmp_path / "bad.toml"
-    bad.write_text(f"{change}\n{text}")
+    invalid_profile = tmp_path / "invalid_profile.toml"
+    invalid_profile.write_text(f"{change}\n{text}")
     with pytest.raises(ProfileError) as caught:
-        load_profile(str(bad))
+        load_profile(str(invalid_profile))
     assert named in str(caught.value)
 
 
