--- a/src/poppyhold/machines/autoscaler.py
+++ b/src/poppyhold/machines/autoscaler.py
@@ -52,11 +52,11 @@
         self.arrivals = Arrivals(_FORECAST_WINDOW_SLOTS * ctx.durations.slot_s)
         self._estimator = DemandEstimator(ctx, quotas, self.arrivals)
         self._next_decision_at = ctx.clock() + ctx.durations.heartbeat_interval_s * _FIRST_DECISION_INTERVALS
-        # When each machine was last needed; only machines that every later decision considered have an entry.
+        # When each machine was last needed. A machine that one decision did not consider loses its entry.
         self._last_needed_at: dict[str, float] = {}
 
     def can_launch(self, spec: Submission) -> bool:
-        """Whether the cloud may provide a machine for a task of a job."""
+        """Whether at least one on-demand kind of machine that a job's task can use is not blocked."""
         ctx = self._ctx
         return self._provisioning.is_launchable(spec, ctx.machine_types.values(), ctx.clock())
 
@@ -93,7 +93,7 @@
             self._consolidator.consolidate(slots, now)
 
     def _usable_slots(self, now: float) -> list[CapacitySlot]:
-        """Return the capacity of the machines that are held or expected, without unusable ones."""
+        """Return the free capacity of usable held machines and of expected ones."""
         held = [machine for machine in self._ctx.fleet.machines.values() if not machine.deleting]
         overdue = self._boot_tracker.overdue(held, now)
         slots = [
@@ -113,8 +113,8 @@
     def _scale_in(self, slots: list[CapacitySlot], now: float) -> None:
         """Delete machines that were observed idle for long enough without a gap.
 
-        Idle time before a silence does not count: when it did, machines of a partitioned zone were deleted at
-        the moment at which the zone was back, with tasks pending for it.
+        Idle time before a silence does not count: otherwise machines of a partitioned zone would be deleted
+        as soon as the partition ends, while tasks for the zone are pending.
         """
         needed_at: dict[str, float] = {}
         for slot in slots:
--- a/src/poppyhold/machines/boot_tracker.py
+++ b/src/poppyhold/machines/boot_tracker.py
@@ -18,9 +18,9 @@
     """Distinguishes a few overdue machines from a type whose boots are all slow.
 
     Overdue machines are replaced once. Their replacements count as overdue only if a machine that was
-    launched no sooner has come up; otherwise all boots are slow, and more launches don't help. When each
-    generation was replaced by the next and all timed out, a fleet whose boots took five times as long paid
-    for five times its need. This way, expected capacity stays below twice the need until a machine comes up.
+    launched no sooner has come up; otherwise all boots are slow, and more launches don't help: if overdue
+    replacements were replaced too, a fleet whose boots take five times as long would pay for five times its
+    need. This way, expected capacity stays below twice the need until a machine comes up.
     """
 
     def __init__(self) -> None:
--- a/src/poppyhold/machines/capacity_index.py
+++ b/src/poppyhold/machines/capacity_index.py
@@ -93,10 +93,10 @@
 
 
 class CapacityIndex:
-    """All slots of one decision. Free capacity only shrinks in it: a slot that is full for a key stays so.
+    """All slots of one decision. Free capacity only shrinks in it: a slot without room for a key stays so.
 
-    With 1,100 pending jobs and 4,000 machines, a scan of all machines for each job kept the decision thread
-    from workers' heartbeats for seconds, and their leases expired.
+    With 1,100 pending jobs and 4,000 machines, a scan of all machines for each job would keep the decision
+    thread from handling heartbeats for seconds, so that workers' leases expire.
     """
 
     def __init__(self, slots: Iterable[CapacitySlot]) -> None:
--- a/src/poppyhold/machines/launches.py
+++ b/src/poppyhold/machines/launches.py
@@ -1,4 +1,7 @@
-"""Launch requests, durable from before they are sent until their machines are recorded or gone."""
+"""Launch requests, each durable before it is sent.
+
+Its record is kept until the cloud rejects it, or until each machine has a record or is not in the fleet.
+"""
 
 from __future__ import annotations
 
@@ -23,31 +26,33 @@
 
 log = logging.getLogger(__name__)
 
-# Heartbeat intervals after which a request with an unknown outcome is retried.
+# Heartbeat intervals from an unknown outcome, or a request that was not sent, to the retry.
 _RETRY_INTERVALS = 2
 
 
 class Launch(msgspec.Struct, eq=False):
-    """A launch request, durable before it is sent; the cloud executes requests of one name once."""
+    """A launch request. Retries are safe: the cloud executes requests with the same name only once."""
 
     name: str
     machine_type: str
     zone: str
     spot: bool
     count: int
-    # The machines' names, once the cloud has returned them.
+    # None until the cloud has returned them.
     machine_names: list[str] | None = None
+    # Whether the commit of its record, or the response of the cloud, is awaited.
     in_flight: bool = False
+    # The earliest time at which it is sent again.
     retry_at: float = 0.0
 
     @property
     def kind(self) -> MachineKind:
-        """The kind of machine that it requests."""
+        """The kind of the machines that this launch requests."""
         return MachineKind(self.machine_type, self.zone, self.spot)
 
 
 class Launches:
-    """The launch requests of this term, and unfinished ones of earlier leaders."""
+    """The unfinished launch requests of this leader and of earlier ones."""
 
     def __init__(self, ctx: Context, provisioning: Provisioning) -> None:
         self._ctx, self._provisioning = ctx, provisioning
@@ -55,7 +60,7 @@
 
     @property
     def in_flight(self) -> bool:
-        """Whether any request awaits its response."""
+        """Whether the commit or the response of any request is awaited."""
         return any(launch.in_flight for launch in self._launches.values())
 
     def expected_capacity(self) -> Iterator[CapacitySlot]:
@@ -69,7 +74,7 @@
                     )
 
     def load(self, name: str, data: Data) -> None:
-        """Load a launch that an earlier leader made durable; it is retried if its machines aren't known."""
+        """Load a launch of an earlier leader; without machine names, `reconcile` sends its request again."""
         record = convert(data, LaunchRecord)
         launch = Launch(name, record.machine_type, record.zone, record.spot, record.number, record.machines)
         self._launches[name] = launch
@@ -77,11 +82,11 @@
             self._add_machines(launch)
 
     def request(self, spec: LaunchSpec) -> None:
-        """Launch machines, once the request is durable."""
+        """Make a launch request durable, and then send it."""
         name = f"r-{self._ctx.next_unique_number()}"
         launch = Launch(name, spec.machine_type, spec.zone, spec.spot, spec.machine_count, in_flight=True)
         log.info(
-            "launch requested: launch=%s machine_type=%s zone=%s spot=%s count=%d",
+            "launch planned: launch=%s machine_type=%s zone=%s spot=%s count=%d",
             name,
             spec.machine_type,
             spec.zone,
@@ -96,8 +101,8 @@
             else:
                 self._launches.pop(name, None)
 
-        # Highest priority, as boots take longest: behind the plans of an initial backlog, the first launch
-        # requests of a fleet that began small waited for eleven seconds.
+        # Highest priority, as boots take longest: behind the commits of plans for a large initial backlog,
+        # the first launch requests of a small fleet wait for eleven seconds.
         self._ctx.outbound.commit(
             {}, [Put(LAUNCH_PREFIX + name, self._record(launch))], on_committed, CommitPriority.HIGHEST
         )
@@ -109,7 +114,8 @@
         data: Data = msgspec.to_builtins(record)
         if stored_bytes(data) <= self._ctx.settings.deployment.state.lowest.value_bytes:
             return data
-        # Without the names, the next leader retries the request, which launches nothing and returns them.
+        # The names exceed the limit of a value. Without them, the next leader sends the request again: the
+        # cloud launches nothing and returns the names.
         without_names: Data = msgspec.to_builtins(msgspec.structs.replace(record, machines=None))
         return without_names
 
@@ -125,9 +131,16 @@
 
     def _handle_response(self, launch: Launch, outcome: RequestOutcome, names: list[str]) -> None:
         now = self._ctx.clock()
-        log.info("launch response: launch=%s outcome=%s machines=%d", launch.name, outcome.value, len(names))
+        log.info(
+            "launch request ended: launch=%s outcome=%s machines=%d requested=%d",
+            launch.name,
+            outcome.value,
+            len(names),
+            launch.count,
+        )
         if outcome == RequestOutcome.OK:
             launch.machine_names = names
+            # If the commit fails, the next leader sends the request again.
             self._ctx.outbound.commit(
                 {}, [Put(LAUNCH_PREFIX + launch.name, self._record(launch))], lambda done: None
             )
@@ -135,15 +148,15 @@
             if len(names) < launch.count:
                 self._block_kind(launch, now)
         elif outcome == RequestOutcome.REJECTED:
-            # No capacity. If a duplicate of the request is executed later, its machines appear in the list
-            # and in heartbeats, and are used or scaled in like any other.
+            # The cloud has no capacity. If a duplicate of the request is executed later, its machines become
+            # known by the cloud's list or by their heartbeats, and are used or scaled in like all others.
             self._block_kind(launch, now)
             self._discard(launch)
         else:
             launch.retry_at = now + self._ctx.durations.heartbeat_interval_s * _RETRY_INTERVALS
 
     def _block_kind(self, launch: Launch, now: float) -> None:
-        """Request no more machines of a kind that the cloud lacks, for one lease duration."""
+        """Block a kind of which the cloud has too few machines, for the duration of a worker's lease."""
         self._provisioning.block(launch.kind, now + self._ctx.durations.lease_s)
 
     def _discard(self, launch: Launch) -> None:
@@ -151,7 +164,7 @@
         self._ctx.outbound.commit({}, [Delete(LAUNCH_PREFIX + launch.name)], lambda done: None)
 
     def _add_machines(self, launch: Launch) -> None:
-        """Add the booting machines of a launch to the fleet."""
+        """Add the machines of a launch to the fleet as booting, but for known and deleted ones."""
         machine_type = self._ctx.machine_types.get(launch.machine_type)
         now = self._ctx.clock()
         for name in launch.machine_names or []:
@@ -164,7 +177,7 @@
                 self._ctx.fleet.machines[name] = machine
 
     def reconcile(self) -> None:
-        """Retry requests without an outcome, and discard those whose machines are all recorded or gone."""
+        """Send requests without machine names again; discard those whose machines are recorded or gone."""
         now = self._ctx.clock()
         for launch in list(self._launches.values()):
             if launch.machine_names is None:
--- a/src/poppyhold/machines/machine_monitor.py
+++ b/src/poppyhold/machines/machine_monitor.py
@@ -138,12 +138,12 @@
         if self._most_workers_misdirected(survey, now):
             # They reach other controllers: this controller's own connection is broken. In a partition of a
             # zone half of all workers are silent too, and those that came here tried other controllers on
-            # their way: when each new leader resigned for that, nothing was started during the partition.
+            # their way: if each new leader resigned for that, no task would start during the partition.
             self._ctx.outbound.resign("most workers send heartbeats to another controller")
         if survey.suspected > max(1, survey.up // _MANY_SUSPECTED_DIVISOR):
-            # Suspected machines count before they are presumed lost: in a partitioned zone the first ones, up
-            # to a quarter of all, were deleted before the rest had been silent for long enough. The time is
-            # kept, as they don't all come back at one moment.
+            # Suspected machines count before they are presumed lost: otherwise the first ones of a
+            # partitioned zone, up to a quarter of all, would be deleted before the rest are silent for long
+            # enough. The time is kept, as they don't all come back at one moment.
             self._many_suspected_at = now
         silent_zones = survey.silent_zones()
         self._block_launches_in(silent_zones, now)
@@ -162,9 +162,9 @@
             machine.last_heartbeat_at, machine.up_at, self._reconciler.lease_expiry.term_began_at
         )
         if in_silent_zone:
-            # Replacements in the zone would be unreachable too, and still boot when it is back: 39 machines
-            # were deleted 20 s before that, and their tasks waited for 50 s more. Failed machines are listed
-            # as such meanwhile.
+            # Replacements in the zone would be unreachable too, and still boot when the partition ends:
+            # deleting 39 machines 20 s before its end delays their tasks by 50 s more. Failed machines are
+            # listed as such meanwhile.
             return silence_s > _SILENT_ZONE_TIMEOUT_CANCELS * durations.cancel_s
         return (
             now - self._many_suspected_at > durations.presumed_lost_s
--- a/src/poppyhold/machines/provisioning.py
+++ b/src/poppyhold/machines/provisioning.py
@@ -21,10 +21,12 @@
 from poppyhold.wire.cloud_messages import MachineType
 from poppyhold.wire.user_messages import Submission
 
+# Of one kind: a decision sends at most one request for each kind.
 MAX_MACHINES_PER_REQUEST = 50
 # More tasks than fit on any machine.
 _UNBOUNDED = 1 << 30
-# Relative surcharge on the price per task for unused capacity, in proportion to its part of the machine.
+# Surcharge on the price per task, as a fraction of it, if the demand uses nothing of a machine; it falls
+# linearly to 0 if the demand fills the machine with tasks.
 _UNUSED_CAPACITY_SURCHARGE = 0.5
 
 
@@ -46,10 +48,10 @@
 
 
 class _LaunchOption(NamedTuple):
-    """A kind of machine that a demand can use; the lowest option is chosen."""
+    """A kind of machine that a demand can use; the minimum by the fields, in their order, is chosen."""
 
     price_per_task: float
-    # At equal prices, zones with fewer machines come first.
+    # Usable machines in the zone, with expected and planned ones: at equal prices the fewest come first.
     machines_in_zone: int
     machine_type: str
     zone: str
@@ -63,7 +65,7 @@
         self.machine_types, self.now = machine_types, now
         self.launches: dict[MachineKind, int] = {}
         self.machines_by_zone = Counter(slot.zone for slot in slots)
-        # Full machines are left out.
+        # Machines of which no resource is free are left out.
         self.index = CapacityIndex(slot for slot in slots if any(amount > EPSILON for amount in slot.free))
 
     def add_launch(self, kind: MachineKind) -> CapacitySlot:
@@ -83,18 +85,18 @@
 
     def __init__(self, options: ProvisioningOptions) -> None:
         self._options = options
-        # Until when no machines of a kind are requested.
+        # By kind, the time until which no machines of it are requested.
         self._blocked_until: dict[MachineKind, float] = {}
 
     def block(self, kind: MachineKind, until: float) -> None:
-        """Request no machines of a kind before ``until``."""
+        """Block requests for machines of a kind until ``until``, or until an earlier block ends if later."""
         self._blocked_until[kind] = max(until, self._blocked_until.get(kind, until))
 
     def _is_unblocked(self, kind: MachineKind, now: float) -> bool:
         return self._blocked_until.get(kind, 0.0) <= now
 
     def is_launchable(self, spec: Submission, machine_types: Iterable[MachineType], now: float) -> bool:
-        """Whether the cloud may provide a machine for a task: an on-demand kind that fits is not blocked."""
+        """Whether at least one on-demand kind that a task can use is not blocked."""
         return any(
             self._is_unblocked(MachineKind(machine_type.name, zone, False), now)
             for machine_type in allowed_machine_types(spec, machine_types)
@@ -103,11 +105,11 @@
         )
 
     def max_idle_s(self, machine_type: MachineType) -> float:
-        """Return how long an unneeded machine is kept."""
+        """Return for how many seconds after it was last needed a machine is kept."""
         return machine_type.boot_s * self._options.keep_boots
 
     def max_boot_s(self, machine_type: MachineType) -> float:
-        """Return how long a machine may boot."""
+        """Return the time limit of a boot in seconds, without the boot tracker's factor."""
         return machine_type.boot_s * self._options.give_up_boots
 
     def decide(
@@ -117,16 +119,20 @@
         demands: Iterable[Demand],
         now: float,
     ) -> list[LaunchSpec]:
-        """Mark the slots that demand uses, and return what to launch for the rest."""
+        """Reserve capacity for the demands in the slots, and return the launches for tasks that don't fit.
+
+        Changes the free capacity of ``slots``, and the tasks and zones of ``demands``.
+        """
         decision = _Decision(machine_types, slots, now)
         # Pending tasks before forecasts, and the largest first.
         for demand in sorted(demands, key=lambda d: (d.is_forecast, -d.need[ACCELERATORS], -d.need[CPUS])):
             if demand.spec.shape == "group" and demand.spec.one_zone and not demand.is_forecast:
                 demand.required_zone = self._required_zone(demand, decision)
+            # From here on, the tasks that don't fit.
             demand.tasks = self._use_capacity(demand, decision.index)
             if demand.tasks:
-                # Later demands use what is left on these machines: when each job launched machines of its
-                # own, a fleet that began empty launched two and a half times its need.
+                # Later demands use what is left on these machines: with separate machines for each job,
+                # an initially empty fleet launches two and a half times its need.
                 self._plan_launches(demand, decision)
         return [
             LaunchSpec(*kind, min(count, MAX_MACHINES_PER_REQUEST))
@@ -134,7 +140,11 @@
         ]
 
     def _required_zone(self, demand: Demand, decision: _Decision) -> str | None:
-        """Return the zone for a gang that must be in one: where it fits, else where launches are possible."""
+        """Return the only zone that a gang may use.
+
+        It is the one with active tasks of the gang, else one in which all its tasks fit, else one with an
+        unblocked on-demand kind; among equals, the one in which most of its tasks fit.
+        """
         zones_with_tasks = [zone for zone, count in demand.zones.items() if count > 0]
         if zones_with_tasks:
             return zones_with_tasks[0]
@@ -168,8 +178,10 @@
         limit = zone_limit(demand.spec)
 
         def use_slot(slot: CapacitySlot) -> bool:
+            """Use a slot; return whether tasks remain."""
             nonlocal remaining
             max_tasks = remaining
+            # A forecast joins the tasks of many jobs; the limit is on the tasks of one job in a zone.
             if not demand.is_forecast:
                 max_tasks = min(remaining, limit - demand.zones.get(slot.zone, 0))
             count = max_copies(demand.need, slot.free, max_tasks)
@@ -186,7 +198,7 @@
         return max(0, remaining)
 
     def _plan_launches(self, demand: Demand, decision: _Decision) -> None:
-        """Plan launches until the demand is met, or no machine that it can use is available."""
+        """Plan launches until all tasks fit, or each usable kind is blocked or at its maximum per request."""
         limit = zone_limit(demand.spec)
         planned: list[CapacitySlot] = []
         while demand.tasks > 0:
@@ -199,7 +211,7 @@
             planned.append(decision.add_launch(MachineKind(best.machine_type, best.zone, best.spot)))
 
     def _launch_options(self, demand: Demand, decision: _Decision) -> Iterator[_LaunchOption]:
-        """Yield the kinds of machines that a demand can use and that may be launched now."""
+        """Yield an option for each usable kind that is not blocked and below its maximum per request."""
         for machine_type, kind in self._usable_kinds(demand, decision.machine_types):
             if (
                 not self._is_unblocked(kind, decision.now)
@@ -213,7 +225,7 @@
     def _usable_kinds(
         demand: Demand, machine_types: dict[str, MachineType]
     ) -> Iterator[tuple[MachineType, MachineKind]]:
-        """Yield the kinds of machines that a demand can use."""
+        """Yield the kinds that a demand's constraints and its limit of tasks per zone allow."""
         spec, limit = demand.spec, zone_limit(demand.spec)
         for machine_type in allowed_machine_types(spec, machine_types.values()):
             for zone in machine_type.zones:
@@ -227,7 +239,7 @@
 
     @staticmethod
     def _price_per_task(demand: Demand, machine_type: MachineType, spot: bool) -> float:
-        """Return the price per task; that of a nearly empty machine is raised by up to half."""
+        """Return the price per task, raised in proportion to the capacity that the demand leaves unused."""
         tasks_if_full = max_copies(demand.need, machine_type_capacity(machine_type), _UNBOUNDED)
         tasks_placed = min(tasks_if_full, demand.tasks)
         price = machine_type.spot_price if spot else machine_type.price
@@ -235,7 +247,7 @@
 
     @staticmethod
     def _use_planned(demand: Demand, planned: list[CapacitySlot], limit: int) -> None:
-        """Use the capacity of machines that were planned for the demand."""
+        """Use the capacity of the machines whose launches were planned for this demand."""
         for slot in planned:
             if demand.tasks <= 0:
                 return
--- a/src/poppyhold/machines/supply_and_demand.py
+++ b/src/poppyhold/machines/supply_and_demand.py
@@ -15,7 +15,9 @@
 
     spec: Submission
     need: Resources
+    # A decision subtracts the tasks that it places.
     tasks: int
+    # Active tasks of the job by zone; a decision adds those that it places.
     zones: dict[str, int]
     is_forecast: bool = False
     # The only zone that may be used, if all tasks have to be in one.
--- a/src/poppyhold/reads/batched_job_reads.py
+++ b/src/poppyhold/reads/batched_job_reads.py
@@ -1,4 +1,4 @@
-"""Whether jobs are active: concurrent queries share one read of the store's revision."""
+"""Answers whether jobs are active; concurrent queries share one read of the store."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 from poppyhold.reads.read_batches import ReadBatch, ReadBatches
 from poppyhold.reads.read_index import LaggingChangesError, advance_view, execute
 
-# A shared read takes two requests; with fewer queries than this, each reads its own key.
+# A shared read takes two requests. With fewer queries than this, each reads its own key, which takes no more.
 MIN_BATCH_SIZE = 3
-# Requests of a batch that need not reload all jobs: the revision, and the changes up to it.
+# Requests of a batch that does not reload all jobs: one for the revision, one for the changes up to it.
 _REQUESTS_PER_BATCH = 2
-# Outcomes of batches, retained for the queries that have not read theirs yet.
+# Batches whose outcomes are kept for their queries. A query whose outcome was evicted starts another batch,
+# or times out.
 _MAX_OUTCOMES = 64
 
 
@@ -31,19 +32,20 @@
 
     # The view is at least as new as the start of the batch.
     CURRENT = auto()
-    # Too few queries for a shared read, or lagging changes: each query reads its own key.
+    # Too few queries for a shared read, or the changes do not reach the store's revision: each query reads
+    # its own key.
     READ_INDIVIDUALLY = auto()
-    # The state service did not respond.
+    # The read of the store failed.
     FAILED = auto()
 
 
 class BatchedJobReads:
-    """Returns from memory whether a job is active, as of a moment after the query arrived.
+    """Answers whether a job is active, as of a moment after the query arrived.
 
-    A query waits for the first batch that starts after it arrived. Under load, batches start no more often
-    than once in ``batch_window_s``, and never faster than ``rate_limiter`` allows requests to the state
-    service: excess queries wait, while submissions and decisions continue. The thread of one of the queries
-    runs the batch for all.
+    A query waits for the first batch that starts after it arrived; the thread of one of the batch's queries
+    runs it. If the last ``min_batch_size`` queries arrived within ``batch_window_s``, a batch starts no
+    sooner than that time after the one before. None starts before ``rate_limiter`` is ready: excess queries
+    wait, while submissions and decisions continue.
     """
 
     def __init__(
@@ -61,22 +63,25 @@
         self._view = ActiveJobsView()
         self._batches = ReadBatches()
         self._outcomes: BoundedDict[BatchOutcome] = BoundedDict(_MAX_OUTCOMES)
-        # The earliest start of the next batch under load, and the arrival times of the last queries.
+        # The earliest start of the next batch under load.
         self._next_start_at = float("-inf")
+        # Arrival times of the last `min_batch_size` queries.
         self._arrivals: deque[float] = deque(maxlen=min_batch_size)
+        # Guards the view, batches, outcomes, rate and times; notified when a batch has ended.
         self._batch_ended = threading.Condition()
 
     def is_active(self, job_id: str) -> bool:
-        """Whether a job is active, at a moment after the start of this call.
+        """Whether a job is active, at a moment between the start and the end of this call.
 
         Raises:
-            StoreRejectedError: the state service did not respond in time. Memory is not used then, as
-                another controller may have returned a newer state.
+            StoreRejectedError: the read failed or timed out. The view is not used then, as another
+                controller may have returned a newer state.
+            OutcomeUnknownError: the read of the job's own key was not answered.
 
         """
         outcome = self._await_batch()
         if outcome is BatchOutcome.CURRENT:
-            # The view is only replaced by newer ones after the batch.
+            # Later batches may have replaced the view, but only by newer ones.
             with self._batch_ended:
                 return job_id in self._view
         if outcome is BatchOutcome.READ_INDIVIDUALLY:
@@ -84,7 +89,7 @@
         raise StoreRejectedError("the batch failed to read the store's revision or changes")
 
     def _await_batch(self) -> BatchOutcome:
-        """Wait for the first batch that starts from now on, or run it."""
+        """Return the outcome of the first batch that starts from now on; run it unless another query does."""
         with self._batch_ended:
             number = self._batches.join()
             now = self._clock()
@@ -92,8 +97,8 @@
             start_at = self._earliest_start(now)
             while (outcome := self._outcomes.get(str(number))) is None:
                 if now >= deadline:
-                    raise StoreRejectedError("the query timed out before its batch was done")
-                # Other batches may have started, and consumed the rate, since this query arrived.
+                    raise StoreRejectedError(f"no outcome of batch {number} within {self._timeout_s} s")
+                # Other batches may have started since this query arrived, and consumed units of the rate.
                 start_at = max(start_at, self._rate_limiter.ready_at())
                 if not self._batches.running and now >= start_at:
                     batch = self._start_batch(now)
@@ -106,7 +111,7 @@
         return self._run_batch(batch)
 
     def _earliest_start(self, now: float) -> float:
-        """Return when a batch may start for a query that arrives now: at once, except under load."""
+        """Record an arrival; return the earliest start of its batch: now, or under load `_next_start_at`."""
         self._arrivals.append(now)
         is_busy = (
             len(self._arrivals) == self._min_batch_size and now - self._arrivals[0] < self._batch_window_s
@@ -114,7 +119,7 @@
         return self._next_start_at if is_busy else now
 
     def _start_batch(self, now: float) -> ReadBatch:
-        """Start a batch, and consume the rate of the requests that it is expected to send."""
+        """Start a batch, and consume units of the rate for its requests, not counting those of a reload."""
         batch = self._batches.start()
         self._next_start_at = now + self._batch_window_s
         self._rate_limiter.consume(min(batch.queries, _REQUESTS_PER_BATCH), now)
@@ -135,7 +140,7 @@
 
     def _advance_view(self) -> BatchOutcome:
         """Advance the view to the store's present revision."""
-        # Earlier queries read the old view until the new one replaces it as a whole.
+        # Queries of batches that have ended read the present view meanwhile, so it is not changed in place.
         advanced = self._view.copy()
         try:
             execute(advance_view(advanced), self._store)
