--- a/src/poppyhold/cluster/connectivity.py
+++ b/src/poppyhold/cluster/connectivity.py
@@ -21,9 +21,9 @@
 class Connectivity:
     """The links between all controllers, as known to one of them."""
 
-    def __init__(self, member: str, fresh_s: float, clock: Callable[[], float]) -> None:
-        """A peer counts as reachable for ``fresh_s`` after a response."""
-        self._member, self._fresh_s, self._clock = member, fresh_s, clock
+    def __init__(self, member: str, reachable_for_s: float, clock: Callable[[], float]) -> None:
+        """A peer counts as reachable for ``reachable_for_s`` after a response."""
+        self._member, self._reachable_for_s, self._clock = member, reachable_for_s, clock
         self._began_at = clock()
         # The last response of each peer whose connection has not broken since.
         self._reachability: dict[str, _PeerReachability] = {}
@@ -53,7 +53,7 @@
 
     def reachable_peers(self) -> list[str]:
         """Peers that responded recently."""
-        oldest = self._clock() - self._fresh_s
+        oldest = self._clock() - self._reachable_for_s
         return [
             member
             for member, reachability in list(self._reachability.items())
--- a/src/poppyhold/cluster/peer_server.py
+++ b/src/poppyhold/cluster/peer_server.py
@@ -30,14 +30,14 @@
         settings: Settings,
         times: PeerTimes,
         handler: PeerHandler,
-        max_cell_links: int,
+        extra_connections: int,
         stop: threading.Event,
     ) -> None:
-        """``max_cell_links`` connections may come from other cells' leaders and operators."""
+        """``extra_connections`` connections may come from other cells' leaders and operators."""
         self._times, self._handler, self._stop = times, handler, stop
         self._idle_s = max(10 * times.timeout_s, 4 * times.interval_s)
         self._slots = threading.BoundedSemaphore(
-            _CONNECTIONS_PER_PEER * len(settings.peers) + _SPARE_CONNECTIONS + max_cell_links
+            _CONNECTIONS_PER_PEER * len(settings.peers) + _SPARE_CONNECTIONS + extra_connections
         )
         self._listener = socket.create_server(split_address(settings.peer_listen), backlog=_BACKLOG)
         self._thread = threading.Thread(target=self._accept, name="peers", daemon=True)
--- a/src/poppyhold/cluster/peers.py
+++ b/src/poppyhold/cluster/peers.py
@@ -15,15 +15,15 @@
 class Peers:
     """Pings every other controller, and responds to their pings."""
 
-    def __init__(self, settings: Settings, handler: PeerHandler, max_cell_links: int = 0) -> None:
-        """``max_cell_links`` connections may come from other cells' leaders and operators."""
+    def __init__(self, settings: Settings, handler: PeerHandler, extra_connections: int = 0) -> None:
+        """``extra_connections`` connections may come from other cells' leaders and operators."""
         workers = settings.deployment.workers
         times = PeerTimes(workers.heartbeat_interval_s / 2, workers.lease_s / 10)
         # A link counts as broken when two pings in a row get no response.
-        fresh_s = 2 * (times.interval_s + times.timeout_s)
-        self.connectivity = Connectivity(settings.member, fresh_s, time.monotonic)
+        reachable_for_s = 2 * (times.interval_s + times.timeout_s)
+        self.connectivity = Connectivity(settings.member, reachable_for_s, time.monotonic)
         self._stop = threading.Event()
-        self._server = PeerServer(settings, times, handler, max_cell_links, self._stop)
+        self._server = PeerServer(settings, times, handler, extra_connections, self._stop)
         self._clients = {
             peer.member: PeerClient(peer, times, handler, self.connectivity, self._stop)
             for peer in settings.peers
--- a/src/poppyhold/execution/lease_expiry.py
+++ b/src/poppyhold/execution/lease_expiry.py
@@ -20,14 +20,14 @@
         # Names of machines that may run tasks of earlier terms: they are not reconciled in this term, and
         # their leases may not have expired.
         self.unreconciled: set[str] = set()
-        self._all_reconciled_logged = False
+        self._all_reconciled_or_expired_logged = False
 
-    def all_reconciled(self) -> bool:
+    def all_reconciled_or_expired(self) -> bool:
         """Whether no unreconciled machine may run tasks of earlier terms."""
         if self.unreconciled:
             return False
-        if not self._all_reconciled_logged:
-            self._all_reconciled_logged = True
+        if not self._all_reconciled_or_expired_logged:
+            self._all_reconciled_or_expired_logged = True
             log.info("all machines reconciled: after_s=%.1f", self._ctx.clock() - self.term_began_at)
         return True
 
@@ -38,14 +38,14 @@
             # The worker has the term's fencing token, so only this leader and its delegates could renew its
             # lease, as long as no other controller led.
             renewed_at = max(machine.last_answered_at, self._ctx.outbound.latest_delegated_renewal_at())
-            bound = renewed_at + durations.lease_expired_s
+            lease_valid_until = renewed_at + durations.lease_expired_s
         else:
-            # Earlier leaders may have renewed its lease: the bound assumes that they did as late as possible.
-            bound = max(
+            # Earlier leaders may have renewed its lease: assume that they did so as late as possible.
+            lease_valid_until = max(
                 self.term_began_at + durations.predecessors_expired_s,
                 machine.last_answered_at + durations.lease_expired_s,
             )
-        if now <= bound or self._ctx.outbound.leadership_confirmed_at() <= bound:
+        if now <= lease_valid_until or self._ctx.outbound.leadership_confirmed_at() <= lease_valid_until:
             return
         if machine.attempts:
             log.debug("lease expired: machine=%s attempts=%d", machine.name, len(machine.attempts))
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -69,9 +69,13 @@
             fencing_token=fencing_token,
         )
         self._quotas = Quotas(settings.deployment.teams)
-        self.failures = FailureTracker(durations, clock, self._on_fault_changed)
+        self.failures = FailureTracker(durations, clock, self._on_fault_status_changed)
         self.reconciler = AttemptReconciler(
-            self.ctx, self._on_task_completed, self._on_attempt_ended, self._on_task_ran, self.failures
+            self.ctx,
+            self._on_task_completed,
+            self._on_attempt_terminated,
+            self._on_run_completed,
+            self.failures,
         )
         self.admission = Admission(self.ctx, self._quotas, self._on_job_found_finalized)
         self.dispatcher = Dispatcher(self.ctx, self.reconciler, self._quotas, self.admission)
@@ -193,7 +197,7 @@
 
     # -- queries of the state ------------------------------------------------------------------------
 
-    def last_response_at(self, machine_name: str) -> float:
+    def last_answered_at(self, machine_name: str) -> float:
         """Return when the machine's worker was last answered in this term, or -inf."""
         machine = self.ctx.fleet.machines.get(machine_name)
         return machine.last_answered_at if machine is not None else float("-inf")
@@ -233,16 +237,16 @@
 
     # Each is passed to a component that is constructed before the component that it calls.
 
-    def _on_fault_changed(self, job: Job) -> None:
+    def _on_fault_status_changed(self, job: Job) -> None:
         self.admission.fault_changed(job)
 
     def _on_task_completed(self, job: Job, index: int) -> None:
         self._jobs.handle_task_completed(job, index)
 
-    def _on_attempt_ended(self, attempt: Attempt) -> None:
+    def _on_attempt_terminated(self, attempt: Attempt) -> None:
         self._jobs.handle_attempt_ended(attempt)
 
-    def _on_task_ran(self, attempt: Attempt, now: float) -> None:
+    def _on_run_completed(self, attempt: Attempt, now: float) -> None:
         self._jobs.record_run_time(attempt, now)
 
     def _on_job_found_finalized(self, job: Job) -> None:
--- a/src/poppyhold/node/heartbeat_endpoint.py
+++ b/src/poppyhold/node/heartbeat_endpoint.py
@@ -60,7 +60,7 @@
     def _answer_direct_heartbeat(self, heartbeat: Heartbeat, deadline: float) -> HttpResponse | None:
         """Answer a direct heartbeat or redirect it to a relay; None if the lease can't be renewed."""
         relay = self._assignment.assign(
-            heartbeat.machine, heartbeat.zone, self._controller.last_response_at(heartbeat.machine)
+            heartbeat.machine, heartbeat.zone, self._controller.last_answered_at(heartbeat.machine)
         )
         if relay is not None:
             return http_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect(relay).body())
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -124,7 +124,7 @@
             node.make_heartbeat_rejection,
         )
         self.relays = RelayServer(
-            self.loop.post, self.heartbeats.answer, self.controller.last_response_at, assignment, workers
+            self.loop.post, self.heartbeats.answer, self.controller.last_answered_at, assignment, workers
         )
         self.quota_endpoint = self._make_quota_endpoint()
         self._watch: Watch | None = None
--- a/src/poppyhold/node/scheduling_cycle.py
+++ b/src/poppyhold/node/scheduling_cycle.py
@@ -55,7 +55,7 @@
             self._quotas.mark_guaranteed(
                 job for job in ctx.fleet.jobs.values() if job.phase is not JobPhase.FINALIZED
             )
-        self._dispatcher.dispatch(self._reconciler.lease_expiry.all_reconciled())
+        self._dispatcher.dispatch(self._reconciler.lease_expiry.all_reconciled_or_expired())
         ended_at = ctx.clock()
         interval_s = ctx.durations.heartbeat_interval_s
         pause_s = max(_PAUSE_RATIO * (ended_at - started_at), interval_s / _MIN_PAUSE_DIVISOR)
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -52,10 +52,10 @@
         # Ids of the jobs visited by unplanned halves since one last visited all jobs; the others go first.
         self._visited_job_ids: set[str] = set()
 
-    def dispatch(self, all_machines_reconciled: bool) -> None:
+    def dispatch(self, all_reconciled_or_expired: bool) -> None:
         """Run one scheduling cycle: start the tasks that may start now, within the time limits."""
         now = self._ctx.clock()
-        jobs = self._ready_jobs(all_machines_reconciled, now)
+        jobs = self._ready_jobs(all_reconciled_or_expired, now)
         not_admitted = [job for job in jobs if not (job.admitted or job.failures.at_fault)]
         self._admission.replan(not_admitted, now)
         if not jobs:
@@ -66,7 +66,7 @@
         self._run_planned_half(cycle, jobs, now)
         self._run_unplanned_half(cycle, jobs)
 
-    def _ready_jobs(self, all_machines_reconciled: bool, now: float) -> list[Job]:
+    def _ready_jobs(self, all_reconciled_or_expired: bool, now: float) -> list[Job]:
         """Return the jobs with tasks that may start now, the most urgent first."""
         jobs = [
             job
@@ -77,7 +77,7 @@
             and job.plan_durable
             # Tasks that an earlier leader started may still run on a machine that is not reconciled yet;
             # they would be started a second time.
-            and (job.not_started_by_earlier_leaders or all_machines_reconciled)
+            and (job.not_started_by_earlier_leaders or all_reconciled_or_expired)
         ]
         self._order.sort(jobs, now)
         return jobs
--- a/src/poppyhold/scheduling/planner.py
+++ b/src/poppyhold/scheduling/planner.py
@@ -60,7 +60,7 @@
 
     tasks: int
     tasks_per_unit: int
-    total: int
+    unit_count: int
 
 
 class Planner:
@@ -78,14 +78,16 @@
         groups = self._groups(job)
         if not groups or tasks <= 0:
             return None
-        shares_per_task = max(machine_shares(job.task_resources, group.bookings.capacity) for group in groups)
+        machine_shares_per_task = max(
+            machine_shares(job.task_resources, group.bookings.capacity) for group in groups
+        )
         best: Plan | None = None
         for zone in self._candidate_zones(job, groups):
             in_zone = [group for group in groups if zone is None or group.bookings.zone == zone]
             found = (
-                self._plan_service(job, tasks, in_zone, shares_per_task)
+                self._plan_service(job, tasks, in_zone, machine_shares_per_task)
                 if job.is_service
-                else self._plan_array(job, tasks, estimate_s, now, in_zone, shares_per_task)
+                else self._plan_array(job, tasks, estimate_s, now, in_zone, machine_shares_per_task)
             )
             if found is not None and (best is None or found.payoff > best.payoff):
                 best = found
@@ -192,7 +194,7 @@
         return tasks_by_machine
 
     def _plan_service(
-        self, job: Job, tasks: int, groups: list[MachineGroup], shares_per_task: float
+        self, job: Job, tasks: int, groups: list[MachineGroup], machine_shares_per_task: float
     ) -> Plan | None:
         """Return the plan that starts all replicas in the current slot and books the whole horizon."""
         first, horizon = self._ledger.current_slot, self._ledger.horizon_slots
@@ -202,7 +204,7 @@
             return None
         cost_by_machine = {offer.machine: offer.cost for offer in offers}
         cost = sum(cost_by_machine[name] * count for name, count in chosen.items())
-        value = self._pricing.weights[job.priority] * shares_per_task * tasks * horizon
+        value = self._pricing.weights[job.priority] * machine_shares_per_task * tasks * horizon
         return Plan(value - cost, {first: chosen})
 
     def _plan_array(
@@ -212,7 +214,7 @@
         estimate_s: float,
         now: float,
         groups: list[MachineGroup],
-        shares_per_task: float,
+        machine_shares_per_task: float,
     ) -> Plan | None:
         """Return the best plan, by a dynamic program over slots and the work units that start in each."""
         span = self.span_slots(estimate_s)
@@ -221,25 +223,25 @@
         offers = self._offers_by_slot(job, groups, span, tasks, slot_fraction)
         costs_by_slot = [self._unit_costs(job, offered, units) for offered in offers]
         # cheapest[n]: least cost of starting n units in the slots so far; choices recover the plan.
-        cheapest = [0.0] + [INFINITE_COST] * units.total
+        cheapest = [0.0] + [INFINITE_COST] * units.unit_count
         choices: list[list[int]] = []
-        best_payoff, best_end = -INFINITE_COST, -1
+        best_payoff, best_last_offset = -INFINITE_COST, -1
         for offset, unit_costs in enumerate(costs_by_slot):
             cheapest, choice = self._add_slot(cheapest, unit_costs)
             choices.append(choice)
-            if cheapest[units.total] < INFINITE_COST and choice[units.total]:
+            if cheapest[units.unit_count] < INFINITE_COST and choice[units.unit_count]:
                 end_at = now + (offset + max(slot_fraction, span)) * self._slot_s
                 if offset == 0:
                     end_at = now + estimate_s
                 value = self._pricing.value(
-                    job, shares_per_task * tasks * span * slot_fraction, end_at, self._slot_s
+                    job, machine_shares_per_task * tasks * span * slot_fraction, end_at, self._slot_s
                 )
-                payoff = value - cheapest[units.total]
+                payoff = value - cheapest[units.unit_count]
                 if payoff > best_payoff:
-                    best_payoff, best_end = payoff, offset
-        if best_end < 0:
+                    best_payoff, best_last_offset = payoff, offset
+        if best_last_offset < 0:
             return None
-        return Plan(best_payoff, self._starts(job, offers, choices[: best_end + 1], units))
+        return Plan(best_payoff, self._starts(job, offers, choices[: best_last_offset + 1], units))
 
     def _units(self, job: Job, tasks: int) -> _WorkUnits:
         # A gang is a single work unit, since all its tasks start in one slot.
@@ -262,19 +264,19 @@
 
     def _unit_costs(self, job: Job, offers: list[Offer], units: _WorkUnits) -> list[float]:
         """Return the cost of starting 0, 1, ... units in a slot; infinite where they don't fit."""
-        costs = [0.0] + [INFINITE_COST] * units.total
+        costs = [0.0] + [INFINITE_COST] * units.unit_count
         cost_by_machine = {offer.machine: offer.cost for offer in offers}
-        total, placed, unit = 0.0, 0, 1
+        total_cost, placed, unit = 0.0, 0, 1
         for name, chosen in self.fill(job, offers, units.tasks).items():
             remaining = chosen
-            while remaining and unit <= units.total:
+            while remaining and unit <= units.unit_count:
                 goal = min(unit * units.tasks_per_unit, units.tasks)
                 count = min(remaining, goal - placed)
-                total += count * cost_by_machine[name]
+                total_cost += count * cost_by_machine[name]
                 placed += count
                 remaining -= count
                 if placed == goal:
-                    costs[unit] = total
+                    costs[unit] = total_cost
                     unit += 1
         return costs
 
@@ -283,14 +285,14 @@
         """Add a slot to the dynamic program; return least costs by unit count, and units started in it."""
         updated = list(cheapest)
         choice = [0] * len(cheapest)
-        for done in range(1, len(cheapest)):
-            for units_here in range(1, done + 1):
+        for units_started in range(1, len(cheapest)):
+            for units_here in range(1, units_started + 1):
                 cost = unit_costs[units_here]
                 if cost == INFINITE_COST:
                     break
-                total = cheapest[done - units_here] + cost
-                if total < updated[done]:
-                    updated[done], choice[done] = total, units_here
+                total_cost = cheapest[units_started - units_here] + cost
+                if total_cost < updated[units_started]:
+                    updated[units_started], choice[units_started] = total_cost, units_here
         return updated, choice
 
     def _starts(
@@ -298,7 +300,7 @@
     ) -> dict[int, dict[str, int]]:
         """Return tasks by slot and machine from the unit counts that the dynamic program chose."""
         starts: dict[int, dict[str, int]] = {}
-        remaining = units.total
+        remaining = units.unit_count
         for offset in range(len(choices) - 1, -1, -1):
             units_here = choices[offset][remaining]
             if units_here:
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -144,7 +144,7 @@
         self.relays: dict[str, ConnectedRelay] = {}
         response_timeout_s = heartbeat_response_timeout_s(node.settings.deployment.workers)
         self.batch_handler = BatchHandler(
-            self.answer_heartbeat, self.controller.last_response_at, self.assignment, response_timeout_s
+            self.answer_heartbeat, self.controller.last_answered_at, self.assignment, response_timeout_s
         )
         self.authority.observe_watch(world.now, node.store.revision())
         self.controller.load(
@@ -460,7 +460,7 @@
             return 503, {}
         heartbeat = parse_heartbeat(body)
         relay = leader_term.assignment.assign(
-            heartbeat.machine, heartbeat.zone, leader_term.controller.last_response_at(heartbeat.machine)
+            heartbeat.machine, heartbeat.zone, leader_term.controller.last_answered_at(heartbeat.machine)
         )
         if relay is not None:
             return 421, {"foreman": relay}
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -64,7 +64,7 @@
     assert not machine.reconciled
     assert not machine.attempts
     assert attempts.lease_expiry.unreconciled == {"vm-000001"}
-    assert not attempts.lease_expiry.all_reconciled()
+    assert not attempts.lease_expiry.all_reconciled_or_expired()
     # A delegate of this leader does not accept the heartbeat either.
     other = next(node for node in world.nodes if node.alive and node.leader_term is None)
     other.delegated_renewal.observe_leader(
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -147,7 +147,7 @@
     Guard("gang_not_starved", GangScheduler, "_reserve_for", _never),
     Guard("gang_team_limit", GangScheduler, "_reserve_for", _never),
     Guard("gang_partly_started", Gangs, "adopt", _never),
-    Guard("gang_partly_reconciled", LeaseExpiry, "all_reconciled", _always),
+    Guard("gang_partly_reconciled", LeaseExpiry, "all_reconciled_or_expired", _always),
     Guard("gang_short_notice", MachineLifecycle, "_drain_gang", _never),
     Guard("gang_leader_crash_in_stop", Gangs, "stop", _stop_without_grace),
     Guard("gang_cancelled_without_faults", JobLifecycle, "handle_finalized", _never),
@@ -251,7 +251,7 @@
 GUARDS += [
     Guard("relay_duplicate_and_delayed_batches", AttemptReconciler, "_is_newer", _always),
     Guard("relay_cut_while_cancelled", Controller, "excluded_machines", _no_machines),
-    Guard("relay_gang", LeaseExpiry, "all_reconciled", _always),
+    Guard("relay_gang", LeaseExpiry, "all_reconciled_or_expired", _always),
 ]
 
 
