--- a/src/poppyhold/quota/cell_service.py
+++ b/src/poppyhold/quota/cell_service.py
@@ -48,7 +48,7 @@
 log = logging.getLogger(__name__)
 
 # Record changes of a transfer besides one per team: the peer record, at debit and at acknowledgement.
-_PEER_CHANGES_PER_TRANSFER = 2
+_PEER_WRITES_PER_TRANSFER = 2
 
 
 class QuotaHealth(NamedTuple):
@@ -97,19 +97,21 @@
         self._requester = TransferRequester(cells, self.ledger, ctx.clock)
         self._offers = TransferOffers(cells.name, reserves)
         self._views = CellViewBuilder(cells.name, self.ledger, ctx.fleet, self._offers, self.alarms)
-        retention_s = ctx.durations.lease_s * cells.keep_leases
-        self._retention = RetentionTimes(retention_s)
-        self._monitor = DemandMonitor(ctx, retention_s, self._retention, unaccounted_resources, can_launch)
+        max_retention_s = ctx.durations.lease_s * cells.keep_leases
+        self._retention = RetentionTimes(max_retention_s)
+        self._monitor = DemandMonitor(
+            ctx, max_retention_s, self._retention, unaccounted_resources, can_launch
+        )
         limits = ctx.settings.deployment.state.lowest
         self._max_teams_per_commit = max(1, limits.txn_ops // 2)
-        self._rate_limiter = RateLimiter(limits.write_rps * cells.moves_share, burst=1.0)
+        self._transfer_write_limiter = RateLimiter(limits.write_rps * cells.moves_share, burst=1.0)
         self._demands: dict[str, TeamDemand] = {}
         # Log lines of the credits being committed, logged once they are durable.
         self._credit_log_lines: list[str] = []
         # Nothing under a limit starts until the allocations are loaded.
-        self._block_all_starts()
+        self._set_quotas_to_zero()
 
-    def _block_all_starts(self) -> None:
+    def _set_quotas_to_zero(self) -> None:
         for team, total in self._totals.items():
             self._quotas.set(team, total.zeroed().quota(total))
 
@@ -141,14 +143,14 @@
         """Load the durable records of earlier leaders."""
         self.ledger.load(entries)
         if self._checks.is_wrong_cell():
-            self._block_all_starts()
+            self._set_quotas_to_zero()
         for team in self.teams_with_differing_settings():
             log.warning("team settings ignored, the allocation record has other totals: team=%s", team)
 
     def tick(self) -> None:
         """Measure demand, check use and update the requests."""
         if self._checks.is_wrong_cell():
-            self._block_all_starts()
+            self._set_quotas_to_zero()
             return
         if self.ledger.create_missing(self._initial_allocations, self._max_teams_per_commit):
             return
@@ -194,7 +196,7 @@
         if (
             not request.unmet_demands
             or not self.ledger.can_debit(request.cell)
-            or self._rate_limiter.ready_at() > now
+            or self._transfer_write_limiter.ready_at() > now
         ):
             return
         self._monitor.update_possible_use(self._demands)
@@ -204,10 +206,12 @@
             if not amount.is_zero and len(offers) < self._max_teams_per_commit:
                 offers[unmet.team] = amount
         if self.ledger.debit(request.cell, request.incarnation, offers):
-            self._rate_limiter.consume(len(offers) + _PEER_CHANGES_PER_TRANSFER, now)
+            self._transfer_write_limiter.consume(len(offers) + _PEER_WRITES_PER_TRANSFER, now)
             for team, amount in offers.items():
                 self._retention.record_debit(team, now)
-                log.info("debit: team=%s %s destination_cell=%s", team, _log_values(amount), request.cell)
+                log.info(
+                    "debit: team=%s %s destination_cell=%s", team, _limit_changes_text(amount), request.cell
+                )
 
     def _offer(self, unmet: UnmetDemand, destination: str) -> TeamAmount:
         allocation, demand = self.ledger.allocation(unmet.team), self._demands.get(unmet.team)
@@ -222,7 +226,7 @@
         transfer = response.transfer
         if transfer is not None and self.ledger.credit(response.cell, response.incarnation, transfer):
             self._credit_log_lines = [
-                f"credit: team={team} {_log_values(amount)} source_cell={response.cell} "
+                f"credit: team={team} {_limit_changes_text(amount)} source_cell={response.cell} "
                 f"unmet_s={self._requester.unmet_s(team):.3f}"
                 for team, amount in transfer.amounts.items()
             ]
@@ -277,6 +281,6 @@
         return self._views.current(self._demands)
 
 
-def _log_values(amount: TeamAmount) -> str:
+def _limit_changes_text(amount: TeamAmount) -> str:
     accelerators, cpus = from_thousandths(amount.accelerators.limit), from_thousandths(amount.cpus.limit)
     return f"accelerators={accelerators:g} cpus={cpus:g}"
--- a/src/poppyhold/quota/ledger.py
+++ b/src/poppyhold/quota/ledger.py
@@ -68,9 +68,9 @@
         return self._commits.in_progress
 
     @property
-    def committed_changes(self) -> int:
+    def committed_writes(self) -> int:
         """The number of records written in this term, for display."""
-        return self._commits.committed_changes
+        return self._commits.committed_writes
 
     @property
     def incarnation(self) -> str:
@@ -175,7 +175,8 @@
         before = self._peers.get(peer) or PeerRecord(incarnation)
         transfer = Transfer(before.last_sent + 1, dict(amounts))
         debited = [
-            _changed(record, record.allocation.minus(amounts[team])) for team, record in records.items()
+            _with_allocation(record, record.allocation.minus(amounts[team]))
+            for team, record in records.items()
         ]
         peer_record = msgspec.structs.replace(before, last_sent=transfer.number, in_transit=transfer)
         self._apply_debits(debited)
@@ -234,7 +235,9 @@
         if self.commit_in_progress or not transfer.amounts.keys() <= self._records.keys():
             return False
         records = [self._records[team] for team in transfer.amounts]
-        credited = [_changed(each, each.allocation.plus(transfer.amounts[each.team])) for each in records]
+        credited = [
+            _with_allocation(each, each.allocation.plus(transfer.amounts[each.team])) for each in records
+        ]
         peer_record = msgspec.structs.replace(before, last_applied=transfer.number)
 
         def on_committed() -> None:
@@ -267,7 +270,7 @@
             self._on_changed(record.team)
 
 
-def _changed(record: AllocationRecord, allocation: TeamAllocation) -> AllocationRecord:
+def _with_allocation(record: AllocationRecord, allocation: TeamAllocation) -> AllocationRecord:
     return msgspec.structs.replace(record, allocation=allocation, version=record.version + 1)
 
 
--- a/src/poppyhold/quota/ledger_commits.py
+++ b/src/poppyhold/quota/ledger_commits.py
@@ -28,7 +28,7 @@
         self._commit, self._on_inconsistent = commit, on_inconsistent
         self.in_progress = False
         # The number of records written in this term, for display.
-        self.committed_changes = 0
+        self.committed_writes = 0
 
     def start(
         self, conditions: dict[str, int], writes: Sequence[Write], on_committed: Callable[[], None]
@@ -39,7 +39,7 @@
         def on_result(succeeded: bool) -> None:
             self.in_progress = False
             if succeeded:
-                self.committed_changes += len(writes)
+                self.committed_writes += len(writes)
                 on_committed()
             else:
                 # Only the condition that a record is absent can fail, most likely because an earlier attempt
--- a/src/poppyhold/quota/link.py
+++ b/src/poppyhold/quota/link.py
@@ -90,7 +90,7 @@
                 self._latest_requests.wait_for_change(self._cell.name, None, self._heartbeat_interval_s)
                 continue
             try:
-                response = self._request(request)
+                response = self._request_from_leader(request)
             except (OSError, ValueError, LinkError) as error:
                 self._record_failure(error)
                 continue
@@ -116,9 +116,9 @@
             self._cell.name, request, self._heartbeat_interval_s * intervals
         )
 
-    def _request(self, request: TransferRequest) -> TransferResponse:
+    def _request_from_leader(self, request: TransferRequest) -> TransferResponse:
         for _ in range(_MAX_CONTROLLERS_PER_REQUEST):
-            response = self._exchange(request)
+            response = self._exchange_on_connection(request)
             if isinstance(response, TransferResponse):
                 if response.cell != self._cell.name:
                     raise LinkError(f"response is from cell {response.cell!r}")
@@ -130,7 +130,7 @@
                 break
         raise LinkError("no leader found among the controllers tried")
 
-    def _exchange(self, request: TransferRequest) -> QuotaResponse:
+    def _exchange_on_connection(self, request: TransferRequest) -> QuotaResponse:
         if self._connection is None:
             address = split_address(self._cell.controllers[self._controller_index].address)
             self._connection = open_connection(address, self._timeout_s)
@@ -156,10 +156,12 @@
             log.warning("link to cell lost: cell=%s error=%r", self._cell.name, str(error))
         self._failures += 1
         self._controller_index = (self._controller_index + 1) % len(self._cell.controllers)
-        max_intervals = min(
+        max_pause_intervals = min(
             _MAX_BACKOFF_INTERVALS, _MIN_BACKOFF_INTERVALS * 2 ** min(self._failures, _MAX_BACKOFF_DOUBLINGS)
         )
-        self._stop.wait(self._heartbeat_interval_s * self._rng.uniform(max_intervals / 2, max_intervals))
+        self._stop.wait(
+            self._heartbeat_interval_s * self._rng.uniform(max_pause_intervals / 2, max_pause_intervals)
+        )
 
     def _close(self) -> None:
         if self._connection is not None:
--- a/tests/test_cell_service.py
+++ b/tests/test_cell_service.py
@@ -183,7 +183,7 @@
     quota.handle_request(request(quota, last_applied=1))
     while quota.ledger.peers["west"].in_transit is not None:
         world.run(world.now + 0.05)
-    quota._rate_limiter.consume(1000.0, world.now)
+    quota._transfer_write_limiter.consume(1000.0, world.now)
     assert transferred(world, quota, unmet_demand(0, 1)) is None
 
 
