--- a/src/poppyhold/quota/cell_service.py
+++ b/src/poppyhold/quota/cell_service.py
@@ -1,8 +1,9 @@
 """A cell's quota service, for one term of its leader.
 
 It runs on the decision thread and does no I/O. It keeps the quotas that scheduling enforces equal to the
-cell's allocations (`ledger`), requests amounts that its teams lack from other cells, and transfers idle
-amounts to them. It never waits for another cell: if none responds, its own allocations stay in force.
+cell's allocations (`ledger`). From other cells it requests the parts of limits and guarantees that its teams
+lack, and it transfers idle parts to cells that request them. It never waits for another cell: if none
+responds, its own allocations stay in force.
 """
 
 from __future__ import annotations
@@ -47,12 +48,12 @@
 
 log = logging.getLogger(__name__)
 
-# Record changes of a transfer besides one per team: the peer record, at debit and at acknowledgement.
+# Writes of a transfer at the source besides one per team: the peer record, at debit and acknowledgement.
 _PEER_WRITES_PER_TRANSFER = 2
 
 
 class QuotaHealth(NamedTuple):
-    """Active alarms, and teams whose demand has been unmet for longer than a lease.
+    """Active alarms, and teams whose demand has been unmet for longer than a worker's lease.
 
     The response of the readiness check has fields of these names.
     """
@@ -62,7 +63,7 @@
 
 
 class CellQuotaService:
-    """The allocations of the cell that this node leads, and its requests and responses to other cells."""
+    """The allocations of the cell that this node leads, and this cell's messages to and from other cells."""
 
     def __init__(
         self,
@@ -73,7 +74,10 @@
         can_launch: Callable[[Submission], bool],
         on_changed: Callable[[], None],
     ) -> None:
-        """``on_changed`` is called when the quotas that scheduling enforces have changed."""
+        """``on_changed`` is called when the quotas that scheduling enforces have changed.
+
+        `DemandMonitor` describes ``unaccounted_resources`` and ``can_launch``.
+        """
         self._ctx, self._cells, self._quotas, self._on_changed = ctx, cells, quotas, on_changed
         self._totals = {
             team.name: total
@@ -97,6 +101,7 @@
         self._requester = TransferRequester(cells, self.ledger, ctx.clock)
         self._offers = TransferOffers(cells.name, reserves)
         self._views = CellViewBuilder(cells.name, self.ledger, ctx.fleet, self._offers, self.alarms)
+        # Also the time after which pending work counts as stalled.
         max_retention_s = ctx.durations.lease_s * cells.keep_leases
         self._retention = RetentionTimes(max_retention_s)
         self._monitor = DemandMonitor(
@@ -104,11 +109,14 @@
         )
         limits = ctx.settings.deployment.state.lowest
         self._max_teams_per_commit = max(1, limits.txn_ops // 2)
+        # Limits the writes of this cell's debits; credits and the creation of records are not counted.
         self._transfer_write_limiter = RateLimiter(limits.write_rps * cells.moves_share, burst=1.0)
         self._demands: dict[str, TeamDemand] = {}
-        # Log lines of the credits being committed, logged once they are durable.
+        # Log lines for the credits of the commit in progress, logged once these are durable. `unmet_s` is how
+        # long the team's demand had been unmet when the commit started.
         self._credit_log_lines: list[str] = []
-        # Nothing under a limit starts until the allocations are loaded.
+        # Until a team's allocation record is loaded or created, its limits are zero: no task that needs a
+        # limited resource starts.
         self._set_quotas_to_zero()
 
     def _set_quotas_to_zero(self) -> None:
@@ -127,7 +135,7 @@
                 log.info("%s", line)
             self._credit_log_lines = []
             self._views.invalidate()
-            # Requests acknowledge applied transfers, for which other cells wait.
+            # Requests acknowledge applied transfers; until then, their source starts no other to this cell.
             self._prepare_requests()
 
         self._ctx.outbound.commit(conditions, writes, on_committed, CommitPriority.NORMAL)
@@ -145,10 +153,13 @@
         if self._checks.is_wrong_cell():
             self._set_quotas_to_zero()
         for team in self.teams_with_differing_settings():
-            log.warning("team settings ignored, the allocation record has other totals: team=%s", team)
+            log.warning(
+                "quotas in the settings differ from the allocation record, which takes precedence: team=%s",
+                team,
+            )
 
     def tick(self) -> None:
-        """Measure demand, check use and update the requests."""
+        """Create missing records; if none is missing, measure demand, check use and update the requests."""
         if self._checks.is_wrong_cell():
             self._set_quotas_to_zero()
             return
@@ -185,7 +196,7 @@
         self._prepare_requests()
 
     def requests(self) -> dict[str, TransferRequest]:
-        """The request to each other cell; the same objects until something changes."""
+        """The request to each other cell; the same dict until the requests are prepared again."""
         return self._requester.requests
 
     def _serve(self, request: TransferRequest) -> None:
@@ -232,15 +243,16 @@
             ]
 
     def _prepare_requests(self) -> None:
-        """Make the requests to other cells from the current demand and records."""
+        """Make the requests from the last tick's demand and the ledger; record unmet demand for retention."""
         if self.ledger.incarnation:
             self._requester.prepare(self._demands, self._view())
             self._retention.record_unmet_demand(self._requester.teams_with_unmet_demand(), self._ctx.clock())
 
     def _check_use(self) -> None:
-        """Raise an alarm for each team whose use exceeds its allocation.
+        """Raise an alarm for each team whose use exceeds a limit of its allocation; clear those of others.
 
-        Only a leader of a version without allocations, or with options that name no cells, can cause that.
+        Use can exceed a limit only if an earlier leader did not enforce allocations: its version has none, or
+        its options named no cells.
         """
         for team, record in self.ledger.records.items():
             used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
@@ -259,7 +271,7 @@
         return sorted(team for team, record in records.items() if self._totals.get(team) != record.total)
 
     def teams_short_of_allocation(self) -> list[str]:
-        """Teams whose demand has been unmet for longer than a lease."""
+        """Teams whose demand has been unmet for longer than a worker's lease."""
         return self._requester.unmet_for_longer_than(self._ctx.durations.lease_s)
 
     def health(self) -> QuotaHealth:
@@ -267,7 +279,7 @@
         return QuotaHealth(self.alarms.texts(), self.teams_short_of_allocation())
 
     def status(self) -> StatusResponse:
-        """The own view of this cell, and the last views of the other cells."""
+        """The views of this and the other cells, and the teams with unmet demand or differing settings."""
         views, uncontacted = self._requester.remote_views()
         return StatusResponse(
             self._view(),
--- a/src/poppyhold/quota/demand_monitor.py
+++ b/src/poppyhold/quota/demand_monitor.py
@@ -43,6 +43,7 @@
     ) -> None:
         """``unaccounted_resources`` is what unreconciled machines may use; it counts as use of every team.
 
+        ``can_launch`` returns whether a machine for a job's tasks can be launched.
         Work is stalled if it is pending despite an idle allocation for longer than ``stall_timeout_s``.
         """
         self._ctx, self._stall_timeout_s, self._retention = ctx, stall_timeout_s, retention
--- a/src/poppyhold/quota/errors.py
+++ b/src/poppyhold/quota/errors.py
@@ -8,7 +8,7 @@
 
 
 class UnknownIncarnationError(QuotaProtocolError):
-    """The other cell's records were recreated after the last transfer."""
+    """A cell's incarnation is empty, or its records were recreated after the first transfer."""
 
 
 class SequenceError(QuotaProtocolError):
--- a/src/poppyhold/quota/ledger.py
+++ b/src/poppyhold/quota/ledger.py
@@ -1,12 +1,12 @@
 """The allocation ledger of one cell for one term of its leader: initial records, debits and credits.
 
-It does no I/O and reads no clock: ``commit`` starts a commit and calls back on the same thread. One commit is
-in progress at a time, and the committer retries one of unknown outcome under a new write fence until it is
-certainly committed (`durable.fenced_writer`). The allocation in force, which scheduling enforces, never
-exceeds the durable one:
+It does no I/O and reads no clock: ``commit`` starts a commit and passes its result later on the same thread.
+One commit is in progress at a time. The committer retries a commit of unknown outcome under a new write fence
+(`durable.fenced_writer`) until the outcome is certain. The allocation in force, which scheduling enforces,
+never exceeds the durable one:
 
 - a debit lowers the allocation in force before its write is sent;
-- a credit raises it only once its write is durable.
+- a credit raises the allocation in force only once the credit's write is durable.
 
 An amount in transit, debited from the source's record and not yet credited to the destination's, belongs to
 no cell.
@@ -49,14 +49,14 @@
     ) -> None:
         """``on_changed`` is called with each team whose allocation in force has changed.
 
-        ``on_inconsistent`` is called when the durable records are not the expected ones, for the next leader
-        to read them again.
+        ``on_inconsistent`` is called with a reason when the durable records differ from the expected ones;
+        this leader then has to resign, so that the next one loads them again.
         """
         self.cell = cell
         self._new_incarnation, self._on_changed = new_incarnation, on_changed
         self._commits = LedgerCommits(commit, on_inconsistent)
         self.identity: IdentityRecord | None = None
-        # Allocations in force, by team.
+        # The records with the allocations in force, by team; lower than the durable ones during a debit.
         self._records: dict[str, AllocationRecord] = {}
         self._peers: dict[str, PeerRecord] = {}
         # Destination cells of transfers that are not yet durable, and so not sent.
@@ -69,17 +69,17 @@
 
     @property
     def committed_writes(self) -> int:
-        """The number of records written in this term, for display."""
+        """The number of record writes committed in this term, for display."""
         return self._commits.committed_writes
 
     @property
     def incarnation(self) -> str:
-        """The incarnation of this cell's records; empty until they are durable."""
+        """The random identifier of this cell's records; empty until the identity record is durable."""
         return self.identity.incarnation if self.identity is not None else ""
 
     @property
     def records(self) -> Mapping[str, AllocationRecord]:
-        """The allocations in force, by team."""
+        """The records with the allocations in force, by team."""
         return self._records
 
     @property
@@ -93,12 +93,12 @@
         return record.allocation if record is not None else None
 
     def last_applied_from(self, peer: str) -> int:
-        """The number of the last transfer from a cell whose credit is durable here."""
+        """The sequence number of the last transfer from ``peer`` with a durable credit here; 0 if none."""
         record = self._peers.get(peer)
         return record.last_applied if record is not None else 0
 
     def transfer_in_transit_to(self, peer: str) -> Transfer | None:
-        """The durable transfer in transit to a cell."""
+        """The transfer in transit to a cell; None if there is none, or its debit is not durable yet."""
         record = self._peers.get(peer)
         return record.in_transit if record is not None and peer not in self._uncommitted_transfers else None
 
@@ -121,9 +121,10 @@
             raise WrongCellError(f"the records here are those of cell {self.identity.cell!r}")
 
     def create_missing(self, initial: Mapping[str, InitialAllocation], max_records: int) -> bool:
-        """Create up to ``max_records`` missing records, each on the condition that it is absent.
+        """Start to create up to ``max_records`` missing records, each on the condition that it is absent.
 
-        Returns False if none is missing. An existing record takes precedence over the current settings.
+        Returns False if none is missing; during another commit, none is created yet. An existing record takes
+        precedence over the current settings.
         """
         missing = [team for team in initial if team not in self._records]
         if self.identity is not None and not missing:
@@ -151,13 +152,15 @@
         return True
 
     def check_peer(self, peer: str, incarnation: str) -> None:
-        """Raise `UnknownIncarnationError` if a cell's incarnation is not that of the earlier transfers."""
+        """Raise `UnknownIncarnationError` for an empty incarnation, or another than at the first transfer."""
         known = self._peers.get(peer)
         if not incarnation or (known is not None and known.incarnation != incarnation):
-            raise UnknownIncarnationError(f"cell {peer} has other records than before")
+            raise UnknownIncarnationError(
+                f"cell {peer} sent an empty incarnation, or another than at the first transfer"
+            )
 
     def can_debit(self, peer: str) -> bool:
-        """Whether a transfer to a cell may start now: only one is in transit to each cell at a time."""
+        """Whether a debit for a cell may start: no commit is in progress, no transfer to it in transit."""
         known = self._peers.get(peer)
         return not self.commit_in_progress and (known is None or known.in_transit is None)
 
@@ -191,24 +194,29 @@
         self._set_in_force(debited)
 
     def acknowledge(self, peer: str, incarnation: str, last_applied: int) -> None:
-        """Handle a cell's acknowledgement up to ``last_applied``; an acknowledged transfer is no longer kept.
+        """Handle a cell's acknowledgement of all transfers numbered up to ``last_applied``.
+
+        If that includes the one in transit, it is removed from the peer record, unless a commit is in
+        progress: then a later request repeats the acknowledgement.
 
         Raises:
-            QuotaProtocolError: that transfer was not sent, or the cell's records are of another incarnation.
+            QuotaProtocolError: ``last_applied`` was not sent, or the records are of another incarnation.
 
         """
         known = self._peers.get(peer)
         if known is None:
             if last_applied:
                 raise SequenceError(
-                    f"cell {peer} has applied transfer {last_applied}, and none is known here"
+                    f"cell {peer} acknowledges transfer {last_applied}, but has no peer record here"
                 )
             return
         self.check_peer(peer, incarnation)
         if last_applied > known.last_sent or (
             peer in self._uncommitted_transfers and last_applied == known.last_sent
         ):
-            raise SequenceError(f"cell {peer} has applied transfer {last_applied} of {known.last_sent}")
+            raise SequenceError(
+                f"cell {peer} acknowledges unsent transfer {last_applied}; last recorded: {known.last_sent}"
+            )
         if known.in_transit is None or last_applied < known.last_sent or self.commit_in_progress:
             return
         peer_record = msgspec.structs.replace(known, in_transit=None)
@@ -219,9 +227,10 @@
         self._commits.start({}, [_put_peer(peer, peer_record)], on_committed)
 
     def credit(self, peer: str, incarnation: str, transfer: Transfer) -> bool:
-        """Apply a cell's transfer exactly once; False if it was applied before, or must be sent again.
+        """Start to credit a cell's transfer; False if it was credited before, or cannot be credited now.
 
-        The allocations in force are raised once the credit is durable.
+        It cannot during another commit, or while a team's record is missing; the source sends it again until
+        it is acknowledged. The allocations in force are raised once the credit is durable.
 
         Raises:
             QuotaProtocolError: an earlier transfer is missing, or the records are of another incarnation.
@@ -249,9 +258,11 @@
 
     @staticmethod
     def _is_next_in_sequence(before: PeerRecord, transfer: Transfer) -> bool:
-        """Whether a transfer is the next one; a number up to the last applied one is a duplicate."""
+        """Whether a transfer is the next one; False for a duplicate, `SequenceError` for a gap."""
         if transfer.number > before.last_applied + 1:
-            raise SequenceError(f"transfer {transfer.number} came after {before.last_applied}")
+            raise SequenceError(
+                f"transfer {transfer.number} received, but the last one applied is {before.last_applied}"
+            )
         return transfer.number == before.last_applied + 1
 
     def _commit_credits(
--- a/src/poppyhold/quota/ledger_commits.py
+++ b/src/poppyhold/quota/ledger_commits.py
@@ -21,13 +21,10 @@
     """Starts the ledger's commits, and tracks whether one is in progress."""
 
     def __init__(self, commit: Commit, on_inconsistent: Callable[[str], None]) -> None:
-        """``on_inconsistent`` is called when the durable records are not the expected ones.
-
-        The next leader then reads them again.
-        """
+        """``on_inconsistent`` is called with a reason when the durable records are not the expected ones."""
         self._commit, self._on_inconsistent = commit, on_inconsistent
         self.in_progress = False
-        # The number of records written in this term, for display.
+        # The number of record writes committed in this term, for display.
         self.committed_writes = 0
 
     def start(
--- a/src/poppyhold/quota/link.py
+++ b/src/poppyhold/quota/link.py
@@ -1,8 +1,9 @@
 """The links from this cell's leader to the leaders of other cells, with one thread per cell.
 
 A link sends its request to any controller of the other cell, and follows redirects to the leader. It sends
-more often while demand is unmet or a commit is in progress, and otherwise once per heartbeat interval. After
-a failure it tries the next controller, with exponential backoff and jitter.
+more often while it requests amounts from the other cell or a commit is in progress there, and otherwise once
+per heartbeat interval of the workers. After a failure it tries the next controller, with exponential backoff
+and jitter.
 """
 
 from __future__ import annotations
@@ -24,19 +25,19 @@
 log = logging.getLogger(__name__)
 
 _response_decoder: msgspec.msgpack.Decoder[QuotaResponse] = msgspec.msgpack.Decoder(QuotaResponse)
-# Pauses between requests, in heartbeat intervals: without unmet demand, with unmet demand, and while a commit
-# is in progress at the other cell.
+# Longest waits for a changed request, in heartbeat intervals: without unmet demand, with unmet demand, and
+# while a commit is in progress at the other cell. The last is also the minimum pause, before each wait.
 _IDLE_PAUSE_INTERVALS, _UNMET_PAUSE_INTERVALS, _IN_PROGRESS_PAUSE_INTERVALS = 1.0, 0.25, 0.02
-# Backoff after failures, in heartbeat intervals.
+# The shortest pause after the first failure, and the longest after any, in heartbeat intervals.
 _MIN_BACKOFF_INTERVALS, _MAX_BACKOFF_INTERVALS = 0.1, 2.0
-# Bounds the backoff factor.
+# Bounds the exponent of the backoff, which grows with each failure.
 _MAX_BACKOFF_DOUBLINGS = 8
-# Controllers tried per request, each named as the leader by the one before it.
+# Most controllers tried per request; each but the first is the leader that the one before it named.
 _MAX_CONTROLLERS_PER_REQUEST = 3
 
 
 class LinkError(Exception):
-    """The other cell's leader cannot be reached, or its response does not match the request."""
+    """No controller tried leads the other cell, or a response is of another cell or type."""
 
 
 def exchange(address: str, request: msgspec.Struct, timeout_s: float) -> QuotaResponse:
@@ -79,7 +80,7 @@
         return self
 
     def stop(self) -> None:
-        """Stop the thread; a request in progress is abandoned."""
+        """Let the thread end after a request in progress, without waiting for it."""
         self._stop.set()
         self._latest_requests.wake_all()
 
@@ -105,12 +106,13 @@
         self._close()
 
     def _pause(self, request: TransferRequest, response: TransferResponse) -> None:
-        """Wait until the next request is due, or the request to the cell has changed."""
+        """Wait the minimum pause, then until the next request is due or differs from the one sent."""
         if response.in_progress:
             intervals = _IN_PROGRESS_PAUSE_INTERVALS
         else:
             intervals = _UNMET_PAUSE_INTERVALS if request.unmet_demands else _IDLE_PAUSE_INTERVALS
-        # Handling a response changes the request at once; this pause limits the rate of requests.
+        # A response with a transfer soon changes the request, which ends the wait below; this minimum pause
+        # limits the rate of requests.
         self._stop.wait(self._heartbeat_interval_s * _IN_PROGRESS_PAUSE_INTERVALS)
         self._latest_requests.wait_for_change(
             self._cell.name, request, self._heartbeat_interval_s * intervals
@@ -138,7 +140,7 @@
         return receive_message(self._connection, _response_decoder)
 
     def _select_controller(self, member: str) -> bool:
-        """Send the next request to a controller; False if it is unknown, or sent the redirect itself."""
+        """Select the controller for the next request; False if it is unknown, or sent the redirect itself."""
         for index, controller in enumerate(self._cell.controllers):
             if controller.member == member and index != self._controller_index:
                 self._controller_index = index
@@ -147,13 +149,13 @@
 
     def _record_success(self) -> None:
         if self._failures:
-            log.info("link to cell restored: cell=%s failures=%d", self._cell.name, self._failures)
+            log.info("requests to cell succeed again: cell=%s failures=%d", self._cell.name, self._failures)
         self._failures = 0
 
     def _record_failure(self, error: Exception) -> None:
         self._close()
         if not self._failures:
-            log.warning("link to cell lost: cell=%s error=%r", self._cell.name, str(error))
+            log.warning("request to cell failed, will retry: cell=%s error=%r", self._cell.name, str(error))
         self._failures += 1
         self._controller_index = (self._controller_index + 1) % len(self._cell.controllers)
         max_pause_intervals = min(
@@ -170,7 +172,7 @@
 
 
 class CellLinks:
-    """All links of a term."""
+    """The links from this cell's leader to all other cells, for one term."""
 
     def __init__(
         self,
@@ -200,7 +202,7 @@
         return self
 
     def stop(self) -> None:
-        """Stop the threads."""
+        """Let the threads end, without waiting for them."""
         for link in self._links:
             link.stop()
 
--- a/src/poppyhold/quota/transfer_requests.py
+++ b/src/poppyhold/quota/transfer_requests.py
@@ -90,7 +90,7 @@
         return sorted(team for team in self._unmet_since if self.unmet_s(team) > limit_s)
 
     def prepare(self, demands: Mapping[str, TeamDemand], view: CellView) -> None:
-        """Make the request to each cell, for unmet demand that it may spare; ``view`` is this cell's own."""
+        """Make the request to each cell, for unmet demand that it may meet; ``view`` is this cell's."""
         by_source = self._by_source(self._unmet_demands(demands))
         self.requests = {
             cell.name: self._request(cell.name, by_source.get(cell.name, []), view)
--- a/tests/test_quota_links.py
+++ b/tests/test_quota_links.py
@@ -96,5 +96,5 @@
         eventually(lambda: bool(responses))
         cell_links.stop()
     lines = [record.message for record in caplog.records]
-    assert len([line for line in lines if "link to cell lost" in line]) == 1
+    assert len([line for line in lines if "request to cell failed, will retry" in line]) == 1
     assert responses[0].cell == "west"
