--- a/src/poppyhold/cluster/connectivity.py
+++ b/src/poppyhold/cluster/connectivity.py
@@ -22,7 +22,7 @@
     """The links between all controllers, as known to one of them."""
 
     def __init__(self, member: str, reachable_for_s: float, clock: Callable[[], float]) -> None:
-        """A peer counts as reachable for ``reachable_for_s`` after a response."""
+        """A peer counts as reachable for ``reachable_for_s`` after a response if its connection holds."""
         self._member, self._reachable_for_s, self._clock = member, reachable_for_s, clock
         self._began_at = clock()
         # The last response of each peer whose connection has not broken since.
--- a/src/poppyhold/cluster/lease_delegation.py
+++ b/src/poppyhold/cluster/lease_delegation.py
@@ -1,12 +1,12 @@
 """Lease delegation: other controllers renew the leases of workers that a partition keeps from the leader.
 
 The tasks of a zone that is cut off run on only while a controller in the zone renews its workers' leases. The
-leader's pings carry a `LeaseDelegation`, except before all machines are reconciled. A controller that got no
-ping for `delegated_renewal_after_s` may renew leases under the leader's fencing token, without any commands
-(`cluster.delegated_renewals`), if the state service has not responded for as long either, or if the key still
-names a leader that it can't reach. It may do so as long as a lease renewed at that moment ends within
-`cancel_s` of `confirmed_until_wall`. `DelegationTracker` bounds the time of such renewals, and the leader
-treats no lease as expired that one of them may have extended.
+leader's pings carry a `LeaseDelegation` once no machine may run tasks of earlier terms. A controller that got
+no ping for `delegated_renewal_after_s` may renew leases under the leader's fencing token, without any
+commands (`cluster.delegated_renewals`), if the state service has not responded for as long either, or if the
+key still names a leader that it can't reach. It may do so as long as a lease renewed at that moment ends
+within `cancel_s` of `confirmed_until_wall`. `DelegationTracker` bounds the time of such renewals, and the
+leader treats no lease as expired that one of them may have extended.
 """
 
 from __future__ import annotations
--- a/src/poppyhold/cluster/peer_server.py
+++ b/src/poppyhold/cluster/peer_server.py
@@ -33,7 +33,7 @@
         extra_connections: int,
         stop: threading.Event,
     ) -> None:
-        """``extra_connections`` connections may come from other cells' leaders and operators."""
+        """``extra_connections`` is added to the maximum, for other cells' leaders and operators."""
         self._times, self._handler, self._stop = times, handler, stop
         self._idle_s = max(10 * times.timeout_s, 4 * times.interval_s)
         self._slots = threading.BoundedSemaphore(
--- a/src/poppyhold/cluster/peers.py
+++ b/src/poppyhold/cluster/peers.py
@@ -16,10 +16,10 @@
     """Pings every other controller, and responds to their pings."""
 
     def __init__(self, settings: Settings, handler: PeerHandler, extra_connections: int = 0) -> None:
-        """``extra_connections`` connections may come from other cells' leaders and operators."""
+        """``extra_connections`` is added to the maximum, for other cells' leaders and operators."""
         workers = settings.deployment.workers
         times = PeerTimes(workers.heartbeat_interval_s / 2, workers.lease_s / 10)
-        # A link counts as broken when two pings in a row get no response.
+        # A peer counts as reachable until two pings in a row get no response, or its connection breaks.
         reachable_for_s = 2 * (times.interval_s + times.timeout_s)
         self.connectivity = Connectivity(settings.member, reachable_for_s, time.monotonic)
         self._stop = threading.Event()
@@ -41,6 +41,6 @@
             client.start()
 
     def stop(self) -> None:
-        """Stop the threads."""
+        """Signal the threads to stop, and stop accepting connections; does not wait for the threads."""
         self._stop.set()
         self._server.close()
--- a/src/poppyhold/execution/direct_commands.py
+++ b/src/poppyhold/execution/direct_commands.py
@@ -44,7 +44,7 @@
         self._term_began_at = ctx.clock()
         # A token bucket: how many silent workers may be probed now, and when it was last refilled.
         self._probe_credit, self._probe_credit_at = ctx.silent_probes_per_interval, self._term_began_at
-        # Machines with queued commands. Iterating over all machines after every heartbeat took a tenth of
+        # Machines with queued commands. Iterating over all machines after every heartbeat takes a tenth of
         # the decision thread's time at 650 machines.
         self._outbox: dict[str, Machine] = {}
 
@@ -70,7 +70,7 @@
         """Probe a worker that lacks the term's fencing token, unless the fleet is large and the term new.
 
         After a change of leader every worker sends a heartbeat within an interval anyway. Probing each of
-        4,000 workers over its own connection delayed the handling of those heartbeats until leases expired.
+        4,000 workers over its own connection delays the handling of those heartbeats until leases expire.
         """
         ctx = self._ctx
         if (
--- a/src/poppyhold/execution/lease_expiry.py
+++ b/src/poppyhold/execution/lease_expiry.py
@@ -18,25 +18,28 @@
         self._ctx, self._lifecycle = ctx, lifecycle
         self.term_began_at = ctx.clock()
         # Names of machines that may run tasks of earlier terms: they are not reconciled in this term, and
-        # their leases may not have expired.
+        # their leases may still be valid. `Machine.reconciled` stays False if the lease expires.
         self.unreconciled: set[str] = set()
         self._all_reconciled_or_expired_logged = False
 
     def all_reconciled_or_expired(self) -> bool:
-        """Whether no unreconciled machine may run tasks of earlier terms."""
+        """Whether all machines that may run tasks of earlier terms are reconciled, expired or deleted."""
         if self.unreconciled:
             return False
         if not self._all_reconciled_or_expired_logged:
             self._all_reconciled_or_expired_logged = True
-            log.info("all machines reconciled: after_s=%.1f", self._ctx.clock() - self.term_began_at)
+            log.info(
+                "all machines reconciled or expired: since_term_began_s=%.1f",
+                self._ctx.clock() - self.term_began_at,
+            )
         return True
 
     def expire_leases(self, machine: Machine, now: float) -> None:
         """Remove the attempts on a silent worker if its lease has expired, whoever renewed it last."""
         durations = self._ctx.durations
         if machine.reconciled:
-            # The worker has the term's fencing token, so only this leader and its delegates could renew its
-            # lease, as long as no other controller led.
+            # The worker has the term's fencing token, so while this controller leads, only it and its
+            # delegates renew the lease. That it led until ``lease_valid_until`` is checked below.
             renewed_at = max(machine.last_answered_at, self._ctx.outbound.latest_delegated_renewal_at())
             lease_valid_until = renewed_at + durations.lease_expired_s
         else:
--- a/src/poppyhold/node/command_dispatcher.py
+++ b/src/poppyhold/node/command_dispatcher.py
@@ -100,7 +100,7 @@
         (self._slow_pool if slow_lane else self._fast_pool).submit(endpoint, body, on_response)
 
     def stop(self) -> None:
-        """Stop both pools."""
+        """Drop the queued commands of both pools, and end each thread after its current command."""
         self._fast_pool.stop()
         self._slow_pool.stop()
 
--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -1,4 +1,4 @@
-"""`Controller`, the decision core of one term: owns the fleet's state and does no I/O itself."""
+"""`Controller`, the decision core of one leadership term: holds the fleet's state and does no I/O itself."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 from poppyhold.wire.cloud_messages import MachineListing, MachineType
 from poppyhold.wire.worker_messages import Heartbeat, HeartbeatResponse
 
-# Silent workers probed per heartbeat interval, as a share of the connections.
+# Silent workers probed per heartbeat interval, as a share of the maximum connections of users and workers.
 _SILENT_PROBE_SHARE = 0.25
 # Saves of completions per heartbeat interval.
 _COMPLETION_SAVES_PER_INTERVAL = 2
 
 
 class Controller:
-    """Handles events in order, one at a time, and answers heartbeats.
+    """Handles events in order, one at a time, and answers heartbeats. A process has one only while it leads.
 
     The constructor creates and connects the components. The event handlers only delegate to the components
     that an event concerns.
@@ -114,7 +114,8 @@
     ) -> None:
         """Rebuild the state from durable records; workers' heartbeats complete it.
 
-        ``image_hints`` are the machines' images from earlier leaders' pings; they affect only preferences.
+        ``image_hints`` are the images cached on machines, from earlier leaders' pings; they affect only
+        preferences.
         """
         now = self.ctx.clock()
         self.ctx.image_hints = image_hints or {}
@@ -148,7 +149,7 @@
         return response
 
     def handle_job_accepted(self, entry: Entry) -> None:
-        """Handle a durable submission that the watch delivered."""
+        """Handle a durable submission that the watch of the state service delivered."""
         self._jobs.handle_accepted(entry)
 
     def handle_job_removed(self, key: str) -> None:
@@ -156,7 +157,7 @@
         self._jobs.handle_finalized(key.removeprefix(ACTIVE_JOB_PREFIX))
 
     def reconcile_active_jobs(self, entries: list[Entry]) -> None:
-        """Handle a restart of the watch: jobs missing from ``entries`` were finalized in the meantime."""
+        """Handle a restart of the state service's watch: jobs missing from ``entries`` were finalized."""
         present = {entry.key for entry in entries}
         for job_id in list(self.ctx.fleet.jobs):
             if ACTIVE_JOB_PREFIX + job_id not in present:
@@ -211,9 +212,10 @@
         }
 
     def excluded_machines(self) -> list[str] | None:
-        """Return the machines whose leases only this leader may renew; None before all are reconciled.
+        """Return the machines whose leases delegates must not renew; None: delegates must not renew any.
 
-        They run tasks of finalized jobs or unknown tasks, which must end in time: delegates must not renew.
+        The machines run tasks of finalized jobs or unknown tasks, which must end in time and which
+        delegates can't stop. None while a machine may run tasks of earlier terms.
         """
         if self.reconciler.lease_expiry.unreconciled:
             return None
@@ -235,7 +237,7 @@
 
     # -- callbacks between components ----------------------------------------------------------------
 
-    # Each is passed to a component that is constructed before the component that it calls.
+    # Each callback is passed to a component that is constructed before the one that the callback uses.
 
     def _on_fault_status_changed(self, job: Job) -> None:
         self.admission.fault_changed(job)
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -116,7 +116,7 @@
         self._stop.wait()
 
     def stop(self) -> None:
-        """Stop all threads of the node."""
+        """Signal all threads of the node to stop."""
         self._stop.set()
         self.election.stop()
         self.peers.stop()
--- a/src/poppyhold/scheduling/dispatch.py
+++ b/src/poppyhold/scheduling/dispatch.py
@@ -75,8 +75,8 @@
             and job.phase is JobPhase.ACTIVE
             and job.retry_at <= now
             and job.plan_durable
-            # Tasks that an earlier leader started may still run on a machine that is not reconciled yet;
-            # they would be started a second time.
+            # Tasks that an earlier leader started may still run on a machine that is neither
+            # reconciled nor expired; they would be started a second time.
             and (job.not_started_by_earlier_leaders or all_reconciled_or_expired)
         ]
         self._order.sort(jobs, now)
--- a/src/poppyhold/scheduling/free_capacity.py
+++ b/src/poppyhold/scheduling/free_capacity.py
@@ -1,8 +1,8 @@
 """Machines with free capacity, ranked by their scores for jobs; rankings are kept between scheduling cycles.
 
 Jobs with equal ranking keys share a ranking, and only machines whose free capacity has changed are scored
-again. Scoring every machine for each waiting job took 30 ms a job with 4,000 machines that had free capacity,
-so that a cycle reached ten jobs and the fleet started nine tasks a second.
+again. Scoring every machine for each waiting job takes 30 ms a job with 4,000 machines that have free
+capacity, so that a cycle reaches ten jobs and the fleet starts nine tasks a second.
 """
 
 from __future__ import annotations
--- a/src/poppyhold/scheduling/placement.py
+++ b/src/poppyhold/scheduling/placement.py
@@ -167,7 +167,7 @@
         objective_s = self._objectives_s.get(job.spec.job_class)
         if objective_s is not None and self.meets_objective(job, score):
             # Waits within the objective count less. Fast fetch rates are penalized to keep those machines for
-            # large images: with small images on them, each large one took twice its objective.
+            # large images: with small images on them, each large one takes twice its objective.
             fetch_gb_per_s = machine.machine_type.fetch_gb_per_s
             fastest_gb_per_s = max(self._fastest_fetch_gb_per_s, _MIN_FETCH_GB_PER_S)
             score = (
--- a/src/poppyhold/scheduling/planner.py
+++ b/src/poppyhold/scheduling/planner.py
@@ -38,7 +38,7 @@
 
 
 class Offer(msgspec.Struct, frozen=True):
-    """Capacity for up to ``max_tasks`` tasks on a machine, at a cost per task."""
+    """Capacity for up to ``max_tasks`` tasks on a machine; ``cost`` is that of one task in all its slots."""
 
     cost: float
     machine: str
@@ -47,7 +47,7 @@
 
 
 class _GroupOffer(NamedTuple):
-    """Capacity for up to ``max_tasks`` tasks on each machine of a group, at a cost per task."""
+    """Like `Offer`, for each machine of a group."""
 
     cost: float
     first_machine: str
@@ -96,7 +96,7 @@
     def _groups(self, job: Job) -> list[MachineGroup]:
         """Return the machines that a job may use, in groups of equivalent ones.
 
-        Most machines of a large fleet are equivalent, and pricing each of 650 machines in each slot took
+        Most machines of a large fleet are equivalent, and pricing each of 650 machines in each slot takes
         13 ms per plan.
         """
         return [group for group in self._ledger.groups() if self._may_use(job, group.bookings)]
@@ -110,7 +110,10 @@
         )
 
     def _candidate_zones(self, job: Job, groups: list[MachineGroup]) -> list[str | None]:
-        """Return the zones to plan on one at a time; None stands for all zones together."""
+        """Return the zones to make a plan for each; None stands for one plan across all zones.
+
+        The active tasks of a one-zone job keep it in their zone.
+        """
         if not job.spec.one_zone:
             return [None]
         occupied = [zone for zone, count in job.active_by_zone.items() if count > 0]
@@ -129,7 +132,8 @@
     ) -> list[Offer]:
         """Return offers for tasks that take the slots ``first`` to ``last``, cheapest first.
 
-        ``slot_fraction`` is the part of a slot that a task takes if several run in it one after another.
+        Tasks are priced and placed as if they needed ``slot_fraction`` of their resources for the whole slot:
+        several short ones can run one after another.
         Offers of a zone that already offers capacity for all ``tasks`` are omitted.
         """
         need = job.task_resources
@@ -159,7 +163,7 @@
     def _capacity_on(
         self, machine: MachineBookings, need: Resources, first: int, last: int, tasks: int
     ) -> tuple[int, float]:
-        """Return how many tasks fit on a machine in all of the slots, and the cost of one."""
+        """Return how many tasks fit on a machine in all of the slots, and the cost of one in all."""
         max_tasks, cost = tasks, 0.0
         own_slots: list[int] = []
         if machine.slots:
@@ -170,7 +174,7 @@
             if not max_tasks:
                 return 0, 0.0
             cost += price_of(need, prices)
-        # The other slots have only the bookings of every slot.
+        # Slots without bookings of their own have only those made for `EVERY_SLOT`, and cost the same.
         other_slots = last - first + 1 - len(own_slots)
         if other_slots:
             free, prices = machine.free_and_prices(EVERY_SLOT, self._pricing.unit_prices)
@@ -222,7 +226,8 @@
         units = self._units(job, tasks)
         offers = self._offers_by_slot(job, groups, span, tasks, slot_fraction)
         costs_by_slot = [self._unit_costs(job, offered, units) for offered in offers]
-        # cheapest[n]: least cost of starting n units in the slots so far; choices recover the plan.
+        # cheapest[n]: least cost of starting n units in the slots so far; choices[s][n]: how many of n
+        # units in the slots up to s start in s. `_starts` derives the plan from the choices.
         cheapest = [0.0] + [INFINITE_COST] * units.unit_count
         choices: list[list[int]] = []
         best_payoff, best_last_offset = -INFINITE_COST, -1
