--- a/src/poppyhold/relay/assignment.py
+++ b/src/poppyhold/relay/assignment.py
@@ -139,7 +139,7 @@
         respond: 0.5 s to reach the relay, 4 s without a response, and 1 s to reach the next controller.
         """
         now = self._clock()
-        self._record_return(machine, now)
+        self._record_return_to_leader(machine, now)
         self._direct.add(machine)
         if not self.accepts_relays or not self._zone_by_relay or not self._may_redirect(answered_at, now):
             return None
@@ -147,7 +147,7 @@
         if backoff is not None and now < backoff.direct_until:
             return None
         relay = self._choose(machine, zone, now)
-        if relay is None or self._should_stay_direct(zone, relay):
+        if relay is None or self._should_be_direct(zone, relay):
             return None
         self._budget.consume()
         self._pending_redirects[machine] = _PendingRedirect(relay, now)
@@ -162,15 +162,17 @@
         """
         now = self._clock()
         is_slow = self._health.is_slow(relay, now)
-        returns_to_leader = self._should_stay_direct(zone, relay) and zone not in self._zone_by_relay.values()
-        is_overloaded = self._worker_count_by_relay[relay] > self._max_workers()
+        should_return_to_leader = (
+            self._should_be_direct(zone, relay) and zone not in self._zone_by_relay.values()
+        )
+        is_overloaded = self._worker_count_by_relay[relay] > self._max_workers_per_relay()
         if self._relay_by_machine.get(machine) != relay or not (
-            is_slow or is_overloaded or returns_to_leader
+            is_slow or is_overloaded or should_return_to_leader
         ):
             return None
         if not self._may_redirect(answered_at, now):
             return None
-        if returns_to_leader:
+        if should_return_to_leader:
             target: str | None = self._member
         else:
             target = self._choose(machine, zone, now, exclude=relay) or (self._member if is_slow else None)
@@ -190,11 +192,11 @@
             other for other in self._zone_by_relay if other != member and self._health.is_healthy(other, now)
         )
         return LoadAdvice(
-            self._max_workers(),
+            self._max_workers_per_relay(),
             [other for other in others if self._worker_count_by_relay[other] < even_share],
         )
 
-    def _should_stay_direct(self, zone: str, relay: str) -> bool:
+    def _should_be_direct(self, zone: str, relay: str) -> bool:
         """Whether a worker of the leader's zone should use no relay of another zone.
 
         If all relays are in a zone that is partitioned off, redirected workers lose their leases: each relay
@@ -203,7 +205,7 @@
         depends_on_other_zone = zone == self._zone and self._zone_by_relay.get(relay) != zone
         return depends_on_other_zone and len(self._direct) <= self._max_direct_workers
 
-    def _record_return(self, machine: str, now: float) -> None:
+    def _record_return_to_leader(self, machine: str, now: float) -> None:
         """Record a failure of the relay of a worker that sent a direct heartbeat instead.
 
         The leader's responses through that relay did not reach the worker in time.
@@ -215,8 +217,8 @@
             return
         backoff = self._backoffs.setdefault(machine, _RelayBackoff())
         backoff.failures += 1
-        leases = min(2.0 ** (backoff.failures - 1), _MAX_BACKOFF_LEASES) * self._rng.uniform(1.0, 2.0)
-        backoff.direct_until = now + leases * self._durations.lease_s
+        backoff_leases = min(2.0 ** (backoff.failures - 1), _MAX_BACKOFF_LEASES) * self._rng.uniform(1.0, 2.0)
+        backoff.direct_until = now + backoff_leases * self._durations.lease_s
         self._health.record_failure(relay, now)
 
     # -- choice of a relay -------------------------------------------------------------------------
@@ -227,7 +229,7 @@
         Each worker has its own order of relays. When a relay connects or disconnects, only workers that rank
         it first or are assigned to it move.
         """
-        max_workers = self._max_workers()
+        max_workers = self._max_workers_per_relay()
         by_preference = sorted(
             (
                 member
@@ -247,7 +249,7 @@
             None,
         )
 
-    def _max_workers(self) -> int:
+    def _max_workers_per_relay(self) -> int:
         return math.ceil(MAX_LOAD_RATIO * self._worker_count / max(1, len(self._zone_by_relay)))
 
     def _may_redirect(self, answered_at: float, now: float) -> bool:
--- a/src/poppyhold/relay/link.py
+++ b/src/poppyhold/relay/link.py
@@ -93,43 +93,45 @@
             target = self._target()
             self._reconnection.record_leader(target, time.monotonic())
             if target in self._addresses:
-                self._connect(target)
+                self._run_connection(target)
             elif target is None and not self.is_open():
-                self._fail_all()
-            self._expire()
+                self._fail_pending()
+            self._expire_pending()
             self._stop.wait(self._timings.retry_interval_s * self._rng.uniform(0.5, 1.5))
-        self._fail_all()
+        self._fail_pending()
 
-    def _connect(self, target: str) -> None:
+    def _run_connection(self, target: str) -> None:
         try:
             with open_connection(self._addresses[target], self._timings.connect_timeout_s) as connection:
                 connection.settimeout(self._timings.keepalive_interval_s + self._timings.stall_timeout_s)
                 send_message(connection, self._hello)
-                self._serve(connection, target)
+                self._send_batches(connection, target)
         except (OSError, ValueError) as error:
             log.debug("relay connection ended: leader=%s error=%r", target, str(error))
         except Exception:
             # The thread must run as long as the process; it opens a new connection next.
             log.exception("relay connection failed unexpectedly: leader=%s", target)
 
-    def _serve(self, connection: socket.socket, target: str) -> None:
+    def _send_batches(self, connection: socket.socket, target: str) -> None:
         """Send batches until the connection is lost or the leader changes."""
         self._reconnection.connection_accepted(time.monotonic())
         with self._wake:
             self._in_flight.clear()
             self._round_trips.clear()
-        reader = threading.Thread(target=self._read, args=(connection,), name="relay answers", daemon=True)
+        reader = threading.Thread(
+            target=self._read, args=(connection,), name="relay response reader", daemon=True
+        )
         reader.start()
         try:
             while not self._stop.is_set() and self._target() == target and reader.is_alive():
-                self._send_next(connection)
+                self._wait_and_send_batch(connection)
         finally:
             # Closed only after the reader has ended: its descriptor could be reused for another connection.
             shut_down(connection)
             reader.join()
-            self._connection_lost(target)
+            self._on_connection_end(target)
 
-    def _send_next(self, connection: socket.socket) -> None:
+    def _wait_and_send_batch(self, connection: socket.socket) -> None:
         timings = self._timings
         with self._wake:
             if not self._queue.unsent_count and self._round_trips:
@@ -146,7 +148,7 @@
             batch = self._queue.next_batch(now, _MAX_BATCH_SIZE, min(self._round_trips, default=0.0))
             self._in_flight.append(now)
         send_message(connection, batch)
-        self._expire()
+        self._expire_pending()
 
     def _read(self, connection: socket.socket) -> None:
         try:
@@ -173,7 +175,7 @@
                 self._wake.notify()
         self._deliver(deliveries)
 
-    def _connection_lost(self, target: str) -> None:
+    def _on_connection_end(self, target: str) -> None:
         with self._wake:
             if self._connected:
                 self._connected = False
@@ -181,12 +183,12 @@
             self._queue.connection_lost()
         self._on_advice(0, [])
 
-    def _expire(self) -> None:
+    def _expire_pending(self) -> None:
         with self._wake:
             deliveries = self._queue.expire(time.monotonic())
         self._deliver(deliveries)
 
-    def _fail_all(self) -> None:
+    def _fail_pending(self) -> None:
         with self._wake:
             deliveries = self._queue.fail_all()
         self._deliver(deliveries)
--- a/src/poppyhold/wire/http_server.py
+++ b/src/poppyhold/wire/http_server.py
@@ -38,7 +38,7 @@
 # Method, path and version.
 _REQUEST_LINE_PARTS = 3
 # A connection that sends nothing for this multiple of a worker's grace is abandoned, and is closed.
-_IDLE_TIMEOUT_GRACES = 4
+_IDLE_TIMEOUT_RATIO = 4
 
 
 def http_response(status: int, body: dict[str, Any] | None = None, **headers: str) -> HttpResponse:
@@ -105,7 +105,7 @@
         elif not self.close_connection:
             # The other thread sends the response: at hundreds of heartbeats per second (650 machines), waking
             # this thread for each one would take a large part of a leader's time.
-            response(self._send_without_waiting)
+            response(self._send_without_blocking)
         else:
             self._await_response(response)
 
@@ -133,13 +133,13 @@
         sent = threading.Event()
 
         def send(response: HttpResponse) -> None:
-            self._send_without_waiting(response)
+            self._send_without_blocking(response)
             sent.set()
 
         deferred(send)
         sent.wait(self.server.idle_timeout_s)
 
-    def _send_without_waiting(self, response: HttpResponse) -> None:
+    def _send_without_blocking(self, response: HttpResponse) -> None:
         """Send without blocking; a connection that can't take the whole response is shut down."""
         data = self._encode(response)
         try:
@@ -176,10 +176,10 @@
 class HttpServer(socketserver.ThreadingMixIn, http.server.HTTPServer):
     """Serves at most ``max_connections`` connections, with one thread each.
 
-    At the limit, the connection that has been idle longest is closed for a new one, except workers': idle or
-    half-open connections could otherwise lock workers out until their leases expire. A worker's connection
-    loses this protection when idle for ``worker_grace_s``: after a network partition of a zone its workers
-    open new connections, and never close the old ones.
+    At the limit, the longest idle connection that isn't a worker's is closed to accept a new one: idle or
+    half-open connections could keep workers from connecting until their leases expire. A worker's connection
+    may be closed too once ``worker_protection_s`` have passed since its last 200: after a network partition
+    of a zone its workers open new connections, and never close the old ones.
     """
 
     daemon_threads = True
@@ -191,11 +191,11 @@
         address: tuple[str, int],
         handler: RequestHandler,
         max_connections: int,
-        worker_grace_s: float = 15.0,
+        worker_protection_s: float = 15.0,
     ) -> None:
         self.handle_http = handler
-        self._max_connections, self._worker_grace_s = max_connections, worker_grace_s
-        self.idle_timeout_s = worker_grace_s * _IDLE_TIMEOUT_GRACES
+        self._max_connections, self._worker_protection_s = max_connections, worker_protection_s
+        self.idle_timeout_s = worker_protection_s * _IDLE_TIMEOUT_RATIO
         # After a restart all workers and users connect at once.
         self.request_queue_size = max_connections
         # When each connection becomes closable: a worker's after its grace, others' at their last request.
@@ -228,8 +228,8 @@
         """Record a request on a connection; ``is_worker``: it is being answered as a worker's heartbeat."""
         with self._lock:
             if connection in self._protected_until:
-                grace_s = self._worker_grace_s if is_worker else 0.0
-                self._protected_until[connection] = time.monotonic() + grace_s
+                protection_s = self._worker_protection_s if is_worker else 0.0
+                self._protected_until[connection] = time.monotonic() + protection_s
 
     def shutdown_request(self, request: Any) -> None:
         """Close a connection."""
--- a/tests/test_relay_link.py
+++ b/tests/test_relay_link.py
@@ -147,7 +147,7 @@
         sequence = len(relayed.responses) + 1
         relayed.send(sequence)
         eventually(lambda sequence=sequence: len(relayed.responses) == sequence)  # type: ignore[misc]
-    readers = [thread for thread in threading.enumerate() if thread.name == "relay answers"]
+    readers = [thread for thread in threading.enumerate() if thread.name == "relay response reader"]
     assert len(readers) <= 1
 
 
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -282,7 +282,7 @@
 
 def test_worker_connections_past_their_grace_period_are_closed_for_new_ones() -> None:
     server = HttpServer(
-        ("127.0.0.1", 0), lambda method, path, body: http_response(200), 1, worker_grace_s=0.2
+        ("127.0.0.1", 0), lambda method, path, body: http_response(200), 1, worker_protection_s=0.2
     )
     threading.Thread(target=server.serve_forever, daemon=True).start()
     clients = [HttpClient("127.0.0.1", server.server_port) for _ in range(2)]
