--- a/src/poppyhold/scale/async_http.py
+++ b/src/poppyhold/scale/async_http.py
@@ -16,10 +16,10 @@
 # Method, path and body; the answer's status and body.
 Handler = Callable[[str, str, bytes], Awaitable[Status]]
 
-_LARGEST_HEAD = 16 * 1024
+_MAX_HEAD_BYTES = 16 * 1024
 
 
-class NoAnswerError(Exception):
+class NoResponseError(Exception):
     """The request got no answer: no connection, a broken one, or none in time."""
 
 
@@ -51,7 +51,7 @@
 
     async def start(self, port: int = 0) -> int:
         """Listen on loopback; returns the port."""
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", port, limit=_LARGEST_HEAD)
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", port, limit=_MAX_HEAD_BYTES)
         self.port = int(self._server.sockets[0].getsockname()[1])
         return self.port
 
@@ -100,14 +100,14 @@
                 return await self._exchange(method, path, encode(body) if body is not None else b"")
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError, MalformedError) as error:
             self.close()
-            raise NoAnswerError(str(error) or type(error).__name__) from error
+            raise NoResponseError(str(error) or type(error).__name__) from error
         except asyncio.CancelledError:
             self.close()
             raise
 
     async def _exchange(self, method: str, path: str, payload: bytes) -> Status:
         if self._streams is None:
-            self._streams = await asyncio.open_connection("127.0.0.1", self.port, limit=_LARGEST_HEAD)
+            self._streams = await asyncio.open_connection("127.0.0.1", self.port, limit=_MAX_HEAD_BYTES)
         reader, writer = self._streams
         head = f"{method} {path} HTTP/1.1\r\nContent-Length: {len(payload)}\r\n\r\n"
         writer.write(head.encode("latin-1") + payload)
--- a/src/poppyhold/scale/cell_checks.py
+++ b/src/poppyhold/scale/cell_checks.py
@@ -26,8 +26,8 @@
 from poppyhold.scale.violations import RuleViolations
 from poppyhold.wire.codec import convert
 
-_SLACK = 1e-6
-_LARGEST_PAGE = 1000
+_TOLERANCE = 1e-6
+_MAX_PAGE_ENTRIES = 1000
 _SAMPLE_S = 1.0
 
 
@@ -40,7 +40,7 @@
 
 def stored_view(state: StateStandIn) -> CellView:
     """A cell's shares as they are stored."""
-    entries = state.scan(QUOTA_PREFIX, "", _LARGEST_PAGE)[1]["entries"]
+    entries = state.scan(QUOTA_PREFIX, "", _MAX_PAGE_ENTRIES)[1]["entries"]
     cell = incarnation = ""
     teams, peers = [], []
     for entry in entries:
@@ -74,13 +74,13 @@
         self._network, self._clock = network, clock
         self.violations = RuleViolations()
         # Until then a trouble may hold up shares.
-        self.troubled_until = float("-inf")
+        self.grace_until = float("-inf")
         self._below_since: dict[str, float] = {}
         self.longest_below_s = 0.0
-        self._complete = False
+        self._allocations_complete = False
         self.use_links_up, self.use_links_cut = LimitUse(), LimitUse()
         self.links_cut_s = 0.0
-        self._looked_at: float | None = None
+        self._checked_at: float | None = None
         self.history = CellHistory(_SAMPLE_S)
 
     def clear(self) -> None:
@@ -91,7 +91,7 @@
 
     def started(self) -> None:
         """A task started somewhere: the limits must hold at this instant."""
-        if all(amount <= self._limits[team] + _SLACK for team, amount in self._used().items()):
+        if all(amount <= self._limits[team] + _TOLERANCE for team, amount in self._used().items()):
             return
         # These are upper bounds: tasks that ended since the last count are still in them.
         for run in self._runs:
@@ -106,23 +106,25 @@
 
     def _check_limits(self, used: Counter[str]) -> None:
         for team, amount in used.items():
-            if amount > self._limits[team] + _SLACK:
+            if amount > self._limits[team] + _TOLERANCE:
                 self.violations.add(f"quota over all cells: {team} uses {amount:g} of {self._limits[team]:g}")
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Look at everything once."""
         for run in self._runs:
             run.checks.count()
         used, waiting = self._used(), self._waiting()
         self._check_limits(used)
         self._check_guarantees(used, waiting)
-        self._note_use(used, waiting)
+        self._record_use(used, waiting)
         views = self._views()
-        self._check_shares(views)
-        self._note_sample(views)
+        self._check_allocations(views)
+        self._record_sample(views)
         # They are made one transaction after the other; from then on they are complete for ever.
-        self._complete = self._complete or all(len(view.teams) == len(self._limits) for view in views)
-        if self._complete:
+        self._allocations_complete = self._allocations_complete or all(
+            len(view.teams) == len(self._limits) for view in views
+        )
+        if self._allocations_complete:
             for problem in problems({view.cell: view for view in views}):
                 self.violations.add(f"shares: {problem}")
 
@@ -141,37 +143,37 @@
         views = self._views()
         return len(transfers_in_transit({view.cell: view for view in views}))
 
-    def _check_shares(self, views: Sequence[CellView]) -> None:
+    def _check_allocations(self, views: Sequence[CellView]) -> None:
         """No cell may use more than its own durable share, cut off or not."""
         for run, view in zip(self._runs, views, strict=True):
             for team in view.teams:
                 if team.allocation.accelerators.limit is None:
                     continue
                 limit, used = from_thousandths(team.allocation.accelerators.limit), run.checks.used[team.team]
-                if used > limit + _SLACK:
+                if used > limit + _TOLERANCE:
                     self.violations.add(f"share: {team.team} uses {used:g} of {limit:g} in {view.cell}")
 
-    def _note_use(self, used: Counter[str], waiting: Counter[str]) -> None:
+    def _record_use(self, used: Counter[str], waiting: Counter[str]) -> None:
         """What is in use of the limits of teams whose work waits, and for how long links are cut."""
-        now, is_whole = self._clock(), self._network.is_whole
-        if not is_whole and self._looked_at is not None:
-            self.links_cut_s += now - self._looked_at
-        self._looked_at = now
-        use = self.use_links_up if is_whole else self.use_links_cut
+        now, is_connected = self._clock(), self._network.is_connected
+        if not is_connected and self._checked_at is not None:
+            self.links_cut_s += now - self._checked_at
+        self._checked_at = now
+        use = self.use_links_up if is_connected else self.use_links_cut
         for team in (team for team in self._bound.guarantees if waiting[team]):
             use.add(used[team], self._limits[team])
 
-    def _note_sample(self, views: Sequence[CellView]) -> None:
+    def _record_sample(self, views: Sequence[CellView]) -> None:
         cells = [
-            CellSample(_total_share(view), float(sum(run.checks.used.values())))
+            CellSample(_allocated_accelerators(view), float(sum(run.checks.used.values())))
             for run, view in zip(self._runs, views, strict=True)
         ]
-        self.history.note(self._clock(), self._network.is_whole, cells)
+        self.history.record(self._clock(), self._network.is_connected, cells)
 
     def _check_guarantees(self, used: Counter[str], waiting: Counter[str]) -> None:
         now = self._clock()
         for team, guaranteed in self._bound.guarantees.items():
-            below = used[team] + 1 <= guaranteed and waiting[team] and now > self.troubled_until
+            below = used[team] + 1 <= guaranteed and waiting[team] and now > self.grace_until
             if not below:
                 self._below_since.pop(team, None)
                 continue
@@ -186,19 +188,21 @@
         """Tasks that wait in a cell on whose machines one fits, by team."""
         waiting: Counter[str] = Counter()
         for run in self._runs:
-            free_copies = max((worker.free_copies(_ONE, 1) for worker in run.fleet.standins()), default=0)
+            free_copies = max(
+                (worker.free_copies(_SMALLEST_TASK, 1) for worker in run.fleet.standins()), default=0
+            )
             if free_copies:
                 waiting.update(_unstarted(run.checks))
         return waiting
 
 
-def _total_share(view: CellView) -> float:
+def _allocated_accelerators(view: CellView) -> float:
     """Accelerators that all teams together may use in a cell."""
     return from_thousandths(sum(team.allocation.accelerators.limit or 0 for team in view.teams))
 
 
 # A task of one accelerator, the smallest that asks for a share of them.
-_ONE = {"cpus": 1.0, "accelerators": 1.0, "memGb": 1.0}
+_SMALLEST_TASK = {"cpus": 1.0, "accelerators": 1.0, "memGb": 1.0}
 
 
 def _unstarted(checks: RuleChecks) -> Counter[str]:
--- a/src/poppyhold/scale/cell_history.py
+++ b/src/poppyhold/scale/cell_history.py
@@ -50,7 +50,7 @@
         self._began_at = self._next_at = now
         self.samples = []
 
-    def note(self, now: float, links_up: bool, cells: list[CellSample]) -> None:
+    def record(self, now: float, links_up: bool, cells: list[CellSample]) -> None:
         """Take a sample if the last one is old enough."""
         if now < self._next_at:
             return
--- a/src/poppyhold/scale/cell_links.py
+++ b/src/poppyhold/scale/cell_links.py
@@ -9,7 +9,7 @@
 from poppyhold.scale.controllers import ControllerProcess, Link
 
 # From one cell to another, by their indexes.
-Way = tuple[int, int]
+Direction = tuple[int, int]
 
 
 class CuttableLink(Link):
@@ -21,16 +21,16 @@
     def __init__(self, target: int) -> None:
         super().__init__(target)
         # Whether what is asked, and what is answered, passes.
-        self.asking = asyncio.Event()
-        self.answering = asyncio.Event()
-        self.asking.set()
-        self.answering.set()
-
-    async def _may_pass(self, is_question: bool) -> bool:
-        way = self.asking if is_question else self.answering
-        if way.is_set():
+        self.requests_pass = asyncio.Event()
+        self.responses_pass = asyncio.Event()
+        self.requests_pass.set()
+        self.responses_pass.set()
+
+    async def _may_forward(self, is_request: bool) -> bool:
+        direction = self.requests_pass if is_request else self.responses_pass
+        if direction.is_set():
             return True
-        await way.wait()
+        await direction.wait()
         return False
 
 
@@ -38,44 +38,46 @@
     """All links between cells. A way that several cuts hold is open again when the last of them is over."""
 
     def __init__(self) -> None:
-        self._links: dict[Way, list[CuttableLink]] = {}
-        self._cuts: Counter[Way] = Counter()
+        self._links: dict[Direction, list[CuttableLink]] = {}
+        self._cuts: Counter[Direction] = Counter()
 
     @property
-    def is_whole(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether no way is cut."""
         return not any(self._cuts.values())
 
-    async def open(self, way: Way, controllers: Iterable[ControllerProcess]) -> list[CuttableLink]:
+    async def open(
+        self, direction: Direction, controllers: Iterable[ControllerProcess]
+    ) -> list[CuttableLink]:
         """Open a link from one cell to each controller of another."""
-        links = self._links[way] = [CuttableLink(each.back) for each in controllers]
+        links = self._links[direction] = [CuttableLink(each.back) for each in controllers]
         for link in links:
             await link.open()
         return links
 
-    def cut(self, ways: Iterable[Way]) -> None:
+    def cut(self, directions: Iterable[Direction]) -> None:
         """Let nothing pass these ways."""
-        for way in ways:
-            self._cuts[way] += 1
-            self._apply(way)
+        for direction in directions:
+            self._cuts[direction] += 1
+            self._apply(direction)
 
-    def heal(self, ways: Iterable[Way]) -> None:
+    def heal(self, directions: Iterable[Direction]) -> None:
         """End a cut of these ways."""
-        for way in ways:
-            self._cuts[way] = max(0, self._cuts[way] - 1)
-            self._apply(way)
+        for direction in directions:
+            self._cuts[direction] = max(0, self._cuts[direction] - 1)
+            self._apply(direction)
 
     def heal_all(self) -> None:
         """End every cut."""
         self._cuts.clear()
-        for way in self._links:
-            self._apply(way)
+        for direction in self._links:
+            self._apply(direction)
 
-    def _apply(self, way: Way) -> None:
+    def _apply(self, direction: Direction) -> None:
         """What one cell sends to another: its questions, and its answers to the other's."""
-        source, target = way
-        passes = not self._cuts[way]
+        source, target = direction
+        passes = not self._cuts[direction]
         for link in self._links[source, target]:
-            (link.asking.set if passes else link.asking.clear)()
+            (link.requests_pass.set if passes else link.requests_pass.clear)()
         for link in self._links[target, source]:
-            (link.answering.set if passes else link.answering.clear)()
+            (link.responses_pass.set if passes else link.responses_pass.clear)()
--- a/src/poppyhold/scale/cell_plot.py
+++ b/src/poppyhold/scale/cell_plot.py
@@ -40,7 +40,7 @@
     times = [sample.at_s for sample in result.samples]
     shares = [sample.cells[index].share for sample in result.samples]
     used = [sample.cells[index].used for sample in result.samples]
-    for start, end in _cuts(result):
+    for start, end in _cut_spans(result):
         axes.axvspan(start, end, color=_CUT_COLOR, zorder=0)
     axes.step(times, shares, where="post", color=_SHARE_COLOR, label="share of the limits")
     axes.step(times, used, where="post", color=_USED_COLOR, label="in use")
@@ -51,7 +51,7 @@
     axes.set_ylabel(f"cell {index}")
 
 
-def _cuts(result: CellsResult) -> Iterator[tuple[float, float]]:
+def _cut_spans(result: CellsResult) -> Iterator[tuple[float, float]]:
     """Spans of time, in seconds, in which some link was cut."""
     start: float | None = None
     for sample in result.samples:
--- a/src/poppyhold/scale/cells.py
+++ b/src/poppyhold/scale/cells.py
@@ -15,16 +15,16 @@
 
 from poppyhold.scale.cell_checks import CellChecks, GuaranteeBound
 from poppyhold.scale.cell_history import Sample
-from poppyhold.scale.cell_links import CellNetwork, Way
+from poppyhold.scale.cell_links import CellNetwork, Direction
 from poppyhold.scale.controllers import ControllerProcess, team_limits
 from poppyhold.scale.measure import Latency
-from poppyhold.scale.profile import Profile, Trouble
-from poppyhold.scale.result import Result, TroubleResult, print_result
+from poppyhold.scale.profile import Fault, Profile
+from poppyhold.scale.result import FaultResult, Result, print_result
 from poppyhold.scale.run import ScaleRun, StoppedError
 
-_LOOK_S, _WANDER_CHECK_S = 0.25, 0.2
+_CHECK_INTERVAL_S, _ROTATION_CHECK_S = 0.25, 0.2
 # The part of its arrivals that a cell gets while it is not its turn to get all of them.
-_OUT_OF_TURN = 0.15
+_OFF_TURN_ARRIVAL_SHARE = 0.15
 # Leases within which a guarantee is met: what a cell keeps back of what it used, the move, and a start.
 _GUARANTEE_LEASES = 2.5
 # The log line of a cell service that has credited a transfer.
@@ -53,7 +53,7 @@
     longest_below_guarantee_s: float
     guarantee_bound_s: float
     in_transit_at_the_end: int
-    troubles: list[TroubleResult]
+    troubles: list[FaultResult]
     samples: list[Sample]
     broken: list[str]
     broken_count: int
@@ -69,18 +69,18 @@
 
     def __init__(self, profile: Profile, seed: int, folder: Path) -> None:
         self._profile, self._seed, self._folder = profile, seed, folder
-        alone = msgspec.structs.replace(profile, troubles=[])
+        without_faults = msgspec.structs.replace(profile, troubles=[])
         self._runs = []
         for index in range(profile.cells):
-            own = folder / _name(index)
-            own.mkdir()
-            self._runs.append(ScaleRun(alone, seed * profile.cells + index, own))
+            cell_folder = folder / _name(index)
+            cell_folder.mkdir()
+            self._runs.append(ScaleRun(without_faults, seed * profile.cells + index, cell_folder))
         limits = team_limits(profile)
         guarantees = {team: float(round(limit * profile.team_guarantee)) for team, limit in limits.items()}
         self._bound = GuaranteeBound(_GUARANTEE_LEASES * profile.lease_s, guarantees)
         self._network = CellNetwork()
         self._checks = CellChecks(self._runs, limits, self._bound, self._network, time.monotonic)
-        self._troubles: list[TroubleResult] = []
+        self._troubles: list[FaultResult] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def play(self) -> CellsResult:
@@ -89,7 +89,7 @@
             async with asyncio.timeout(self._profile.most_s):
                 await self._prepare()
                 await self._measure()
-                await self._calm_down()
+                await self._drain()
             return self._result()
         except TimeoutError:
             raise StoppedError(f"not over within most_s = {self._profile.most_s:g} s") from None
@@ -107,8 +107,8 @@
         for run in self._runs:
             run.on_started = self._checks.started
         await asyncio.gather(*(run.begin() for run in self._runs))
-        for duty in (self._look(), self._wander(), self._burst()):
-            self._spawn(duty)
+        for coroutine in (self._check_periodically(), self._rotate_arrivals(), self._burst()):
+            self._spawn(coroutine)
         await self._wait(self._profile.warm_up_s)
 
     async def _connect(self) -> None:
@@ -120,13 +120,13 @@
             lines.append(f"  keep_leases: {self._profile.keep_leases} reserve: {self._profile.reserve}")
             for target, other in enumerate(self._runs):
                 if source != target:
-                    addresses = await self._open((source, target), other.controllers.all)
+                    addresses = await self._open_links((source, target), other.controllers.all)
                     name = f'name: "{_name(target)}" part: {self._part(target)}'
                     lines.append(f"  others {{ {name} {addresses} }}")
             run.controllers.add_options("\n".join([*lines, "}\n"]))
 
-    async def _open(self, way: Way, controllers: list[ControllerProcess]) -> str:
-        links = await self._network.open(way, controllers)
+    async def _open_links(self, direction: Direction, controllers: list[ControllerProcess]) -> str:
+        links = await self._network.open(direction, controllers)
         pairs = zip(controllers, links, strict=True)
         return " ".join(
             f'controllers {{ member: "{each.member}" address: "127.0.0.1:{link.port}" }}'
@@ -140,14 +140,14 @@
 
     # -- the load --------------------------------------------------------------------------------------
 
-    async def _wander(self) -> None:
+    async def _rotate_arrivals(self) -> None:
         """One cell after the other gets most of what arrives."""
         began_at = time.monotonic()
         while self._profile.wander_s > 0:
             turn = int((time.monotonic() - began_at) / self._profile.wander_s) % len(self._runs)
             for index, run in enumerate(self._runs):
-                run.users.part_of_arrivals = 1.0 if index == turn else _OUT_OF_TURN
-            await asyncio.sleep(_WANDER_CHECK_S)
+                run.users.arrival_share = 1.0 if index == turn else _OFF_TURN_ARRIVAL_SHARE
+            await asyncio.sleep(_ROTATION_CHECK_S)
 
     async def _burst(self) -> None:
         """Users of all cells submit at the same instants."""
@@ -156,10 +156,10 @@
                 run.users.burst(self._profile.burst_jobs)
             await asyncio.sleep(self._profile.burst_every_s)
 
-    async def _look(self) -> None:
+    async def _check_periodically(self) -> None:
         while True:
-            self._checks.look()
-            await asyncio.sleep(_LOOK_S)
+            self._checks.check()
+            await asyncio.sleep(_CHECK_INTERVAL_S)
 
     # -- measuring -------------------------------------------------------------------------------------
 
@@ -173,49 +173,47 @@
             await self._cause(trouble)
         await self._wait(began_at + self._profile.measured_s - time.monotonic())
 
-    async def _cause(self, trouble: Trouble) -> None:
+    async def _cause(self, trouble: Fault) -> None:
         over_at = time.monotonic() + trouble.away_s + 2 * self._profile.lease_s
-        self._checks.troubled_until = max(self._checks.troubled_until, over_at)
+        self._checks.grace_until = max(self._checks.grace_until, over_at)
         if trouble.kind.startswith("cut_links"):
             self._cut(trouble)
         else:
             await self._runs[trouble.cell].cause(trouble)
 
-    def _cut(self, trouble: Trouble) -> None:
+    def _cut(self, trouble: Fault) -> None:
         """Cut the way from a cell to the next one, or both ways."""
         source, target = trouble.cell, (trouble.cell + 1) % len(self._runs)
-        ways = [(source, target)]
+        directions = [(source, target)]
         if trouble.kind == "cut_links":
-            ways.append((target, source))
-        self._network.cut(ways)
-        self._troubles.append(
-            TroubleResult(trouble.kind, trouble.at_s, f"{_name(source)} to {_name(target)}")
-        )
+            directions.append((target, source))
+        self._network.cut(directions)
+        self._troubles.append(FaultResult(trouble.kind, trouble.at_s, f"{_name(source)} to {_name(target)}"))
 
         async def heal() -> None:
             await asyncio.sleep(trouble.away_s)
-            self._network.heal(ways)
+            self._network.heal(directions)
 
         self._spawn(heal())
 
-    async def _calm_down(self) -> None:
+    async def _drain(self) -> None:
         """No more load or links that are cut: what is on its way arrives."""
         self._profile = msgspec.structs.replace(self._profile, burst_jobs=0)
         self._network.heal_all()
         for run in self._runs:
-            run.users.part_of_arrivals = 0.0
-        await self._until(lambda: not self._checks.in_transit(), 3 * self._profile.lease_s)
-        self._checks.look()
+            run.users.arrival_share = 0.0
+        await self._wait_until(lambda: not self._checks.in_transit(), 3 * self._profile.lease_s)
+        self._checks.check()
 
-    async def _until(self, holds: Callable[[], bool], most_s: float) -> None:
+    async def _wait_until(self, holds: Callable[[], bool], most_s: float) -> None:
         until = time.monotonic() + most_s
         while not holds() and time.monotonic() < until:
-            await self._wait(_LOOK_S)
+            await self._wait(_CHECK_INTERVAL_S)
 
     # -- duties ----------------------------------------------------------------------------------------
 
-    def _spawn(self, duty: Coroutine[Any, Any, None]) -> None:
-        self._tasks.add(asyncio.create_task(duty))
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        self._tasks.add(asyncio.create_task(coroutine))
 
     async def _wait(self, seconds: float) -> None:
         """Wait in all cells; a duty that failed anywhere ends the run."""
@@ -230,7 +228,7 @@
             for line in log.read_text(encoding="utf-8", errors="replace").splitlines():
                 found = CREDIT_LINE.search(line)
                 if found is not None:
-                    waits.note(float(found.group(1)))
+                    waits.record(float(found.group(1)))
         return waits
 
     def _result(self) -> CellsResult:
@@ -272,7 +270,7 @@
     return await CellsRun(profile, seed, folder).play()
 
 
-def _in_words(part: float | None) -> str:
+def _format_part(part: float | None) -> str:
     return "no work waited" if part is None else f"{part:.3f}"
 
 
@@ -289,7 +287,7 @@
         (", links up", result.part_of_limits_in_use_links_up),
         (", links cut", result.part_of_limits_in_use_links_cut),
     ):
-        table.add_row(f"part of the limits in use while work waits{name}", _in_words(part))
+        table.add_row(f"part of the limits in use while work waits{name}", _format_part(part))
     table.add_row("links cut, s", f"{result.links_cut_s:.0f}")
     below = f"{result.longest_below_guarantee_s:.1f} (bound {result.guarantee_bound_s:.1f})"
     table.add_row("longest below a guarantee, s", below)
--- a/src/poppyhold/scale/checks.py
+++ b/src/poppyhold/scale/checks.py
@@ -10,8 +10,8 @@
 from poppyhold.scale.worker_standin import WorkerStandIn
 
 Data = dict[str, Any]
-_FINAL = ("done", "cancelled")
-_SLACK = 1e-6
+_FINAL_STATUSES = ("done", "cancelled")
+_TOLERANCE = 1e-6
 
 
 class RuleChecks:
@@ -31,7 +31,7 @@
         self._reported_status: dict[str, str] = {}
         self._finished: Counter[str] = Counter()
         # Jobs that had a task on a machine.
-        self._begun: set[str] = set()
+        self._started_jobs: set[str] = set()
         self._placed: dict[str, WorkerStandIn] = {}
         # Upper bounds of what teams use, from the last exact count on.
         self._used: Counter[str] = Counter()
@@ -45,11 +45,11 @@
         if before is not None and before is not worker and not before.gone and task in before.on_machine():
             self.violations.add(f"ran_twice: {task} on {before.name} and {worker.name}")
         self._placed[task] = worker
-        self._begun.add(job_id)
+        self._started_jobs.add(job_id)
         job = self.jobs[job_id]
         team = job["crew"]
         self._used[team] += job["accelerators"]
-        if self._used[team] > self._limits[team] + _SLACK:
+        if self._used[team] > self._limits[team] + _TOLERANCE:
             # The bound is not exact: tasks that ended since the last count are still in it.
             self.count()
         self._check_cancelled(job_id, task)
@@ -76,15 +76,15 @@
                 used[job["crew"]] += job["accelerators"]
                 self._check_cancelled(job_id, task)
         for team, amount in used.items():
-            if amount > self._limits[team] + _SLACK:
+            if amount > self._limits[team] + _TOLERANCE:
                 self.violations.add(f"quota: {team} uses {amount:g} of {self._limits[team]:g}")
         self._used = used
         return running
 
     def _check_cancelled(self, job_id: str, task: str) -> None:
-        late_at = self._cancelled_at.get(job_id, float("inf")) + self._cancel_s
-        if self._clock() > late_at:
-            self.violations.add(f"ran_cancelled: {task}, {self._clock() - late_at:.1f} s too late")
+        deadline = self._cancelled_at.get(job_id, float("inf")) + self._cancel_s
+        if self._clock() > deadline:
+            self.violations.add(f"ran_cancelled: {task}, {self._clock() - deadline:.1f} s too late")
 
     # -- what users hear ---------------------------------------------------------------------------
 
@@ -99,7 +99,7 @@
         if status != 200:  # noqa: PLR2004 (HTTP's own number)
             return
         reported, before = body["status"], self._reported_status.get(job_id)
-        if before in _FINAL and reported != before:
+        if before in _FINAL_STATUSES and reported != before:
             self.violations.add(f"went_back: {job_id} from {before} to {reported}")
         if reported == "done" and self._finished[job_id] < self.jobs[job_id]["chores"]:
             self.violations.add(f"not_done: {job_id} after {self._finished[job_id]} tasks")
@@ -109,8 +109,8 @@
 
     def waits(self, job_id: str) -> bool:
         """Whether a job is accepted, not over, and had no task on a machine yet."""
-        return self._reported_status.get(job_id) == "pending" and job_id not in self._begun
+        return self._reported_status.get(job_id) == "pending" and job_id not in self._started_jobs
 
     def is_final(self, job_id: str) -> bool:
         """Whether its user has heard that the job is over."""
-        return self._reported_status.get(job_id) in _FINAL
+        return self._reported_status.get(job_id) in _FINAL_STATUSES
--- a/src/poppyhold/scale/cloud_standin.py
+++ b/src/poppyhold/scale/cloud_standin.py
@@ -18,7 +18,7 @@
         self.down = False
         self.failing = 0
         self._count = 0
-        self._past: list[tuple[float, list[Data]]] = []
+        self._listings: list[tuple[float, list[Data]]] = []
 
     def add(self, build: str, zone: str, spot: bool, status: str = "starting") -> str:
         """Bring a machine into being."""
@@ -64,7 +64,7 @@
             return 503, {"error": "trouble"}
         now = self._clock()
         seen: list[Data] = []
-        for at, boxes in self._past:
+        for at, boxes in self._listings:
             if at <= now - self._lag_s:
                 seen = boxes
         return 200, {"boxes": seen, "more": False}
@@ -76,7 +76,7 @@
             {**{k: v for k, v in m.items() if k not in ("at", "boot_s")}, "heldS": now - m["at"]}
             for m in self.machines.values()
         ]
-        self._past.append((now, boxes))
-        while len(self._past) > 1 and self._past[1][0] <= now - self._lag_s:
+        self._listings.append((now, boxes))
+        while len(self._listings) > 1 and self._listings[1][0] <= now - self._lag_s:
             # Something newer is old enough to be shown.
-            del self._past[0]
+            del self._listings[0]
--- a/src/poppyhold/scale/controllers.py
+++ b/src/poppyhold/scale/controllers.py
@@ -12,16 +12,16 @@
 import sys
 from pathlib import Path
 
-from poppyhold.scale.async_http import Connection, NoAnswerError
+from poppyhold.scale.async_http import Connection, NoResponseError
 from poppyhold.scale.external_services import CLOUD_LAG_S, CLOUD_RPS
 from poppyhold.scale.measure import ProcessMeter
 from poppyhold.scale.profile import Profile
 
-_PIECE = 64 * 1024
-_POLL_S = 0.05
-_END_S = 5.0
-_PORTS = range(15_000, 32_000)
-_given_ports: set[int] = set()
+_CHUNK_BYTES = 64 * 1024
+_POLL_INTERVAL_S = 0.05
+_KILL_WAIT_S = 5.0
+_PORT_RANGE = range(15_000, 32_000)
+_allocated_ports: set[int] = set()
 
 
 def free_port() -> int:
@@ -31,12 +31,12 @@
     of some fifty that several cells need at once, two were the same in one run, and one controller never
     began.
     """
-    for port in random.sample(_PORTS, len(_PORTS)):
-        if port in _given_ports:
+    for port in random.sample(_PORT_RANGE, len(_PORT_RANGE)):
+        if port in _allocated_ports:
             continue
         with socket.socket() as probe, contextlib.suppress(OSError):
             probe.bind(("127.0.0.1", port))
-            _given_ports.add(port)
+            _allocated_ports.add(port)
             return port
     raise OSError("no port is free")
 
@@ -67,24 +67,25 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            there, back = await asyncio.open_connection("127.0.0.1", self._target)
+            target_reader, target_writer = await asyncio.open_connection("127.0.0.1", self._target)
         except OSError:
             writer.close()
             return
         await asyncio.gather(
-            self._pump(reader, back, is_question=True), self._pump(there, writer, is_question=False)
+            self._forward(reader, target_writer, is_request=True),
+            self._forward(target_reader, writer, is_request=False),
         )
 
-    async def _may_pass(self, is_question: bool) -> bool:
+    async def _may_forward(self, is_request: bool) -> bool:
         """Whether what was read may go on; if not, its connection ends."""
         return True
 
-    async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_question: bool
+    async def _forward(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_request: bool
     ) -> None:
         try:
-            while data := await reader.read(_PIECE):
-                if not await self._may_pass(is_question):
+            while data := await reader.read(_CHUNK_BYTES):
+                if not await self._may_forward(is_request):
                     return
                 self.bytes += len(data)
                 writer.write(data)
@@ -127,22 +128,22 @@
         """End the process without a word."""
         if self._process is not None:
             self._process.kill()
-            self._process.wait(_END_S)
+            self._process.wait(_KILL_WAIT_S)
             self._process = None
         for link in self.links.values():
             link.close()
 
-    def freeze(self) -> None:
+    def suspend(self) -> None:
         """Let the process stand still."""
         if self._process is not None:
             self._process.send_signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Let it go on, if it stands still."""
         if self._process is not None:
             self._process.send_signal(signal.SIGCONT)
 
-    def note_end(self) -> bool:
+    def poll_exit(self) -> bool:
         """Whether the process ended by itself since the last call."""
         if self._process is None or self._process.poll() is None:
             return False
@@ -183,7 +184,7 @@
         """The port of each controller for users and workers."""
         return {controller.member: controller.port for controller in self.all}
 
-    def named(self, member: str) -> ControllerProcess:
+    def get(self, member: str) -> ControllerProcess:
         """The controller of that name."""
         return next(controller for controller in self.all if controller.member == member)
 
@@ -194,7 +195,7 @@
             try:
                 _, writer = await asyncio.open_connection("127.0.0.1", controller.back)
             except OSError:
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
                 continue
             writer.close()
             for link in controller.links.values():
@@ -209,16 +210,16 @@
                 if (await connection.request("GET", "/ready", None, 1.0))[0] == 200:  # noqa: PLR2004
                     connection.close()
                     return
-            except NoAnswerError:
+            except NoResponseError:
                 pass
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
     def kill_all(self) -> None:
         """End every process."""
         for controller in self.all:
             controller.kill()
 
-    def bytes_between(self) -> int:
+    def peer_bytes(self) -> int:
         """What controllers sent one another, both ways."""
         return sum(link.bytes for controller in self.all for link in controller.links.values())
 
--- a/src/poppyhold/scale/external_services.py
+++ b/src/poppyhold/scale/external_services.py
@@ -17,7 +17,7 @@
 from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.wire.codec import decode
 
-_TICK_S = 0.02
+_WATCH_POLL_S = 0.02
 CLOUD_RPS, CLOUD_LATENCY_S, CLOUD_LAG_S = 4.0, 0.08, 8.0
 
 
@@ -25,17 +25,17 @@
     """So many a second, with bursts of a given number of seconds' worth."""
 
     def __init__(self, per_second: float, burst_s: float) -> None:
-        self._per_second, self._most = per_second, per_second * burst_s
-        self._left, self._at = self._most, time.monotonic()
+        self._per_second, self._burst = per_second, per_second * burst_s
+        self._available, self._refilled_at = self._burst, time.monotonic()
 
     def take(self, amount: float = 1.0) -> bool:
         """Whether that much is within the limit; if not, nothing is taken."""
         now = time.monotonic()
-        self._left = min(self._most, self._left + (now - self._at) * self._per_second)
-        self._at = now
-        if self._left < amount:
+        self._available = min(self._burst, self._available + (now - self._refilled_at) * self._per_second)
+        self._refilled_at = now
+        if self._available < amount:
             return False
-        self._left -= amount
+        self._available -= amount
         return True
 
 
@@ -73,31 +73,33 @@
                 self.refused["changes"] += 1
                 return HTTPStatus.TOO_MANY_REQUESTS, {}
             self.writes += changes
-            self._note_quota(writes)
+            self._count_quota_writes(writes)
         if path.startswith("/follow"):
-            return await self._follow(parse_query(path)[1])
+            return await self._watch(parse_query(path)[1])
         await asyncio.sleep(self._latency_s * self._rng.uniform(0.5, 2.0))
         return state_route(self.standin, method, path, body)
 
-    def _note_quota(self, writes: list[dict[str, object]]) -> None:
+    def _count_quota_writes(self, writes: list[dict[str, object]]) -> None:
         """Count what is written of shares."""
         count = sum(str(write.get("set")).startswith(QUOTA_PREFIX) for write in writes)
         self.quota_writes += count
         self.quota_commits += count > 0
 
-    async def _follow(self, asked: dict[str, str]) -> Status:
-        until = time.monotonic() + float(asked.get("holdMs", 0)) / 1000
-        seen = int(asked["since"])
+    async def _watch(self, query: dict[str, str]) -> Status:
+        until = time.monotonic() + float(query.get("holdMs", 0)) / 1000
+        seen = int(query["since"])
         if self.standin.is_too_old(seen):
             return HTTPStatus.GONE, {}
         while True:
-            events = self.standin.changes(asked["prefix"], int(asked["since"])) if self._is_news(seen) else []
+            events = (
+                self.standin.changes(query["prefix"], int(query["since"])) if self._has_changes(seen) else []
+            )
             seen = self.standin.ledger
             if events or time.monotonic() >= until:
                 return HTTPStatus.OK, {"ledger": self.standin.ledger, "events": events}
-            await asyncio.sleep(_TICK_S)
+            await asyncio.sleep(_WATCH_POLL_S)
 
-    def _is_news(self, seen: int) -> bool:
+    def _has_changes(self, seen: int) -> bool:
         self.standin.expire()
         return self.standin.ledger > seen
 
--- a/src/poppyhold/scale/measure.py
+++ b/src/poppyhold/scale/measure.py
@@ -9,16 +9,16 @@
 import psutil
 from hdrh.histogram import HdrHistogram
 
-_LOWEST_US, _HIGHEST_US, _DIGITS = 1, 600_000_000, 2
+_LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS = 1, 600_000_000, 2
 
 
 class Latency:
     """A histogram of spans of time."""
 
     def __init__(self) -> None:
-        self._histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+        self._histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS)
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Add a span."""
         self._histogram.record_value(min(_HIGHEST_US, max(_LOWEST_US, int(seconds * 1e6))))
 
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         self._by_second: Counter[int] = Counter()
 
-    def note(self) -> None:
+    def record(self) -> None:
         """One event, now."""
         self._by_second[int(time.monotonic())] += 1
 
--- a/src/poppyhold/scale/profile.py
+++ b/src/poppyhold/scale/profile.py
@@ -43,7 +43,7 @@
     cancelled: float = 0.0
 
 
-class Trouble(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Something that happens at a moment of the measured time."""
 
     at_s: float
@@ -112,7 +112,7 @@
     limits: ControllerLimits = ControllerLimits()
     machine_types: list[MachineShape]
     jobs: list[JobClass]
-    troubles: list[Trouble] = []
+    troubles: list[Fault] = []
 
 
 # Fields that must be within bounds for a run to mean anything.
@@ -178,10 +178,10 @@
     for index, job in enumerate(profile.jobs):
         _check_job(f"jobs[{index}]", job, profile)
     for index, trouble in enumerate(profile.troubles):
-        _check_trouble(f"troubles[{index}]", trouble, profile)
+        _check_fault(f"troubles[{index}]", trouble, profile)
 
 
-def _check_trouble(where: str, trouble: Trouble, profile: Profile) -> None:
+def _check_fault(where: str, trouble: Fault, profile: Profile) -> None:
     if not 0 <= trouble.cell < profile.cells:
         raise ValueError(f"{where}.cell: there are {profile.cells} cells")
     if trouble.kind.startswith("cut_links") and profile.cells == 1:
--- a/src/poppyhold/scale/result.py
+++ b/src/poppyhold/scale/result.py
@@ -21,7 +21,7 @@
     ended_by_itself: int
 
 
-class TroubleResult(msgspec.Struct):
+class FaultResult(msgspec.Struct):
     """What a trouble did."""
 
     kind: str
@@ -51,7 +51,7 @@
     counts: dict[str, float]
     state_requests: dict[str, int]
     statuses: dict[str, int]
-    troubles: list[TroubleResult]
+    troubles: list[FaultResult]
     broken: list[str]
     broken_count: int
     # Why the run was cut short, if it was.
--- a/src/poppyhold/scale/routes.py
+++ b/src/poppyhold/scale/routes.py
@@ -9,7 +9,7 @@
 from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.wire.codec import decode
 
-_LARGEST_LIST = 500
+_MAX_LIST_ENTRIES = 500
 
 
 def parse_query(path: str) -> tuple[str, dict[str, str]]:
@@ -20,7 +20,7 @@
 
 def state_route(state: StateStandIn, method: str, path: str, body: bytes) -> Status:
     """Every call to the state service but `/follow`, which waits."""
-    path, asked = parse_query(path)
+    path, query = parse_query(path)
     if path == "/commit":
         return state.commit(decode(body))
     if path == "/leases":
@@ -29,26 +29,26 @@
         lease_id = int(path.split("/")[2])
         return state.end(lease_id) if method == "DELETE" else state.extend(lease_id)
     if path == "/kv":
-        return state.scan(asked["prefix"], asked.get("since", ""), int(asked.get("most", 1000)))
+        return state.scan(query["prefix"], query.get("since", ""), int(query.get("most", 1000)))
     return state.get(path.removeprefix("/kv/"))
 
 
 def cloud_route(cloud: CloudStandIn, method: str, path: str, body: bytes) -> Status:
     """Every call to the cloud; what a deletion ends is the caller's to carry out."""
-    path, asked = parse_query(path)
+    path, query = parse_query(path)
     if path == "/machine_types":
         return 200, {"builds": cloud.machine_types}
     if path == "/machines/delete":
         return cloud.delete(decode(body)["boxes"])
     if method == "POST":
         return cloud.launch(decode(body))
-    return _page(cloud.listing(), asked)
+    return _page(cloud.listing(), query)
 
 
-def _page(listing: Status, asked: dict[str, str]) -> Status:
+def _page(listing: Status, query: dict[str, str]) -> Status:
     status, body = listing
     if "boxes" not in body:
         return listing
-    since, most = asked.get("since", ""), min(int(asked.get("most", _LARGEST_LIST)), _LARGEST_LIST)
+    since, most = query.get("since", ""), min(int(query.get("most", _MAX_LIST_ENTRIES)), _MAX_LIST_ENTRIES)
     later: list[dict[str, Any]] = [box for box in body["boxes"] if box["nameId"] > since]
     return status, {"boxes": later[:most], "more": len(later) > most}
--- a/src/poppyhold/scale/run.py
+++ b/src/poppyhold/scale/run.py
@@ -20,12 +20,12 @@
 from poppyhold.scale.external_services import StateService
 from poppyhold.scale.fleet import Fleet
 from poppyhold.scale.measure import Latency, ProcessMeter
-from poppyhold.scale.profile import Profile, Trouble
-from poppyhold.scale.result import ControllerResult, Result, TroubleResult
+from poppyhold.scale.profile import Fault, Profile
+from poppyhold.scale.result import ControllerResult, FaultResult, Result
 from poppyhold.scale.users import Users
 from poppyhold.scale.worker_standin import WorkerStandIn
 
-_SAMPLE_S, _PROGRESS_S, _COUNT_S, _LOOP_S, _WATCH_S = 1.0, 5.0, 0.5, 0.05, 0.02
+_SAMPLE_S, _PROGRESS_S, _COUNT_S, _LOOP_CHECK_S, _OUTAGE_POLL_S = 1.0, 5.0, 0.5, 0.05, 0.02
 # Listing a process's connections takes long where there are thousands.
 _SAMPLES_PER_LISTING = 10
 
@@ -44,11 +44,11 @@
         limits = team_limits(profile)
         self.checks = RuleChecks(self._standins, limits, profile.cancel_s, time.monotonic)
         self.state = StateService(profile.state, self._rng)
-        self._loop_late = Latency()
+        self._loop_delay = Latency()
         self._load = ProcessMeter()
         self._load.follow(os.getpid())
-        self._led: set[str] = set()
-        self._troubles: list[TroubleResult] = []
+        self._leaders: set[str] = set()
+        self._troubles: list[FaultResult] = []
         self._stopped: str | None = None
         self._began_at = time.monotonic()
         self._measured_at: float | None = None
@@ -110,10 +110,10 @@
         await asyncio.gather(*(self.controllers.start(each) for each in self.controllers.all))
         self._spawn(self._watch_processes())
         await asyncio.gather(*(self.controllers.ready(each) for each in self.controllers.all))
-        self._say("controllers are ready")
+        self._print("controllers are ready")
         await self.fleet.boot()
-        for duty in (self.fleet.run(), self._count(), self._watch_loop(), self.users.run()):
-            self._spawn(duty)
+        for coroutine in (self.fleet.run(), self._count(), self._measure_loop_delay(), self.users.run()):
+            self._spawn(coroutine)
 
     async def _measure(self) -> None:
         """The measured time, with its troubles."""
@@ -129,56 +129,56 @@
         self.users.clear()
         self.fleet.figures.clear()
         self.state.clear()
-        self._loop_late.clear()
+        self._loop_delay.clear()
         for meter in self._meters():
             meter.clear()
         self._processors = psutil.cpu_times()
-        self._bytes_before = self.controllers.bytes_between()
+        self._bytes_before = self.controllers.peer_bytes()
         self._measured_at = time.monotonic()
         # Who leads as it begins is noted as one that led.
         self._leader()
 
     # -- troubles ----------------------------------------------------------------------------------
 
-    async def cause(self, trouble: Trouble) -> None:
+    async def cause(self, trouble: Fault) -> None:
         """Let something happen."""
         if trouble.kind == "restart_workers":
             count = self.fleet.restart_share(trouble.share, trouble.away_s)
-            self._troubles.append(TroubleResult(trouble.kind, trouble.at_s, f"{count} workers"))
+            self._troubles.append(FaultResult(trouble.kind, trouble.at_s, f"{count} workers"))
             return
         member = self._leader()
         if member is None:
-            self._troubles.append(TroubleResult(trouble.kind, trouble.at_s, "nobody led"))
+            self._troubles.append(FaultResult(trouble.kind, trouble.at_s, "nobody led"))
             return
-        controller = self.controllers.named(member)
+        controller = self.controllers.get(member)
         if trouble.kind == "freeze_leader":
-            self._troubles.append(TroubleResult(trouble.kind, trouble.at_s, member))
-            controller.freeze()
-            self._spawn(self._thaw(controller, trouble.away_s))
+            self._troubles.append(FaultResult(trouble.kind, trouble.at_s, member))
+            controller.suspend()
+            self._spawn(self._resume_after(controller, trouble.away_s))
             return
         controller.kill()
-        result = TroubleResult(trouble.kind, trouble.at_s, member)
+        result = FaultResult(trouble.kind, trouble.at_s, member)
         self._troubles.append(result)
-        self._spawn(self._watch_gap(controller, time.monotonic(), result))
-        self._spawn(self._bring_back(controller, trouble.away_s))
+        self._spawn(self._measure_outage(controller, time.monotonic(), result))
+        self._spawn(self._restart_after(controller, trouble.away_s))
 
-    async def _watch_gap(
-        self, controller: ControllerProcess, killed_at: float, result: TroubleResult
+    async def _measure_outage(
+        self, controller: ControllerProcess, killed_at: float, result: FaultResult
     ) -> None:
         while (leader := self._leader()) is None or leader == controller.member:
-            await asyncio.sleep(_WATCH_S)
+            await asyncio.sleep(_OUTAGE_POLL_S)
         result.without_leader_s = time.monotonic() - killed_at
         answered = self.fleet.figures.answered.total
         while self.fleet.figures.answered.total == answered:
-            await asyncio.sleep(_WATCH_S)
+            await asyncio.sleep(_OUTAGE_POLL_S)
         result.without_answers_s = time.monotonic() - killed_at
 
     @staticmethod
-    async def _thaw(controller: ControllerProcess, away_s: float) -> None:
+    async def _resume_after(controller: ControllerProcess, away_s: float) -> None:
         await asyncio.sleep(away_s)
-        controller.thaw()
+        controller.resume()
 
-    async def _bring_back(self, controller: ControllerProcess, away_s: float) -> None:
+    async def _restart_after(self, controller: ControllerProcess, away_s: float) -> None:
         await asyncio.sleep(away_s)
         await self.controllers.start(controller)
 
@@ -186,13 +186,13 @@
         held = self.state.standin.keys.get(LEADER_KEY)
         member = held[0]["member"] if held is not None else None
         if member is not None and self._measured_at is not None:
-            self._led.add(member)
+            self._leaders.add(member)
         return member
 
     # -- duties beside the load --------------------------------------------------------------------
 
-    def _spawn(self, duty: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(duty)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._background.add(task)
 
     async def wait(self, seconds: float) -> None:
@@ -214,15 +214,15 @@
             self._running = self.checks.count()
             await asyncio.sleep(_COUNT_S)
 
-    async def _watch_loop(self) -> None:
+    async def _measure_loop_delay(self) -> None:
         while True:
             before = time.monotonic()
-            await asyncio.sleep(_LOOP_S)
-            self._loop_late.note(max(0.0, time.monotonic() - before - _LOOP_S))
+            await asyncio.sleep(_LOOP_CHECK_S)
+            self._loop_delay.record(max(0.0, time.monotonic() - before - _LOOP_CHECK_S))
 
     async def _watch_processes(self) -> None:
         """Sample processes, keep the memory's bound, and tell how far the run is."""
-        samples, told_at = 0, 0.0
+        samples, printed_at = 0, 0.0
         most_mb = psutil.virtual_memory().total / 2**20 * self.profile.most_memory
         while True:
             samples += 1
@@ -232,28 +232,28 @@
             if used_mb > most_mb:
                 raise StoppedError(f"used {used_mb:.0f} MB of {most_mb:.0f}")
             for controller in self.controllers.all:
-                if controller.note_end():
-                    self._say(f"{controller.member} ended by itself")
+                if controller.poll_exit():
+                    self._print(f"{controller.member} ended by itself")
                     await self.controllers.start(controller)
-            if time.monotonic() - told_at > _PROGRESS_S:
-                told_at = time.monotonic()
-                self._tell()
+            if time.monotonic() - printed_at > _PROGRESS_S:
+                printed_at = time.monotonic()
+                self._print_progress()
             await asyncio.sleep(_SAMPLE_S)
 
     def _meters(self) -> list[ProcessMeter]:
         return [*(controller.meter for controller in self.controllers.all), self._load]
 
-    def _tell(self) -> None:
+    def _print_progress(self) -> None:
         figures = self.fleet.figures
         phase = "measured" if self._measured_at is not None else "warming up"
-        self._say(
+        self._print(
             f"{phase}: {len(self.fleet.workers)} workers, {self._running} tasks, "
             f"{figures.answered.total} reports answered, {figures.failed.total} failed, "
             f"{figures.leases_lost} leases lost, {self.checks.violations.count} broken, "
             f"leader {self._leader()}"
         )
 
-    def _say(self, text: str) -> None:
+    def _print(self, text: str) -> None:
         print(f"{time.monotonic() - self._began_at:6.1f} s  {text}", file=sys.stderr, flush=True)
 
     # -- the end -----------------------------------------------------------------------------------
@@ -271,15 +271,15 @@
             self.fleet.cloud.server.close()
         self.state.server.close()
 
-    def _stolen(self) -> float:
+    def _steal_share(self) -> float:
         """What the host of a virtual machine gave to others of its processors, as a share of all their time.
 
         Latencies of a run with much of it say more of the host than of the controllers.
         """
         now = psutil.cpu_times()
         total = sum(now) - sum(self._processors)
-        stolen = getattr(now, "steal", 0.0) - getattr(self._processors, "steal", 0.0)
-        return stolen / total if total > 0 else 0.0
+        steal = getattr(now, "steal", 0.0) - getattr(self._processors, "steal", 0.0)
+        return steal / total if total > 0 else 0.0
 
     def result(self) -> Result:
         """What was found so far."""
@@ -288,7 +288,7 @@
         began = self._measured_at or time.monotonic()
         span = max(0.001, time.monotonic() - began)
         figures, users = self.fleet.figures, self.users
-        bytes_between = self.controllers.bytes_between() - self._bytes_before
+        peer_bytes = self.controllers.peer_bytes() - self._bytes_before
         starts = {f"start, {name}": latency.summary() for name, latency in users.starts.items()}
         return Result(
             profile=msgspec.to_builtins(self.profile),
@@ -297,11 +297,11 @@
             workers_up=len(self.fleet.workers),
             tasks_running=self._running,
             controllers=[
-                ControllerResult(c.member, c.zone, c.member in self._led, c.meter.use, c.ended_by_itself)
+                ControllerResult(c.member, c.zone, c.member in self._leaders, c.meter.use, c.ended_by_itself)
                 for c in self.controllers.all
             ],
             load=self._load.use,
-            loop_late=self._loop_late.summary(),
+            loop_late=self._loop_delay.summary(),
             latencies={
                 "report": figures.heartbeats.summary(),
                 "submission": users.submissions.summary(),
@@ -316,11 +316,11 @@
                 "starts a second, best 5 s": users.started.peak(),
                 "direct commands a second": figures.direct_commands.total / span,
                 "bytes a second and worker, reports": figures.bytes / span / max(1, len(self.fleet.workers)),
-                "bytes a second between controllers": bytes_between / span,
+                "bytes a second between controllers": peer_bytes / span,
                 "bytes a second at the state service": self.state.server.bytes / span,
                 "requests a second at the state service": sum(self.state.requests.values()) / span,
                 "changes a second at the state service": self.state.writes / span,
-                "share of this machine's processors taken by others": self._stolen(),
+                "share of this machine's processors taken by others": self._steal_share(),
             },
             counts={
                 "leases lost": figures.leases_lost,
--- a/src/poppyhold/scale/simulated_worker.py
+++ b/src/poppyhold/scale/simulated_worker.py
@@ -12,7 +12,7 @@
 import time
 from http import HTTPStatus
 
-from poppyhold.scale.async_http import Connection, HttpServer, NoAnswerError
+from poppyhold.scale.async_http import Connection, HttpServer, NoResponseError
 from poppyhold.scale.measure import Latency, Rate
 from poppyhold.scale.responses import Data, Status
 from poppyhold.scale.worker_standin import WorkerStandIn
@@ -20,7 +20,7 @@
 
 # What PROTOCOL says of every worker: its patience, its pause before the next node, the least time between two
 # heartbeats, and the longest way to the node that it was sent to.
-_PATIENCE_S, _NEXT_NODE_S, _LEAST_BETWEEN_S, _REDIRECTION_S = 4.0, 1.0, 0.5, 0.5
+_HEARTBEAT_TIMEOUT_S, _NEXT_NODE_DELAY_S, _MIN_HEARTBEAT_GAP_S, _MAX_REDIRECT_DELAY_S = 4.0, 1.0, 0.5, 0.5
 
 
 class WorkerFigures:
@@ -63,12 +63,12 @@
         self._names = list(nodes)
         self._node = rng.choice(self._names)
         self._connection = Connection(nodes[self._node])
-        self._server = HttpServer(self._direct)
-        self._news = asyncio.Event()
+        self._server = HttpServer(self._handle_command)
+        self._wake = asyncio.Event()
         self._next_heartbeat = time.monotonic() + rng.uniform(0.0, heartbeat_interval_s)
-        self._earliest = 0.0
-        self._away_until = 0.0
-        self._fencing_token_told_at = float("-inf")
+        self._earliest_heartbeat = 0.0
+        self._offline_until = 0.0
+        self._fencing_token_sent_at = float("-inf")
 
     async def listen(self) -> None:
         """Take direct commands; the address goes with the heartbeats."""
@@ -80,24 +80,24 @@
         self.standin.gone = True
         self._server.close()
         self._connection.close()
-        self._news.set()
+        self._wake.set()
 
     def restart(self, away_s: float) -> None:
         """The machine restarts: nothing of its tasks is left, and it is silent meanwhile."""
         self._figures.tasks_lost += len(self.standin.on_machine())
-        self._away_until = time.monotonic() + away_s
+        self._offline_until = time.monotonic() + away_s
         self._connection.close()
         self.standin.restart()
-        self.standin.answered_sent_at = self._away_until
+        self.standin.answered_sent_at = self._offline_until
 
-    async def _direct(self, method: str, path: str, body: bytes) -> Status:
-        if time.monotonic() < self._away_until or self.standin.gone:
+    async def _handle_command(self, method: str, path: str, body: bytes) -> Status:
+        if time.monotonic() < self._offline_until or self.standin.gone:
             raise ValueError("nobody is there")
         if path == "/show":
             return HTTPStatus.OK, self.standin.heartbeat()
-        self._figures.direct_commands.note()
+        self._figures.direct_commands.record()
         status, heartbeat = self.standin.do(decode(body))
-        self._news.set()
+        self._wake.set()
         return status, heartbeat
 
     # -- heartbeats -----------------------------------------------------------------------------------
@@ -107,7 +107,7 @@
         while not self.standin.gone:
             await self._wait()
             now = time.monotonic()
-            if now < self._away_until or self.standin.gone:
+            if now < self._offline_until or self.standin.gone:
                 continue
             tasks, incarnation = len(self.standin.on_machine()), self.standin.incarnation
             changed = self.standin.step()
@@ -116,61 +116,61 @@
                 self._figures.tasks_lost += tasks
             if changed:
                 self._next_heartbeat = min(self._next_heartbeat, now)
-            if now >= max(self._next_heartbeat, self._earliest):
+            if now >= max(self._next_heartbeat, self._earliest_heartbeat):
                 await self._heartbeat()
 
     async def _wait(self) -> None:
         """Sleep until something is due: a heartbeat, a task's next step, or the end of the lease."""
-        due = max(self._next_heartbeat, self._earliest)
-        due = max(min(due, self.standin.next_change_at()), self._away_until)
-        self._news.clear()
+        due = max(self._next_heartbeat, self._earliest_heartbeat)
+        due = max(min(due, self.standin.next_change_at()), self._offline_until)
+        self._wake.clear()
         try:
             async with asyncio.timeout(max(0.001, due - time.monotonic())):
-                await self._news.wait()
+                await self._wake.wait()
         except TimeoutError:
             return
 
     async def _heartbeat(self) -> None:
         now = time.monotonic()
         self._next_heartbeat = now + self._heartbeat_interval_s * self._rng.uniform(0.75, 1.25)
-        self._earliest = now + _LEAST_BETWEEN_S
+        self._earliest_heartbeat = now + _MIN_HEARTBEAT_GAP_S
         body, incarnation = self.standin.heartbeat(), self.standin.incarnation
         before = self._connection.bytes
         try:
-            status, answer = await self._connection.request("POST", "/hello", body, _PATIENCE_S)
-        except NoAnswerError:
+            status, answer = await self._connection.request("POST", "/hello", body, _HEARTBEAT_TIMEOUT_S)
+        except NoResponseError:
             status, answer = 0, {}
         self._figures.bytes += self._connection.bytes - before
         if status == HTTPStatus.OK:
-            self._figures.heartbeats.note(time.monotonic() - now)
-            self._figures.answered.note()
-            self._take(answer, now, incarnation)
-        elif status == HTTPStatus.MISDIRECTED_REQUEST and self._is_elsewhere(answer.get("foreman")):
-            self._figures.redirected.note()
-            self._turn_to(answer["foreman"], self._rng.uniform(0.0, _REDIRECTION_S))
+            self._figures.heartbeats.record(time.monotonic() - now)
+            self._figures.answered.record()
+            self._apply_response(answer, now, incarnation)
+        elif status == HTTPStatus.MISDIRECTED_REQUEST and self._is_other_node(answer.get("foreman")):
+            self._figures.redirected.record()
+            self._switch_node(answer["foreman"], self._rng.uniform(0.0, _MAX_REDIRECT_DELAY_S))
         else:
-            self._figures.failed.note()
-            following = self._names[(self._names.index(self._node) + 1) % len(self._names)]
-            self._turn_to(following, _NEXT_NODE_S)
+            self._figures.failed.record()
+            next_node = self._names[(self._names.index(self._node) + 1) % len(self._names)]
+            self._switch_node(next_node, _NEXT_NODE_DELAY_S)
 
-    def _is_elsewhere(self, node: object) -> bool:
+    def _is_other_node(self, node: object) -> bool:
         return node in self._nodes and node != self._node
 
-    def _turn_to(self, node: str, pause_s: float) -> None:
+    def _switch_node(self, node: str, pause_s: float) -> None:
         self._connection.close()
         self._node = node
         self._connection = Connection(self._nodes[node])
-        self._next_heartbeat = self._earliest = time.monotonic() + pause_s
+        self._next_heartbeat = self._earliest_heartbeat = time.monotonic() + pause_s
 
-    def _take(self, answer: Data, sent_at: float, incarnation: int) -> None:
+    def _apply_response(self, answer: Data, sent_at: float, incarnation: int) -> None:
         fencing_token, tasks = self.standin.fencing_token, len(self.standin.tasks)
         self.standin.answered(answer, sent_at, incarnation)
         now = time.monotonic()
         if (
             self.standin.fencing_token > fencing_token
-            and now - self._fencing_token_told_at > self._heartbeat_interval_s
+            and now - self._fencing_token_sent_at > self._heartbeat_interval_s
         ):
-            self._fencing_token_told_at = now
+            self._fencing_token_sent_at = now
             self._next_heartbeat = now
         if answer["orders"] or len(self.standin.tasks) != tasks:
             self._next_heartbeat = now
--- a/src/poppyhold/scale/users.py
+++ b/src/poppyhold/scale/users.py
@@ -8,19 +8,19 @@
 from collections import Counter
 from http import HTTPStatus
 
-from poppyhold.scale.async_http import Connection, NoAnswerError
+from poppyhold.scale.async_http import Connection, NoResponseError
 from poppyhold.scale.checks import RuleChecks
 from poppyhold.scale.jobs import submission, wire
 from poppyhold.scale.measure import Latency, Rate
 from poppyhold.scale.profile import JobClass, Profile
 from poppyhold.scale.responses import Data, Status
 
-_SUBMISSION_PATIENCE_S, _QUESTION_PATIENCE_S, _POLL_S = 5.0, 2.0, 5.0
-_RETRY_S, _LONGEST_RETRY_S, _GIVE_UP_S = 1.0, 30.0, 60.0
+_SUBMISSION_TIMEOUT_S, _POLL_TIMEOUT_S, _POLL_INTERVAL_S = 5.0, 2.0, 5.0
+_RETRY_S, _MAX_RETRY_S, _SUBMISSION_DEADLINE_S = 1.0, 30.0, 60.0
 _UNAVAILABLE = (429, 503, 504)
 _IMAGES, _IMAGE_GB = 4, 1.0
 # Connections that users have open at a time.
-_CONNECTIONS = 128
+_MAX_CONNECTIONS = 128
 
 
 class Users:
@@ -31,13 +31,13 @@
     ) -> None:
         self._profile, self._nodes, self._checks, self._rng = profile, nodes, checks, rng
         self._idle: list[Connection] = []
-        self._slots = asyncio.Semaphore(_CONNECTIONS)
-        self._count = 0
+        self._connection_slots = asyncio.Semaphore(_MAX_CONNECTIONS)
+        self._job_count = 0
         self._tasks: set[asyncio.Task[None]] = set()
         # The part of the arrivals that come here now; of several cells one has most of them at a time.
-        self.part_of_arrivals = 1.0
+        self.arrival_share = 1.0
         self._sent_at: dict[str, float] = {}
-        self._begun: set[str] = set()
+        self._started_tasks: set[str] = set()
         self.submissions, self.polls = Latency(), Latency()
         self.starts = {job.name: Latency() for job in profile.jobs}
         self.started = Rate()
@@ -60,12 +60,12 @@
 
     def task_started(self, task: str) -> None:
         """A task is on its machine: note how long that took from the first try to submit its job, once."""
-        self.started.note()
-        if task in self._begun:
+        self.started.record()
+        if task in self._started_tasks:
             return
-        self._begun.add(task)
+        self._started_tasks.add(task)
         job_id = task.rpartition("/")[0]
-        self.starts[self._checks.jobs[job_id]["lot"]].note(time.monotonic() - self._sent_at[job_id])
+        self.starts[self._checks.jobs[job_id]["lot"]].record(time.monotonic() - self._sent_at[job_id])
 
     # -- jobs --------------------------------------------------------------------------------------
 
@@ -73,23 +73,23 @@
         """Submit what is there at the start, and then what comes."""
         for job in self._profile.jobs:
             for _ in range(job.initial):
-                self._begin(job)
-        arrivals = [self._arrive(job) for job in self._profile.jobs if job.per_second > 0]
+                self._create_job(job)
+        arrivals = [self._generate_arrivals(job) for job in self._profile.jobs if job.per_second > 0]
         await asyncio.gather(*arrivals)
 
-    async def _arrive(self, job: JobClass) -> None:
+    async def _generate_arrivals(self, job: JobClass) -> None:
         while True:
             await asyncio.sleep(self._rng.expovariate(job.per_second))
-            if self._rng.random() < self.part_of_arrivals:
-                self._begin(job)
+            if self._rng.random() < self.arrival_share:
+                self._create_job(job)
 
     def burst(self, count: int) -> None:
         """So many jobs of the first class come at one instant."""
         for _ in range(count):
-            self._begin(self._profile.jobs[0])
+            self._create_job(self._profile.jobs[0])
 
-    def _begin(self, job: JobClass) -> None:
-        self._count += 1
+    def _create_job(self, job: JobClass) -> None:
+        self._job_count += 1
         fields = {
             "lot": job.name,
             "crew": f"team-{self._rng.randrange(self._profile.teams)}",
@@ -104,54 +104,52 @@
             "guessS": job.run_s,
             "runs": job.run_s * self._rng.uniform(0.67, 1.33),
         }
-        body = submission(f"job-{self._count:06d}", fields)
+        body = submission(f"job-{self._job_count:06d}", fields)
         self._checks.jobs[body["nameId"]] = body
-        task = asyncio.create_task(self._follow(body, self._rng.random() < job.cancelled))
+        task = asyncio.create_task(self._track_job(body, self._rng.random() < job.cancelled))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _follow(self, job: Data, cancels: bool) -> None:
+    async def _track_job(self, job: Data, cancels: bool) -> None:
         job_id = job["nameId"]
         if not await self._submit(job):
             return
         cancel_at = time.monotonic() + job["runs"] * self._rng.uniform(0.1, 1.0) if cancels else float("inf")
         while not self._checks.is_final(job_id):
-            await asyncio.sleep(_POLL_S * self._rng.uniform(0.8, 1.2))
+            await asyncio.sleep(_POLL_INTERVAL_S * self._rng.uniform(0.8, 1.2))
             if time.monotonic() >= cancel_at:
-                await self._ask(job_id, "POST", "/abort")
+                await self._request_job(job_id, "POST", "/abort")
             else:
-                await self._ask(job_id, "GET", "")
+                await self._request_job(job_id, "GET", "")
 
     async def _submit(self, job: Data) -> bool:
         began = self._sent_at[job["nameId"]] = time.monotonic()
-        while time.monotonic() - began < _GIVE_UP_S:
-            status, _ = await self._request("POST", "/api/jobs", wire(job), _SUBMISSION_PATIENCE_S)
+        while time.monotonic() - began < _SUBMISSION_DEADLINE_S:
+            status, _ = await self._request("POST", "/api/jobs", wire(job), _SUBMISSION_TIMEOUT_S)
             self.statuses[status] += 1
             if status in (HTTPStatus.OK, HTTPStatus.CREATED):
-                self.submissions.note(time.monotonic() - began)
+                self.submissions.record(time.monotonic() - began)
                 self._checks.accepted(job)
                 return True
             await asyncio.sleep(_RETRY_S * self._rng.uniform(1.0, 1.5))
         self.given_up += 1
         return False
 
-    async def _ask(self, job_id: str, method: str, action: str) -> None:
+    async def _request_job(self, job_id: str, method: str, action: str) -> None:
         began = time.monotonic()
         body: Data | None = {} if method == "POST" else None
-        status, answer = await self._request(
-            method, f"/api/jobs/{job_id}{action}", body, _QUESTION_PATIENCE_S
-        )
+        status, answer = await self._request(method, f"/api/jobs/{job_id}{action}", body, _POLL_TIMEOUT_S)
         if status == HTTPStatus.OK:
-            self.polls.note(time.monotonic() - began)
+            self.polls.record(time.monotonic() - began)
         self._checks.answered(job_id, status, answer)
 
     async def _request(self, method: str, path: str, body: Data | None, timeout_s: float) -> Status:
         """One request at some controller; status 0 if there was no answer."""
-        async with self._slots:
+        async with self._connection_slots:
             connection = self._idle.pop() if self._idle else self._connect()
             try:
                 status, answer = await connection.request(method, path, body, timeout_s)
-            except NoAnswerError:
+            except NoResponseError:
                 return 0, {}
             if status in _UNAVAILABLE:
                 connection.close()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -277,17 +277,17 @@
     forward, backward = asyncio.run(links())
     network.cut([there, back])
     network.cut([there])
-    assert not forward.asking.is_set()
-    assert not backward.asking.is_set()
+    assert not forward.requests_pass.is_set()
+    assert not backward.requests_pass.is_set()
     network.heal([there, back])
-    assert backward.asking.is_set()
+    assert backward.requests_pass.is_set()
     # What is sent that way is also the answers to the other cell's questions.
-    assert not forward.asking.is_set()
-    assert not backward.answering.is_set()
-    assert not network.is_whole
+    assert not forward.requests_pass.is_set()
+    assert not backward.responses_pass.is_set()
+    assert not network.is_connected
     network.heal([there])
-    assert forward.asking.is_set()
-    assert network.is_whole
+    assert forward.requests_pass.is_set()
+    assert network.is_connected
 
 
 def test_use_with_links_up_and_cut_is_added_up_apart() -> None:
@@ -300,10 +300,10 @@
 
 def test_samples_keep_to_their_interval_from_the_measured_time_on() -> None:
     history = CellHistory(1.0)
-    history.note(100.0, True, [CellSample(2.0, 1.0)])
+    history.record(100.0, True, [CellSample(2.0, 1.0)])
     history.begin(200.0)
     for now in (200.25, 200.5, 201.25, 201.5):
-        history.note(now, now < 201, [CellSample(2.0, 1.0)])
+        history.record(now, now < 201, [CellSample(2.0, 1.0)])
     assert [(sample.at_s, sample.links_up) for sample in history.samples] == [(0.25, True), (1.25, False)]
 
 
