--- a/src/poppyhold/scale/__main__.py
+++ b/src/poppyhold/scale/__main__.py
@@ -86,7 +86,7 @@
     if args.relays is not None:
         profile = msgspec.structs.replace(profile, relays=args.relays)
     if args.cells is not None:
-        profile = msgspec.structs.replace(profile, cells=args.cells, troubles=[])
+        profile = msgspec.structs.replace(profile, cells=args.cells, faults=[])
     if args.plot is not None and not _is_of_cells(profile):
         print(f"poppyhold.scale: --plot: {profile.name} is a run of one cell", file=sys.stderr)
         return 2
--- a/src/poppyhold/scale/cell_plot.py
+++ b/src/poppyhold/scale/cell_plot.py
@@ -12,7 +12,7 @@
 from poppyhold.scale.cells import CellsResult
 
 _WIDTH_IN, _HEIGHT_OF_A_CELL_IN = 11.0, 2.2
-_SHARE_COLOR, _USED_COLOR, _CUT_COLOR, _TROUBLE_COLOR = "tab:blue", "tab:orange", "0.88", "tab:red"
+_SHARE_COLOR, _USED_COLOR, _CUT_COLOR, _FAULT_COLOR = "tab:blue", "tab:orange", "0.88", "tab:red"
 
 
 def plot_cells(result: CellsResult, path: Path) -> None:
@@ -44,9 +44,9 @@
         axes.axvspan(start, end, color=_CUT_COLOR, zorder=0)
     axes.step(times, shares, where="post", color=_SHARE_COLOR, label="share of the limits")
     axes.step(times, used, where="post", color=_USED_COLOR, label="in use")
-    for trouble in result.cells[index].troubles:
-        axes.axvline(trouble.at_s, color=_TROUBLE_COLOR, linestyle=":")
-        axes.annotate(trouble.kind, (trouble.at_s, 0), color=_TROUBLE_COLOR, fontsize="x-small")
+    for fault in result.cells[index].faults:
+        axes.axvline(fault.at_s, color=_FAULT_COLOR, linestyle=":")
+        axes.annotate(fault.kind, (fault.at_s, 0), color=_FAULT_COLOR, fontsize="x-small")
     axes.set_ylim(bottom=0)
     axes.set_ylabel(f"cell {index}")
 
--- a/src/poppyhold/scale/cells.py
+++ b/src/poppyhold/scale/cells.py
@@ -53,7 +53,7 @@
     longest_below_guarantee_s: float
     guarantee_bound_s: float
     in_transit_at_the_end: int
-    troubles: list[FaultResult]
+    faults: list[FaultResult] = msgspec.field(name="troubles")
     samples: list[Sample]
     broken: list[str]
     broken_count: int
@@ -69,7 +69,7 @@
 
     def __init__(self, profile: Profile, seed: int, folder: Path) -> None:
         self._profile, self._seed, self._folder = profile, seed, folder
-        without_faults = msgspec.structs.replace(profile, troubles=[])
+        without_faults = msgspec.structs.replace(profile, faults=[])
         self._runs = []
         for index in range(profile.cells):
             cell_folder = folder / _name(index)
@@ -80,7 +80,7 @@
         self._bound = GuaranteeBound(_GUARANTEE_LEASES * profile.lease_s, guarantees)
         self._network = CellNetwork()
         self._checks = CellChecks(self._runs, limits, self._bound, self._network, time.monotonic)
-        self._troubles: list[FaultResult] = []
+        self._faults: list[FaultResult] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def play(self) -> CellsResult:
@@ -168,30 +168,30 @@
             run.clear()
         self._checks.clear()
         began_at = time.monotonic()
-        for trouble in sorted(self._profile.troubles, key=lambda trouble: trouble.at_s):
-            await self._wait(began_at + trouble.at_s - time.monotonic())
-            await self._cause(trouble)
+        for fault in sorted(self._profile.faults, key=lambda fault: fault.at_s):
+            await self._wait(began_at + fault.at_s - time.monotonic())
+            await self._inject(fault)
         await self._wait(began_at + self._profile.measured_s - time.monotonic())
 
-    async def _cause(self, trouble: Fault) -> None:
-        over_at = time.monotonic() + trouble.away_s + 2 * self._profile.lease_s
+    async def _inject(self, fault: Fault) -> None:
+        over_at = time.monotonic() + fault.away_s + 2 * self._profile.lease_s
         self._checks.grace_until = max(self._checks.grace_until, over_at)
-        if trouble.kind.startswith("cut_links"):
-            self._cut(trouble)
+        if fault.kind.startswith("cut_links"):
+            self._cut(fault)
         else:
-            await self._runs[trouble.cell].cause(trouble)
+            await self._runs[fault.cell].inject(fault)
 
-    def _cut(self, trouble: Fault) -> None:
+    def _cut(self, fault: Fault) -> None:
         """Cut the way from a cell to the next one, or both ways."""
-        source, target = trouble.cell, (trouble.cell + 1) % len(self._runs)
+        source, target = fault.cell, (fault.cell + 1) % len(self._runs)
         directions = [(source, target)]
-        if trouble.kind == "cut_links":
+        if fault.kind == "cut_links":
             directions.append((target, source))
         self._network.cut(directions)
-        self._troubles.append(FaultResult(trouble.kind, trouble.at_s, f"{_name(source)} to {_name(target)}"))
+        self._faults.append(FaultResult(fault.kind, fault.at_s, f"{_name(source)} to {_name(target)}"))
 
         async def heal() -> None:
-            await asyncio.sleep(trouble.away_s)
+            await asyncio.sleep(fault.away_s)
             self._network.heal(directions)
 
         self._spawn(heal())
@@ -252,7 +252,7 @@
             longest_below_guarantee_s=self._checks.longest_below_s,
             guarantee_bound_s=self._bound.seconds,
             in_transit_at_the_end=in_transit,
-            troubles=self._troubles,
+            faults=self._faults,
             samples=self._checks.history.samples,
             broken=broken,
             broken_count=self._checks.violations.count + bool(in_transit),
@@ -292,8 +292,8 @@
     below = f"{result.longest_below_guarantee_s:.1f} (bound {result.guarantee_bound_s:.1f})"
     table.add_row("longest below a guarantee, s", below)
     console.print(table)
-    for trouble in result.troubles:
-        console.print(f"{trouble.kind} at {trouble.at_s:.0f} s: {trouble.what}")
+    for fault in result.faults:
+        console.print(f"{fault.kind} at {fault.at_s:.0f} s: {fault.what}")
     for line in result.broken:
         console.print(f"BROKEN {line}", style="red")
     console.print("ok over all cells" if result.ok else "FAILED over all cells")
--- a/src/poppyhold/scale/profile.py
+++ b/src/poppyhold/scale/profile.py
@@ -112,7 +112,7 @@
     limits: ControllerLimits = ControllerLimits()
     machine_types: list[MachineShape]
     jobs: list[JobClass]
-    troubles: list[Fault] = []
+    faults: list[Fault] = msgspec.field(name="troubles", default=[])
 
 
 # Fields that must be within bounds for a run to mean anything.
@@ -177,16 +177,16 @@
         raise ValueError("machine_types: must name one")
     for index, job in enumerate(profile.jobs):
         _check_job(f"jobs[{index}]", job, profile)
-    for index, trouble in enumerate(profile.troubles):
-        _check_fault(f"troubles[{index}]", trouble, profile)
+    for index, fault in enumerate(profile.faults):
+        _check_fault(f"troubles[{index}]", fault, profile)
 
 
-def _check_fault(where: str, trouble: Fault, profile: Profile) -> None:
-    if not 0 <= trouble.cell < profile.cells:
+def _check_fault(where: str, fault: Fault, profile: Profile) -> None:
+    if not 0 <= fault.cell < profile.cells:
         raise ValueError(f"{where}.cell: there are {profile.cells} cells")
-    if trouble.kind.startswith("cut_links") and profile.cells == 1:
+    if fault.kind.startswith("cut_links") and profile.cells == 1:
         raise ValueError(f"{where}.kind: one cell has no links")
-    if not 0 <= trouble.at_s <= profile.measured_s:
+    if not 0 <= fault.at_s <= profile.measured_s:
         raise ValueError(f"{where}.at_s: must be within the measured time")
 
 
--- a/src/poppyhold/scale/result.py
+++ b/src/poppyhold/scale/result.py
@@ -51,7 +51,7 @@
     counts: dict[str, float]
     state_requests: dict[str, int]
     statuses: dict[str, int]
-    troubles: list[FaultResult]
+    faults: list[FaultResult] = msgspec.field(name="troubles")
     broken: list[str]
     broken_count: int
     # Why the run was cut short, if it was.
@@ -76,13 +76,11 @@
     for name, value in {**result.rates, **result.counts}.items():
         table.add_row(name, f"{value:,.3f}".rstrip("0").rstrip("."))
     console.print(table)
-    for trouble in result.troubles:
-        gap = (
-            "" if trouble.without_leader_s is None else f", {trouble.without_leader_s:.2f} s without a leader"
-        )
-        answers = trouble.without_answers_s
+    for fault in result.faults:
+        gap = "" if fault.without_leader_s is None else f", {fault.without_leader_s:.2f} s without a leader"
+        answers = fault.without_answers_s
         gap += "" if answers is None else f", {answers:.2f} s without answers"
-        console.print(f"{trouble.kind} at {trouble.at_s:.0f} s: {trouble.what}{gap}")
+        console.print(f"{fault.kind} at {fault.at_s:.0f} s: {fault.what}{gap}")
     for line in result.broken:
         console.print(f"BROKEN {line}", style="red")
     if result.stopped is not None:
--- a/src/poppyhold/scale/run.py
+++ b/src/poppyhold/scale/run.py
@@ -48,7 +48,7 @@
         self._load = ProcessMeter()
         self._load.follow(os.getpid())
         self._leaders: set[str] = set()
-        self._troubles: list[FaultResult] = []
+        self._faults: list[FaultResult] = []
         self._stopped: str | None = None
         self._began_at = time.monotonic()
         self._measured_at: float | None = None
@@ -119,9 +119,9 @@
         """The measured time, with its troubles."""
         self.clear()
         began_at = time.monotonic()
-        for trouble in sorted(self.profile.troubles, key=lambda trouble: trouble.at_s):
-            await self.wait(began_at + trouble.at_s - time.monotonic())
-            await self.cause(trouble)
+        for fault in sorted(self.profile.faults, key=lambda fault: fault.at_s):
+            await self.wait(began_at + fault.at_s - time.monotonic())
+            await self.inject(fault)
         await self.wait(began_at + self.profile.measured_s - time.monotonic())
 
     def clear(self) -> None:
@@ -140,27 +140,27 @@
 
     # -- troubles ----------------------------------------------------------------------------------
 
-    async def cause(self, trouble: Fault) -> None:
+    async def inject(self, fault: Fault) -> None:
         """Let something happen."""
-        if trouble.kind == "restart_workers":
-            count = self.fleet.restart_share(trouble.share, trouble.away_s)
-            self._troubles.append(FaultResult(trouble.kind, trouble.at_s, f"{count} workers"))
+        if fault.kind == "restart_workers":
+            count = self.fleet.restart_share(fault.share, fault.away_s)
+            self._faults.append(FaultResult(fault.kind, fault.at_s, f"{count} workers"))
             return
         member = self._leader()
         if member is None:
-            self._troubles.append(FaultResult(trouble.kind, trouble.at_s, "nobody led"))
+            self._faults.append(FaultResult(fault.kind, fault.at_s, "nobody led"))
             return
         controller = self.controllers.get(member)
-        if trouble.kind == "freeze_leader":
-            self._troubles.append(FaultResult(trouble.kind, trouble.at_s, member))
+        if fault.kind == "freeze_leader":
+            self._faults.append(FaultResult(fault.kind, fault.at_s, member))
             controller.suspend()
-            self._spawn(self._resume_after(controller, trouble.away_s))
+            self._spawn(self._resume_after(controller, fault.away_s))
             return
         controller.kill()
-        result = FaultResult(trouble.kind, trouble.at_s, member)
-        self._troubles.append(result)
+        result = FaultResult(fault.kind, fault.at_s, member)
+        self._faults.append(result)
         self._spawn(self._measure_outage(controller, time.monotonic(), result))
-        self._spawn(self._restart_after(controller, trouble.away_s))
+        self._spawn(self._restart_after(controller, fault.away_s))
 
     async def _measure_outage(
         self, controller: ControllerProcess, killed_at: float, result: FaultResult
@@ -332,7 +332,7 @@
             },
             state_requests=dict(self.state.requests),
             statuses={str(status): count for status, count in users.statuses.items()},
-            troubles=self._troubles,
+            faults=self._faults,
             broken=self.checks.violations.messages,
             broken_count=self.checks.violations.count,
             stopped=self._stopped,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -49,7 +49,7 @@
     assert sum(controller["led"] for controller in result["controllers"]) > 1
     assert result["latencies"]["report"]["count"] > result["workers_up"]
     assert result["latencies"]["start, batch"]["count"] > 0
-    assert [trouble["kind"] for trouble in result["troubles"]] == ["kill_leader", "restart_workers"]
+    assert [fault["kind"] for fault in result["troubles"]] == ["kill_leader", "restart_workers"]
     assert result["troubles"][0]["without_answers_s"] is not None
     assert result["counts"]["submissions given up"] == 0
 
@@ -236,11 +236,11 @@
     assert result.ok
     assert result.moves > 0
     assert result.in_transit_at_the_end == 0
-    assert [trouble.kind for cell in result.cells for trouble in cell.troubles] == [
+    assert [fault.kind for cell in result.cells for fault in cell.faults] == [
         "kill_leader",
         "freeze_leader",
     ]
-    assert [trouble.kind for trouble in result.troubles] == ["cut_links_one_way"]
+    assert [fault.kind for fault in result.faults] == ["cut_links_one_way"]
     assert 0 < result.links_cut_s < result.profile["measured_s"]
     for part in (result.part_of_limits_in_use_links_up, result.part_of_limits_in_use_links_cut):
         assert part is not None
@@ -259,7 +259,7 @@
     (build / "sitecustomize.py").write_text(patch)
     # Controllers inherit the path that modules are loaded from.
     monkeypatch.syspath_prepend(str(build))
-    result = _cells(tmp_path, troubles="[]", measured_s="8.0")
+    result = _cells(tmp_path, faults="[]", measured_s="8.0")
     assert any(line.startswith("quota over all cells") for line in result.broken)
     # Each cell by itself as well: its tasks are above what is stored as its share.
     assert any(line.startswith("share: ") for line in result.broken)
@@ -348,7 +348,7 @@
 
 
 def test_no_port_is_given_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("poppyhold.scale.controllers._PORTS", range(15_000, 15_040))
-    monkeypatch.setattr("poppyhold.scale.controllers._given_ports", set())
+    monkeypatch.setattr("poppyhold.scale.controllers._PORT_RANGE", range(15_000, 15_040))
+    monkeypatch.setattr("poppyhold.scale.controllers._allocated_ports", set())
     given = [free_port() for _ in range(20)]
     assert len(set(given)) == len(given)
