--- a/src/poppyhold/configuration_checks.py
+++ b/src/poppyhold/configuration_checks.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Iterable
 
-_HIGHEST_PORT = 65535
+_MAX_PORT = 65535
 
 
 class ConfigError(Exception):
@@ -21,7 +21,7 @@
 
     """
     host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= _HIGHEST_PORT:
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= _MAX_PORT:
         raise ConfigError(f"{field}: {text!r} is not host:port")
     return host, int(port)
 
@@ -33,9 +33,9 @@
         ConfigError: names the field and the name.
 
     """
-    twice = next((name for name, times in Counter(names).items() if times > 1), None)
-    if twice is not None:
-        raise ConfigError(f"{field}: {twice!r} is there twice")
+    duplicate = next((name for name, count in Counter(names).items() if count > 1), None)
+    if duplicate is not None:
+        raise ConfigError(f"{field}: {duplicate!r} is there twice")
 
 
 def check_positive(field: str, value: float) -> None:
--- a/src/poppyhold/options.py
+++ b/src/poppyhold/options.py
@@ -7,7 +7,7 @@
 import msgspec
 
 # The weight of a part of 1.
-_WEIGHT = 1_000_000_000
+_WEIGHT_SCALE = 1_000_000_000
 
 
 class Design(msgspec.Struct, frozen=True):
@@ -94,7 +94,7 @@
     def weights(self) -> dict[str, int]:
         """Each cell's part as a whole number, in the order of the cells' names."""
         parts = {self.name: self.part, **{cell.name: cell.part for cell in self.others}}
-        return {name: round(parts[name] * _WEIGHT) for name in sorted(parts)}
+        return {name: round(parts[name] * _WEIGHT_SCALE) for name in sorted(parts)}
 
     @property
     def layout(self) -> str:
--- a/src/poppyhold/scale/cell_links.py
+++ b/src/poppyhold/scale/cell_links.py
@@ -50,7 +50,7 @@
         self, direction: Direction, controllers: Iterable[ControllerProcess]
     ) -> list[CuttableLink]:
         """Open a link from one cell to each controller of another."""
-        links = self._links[direction] = [CuttableLink(each.back) for each in controllers]
+        links = self._links[direction] = [CuttableLink(each.peer_port) for each in controllers]
         for link in links:
             await link.open()
         return links
--- a/src/poppyhold/scale/controllers.py
+++ b/src/poppyhold/scale/controllers.py
@@ -101,7 +101,7 @@
 
     def __init__(self, member: str, zone: str) -> None:
         self.member, self.zone = member, zone
-        self.port, self.back = free_port(), free_port()
+        self.port, self.peer_port = free_port(), free_port()
         self.links: dict[str, Link] = {}
         self.meter = ProcessMeter()
         self.settings: Path | None = None
@@ -168,7 +168,7 @@
         for controller in self.all:
             for other in self.all:
                 if other is not controller:
-                    controller.links[other.member] = Link(controller.back)
+                    controller.links[other.member] = Link(controller.peer_port)
         for controller in self.all:
             controller.settings = folder / f"{controller.member}.toml"
             text = self._settings(controller, state_port, cloud_port)
@@ -193,7 +193,7 @@
         controller.start(self._options, self._folder / f"{controller.member}.log")
         while controller.alive:
             try:
-                _, writer = await asyncio.open_connection("127.0.0.1", controller.back)
+                _, writer = await asyncio.open_connection("127.0.0.1", controller.peer_port)
             except OSError:
                 await asyncio.sleep(_POLL_INTERVAL_S)
                 continue
@@ -230,7 +230,7 @@
             f'member = "{controller.member}"',
             f'domain = "{controller.zone}"',
             f'client_listen = "127.0.0.1:{controller.port}"',
-            f'back = "127.0.0.1:{controller.back}"',
+            f'back = "127.0.0.1:{controller.peer_port}"',
         ]
         for other in self.all:
             if other is not controller:
--- a/src/poppyhold/scale/external_services.py
+++ b/src/poppyhold/scale/external_services.py
@@ -94,14 +94,14 @@
             events = (
                 self.standin.changes(query["prefix"], int(query["since"])) if self._has_changes(seen) else []
             )
-            seen = self.standin.ledger
+            seen = self.standin.revision
             if events or time.monotonic() >= until:
-                return HTTPStatus.OK, {"ledger": self.standin.ledger, "events": events}
+                return HTTPStatus.OK, {"ledger": self.standin.revision, "events": events}
             await asyncio.sleep(_WATCH_POLL_S)
 
     def _has_changes(self, seen: int) -> bool:
         self.standin.expire()
-        return self.standin.ledger > seen
+        return self.standin.revision > seen
 
 
 class CloudService:
--- a/src/poppyhold/scale/fleet.py
+++ b/src/poppyhold/scale/fleet.py
@@ -72,7 +72,7 @@
     async def run(self) -> None:
         """Follow the cloud: machines that boot, and machines that are deleted."""
         while True:
-            self.cloud.standin.remember()
+            self.cloud.standin.record_listing()
             for name, machine in list(self.cloud.standin.machines.items()):
                 if machine["status"] == "starting" and time.monotonic() - machine["at"] > _BOOT_S:
                     await self._add(name)
--- a/src/poppyhold/scale/jobs.py
+++ b/src/poppyhold/scale/jobs.py
@@ -10,7 +10,7 @@
 ZONES = ["a", "b"]
 
 
-def build_data(name: str, accelerators: float, boot_s: float, zones: list[str] | None = None) -> Data:
+def machine_type_data(name: str, accelerators: float, boot_s: float, zones: list[str] | None = None) -> Data:
     """A machine type."""
     return {
         "name": name,
--- a/src/poppyhold/scale/simulated_worker.py
+++ b/src/poppyhold/scale/simulated_worker.py
@@ -96,7 +96,7 @@
         if path == "/show":
             return HTTPStatus.OK, self.standin.heartbeat()
         self._figures.direct_commands.record()
-        status, heartbeat = self.standin.do(decode(body))
+        status, heartbeat = self.standin.handle_command(decode(body))
         self._wake.set()
         return status, heartbeat
 
@@ -164,7 +164,7 @@
 
     def _apply_response(self, answer: Data, sent_at: float, incarnation: int) -> None:
         fencing_token, tasks = self.standin.fencing_token, len(self.standin.tasks)
-        self.standin.answered(answer, sent_at, incarnation)
+        self.standin.handle_response(answer, sent_at, incarnation)
         now = time.monotonic()
         if (
             self.standin.fencing_token > fencing_token
--- a/src/poppyhold/scale/state_standin.py
+++ b/src/poppyhold/scale/state_standin.py
@@ -23,11 +23,11 @@
     def __init__(self, clock: Callable[[], float], txn_ops: int = 20, value_kb: float = 8.0) -> None:
         self._clock, self._txn_ops, self._value_kb = clock, txn_ops, value_kb
         self.keys: dict[str, tuple[Data, int, int | None]] = {}
-        self.ledger = 0
+        self.revision = 0
         self.leases: dict[int, list[float]] = {}
         self.log: list[tuple[int, Data]] = []
         self.down = False
-        self._permit = 0
+        self._last_lease_id = 0
         # How many changes a watch may lag.
         self.changes_kept = _MAX_KEPT_CHANGES
 
@@ -45,31 +45,31 @@
         """End the leases whose time is up."""
         if self.down:
             return
-        for permit in [p for p, lease in self.leases.items() if lease[0] <= self._clock()]:
-            self.end(permit)
+        for lease_id in [p for p, lease in self.leases.items() if lease[0] <= self._clock()]:
+            self.end(lease_id)
 
-    def end(self, permit: int) -> Status:
+    def end(self, lease_id: int) -> Status:
         """End a lease and remove its keys."""
-        if self.leases.pop(permit, None) is None:
+        if self.leases.pop(lease_id, None) is None:
             return 404, {}
-        attached = [key for key, (_, _, held) in self.keys.items() if held == permit]
+        attached = [key for key, (_, _, attached_lease) in self.keys.items() if attached_lease == lease_id]
         if attached:
-            self.ledger += 1
+            self.revision += 1
             for key in attached:
                 del self.keys[key]
-                self.log.append((self.ledger, {"remove": key, "stamp": self.ledger}))
+                self.log.append((self.revision, {"remove": key, "stamp": self.revision}))
         return 200, {}
 
     def lease(self, life_ms: int) -> Status:
         """Grant a lease."""
-        self._permit += 1
-        self.leases[self._permit] = [self._clock() + life_ms / 1000, life_ms / 1000]
-        return 200, {"permit": self._permit}
+        self._last_lease_id += 1
+        self.leases[self._last_lease_id] = [self._clock() + life_ms / 1000, life_ms / 1000]
+        return 200, {"permit": self._last_lease_id}
 
-    def extend(self, permit: int) -> Status:
+    def extend(self, lease_id: int) -> Status:
         """Renew a lease."""
         self.expire()
-        lease = self.leases.get(permit)
+        lease = self.leases.get(lease_id)
         if lease is None:
             return 404, {}
         lease[0] = self._clock() + lease[1]
@@ -79,17 +79,17 @@
         """Read a key."""
         self.expire()
         if key not in self.keys:
-            return 404, {"ledger": self.ledger}
-        data, stamp, permit = self.keys[key]
-        return 200, {"key": key, "data": data, "stamp": stamp, "permit": permit}
+            return 404, {"ledger": self.revision}
+        data, key_revision, lease_id = self.keys[key]
+        return 200, {"key": key, "data": data, "stamp": key_revision, "permit": lease_id}
 
-    def scan(self, prefix: str, after: str, most: int) -> Status:
+    def scan(self, prefix: str, after: str, limit: int) -> Status:
         """Read keys in order."""
         self.expire()
-        most = min(most, _MAX_PAGE_ENTRIES)
+        limit = min(limit, _MAX_PAGE_ENTRIES)
         names = sorted(key for key in self.keys if key.startswith(prefix) and key > after)
-        entries = [{"key": k, "data": self.keys[k][0], "stamp": self.keys[k][1]} for k in names[:most]]
-        return 200, {"entries": entries, "more": len(names) > most, "ledger": self.ledger}
+        entries = [{"key": k, "data": self.keys[k][0], "stamp": self.keys[k][1]} for k in names[:limit]]
+        return 200, {"entries": entries, "more": len(names) > limit, "ledger": self.revision}
 
     def commit(self, body: Data) -> Status:
         """Carry out a transaction within the limits."""
@@ -106,17 +106,17 @@
                     return 400, {"error": "no such lease"}
         failed = [c["key"] for c in conditions if self.keys.get(c["key"], ({}, 0, None))[1] != c["stamp"]]
         if failed:
-            return 409, {"failed": failed, "ledger": self.ledger}
+            return 409, {"failed": failed, "ledger": self.revision}
         if writes:
-            self.ledger += 1
+            self.revision += 1
         for write in writes:
             if "set" in write:
-                self.keys[write["set"]] = (write["data"], self.ledger, write.get("permit"))
-                event = {"set": write["set"], "data": write["data"], "stamp": self.ledger}
-                self.log.append((self.ledger, event))
+                self.keys[write["set"]] = (write["data"], self.revision, write.get("permit"))
+                event = {"set": write["set"], "data": write["data"], "stamp": self.revision}
+                self.log.append((self.revision, event))
             elif self.keys.pop(write["remove"], None) is not None:
-                self.log.append((self.ledger, {"remove": write["remove"], "stamp": self.ledger}))
-        return 200, {"ledger": self.ledger}
+                self.log.append((self.revision, {"remove": write["remove"], "stamp": self.revision}))
+        return 200, {"ledger": self.revision}
 
     def is_too_old(self, since: int) -> bool:
         """Whether changes after a revision are not kept any more."""
--- a/src/poppyhold/scale/worker_standin.py
+++ b/src/poppyhold/scale/worker_standin.py
@@ -16,7 +16,7 @@
     def __init__(
         self,
         name: str,
-        build: Data,
+        machine_type: Data,
         zone: str,
         spot: bool,
         lease_s: float,
@@ -27,7 +27,7 @@
         gang_wait_s: float = 30.0,
     ) -> None:
         self._gang_wait_s = gang_wait_s
-        self.name, self.machine_type, self.zone, self.spot = name, build, zone, spot
+        self.name, self.machine_type, self.zone, self.spot = name, machine_type, zone, spot
         self.endpoint = name
         self._lease_s, self._clock = lease_s, clock
         self._describe, self._on_start, self._on_done = describe, on_start, on_done
@@ -55,19 +55,21 @@
             "recallS": self.notice_s,
             "chores": [
                 {
-                    "chore": n,
-                    "try": c["try"],
-                    "status": c["status"],
-                    "cause": c.get("cause"),
-                    "kept": c.get("kept"),
+                    "chore": name,
+                    "try": task["try"],
+                    "status": task["status"],
+                    "cause": task.get("cause"),
+                    "kept": task.get("kept"),
                 }
-                for n, c in self.tasks.items()
+                for name, task in self.tasks.items()
             ],
         }
 
     def on_machine(self) -> list[str]:
         """Tasks that have their image and have not ended."""
-        return [n for n, c in self.tasks.items() if c["status"] in ("waiting", "running", "flushing")]
+        return [
+            name for name, task in self.tasks.items() if task["status"] in ("waiting", "running", "flushing")
+        ]
 
     def expire(self) -> bool:
         """Kill everything if the lease is over, as hanging machines too are bound to."""
@@ -100,7 +102,7 @@
                 continue
             changed = True
             if task["status"] == "pulling":
-                self._fetched(name, task, now)
+                self._image_fetched(name, task, now)
             elif task["status"] == "waiting":
                 task.update(status="ended", cause="alone", until=None)
             elif task["status"] == "running" and task.get("fails"):
@@ -112,7 +114,7 @@
                 task.update(status="ended", cause="stopped", until=None)
         return changed
 
-    def _fetched(self, name: str, task: Data, now: float) -> None:
+    def _image_fetched(self, name: str, task: Data, now: float) -> None:
         """A task has its image."""
         job = task["job"]
         self.images.add(job["bundle"])
@@ -130,15 +132,15 @@
             task.update(until=now + _FAILURE_AFTER_S, fails=True)
         self._on_start(self, name)
 
-    def answered(self, body: Data, sent_at: float, shift: int) -> None:
+    def handle_response(self, body: Data, sent_at: float, incarnation: int) -> None:
         """The response to a heartbeat came."""
-        if shift != self.incarnation or body.get("baton", 0) < self.fencing_token:
+        if incarnation != self.incarnation or body.get("baton", 0) < self.fencing_token:
             return
         self.fencing_token = body["baton"]
         self.answered_sent_at = max(self.answered_sent_at, sent_at)
         self.execute(body["orders"])
 
-    def do(self, body: Data) -> Status:
+    def handle_command(self, body: Data) -> Status:
         """A direct command."""
         if body["baton"] < self.fencing_token or body["shift"] != self.incarnation:
             return 409, self.heartbeat()
@@ -146,30 +148,30 @@
         self.execute(body["orders"])
         return 200, self.heartbeat()
 
-    def execute(self, orders: list[Data]) -> None:
+    def execute(self, commands: list[Data]) -> None:
         """Carry out commands in order."""
         now = self._clock()
-        for order in orders:
-            name, number = order["chore"], order["try"]
+        for command in commands:
+            name, attempt = command["chore"], command["try"]
             held = self.tasks.get(name)
-            if order["verb"] == "run":
-                self._run(name, number, held, now)
-            elif held is None or held["try"] != number:
+            if command["verb"] == "run":
+                self._run(name, attempt, held, now)
+            elif held is None or held["try"] != attempt:
                 continue
-            elif order["verb"] == "reap":
+            elif command["verb"] == "reap":
                 if held["status"] == "ended":
                     del self.tasks[name]
-            elif held["status"] == "running" and 0 < held["job"]["stashS"] <= order["leewayS"]:
+            elif held["status"] == "running" and 0 < held["job"]["stashS"] <= command["leewayS"]:
                 held.update(status="flushing", until=now + held["job"]["stashS"], stop_at=now)
                 if held["job"]["shape"] == "group":
                     held["until"] = None
-            elif held["status"] != "ended" and (held["status"] != "flushing" or order["leewayS"] == 0):
+            elif held["status"] != "ended" and (held["status"] != "flushing" or command["leewayS"] == 0):
                 held.update(status="ended", cause="stopped", until=None)
 
-    def _run(self, name: str, number: int, held: Data | None, now: float) -> None:
-        if held is not None and held["try"] == number:
+    def _run(self, name: str, attempt: int, held: Data | None, now: float) -> None:
+        if held is not None and held["try"] == attempt:
             return
-        task: Data = {"try": number, "status": "ended", "until": None}
+        task: Data = {"try": attempt, "status": "ended", "until": None}
         job = self._describe(name)
         if held is not None:
             return
@@ -187,7 +189,11 @@
     def free_copies(self, job: Data, most: int) -> int:
         """How many more tasks of a job fit, up to ``most``."""
         for amount in ("cpus", "accelerators", "memGb"):
-            used = sum(c["job"][amount] for c in self.tasks.values() if c["status"] != "ended" and "job" in c)
+            used = sum(
+                task["job"][amount]
+                for task in self.tasks.values()
+                if task["status"] != "ended" and "job" in task
+            )
             if job[amount] > 0:
                 most = min(most, int((self.machine_type[amount] + 1e-6 - used) / job[amount]))
         return most
--- a/src/poppyhold/settings.py
+++ b/src/poppyhold/settings.py
@@ -101,7 +101,7 @@
 # that state alone, where a worker's heartbeats come through a relay. See docs/CAPACITY.md.
 BASE_MB, CONNECTION_MB, MACHINE_MB = 30.0, 0.06, 0.02
 # Sockets and threads for the state service, the cloud, other controllers and commands; fewer are not enough.
-LEAST_SOCKETS = 64
+MIN_SOCKETS = 64
 # Share of the sockets that users' and workers' connections may take.
 CONNECTION_SHARE = 0.68
 
@@ -121,7 +121,7 @@
     @property
     def memory_connections(self) -> int:
         """Connections with their threads that there is memory for."""
-        return max(LEAST_SOCKETS, int((self.ram_mb - BASE_MB) / CONNECTION_MB))
+        return max(MIN_SOCKETS, int((self.ram_mb - BASE_MB) / CONNECTION_MB))
 
     @property
     def connections(self) -> int:
@@ -131,7 +131,7 @@
     @property
     def machines(self) -> int:
         """Machines whose state there is memory for; it bounds what is kept of each machine."""
-        return max(LEAST_SOCKETS, int((self.ram_mb - BASE_MB) / MACHINE_MB))
+        return max(MIN_SOCKETS, int((self.ram_mb - BASE_MB) / MACHINE_MB))
 
 
 class Deployment(msgspec.Struct, frozen=True):
--- a/src/poppyhold/settings_file.py
+++ b/src/poppyhold/settings_file.py
@@ -14,10 +14,10 @@
     check_unique,
     split_address,
 )
-from poppyhold.settings import CONNECTION_SHARE, LEAST_SOCKETS, AnnouncedStateLimits, Settings, Team
+from poppyhold.settings import CONNECTION_SHARE, MIN_SOCKETS, AnnouncedStateLimits, Settings, Team
 
 # A job's move to its final record takes three changes in one transaction.
-_LEAST_CHANGES = 3
+_MIN_TXN_OPS = 3
 
 # By section, what must be above 0 for the ratios built on it to mean anything.
 _POSITIVE = {
@@ -32,7 +32,7 @@
     """Describe limits that don't go together, a line each: the service runs with them, but worse."""
     limits = settings.deployment.machine_limits
     found = []
-    if limits.max_sockets < LEAST_SOCKETS:
+    if limits.max_sockets < MIN_SOCKETS:
         found.append(f"settings.machine_limits.max_sockets: {limits.max_sockets} leave workers hardly any")
     wanted = int(limits.max_sockets * CONNECTION_SHARE)
     if limits.connections < wanted:
@@ -76,7 +76,7 @@
         values = msgspec.to_builtins(getattr(deployment, section))
         for name in names:
             check_positive(f"settings.{section}.{name}", values[name])
-    _check_next(deployment.state.announced)
+    _check_announced_limits(deployment.state.announced)
     _check_zones(settings)
     _check_teams(deployment.teams)
     if deployment.workers.cancel_s <= deployment.workers.lease_s:
@@ -109,12 +109,12 @@
             check_not_negative(f"settings.teams.{team.name}.{name}", values[name])
 
 
-def _check_next(limits: AnnouncedStateLimits | None) -> None:
+def _check_announced_limits(limits: AnnouncedStateLimits | None) -> None:
     if limits is None:
         return
     for name in _POSITIVE["state"]:
         value = getattr(limits, name)
         if value is not None:
             check_positive(f"settings.state.next.{name}", value)
-    if limits.txn_ops is not None and limits.txn_ops < _LEAST_CHANGES:
-        raise ConfigError(f"settings.state.next.txn_ops: must be at least {_LEAST_CHANGES}")
+    if limits.txn_ops is not None and limits.txn_ops < _MIN_TXN_OPS:
+        raise ConfigError(f"settings.state.next.txn_ops: must be at least {_MIN_TXN_OPS}")
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -81,7 +81,7 @@
         state = self._state()
         if state.is_too_old(since):
             raise WatchCompactedError(prefix, since)
-        return Changes([decode_event(event) for event in state.changes(prefix, since)], state.ledger)
+        return Changes([decode_event(event) for event in state.changes(prefix, since)], state.revision)
 
     def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
         body = transaction_body(conditions, writes)
@@ -255,7 +255,7 @@
         if "delay" in faults:
 
             def deliver_late() -> None:
-                worker.do(body)
+                worker.handle_command(body)
 
             world.after(COMMAND_DELAY_S, deliver_late)
             self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
@@ -270,7 +270,7 @@
             return
 
         def deliver() -> None:
-            status, heartbeat = worker.do(body)
+            status, heartbeat = worker.handle_command(body)
             if "drop_responses" in faults:
                 self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
                 return
@@ -569,7 +569,7 @@
                 leader_term.controller.handle_job_accepted(change)
             else:
                 leader_term.controller.handle_job_removed(change.key)
-        leader_term.authority.observe_watch(asked, world.state.ledger)
+        leader_term.authority.observe_watch(asked, world.state.revision)
 
     def _campaign(self) -> None:
         world = self.world
--- a/tests/test_cell_options.py
+++ b/tests/test_cell_options.py
@@ -21,9 +21,9 @@
     state = scenario.world.state
     scan = state.scan
 
-    def noted(prefix: str, after: str, most: int) -> tuple[int, dict[str, object]]:
+    def noted(prefix: str, after: str, limit: int) -> tuple[int, dict[str, object]]:
         read.append(prefix)
-        return scan(prefix, after, most)
+        return scan(prefix, after, limit)
 
     state.scan = noted  # type: ignore[method-assign]
     scenario.play()
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -20,7 +20,7 @@
 from poppyhold.execution.completions import RecordLayout, decode_bits
 from poppyhold.model.entities import make_job
 from poppyhold.options_file import load_options, parse_options
-from poppyhold.scale.jobs import build_data as world_build
+from poppyhold.scale.jobs import machine_type_data as world_build
 from poppyhold.scale.jobs import submission
 from poppyhold.scale.jobs import wire as as_sent
 from poppyhold.settings import AnnouncedStateLimits, StateLimits, Team
--- a/tests/test_program_forms.py
+++ b/tests/test_program_forms.py
@@ -255,7 +255,7 @@
         status, answer = self.ask("POST", "/hello", body)
         if status == 200:
             with outside.lock:
-                outside.worker.answered(answer, sent_at, shift)
+                outside.worker.handle_response(answer, sent_at, shift)
 
 
 def _job(outside: Outside, job_id: str, **fields: object) -> Data:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -23,7 +23,7 @@
 from poppyhold.scale.checks import RuleChecks
 from poppyhold.scale.controllers import ControllerProcess, free_port
 from poppyhold.scale.external_services import RateLimit
-from poppyhold.scale.jobs import build_data, submission
+from poppyhold.scale.jobs import machine_type_data, submission
 from poppyhold.scale.profile import PROFILES, ProfileError, built_in, load_profile
 from poppyhold.scale.worker_standin import WorkerStandIn
 
@@ -136,7 +136,7 @@
         self.workers += [self._worker("vm-1"), self._worker("vm-2")]
 
     def _worker(self, name: str) -> WorkerStandIn:
-        build = build_data("small", 4, 1.0)
+        build = machine_type_data("small", 4, 1.0)
         return WorkerStandIn(
             name,
             build,
@@ -259,7 +259,7 @@
     (build / "sitecustomize.py").write_text(patch)
     # Controllers inherit the path that modules are loaded from.
     monkeypatch.syspath_prepend(str(build))
-    result = _cells(tmp_path, faults="[]", measured_s="8.0")
+    result = _cells(tmp_path, troubles="[]", measured_s="8.0")
     assert any(line.startswith("quota over all cells") for line in result.broken)
     # Each cell by itself as well: its tasks are above what is stored as its share.
     assert any(line.startswith("share: ") for line in result.broken)
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -20,7 +20,7 @@
 from poppyhold.node.command_dispatcher import ResponseCallback, SenderPool
 from poppyhold.scale.cloud_standin import CloudStandIn
 from poppyhold.scale.controllers import free_port
-from poppyhold.scale.jobs import build_data, submission, wire
+from poppyhold.scale.jobs import machine_type_data, submission, wire
 from poppyhold.scale.routes import cloud_route, parse_query, state_route
 from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.scale.worker_standin import WorkerStandIn
@@ -49,7 +49,7 @@
 
     def __init__(self) -> None:
         self.state = StateStandIn(time.monotonic)
-        self.cloud = CloudStandIn(time.monotonic, [build_data("small", 4, 1.0)], 1.0)
+        self.cloud = CloudStandIn(time.monotonic, [machine_type_data("small", 4, 1.0)], 1.0)
         self.jobs: dict[str, Data] = {}
         self.started: list[str] = []
         self.finished: list[str] = []
@@ -91,17 +91,17 @@
             with self.lock:
                 events = self.state.changes(asked["prefix"], int(asked["since"]))
                 if events or time.monotonic() >= deadline:
-                    return http_response(200, {"ledger": self.state.ledger, "events": events})
+                    return http_response(200, {"ledger": self.state.revision, "events": events})
             time.sleep(0.02)
 
     def _cloud(self, method: str, path: str, body: bytes) -> HttpResponse:
         with self.lock:
-            self.cloud.remember()
+            self.cloud.record_listing()
             return http_response(*cloud_route(self.cloud, method, path, body))
 
     def _do(self, method: str, path: str, body: bytes) -> HttpResponse:
         with self.lock:
-            return http_response(*self.worker.do(decode(body)))
+            return http_response(*self.worker.handle_command(decode(body)))
 
     def heartbeat(self, port: int) -> None:
         """The worker's report to a node, and what the answer brings."""
@@ -116,7 +116,7 @@
             return
         if status == 200:
             with self.lock:
-                self.worker.answered(answer, sent_at, shift)
+                self.worker.handle_response(answer, sent_at, shift)
 
 
 @pytest.fixture
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -397,7 +397,7 @@
     for value in range(5):
         write_until_certain(writer, FENCING_TOKEN_KEY, value)
     # The leader's key, five values, and one change of the write fence.
-    assert store.state.ledger == 7
+    assert store.state.revision == 7
 
 
 def test_launches_go_before_the_plans_of_a_backlog() -> None:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -112,7 +112,7 @@
         job: world.now for job, told in world.observed_status.items() if told == "cancelled"
     }
     state = world.state
-    state.ledger = FIXTURE["ledger"]
+    state.revision = FIXTURE["ledger"]
     state.keys = {key: (held["data"], held["stamp"], None) for key, held in FIXTURE["keys"].items()}
     state.keys["ph/l/lead"] = (*state.keys["ph/l/lead"][:2], 1)
     # Ids of leases are not used again.
--- a/tests/world.py
+++ b/tests/world.py
@@ -15,7 +15,7 @@
 from poppyhold.durable.keys import LEADER_KEY
 from poppyhold.options import Options, RelayMode
 from poppyhold.scale.cloud_standin import CloudStandIn
-from poppyhold.scale.jobs import ZONES, Data, build_data, submission, wire
+from poppyhold.scale.jobs import ZONES, Data, machine_type_data, submission, wire
 from poppyhold.scale.state_standin import StateStandIn
 from poppyhold.scale.worker_standin import WorkerStandIn
 from poppyhold.settings import (
@@ -110,7 +110,10 @@
         self.state = StateStandIn(lambda: self.now)
         self.cloud = CloudStandIn(
             lambda: self.now,
-            [build_data("small", 4, 10.0, self.zones), build_data("large", 8, 10.0, self.zones)],
+            [
+                machine_type_data("small", 4, 10.0, self.zones),
+                machine_type_data("large", 8, 10.0, self.zones),
+            ],
             8.0,
         )
         self.workers: dict[str, SimWorker] = {}
@@ -200,7 +203,7 @@
                 node.step()
         if tick % 10 == 5:
             self._boot_machines()
-            self.cloud.remember()
+            self.cloud.record_listing()
             self._check()
         poll_ticks = _POLL_TICKS // (self.poll_factor or 1)
         if tick % poll_ticks == _POLL_PHASE % poll_ticks:
@@ -264,7 +267,7 @@
             # Held commands arrive in order once the link is free, though their senders may have timed out.
             held, worker.held_commands = worker.held_commands, []
             for body in held:
-                worker.do(body)
+                worker.handle_command(body)
         if changed:
             worker.next_heartbeat = min(worker.next_heartbeat, max(self.now, worker.busy_until))
         if self.now >= worker.next_heartbeat and self.now >= worker.busy_until:
@@ -338,7 +341,7 @@
             if relayed and answer["baton"] < node.lowest_fencing_token():
                 self.violations.append(f"not_entitled: {node.member} answers for token {answer['baton']}")
             sent_at, shift = flight.sent_at, flight.incarnation
-            self.after(0.002 + self.link_delay_s, lambda: worker.answered(answer, sent_at, shift))
+            self.after(0.002 + self.link_delay_s, lambda: worker.handle_response(answer, sent_at, shift))
         else:
             member = answer.get("foreman")
             worker.busy_until = self.now + (0.2 if member and member != node.member else 1.0)
