--- a/src/poppyhold/capacity.py
+++ b/src/poppyhold/capacity.py
@@ -1,4 +1,4 @@
-"""Whether a deployment's limits suffice for the expected fleet; docs/CAPACITY.md has the costs."""
+"""Checks whether a deployment's limits suffice for the expected fleet; docs/CAPACITY.md lists the costs."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 from poppyhold.relay.assignment import MAX_LOAD_RATIO
 from poppyhold.settings import BASE_MB, CONNECTION_MB, MACHINE_MB, Settings
 
-# The leader's processor time, a line through two runs: cores per machine with its starts, and a constant.
+# Linear model of the leader's CPU use in cores: per machine, task starts included, and a constant. The line
+# goes through the figures of two scale runs.
 _CORES_PER_MACHINE, _CORES_BASE = 0.000194, -0.06
-# Part of the state service's changes that the leader keeps to.
+# Share of the state service's write rate that the leader uses at most.
 _LEADER_WRITE_SHARE = 2 / 3
-# Leases within which it must have recorded every machine of a fleet that begins at once.
+# Leases within which the leader must record every machine of a fleet whose machines all start at once.
 _MAX_RECORDING_LEASES = 8
 
 
 def shortfalls(settings: Settings, options: Options) -> list[str]:
-    """Describe the limits that don't suffice for ``fleet.machines``, a line each that names the setting.
+    """Return one line, which names the setting, for each limit that is too low for ``fleet.machines``.
 
-    There are none if ``fleet.machines`` is not configured.
+    The list is empty if ``fleet.machines`` is not configured.
     """
     machines = options.fleet.machines
     if not machines:
@@ -45,7 +46,7 @@
     if cores > limits.core_share:
         yield f"settings.machine_limits.core_share: {limits.core_share:g} of {cores:.2f} needed on the leader"
     list_s = math.ceil(machines / LIST_PAGE_SIZE) / (deployment.cloud.rps * LIST_REQUEST_SHARE)
-    # A machine that no list has shown for so long counts as missing.
+    # A machine that has been in no list for this long counts as missing.
     if list_s > MISSING_AFTER_LAGS * deployment.cloud.list_lag_s:
         yield f"settings.cloud.rps: reading the list of machines takes {list_s:.0f} s"
     recording_s = machines / (deployment.state.lowest.write_rps * _LEADER_WRITE_SHARE)
@@ -54,7 +55,7 @@
 
 
 def _max_connections(controllers: int, options: Options, machines: int) -> int:
-    """Return the most workers' connections of one controller, with one of the others lost."""
+    """Return the highest number of worker connections to one controller after the loss of another."""
     relays = controllers - 2
     if options.relays.mode is RelayMode.OFF or relays < 1:
         return machines
--- a/src/poppyhold/cli.py
+++ b/src/poppyhold/cli.py
@@ -21,13 +21,13 @@
 
 log = logging.getLogger(__name__)
 
-# Each connection has a thread, so stacks are small.
+# Each connection has its own thread, so thread stacks are small.
 _THREAD_STACK_BYTES = 256 * 1024
-# Garbage collection: new objects between two runs over the youngest generation, and how many runs over one
-# generation come before one over the next.
+# Garbage collection: allocations between collections of the youngest generation, and how many collections of
+# one generation precede one of the next.
 _GC_THRESHOLDS = (20_000, 20, 50)
 
-# Exit status when the files are wrong; argparse uses the same for wrong arguments.
+# Exit status for invalid files; argparse uses the same for invalid arguments.
 _EXIT_CONFIG_ERROR = 2
 
 
@@ -58,7 +58,7 @@
 
 
 def _quota_status(settings: Settings, options: Options, as_json: bool) -> int:
-    """Print what the cell's leader knows of quota allocations; returns the exit status."""
+    """Print the quota allocations known to the cell's leader; returns the exit status."""
     import msgspec
 
     from poppyhold.quota.status import ALARM, NoLeaderError, fetch, render, summarize
@@ -108,8 +108,8 @@
 
     threading.stack_size(_THREAD_STACK_BYTES)
 
-    # What a controller holds lives long: searching all of it for garbage every few hundred objects takes time
-    # from heartbeats.
+    # Most objects of a controller are long-lived: scanning them for garbage every few hundred allocations
+    # delays heartbeat handling.
     gc.freeze()
     gc.set_threshold(*_GC_THRESHOLDS)
     node = Node(settings, options)
--- a/src/poppyhold/configuration_checks.py
+++ b/src/poppyhold/configuration_checks.py
@@ -1,4 +1,4 @@
-"""Checks that the settings and the options file have in common."""
+"""Checks shared by the settings file and the options file."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ConfigError(Exception):
-    """A settings or options file that can't be used; the text names the field."""
+    """A settings or options file is invalid; the message names the field."""
 
 
 def split_address(text: str, field: str = "address") -> tuple[str, int]:
@@ -27,7 +27,7 @@
 
 
 def check_unique(field: str, names: Iterable[str]) -> None:
-    """Check that no name is there twice.
+    """Check that no name occurs twice.
 
     Raises:
         ConfigError: names the field and the name.
@@ -50,7 +50,7 @@
 
 
 def check_not_negative(field: str, value: float) -> None:
-    """Check that a value is not below 0, and finite.
+    """Check that a value is finite and not below 0.
 
     Raises:
         ConfigError: names the field.
--- a/src/poppyhold/options.py
+++ b/src/poppyhold/options.py
@@ -1,4 +1,4 @@
-"""The operators' options, a type for each section; `options_file` reads and checks them."""
+"""The operators' options, one type per section; `options_file` reads and checks them."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 import msgspec
 
-# The weight of a part of 1.
+# The integer weight that corresponds to a part of 1.
 _WEIGHT_SCALE = 1_000_000_000
 
 
 class Design(msgspec.Struct, frozen=True):
-    """How resources are priced and planned."""
+    """Pricing and planning of resources."""
 
     slot_leases: float = 6.0
     horizon_slots: int = 16
@@ -25,7 +25,7 @@
 
 
 class Leadership(msgspec.Struct, frozen=True):
-    """How fast a lost leader or worker is noticed."""
+    """How fast the loss of a leader or a worker is detected."""
 
     term_leases: float = 0.25
     renewals: float = 4.0
@@ -33,7 +33,7 @@
 
 
 class Provisioning(msgspec.Struct, frozen=True):
-    """How machines are launched and deleted."""
+    """Launching and deletion of machines."""
 
     headroom: float = 1.0
     keep_boots: float = 1.0
@@ -41,9 +41,9 @@
 
 
 class RelayMode(Enum):
-    """The operators' choice of when heartbeats are relayed."""
+    """When heartbeats are relayed."""
 
-    # From a share of the limit of connections on.
+    # Once the fleet exceeds `from_share` of the connection limit.
     AUTO = "auto"
     OFF = "off"
     FORCED = "forced"
@@ -57,20 +57,20 @@
 
 
 class Fleet(msgspec.Struct, frozen=True):
-    """The size that the fleet may grow to; 0 if that is not configured."""
+    """The number of machines that the fleet may grow to; 0 if not configured."""
 
     machines: int = 0
 
 
 class CellController(msgspec.Struct, frozen=True):
-    """A controller of another cell, and the address at which its `back` listener is reached from here."""
+    """A controller of another cell, and the address of its `back` listener as reached from this cell."""
 
     member: str
     address: str
 
 
 class Cell(msgspec.Struct, frozen=True):
-    """Another cell: its part of every limit and guarantee, and its controllers."""
+    """Another cell: its part of each limit and guarantee, and its controllers."""
 
     name: str
     part: float
@@ -85,20 +85,20 @@
     others: tuple[Cell, ...]
     # The longest time for which a cell retains what it used recently, as a multiple of workers.lease_s.
     keep_leases: float = 1.0
-    # The part of the state service's changes that transfers may take.
+    # The part of `state.write_rps` that transfers may use.
     moves_share: float = 0.2
-    # The part of its first allocations that a cell never transfers.
+    # The part of its initial allocations that a cell never transfers.
     reserve: float = 0.0
 
     @property
     def weights(self) -> dict[str, int]:
-        """Each cell's part as a whole number, in the order of the cells' names."""
+        """Each cell's part as an integer weight, sorted by the cells' names."""
         parts = {self.name: self.part, **{cell.name: cell.part for cell in self.others}}
         return {name: round(parts[name] * _WEIGHT_SCALE) for name in sorted(parts)}
 
     @property
     def layout(self) -> str:
-        """A text that is equal in all cells that agree on the cells and their parts."""
+        """A text that is the same in all cells configured with the same cells and parts."""
         return " ".join(f"{name}={weight}" for name, weight in self.weights.items())
 
     def other(self, name: str) -> Cell | None:
@@ -107,12 +107,12 @@
 
 
 class Options(msgspec.Struct, frozen=True):
-    """All options of the operators."""
+    """All options that operators set."""
 
     design: Design = Design()
     leadership: Leadership = Leadership()
     provisioning: Provisioning = Provisioning()
     relays: Relays = Relays()
     fleet: Fleet = Fleet()
-    # None: the fleet is one cell, and nothing of `quota` runs.
+    # None: the fleet is a single cell, and no component of `quota` runs.
     cells: Cells | None = None
--- a/src/poppyhold/options_file.py
+++ b/src/poppyhold/options_file.py
@@ -1,4 +1,4 @@
-"""The operators' options file, in protobuf text format (see options.proto), read and checked."""
+"""Reads and checks the operators' options file, in protobuf text format (see options.proto)."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     from poppyhold.options_pb2 import Cells as CellsMessage
 
 _CELL_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-# Parts are written as decimals, and thirds cannot be exact.
+# Parts are written as decimals, which cannot express thirds exactly.
 _PARTS_TOLERANCE = 1e-6
 
-# By field, the lowest and the highest value that make sense.
+# Lowest and highest valid value of each field.
 _BOUNDS = {
     "design.slot_leases": (0.5, 1000.0),
     "design.horizon_slots": (1, 512),
@@ -44,15 +44,15 @@
 
 
 def parse_options(text: str) -> Options:
-    """Parse and check options; fields that are left out have their defaults.
+    """Parse and check options; omitted fields have their defaults.
 
     Raises:
         ConfigError: names the field.
 
     """
     if all(not line.strip() or line.lstrip().startswith("#") for line in text.splitlines()):
-        # Nothing is set. A controller that restarts is waited for, and loading protobuf takes a good
-        # part of its start.
+        # No option is set, so protobuf is not loaded: the import takes a large part of a controller's start,
+        # and workers and users wait while a controller restarts.
         return Options()
     from google.protobuf import text_format
 
@@ -85,7 +85,7 @@
 
 
 def _cells(section: CellsMessage, bounded: dict[str, float | str]) -> Cells:
-    """Build the section of cells; ``bounded`` are its values whose bounds were checked before."""
+    """Build the section `cells`; ``bounded`` holds its values that are already checked against `_BOUNDS`."""
     others = tuple(
         Cell(
             other.name,
@@ -100,7 +100,7 @@
 
 
 def load_options(path: str | Path | None) -> Options:
-    """Read and check an options file; without one, every option has its default.
+    """Read and check an options file; without a path, every option has its default.
 
     Raises:
         ConfigError: names the file and the field.
@@ -117,7 +117,7 @@
 
 
 def check_cells(cells: Cells) -> Cells:
-    """Check the section as a whole.
+    """Check the section `cells` as a whole.
 
     Raises:
         ConfigError: names the field.
--- a/src/poppyhold/scale/__init__.py
+++ b/src/poppyhold/scale/__init__.py
@@ -1,4 +1,4 @@
-"""The scale run, a load and experiment tool: real controllers, stand-ins of all else, simulated workers.
+"""The scale tool: load runs with real controllers, simulated workers and stand-ins for external services.
 
-`python -m poppyhold.scale` is the program. Nothing here is loaded by a controller.
+`python -m poppyhold.scale` is the program. Controllers load nothing of this package.
 """
--- a/src/poppyhold/scale/__main__.py
+++ b/src/poppyhold/scale/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m poppyhold.scale`: play a profile, print a table, write JSON."""
+"""`python -m poppyhold.scale`: run a profile, print tables, write JSON."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from poppyhold.scale.result import Result, print_result
 from poppyhold.scale.run import StoppedError, play
 
-# Formats of a plot, by the file's ending.
+# Plot formats, by file extension.
 _PLOT_FORMATS = (".png", ".svg", ".pdf")
 
 
 def _plot_path(text: str) -> Path:
-    """A file's path for a plot; what can't be written is refused before the run."""
+    """Parse the path of a plot; a path that cannot be written is rejected before the run."""
     path = Path(text)
     if path.suffix not in _PLOT_FORMATS:
         raise argparse.ArgumentTypeError(f"must end in one of {', '.join(_PLOT_FORMATS)}")
@@ -34,7 +34,7 @@
 
 
 def _is_of_cells(profile: Profile) -> bool:
-    """Whether the run is one of several cells, or of one with their load."""
+    """Whether the run has several cells, or one cell with the load of several."""
     return profile.cells > 1 or profile.burst_jobs > 0
 
 
@@ -44,7 +44,7 @@
         description="Real controllers on loopback, with simulated workers and stand-ins around them.",
     )
     parser.add_argument("profile", help=f"a TOML file, or one of: {', '.join(built_in())}")
-    parser.add_argument("--seed", type=int, default=1, help="what the load is drawn from")
+    parser.add_argument("--seed", type=int, default=1, help="seed of the random load")
     parser.add_argument("--relays", choices=("auto", "off", "forced"), help="instead of the profile's own")
     parser.add_argument("--cells", type=int, help="instead of the profile's own; 1: without shares of limits")
     parser.add_argument("--json", metavar="FILE", type=Path, help="write the result here")
@@ -56,7 +56,7 @@
 
 
 async def _interruptible(profile: Profile, seed: int, folder: Path) -> Result | CellsResult:
-    """Play; an interrupt ends the run in order, and its result says so."""
+    """Run the profile; SIGINT and SIGTERM stop the run, and its result records that."""
     run: asyncio.Future[Result | CellsResult]
     if _is_of_cells(profile):
         run = asyncio.ensure_future(play_cells(profile, seed, folder))
@@ -69,7 +69,7 @@
 
 
 def _write_plot(result: CellsResult, path: Path) -> None:
-    # Loaded after the run, whose memory is measured.
+    # Loaded after the run, because the run measures its own memory.
     from poppyhold.scale.cell_plot import plot_cells
 
     plot_cells(result, path)
@@ -94,7 +94,7 @@
         folder = args.logs or Path(temporary)
         folder.mkdir(parents=True, exist_ok=True)
         try:
-            # The load shares one loop: a faster one carries thousands of workers more.
+            # All load runs on one event loop; uvloop carries thousands of workers more than asyncio's loop.
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
                 result = runner.run(_interruptible(profile, args.seed, folder))
         except StoppedError as error:
--- a/src/poppyhold/scale/async_http.py
+++ b/src/poppyhold/scale/async_http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 on an event loop: a server and a client for thousands of connections in one process.
+"""HTTP/1.1 on asyncio: a server and a client for thousands of connections in one process.
 
-The controllers themselves use threads (`poppyhold.wire.http`). A load of some thousand workers in one process
-would mostly measure its own threads, so that the load side alone runs on asyncio.
+Controllers use threads (`poppyhold.wire.http`). Some thousand simulated workers in one process would mostly
+measure their own threads, so only the load side uses asyncio.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from poppyhold.scale.responses import Data, Status
 from poppyhold.wire.codec import MalformedError, decode, encode
 
-# Method, path and body; the answer's status and body.
+# Takes method, path and body; returns the response's status and body.
 Handler = Callable[[str, str, bytes], Awaitable[Status]]
 
 _MAX_HEAD_BYTES = 16 * 1024
 
 
 class NoResponseError(Exception):
-    """The request got no answer: no connection, a broken one, or none in time."""
+    """A request got no response: connection refused or lost, malformed response, or timeout."""
 
 
 async def _read_message(reader: asyncio.StreamReader) -> tuple[str, bytes, bool, int]:
-    """First line, body, whether the connection ends after it, and the bytes that were read."""
+    """Return the first line, the body, whether the connection closes afterwards, and the bytes read."""
     head = await reader.readuntil(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     length, closes = 0, False
@@ -46,7 +46,7 @@
         self._handler = handler
         self._server: asyncio.Server | None = None
         self.port = 0
-        # Both directions, heads included.
+        # Bytes in both directions, heads included.
         self.bytes = 0
 
     async def start(self, port: int = 0) -> int:
@@ -56,7 +56,7 @@
         return self.port
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
@@ -81,7 +81,7 @@
 
 
 class Connection:
-    """One connection of a client; it is opened when it is needed, and kept."""
+    """One client connection, opened on the first request and kept alive."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -89,10 +89,10 @@
         self.bytes = 0
 
     async def request(self, method: str, path: str, body: Data | None, timeout_s: float) -> Status:
-        """Send one request and wait for its answer.
+        """Send one request and wait for its response.
 
         Raises:
-            NoAnswerError: there was none within ``timeout_s`` seconds.
+            NoResponseError: no valid response arrived within ``timeout_s`` seconds.
 
         """
         try:
@@ -118,7 +118,7 @@
         return int(line.split(" ", 2)[1]), decode(body) if body else {}
 
     def close(self) -> None:
-        """Close it; the next request opens another."""
+        """Close the connection; the next request opens a new one."""
         if self._streams is not None:
             self._streams[1].close()
             self._streams = None
--- a/src/poppyhold/scale/cell_checks.py
+++ b/src/poppyhold/scale/cell_checks.py
@@ -1,4 +1,4 @@
-"""What must hold over all cells: limits at each instant, guarantees within a bound, shares that add up."""
+"""Rules over all cells: limits at each instant, guarantees within a bound, consistent allocations."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 class GuaranteeBound(NamedTuple):
-    """How long a team may be below its guarantee while its work waits and fits, and that guarantee."""
+    """Teams' guarantees, and how long a team may use less while it has waiting tasks that fit."""
 
     seconds: float
     guarantees: dict[str, float]
 
 
 def stored_view(state: StateStandIn) -> CellView:
-    """A cell's shares as they are stored."""
+    """A cell's allocations as stored in its state service."""
     entries = state.scan(QUOTA_PREFIX, "", _MAX_PAGE_ENTRIES)[1]["entries"]
     cell = incarnation = ""
     teams, peers = [], []
@@ -60,7 +60,7 @@
 
 
 class CellChecks:
-    """Looks at all cells at one instant; what breaks a rule fails the run."""
+    """Checks all cells at one instant; any violation fails the run."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         self._runs, self._limits, self._bound = runs, limits, bound
         self._network, self._clock = network, clock
         self.violations = RuleViolations()
-        # Until then a trouble may hold up shares.
+        # Until this time an injected fault may delay transfers, so guarantees are not checked.
         self.grace_until = float("-inf")
         self._below_since: dict[str, float] = {}
         self.longest_below_s = 0.0
@@ -84,16 +84,16 @@
         self.history = CellHistory(_SAMPLE_S)
 
     def clear(self) -> None:
-        """Begin the measured time."""
+        """Reset the figures at the start of the measured time."""
         self.use_links_up, self.use_links_cut = LimitUse(), LimitUse()
         self.links_cut_s = 0.0
         self.history.begin(self._clock())
 
     def started(self) -> None:
-        """A task started somewhere: the limits must hold at this instant."""
+        """Check the limits at the start of a task in any cell."""
         if all(amount <= self._limits[team] + _TOLERANCE for team, amount in self._used().items()):
             return
-        # These are upper bounds: tasks that ended since the last count are still in them.
+        # The amounts are upper bounds, which include tasks that ended since the last count.
         for run in self._runs:
             run.checks.count()
         self._check_limits(self._used())
@@ -110,7 +110,7 @@
                 self.violations.add(f"quota over all cells: {team} uses {amount:g} of {self._limits[team]:g}")
 
     def check(self) -> None:
-        """Look at everything once."""
+        """Check all rules once and record a sample."""
         for run in self._runs:
             run.checks.count()
         used, waiting = self._used(), self._waiting()
@@ -120,7 +120,7 @@
         views = self._views()
         self._check_allocations(views)
         self._record_sample(views)
-        # They are made one transaction after the other; from then on they are complete for ever.
+        # Allocations are created over several transactions; once complete, they stay complete.
         self._allocations_complete = self._allocations_complete or all(
             len(view.teams) == len(self._limits) for view in views
         )
@@ -129,22 +129,22 @@
                 self.violations.add(f"shares: {problem}")
 
     def _views(self) -> list[CellView]:
-        """The shares of all cells as they are stored, in the order of the runs."""
+        """The stored allocations of all cells, in the order of the runs."""
         return [stored_view(run.state.standin) for run in self._runs]
 
     @property
     def use(self) -> LimitUse:
-        """What was in use of the limits, whether links were up or cut."""
+        """Use of the limits over the whole measured time, whether links were up or cut."""
         up, cut = self.use_links_up, self.use_links_cut
         return LimitUse(up.used + cut.used, up.limit + cut.limit)
 
     def in_transit(self) -> int:
-        """Transfers that have not reached who they are for."""
+        """Transfers that their destination cells have not applied yet."""
         views = self._views()
         return len(transfers_in_transit({view.cell: view for view in views}))
 
     def _check_allocations(self, views: Sequence[CellView]) -> None:
-        """No cell may use more than its own durable share, cut off or not."""
+        """Check that no cell, connected or not, uses more than its own durable allocation."""
         for run, view in zip(self._runs, views, strict=True):
             for team in view.teams:
                 if team.allocation.accelerators.limit is None:
@@ -154,7 +154,7 @@
                     self.violations.add(f"share: {team.team} uses {used:g} of {limit:g} in {view.cell}")
 
     def _record_use(self, used: Counter[str], waiting: Counter[str]) -> None:
-        """What is in use of the limits of teams whose work waits, and for how long links are cut."""
+        """Record the use of the limits of teams with waiting tasks, and how long links are cut."""
         now, is_connected = self._clock(), self._network.is_connected
         if not is_connected and self._checked_at is not None:
             self.links_cut_s += now - self._checked_at
@@ -185,7 +185,7 @@
                 )
 
     def _waiting(self) -> Counter[str]:
-        """Tasks that wait in a cell on whose machines one fits, by team."""
+        """Waiting jobs by team, in cells where a machine has capacity for the smallest task."""
         waiting: Counter[str] = Counter()
         for run in self._runs:
             free_copies = max(
@@ -197,16 +197,16 @@
 
 
 def _allocated_accelerators(view: CellView) -> float:
-    """Accelerators that all teams together may use in a cell."""
+    """Accelerators allocated to all teams together in a cell."""
     return from_thousandths(sum(team.allocation.accelerators.limit or 0 for team in view.teams))
 
 
-# A task of one accelerator, the smallest that asks for a share of them.
+# A task with one accelerator, the smallest that counts towards a limit.
 _SMALLEST_TASK = {"cpus": 1.0, "accelerators": 1.0, "memGb": 1.0}
 
 
 def _unstarted(checks: RuleChecks) -> Counter[str]:
-    """Jobs with accelerators that are accepted and have no task on a machine and none done."""
+    """Accepted jobs with accelerators of which no task has started yet, by team."""
     waiting: Counter[str] = Counter()
     for job_id, job in checks.jobs.items():
         if job["accelerators"] and checks.waits(job_id):
--- a/src/poppyhold/scale/cell_history.py
+++ b/src/poppyhold/scale/cell_history.py
@@ -1,4 +1,4 @@
-"""How the shares of limits and their use went, cell by cell, over a run."""
+"""Allocations and their use over a run, cell by cell."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class CellSample(msgspec.Struct, frozen=True, array_like=True):
-    """Accelerators of all teams together in one cell: its shares of their limits, and what runs."""
+    """Accelerators of all teams in one cell: allocated ones, and those in use."""
 
     share: float
     used: float
 
 
 class Sample(msgspec.Struct, frozen=True, array_like=True):
-    """All cells at one moment, in seconds of the measured time, and whether all links between them are up."""
+    """All cells at one time, in seconds of the measured time; whether all links between them are up."""
 
     at_s: float
     links_up: bool
@@ -21,24 +21,24 @@
 
 
 class LimitUse(msgspec.Struct):
-    """What was in use of the limits of teams whose work waited, added up over many looks."""
+    """Use and limits of teams with waiting tasks, added up over many checks."""
 
     used: float = 0.0
     limit: float = 0.0
 
     def add(self, used: float, limit: float) -> None:
-        """Note one team at one look."""
+        """Add one team at one check."""
         self.used += used
         self.limit += limit
 
     @property
     def part(self) -> float | None:
-        """The part of the limits in use; None: no work waited."""
+        """The part of the limits in use; None if no team had waiting tasks."""
         return self.used / self.limit if self.limit else None
 
 
 class CellHistory:
-    """Samples of a run, not more often than once in an interval."""
+    """Samples of a run, at most one per interval."""
 
     def __init__(self, interval_s: float) -> None:
         self._interval_s = interval_s
@@ -46,12 +46,12 @@
         self.samples: list[Sample] = []
 
     def begin(self, now: float) -> None:
-        """The measured time begins now: what was before is dropped."""
+        """Start the measured time: drop earlier samples."""
         self._began_at = self._next_at = now
         self.samples = []
 
     def record(self, now: float, links_up: bool, cells: list[CellSample]) -> None:
-        """Take a sample if the last one is old enough."""
+        """Record a sample unless the previous one is more recent than the interval."""
         if now < self._next_at:
             return
         self._next_at = now + self._interval_s
--- a/src/poppyhold/scale/cell_links.py
+++ b/src/poppyhold/scale/cell_links.py
@@ -1,4 +1,4 @@
-"""Links between cells, which can be cut in one direction or in both."""
+"""Links between cells, which a run can cut in one or both directions."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from poppyhold.scale.controllers import ControllerProcess, Link
 
-# From one cell to another, by their indexes.
+# Indexes of the source cell and the target cell.
 Direction = tuple[int, int]
 
 
 class CuttableLink(Link):
-    """What the controllers of one cell send to a controller of another goes through here.
+    """Forwards connections from the controllers of one cell to one controller of another cell.
 
-    A cut holds what is sent; when it is over, connections that it held up end, as they do after a real one.
+    A cut holds back data; when it ends, connections with held data are closed, as after a real network cut.
     """
 
     def __init__(self, target: int) -> None:
         super().__init__(target)
-        # Whether what is asked, and what is answered, passes.
+        # Set while requests, or responses, are forwarded.
         self.requests_pass = asyncio.Event()
         self.responses_pass = asyncio.Event()
         self.requests_pass.set()
@@ -35,7 +35,7 @@
 
 
 class CellNetwork:
-    """All links between cells. A way that several cuts hold is open again when the last of them is over."""
+    """All links between cells. Overlapping cuts of a direction end when the last of them ends."""
 
     def __init__(self) -> None:
         self._links: dict[Direction, list[CuttableLink]] = {}
@@ -43,7 +43,7 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether no way is cut."""
+        """Whether no direction is cut."""
         return not any(self._cuts.values())
 
     async def open(
@@ -56,13 +56,13 @@
         return links
 
     def cut(self, directions: Iterable[Direction]) -> None:
-        """Let nothing pass these ways."""
+        """Stop all data in these directions."""
         for direction in directions:
             self._cuts[direction] += 1
             self._apply(direction)
 
     def heal(self, directions: Iterable[Direction]) -> None:
-        """End a cut of these ways."""
+        """End one cut of these directions."""
         for direction in directions:
             self._cuts[direction] = max(0, self._cuts[direction] - 1)
             self._apply(direction)
@@ -74,7 +74,7 @@
             self._apply(direction)
 
     def _apply(self, direction: Direction) -> None:
-        """What one cell sends to another: its questions, and its answers to the other's."""
+        """Stop or pass the source's requests to the target and its responses to the target's requests."""
         source, target = direction
         passes = not self._cuts[direction]
         for link in self._links[source, target]:
--- a/src/poppyhold/scale/cell_plot.py
+++ b/src/poppyhold/scale/cell_plot.py
@@ -1,4 +1,4 @@
-"""A plot of a run of several cells: the share and the use of each, and when links between them were cut."""
+"""Plot of a run of several cells: allocation and use of each cell, faults, and times of cut links."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 def plot_cells(result: CellsResult, path: Path) -> None:
-    """Write the plot as the format that the file's name says.
+    """Write the plot in the format of the file's extension.
 
     Raises:
-        OSError: the file can't be written.
-        ValueError: its name says no format that is known.
+        OSError: the file cannot be written.
+        ValueError: the extension is not a known format.
 
     """
     count = len(result.cells)
@@ -52,7 +52,7 @@
 
 
 def _cut_spans(result: CellsResult) -> Iterator[tuple[float, float]]:
-    """Spans of time, in seconds, in which some link was cut."""
+    """Yield start and end, in seconds, of each time span in which some link was cut."""
     start: float | None = None
     for sample in result.samples:
         if not sample.links_up and start is None:
--- a/src/poppyhold/scale/cells.py
+++ b/src/poppyhold/scale/cells.py
@@ -1,4 +1,4 @@
-"""A run of several cells: each is a scale run of its own, and they share the teams' limits."""
+"""A run of several cells: each is a separate scale run, and all share the teams' limits."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from poppyhold.scale.run import ScaleRun, StoppedError
 
 _CHECK_INTERVAL_S, _ROTATION_CHECK_S = 0.25, 0.2
-# The part of its arrivals that a cell gets while it is not its turn to get all of them.
+# Share of its arrivals that a cell gets while another cell has its turn to get all of its own.
 _OFF_TURN_ARRIVAL_SHARE = 0.15
-# Leases within which a guarantee is met: what a cell keeps back of what it used, the move, and a start.
+# Leases within which a guarantee is met: retention of recent use in another cell, transfer, and task start.
 _GUARANTEE_LEASES = 2.5
-# The log line of a cell service that has credited a transfer.
+# The log line of a cell service that credited a transfer.
 CREDIT_LINE = re.compile(r"credit: team=.* source_cell=\S+ unmet_s=([0-9.]+)")
 
 
@@ -37,18 +37,18 @@
     profile: dict[str, Any]
     seed: int
     cells: list[Result]
-    # How long a cell had asked for what it then took, in seconds.
+    # Seconds from a cell's request for an allocation until it credited the transfer.
     share_waits: dict[str, float]
     moves: int
-    # Of the state services of all cells, for shares alone.
+    # Writes and transactions on quota records at the state services of all cells.
     quota_changes: int
     quota_commits: int
-    # Of the limits of teams whose work waits: in all, and apart for the times in which all links between
-    # cells were up, and in which some were cut; None where no work waited in such a time.
+    # Use of the limits of teams with waiting tasks: in total, while all links between cells were up, and
+    # while some were cut; None if no tasks waited in that time.
     part_of_limits_in_use: float | None
     part_of_limits_in_use_links_up: float | None
     part_of_limits_in_use_links_cut: float | None
-    # How much of the measured time some link was cut, in seconds.
+    # Seconds of the measured time in which some link was cut.
     links_cut_s: float
     longest_below_guarantee_s: float
     guarantee_bound_s: float
@@ -60,12 +60,12 @@
 
     @property
     def ok(self) -> bool:
-        """Whether every cell's run passed, and nothing over all of them broke."""
+        """Whether every cell's run passed, and no rule over all cells was violated."""
         return all(cell.ok for cell in self.cells) and not self.broken_count
 
 
 class CellsRun:
-    """All cells of one run, their links, and what must hold over all of them."""
+    """All cells of one run, the links between them, and the checks over all of them."""
 
     def __init__(self, profile: Profile, seed: int, folder: Path) -> None:
         self._profile, self._seed, self._folder = profile, seed, folder
@@ -84,7 +84,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def play(self) -> CellsResult:
-        """Play the profile, and end all that was started."""
+        """Run the profile, then stop everything that was started."""
         try:
             async with asyncio.timeout(self._profile.most_s):
                 await self._prepare()
@@ -92,15 +92,13 @@
                 await self._drain()
             return self._result()
         except TimeoutError:
-            raise StoppedError(f"not over within most_s = {self._profile.most_s:g} s") from None
+            raise StoppedError(f"did not finish within most_s = {self._profile.most_s:g} s") from None
         finally:
             for task in self._tasks:
                 task.cancel()
             for run in self._runs:
                 run.end()
 
-    # -- the parts -------------------------------------------------------------------------------------
-
     async def _prepare(self) -> None:
         await asyncio.gather(*(run.build() for run in self._runs))
         await self._connect()
@@ -112,7 +110,7 @@
         await self._wait(self._profile.warm_up_s)
 
     async def _connect(self) -> None:
-        """Links from each cell to each controller of each other cell, and the files that name them."""
+        """Open links from each cell to the controllers of the others, and write them to the options files."""
         if len(self._runs) == 1:
             return
         for source, run in enumerate(self._runs):
@@ -134,14 +132,12 @@
         )
 
     def _part(self, index: int) -> float:
-        """Equal parts in decimals, the first one with the rest."""
+        """A cell's part, as a decimal: equal parts, the first one with the rounding remainder."""
         part = round(1 / self._profile.cells, 4)
         return part if index else round(1 - part * (self._profile.cells - 1), 4)
 
-    # -- the load --------------------------------------------------------------------------------------
-
     async def _rotate_arrivals(self) -> None:
-        """One cell after the other gets most of what arrives."""
+        """Give most arrivals to one cell after the other."""
         began_at = time.monotonic()
         while self._profile.wander_s > 0:
             turn = int((time.monotonic() - began_at) / self._profile.wander_s) % len(self._runs)
@@ -150,7 +146,7 @@
             await asyncio.sleep(_ROTATION_CHECK_S)
 
     async def _burst(self) -> None:
-        """Users of all cells submit at the same instants."""
+        """Submit bursts in all cells at the same time."""
         while self._profile.burst_jobs > 0:
             for run in self._runs:
                 run.users.burst(self._profile.burst_jobs)
@@ -161,8 +157,6 @@
             self._checks.check()
             await asyncio.sleep(_CHECK_INTERVAL_S)
 
-    # -- measuring -------------------------------------------------------------------------------------
-
     async def _measure(self) -> None:
         for run in self._runs:
             run.clear()
@@ -182,7 +176,7 @@
             await self._runs[fault.cell].inject(fault)
 
     def _cut(self, fault: Fault) -> None:
-        """Cut the way from a cell to the next one, or both ways."""
+        """Cut the links from a cell to the next one, or in both directions."""
         source, target = fault.cell, (fault.cell + 1) % len(self._runs)
         directions = [(source, target)]
         if fault.kind == "cut_links":
@@ -197,7 +191,7 @@
         self._spawn(heal())
 
     async def _drain(self) -> None:
-        """No more load or links that are cut: what is on its way arrives."""
+        """Stop the load, restore all links and wait until transfers in transit arrive."""
         self._profile = msgspec.structs.replace(self._profile, burst_jobs=0)
         self._network.heal_all()
         for run in self._runs:
@@ -210,13 +204,11 @@
         while not holds() and time.monotonic() < until:
             await self._wait(_CHECK_INTERVAL_S)
 
-    # -- duties ----------------------------------------------------------------------------------------
-
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         self._tasks.add(asyncio.create_task(coroutine))
 
     async def _wait(self, seconds: float) -> None:
-        """Wait in all cells; a duty that failed anywhere ends the run."""
+        """Wait in all cells; an exception of any background task ends the run."""
         await asyncio.gather(*(run.wait(seconds) for run in self._runs))
         for task in self._tasks:
             if task.done() and (error := task.exception()) is not None:
@@ -264,30 +256,30 @@
 
 
 async def play_cells(profile: Profile, seed: int, folder: Path) -> CellsResult:
-    """Play a profile of several cells with its files in ``folder``."""
-    # Connections that break as the run ends are nothing to tell of.
+    """Run a profile of several cells with its files in ``folder``."""
+    # Connections that break at the end of the run are expected and not reported.
     asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
     return await CellsRun(profile, seed, folder).play()
 
 
 def _format_part(part: float | None) -> str:
-    return "no work waited" if part is None else f"{part:.3f}"
+    return "no tasks waited" if part is None else f"{part:.3f}"
 
 
 def print_cells_result(result: CellsResult, console: Console) -> None:
-    """Show a run in the terminal."""
+    """Print a run's result."""
     for cell in result.cells:
         print_result(cell, console)
     table = Table("over all cells", "value")
     for name in ("count", "p50", "p95", "p99", "max"):
-        table.add_row(f"wait for an asked share, {name}", f"{result.share_waits.get(name, 0.0):.3f}")
-    table.add_row("changes for shares", str(result.quota_changes))
+        table.add_row(f"wait for a requested allocation, {name}", f"{result.share_waits.get(name, 0.0):.3f}")
+    table.add_row("quota writes", str(result.quota_changes))
     for name, part in (
         ("", result.part_of_limits_in_use),
         (", links up", result.part_of_limits_in_use_links_up),
         (", links cut", result.part_of_limits_in_use_links_cut),
     ):
-        table.add_row(f"part of the limits in use while work waits{name}", _format_part(part))
+        table.add_row(f"part of the limits in use while tasks wait{name}", _format_part(part))
     table.add_row("links cut, s", f"{result.links_cut_s:.0f}")
     below = f"{result.longest_below_guarantee_s:.1f} (bound {result.guarantee_bound_s:.1f})"
     table.add_row("longest below a guarantee, s", below)
@@ -295,5 +287,5 @@
     for fault in result.faults:
         console.print(f"{fault.kind} at {fault.at_s:.0f} s: {fault.what}")
     for line in result.broken:
-        console.print(f"BROKEN {line}", style="red")
+        console.print(f"VIOLATION {line}", style="red")
     console.print("ok over all cells" if result.ok else "FAILED over all cells")
--- a/src/poppyhold/scale/checks.py
+++ b/src/poppyhold/scale/checks.py
@@ -1,4 +1,4 @@
-"""The protocol's rules, checked as the run goes on."""
+"""Rules of the protocol, checked during the run."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RuleChecks:
-    """Collects broken rules: any of them fails the run."""
+    """Checks the rules on tasks and jobs; any violation fails the run."""
 
     def __init__(
         self,
@@ -30,16 +30,14 @@
         self._cancelled_at: dict[str, float] = {}
         self._reported_status: dict[str, str] = {}
         self._finished: Counter[str] = Counter()
-        # Jobs that had a task on a machine.
+        # Jobs of which a task has started.
         self._started_jobs: set[str] = set()
         self._placed: dict[str, WorkerStandIn] = {}
-        # Upper bounds of what teams use, from the last exact count on.
+        # Upper bounds of the accelerators that teams use: the last exact count, plus tasks started since.
         self._used: Counter[str] = Counter()
 
-    # -- tasks -------------------------------------------------------------------------------------
-
     def started(self, worker: WorkerStandIn, task: str) -> None:
-        """A task has its image and is on its machine."""
+        """Check a task that has its image and starts on its machine."""
         job_id = task.rpartition("/")[0]
         before = self._placed.get(task)
         if before is not None and before is not worker and not before.gone and task in before.on_machine():
@@ -50,22 +48,22 @@
         team = job["crew"]
         self._used[team] += job["accelerators"]
         if self._used[team] > self._limits[team] + _TOLERANCE:
-            # The bound is not exact: tasks that ended since the last count are still in it.
+            # The upper bound includes tasks that ended since the last count.
             self.count()
         self._check_cancelled(job_id, task)
 
     def completed(self, task: str) -> None:
-        """A task ran to its end."""
+        """Record a task that ran to completion."""
         self._placed.pop(task, None)
         self._finished[task.rpartition("/")[0]] += 1
 
     @property
     def used(self) -> Counter[str]:
-        """What each team uses at the most: as of the last count, and all that was started since."""
+        """Upper bound of what each team uses: the last count, plus all tasks started since."""
         return self._used
 
     def count(self) -> int:
-        """Count every task on every machine; returns how many there are."""
+        """Count the tasks on all machines and check limits and cancellations; returns the number of tasks."""
         used: Counter[str] = Counter()
         running = 0
         for worker in self._workers():
@@ -86,14 +84,12 @@
         if self._clock() > deadline:
             self.violations.add(f"ran_cancelled: {task}, {self._clock() - deadline:.1f} s too late")
 
-    # -- what users hear ---------------------------------------------------------------------------
-
     def accepted(self, job: Data) -> None:
-        """The job was accepted."""
+        """Record an accepted job."""
         self._reported_status.setdefault(job["nameId"], "pending")
 
     def answered(self, job_id: str, status: int, body: Data) -> None:
-        """A user asked about an accepted job, or cancelled it."""
+        """Check the response to a user who polled or cancelled an accepted job."""
         if status in (400, 404, 422):
             self.violations.add(f"forgotten: {job_id} gets {status}")
         if status != 200:  # noqa: PLR2004 (HTTP's own number)
@@ -108,9 +104,9 @@
         self._reported_status[job_id] = reported
 
     def waits(self, job_id: str) -> bool:
-        """Whether a job is accepted, not over, and had no task on a machine yet."""
+        """Whether a job is accepted and pending, and no task of it has started yet."""
         return self._reported_status.get(job_id) == "pending" and job_id not in self._started_jobs
 
     def is_final(self, job_id: str) -> bool:
-        """Whether its user has heard that the job is over."""
+        """Whether a final status of the job was reported to its user."""
         return self._reported_status.get(job_id) in _FINAL_STATUSES
--- a/src/poppyhold/scale/cloud_standin.py
+++ b/src/poppyhold/scale/cloud_standin.py
@@ -1,4 +1,4 @@
-"""The cloud as a state machine: machine types, launches, deletions and a list that lags."""
+"""The cloud as a state machine: machine types, launches, deletions and a machine list that lags."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class CloudStandIn:
-    """Rents machines: names once, a list that lags, refusals, boots that fail."""
+    """Launches and deletes machines, with unique names, limited capacity, outages and a lagging list."""
 
     def __init__(self, clock: Callable[[], float], machine_types: list[Data], lag_s: float) -> None:
         self._clock, self.machine_types, self._lag_s = clock, machine_types, lag_s
@@ -21,7 +21,7 @@
         self._listings: list[tuple[float, list[Data]]] = []
 
     def add(self, machine_type: str, zone: str, spot: bool, status: str = "starting") -> str:
-        """Bring a machine into being."""
+        """Create a machine; returns its name."""
         self._count += 1
         name = f"vm-{self._count:06d}"
         self.machines[name] = {
@@ -36,7 +36,7 @@
         return name
 
     def launch(self, body: Data) -> Status:
-        """Rent; a name that was answered with 200 is answered alike again."""
+        """Launch machines; a repeated request whose first response was 200 gets the same response."""
         if self.down:
             return 503, {"error": "trouble"}
         if body["hire"] in self.launches:
@@ -51,7 +51,7 @@
         return 200, {"boxes": names}
 
     def delete(self, names: list[str]) -> Status:
-        """Delete; the caller ends the workers."""
+        """Delete machines; the caller stops their workers."""
         if self.down:
             return 503, {"error": "trouble"}
         for name in names:
@@ -59,7 +59,7 @@
         return 200, {}
 
     def listing(self) -> Status:
-        """The list as it was a lag ago."""
+        """The machine list as of one lag ago."""
         if self.down:
             return 503, {"error": "trouble"}
         now = self._clock()
@@ -70,7 +70,7 @@
         return 200, {"boxes": seen, "more": False}
 
     def record_listing(self) -> None:
-        """Keep what a list will show a lag from now."""
+        """Record the machines, for lists that are read one lag later."""
         now = self._clock()
         listed = [
             {**{k: v for k, v in m.items() if k not in ("at", "boot_s")}, "heldS": now - m["at"]}
@@ -78,5 +78,5 @@
         ]
         self._listings.append((now, listed))
         while len(self._listings) > 1 and self._listings[1][0] <= now - self._lag_s:
-            # Something newer is old enough to be shown.
+            # The next listing is already old enough to be shown.
             del self._listings[0]
--- a/src/poppyhold/scale/controllers.py
+++ b/src/poppyhold/scale/controllers.py
@@ -1,4 +1,4 @@
-"""Real controllers as processes on loopback, and the links between them, which count what passes."""
+"""Real controllers as processes on loopback, and the links between them, which count bytes."""
 
 from __future__ import annotations
 
@@ -25,11 +25,10 @@
 
 
 def free_port() -> int:
-    """A loopback port that nobody listens on, below those that systems give to outgoing connections.
+    """Return an unused loopback port below the ephemeral range.
 
-    A port from among those was taken by some connection before its listener came to it. None is given twice:
-    of some fifty that several cells need at once, two were the same in one run, and one controller never
-    began.
+    An outgoing connection can take an ephemeral port before the listener binds it. No port is returned twice:
+    several cells need some fifty at once, and a controller whose port duplicates another's never starts.
     """
     for port in random.sample(_PORT_RANGE, len(_PORT_RANGE)):
         if port in _allocated_ports:
@@ -42,10 +41,10 @@
 
 
 class Link:
-    """What one controller sends to another's port goes through here and is counted.
+    """Forwards connections from one controller to another's port and counts the bytes.
 
-    While the other one's process is down nobody listens here either: controllers tell a process that is gone
-    by its refusals.
+    While the target's process is down, the link does not listen either: controllers detect a stopped process
+    by refused connections.
     """
 
     def __init__(self, target: int) -> None:
@@ -55,12 +54,12 @@
         self.bytes = 0
 
     async def open(self) -> None:
-        """Listen."""
+        """Start to listen."""
         if self._server is None:
             self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
 
     def close(self) -> None:
-        """Refuse connections; open ones end with the process that serves them."""
+        """Refuse new connections; open ones end with the target's process."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -77,7 +76,7 @@
         )
 
     async def _may_forward(self, is_request: bool) -> bool:
-        """Whether what was read may go on; if not, its connection ends."""
+        """Whether data that was read is forwarded; if not, the connection is closed."""
         return True
 
     async def _forward(
@@ -106,12 +105,12 @@
         self.meter = ProcessMeter()
         self.settings: Path | None = None
         self._process: subprocess.Popen[bytes] | None = None
-        # Ends that nobody asked for.
+        # Exits other than by `kill`.
         self.ended_by_itself = 0
 
     @property
     def alive(self) -> bool:
-        """Whether the process runs."""
+        """Whether the process is running."""
         return self._process is not None and self._process.poll() is None
 
     def start(self, options: Path, log: Path) -> None:
@@ -125,7 +124,7 @@
         self.meter.follow(self._process.pid)
 
     def kill(self) -> None:
-        """End the process without a word."""
+        """Kill the process and close the links that lead to it."""
         if self._process is not None:
             self._process.kill()
             self._process.wait(_KILL_WAIT_S)
@@ -134,17 +133,17 @@
             link.close()
 
     def suspend(self) -> None:
-        """Let the process stand still."""
+        """Suspend the process (SIGSTOP)."""
         if self._process is not None:
             self._process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on, if it stands still."""
+        """Resume the process if it is suspended (SIGCONT)."""
         if self._process is not None:
             self._process.send_signal(signal.SIGCONT)
 
     def poll_exit(self) -> bool:
-        """Whether the process ended by itself since the last call."""
+        """Whether the process has exited unexpectedly since the last call; counts such exits."""
         if self._process is None or self._process.poll() is None:
             return False
         self._process = None
@@ -175,21 +174,21 @@
             controller.settings.write_text(text, encoding="utf-8")
 
     def add_options(self, text: str) -> None:
-        """Add to the operators' settings of every controller that starts from now on."""
+        """Append to the options file that controllers read at their next start."""
         with self._options.open("a", encoding="utf-8") as options:
             options.write(text)
 
     @property
     def ports(self) -> dict[str, int]:
-        """The port of each controller for users and workers."""
+        """Each controller's port for users and workers."""
         return {controller.member: controller.port for controller in self.all}
 
     def get(self, member: str) -> ControllerProcess:
-        """The controller of that name."""
+        """The controller with that name."""
         return next(controller for controller in self.all if controller.member == member)
 
     async def start(self, controller: ControllerProcess) -> None:
-        """Start a controller, and open the way to it once it listens."""
+        """Start a controller, and open the links to it once it listens."""
         controller.start(self._options, self._folder / f"{controller.member}.log")
         while controller.alive:
             try:
@@ -203,7 +202,7 @@
             return
 
     async def ready(self, controller: ControllerProcess) -> None:
-        """Wait until it takes requests."""
+        """Wait until the controller serves requests."""
         connection = Connection(controller.port)
         while True:
             try:
@@ -215,12 +214,12 @@
             await asyncio.sleep(_POLL_INTERVAL_S)
 
     def kill_all(self) -> None:
-        """End every process."""
+        """Kill every process."""
         for controller in self.all:
             controller.kill()
 
     def peer_bytes(self) -> int:
-        """What controllers sent one another, both ways."""
+        """Bytes sent between controllers, in both directions."""
         return sum(link.bytes for controller in self.all for link in controller.links.values())
 
     def _settings(self, controller: ControllerProcess, state_port: int, cloud_port: int) -> str:
@@ -274,7 +273,7 @@
         return "\n".join(lines) + "\n"
 
 
-# Machines that are idle for a while stay: the run is of a fleet of a given size.
+# Idle machines are kept, so that the fleet stays at its given size.
 _OPTIONS = "provisioning { keep_boots: 100 }\n"
 
 
@@ -283,7 +282,7 @@
 
 
 def team_limits(profile: Profile) -> dict[str, float]:
-    """Accelerators that each team may use at most, in all cells together."""
+    """Each team's limit of accelerators, over all cells."""
     shapes = profile.machine_types
     each_worker = sum(shape.accelerators * shape.share for shape in shapes)
     accelerators = each_worker * profile.workers * profile.cells
--- a/src/poppyhold/scale/external_services.py
+++ b/src/poppyhold/scale/external_services.py
@@ -1,4 +1,4 @@
-"""State service and cloud on loopback ports, with their limits and latencies."""
+"""State service and cloud on loopback ports, with limits and latencies."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class RateLimit:
-    """So many a second, with bursts of a given number of seconds' worth."""
+    """A token bucket: a rate per second, with bursts of up to ``burst_s`` seconds of it."""
 
     def __init__(self, per_second: float, burst_s: float) -> None:
         self._per_second, self._burst = per_second, per_second * burst_s
         self._available, self._refilled_at = self._burst, time.monotonic()
 
     def take(self, amount: float = 1.0) -> bool:
-        """Whether that much is within the limit; if not, nothing is taken."""
+        """Take an amount if it is within the limit, and return whether it was."""
         now = time.monotonic()
         self._available = min(self._burst, self._available + (now - self._refilled_at) * self._per_second)
         self._refilled_at = now
@@ -40,7 +40,7 @@
 
 
 class StateService:
-    """Serves the key-value stand-in."""
+    """Serves the state stand-in over HTTP."""
 
     def __init__(self, limits: StateLimits, rng: random.Random) -> None:
         self.standin = StateStandIn(time.monotonic, limits.txn_ops, limits.value_kb)
@@ -50,12 +50,12 @@
         self.server = HttpServer(self._handle)
         self.requests: Counter[str] = Counter()
         self.writes = 0
-        # Changes of shares of teams' limits, and the transactions that hold any.
+        # Writes of quota records, and the transactions that contain any.
         self.quota_writes = self.quota_commits = 0
         self.refused: Counter[str] = Counter()
 
     def clear(self) -> None:
-        """Begin the measured time."""
+        """Reset the figures at the start of the measured time."""
         self.requests.clear()
         self.refused.clear()
         self.writes = self.server.bytes = self.quota_writes = self.quota_commits = 0
@@ -80,7 +80,7 @@
         return state_route(self.standin, method, path, body)
 
     def _count_quota_writes(self, writes: list[dict[str, object]]) -> None:
-        """Count what is written of shares."""
+        """Count writes of quota records."""
         count = sum(str(write.get("set")).startswith(QUOTA_PREFIX) for write in writes)
         self.quota_writes += count
         self.quota_commits += count > 0
@@ -105,7 +105,7 @@
 
 
 class CloudService:
-    """Serves the cloud stand-in; `on_deleted` is told which machines are gone."""
+    """Serves the cloud stand-in over HTTP; `deleted` queues the names of deleted machines."""
 
     def __init__(self, standin: CloudStandIn) -> None:
         self.standin = standin
@@ -120,7 +120,7 @@
             return HTTPStatus.TOO_MANY_REQUESTS, {}
         await asyncio.sleep(CLOUD_LATENCY_S)
         if path == "/machines/delete":
-            # Gone before the answer, as the protocol says.
+            # The protocol requires the machines to be gone before the response.
             for name in decode(body)["boxes"]:
                 self.deleted.put_nowait(name)
             await self.deleted.join()
--- a/src/poppyhold/scale/fleet.py
+++ b/src/poppyhold/scale/fleet.py
@@ -34,7 +34,7 @@
 
 
 class Fleet:
-    """Brings workers up as the cloud rents them, and ends them as it deletes them."""
+    """Starts a worker for each launched machine, and stops it when the cloud deletes the machine."""
 
     def __init__(
         self,
@@ -54,23 +54,23 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def standins(self) -> list[WorkerStandIn]:
-        """Every worker's state."""
+        """The stand-ins of all workers."""
         return [worker.standin for worker in self.workers.values()]
 
     async def boot(self) -> None:
-        """Bring up the machines that are there at the start."""
+        """Start the workers of the initial fleet."""
         names = [shape.name for shape in self._profile.machine_types]
         weights = [shape.share for shape in self._profile.machine_types]
         for index in range(self._profile.workers):
             zone = self._profile.zones[index % len(self._profile.zones)]
             shape = self._rng.choices(names, weights)[0]
             key = (shape, zone, False)
-            # What is returned may be rented again, and no more than that: the fleet keeps its size.
+            # Deleted machines can be replaced, but no more can be launched: the fleet keeps its size.
             self.cloud.standin.capacity[key] = self.cloud.standin.capacity.get(key, 0) + 1
             await self._add(self.cloud.standin.add(*key, "running"))
 
     async def run(self) -> None:
-        """Follow the cloud: machines that boot, and machines that are deleted."""
+        """Start workers of machines that have booted, and stop those of deleted machines."""
         while True:
             self.cloud.standin.record_listing()
             for name, machine in list(self.cloud.standin.machines.items()):
@@ -83,14 +83,14 @@
                 continue
 
     def restart_share(self, share: float, away_s: float) -> int:
-        """Restart that share of the workers at once; returns how many those are."""
+        """Restart a share of the workers at once; returns their number."""
         chosen = self._rng.sample(list(self.workers.values()), int(len(self.workers) * share))
         for worker in chosen:
             worker.restart(away_s)
         return len(chosen)
 
     def close(self) -> None:
-        """End every worker."""
+        """Stop every worker."""
         for worker in self.workers.values():
             worker.close()
         for task in self._tasks:
--- a/src/poppyhold/scale/jobs.py
+++ b/src/poppyhold/scale/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs and machine types as the protocol writes them."""
+"""Jobs and machine types in the form of the protocols."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def machine_type_data(name: str, accelerators: float, boot_s: float, zones: list[str] | None = None) -> Data:
-    """A machine type."""
+    """Return a machine type as the cloud describes it."""
     return {
         "name": name,
         "cpus": 4 * accelerators,
@@ -27,12 +27,12 @@
 
 
 def wire(job: Data) -> Data:
-    """A job as its user sends it."""
+    """Return a job as its user sends it: without the fields that only the stand-ins read."""
     return {key: value for key, value in job.items() if key not in ("runs", "mistake")}
 
 
 def submission(job_id: str, fields: Data) -> Data:
-    """A job with every field, and how long its tasks really run."""
+    """Return a job with every field, and the actual run time of its tasks as ``runs``."""
     job: Data = {
         "nameId": job_id,
         "lot": "sweep",
--- a/src/poppyhold/scale/measure.py
+++ b/src/poppyhold/scale/measure.py
@@ -1,4 +1,4 @@
-"""What a run measures: latencies as histograms, events by second, and what processes use."""
+"""Measurements of a run: latency histograms, event rates and resource use of processes."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class Latency:
-    """A histogram of spans of time."""
+    """A latency histogram."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS)
 
     def record(self, seconds: float) -> None:
-        """Add a span."""
+        """Add a latency."""
         self._histogram.record_value(min(_HIGHEST_US, max(_LOWEST_US, int(seconds * 1e6))))
 
     def clear(self) -> None:
-        """Forget everything, as the measured time begins."""
+        """Remove all values, at the start of the measured time."""
         self._histogram.reset()
 
     def summary(self) -> dict[str, float]:
@@ -39,26 +39,26 @@
 
 
 class Rate:
-    """Events counted by second."""
+    """Event counts by second."""
 
     def __init__(self) -> None:
         self._by_second: Counter[int] = Counter()
 
     def record(self) -> None:
-        """One event, now."""
+        """Count one event now."""
         self._by_second[int(time.monotonic())] += 1
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Remove all counts."""
         self._by_second.clear()
 
     @property
     def total(self) -> int:
-        """Events in all."""
+        """The number of events."""
         return sum(self._by_second.values())
 
     def peak(self, over_s: int = 5) -> float:
-        """The most events a second, in the mean of ``over_s`` seconds in a row."""
+        """The highest rate per second, averaged over ``over_s`` consecutive seconds."""
         return max(
             (
                 sum(self._by_second[second + offset] for offset in range(over_s)) / over_s
@@ -69,10 +69,10 @@
 
 
 class ProcessUse(msgspec.Struct):
-    """What a process used in the measured time."""
+    """Resource use of a process in the measured time."""
 
     processor_s: float = 0.0
-    # In the last whole second of each sample, as a share of a core.
+    # Highest use of a core between two samples, as a share of one core.
     processor_peak: float = 0.0
     memory_mb: float = 0.0
     threads: int = 0
@@ -80,7 +80,7 @@
 
 
 class ProcessMeter:
-    """Samples one process; a new one with the same name goes on with the same figures."""
+    """Samples one process; figures accumulate across restarts."""
 
     def __init__(self) -> None:
         self.use = ProcessUse()
@@ -93,12 +93,12 @@
         self._last = None
 
     def clear(self) -> None:
-        """Forget what was used before the measured time."""
+        """Reset the figures at the start of the measured time."""
         self.use = ProcessUse()
         self._last = None
 
     def sample(self, with_connections: bool) -> None:
-        """Look at the process once; one that has ended is passed over."""
+        """Sample the process once, unless it has ended."""
         if self._process is None:
             return
         try:
--- a/src/poppyhold/scale/profile.py
+++ b/src/poppyhold/scale/profile.py
@@ -1,4 +1,4 @@
-"""What a scale run plays: its fleet, its load, its troubles and its bounds, read from TOML and checked."""
+"""Profiles of scale runs: fleet, load, faults and bounds, read from TOML and checked."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 import msgspec
 
-# Where the profiles are that come with the program.
+# Directory of the built-in profiles.
 PROFILES = Path(__file__).parent / "profiles"
 
 
 class ProfileError(Exception):
-    """A profile that can't be used; the text names the field."""
+    """A profile is invalid; the message names the field."""
 
 
 class MachineShape(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A machine type, and the share of the workers that are of it."""
+    """A machine type, and the share of workers with it."""
 
     name: str
     share: float
@@ -27,7 +27,7 @@
 
 
 class JobClass(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Jobs of one kind: what they take, how many there are at the start, and how often they come."""
+    """A class of jobs: resources, initial number and arrival rate."""
 
     name: str
     shape: Literal["array", "service"]
@@ -37,22 +37,22 @@
     accelerators: float
     initial: int = 0
     per_second: float = 0.0
-    # Run time of a task, give or take a third; a service's tasks run until it is cancelled.
+    # Mean run time of a task, which varies by up to a third; tasks of a service run until it is cancelled.
     run_s: float = 30.0
-    # Share of its jobs that their users cancel.
+    # Share of the class's jobs that users cancel.
     cancelled: float = 0.0
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Something that happens at a moment of the measured time."""
+    """A fault injected at a given time of the measured time."""
 
     at_s: float
     kind: Literal["kill_leader", "restart_workers", "freeze_leader", "cut_links", "cut_links_one_way"]
-    # Share of the workers that restart.
+    # Share of the workers to restart.
     share: float = 0.1
-    # How long a killed or frozen controller, a restarted worker or the links of a cell are away.
+    # How long the controller is down or frozen, the workers are offline, or the links are cut.
     away_s: float = 5.0
-    # Of several cells, the one that it is about.
+    # Index of the affected cell.
     cell: int = 0
 
 
@@ -67,7 +67,7 @@
 
 
 class ControllerLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the settings tell a controller that it may use."""
+    """Resource limits of a controller, as written to its settings file."""
 
     core_share: float = 0.8
     ram_mb: float = 326.0
@@ -75,28 +75,28 @@
 
 
 class Profile(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One run. Times are seconds of real time."""
+    """One run. Times are in seconds of real time."""
 
     name: str
     workers: int
     controllers: int = 6
-    # Whether controllers relay heartbeats; `auto` is what they do without a word.
+    # Whether controllers relay heartbeats; `auto` is their default.
     relays: Literal["auto", "off", "forced"] = "auto"
     zones: list[str] = msgspec.field(default_factory=lambda: ["a", "b", "c"])
     teams: int = 4
-    # Accelerators that each team may use at most, as a ratio to an equal share of the fleet's.
+    # Each team's limit of accelerators, as a ratio to an equal share of the fleet's accelerators.
     team_limit: float = 2.0
-    # The part of that limit which is guaranteed.
+    # The guaranteed part of that limit.
     team_guarantee: float = 0.0
-    # Cells of this size that share the teams' limits; each has its own controllers and state service.
+    # Cells of this size that share the teams' limits, each with its own controllers and state service.
     cells: int = 1
-    # The longest that a cell holds back what it used, in leases: see `cells.keep_leases` in the options.
+    # See `cells.keep_leases` in the options.
     keep_leases: float = 1.0
-    # The part of its first shares that a cell never gives away: see `cells.reserve` in the options.
+    # See `cells.reserve` in the options.
     reserve: float = 0.0
-    # Of several cells, one after the other gets most arrivals, for so long each; 0: all alike.
+    # How long each cell in turn gets most arrivals; 0: all cells get the same.
     wander_s: float = 0.0
-    # The first class of jobs also comes in bursts of so many, in all cells at the same instant.
+    # Jobs of the first class in each burst, which is submitted in all cells at the same time.
     burst_jobs: int = 0
     burst_every_s: float = 10.0
     heartbeat_interval_s: float = msgspec.field(name="report_s", default=2.5)
@@ -105,7 +105,7 @@
     # From the start of the load until the measured time.
     warm_up_s: float = 60.0
     measured_s: float = 120.0
-    # Bounds of the run itself: its time, and its share of the machine's memory.
+    # Bounds of the run: its total time, and its share of the machine's memory.
     most_s: float = 900.0
     most_memory: float = 0.5
     state: StateLimits = StateLimits()
@@ -115,7 +115,7 @@
     faults: list[Fault] = msgspec.field(name="troubles", default=[])
 
 
-# Fields that must be within bounds for a run to mean anything.
+# Lowest and highest valid value of each field.
 _BOUNDS = {
     "workers": (1, 20_000),
     "controllers": (1, 16),
@@ -139,15 +139,15 @@
 
 
 def built_in() -> list[str]:
-    """Names of the profiles that come with the program."""
+    """Names of the built-in profiles."""
     return sorted(path.stem for path in PROFILES.glob("*.toml"))
 
 
 def load_profile(name_or_path: str) -> Profile:
-    """Read a built-in profile by its name, or one from a file.
+    """Read a built-in profile by name, or a profile from a file.
 
     Raises:
-        ProfileError: it can't be read, or a field is missing, unknown or out of bounds.
+        ProfileError: the file cannot be read, or a field is missing, unknown or out of bounds.
 
     """
     path = PROFILES / f"{name_or_path}.toml"
--- a/src/poppyhold/scale/responses.py
+++ b/src/poppyhold/scale/responses.py
@@ -1,4 +1,4 @@
-"""The answers of the external services as HTTP gives them: a status and a decoded body."""
+"""HTTP responses as the tool handles them: a status and a decoded body."""
 
 from __future__ import annotations
 
--- a/src/poppyhold/scale/result.py
+++ b/src/poppyhold/scale/result.py
@@ -1,4 +1,4 @@
-"""What a run found: as JSON, and as tables in the terminal."""
+"""The result of a run, as JSON and as tables in the terminal."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ControllerResult(msgspec.Struct):
-    """What one controller's process used in the measured time."""
+    """Role and resource use of one controller's process in the measured time."""
 
     member: str
     zone: str
@@ -22,19 +22,19 @@
 
 
 class FaultResult(msgspec.Struct):
-    """What a trouble did."""
+    """An injected fault and its effect."""
 
     kind: str
     at_s: float
-    # Workers that restarted, or the controller that was killed.
+    # The number of restarted workers, the killed or frozen controller, or the cells with cut links.
     what: str
-    # From the kill until another controller held the lead, and until it answered a heartbeat.
+    # Seconds from the kill until another controller led, and until a heartbeat was answered again.
     without_leader_s: float | None = None
     without_answers_s: float | None = None
 
 
 class Result(msgspec.Struct, kw_only=True):
-    """One run. Rates are means over the measured time."""
+    """The result of one run. Rates are means over the measured time."""
 
     profile: dict[str, Any]
     seed: int
@@ -42,9 +42,9 @@
     workers_up: int
     tasks_running: int
     controllers: list[ControllerResult]
-    # The process with simulated workers, users, state service and cloud.
+    # The process of the simulated workers, users, state service and cloud.
     load: ProcessUse
-    # How late the load's own event loop was: latencies below this say nothing.
+    # Delay of the load's own event loop; latencies below it are not meaningful.
     loop_late: dict[str, float]
     latencies: dict[str, dict[str, float]]
     rates: dict[str, float]
@@ -54,18 +54,18 @@
     faults: list[FaultResult] = msgspec.field(name="troubles")
     broken: list[str]
     broken_count: int
-    # Why the run was cut short, if it was.
+    # Why the run ended early; None if it did not.
     stopped: str | None = None
 
     @property
     def ok(self) -> bool:
-        """Whether no rule broke, nothing ended by itself, and the run came to its end."""
+        """Whether no rule was violated, no controller exited unexpectedly, and the run completed."""
         ended = sum(controller.ended_by_itself for controller in self.controllers)
         return not self.broken_count and not ended and self.stopped is None
 
 
 def print_result(result: Result, console: Console) -> None:
-    """Show a run in the terminal."""
+    """Print a run's result."""
     console.print(
         f"{result.profile['name']}: {result.workers_up} workers, {result.tasks_running} tasks running, "
         f"{result.measured_s:.0f} s measured, seed {result.seed}"
@@ -82,7 +82,7 @@
         gap += "" if answers is None else f", {answers:.2f} s without answers"
         console.print(f"{fault.kind} at {fault.at_s:.0f} s: {fault.what}{gap}")
     for line in result.broken:
-        console.print(f"BROKEN {line}", style="red")
+        console.print(f"VIOLATION {line}", style="red")
     if result.stopped is not None:
         console.print(f"stopped: {result.stopped}", style="red")
     console.print("ok" if result.ok else "FAILED")
--- a/src/poppyhold/scale/routes.py
+++ b/src/poppyhold/scale/routes.py
@@ -1,4 +1,4 @@
-"""The outside services' interfaces over the stand-ins: paths, queries, pages."""
+"""HTTP interfaces of the external services' stand-ins: paths, queries and paging."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def parse_query(path: str) -> tuple[str, dict[str, str]]:
-    """Path and query of a request."""
+    """Split a request target into its path and its query parameters."""
     path, _, query = path.partition("?")
     return path, dict(part.split("=", 1) for part in query.split("&") if part)
 
 
 def state_route(state: StateStandIn, method: str, path: str, body: bytes) -> Status:
-    """Every call to the state service but `/follow`, which waits."""
+    """Handle a state service request other than `/follow`, which waits for changes."""
     path, query = parse_query(path)
     if path == "/commit":
         return state.commit(decode(body))
@@ -34,7 +34,7 @@
 
 
 def cloud_route(cloud: CloudStandIn, method: str, path: str, body: bytes) -> Status:
-    """Every call to the cloud; what a deletion ends is the caller's to carry out."""
+    """Handle a cloud request; the caller shuts down the workers of deleted machines."""
     path, query = parse_query(path)
     if path == "/machine_types":
         return 200, {"builds": cloud.machine_types}
--- a/src/poppyhold/scale/run.py
+++ b/src/poppyhold/scale/run.py
@@ -1,4 +1,4 @@
-"""One scale run from its start to its result; everything that it started is ended after it."""
+"""One scale run from its start to its result; all its processes are stopped afterwards."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 from poppyhold.scale.worker_standin import WorkerStandIn
 
 _SAMPLE_S, _PROGRESS_S, _COUNT_S, _LOOP_CHECK_S, _OUTAGE_POLL_S = 1.0, 5.0, 0.5, 0.05, 0.02
-# Listing a process's connections takes long where there are thousands.
+# Listing thousands of connections of a process is slow, so only one sample in this many lists them.
 _SAMPLES_PER_LISTING = 10
 
 
 class StoppedError(Exception):
-    """The run was cut short by one of its bounds."""
+    """The run ended early: it exceeded a bound, or did not start."""
 
 
 class ScaleRun:
-    """Everything that one run consists of."""
+    """The controllers, stand-ins, workers and users of one run, and its checks and measurements."""
 
     def __init__(self, profile: Profile, seed: int, folder: Path) -> None:
         self.profile, self.seed = profile, seed
@@ -56,7 +56,7 @@
         self._processors = psutil.cpu_times()
         self._bytes_before = 0
         self._background: set[asyncio.Task[None]] = set()
-        # Called after each start of a task: what must hold over several cells is checked then.
+        # Called after each task start; a run of several cells checks its rules then.
         self.on_started: Callable[[], None] = lambda: None
         self.controllers: Controllers
         self.fleet: Fleet
@@ -66,7 +66,7 @@
         return self.fleet.standins()
 
     async def play(self) -> Result:
-        """Play the profile, and end all that was started."""
+        """Run the profile, then stop everything that was started."""
         try:
             async with asyncio.timeout(self.profile.most_s):
                 await self._prepare()
@@ -74,7 +74,7 @@
         except StoppedError as error:
             self._stopped = str(error)
         except TimeoutError:
-            self._stopped = f"not over within most_s = {self.profile.most_s:g} s"
+            self._stopped = f"did not finish within most_s = {self.profile.most_s:g} s"
         except asyncio.CancelledError:
             self._stopped = "interrupted"
         finally:
@@ -83,13 +83,13 @@
         return result
 
     async def _prepare(self) -> None:
-        """Start everything, and let the load settle."""
+        """Start everything and wait for the warm-up time."""
         await self.build()
         await self.begin()
         await self.wait(self.profile.warm_up_s)
 
     async def build(self) -> None:
-        """Make all parts; of the processes none runs yet."""
+        """Create all parts; no controller process is started yet."""
         state_port = await self.state.server.start()
         # The cloud's port is needed for the settings, and the controllers' ports for the workers.
         self.fleet = Fleet(
@@ -106,7 +106,7 @@
         self.users = Users(self.profile, nodes, self.checks, self._rng)
 
     async def begin(self) -> None:
-        """Start the processes, the workers and the load."""
+        """Start the controllers, the workers and the load."""
         await asyncio.gather(*(self.controllers.start(each) for each in self.controllers.all))
         self._spawn(self._watch_processes())
         await asyncio.gather(*(self.controllers.ready(each) for each in self.controllers.all))
@@ -116,7 +116,7 @@
             self._spawn(coroutine)
 
     async def _measure(self) -> None:
-        """The measured time, with its troubles."""
+        """Run the measured time and inject its faults."""
         self.clear()
         began_at = time.monotonic()
         for fault in sorted(self.profile.faults, key=lambda fault: fault.at_s):
@@ -125,7 +125,7 @@
         await self.wait(began_at + self.profile.measured_s - time.monotonic())
 
     def clear(self) -> None:
-        """Begin the measured time."""
+        """Reset all figures at the start of the measured time."""
         self.users.clear()
         self.fleet.figures.clear()
         self.state.clear()
@@ -135,20 +135,18 @@
         self._processors = psutil.cpu_times()
         self._bytes_before = self.controllers.peer_bytes()
         self._measured_at = time.monotonic()
-        # Who leads as it begins is noted as one that led.
+        # Also records the current leader as one that led in the measured time.
         self._leader()
 
-    # -- troubles ----------------------------------------------------------------------------------
-
     async def inject(self, fault: Fault) -> None:
-        """Let something happen."""
+        """Inject a fault."""
         if fault.kind == "restart_workers":
             count = self.fleet.restart_share(fault.share, fault.away_s)
             self._faults.append(FaultResult(fault.kind, fault.at_s, f"{count} workers"))
             return
         member = self._leader()
         if member is None:
-            self._faults.append(FaultResult(fault.kind, fault.at_s, "nobody led"))
+            self._faults.append(FaultResult(fault.kind, fault.at_s, "no leader"))
             return
         controller = self.controllers.get(member)
         if fault.kind == "freeze_leader":
@@ -189,14 +187,12 @@
             self._leaders.add(member)
         return member
 
-    # -- duties beside the load --------------------------------------------------------------------
-
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(coroutine)
         self._background.add(task)
 
     async def wait(self, seconds: float) -> None:
-        """Wait; a duty that failed, or a bound that was met, ends the run."""
+        """Wait; an exception of a background task, such as an exceeded bound, ends the run."""
         until = time.monotonic() + seconds
         while (left := until - time.monotonic()) > 0:
             await asyncio.sleep(min(left, _SAMPLE_S))
@@ -221,7 +217,7 @@
             self._loop_delay.record(max(0.0, time.monotonic() - before - _LOOP_CHECK_S))
 
     async def _watch_processes(self) -> None:
-        """Sample processes, keep the memory's bound, and tell how far the run is."""
+        """Sample processes, enforce the memory bound, restart exited controllers and print progress."""
         samples, printed_at = 0, 0.0
         most_mb = psutil.virtual_memory().total / 2**20 * self.profile.most_memory
         while True:
@@ -230,10 +226,10 @@
                 meter.sample(with_connections=samples % _SAMPLES_PER_LISTING == 0)
             used_mb = sum(meter.use.memory_mb for meter in self._meters())
             if used_mb > most_mb:
-                raise StoppedError(f"used {used_mb:.0f} MB of {most_mb:.0f}")
+                raise StoppedError(f"processes used {used_mb:.0f} MB; most_memory allows {most_mb:.0f} MB")
             for controller in self.controllers.all:
                 if controller.poll_exit():
-                    self._print(f"{controller.member} ended by itself")
+                    self._print(f"{controller.member} exited unexpectedly; restarting")
                     await self.controllers.start(controller)
             if time.monotonic() - printed_at > _PROGRESS_S:
                 printed_at = time.monotonic()
@@ -249,17 +245,15 @@
         self._print(
             f"{phase}: {len(self.fleet.workers)} workers, {self._running} tasks, "
             f"{figures.answered.total} reports answered, {figures.failed.total} failed, "
-            f"{figures.leases_lost} leases lost, {self.checks.violations.count} broken, "
+            f"{figures.leases_lost} leases lost, {self.checks.violations.count} violations, "
             f"leader {self._leader()}"
         )
 
     def _print(self, text: str) -> None:
         print(f"{time.monotonic() - self._began_at:6.1f} s  {text}", file=sys.stderr, flush=True)
 
-    # -- the end -----------------------------------------------------------------------------------
-
     def end(self) -> None:
-        """End everything that was started."""
+        """Stop everything that was started."""
         for task in self._background:
             task.cancel()
         if hasattr(self, "users"):
@@ -272,9 +266,9 @@
         self.state.server.close()
 
     def _steal_share(self) -> float:
-        """What the host of a virtual machine gave to others of its processors, as a share of all their time.
+        """CPU time that the virtual machine's host gave to others (steal time), as a share of all CPU time.
 
-        Latencies of a run with much of it say more of the host than of the controllers.
+        With a high share, latencies reflect the host more than the controllers.
         """
         now = psutil.cpu_times()
         total = sum(now) - sum(self._processors)
@@ -282,9 +276,9 @@
         return steal / total if total > 0 else 0.0
 
     def result(self) -> Result:
-        """What was found so far."""
+        """The results so far."""
         if not hasattr(self, "users"):
-            raise StoppedError(self._stopped or "did not start")
+            raise StoppedError(self._stopped or "run did not start")
         began = self._measured_at or time.monotonic()
         span = max(0.001, time.monotonic() - began)
         figures, users = self.fleet.figures, self.users
@@ -340,7 +334,7 @@
 
 
 async def play(profile: Profile, seed: int, folder: Path) -> Result:
-    """Play a profile with its files in ``folder``."""
-    # Connections that break as the run ends are nothing to tell of.
+    """Run a profile with its files in ``folder``."""
+    # Connections that break at the end of the run are expected and not reported.
     asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
     return await ScaleRun(profile, seed, folder).play()
--- a/src/poppyhold/scale/simulated_worker.py
+++ b/src/poppyhold/scale/simulated_worker.py
@@ -1,8 +1,8 @@
-"""Simulated workers: many in one process, which follow the workers' protocol and whose tasks are timers.
+"""Simulated workers: many in one process, which implement the workers' protocol with timers as tasks.
 
 A simulated worker has incarnations, sequence numbers, leases, fencing tokens and tasks. It sends heartbeats
-at the interval and on changes, follows redirects, and executes direct commands on a port of its own. It has
-no network of its own, fetches no image, computes nothing, and shares its event loop with all others.
+at the interval and on changes, follows redirects, and executes direct commands on its own port. It has no
+network of its own, fetches no images, computes nothing, and shares its event loop with all other workers.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from poppyhold.scale.worker_standin import WorkerStandIn
 from poppyhold.wire.codec import decode
 
-# What PROTOCOL says of every worker: its patience, its pause before the next node, the least time between two
-# heartbeats, and the longest way to the node that it was sent to.
+# Fixed by the protocol: request timeout, delay before the next node, minimum time between two heartbeats, and
+# maximum delay before following a redirect.
 _HEARTBEAT_TIMEOUT_S, _NEXT_NODE_DELAY_S, _MIN_HEARTBEAT_GAP_S, _MAX_REDIRECT_DELAY_S = 4.0, 1.0, 0.5, 0.5
 
 
 class WorkerFigures:
-    """What all simulated workers saw together."""
+    """Figures of all simulated workers together."""
 
     def __init__(self) -> None:
         self.heartbeats = Latency()
@@ -35,7 +35,7 @@
         self.tasks_lost = 0
 
     def clear(self) -> None:
-        """Begin the measured time."""
+        """Reset the figures at the start of the measured time."""
         self.heartbeats.clear()
         for rate in (self.answered, self.redirected, self.failed, self.direct_commands):
             rate.clear()
@@ -43,7 +43,7 @@
 
 
 class SimulatedWorker:
-    """Drives one worker stand-in over HTTP."""
+    """Connects one worker stand-in to the controllers over HTTP."""
 
     def __init__(
         self,
@@ -71,19 +71,19 @@
         self._fencing_token_sent_at = float("-inf")
 
     async def listen(self) -> None:
-        """Take direct commands; the address goes with the heartbeats."""
+        """Listen for direct commands; heartbeats carry the address."""
         port = await self._server.start()
         self.standin.endpoint = f"127.0.0.1:{port}"
 
     def close(self) -> None:
-        """End its connections."""
+        """Stop the worker and close its connections."""
         self.standin.gone = True
         self._server.close()
         self._connection.close()
         self._wake.set()
 
     def restart(self, away_s: float) -> None:
-        """The machine restarts: nothing of its tasks is left, and it is silent meanwhile."""
+        """Restart the machine: its tasks are lost, and it is offline for ``away_s`` seconds."""
         self._figures.tasks_lost += len(self.standin.on_machine())
         self._offline_until = time.monotonic() + away_s
         self._connection.close()
@@ -92,7 +92,7 @@
 
     async def _handle_command(self, method: str, path: str, body: bytes) -> Status:
         if time.monotonic() < self._offline_until or self.standin.gone:
-            raise ValueError("nobody is there")
+            raise ValueError("worker is offline")
         if path == "/show":
             return HTTPStatus.OK, self.standin.heartbeat()
         self._figures.direct_commands.record()
@@ -100,10 +100,8 @@
         self._wake.set()
         return status, heartbeat
 
-    # -- heartbeats -----------------------------------------------------------------------------------
-
     async def run(self) -> None:
-        """Send heartbeats until it is closed."""
+        """Send heartbeats until the worker is closed."""
         while not self.standin.gone:
             await self._wait()
             now = time.monotonic()
@@ -120,7 +118,7 @@
                 await self._heartbeat()
 
     async def _wait(self) -> None:
-        """Sleep until something is due: a heartbeat, a task's next step, or the end of the lease."""
+        """Sleep until a heartbeat, a task status change or the lease expiry is due, or a wake-up."""
         due = max(self._next_heartbeat, self._earliest_heartbeat)
         due = max(min(due, self.standin.next_change_at()), self._offline_until)
         self._wake.clear()
--- a/src/poppyhold/scale/state_standin.py
+++ b/src/poppyhold/scale/state_standin.py
@@ -1,7 +1,7 @@
 """The state service as a state machine: keys, leases, conditional transactions and watches.
 
-Like the other stand-ins it holds no clock of its own: scenarios run it in virtual time, the smoke test and
-the scale run in real time.
+Like the other stand-ins it takes its clock from the caller: scenarios use virtual time, the smoke test and
+the scale run use real time.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class StateStandIn:
-    """The key-value store: revisions, conditional transactions, leases, a log of changes."""
+    """Key-value store with revisions, conditional transactions, leases and a log of changes."""
 
     def __init__(self, clock: Callable[[], float], txn_ops: int = 20, value_kb: float = 8.0) -> None:
         self._clock, self._txn_ops, self._value_kb = clock, txn_ops, value_kb
@@ -28,21 +28,21 @@
         self.log: list[tuple[int, Data]] = []
         self.down = False
         self._last_lease_id = 0
-        # How many changes a watch may lag.
+        # Changes that a watch may lag behind.
         self.changes_kept = _MAX_KEPT_CHANGES
 
     def end_outage(self) -> None:
-        """Service is back, and every lease has its full time again."""
+        """End an outage: every lease is renewed for its full time."""
         self.down = False
         for lease in self.leases.values():
             lease[0] = self._clock() + lease[1]
 
     def lower_limits(self, txn_ops: int, value_kb: float) -> None:
-        """From now on less may be stored at once, without notice."""
+        """Lower the limits, without notice to clients."""
         self._txn_ops, self._value_kb = txn_ops, value_kb
 
     def expire(self) -> None:
-        """End the leases whose time is up."""
+        """End the leases that have expired."""
         if self.down:
             return
         for lease_id in [p for p, lease in self.leases.items() if lease[0] <= self._clock()]:
@@ -84,7 +84,7 @@
         return 200, {"key": key, "data": data, "stamp": key_revision, "permit": lease_id}
 
     def scan(self, prefix: str, after: str, limit: int) -> Status:
-        """Read keys in order."""
+        """Read a page of keys in order."""
         self.expire()
         limit = min(limit, _MAX_PAGE_ENTRIES)
         names = sorted(key for key in self.keys if key.startswith(prefix) and key > after)
@@ -92,7 +92,7 @@
         return 200, {"entries": entries, "more": len(names) > limit, "ledger": self.revision}
 
     def commit(self, body: Data) -> Status:
-        """Carry out a transaction within the limits."""
+        """Execute a transaction; one above the limits fails an assertion."""
         self.expire()
         writes = body.get("writes", [])
         conditions = body.get("if", [])
@@ -119,11 +119,11 @@
         return 200, {"ledger": self.revision}
 
     def is_too_old(self, since: int) -> bool:
-        """Whether changes after a revision are not kept any more."""
+        """Whether changes after a revision are no longer kept."""
         return len(self.log) > self.changes_kept and since < self.log[-self.changes_kept - 1][0]
 
     def changes(self, prefix: str, since: int) -> list[Data]:
-        """Changes after a revision."""
+        """Changes after a revision to keys with a prefix."""
         self.expire()
         first = bisect_right(self.log, since, key=lambda change: change[0])
         return [
--- a/src/poppyhold/scale/users.py
+++ b/src/poppyhold/scale/users.py
@@ -1,4 +1,4 @@
-"""Users: they submit, ask and cancel through any controller, and try again until they have their answer."""
+"""Simulated users: submit, poll and cancel jobs through any controller, and retry failed requests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 _RETRY_S, _MAX_RETRY_S, _SUBMISSION_DEADLINE_S = 1.0, 30.0, 60.0
 _UNAVAILABLE = (429, 503, 504)
 _IMAGES, _IMAGE_GB = 4, 1.0
-# Connections that users have open at a time.
+# Connections that users have open at the same time.
 _MAX_CONNECTIONS = 128
 
 
@@ -34,7 +34,7 @@
         self._connection_slots = asyncio.Semaphore(_MAX_CONNECTIONS)
         self._job_count = 0
         self._tasks: set[asyncio.Task[None]] = set()
-        # The part of the arrivals that come here now; of several cells one has most of them at a time.
+        # Probability that an arrival is submitted to this cell; with `wander_s` one cell at a time gets most.
         self.arrival_share = 1.0
         self._sent_at: dict[str, float] = {}
         self._started_tasks: set[str] = set()
@@ -45,21 +45,21 @@
         self.given_up = 0
 
     def clear(self) -> None:
-        """Begin the measured time."""
+        """Reset the figures at the start of the measured time."""
         for latency in (self.submissions, self.polls, *self.starts.values()):
             latency.clear()
         self.started.clear()
         self.statuses.clear()
 
     def close(self) -> None:
-        """End everything that is under way."""
+        """Cancel all requests and close all connections."""
         for task in self._tasks:
             task.cancel()
         for connection in self._idle:
             connection.close()
 
     def task_started(self, task: str) -> None:
-        """A task is on its machine: note how long that took from the first try to submit its job, once."""
+        """Record a task's first start, and the time from the first attempt to submit its job until then."""
         self.started.record()
         if task in self._started_tasks:
             return
@@ -67,10 +67,8 @@
         job_id = task.rpartition("/")[0]
         self.starts[self._checks.jobs[job_id]["lot"]].record(time.monotonic() - self._sent_at[job_id])
 
-    # -- jobs --------------------------------------------------------------------------------------
-
     async def run(self) -> None:
-        """Submit what is there at the start, and then what comes."""
+        """Submit the initial jobs, then jobs as they arrive."""
         for job in self._profile.jobs:
             for _ in range(job.initial):
                 self._create_job(job)
@@ -84,7 +82,7 @@
                 self._create_job(job)
 
     def burst(self, count: int) -> None:
-        """So many jobs of the first class come at one instant."""
+        """Submit ``count`` jobs of the first class at once."""
         for _ in range(count):
             self._create_job(self._profile.jobs[0])
 
@@ -144,7 +142,7 @@
         self._checks.answered(job_id, status, answer)
 
     async def _request(self, method: str, path: str, body: Data | None, timeout_s: float) -> Status:
-        """One request at some controller; status 0 if there was no answer."""
+        """Send one request over an idle connection or to a random controller; status 0 without a response."""
         async with self._connection_slots:
             connection = self._idle.pop() if self._idle else self._connect()
             try:
--- a/src/poppyhold/scale/worker_standin.py
+++ b/src/poppyhold/scale/worker_standin.py
@@ -11,7 +11,7 @@
 
 
 class WorkerStandIn:
-    """A machine's worker: sessions, leases, tokens, and tasks that fetch, run, save and end."""
+    """A machine's worker: incarnations, leases, fencing tokens, and tasks that fetch, run, save and end."""
 
     def __init__(
         self,
@@ -34,14 +34,14 @@
         self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.notice_s: float | None = None
         self.answered_sent_at = clock()
-        # task -> try, status, cause, end of the current status
+        # Task name -> attempt, status, cause, and end of the current status.
         self.tasks: dict[str, Data] = {}
         self.images: set[str] = set()
         self.gone = False
         self.faulty = False
 
     def heartbeat(self) -> Data:
-        """The heartbeat of this moment."""
+        """Return the next heartbeat."""
         self.sequence += 1
         return {
             "box": self.name,
@@ -72,7 +72,7 @@
         ]
 
     def expire(self) -> bool:
-        """Kill everything if the lease is over, as hanging machines too are bound to."""
+        """Kill all tasks if the lease has expired; machines that hang have to do so too."""
         now = self._clock()
         if now - self.answered_sent_at > self._lease_s:
             self.restart()
@@ -80,19 +80,19 @@
         return False
 
     def next_change_at(self) -> float:
-        """When `step` has something to do next, on the worker's clock."""
+        """When the next task status change or the lease expiry is due, on the worker's clock."""
         untils: list[float] = [task["until"] for task in self.tasks.values() if task["until"] is not None]
         return min([self.answered_sent_at + self._lease_s, *untils])
 
     def restart(self) -> None:
-        """The machine restarts: its tasks are gone, and a later session begins."""
+        """Restart the machine: its tasks are lost, and the next incarnation starts."""
         self.tasks.clear()
         self.incarnation += 1
         self.sequence = 0
         self.answered_sent_at = self._clock()
 
     def step(self) -> bool:
-        """Let time pass; True if something is worth a heartbeat."""
+        """Apply changes that are due by now; True if a heartbeat should report them."""
         if self.expire():
             return True
         now = self._clock()
@@ -115,7 +115,7 @@
         return changed
 
     def _image_fetched(self, name: str, task: Data, now: float) -> None:
-        """A task has its image."""
+        """Start a task whose image is fetched."""
         job = task["job"]
         self.images.add(job["bundle"])
         fails = self.faulty or job.get("mistake")
@@ -123,7 +123,7 @@
             task.update(status="ended", cause="error", until=None)
             return
         if job["shape"] == "group":
-            # The rest is played by `gang_standin`, but for the end of its patience.
+            # The stand-in for gangs simulates the rest, except for the time-out of the wait for the gang.
             task.update(status="waiting", until=now + self._gang_wait_s)
         else:
             task["status"] = "running"
@@ -133,7 +133,7 @@
         self._on_start(self, name)
 
     def handle_response(self, body: Data, sent_at: float, incarnation: int) -> None:
-        """The response to a heartbeat came."""
+        """Handle the response to a heartbeat."""
         if incarnation != self.incarnation or body.get("baton", 0) < self.fencing_token:
             return
         self.fencing_token = body["baton"]
@@ -141,7 +141,7 @@
         self.execute(body["orders"])
 
     def handle_command(self, body: Data) -> Status:
-        """A direct command."""
+        """Handle a direct command."""
         if body["baton"] < self.fencing_token or body["shift"] != self.incarnation:
             return 409, self.heartbeat()
         self.fencing_token = body["baton"]
@@ -149,7 +149,7 @@
         return 200, self.heartbeat()
 
     def execute(self, commands: list[Data]) -> None:
-        """Carry out commands in order."""
+        """Execute commands in order."""
         now = self._clock()
         for command in commands:
             name, attempt = command["chore"], command["try"]
--- a/src/poppyhold/settings.py
+++ b/src/poppyhold/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings, as its file names them; `settings_file` reads and checks it."""
+"""The platform's settings, one type per section of the file; `settings_file` reads and checks it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guarantees and limits; 0 means that there is none."""
+    """A team's guarantees and limits; 0 means none."""
 
     name: str
     cpus: float = 0.0
@@ -46,15 +46,15 @@
     heartbeat_interval_s: float = msgspec.field(name="report_s", default=1.0)
     lease_s: float = 10.0
     cancel_s: float = 30.0
-    # How long a gang's task waits for the rest of its gang before it exits.
+    # How long a gang's task waits for the other tasks of its gang before it exits.
     gang_wait_s: float = 30.0
-    # Within this time the tasks of a running gang notice that one of them is lost, and all of them have to
-    # be told of an orderly stop.
+    # Within this time the tasks of a running gang detect the loss of one of them, and an orderly stop has to
+    # reach all of them.
     gang_peer_s: float = 6.0
 
 
 class AnnouncedStateLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will have from some moment on, without further notice."""
+    """Limits that the state service will apply from an unspecified time on, without further notice."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -73,7 +73,7 @@
 
     @property
     def lowest(self) -> StateLimits:
-        """The limits that apply now and after the announced change: the smaller of each."""
+        """The lower of the current and the announced value of each limit."""
         if self.announced is None:
             return self
         after = self.announced
@@ -86,23 +86,23 @@
 
     @property
     def value_bytes(self) -> int:
-        """The largest value that may be stored, as JSON."""
+        """The largest size of a stored value, encoded as JSON."""
         return int(self.value_kb * 1024)
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """Limits and lag of the cloud's interface."""
+    """Request limit and list lag of the cloud's API."""
 
     rps: float = 2.0
     list_lag_s: float = 8.0
 
 
-# Memory of a process before anybody connects; of a connection with its thread and its machine's state; and of
-# that state alone, where a worker's heartbeats come through a relay. See docs/CAPACITY.md.
+# Memory of a process without connections; of a connection with its thread and its machine's state; and of a
+# machine's state alone, if the worker's heartbeats come through a relay. See docs/CAPACITY.md.
 BASE_MB, CONNECTION_MB, MACHINE_MB = 30.0, 0.06, 0.02
-# Sockets and threads for the state service, the cloud, other controllers and commands; fewer are not enough.
+# Fewer sockets or threads do not suffice for the state service, the cloud, other controllers and commands.
 MIN_SOCKETS = 64
-# Share of the sockets that users' and workers' connections may take.
+# Share of the sockets available to connections of users and workers.
 CONNECTION_SHARE = 0.68
 
 
@@ -115,27 +115,27 @@
 
     @property
     def threads(self) -> int:
-        """Threads that may hold a connection each: as many as there are sockets, and memory for."""
+        """Connection threads, one per connection, that the sockets and the memory allow."""
         return min(self.max_sockets, int(self.memory_connections / CONNECTION_SHARE))
 
     @property
     def memory_connections(self) -> int:
-        """Connections with their threads that there is memory for."""
+        """Connections, with their threads, that fit in memory."""
         return max(MIN_SOCKETS, int((self.ram_mb - BASE_MB) / CONNECTION_MB))
 
     @property
     def connections(self) -> int:
-        """Connections from users and workers; the others are for commands to workers, peers and the rest."""
+        """Connections of users and workers; the other sockets are for commands, peers and other calls."""
         return min(int(self.max_sockets * CONNECTION_SHARE), self.memory_connections)
 
     @property
     def machines(self) -> int:
-        """Machines whose state there is memory for; it bounds what is kept of each machine."""
+        """Machines whose state fits in memory; bounds the records that are kept per machine."""
         return max(MIN_SOCKETS, int((self.ram_mb - BASE_MB) / MACHINE_MB))
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """The part of the settings that all controllers of a deployment share."""
+    """The settings that all controllers of a deployment share."""
 
     controllers: int = msgspec.field(name="count")
     zones: list[str]
--- a/src/poppyhold/settings_file.py
+++ b/src/poppyhold/settings_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file (TOML), read and checked; fields we don't know are ignored."""
+"""Reads and checks the platform's settings file (TOML); unknown fields are ignored."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 )
 from poppyhold.settings import CONNECTION_SHARE, MIN_SOCKETS, AnnouncedStateLimits, Settings, Team
 
-# A job's move to its final record takes three changes in one transaction.
+# Moving a job to its final record takes three writes in one transaction.
 _MIN_TXN_OPS = 3
 
-# By section, what must be above 0 for the ratios built on it to mean anything.
+# Fields that must be above 0 by section: ratios are computed from them.
 _POSITIVE = {
     "workers": ("report_s", "lease_s", "cancel_s", "gang_wait_s", "gang_peer_s"),
     "state": ("rps", "write_rps", "value_kb", "txn_ops"),
@@ -29,7 +29,7 @@
 
 
 def limit_warnings(settings: Settings) -> list[str]:
-    """Describe limits that don't go together, a line each: the service runs with them, but worse."""
+    """Return one line per inconsistent limit: the service runs with it, but worse."""
     limits = settings.deployment.machine_limits
     found = []
     if limits.max_sockets < MIN_SOCKETS:
@@ -84,7 +84,7 @@
 
 
 def _check_zones(settings: Settings) -> None:
-    """Each zone is named once, each controller stands in one of them, and none of them is there twice."""
+    """Check that zones and controllers are unique, and that each controller is in a configured zone."""
     zones = settings.deployment.zones
     if not zones:
         raise ConfigError("settings.zones: must name a zone")
@@ -98,12 +98,12 @@
 
 
 def _check_teams(teams: list[Team]) -> None:
-    """Each team is named once, with amounts that can be."""
+    """Check that teams are unique and named, and that no amount is negative or infinite."""
     check_unique("settings.teams.name", [team.name for team in teams])
     for team in teams:
         if not team.name:
             raise ConfigError("settings.teams.name: must not be empty")
-        # By the names in the file.
+        # Keyed by the field names in the file.
         values = msgspec.to_builtins(team)
         for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
             check_not_negative(f"settings.teams.{team.name}.{name}", values[name])
