--- a/tests/sim_relay.py
+++ b/tests/sim_relay.py
@@ -7,7 +7,7 @@
 
 from poppyhold.relay.connected_relay import ConnectedRelay
 from poppyhold.relay.messages import HeartbeatBatch, RelayedResponse, RelayOutcome, ResponseBatch
-from poppyhold.relay.queue import HeartbeatQueue, Response
+from poppyhold.relay.queue import Delivery, HeartbeatQueue
 from poppyhold.relay.reconnection import ReconnectionWindow
 from poppyhold.relay.timings import RelayTimings, heartbeat_response_timeout_s
 from poppyhold.scale.responses import Data
@@ -34,7 +34,9 @@
         self._queue = HeartbeatQueue(_MOST, self._timings.response_timeout_s)
         self._term: SimLeaderTerm | None = None
         self._state: ConnectedRelay | None = None
-        self._reconnection = ReconnectionWindow(self._timings.reconnect_s, self._timings.longest_reconnect_s)
+        self._reconnection = ReconnectionWindow(
+            self._timings.reconnect_window_s, self._timings.max_reconnect_window_s
+        )
         self._sent_at: float | None = None
         self._round_trip_s = 0.0
         self._gathering = False
@@ -81,17 +83,17 @@
         if self._term is not None and self._node.reaches_state() and leader not in (None, self._term.node):
             # The key names another leader.
             self._lost()
-        if self._sent_at is not None and now - self._sent_at > self._timings.stalled_s:
+        if self._sent_at is not None and now - self._sent_at > self._timings.stall_timeout_s:
             self._lost()
         if self._term is None:
-            self._reconnection.note_leader(leader.member if leader is not None else None, now)
+            self._reconnection.record_leader(leader.member if leader is not None else None, now)
             self._connect()
-        if self._term is not None and self._sent_at is None and not self._queue.unsent:
+        if self._term is not None and self._sent_at is None and not self._queue.unsent_count:
             self._send_batch(self._term)
         self._deliver(self._queue.expire(now))
         if not self.is_open():
             self._deliver(self._queue.fail_all())
-        if self._queue.unsent:
+        if self._queue.unsent_count:
             self._gather()
 
     def _reaches(self, other: SimNode) -> bool:
@@ -111,7 +113,7 @@
         if leader is None or leader is self._node or leader.leader_term is None or not self._reaches(leader):
             return
         term = leader.leader_term
-        if not term.assignment.relays_wanted or leader.frozen or not self._node.relays:
+        if not term.assignment.accepts_relays or leader.frozen or not self._node.relays:
             return
         self._round_trip_s = 0.0
         self._term, self._state = term, ConnectedRelay(self._node.member, self._node.zone)
@@ -139,11 +141,11 @@
     def _gather(self) -> None:
         if not self._gathering:
             self._gathering = True
-            self._world.after(self._timings.gather_s, self._send)
+            self._world.after(self._timings.batch_delay_s, self._send)
 
     def _send(self) -> None:
         self._gathering = False
-        if not self._node.alive or self._term is None or not self._queue.unsent:
+        if not self._node.alive or self._term is None or not self._queue.unsent_count:
             return
         if self._node.frozen:
             self._gather()
@@ -189,6 +191,6 @@
         self._deliver(self._queue.match_responses(answers, now, self._node.lowest_fencing_token()))
 
     @staticmethod
-    def _deliver(responses: list[Response]) -> None:
-        for response in responses:
-            response.deliver()
+    def _deliver(deliveries: list[Delivery]) -> None:
+        for delivery in deliveries:
+            delivery.deliver()
