--- a/src/poppyhold/cli.py
+++ b/src/poppyhold/cli.py
@@ -35,9 +35,9 @@
     parser = argparse.ArgumentParser(prog="poppyhold", description="A scheduler for model-serving fleets.")
     parser.add_argument("--version", action="version", version=f"poppyhold {__version__}")
     commands = parser.add_subparsers(dest="command", required=True)
-    quota = commands.add_parser("quota", help="shares of teams' limits over cells")
+    quota = commands.add_parser("quota", help="allocations of teams' limits to cells")
     questions = quota.add_subparsers(dest="question", required=True)
-    status = questions.add_parser("status", help="what this cell's leader knows of all shares")
+    status = questions.add_parser("status", help="allocations known to this cell's leader")
     _add_file_arguments(status)
     status.add_argument("--json", action="store_true", help="write JSON instead of a table")
     for name, text in (("serve", "run one controller"), ("check-config", "check the files and stop")):
--- a/src/poppyhold/scale/__main__.py
+++ b/src/poppyhold/scale/__main__.py
@@ -33,7 +33,7 @@
     return path
 
 
-def _is_of_cells(profile: Profile) -> bool:
+def _has_cell_load(profile: Profile) -> bool:
     """Whether the run has several cells, or one cell with the load of several."""
     return profile.cells > 1 or profile.burst_jobs > 0
 
@@ -46,10 +46,12 @@
     parser.add_argument("profile", help=f"a TOML file, or one of: {', '.join(built_in())}")
     parser.add_argument("--seed", type=int, default=1, help="seed of the random load")
     parser.add_argument("--relays", choices=("auto", "off", "forced"), help="instead of the profile's own")
-    parser.add_argument("--cells", type=int, help="instead of the profile's own; 1: without shares of limits")
+    parser.add_argument(
+        "--cells", type=int, help="instead of the profile's own; 1: without quota allocations"
+    )
     parser.add_argument("--json", metavar="FILE", type=Path, help="write the result here")
     parser.add_argument(
-        "--plot", metavar="FILE", type=_plot_path, help="plot shares and use of several cells"
+        "--plot", metavar="FILE", type=_plot_path, help="plot allocations and use of several cells"
     )
     parser.add_argument("--logs", metavar="DIR", type=Path, help="keep settings and logs of controllers here")
     return parser
@@ -58,7 +60,7 @@
 async def _interruptible(profile: Profile, seed: int, folder: Path) -> Result | CellsResult:
     """Run the profile; SIGINT and SIGTERM stop the run, and its result records that."""
     run: asyncio.Future[Result | CellsResult]
-    if _is_of_cells(profile):
+    if _has_cell_load(profile):
         run = asyncio.ensure_future(play_cells(profile, seed, folder))
     else:
         run = asyncio.ensure_future(play(profile, seed, folder))
@@ -87,7 +89,7 @@
         profile = msgspec.structs.replace(profile, relays=args.relays)
     if args.cells is not None:
         profile = msgspec.structs.replace(profile, cells=args.cells, faults=[])
-    if args.plot is not None and not _is_of_cells(profile):
+    if args.plot is not None and not _has_cell_load(profile):
         print(f"poppyhold.scale: --plot: {profile.name} is a run of one cell", file=sys.stderr)
         return 2
     with tempfile.TemporaryDirectory(prefix="poppyhold-scale-") as temporary:
--- a/src/poppyhold/scale/cell_plot.py
+++ b/src/poppyhold/scale/cell_plot.py
@@ -31,7 +31,7 @@
     rows[0][0].legend(loc="upper right", fontsize="small")
     rows[-1][0].set_xlabel("measured time, s (grey: links between cells are cut)")
     name, seed = result.profile["name"], result.seed
-    figure.suptitle(f"{name}, seed {seed}: accelerators of all teams, share and use of each cell")
+    figure.suptitle(f"{name}, seed {seed}: accelerators of all teams, allocation and use of each cell")
     with mpl.rc_context({"svg.hashsalt": f"{name}-{seed}"}):
         figure.savefig(path)
 
@@ -42,7 +42,7 @@
     used = [sample.cells[index].used for sample in result.samples]
     for start, end in _cut_spans(result):
         axes.axvspan(start, end, color=_CUT_COLOR, zorder=0)
-    axes.step(times, shares, where="post", color=_SHARE_COLOR, label="share of the limits")
+    axes.step(times, shares, where="post", color=_SHARE_COLOR, label="allocation")
     axes.step(times, used, where="post", color=_USED_COLOR, label="in use")
     for fault in result.cells[index].faults:
         axes.axvline(fault.at_s, color=_FAULT_COLOR, linestyle=":")
--- a/src/poppyhold/scale/cells.py
+++ b/src/poppyhold/scale/cells.py
@@ -228,7 +228,7 @@
         in_transit = self._checks.in_transit()
         broken = list(self._checks.violations.messages)
         if in_transit:
-            broken.append(f"{in_transit} transfers are in transit at the end")
+            broken.append(f"{in_transit} transfers are still in transit at the end")
         return CellsResult(
             profile=msgspec.to_builtins(self._profile),
             seed=self._seed,
--- a/src/poppyhold/scale/checks.py
+++ b/src/poppyhold/scale/checks.py
@@ -82,7 +82,7 @@
     def _check_cancelled(self, job_id: str, task: str) -> None:
         deadline = self._cancelled_at.get(job_id, float("inf")) + self._cancel_s
         if self._clock() > deadline:
-            self.violations.add(f"ran_cancelled: {task}, {self._clock() - deadline:.1f} s too late")
+            self.violations.add(f"ran_cancelled: {task} runs {self._clock() - deadline:.1f} s past cancel_s")
 
     def accepted(self, job: Data) -> None:
         """Record an accepted job."""
@@ -91,14 +91,16 @@
     def answered(self, job_id: str, status: int, body: Data) -> None:
         """Check the response to a user who polled or cancelled an accepted job."""
         if status in (400, 404, 422):
-            self.violations.add(f"forgotten: {job_id} gets {status}")
+            self.violations.add(f"forgotten: {job_id} got HTTP status {status}")
         if status != 200:  # noqa: PLR2004 (HTTP's own number)
             return
         reported, before = body["status"], self._reported_status.get(job_id)
         if before in _FINAL_STATUSES and reported != before:
             self.violations.add(f"went_back: {job_id} from {before} to {reported}")
         if reported == "done" and self._finished[job_id] < self.jobs[job_id]["chores"]:
-            self.violations.add(f"not_done: {job_id} after {self._finished[job_id]} tasks")
+            self.violations.add(
+                f"not_done: {job_id} reported done after {self._finished[job_id]} completed tasks"
+            )
         if reported == "cancelled":
             self._cancelled_at.setdefault(job_id, self._clock())
         self._reported_status[job_id] = reported
--- a/src/poppyhold/scale/profile.py
+++ b/src/poppyhold/scale/profile.py
@@ -174,7 +174,7 @@
     if not profile.zones:
         raise ValueError("zones: must name a zone")
     if not profile.machine_types:
-        raise ValueError("machine_types: must name one")
+        raise ValueError("machine_types: must name a machine type")
     for index, job in enumerate(profile.jobs):
         _check_job(f"jobs[{index}]", job, profile)
     for index, fault in enumerate(profile.faults):
@@ -183,9 +183,9 @@
 
 def _check_fault(where: str, fault: Fault, profile: Profile) -> None:
     if not 0 <= fault.cell < profile.cells:
-        raise ValueError(f"{where}.cell: there are {profile.cells} cells")
+        raise ValueError(f"{where}.cell: must be below cells = {profile.cells}")
     if fault.kind.startswith("cut_links") and profile.cells == 1:
-        raise ValueError(f"{where}.kind: one cell has no links")
+        raise ValueError(f"{where}.kind: needs at least two cells")
     if not 0 <= fault.at_s <= profile.measured_s:
         raise ValueError(f"{where}.at_s: must be within the measured time")
 
--- a/src/poppyhold/scale/worker_standin.py
+++ b/src/poppyhold/scale/worker_standin.py
@@ -186,8 +186,8 @@
         fetch = 0.0 if job["bundle"] in self.images else job["sizeGb"] / self.machine_type["pullGbPerS"]
         task.update(status="pulling", until=now + fetch)
 
-    def free_copies(self, job: Data, most: int) -> int:
-        """How many more tasks of a job fit, up to ``most``."""
+    def free_copies(self, job: Data, limit: int) -> int:
+        """How many more tasks of a job fit, up to ``limit``."""
         for amount in ("cpus", "accelerators", "memGb"):
             used = sum(
                 task["job"][amount]
@@ -195,5 +195,5 @@
                 if task["status"] != "ended" and "job" in task
             )
             if job[amount] > 0:
-                most = min(most, int((self.machine_type[amount] + 1e-6 - used) / job[amount]))
-        return most
+                limit = min(limit, int((self.machine_type[amount] + 1e-6 - used) / job[amount]))
+        return limit
