--- a/src/poppyhold/node/controller.py
+++ b/src/poppyhold/node/controller.py
@@ -93,10 +93,10 @@
             self.autoscaler,
             self._cycle.mark_guarantees_stale,
         )
-        self.quota = self._make_quota(options)
+        self.cell_quota = self._make_cell_quota(options)
         self._save_completions_at = 0.0
 
-    def _make_quota(self, options: Options) -> CellQuotaService | None:
+    def _make_cell_quota(self, options: Options) -> CellQuotaService | None:
         """Create the service for the cell's shares of the teams' limits; None in a fleet of one cell."""
         if options.cells is None:
             return None
@@ -119,8 +119,8 @@
         """
         now = self.ctx.clock()
         self.ctx.image_hints = image_hints or {}
-        if self.quota is not None:
-            self.quota.load(snapshot.quota)
+        if self.cell_quota is not None:
+            self.cell_quota.load(snapshot.quota)
         self.handle_machine_types(machine_types)
         loader = StateLoader(
             self.ctx,
@@ -183,8 +183,8 @@
             self._save_completions_at = now + interval_s / _COMPLETION_SAVES_PER_INTERVAL
             self.completions.save()
         self.autoscaler.scale()
-        if self.quota is not None:
-            self.quota.tick()
+        if self.cell_quota is not None:
+            self.cell_quota.tick()
         self.ctx.scheduling_needed = True
 
     def scheduling_due_at(self) -> float | None:
--- a/src/poppyhold/node/leader_term.py
+++ b/src/poppyhold/node/leader_term.py
@@ -150,7 +150,7 @@
 
     def _make_quota_endpoint(self) -> QuotaEndpoint | None:
         """Create the endpoint of other cells' and operators' quota requests; None in a fleet of one cell."""
-        quota, cells = self.controller.quota, self._node.options.cells
+        quota, cells = self.controller.cell_quota, self._node.options.cells
         if quota is None or cells is None:
             return None
         return QuotaEndpoint(quota, cells, self._node.settings, self.loop.post, self._node.rng)
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -85,7 +85,7 @@
 
     def _send_requests(self, index: int, term: SimLeaderTerm) -> None:
         """A leader sends each other cell's leader a request when that is due."""
-        quota = term.controller.quota
+        quota = term.controller.cell_quota
         if quota is None:
             return
         for other, name in enumerate(self._names):
@@ -118,7 +118,7 @@
         if not terms:
             return
         term = self._rng.choice(terms)
-        quota = term.controller.quota
+        quota = term.controller.cell_quota
         if quota is None:
             return
         answer = msgspec.msgpack.encode(quota.handle_request(request))
@@ -127,7 +127,7 @@
 
     def _answered(self, term: SimLeaderTerm, other: int, data: bytes) -> None:
         reply = _answer_decoder.decode(data)
-        quota = term.controller.quota
+        quota = term.controller.cell_quota
         if not term.alive or not term.node.alive or term.node.frozen or quota is None:
             return
         assert isinstance(reply, TransferResponse)
@@ -176,7 +176,7 @@
         """Alarms of the cell's leader."""
         leader = self.worlds[cell].leader()
         term = leader.leader_term if leader is not None else None
-        quota = term.controller.quota if term is not None else None
+        quota = term.controller.cell_quota if term is not None else None
         return quota.alarms.texts() if quota is not None else []
 
     def _check(self) -> None:
@@ -203,7 +203,7 @@
         """Whether an alarm reports use above the allocation, or no leader with cells could raise it yet."""
         leader = self.worlds[cell].leader()
         term = leader.leader_term if leader is not None else None
-        quota = term.controller.quota if term is not None else None
+        quota = term.controller.cell_quota if term is not None else None
         if term is None or quota is None or term.controller.reconciler.lease_expiry.unreconciled:
             return True
         if any("use above share" in alarm for alarm in quota.alarms.texts()):
--- a/tests/test_cell_options.py
+++ b/tests/test_cell_options.py
@@ -33,7 +33,7 @@
     leader = scenario.world.leader()
     assert leader is not None
     assert leader.leader_term is not None
-    assert leader.leader_term.controller.quota is None
+    assert leader.leader_term.controller.cell_quota is None
     # With cells the quota prefix is read as well.
     scanned_prefixes.clear()
     SnapshotReader(leader.store, with_quota=True).read()
--- a/tests/test_cell_service.py
+++ b/tests/test_cell_service.py
@@ -36,7 +36,7 @@
 
 def quota_of(world: World) -> CellQuotaService:
     """The leader's quota service."""
-    quota = term_of(world).controller.quota
+    quota = term_of(world).controller.cell_quota
     assert quota is not None
     return quota
 
