--- a/src/poppyhold/quota/ledger_commits.py
+++ b/src/poppyhold/quota/ledger_commits.py
@@ -21,14 +21,11 @@
     """Starts the ledger's commits, and tracks whether one is in progress."""
 
     def __init__(self, commit: Commit, on_inconsistent: Callable[[str], None]) -> None:
-        """``on_inconsistent`` is called when the durable records are not the expected ones.
-
-        The next leader then reads them again.
-        """
+        """``on_inconsistent`` is called with a reason when the durable records are not the expected ones."""
         self._commit, self._on_inconsistent = commit, on_inconsistent
         self.in_progress = False
-        # The number of records written in this term, for display.
-        self.committed_changes = 0
+        # The number of record writes committed in this term, for display.
+        self.committed_writes = 0
 
     def start(
         self, conditions: dict[str, int], writes: Sequence[Write], on_committed: Callable[[], None]
@@ -39,7 +36,7 @@
         def on_result(succeeded: bool) -> None:
             self.in_progress = False
             if succeeded:
-                self.committed_changes += len(writes)
+                self.committed_writes += len(writes)
                 on_committed()
             else:
                 # Only the condition that a record is absent can fail, most likely because an earlier attempt
--- a/tests/test_cell_service.py
+++ b/tests/test_cell_service.py
@@ -36,7 +36,7 @@
 
 def quota_of(world: World) -> CellQuotaService:
     """The leader's quota service."""
-    quota = term_of(world).controller.quota
+    quota = term_of(world).controller.cell_quota
     assert quota is not None
     return quota
 
@@ -183,7 +183,7 @@
     quota.handle_request(request(quota, last_applied=1))
     while quota.ledger.peers["west"].in_transit is not None:
         world.run(world.now + 0.05)
-    quota._rate_limiter.consume(1000.0, world.now)
+    quota._transfer_write_limiter.consume(1000.0, world.now)
     assert transferred(world, quota, unmet_demand(0, 1)) is None
 
 
@@ -292,8 +292,8 @@
     assert not quotas.allows("alpha", (0.0, 0.0), (1.0, 1.0, 1.0))
     assert other.requests() == {}
     assert len(other.alarms.texts()) == 1
-    asked = request(other, unmet_demand(0, 1))
-    assert other.handle_request(asked).rejection
+    transfer_request = request(other, unmet_demand(0, 1))
+    assert other.handle_request(transfer_request).rejection
     assert not other.ledger.commit_in_progress
 
 
