--- a/src/poppyhold/scale/result.py
+++ b/src/poppyhold/scale/result.py
@@ -1,4 +1,4 @@
-"""What a run found: as JSON, and as tables in the terminal."""
+"""The result of a run, as JSON and as tables in the terminal."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ControllerResult(msgspec.Struct):
-    """What one controller's process used in the measured time."""
+    """Role and resource use of one controller's process in the measured time."""
 
     member: str
     zone: str
@@ -21,20 +21,20 @@
     ended_by_itself: int
 
 
-class TroubleResult(msgspec.Struct):
-    """What a trouble did."""
+class FaultResult(msgspec.Struct):
+    """An injected fault and its effect."""
 
     kind: str
     at_s: float
-    # Workers that restarted, or the controller that was killed.
+    # The number of restarted workers, the killed or frozen controller, or the cells with cut links.
     what: str
-    # From the kill until another controller held the lead, and until it answered a heartbeat.
+    # Seconds from the kill until another controller led, and until a heartbeat was answered again.
     without_leader_s: float | None = None
     without_answers_s: float | None = None
 
 
 class Result(msgspec.Struct, kw_only=True):
-    """One run. Rates are means over the measured time."""
+    """The result of one run. Rates are means over the measured time."""
 
     profile: dict[str, Any]
     seed: int
@@ -42,30 +42,30 @@
     workers_up: int
     tasks_running: int
     controllers: list[ControllerResult]
-    # The process with simulated workers, users, state service and cloud.
+    # The process of the simulated workers, users, state service and cloud.
     load: ProcessUse
-    # How late the load's own event loop was: latencies below this say nothing.
+    # Delay of the load's own event loop; latencies below it are not meaningful.
     loop_late: dict[str, float]
     latencies: dict[str, dict[str, float]]
     rates: dict[str, float]
     counts: dict[str, float]
     state_requests: dict[str, int]
     statuses: dict[str, int]
-    troubles: list[TroubleResult]
+    faults: list[FaultResult] = msgspec.field(name="troubles")
     broken: list[str]
     broken_count: int
-    # Why the run was cut short, if it was.
+    # Why the run ended early; None if it did not.
     stopped: str | None = None
 
     @property
     def ok(self) -> bool:
-        """Whether no rule broke, nothing ended by itself, and the run came to its end."""
+        """Whether no rule was violated, no controller exited unexpectedly, and the run completed."""
         ended = sum(controller.ended_by_itself for controller in self.controllers)
         return not self.broken_count and not ended and self.stopped is None
 
 
 def print_result(result: Result, console: Console) -> None:
-    """Show a run in the terminal."""
+    """Print a run's result."""
     console.print(
         f"{result.profile['name']}: {result.workers_up} workers, {result.tasks_running} tasks running, "
         f"{result.measured_s:.0f} s measured, seed {result.seed}"
@@ -76,15 +76,13 @@
     for name, value in {**result.rates, **result.counts}.items():
         table.add_row(name, f"{value:,.3f}".rstrip("0").rstrip("."))
     console.print(table)
-    for trouble in result.troubles:
-        gap = (
-            "" if trouble.without_leader_s is None else f", {trouble.without_leader_s:.2f} s without a leader"
-        )
-        answers = trouble.without_answers_s
+    for fault in result.faults:
+        gap = "" if fault.without_leader_s is None else f", {fault.without_leader_s:.2f} s without a leader"
+        answers = fault.without_answers_s
         gap += "" if answers is None else f", {answers:.2f} s without answers"
-        console.print(f"{trouble.kind} at {trouble.at_s:.0f} s: {trouble.what}{gap}")
+        console.print(f"{fault.kind} at {fault.at_s:.0f} s: {fault.what}{gap}")
     for line in result.broken:
-        console.print(f"BROKEN {line}", style="red")
+        console.print(f"VIOLATION {line}", style="red")
     if result.stopped is not None:
         console.print(f"stopped: {result.stopped}", style="red")
     console.print("ok" if result.ok else "FAILED")
--- a/src/poppyhold/scale/run.py
+++ b/src/poppyhold/scale/run.py
@@ -1,4 +1,4 @@
-"""One scale run from its start to its result; everything that it started is ended after it."""
+"""One scale run from its start to its result; all its processes are stopped afterwards."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 from poppyhold.scale.external_services import StateService
 from poppyhold.scale.fleet import Fleet
 from poppyhold.scale.measure import Latency, ProcessMeter
-from poppyhold.scale.profile import Profile, Trouble
-from poppyhold.scale.result import ControllerResult, Result, TroubleResult
+from poppyhold.scale.profile import Fault, Profile
+from poppyhold.scale.result import ControllerResult, FaultResult, Result
 from poppyhold.scale.users import Users
 from poppyhold.scale.worker_standin import WorkerStandIn
 
-_SAMPLE_S, _PROGRESS_S, _COUNT_S, _LOOP_S, _WATCH_S = 1.0, 5.0, 0.5, 0.05, 0.02
-# Listing a process's connections takes long where there are thousands.
+_SAMPLE_S, _PROGRESS_S, _COUNT_S, _LOOP_CHECK_S, _OUTAGE_POLL_S = 1.0, 5.0, 0.5, 0.05, 0.02
+# Listing thousands of connections of a process is slow, so only one sample in this many lists them.
 _SAMPLES_PER_LISTING = 10
 
 
 class StoppedError(Exception):
-    """The run was cut short by one of its bounds."""
+    """The run ended early: it exceeded a bound, or did not start."""
 
 
 class ScaleRun:
-    """Everything that one run consists of."""
+    """The controllers, stand-ins, workers and users of one run, and its checks and measurements."""
 
     def __init__(self, profile: Profile, seed: int, folder: Path) -> None:
         self.profile, self.seed = profile, seed
@@ -44,11 +44,11 @@
         limits = team_limits(profile)
         self.checks = RuleChecks(self._standins, limits, profile.cancel_s, time.monotonic)
         self.state = StateService(profile.state, self._rng)
-        self._loop_late = Latency()
+        self._loop_delay = Latency()
         self._load = ProcessMeter()
         self._load.follow(os.getpid())
-        self._led: set[str] = set()
-        self._troubles: list[TroubleResult] = []
+        self._leaders: set[str] = set()
+        self._faults: list[FaultResult] = []
         self._stopped: str | None = None
         self._began_at = time.monotonic()
         self._measured_at: float | None = None
@@ -56,7 +56,7 @@
         self._processors = psutil.cpu_times()
         self._bytes_before = 0
         self._background: set[asyncio.Task[None]] = set()
-        # Called after each start of a task: what must hold over several cells is checked then.
+        # Called after each task start; a run of several cells checks its rules then.
         self.on_started: Callable[[], None] = lambda: None
         self.controllers: Controllers
         self.fleet: Fleet
@@ -66,7 +66,7 @@
         return self.fleet.standins()
 
     async def play(self) -> Result:
-        """Play the profile, and end all that was started."""
+        """Run the profile, then stop everything that was started."""
         try:
             async with asyncio.timeout(self.profile.most_s):
                 await self._prepare()
@@ -74,7 +74,7 @@
         except StoppedError as error:
             self._stopped = str(error)
         except TimeoutError:
-            self._stopped = f"not over within most_s = {self.profile.most_s:g} s"
+            self._stopped = f"did not finish within most_s = {self.profile.most_s:g} s"
         except asyncio.CancelledError:
             self._stopped = "interrupted"
         finally:
@@ -83,13 +83,13 @@
         return result
 
     async def _prepare(self) -> None:
-        """Start everything, and let the load settle."""
+        """Start everything and wait for the warm-up time."""
         await self.build()
         await self.begin()
         await self.wait(self.profile.warm_up_s)
 
     async def build(self) -> None:
-        """Make all parts; of the processes none runs yet."""
+        """Create all parts; no controller process is started yet."""
         state_port = await self.state.server.start()
         # The cloud's port is needed for the settings, and the controllers' ports for the workers.
         self.fleet = Fleet(
@@ -106,79 +106,77 @@
         self.users = Users(self.profile, nodes, self.checks, self._rng)
 
     async def begin(self) -> None:
-        """Start the processes, the workers and the load."""
+        """Start the controllers, the workers and the load."""
         await asyncio.gather(*(self.controllers.start(each) for each in self.controllers.all))
         self._spawn(self._watch_processes())
         await asyncio.gather(*(self.controllers.ready(each) for each in self.controllers.all))
-        self._say("controllers are ready")
+        self._print("controllers are ready")
         await self.fleet.boot()
-        for duty in (self.fleet.run(), self._count(), self._watch_loop(), self.users.run()):
-            self._spawn(duty)
+        for coroutine in (self.fleet.run(), self._count(), self._measure_loop_delay(), self.users.run()):
+            self._spawn(coroutine)
 
     async def _measure(self) -> None:
-        """The measured time, with its troubles."""
+        """Run the measured time and inject its faults."""
         self.clear()
         began_at = time.monotonic()
-        for trouble in sorted(self.profile.troubles, key=lambda trouble: trouble.at_s):
-            await self.wait(began_at + trouble.at_s - time.monotonic())
-            await self.cause(trouble)
+        for fault in sorted(self.profile.faults, key=lambda fault: fault.at_s):
+            await self.wait(began_at + fault.at_s - time.monotonic())
+            await self.inject(fault)
         await self.wait(began_at + self.profile.measured_s - time.monotonic())
 
     def clear(self) -> None:
-        """Begin the measured time."""
+        """Reset all figures at the start of the measured time."""
         self.users.clear()
         self.fleet.figures.clear()
         self.state.clear()
-        self._loop_late.clear()
+        self._loop_delay.clear()
         for meter in self._meters():
             meter.clear()
         self._processors = psutil.cpu_times()
-        self._bytes_before = self.controllers.bytes_between()
+        self._bytes_before = self.controllers.peer_bytes()
         self._measured_at = time.monotonic()
-        # Who leads as it begins is noted as one that led.
+        # Also records the current leader as one that led in the measured time.
         self._leader()
 
-    # -- troubles ----------------------------------------------------------------------------------
-
-    async def cause(self, trouble: Trouble) -> None:
-        """Let something happen."""
-        if trouble.kind == "restart_workers":
-            count = self.fleet.restart_share(trouble.share, trouble.away_s)
-            self._troubles.append(TroubleResult(trouble.kind, trouble.at_s, f"{count} workers"))
+    async def inject(self, fault: Fault) -> None:
+        """Inject a fault."""
+        if fault.kind == "restart_workers":
+            count = self.fleet.restart_share(fault.share, fault.away_s)
+            self._faults.append(FaultResult(fault.kind, fault.at_s, f"{count} workers"))
             return
         member = self._leader()
         if member is None:
-            self._troubles.append(TroubleResult(trouble.kind, trouble.at_s, "nobody led"))
+            self._faults.append(FaultResult(fault.kind, fault.at_s, "no leader"))
             return
-        controller = self.controllers.named(member)
-        if trouble.kind == "freeze_leader":
-            self._troubles.append(TroubleResult(trouble.kind, trouble.at_s, member))
-            controller.freeze()
-            self._spawn(self._thaw(controller, trouble.away_s))
+        controller = self.controllers.get(member)
+        if fault.kind == "freeze_leader":
+            self._faults.append(FaultResult(fault.kind, fault.at_s, member))
+            controller.suspend()
+            self._spawn(self._resume_after(controller, fault.away_s))
             return
         controller.kill()
-        result = TroubleResult(trouble.kind, trouble.at_s, member)
-        self._troubles.append(result)
-        self._spawn(self._watch_gap(controller, time.monotonic(), result))
-        self._spawn(self._bring_back(controller, trouble.away_s))
+        result = FaultResult(fault.kind, fault.at_s, member)
+        self._faults.append(result)
+        self._spawn(self._measure_outage(controller, time.monotonic(), result))
+        self._spawn(self._restart_after(controller, fault.away_s))
 
-    async def _watch_gap(
-        self, controller: ControllerProcess, killed_at: float, result: TroubleResult
+    async def _measure_outage(
+        self, controller: ControllerProcess, killed_at: float, result: FaultResult
     ) -> None:
         while (leader := self._leader()) is None or leader == controller.member:
-            await asyncio.sleep(_WATCH_S)
+            await asyncio.sleep(_OUTAGE_POLL_S)
         result.without_leader_s = time.monotonic() - killed_at
         answered = self.fleet.figures.answered.total
         while self.fleet.figures.answered.total == answered:
-            await asyncio.sleep(_WATCH_S)
+            await asyncio.sleep(_OUTAGE_POLL_S)
         result.without_answers_s = time.monotonic() - killed_at
 
     @staticmethod
-    async def _thaw(controller: ControllerProcess, away_s: float) -> None:
+    async def _resume_after(controller: ControllerProcess, away_s: float) -> None:
         await asyncio.sleep(away_s)
-        controller.thaw()
+        controller.resume()
 
-    async def _bring_back(self, controller: ControllerProcess, away_s: float) -> None:
+    async def _restart_after(self, controller: ControllerProcess, away_s: float) -> None:
         await asyncio.sleep(away_s)
         await self.controllers.start(controller)
 
@@ -186,17 +184,15 @@
         held = self.state.standin.keys.get(LEADER_KEY)
         member = held[0]["member"] if held is not None else None
         if member is not None and self._measured_at is not None:
-            self._led.add(member)
+            self._leaders.add(member)
         return member
 
-    # -- duties beside the load --------------------------------------------------------------------
-
-    def _spawn(self, duty: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(duty)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._background.add(task)
 
     async def wait(self, seconds: float) -> None:
-        """Wait; a duty that failed, or a bound that was met, ends the run."""
+        """Wait; an exception of a background task, such as an exceeded bound, ends the run."""
         until = time.monotonic() + seconds
         while (left := until - time.monotonic()) > 0:
             await asyncio.sleep(min(left, _SAMPLE_S))
@@ -214,15 +210,15 @@
             self._running = self.checks.count()
             await asyncio.sleep(_COUNT_S)
 
-    async def _watch_loop(self) -> None:
+    async def _measure_loop_delay(self) -> None:
         while True:
             before = time.monotonic()
-            await asyncio.sleep(_LOOP_S)
-            self._loop_late.note(max(0.0, time.monotonic() - before - _LOOP_S))
+            await asyncio.sleep(_LOOP_CHECK_S)
+            self._loop_delay.record(max(0.0, time.monotonic() - before - _LOOP_CHECK_S))
 
     async def _watch_processes(self) -> None:
-        """Sample processes, keep the memory's bound, and tell how far the run is."""
-        samples, told_at = 0, 0.0
+        """Sample processes, enforce the memory bound, restart exited controllers and print progress."""
+        samples, printed_at = 0, 0.0
         most_mb = psutil.virtual_memory().total / 2**20 * self.profile.most_memory
         while True:
             samples += 1
@@ -230,36 +226,34 @@
                 meter.sample(with_connections=samples % _SAMPLES_PER_LISTING == 0)
             used_mb = sum(meter.use.memory_mb for meter in self._meters())
             if used_mb > most_mb:
-                raise StoppedError(f"used {used_mb:.0f} MB of {most_mb:.0f}")
+                raise StoppedError(f"processes used {used_mb:.0f} MB; most_memory allows {most_mb:.0f} MB")
             for controller in self.controllers.all:
-                if controller.note_end():
-                    self._say(f"{controller.member} ended by itself")
+                if controller.poll_exit():
+                    self._print(f"{controller.member} exited unexpectedly; restarting")
                     await self.controllers.start(controller)
-            if time.monotonic() - told_at > _PROGRESS_S:
-                told_at = time.monotonic()
-                self._tell()
+            if time.monotonic() - printed_at > _PROGRESS_S:
+                printed_at = time.monotonic()
+                self._print_progress()
             await asyncio.sleep(_SAMPLE_S)
 
     def _meters(self) -> list[ProcessMeter]:
         return [*(controller.meter for controller in self.controllers.all), self._load]
 
-    def _tell(self) -> None:
+    def _print_progress(self) -> None:
         figures = self.fleet.figures
         phase = "measured" if self._measured_at is not None else "warming up"
-        self._say(
+        self._print(
             f"{phase}: {len(self.fleet.workers)} workers, {self._running} tasks, "
             f"{figures.answered.total} reports answered, {figures.failed.total} failed, "
-            f"{figures.leases_lost} leases lost, {self.checks.violations.count} broken, "
+            f"{figures.leases_lost} leases lost, {self.checks.violations.count} violations, "
             f"leader {self._leader()}"
         )
 
-    def _say(self, text: str) -> None:
+    def _print(self, text: str) -> None:
         print(f"{time.monotonic() - self._began_at:6.1f} s  {text}", file=sys.stderr, flush=True)
 
-    # -- the end -----------------------------------------------------------------------------------
-
     def end(self) -> None:
-        """End everything that was started."""
+        """Stop everything that was started."""
         for task in self._background:
             task.cancel()
         if hasattr(self, "users"):
@@ -271,24 +265,24 @@
             self.fleet.cloud.server.close()
         self.state.server.close()
 
-    def _stolen(self) -> float:
-        """What the host of a virtual machine gave to others of its processors, as a share of all their time.
+    def _steal_share(self) -> float:
+        """CPU time that the virtual machine's host gave to others (steal time), as a share of all CPU time.
 
-        Latencies of a run with much of it say more of the host than of the controllers.
+        With a high share, latencies reflect the host more than the controllers.
         """
         now = psutil.cpu_times()
         total = sum(now) - sum(self._processors)
-        stolen = getattr(now, "steal", 0.0) - getattr(self._processors, "steal", 0.0)
-        return stolen / total if total > 0 else 0.0
+        steal = getattr(now, "steal", 0.0) - getattr(self._processors, "steal", 0.0)
+        return steal / total if total > 0 else 0.0
 
     def result(self) -> Result:
-        """What was found so far."""
+        """The results so far."""
         if not hasattr(self, "users"):
-            raise StoppedError(self._stopped or "did not start")
+            raise StoppedError(self._stopped or "run did not start")
         began = self._measured_at or time.monotonic()
         span = max(0.001, time.monotonic() - began)
         figures, users = self.fleet.figures, self.users
-        bytes_between = self.controllers.bytes_between() - self._bytes_before
+        peer_bytes = self.controllers.peer_bytes() - self._bytes_before
         starts = {f"start, {name}": latency.summary() for name, latency in users.starts.items()}
         return Result(
             profile=msgspec.to_builtins(self.profile),
@@ -297,11 +291,11 @@
             workers_up=len(self.fleet.workers),
             tasks_running=self._running,
             controllers=[
-                ControllerResult(c.member, c.zone, c.member in self._led, c.meter.use, c.ended_by_itself)
+                ControllerResult(c.member, c.zone, c.member in self._leaders, c.meter.use, c.ended_by_itself)
                 for c in self.controllers.all
             ],
             load=self._load.use,
-            loop_late=self._loop_late.summary(),
+            loop_late=self._loop_delay.summary(),
             latencies={
                 "report": figures.heartbeats.summary(),
                 "submission": users.submissions.summary(),
@@ -316,11 +310,11 @@
                 "starts a second, best 5 s": users.started.peak(),
                 "direct commands a second": figures.direct_commands.total / span,
                 "bytes a second and worker, reports": figures.bytes / span / max(1, len(self.fleet.workers)),
-                "bytes a second between controllers": bytes_between / span,
+                "bytes a second between controllers": peer_bytes / span,
                 "bytes a second at the state service": self.state.server.bytes / span,
                 "requests a second at the state service": sum(self.state.requests.values()) / span,
                 "changes a second at the state service": self.state.writes / span,
-                "share of this machine's processors taken by others": self._stolen(),
+                "share of this machine's processors taken by others": self._steal_share(),
             },
             counts={
                 "leases lost": figures.leases_lost,
@@ -332,7 +326,7 @@
             },
             state_requests=dict(self.state.requests),
             statuses={str(status): count for status, count in users.statuses.items()},
-            troubles=self._troubles,
+            faults=self._faults,
             broken=self.checks.violations.messages,
             broken_count=self.checks.violations.count,
             stopped=self._stopped,
@@ -340,7 +334,7 @@
 
 
 async def play(profile: Profile, seed: int, folder: Path) -> Result:
-    """Play a profile with its files in ``folder``."""
-    # Connections that break as the run ends are nothing to tell of.
+    """Run a profile with its files in ``folder``."""
+    # Connections that break at the end of the run are expected and not reported.
     asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
     return await ScaleRun(profile, seed, folder).play()
--- a/tests/test_program_forms.py
+++ b/tests/test_program_forms.py
@@ -260,7 +260,7 @@
         status, answer = self.request("POST", "/hello", body)
         if status == 200:
             with stand_ins.lock:
-                stand_ins.worker.answered(answer, sent_at, incarnation)
+                stand_ins.worker.handle_response(answer, sent_at, incarnation)
 
 
 def _job(stand_ins: ExternalStandIns, job_id: str, **fields: object) -> Data:
