--- a/src/poppyhold/relay/assignment.py
+++ b/src/poppyhold/relay/assignment.py
@@ -16,16 +16,16 @@
 from poppyhold.relay.redirect_budget import RedirectBudget
 from poppyhold.relay.rendezvous import rendezvous_weight
 
-# Most workers of a relay, as a multiple of an even share.
+# Maximum number of workers of a relay, as a multiple of the average per connected relay.
 MAX_LOAD_RATIO = 1.25
-# Longest time for which a worker is not assigned to relays, in leases, before jitter.
+# Maximum backoff of a worker that returned from a relay, in leases; jitter multiplies it by 1 to 2.
 _MAX_BACKOFF_LEASES = 8
-# Relaying is disabled below this share of the number of workers that enables it.
+# With `AUTO`, relaying is disabled below this share of the number of workers that enables it.
 _DISABLE_RATIO = 0.5
 
 
 class LoadAdvice(NamedTuple):
-    """A relay's maximum number of workers, and other healthy relays with less than an even share."""
+    """Advice to a relay: the maximum number of workers per relay, and other healthy relays below average."""
 
     max_workers: int
     underloaded_relays: list[str]
@@ -39,7 +39,10 @@
 
 
 class _RelayBackoff(msgspec.Struct, eq=False):
-    """Backoff of a worker that returned from a relay without a response; the leader answers it meanwhile."""
+    """Backoff of a worker that sent direct heartbeats instead of relayed ones.
+
+    ``failures``: how often in a row; the leader answers the worker directly until ``direct_until``.
+    """
 
     failures: int = 0
     direct_until: float = 0.0
@@ -61,8 +64,9 @@
     ) -> None:
         """Create the assignment for the leader ``member`` in ``zone``.
 
-        With `AUTO`, relaying is enabled from ``enable_threshold`` machines on. While the leader has at most
-        ``max_direct_workers`` direct workers, those of its zone aren't redirected to relays of other zones.
+        With `AUTO`, relaying is enabled from ``enable_threshold`` workers on, one for each machine. While at
+        most ``max_direct_workers`` workers send heartbeats to the leader directly, workers of the leader's
+        zone aren't redirected to relays of other zones.
         """
         self._mode, self._enable_threshold, self._max_direct_workers = (
             mode,
@@ -76,7 +80,7 @@
         self._worker_count = 0
         self._relay_by_machine: dict[str, str] = {}
         self._worker_count_by_relay: Counter[str] = Counter()
-        # Workers that send their heartbeats directly.
+        # Workers whose last heartbeat came directly and was not answered with a redirect.
         self._direct: set[str] = set()
         self._pending_redirects: dict[str, _PendingRedirect] = {}
         self._backoffs: dict[str, _RelayBackoff] = {}
@@ -92,7 +96,7 @@
         self._zone_by_relay[member] = zone
 
     def relay_disconnected(self, member: str) -> None:
-        """Remove a relay whose connection was lost, and its assignments."""
+        """Remove a disconnected relay and unassign its workers; pending redirects to it remain."""
         self._zone_by_relay.pop(member, None)
         self._health.forget_round_trip(member)
         for machine in [machine for machine, relay in self._relay_by_machine.items() if relay == member]:
@@ -103,7 +107,7 @@
         self._health.record_round_trip(member, round_trip_s, member in self._zone_by_relay)
 
     def update_machines(self, machines: Set[str]) -> None:
-        """Update the number of workers and drop machines that no longer exist."""
+        """Forget all machines but ``machines``; with `AUTO`, enable or disable relaying by their number."""
         self._worker_count = len(machines)
         if self._mode is RelayMode.AUTO:
             threshold = self._enable_threshold * (_DISABLE_RATIO if self.accepts_relays else 1.0)
@@ -123,7 +127,7 @@
     # -- heartbeats --------------------------------------------------------------------------------
 
     def record_relayed_heartbeat(self, machine: str, relay: str) -> None:
-        """Record that the leader answered a heartbeat from a relay: the worker is assigned to it."""
+        """Assign a worker to a relay, as the leader answered a heartbeat that came through it."""
         self._pending_redirects.pop(machine, None)
         self._backoffs.pop(machine, None)
         self._direct.discard(machine)
@@ -133,9 +137,9 @@
             self._worker_count_by_relay[relay] += 1
 
     def assign(self, machine: str, zone: str, answered_at: float) -> str | None:
-        """Return the relay to which to redirect a worker that sent a direct heartbeat; None: answer it.
+        """Return the relay to which to redirect a worker that sent a direct heartbeat; None: answer it here.
 
-        Only a recently answered worker is redirected, so that its lease outlasts a relay that does not
+        Only a recently answered worker is redirected, so that its lease does not expire if the relay does not
         respond: 0.5 s to reach the relay, 4 s without a response, and 1 s to reach the next controller.
         """
         now = self._clock()
@@ -155,10 +159,10 @@
         return relay
 
     def reassign(self, machine: str, zone: str, relay: str, answered_at: float) -> str | None:
-        """Return another controller for a worker that should leave its relay; None: it stays.
+        """Return the relay or leader to which to redirect a worker of a relay; None: don't redirect it now.
 
-        It should leave a slow or overloaded relay, or one in another zone if the worker is in the leader's
-        zone, which has no relay.
+        It should leave a slow or overloaded relay. If its zone is the leader's and has no relay, it should
+        also return to the leader while that has at most ``max_direct_workers`` direct workers.
         """
         now = self._clock()
         is_slow = self._health.is_slow(relay, now)
@@ -185,7 +189,7 @@
         return target
 
     def load_advice(self, member: str) -> LoadAdvice:
-        """Return what a relay needs to redirect workers in excess of its share."""
+        """Return the maximum number of workers per relay, and the relays to which to redirect the excess."""
         now = self._clock()
         even_share = self._worker_count / max(1, len(self._zone_by_relay))
         others = (
@@ -197,18 +201,19 @@
         )
 
     def _should_be_direct(self, zone: str, relay: str) -> bool:
-        """Whether a worker of the leader's zone should use no relay of another zone.
+        """Whether a worker in ``zone`` should send its heartbeats to the leader instead of ``relay``.
 
-        If all relays are in a zone that is partitioned off, redirected workers lose their leases: each relay
-        costs them 5 s before they try the next. So they stay while the leader has connections for them.
+        True for the leader's zone and a relay of another zone, while at most ``max_direct_workers`` are
+        direct. If all relays are in a zone that is partitioned off, redirected workers lose their leases:
+        each relay that they try takes 5 s.
         """
         depends_on_other_zone = zone == self._zone and self._zone_by_relay.get(relay) != zone
         return depends_on_other_zone and len(self._direct) <= self._max_direct_workers
 
     def _record_return_to_leader(self, machine: str, now: float) -> None:
-        """Record a failure of the relay of a worker that sent a direct heartbeat instead.
+        """Unassign a worker that sent a direct heartbeat although a relay was assigned or pending.
 
-        The leader's responses through that relay did not reach the worker in time.
+        This counts as a failure of that relay: presumably no response reached the worker in time.
         """
         pending = self._pending_redirects.pop(machine, None)
         relay = pending.relay if pending is not None else self._relay_by_machine.get(machine)
@@ -224,10 +229,10 @@
     # -- choice of a relay -------------------------------------------------------------------------
 
     def _choose(self, machine: str, zone: str, now: float, exclude: str = "") -> str | None:
-        """Choose a relay below its maximum by rendezvous hashing, those of the worker's zone first.
+        """Choose a healthy relay below its maximum: the worker's zone first, then by rendezvous hashing.
 
-        Each worker has its own order of relays. When a relay connects or disconnects, only workers that rank
-        it first or are assigned to it move.
+        Each worker has its own order of relays, in which the others keep their places when one connects or
+        disconnects, so that few workers move. None: no relay is below its maximum.
         """
         max_workers = self._max_workers_per_relay()
         by_preference = sorted(
--- a/src/poppyhold/relay/forwarding.py
+++ b/src/poppyhold/relay/forwarding.py
@@ -112,8 +112,8 @@
 
         While the link reconnects it is a 503, which makes the worker try another relay: a new leader first
         loads the durable state, and hundreds of redirected workers would take most of its connections. That
-        ends with the reconnection window, so that a worker isn't passed around for long between relays that
-        are partitioned from a leader which it can reach itself.
+        ends with the reconnection window, so that a worker doesn't go for long from one partitioned relay to
+        the next while it can reach the leader itself.
         """
         if self._link.is_reconnecting():
             return http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "no leader to pass this on to"})
--- a/src/poppyhold/relay/health.py
+++ b/src/poppyhold/relay/health.py
@@ -6,7 +6,7 @@
 
 from poppyhold.model.durations import Durations
 
-# A relay from which this many workers returned within a lease is assigned no more of them for a lease.
+# A relay with this many failures within the last lease is assigned no more workers.
 _FAILURE_THRESHOLD = 2
 # A relay is slow if its batches take longer than this share of a heartbeat interval: a relayed heartbeat
 # crosses twice as many links as a direct one, and its worker waits only 4 s.
@@ -21,7 +21,7 @@
         # Relays with a known round trip, and when each relay's round trip was last too long.
         self._measured: set[str] = set()
         self._slow_at: dict[str, float] = {}
-        # When workers returned from each relay, within the last lease.
+        # Times of each relay's failures within the last lease.
         self._failures: dict[str, list[float]] = {}
 
     def record_round_trip(self, member: str, round_trip_s: float, is_connected: bool) -> None:
@@ -36,7 +36,7 @@
         self._measured.discard(member)
 
     def record_failure(self, member: str, now: float) -> None:
-        """Record that a worker returned from the relay without a response."""
+        """Record that a worker of the relay sent a direct heartbeat instead."""
         self._failures.setdefault(member, []).append(now)
 
     def is_healthy(self, member: str, now: float) -> bool:
--- a/src/poppyhold/relay/link.py
+++ b/src/poppyhold/relay/link.py
@@ -1,4 +1,4 @@
-"""The relay's connection to the leader: one thread sends batches, another reads responses."""
+"""The relay's connection to the leader: one thread connects and sends, another reads responses."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 log = logging.getLogger(__name__)
 
 _decoder = msgspec.msgpack.Decoder(ResponseBatch)
-# Most heartbeats of a batch, so that a batch does not keep the leader from other work.
+# Maximum number of heartbeats in a batch, so that one batch does not delay the leader's other work.
 _MAX_BATCH_SIZE = 64
-# The minimum of this many round trips is reported, since a batch may wait for a scheduling decision.
+# Batches carry the shortest of the last so many round trips: others may include a scheduling decision.
 _ROUND_TRIP_SAMPLES = 4
 
 
 class RelayLink:
-    """Forwards heartbeats to the leader while it accepts relays."""
+    """Forwards heartbeats to the controller that ``target`` returns."""
 
     def __init__(
         self,
@@ -42,10 +42,11 @@
         rng: random.Random,
         on_advice: Callable[[int, list[str]], None] = lambda max_workers, underloaded: None,
     ) -> None:
-        """``target`` returns the controller to which to relay now.
+        """``target`` returns the leader if it accepts relays, else None.
 
-        ``min_fencing_token`` returns the highest token seen: responses with a lower one are dropped.
-        ``on_advice`` is called with a relay's maximum number of workers and the underloaded relays.
+        ``min_fencing_token`` returns the highest token that this controller has seen: responses with a lower
+        one count as none. ``on_advice`` gets the maximum number of workers per relay and the underloaded
+        relays with each batch of responses, and 0 and [] (no advice) when a connection has ended.
         """
         self._on_advice = on_advice
         self._hello, self._addresses = hello, addresses
@@ -55,7 +56,7 @@
         self._wake = threading.Condition(threading.Lock())
         self._connected = False
         self._reconnection = ReconnectionWindow(timings.reconnect_window_s, timings.max_reconnect_window_s)
-        # When each batch without a response was sent, and the last round trips.
+        # Send times of the batches whose responses are awaited, and the last round trips in seconds.
         self._in_flight: deque[float] = deque()
         self._round_trips: deque[float] = deque(maxlen=_ROUND_TRIP_SAMPLES)
         self._stop = threading.Event()
@@ -66,7 +67,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop the thread; pending heartbeats get no response."""
+        """Tell the thread to stop; it calls the callbacks of pending heartbeats with None."""
         self._stop.set()
         with self._wake:
             self._wake.notify_all()
@@ -76,7 +77,7 @@
         return self._connected or self.is_reconnecting()
 
     def is_reconnecting(self) -> bool:
-        """Whether the connection was lost recently and heartbeats wait for the next one."""
+        """Whether the connection was lost and heartbeats wait for a new one, in the reconnection window."""
         return not self._connected and self._reconnection.is_open(time.monotonic())
 
     def offer(self, heartbeat: Heartbeat, on_response: OnResponse) -> bool:
@@ -107,13 +108,13 @@
                 send_message(connection, self._hello)
                 self._send_batches(connection, target)
         except (OSError, ValueError) as error:
-            log.debug("relay connection ended: leader=%s error=%r", target, str(error))
+            log.debug("relay connection failed: leader=%s error=%r", target, str(error))
         except Exception:
-            # The thread must run as long as the process; it opens a new connection next.
+            # Not raised, as this thread must run as long as the process; `_run` opens a new connection.
             log.exception("relay connection failed unexpectedly: leader=%s", target)
 
     def _send_batches(self, connection: socket.socket, target: str) -> None:
-        """Send batches until the connection is lost or the leader changes."""
+        """Send batches until the connection is lost, the target changes or the link is stopped."""
         self._reconnection.connection_accepted(time.monotonic())
         with self._wake:
             self._in_flight.clear()
@@ -126,7 +127,8 @@
             while not self._stop.is_set() and self._target() == target and reader.is_alive():
                 self._wait_and_send_batch(connection)
         finally:
-            # Closed only after the reader has ended: its descriptor could be reused for another connection.
+            # The connection is closed only after the reader has ended: the reader could otherwise read from
+            # another connection that reuses the descriptor.
             shut_down(connection)
             reader.join()
             self._on_connection_end(target)
@@ -137,14 +139,14 @@
             if not self._queue.unsent_count and self._round_trips:
                 self._wake.wait(timings.keepalive_interval_s)
             elif not self._queue.unsent_count:
-                # Without heartbeats, empty batches are sent to measure the round trip.
+                # No round trip is known yet: an empty batch is sent soon to measure one.
                 self._wake.wait(timings.batch_delay_s)
         if self._queue.unsent_count:
             self._stop.wait(timings.batch_delay_s)
         now = time.monotonic()
         with self._wake:
             if self._in_flight and now - self._in_flight[0] > timings.stall_timeout_s:
-                raise TimeoutError("leader did not answer a batch in time")
+                raise TimeoutError("leader did not answer a batch within the stall timeout")
             batch = self._queue.next_batch(now, _MAX_BATCH_SIZE, min(self._round_trips, default=0.0))
             self._in_flight.append(now)
         send_message(connection, batch)
@@ -157,16 +159,16 @@
         except (OSError, ValueError) as error:
             log.debug("relay response reader ended: error=%r", str(error))
         except Exception:
-            # The sending thread has to be woken after any failure: it closes the connection.
+            # Not raised: the sending thread has to be woken after any failure.
             log.exception("relay response reader failed unexpectedly")
         with self._wake:
-            # The sending thread then finds that this thread has ended.
+            # Wake the sending thread, which closes the connection once this thread has ended.
             self._wake.notify()
 
     def _handle_responses(self, batch: ResponseBatch) -> None:
         self._on_advice(batch.max_workers, batch.underloaded_relays)
         with self._wake:
-            # The first response shows that the leader accepts this relay.
+            # Only a response shows that the leader serves this relay: it may close an accepted connection.
             self._connected = True
             if self._in_flight:
                 self._round_trips.append(time.monotonic() - self._in_flight.popleft())
--- a/src/poppyhold/relay/messages.py
+++ b/src/poppyhold/relay/messages.py
@@ -77,7 +77,7 @@
     """The leader's responses to one batch, in any order."""
 
     responses: list[RelayedResponse] = []
-    # The relay's maximum number of workers, and underloaded relays to which to redirect those in excess; 0
+    # The maximum number of workers per relay, and underloaded relays to which to redirect those in excess; 0
     # from versions without these fields.
     max_workers: int = 0
     underloaded_relays: list[str] = []
--- a/src/poppyhold/relay/overflow_redirect.py
+++ b/src/poppyhold/relay/overflow_redirect.py
@@ -1,7 +1,7 @@
-"""Redirects workers in excess of a relay's share to less loaded relays.
+"""Redirects workers in excess of a relay's maximum to less loaded relays.
 
 When a relay fails, all its workers go to the same next controller in their lists. That one would have twice
-its share and close the connections that exceed its limit.
+the average number of workers, and close the connections that exceed its limit.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
         self._lock = threading.Lock()
 
     def update_advice(self, max_workers: int, underloaded: Sequence[str]) -> None:
-        """Set the leader's advice: a relay's maximum number of workers (0: no advice), underloaded relays."""
+        """Set the leader's advice: the maximum number of workers per relay (0: none), underloaded relays."""
         with self._lock:
             self._advised_max_workers, self._underloaded = max_workers, tuple(underloaded)
 
--- a/src/poppyhold/relay/reconnection.py
+++ b/src/poppyhold/relay/reconnection.py
@@ -4,7 +4,7 @@
 
 
 class ReconnectionWindow:
-    """The time after a lost connection during which a relay expects the next one soon.
+    """The time after a lost connection during which a relay accepts heartbeats for a new one.
 
     A new leader has to be elected and to load the durable state. Thousands of workers redirected to it
     meanwhile would take all its connections, and the leases of the others would expire.
@@ -26,7 +26,7 @@
         """Record the current leader (None: there is none); a change extends the window.
 
         If the leader stays the same and unreachable, this relay may be partitioned from it. A worker must not
-        be passed around for long between partitioned relays while it could reach the leader itself.
+        go from one partitioned relay to the next for long while it could reach the leader itself.
         """
         if leader != self._lost_leader:
             self._extend(now)
--- a/src/poppyhold/relay/redirect_budget.py
+++ b/src/poppyhold/relay/redirect_budget.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-# Most workers that may be redirected at once, as a share of all.
+# Maximum number of workers that may be redirected at once, as a share of all.
 _BURST_SHARE = 1 / 16
 
 
--- a/src/poppyhold/wire/http_client.py
+++ b/src/poppyhold/wire/http_client.py
@@ -14,7 +14,7 @@
 
 # A connection that has been idle for this long is not reused, as the server may be closing it.
 _MAX_IDLE_S = 15.0
-# Least timeout of a request whose deadline has almost passed.
+# Minimum timeout of a request whose deadline has almost passed.
 _MIN_TIMEOUT_S = 0.01
 
 
--- a/src/poppyhold/wire/http_server.py
+++ b/src/poppyhold/wire/http_server.py
@@ -28,21 +28,22 @@
     headers: dict[str, str]
 
 
-# A response from another thread: it is called with a function that sends the response without blocking.
+# Returned by a handler whose response another thread computes. The server calls it once, with a function that
+# sends the response without blocking.
 DeferredResponse = Callable[[Callable[[HttpResponse], None]], None]
 # Handles a request's method, path and body.
 RequestHandler = Callable[[str, str, bytes], HttpResponse | DeferredResponse]
 
-# A client that gets a 200 on this path is a worker: its connection is not closed in favour of another one.
+# A client that gets a 200 on this path is a worker: its connection is protected for `worker_protection_s`.
 _HEARTBEAT_PATH = "/hello"
 # Method, path and version.
 _REQUEST_LINE_PARTS = 3
-# A connection that sends nothing for this multiple of a worker's grace is abandoned, and is closed.
+# A connection on which nothing arrives for this multiple of `worker_protection_s` is closed as abandoned.
 _IDLE_TIMEOUT_RATIO = 4
 
 
 def http_response(status: int, body: dict[str, Any] | None = None, **headers: str) -> HttpResponse:
-    """Build a response; header names are written with underscores."""
+    """Build a response; ``headers`` have underscores in place of hyphens."""
     if headers:
         headers = {name.replace("_", "-"): value for name, value in headers.items()}
     return HttpResponse(status, body or {}, headers)
@@ -97,20 +98,20 @@
         try:
             response = self.server.handle_http(self.command, self.path, body)
         except Exception:
-            # Thread boundary: whatever a client sends, it gets a response and the process goes on.
+            # Whatever a client sends, it gets a response: any error of the handler is answered with 503.
             log.exception("request failed: method=%s path=%s", self.command, self.path)
             response = http_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "internal"}, Retry_After="1")
         if not callable(response):
             self.wfile.write(self._encode(response))
         elif not self.close_connection:
             # The other thread sends the response: at hundreds of heartbeats per second (650 machines), waking
-            # this thread for each one would take a large part of a leader's time.
+            # this thread for each heartbeat would take a large part of the leader's processor time.
             response(self._send_without_blocking)
         else:
             self._await_response(response)
 
     def _read_body(self) -> bytes | None:
-        """Read the request's body; None if it can't be read: the connection is then closed."""
+        """Read the request's body; None if it is incomplete or refused: the connection is then closed."""
         try:
             length = int(self.fields.get("content-length") or 0)
         except ValueError:
@@ -140,20 +141,20 @@
         sent.wait(self.server.idle_timeout_s)
 
     def _send_without_blocking(self, response: HttpResponse) -> None:
-        """Send without blocking; a connection that can't take the whole response is shut down."""
+        """Send without blocking; if only a part could be sent, the connection is shut down."""
         data = self._encode(response)
         try:
             if os.write(self.connection.fileno(), data) == len(data):
                 return
             self.connection.shutdown(socket.SHUT_RDWR)
         except OSError as error:
-            log.debug("response not sent: client=%s: %s", self.client_address, error)
+            log.debug("sending a response failed: client=%s error=%s", self.client_address, error)
 
     def _encode(self, response: HttpResponse) -> bytes:
         status, body, headers = response
         if status == HTTPStatus.OK and self.path == _HEARTBEAT_PATH:
-            # Other responses, to malformed heartbeats or from a controller that doesn't lead, don't mark the
-            # client as a worker.
+            # Only a 200 marks the client as a worker: malformed heartbeats, and those that this controller
+            # can't answer, get another status.
             self.server.record_activity(self.connection, is_worker=True)
         payload = encode(body)
         head = (
@@ -196,9 +197,10 @@
         self.handle_http = handler
         self._max_connections, self._worker_protection_s = max_connections, worker_protection_s
         self.idle_timeout_s = worker_protection_s * _IDLE_TIMEOUT_RATIO
-        # After a restart all workers and users connect at once.
+        # The listen backlog: after a restart of this controller all workers and users may connect at once.
         self.request_queue_size = max_connections
-        # When each connection becomes closable: a worker's after its grace, others' at their last request.
+        # From when each connection may be closed for a new one: ``worker_protection_s`` after a worker's 200,
+        # else the time of the last request, or of the accept.
         self._protected_until: dict[socket.socket, float] = {}
         self._lock = threading.Lock()
         super().__init__(address, _Handler)
@@ -209,7 +211,7 @@
         self.server_name, self.server_port = str(self.server_address[0]), int(self.server_address[1])
 
     def verify_request(self, request: Any, client_address: Any) -> bool:
-        """Whether to accept a connection; at the limit, the longest idle unprotected one is closed for it."""
+        """Whether to accept a connection; at the limit, the longest unprotected one is closed for it."""
         with self._lock:
             if len(self._protected_until) >= self._max_connections:
                 oldest = min(self._protected_until, key=lambda connection: self._protected_until[connection])
@@ -217,7 +219,7 @@
                     return False
                 del self._protected_until[oldest]
                 try:
-                    # Its thread wakes up and closes it.
+                    # The thread that serves the connection wakes up and closes it.
                     oldest.shutdown(socket.SHUT_RDWR)
                 except OSError:
                     log.debug("idle connection not shut down: already closed")
@@ -225,7 +227,7 @@
         return True
 
     def record_activity(self, connection: socket.socket, is_worker: bool) -> None:
-        """Record a request on a connection; ``is_worker``: it is being answered as a worker's heartbeat."""
+        """Record a request on a connection; ``is_worker``: a heartbeat that is answered with 200."""
         with self._lock:
             if connection in self._protected_until:
                 protection_s = self._worker_protection_s if is_worker else 0.0
@@ -239,11 +241,11 @@
 
     def handle_error(self, request: Any, client_address: Any) -> None:
         """Log the exception that ended a connection, at debug level, as clients may send anything."""
-        # The base class calls this in its exception handler.
+        # `exc_info` is set here, as the base class calls this in its exception handler.
         log.debug("connection ended: client=%s", client_address, exc_info=True)  # noqa: LOG014
 
     def close_all(self) -> None:
-        """Stop accepting connections and close all."""
+        """Stop accepting connections and shut all down; their threads then close them."""
         self.shutdown()
         self.server_close()
         with self._lock:
