--- a/src/poppyhold/machines/deletions.py
+++ b/src/poppyhold/machines/deletions.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-DELETE_LIMIT = 100
+MAX_MACHINES_PER_DELETION = 100
 # Machine names in a log line.
 _MAX_NAMES_LOGGED = 8
 
@@ -49,7 +49,7 @@
         if self._in_flight or not self._ctx.outbound.may_start_tasks():
             return
         names = [machine.name for machine in self._ctx.fleet.machines.values() if machine.deleting]
-        names = names[:DELETE_LIMIT]
+        names = names[:MAX_MACHINES_PER_DELETION]
         if not names:
             return
         self._in_flight = True
--- a/src/poppyhold/machines/demand_estimate.py
+++ b/src/poppyhold/machines/demand_estimate.py
@@ -40,9 +40,9 @@
     def demand(self, now: float) -> list[Demand]:
         """Return the demand of pending jobs, by priority and age, and then the forecast."""
         remaining = _RemainingQuotas(self._ctx, self._quotas)
-        return self._waiting(remaining) + self._forecast(remaining, now)
+        return self._pending(remaining) + self._forecast(remaining, now)
 
-    def _waiting(self, remaining: _RemainingQuotas) -> list[Demand]:
+    def _pending(self, remaining: _RemainingQuotas) -> list[Demand]:
         demands = []
         jobs = self._ctx.fleet.jobs.values()
         for job in sorted(jobs, key=lambda job: (job.priority, job.submitted_at)):
--- a/src/poppyhold/machines/provisioning.py
+++ b/src/poppyhold/machines/provisioning.py
@@ -121,7 +121,7 @@
     ) -> list[LaunchSpec]:
         """Reserve capacity for the demands in the slots, and return the launches for tasks that don't fit.
 
-        Changes the free capacity of ``slots``, and the tasks and zones of ``demands``.
+        Changes the free capacity of ``slots``, and the tasks of ``demands``.
         """
         decision = _Decision(machine_types, slots, now)
         # Pending tasks before forecasts, and the largest first.
@@ -145,13 +145,13 @@
         It is the one with active tasks of the gang, else one in which all its tasks fit, else one with an
         unblocked on-demand kind; among equals, the one in which most of its tasks fit.
         """
-        zones_with_tasks = [zone for zone, count in demand.zones.items() if count > 0]
+        zones_with_tasks = [zone for zone, count in demand.tasks_by_zone.items() if count > 0]
         if zones_with_tasks:
             return zones_with_tasks[0]
-        tasks_by_zone: Counter[str] = Counter()
+        fitting_by_zone: Counter[str] = Counter()
         for slot in decision.index.slots:
             if allowed(demand, slot):
-                tasks_by_zone[slot.zone] += max_copies(demand.need, slot.free, demand.tasks)
+                fitting_by_zone[slot.zone] += max_copies(demand.need, slot.free, demand.tasks)
         launchable_zones = {
             zone
             for machine_type in allowed_machine_types(demand.spec, decision.machine_types.values())
@@ -159,13 +159,13 @@
             if demand.spec.zone in (None, zone)
             and self._is_unblocked(MachineKind(machine_type.name, zone, False), decision.now)
         }
-        zones = launchable_zones | tasks_by_zone.keys()
+        zones = launchable_zones | fitting_by_zone.keys()
         return max(
             zones,
             key=lambda zone: (
-                tasks_by_zone[zone] >= demand.tasks,
+                fitting_by_zone[zone] >= demand.tasks,
                 zone in launchable_zones,
-                tasks_by_zone[zone],
+                fitting_by_zone[zone],
                 zone,
             ),
             default=None,
@@ -183,14 +183,14 @@
             max_tasks = remaining
             # A forecast joins the tasks of many jobs; the limit is on the tasks of one job in a zone.
             if not demand.is_forecast:
-                max_tasks = min(remaining, limit - demand.zones.get(slot.zone, 0))
+                max_tasks = min(remaining, limit - demand.tasks_by_zone.get(slot.zone, 0))
             count = max_copies(demand.need, slot.free, max_tasks)
             if count:
                 slot.free = add_scaled(slot.free, demand.need, -count)
                 slot.used = True
                 remaining -= count
                 if not demand.is_forecast:
-                    demand.zones[slot.zone] = demand.zones.get(slot.zone, 0) + count
+                    demand.tasks_by_zone[slot.zone] = demand.tasks_by_zone.get(slot.zone, 0) + count
             return remaining > 0
 
         if remaining > 0:
@@ -230,7 +230,7 @@
         for machine_type in allowed_machine_types(spec, machine_types.values()):
             for zone in machine_type.zones:
                 excluded = spec.zone not in (None, zone) or demand.required_zone not in (None, zone)
-                at_zone_limit = not demand.is_forecast and demand.zones.get(zone, 0) >= limit
+                at_zone_limit = not demand.is_forecast and demand.tasks_by_zone.get(zone, 0) >= limit
                 if excluded or at_zone_limit:
                     continue
                 if spec.spot:
@@ -253,9 +253,9 @@
                 return
             max_tasks = demand.tasks
             if not demand.is_forecast:
-                max_tasks = min(demand.tasks, limit - demand.zones.get(slot.zone, 0))
+                max_tasks = min(demand.tasks, limit - demand.tasks_by_zone.get(slot.zone, 0))
             count = max_copies(demand.need, slot.free, max_tasks)
             if count > 0:
                 slot.free = add_scaled(slot.free, demand.need, -count)
-                demand.zones[slot.zone] = demand.zones.get(slot.zone, 0) + count
+                demand.tasks_by_zone[slot.zone] = demand.tasks_by_zone.get(slot.zone, 0) + count
                 demand.tasks -= count
--- a/src/poppyhold/machines/supply_and_demand.py
+++ b/src/poppyhold/machines/supply_and_demand.py
@@ -18,7 +18,7 @@
     # A decision subtracts the tasks that it places.
     tasks: int
     # Active tasks of the job by zone; a decision adds those that it places.
-    zones: dict[str, int]
+    tasks_by_zone: dict[str, int]
     is_forecast: bool = False
     # The only zone that may be used, if all tasks have to be in one.
     required_zone: str | None = None
