--- a/src/poppyhold/configuration_checks.py
+++ b/src/poppyhold/configuration_checks.py
@@ -1,4 +1,4 @@
-"""Checks that the settings and the options file have in common."""
+"""Checks shared by the settings file and the options file."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from collections import Counter
 from collections.abc import Iterable
 
-_HIGHEST_PORT = 65535
+_MAX_PORT = 65535
 
 
 class ConfigError(Exception):
-    """A settings or options file that can't be used; the text names the field."""
+    """A settings or options file is invalid; the message names the field."""
 
 
 def split_address(text: str, field: str = "address") -> tuple[str, int]:
@@ -21,21 +21,21 @@
 
     """
     host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= _HIGHEST_PORT:
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= _MAX_PORT:
         raise ConfigError(f"{field}: {text!r} is not host:port")
     return host, int(port)
 
 
 def check_unique(field: str, names: Iterable[str]) -> None:
-    """Check that no name is there twice.
+    """Check that no name occurs twice.
 
     Raises:
         ConfigError: names the field and the name.
 
     """
-    twice = next((name for name, times in Counter(names).items() if times > 1), None)
-    if twice is not None:
-        raise ConfigError(f"{field}: {twice!r} is there twice")
+    duplicate = next((name for name, count in Counter(names).items() if count > 1), None)
+    if duplicate is not None:
+        raise ConfigError(f"{field}: {duplicate!r} is there twice")
 
 
 def check_positive(field: str, value: float) -> None:
@@ -50,7 +50,7 @@
 
 
 def check_not_negative(field: str, value: float) -> None:
-    """Check that a value is not below 0, and finite.
+    """Check that a value is finite and not below 0.
 
     Raises:
         ConfigError: names the field.
--- a/src/poppyhold/quota/cell_service.py
+++ b/src/poppyhold/quota/cell_service.py
@@ -1,8 +1,9 @@
 """A cell's quota service, for one term of its leader.
 
 It runs on the decision thread and does no I/O. It keeps the quotas that scheduling enforces equal to the
-cell's allocations (`ledger`), requests amounts that its teams lack from other cells, and transfers idle
-amounts to them. It never waits for another cell: if none responds, its own allocations stay in force.
+cell's allocations (`ledger`). From other cells it requests the parts of limits and guarantees that its teams
+lack, and it transfers idle parts to cells that request them. It never waits for another cell: if none
+responds, its own allocations stay in force.
 """
 
 from __future__ import annotations
@@ -47,12 +48,12 @@
 
 log = logging.getLogger(__name__)
 
-# Record changes of a transfer besides one per team: the peer record, at debit and at acknowledgement.
-_PEER_CHANGES_PER_TRANSFER = 2
+# Writes of a transfer at the source besides one per team: the peer record, at debit and acknowledgement.
+_PEER_WRITES_PER_TRANSFER = 2
 
 
 class QuotaHealth(NamedTuple):
-    """Active alarms, and teams whose demand has been unmet for longer than a lease.
+    """Active alarms, and teams whose demand has been unmet for longer than a worker's lease.
 
     The response of the readiness check has fields of these names.
     """
@@ -62,7 +63,7 @@
 
 
 class CellQuotaService:
-    """The allocations of the cell that this node leads, and its requests and responses to other cells."""
+    """The allocations of the cell that this node leads, and this cell's messages to and from other cells."""
 
     def __init__(
         self,
@@ -73,7 +74,10 @@
         can_launch: Callable[[Submission], bool],
         on_changed: Callable[[], None],
     ) -> None:
-        """``on_changed`` is called when the quotas that scheduling enforces have changed."""
+        """``on_changed`` is called when the quotas that scheduling enforces have changed.
+
+        `DemandMonitor` describes ``unaccounted_resources`` and ``can_launch``.
+        """
         self._ctx, self._cells, self._quotas, self._on_changed = ctx, cells, quotas, on_changed
         self._totals = {
             team.name: total
@@ -97,19 +101,25 @@
         self._requester = TransferRequester(cells, self.ledger, ctx.clock)
         self._offers = TransferOffers(cells.name, reserves)
         self._views = CellViewBuilder(cells.name, self.ledger, ctx.fleet, self._offers, self.alarms)
-        retention_s = ctx.durations.lease_s * cells.keep_leases
-        self._retention = RetentionTimes(retention_s)
-        self._monitor = DemandMonitor(ctx, retention_s, self._retention, unaccounted_resources, can_launch)
+        # Also the time after which pending work counts as stalled.
+        max_retention_s = ctx.durations.lease_s * cells.keep_leases
+        self._retention = RetentionTimes(max_retention_s)
+        self._monitor = DemandMonitor(
+            ctx, max_retention_s, self._retention, unaccounted_resources, can_launch
+        )
         limits = ctx.settings.deployment.state.lowest
         self._max_teams_per_commit = max(1, limits.txn_ops // 2)
-        self._rate_limiter = RateLimiter(limits.write_rps * cells.moves_share, burst=1.0)
+        # Limits the writes of this cell's debits; credits and the creation of records are not counted.
+        self._transfer_write_limiter = RateLimiter(limits.write_rps * cells.moves_share, burst=1.0)
         self._demands: dict[str, TeamDemand] = {}
-        # Log lines of the credits being committed, logged once they are durable.
+        # Log lines for the credits of the commit in progress, logged once these are durable. `unmet_s` is how
+        # long the team's demand had been unmet when the commit started.
         self._credit_log_lines: list[str] = []
-        # Nothing under a limit starts until the allocations are loaded.
-        self._block_all_starts()
+        # Until a team's allocation record is loaded or created, its limits are zero: no task that needs a
+        # limited resource starts.
+        self._set_quotas_to_zero()
 
-    def _block_all_starts(self) -> None:
+    def _set_quotas_to_zero(self) -> None:
         for team, total in self._totals.items():
             self._quotas.set(team, total.zeroed().quota(total))
 
@@ -125,7 +135,7 @@
                 log.info("%s", line)
             self._credit_log_lines = []
             self._views.invalidate()
-            # Requests acknowledge applied transfers, for which other cells wait.
+            # Requests acknowledge applied transfers; until then, their source starts no other to this cell.
             self._prepare_requests()
 
         self._ctx.outbound.commit(conditions, writes, on_committed, CommitPriority.NORMAL)
@@ -141,14 +151,17 @@
         """Load the durable records of earlier leaders."""
         self.ledger.load(entries)
         if self._checks.is_wrong_cell():
-            self._block_all_starts()
+            self._set_quotas_to_zero()
         for team in self.teams_with_differing_settings():
-            log.warning("team settings ignored, the allocation record has other totals: team=%s", team)
+            log.warning(
+                "quotas in the settings differ from the allocation record, which takes precedence: team=%s",
+                team,
+            )
 
     def tick(self) -> None:
-        """Measure demand, check use and update the requests."""
+        """Create missing records; if none is missing, measure demand, check use and update the requests."""
         if self._checks.is_wrong_cell():
-            self._block_all_starts()
+            self._set_quotas_to_zero()
             return
         if self.ledger.create_missing(self._initial_allocations, self._max_teams_per_commit):
             return
@@ -183,7 +196,7 @@
         self._prepare_requests()
 
     def requests(self) -> dict[str, TransferRequest]:
-        """The request to each other cell; the same objects until something changes."""
+        """The request to each other cell; the same dict until the requests are prepared again."""
         return self._requester.requests
 
     def _serve(self, request: TransferRequest) -> None:
@@ -194,7 +207,7 @@
         if (
             not request.unmet_demands
             or not self.ledger.can_debit(request.cell)
-            or self._rate_limiter.ready_at() > now
+            or self._transfer_write_limiter.ready_at() > now
         ):
             return
         self._monitor.update_possible_use(self._demands)
@@ -204,10 +217,12 @@
             if not amount.is_zero and len(offers) < self._max_teams_per_commit:
                 offers[unmet.team] = amount
         if self.ledger.debit(request.cell, request.incarnation, offers):
-            self._rate_limiter.consume(len(offers) + _PEER_CHANGES_PER_TRANSFER, now)
+            self._transfer_write_limiter.consume(len(offers) + _PEER_WRITES_PER_TRANSFER, now)
             for team, amount in offers.items():
                 self._retention.record_debit(team, now)
-                log.info("debit: team=%s %s destination_cell=%s", team, _log_values(amount), request.cell)
+                log.info(
+                    "debit: team=%s %s destination_cell=%s", team, _limit_changes_text(amount), request.cell
+                )
 
     def _offer(self, unmet: UnmetDemand, destination: str) -> TeamAmount:
         allocation, demand = self.ledger.allocation(unmet.team), self._demands.get(unmet.team)
@@ -222,21 +237,22 @@
         transfer = response.transfer
         if transfer is not None and self.ledger.credit(response.cell, response.incarnation, transfer):
             self._credit_log_lines = [
-                f"credit: team={team} {_log_values(amount)} source_cell={response.cell} "
+                f"credit: team={team} {_limit_changes_text(amount)} source_cell={response.cell} "
                 f"unmet_s={self._requester.unmet_s(team):.3f}"
                 for team, amount in transfer.amounts.items()
             ]
 
     def _prepare_requests(self) -> None:
-        """Make the requests to other cells from the current demand and records."""
+        """Make the requests from the last tick's demand and the ledger; record unmet demand for retention."""
         if self.ledger.incarnation:
             self._requester.prepare(self._demands, self._view())
             self._retention.record_unmet_demand(self._requester.teams_with_unmet_demand(), self._ctx.clock())
 
     def _check_use(self) -> None:
-        """Raise an alarm for each team whose use exceeds its allocation.
+        """Raise an alarm for each team whose use exceeds a limit of its allocation; clear those of others.
 
-        Only a leader of a version without allocations, or with options that name no cells, can cause that.
+        Use can exceed a limit only if an earlier leader did not enforce allocations: its version has none, or
+        its options named no cells.
         """
         for team, record in self.ledger.records.items():
             used = self._ctx.fleet.used_by_team.get(team, [0.0, 0.0])
@@ -255,7 +271,7 @@
         return sorted(team for team, record in records.items() if self._totals.get(team) != record.total)
 
     def teams_short_of_allocation(self) -> list[str]:
-        """Teams whose demand has been unmet for longer than a lease."""
+        """Teams whose demand has been unmet for longer than a worker's lease."""
         return self._requester.unmet_for_longer_than(self._ctx.durations.lease_s)
 
     def health(self) -> QuotaHealth:
@@ -263,7 +279,7 @@
         return QuotaHealth(self.alarms.texts(), self.teams_short_of_allocation())
 
     def status(self) -> StatusResponse:
-        """The own view of this cell, and the last views of the other cells."""
+        """The views of this and the other cells, and the teams with unmet demand or differing settings."""
         views, uncontacted = self._requester.remote_views()
         return StatusResponse(
             self._view(),
@@ -277,6 +293,6 @@
         return self._views.current(self._demands)
 
 
-def _log_values(amount: TeamAmount) -> str:
+def _limit_changes_text(amount: TeamAmount) -> str:
     accelerators, cpus = from_thousandths(amount.accelerators.limit), from_thousandths(amount.cpus.limit)
     return f"accelerators={accelerators:g} cpus={cpus:g}"
--- a/src/poppyhold/scale/cells.py
+++ b/src/poppyhold/scale/cells.py
@@ -1,4 +1,4 @@
-"""A run of several cells: each is a scale run of its own, and they share the teams' limits."""
+"""A run of several cells: each is a separate scale run, and all share the teams' limits."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 from poppyhold.scale.cell_checks import CellChecks, GuaranteeBound
 from poppyhold.scale.cell_history import Sample
-from poppyhold.scale.cell_links import CellNetwork, Way
+from poppyhold.scale.cell_links import CellNetwork, Direction
 from poppyhold.scale.controllers import ControllerProcess, team_limits
 from poppyhold.scale.measure import Latency
-from poppyhold.scale.profile import Profile, Trouble
-from poppyhold.scale.result import Result, TroubleResult, print_result
+from poppyhold.scale.profile import Fault, Profile
+from poppyhold.scale.result import FaultResult, Result, print_result
 from poppyhold.scale.run import ScaleRun, StoppedError
 
-_LOOK_S, _WANDER_CHECK_S = 0.25, 0.2
-# The part of its arrivals that a cell gets while it is not its turn to get all of them.
-_OUT_OF_TURN = 0.15
-# Leases within which a guarantee is met: what a cell keeps back of what it used, the move, and a start.
+_CHECK_INTERVAL_S, _ROTATION_CHECK_S = 0.25, 0.2
+# Share of its arrivals that a cell gets while another cell has its turn to get all of its own.
+_OFF_TURN_ARRIVAL_SHARE = 0.15
+# Leases within which a guarantee is met: retention of recent use in another cell, transfer, and task start.
 _GUARANTEE_LEASES = 2.5
-# The log line of a cell service that has credited a transfer.
+# The log line of a cell service that credited a transfer.
 CREDIT_LINE = re.compile(r"credit: team=.* source_cell=\S+ unmet_s=([0-9.]+)")
 
 
@@ -37,82 +37,80 @@
     profile: dict[str, Any]
     seed: int
     cells: list[Result]
-    # How long a cell had asked for what it then took, in seconds.
+    # Seconds from a cell's request for an allocation until it credited the transfer.
     share_waits: dict[str, float]
     moves: int
-    # Of the state services of all cells, for shares alone.
+    # Writes and transactions on quota records at the state services of all cells.
     quota_changes: int
     quota_commits: int
-    # Of the limits of teams whose work waits: in all, and apart for the times in which all links between
-    # cells were up, and in which some were cut; None where no work waited in such a time.
+    # Use of the limits of teams with waiting tasks: in total, while all links between cells were up, and
+    # while some were cut; None if no tasks waited in that time.
     part_of_limits_in_use: float | None
     part_of_limits_in_use_links_up: float | None
     part_of_limits_in_use_links_cut: float | None
-    # How much of the measured time some link was cut, in seconds.
+    # Seconds of the measured time in which some link was cut.
     links_cut_s: float
     longest_below_guarantee_s: float
     guarantee_bound_s: float
     in_transit_at_the_end: int
-    troubles: list[TroubleResult]
+    faults: list[FaultResult] = msgspec.field(name="troubles")
     samples: list[Sample]
     broken: list[str]
     broken_count: int
 
     @property
     def ok(self) -> bool:
-        """Whether every cell's run passed, and nothing over all of them broke."""
+        """Whether every cell's run passed, and no rule over all cells was violated."""
         return all(cell.ok for cell in self.cells) and not self.broken_count
 
 
 class CellsRun:
-    """All cells of one run, their links, and what must hold over all of them."""
+    """All cells of one run, the links between them, and the checks over all of them."""
 
     def __init__(self, profile: Profile, seed: int, folder: Path) -> None:
         self._profile, self._seed, self._folder = profile, seed, folder
-        alone = msgspec.structs.replace(profile, troubles=[])
+        without_faults = msgspec.structs.replace(profile, faults=[])
         self._runs = []
         for index in range(profile.cells):
-            own = folder / _name(index)
-            own.mkdir()
-            self._runs.append(ScaleRun(alone, seed * profile.cells + index, own))
+            cell_folder = folder / _name(index)
+            cell_folder.mkdir()
+            self._runs.append(ScaleRun(without_faults, seed * profile.cells + index, cell_folder))
         limits = team_limits(profile)
         guarantees = {team: float(round(limit * profile.team_guarantee)) for team, limit in limits.items()}
         self._bound = GuaranteeBound(_GUARANTEE_LEASES * profile.lease_s, guarantees)
         self._network = CellNetwork()
         self._checks = CellChecks(self._runs, limits, self._bound, self._network, time.monotonic)
-        self._troubles: list[TroubleResult] = []
+        self._faults: list[FaultResult] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def play(self) -> CellsResult:
-        """Play the profile, and end all that was started."""
+        """Run the profile, then stop everything that was started."""
         try:
             async with asyncio.timeout(self._profile.most_s):
                 await self._prepare()
                 await self._measure()
-                await self._calm_down()
+                await self._drain()
             return self._result()
         except TimeoutError:
-            raise StoppedError(f"not over within most_s = {self._profile.most_s:g} s") from None
+            raise StoppedError(f"did not finish within most_s = {self._profile.most_s:g} s") from None
         finally:
             for task in self._tasks:
                 task.cancel()
             for run in self._runs:
                 run.end()
 
-    # -- the parts -------------------------------------------------------------------------------------
-
     async def _prepare(self) -> None:
         await asyncio.gather(*(run.build() for run in self._runs))
         await self._connect()
         for run in self._runs:
             run.on_started = self._checks.started
         await asyncio.gather(*(run.begin() for run in self._runs))
-        for duty in (self._look(), self._wander(), self._burst()):
-            self._spawn(duty)
+        for coroutine in (self._check_periodically(), self._rotate_arrivals(), self._burst()):
+            self._spawn(coroutine)
         await self._wait(self._profile.warm_up_s)
 
     async def _connect(self) -> None:
-        """Links from each cell to each controller of each other cell, and the files that name them."""
+        """Open links from each cell to the controllers of the others, and write them to the options files."""
         if len(self._runs) == 1:
             return
         for source, run in enumerate(self._runs):
@@ -120,13 +118,13 @@
             lines.append(f"  keep_leases: {self._profile.keep_leases} reserve: {self._profile.reserve}")
             for target, other in enumerate(self._runs):
                 if source != target:
-                    addresses = await self._open((source, target), other.controllers.all)
+                    addresses = await self._open_links((source, target), other.controllers.all)
                     name = f'name: "{_name(target)}" part: {self._part(target)}'
                     lines.append(f"  others {{ {name} {addresses} }}")
             run.controllers.add_options("\n".join([*lines, "}\n"]))
 
-    async def _open(self, way: Way, controllers: list[ControllerProcess]) -> str:
-        links = await self._network.open(way, controllers)
+    async def _open_links(self, direction: Direction, controllers: list[ControllerProcess]) -> str:
+        links = await self._network.open(direction, controllers)
         pairs = zip(controllers, links, strict=True)
         return " ".join(
             f'controllers {{ member: "{each.member}" address: "127.0.0.1:{link.port}" }}'
@@ -134,91 +132,83 @@
         )
 
     def _part(self, index: int) -> float:
-        """Equal parts in decimals, the first one with the rest."""
+        """A cell's part, as a decimal: equal parts, the first one with the rounding remainder."""
         part = round(1 / self._profile.cells, 4)
         return part if index else round(1 - part * (self._profile.cells - 1), 4)
 
-    # -- the load --------------------------------------------------------------------------------------
-
-    async def _wander(self) -> None:
-        """One cell after the other gets most of what arrives."""
+    async def _rotate_arrivals(self) -> None:
+        """Give most arrivals to one cell after the other."""
         began_at = time.monotonic()
         while self._profile.wander_s > 0:
             turn = int((time.monotonic() - began_at) / self._profile.wander_s) % len(self._runs)
             for index, run in enumerate(self._runs):
-                run.users.part_of_arrivals = 1.0 if index == turn else _OUT_OF_TURN
-            await asyncio.sleep(_WANDER_CHECK_S)
+                run.users.arrival_share = 1.0 if index == turn else _OFF_TURN_ARRIVAL_SHARE
+            await asyncio.sleep(_ROTATION_CHECK_S)
 
     async def _burst(self) -> None:
-        """Users of all cells submit at the same instants."""
+        """Submit bursts in all cells at the same time."""
         while self._profile.burst_jobs > 0:
             for run in self._runs:
                 run.users.burst(self._profile.burst_jobs)
             await asyncio.sleep(self._profile.burst_every_s)
 
-    async def _look(self) -> None:
+    async def _check_periodically(self) -> None:
         while True:
-            self._checks.look()
-            await asyncio.sleep(_LOOK_S)
-
-    # -- measuring -------------------------------------------------------------------------------------
+            self._checks.check()
+            await asyncio.sleep(_CHECK_INTERVAL_S)
 
     async def _measure(self) -> None:
         for run in self._runs:
             run.clear()
         self._checks.clear()
         began_at = time.monotonic()
-        for trouble in sorted(self._profile.troubles, key=lambda trouble: trouble.at_s):
-            await self._wait(began_at + trouble.at_s - time.monotonic())
-            await self._cause(trouble)
+        for fault in sorted(self._profile.faults, key=lambda fault: fault.at_s):
+            await self._wait(began_at + fault.at_s - time.monotonic())
+            await self._inject(fault)
         await self._wait(began_at + self._profile.measured_s - time.monotonic())
 
-    async def _cause(self, trouble: Trouble) -> None:
-        over_at = time.monotonic() + trouble.away_s + 2 * self._profile.lease_s
-        self._checks.troubled_until = max(self._checks.troubled_until, over_at)
-        if trouble.kind.startswith("cut_links"):
-            self._cut(trouble)
+    async def _inject(self, fault: Fault) -> None:
+        over_at = time.monotonic() + fault.away_s + 2 * self._profile.lease_s
+        self._checks.grace_until = max(self._checks.grace_until, over_at)
+        if fault.kind.startswith("cut_links"):
+            self._cut(fault)
         else:
-            await self._runs[trouble.cell].cause(trouble)
-
-    def _cut(self, trouble: Trouble) -> None:
-        """Cut the way from a cell to the next one, or both ways."""
-        source, target = trouble.cell, (trouble.cell + 1) % len(self._runs)
-        ways = [(source, target)]
-        if trouble.kind == "cut_links":
-            ways.append((target, source))
-        self._network.cut(ways)
-        self._troubles.append(
-            TroubleResult(trouble.kind, trouble.at_s, f"{_name(source)} to {_name(target)}")
-        )
+            await self._runs[fault.cell].inject(fault)
+
+    def _cut(self, fault: Fault) -> None:
+        """Cut the links from a cell to the next one, or in both directions."""
+        source, target = fault.cell, (fault.cell + 1) % len(self._runs)
+        directions = [(source, target)]
+        if fault.kind == "cut_links":
+            directions.append((target, source))
+        self._network.cut(directions)
+        self._faults.append(FaultResult(fault.kind, fault.at_s, f"{_name(source)} to {_name(target)}"))
 
         async def heal() -> None:
-            await asyncio.sleep(trouble.away_s)
-            self._network.heal(ways)
+            await asyncio.sleep(fault.away_s)
+            self._network.heal(directions)
 
         self._spawn(heal())
 
-    async def _calm_down(self) -> None:
-        """No more load or links that are cut: what is on its way arrives."""
+    async def _drain(self) -> None:
+        """Stop the load, restore all links and wait until transfers in transit arrive."""
         self._profile = msgspec.structs.replace(self._profile, burst_jobs=0)
         self._network.heal_all()
         for run in self._runs:
-            run.users.part_of_arrivals = 0.0
-        await self._until(lambda: not self._checks.in_transit(), 3 * self._profile.lease_s)
-        self._checks.look()
+            run.users.arrival_share = 0.0
+        await self._wait_until(lambda: not self._checks.in_transit(), 3 * self._profile.lease_s)
+        self._checks.check()
 
-    async def _until(self, holds: Callable[[], bool], most_s: float) -> None:
+    async def _wait_until(self, holds: Callable[[], bool], most_s: float) -> None:
         until = time.monotonic() + most_s
         while not holds() and time.monotonic() < until:
-            await self._wait(_LOOK_S)
-
-    # -- duties ----------------------------------------------------------------------------------------
+            await self._wait(_CHECK_INTERVAL_S)
 
-    def _spawn(self, duty: Coroutine[Any, Any, None]) -> None:
-        self._tasks.add(asyncio.create_task(duty))
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        self._tasks.add(asyncio.create_task(coroutine))
 
     async def _wait(self, seconds: float) -> None:
-        """Wait in all cells; a duty that failed anywhere ends the run."""
+        """Wait in all cells; an exception of any background task ends the run."""
         await asyncio.gather(*(run.wait(seconds) for run in self._runs))
         for task in self._tasks:
             if task.done() and (error := task.exception()) is not None:
@@ -230,7 +220,7 @@
             for line in log.read_text(encoding="utf-8", errors="replace").splitlines():
                 found = CREDIT_LINE.search(line)
                 if found is not None:
-                    waits.note(float(found.group(1)))
+                    waits.record(float(found.group(1)))
         return waits
 
     def _result(self) -> CellsResult:
@@ -238,7 +228,7 @@
         in_transit = self._checks.in_transit()
         broken = list(self._checks.violations.messages)
         if in_transit:
-            broken.append(f"{in_transit} transfers are in transit at the end")
+            broken.append(f"{in_transit} transfers are still in transit at the end")
         return CellsResult(
             profile=msgspec.to_builtins(self._profile),
             seed=self._seed,
@@ -254,7 +244,7 @@
             longest_below_guarantee_s=self._checks.longest_below_s,
             guarantee_bound_s=self._bound.seconds,
             in_transit_at_the_end=in_transit,
-            troubles=self._troubles,
+            faults=self._faults,
             samples=self._checks.history.samples,
             broken=broken,
             broken_count=self._checks.violations.count + bool(in_transit),
@@ -266,36 +256,36 @@
 
 
 async def play_cells(profile: Profile, seed: int, folder: Path) -> CellsResult:
-    """Play a profile of several cells with its files in ``folder``."""
-    # Connections that break as the run ends are nothing to tell of.
+    """Run a profile of several cells with its files in ``folder``."""
+    # Connections that break at the end of the run are expected and not reported.
     asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
     return await CellsRun(profile, seed, folder).play()
 
 
-def _in_words(part: float | None) -> str:
-    return "no work waited" if part is None else f"{part:.3f}"
+def _format_part(part: float | None) -> str:
+    return "no tasks waited" if part is None else f"{part:.3f}"
 
 
 def print_cells_result(result: CellsResult, console: Console) -> None:
-    """Show a run in the terminal."""
+    """Print a run's result."""
     for cell in result.cells:
         print_result(cell, console)
     table = Table("over all cells", "value")
     for name in ("count", "p50", "p95", "p99", "max"):
-        table.add_row(f"wait for an asked share, {name}", f"{result.share_waits.get(name, 0.0):.3f}")
-    table.add_row("changes for shares", str(result.quota_changes))
+        table.add_row(f"wait for a requested allocation, {name}", f"{result.share_waits.get(name, 0.0):.3f}")
+    table.add_row("quota writes", str(result.quota_changes))
     for name, part in (
         ("", result.part_of_limits_in_use),
         (", links up", result.part_of_limits_in_use_links_up),
         (", links cut", result.part_of_limits_in_use_links_cut),
     ):
-        table.add_row(f"part of the limits in use while work waits{name}", _in_words(part))
+        table.add_row(f"part of the limits in use while tasks wait{name}", _format_part(part))
     table.add_row("links cut, s", f"{result.links_cut_s:.0f}")
     below = f"{result.longest_below_guarantee_s:.1f} (bound {result.guarantee_bound_s:.1f})"
     table.add_row("longest below a guarantee, s", below)
     console.print(table)
-    for trouble in result.troubles:
-        console.print(f"{trouble.kind} at {trouble.at_s:.0f} s: {trouble.what}")
+    for fault in result.faults:
+        console.print(f"{fault.kind} at {fault.at_s:.0f} s: {fault.what}")
     for line in result.broken:
-        console.print(f"BROKEN {line}", style="red")
+        console.print(f"VIOLATION {line}", style="red")
     console.print("ok over all cells" if result.ok else "FAILED over all cells")
--- a/src/poppyhold/scale/controllers.py
+++ b/src/poppyhold/scale/controllers.py
@@ -1,4 +1,4 @@
-"""Real controllers as processes on loopback, and the links between them, which count what passes."""
+"""Real controllers as processes on loopback, and the links between them, which count bytes."""
 
 from __future__ import annotations
 
@@ -12,40 +12,39 @@
 import sys
 from pathlib import Path
 
-from poppyhold.scale.async_http import Connection, NoAnswerError
+from poppyhold.scale.async_http import Connection, NoResponseError
 from poppyhold.scale.external_services import CLOUD_LAG_S, CLOUD_RPS
 from poppyhold.scale.measure import ProcessMeter
 from poppyhold.scale.profile import Profile
 
-_PIECE = 64 * 1024
-_POLL_S = 0.05
-_END_S = 5.0
-_PORTS = range(15_000, 32_000)
-_given_ports: set[int] = set()
+_CHUNK_BYTES = 64 * 1024
+_POLL_INTERVAL_S = 0.05
+_KILL_WAIT_S = 5.0
+_PORT_RANGE = range(15_000, 32_000)
+_allocated_ports: set[int] = set()
 
 
 def free_port() -> int:
-    """A loopback port that nobody listens on, below those that systems give to outgoing connections.
+    """Return an unused loopback port below the ephemeral range.
 
-    A port from among those was taken by some connection before its listener came to it. None is given twice:
-    of some fifty that several cells need at once, two were the same in one run, and one controller never
-    began.
+    An outgoing connection can take an ephemeral port before the listener binds it. No port is returned twice:
+    several cells need some fifty at once, and a controller whose port duplicates another's never starts.
     """
-    for port in random.sample(_PORTS, len(_PORTS)):
-        if port in _given_ports:
+    for port in random.sample(_PORT_RANGE, len(_PORT_RANGE)):
+        if port in _allocated_ports:
             continue
         with socket.socket() as probe, contextlib.suppress(OSError):
             probe.bind(("127.0.0.1", port))
-            _given_ports.add(port)
+            _allocated_ports.add(port)
             return port
     raise OSError("no port is free")
 
 
 class Link:
-    """What one controller sends to another's port goes through here and is counted.
+    """Forwards connections from one controller to another's port and counts the bytes.
 
-    While the other one's process is down nobody listens here either: controllers tell a process that is gone
-    by its refusals.
+    While the target's process is down, the link does not listen either: controllers detect a stopped process
+    by refused connections.
     """
 
     def __init__(self, target: int) -> None:
@@ -55,36 +54,37 @@
         self.bytes = 0
 
     async def open(self) -> None:
-        """Listen."""
+        """Start to listen."""
         if self._server is None:
             self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
 
     def close(self) -> None:
-        """Refuse connections; open ones end with the process that serves them."""
+        """Refuse new connections; open ones end with the target's process."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            there, back = await asyncio.open_connection("127.0.0.1", self._target)
+            target_reader, target_writer = await asyncio.open_connection("127.0.0.1", self._target)
         except OSError:
             writer.close()
             return
         await asyncio.gather(
-            self._pump(reader, back, is_question=True), self._pump(there, writer, is_question=False)
+            self._forward(reader, target_writer, is_request=True),
+            self._forward(target_reader, writer, is_request=False),
         )
 
-    async def _may_pass(self, is_question: bool) -> bool:
-        """Whether what was read may go on; if not, its connection ends."""
+    async def _may_forward(self, is_request: bool) -> bool:
+        """Whether data that was read is forwarded; if not, the connection is closed."""
         return True
 
-    async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_question: bool
+    async def _forward(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_request: bool
     ) -> None:
         try:
-            while data := await reader.read(_PIECE):
-                if not await self._may_pass(is_question):
+            while data := await reader.read(_CHUNK_BYTES):
+                if not await self._may_forward(is_request):
                     return
                 self.bytes += len(data)
                 writer.write(data)
@@ -100,17 +100,17 @@
 
     def __init__(self, member: str, zone: str) -> None:
         self.member, self.zone = member, zone
-        self.port, self.back = free_port(), free_port()
+        self.port, self.peer_port = free_port(), free_port()
         self.links: dict[str, Link] = {}
         self.meter = ProcessMeter()
         self.settings: Path | None = None
         self._process: subprocess.Popen[bytes] | None = None
-        # Ends that nobody asked for.
+        # Exits other than by `kill`.
         self.ended_by_itself = 0
 
     @property
     def alive(self) -> bool:
-        """Whether the process runs."""
+        """Whether the process is running."""
         return self._process is not None and self._process.poll() is None
 
     def start(self, options: Path, log: Path) -> None:
@@ -124,26 +124,26 @@
         self.meter.follow(self._process.pid)
 
     def kill(self) -> None:
-        """End the process without a word."""
+        """Kill the process and close the links that lead to it."""
         if self._process is not None:
             self._process.kill()
-            self._process.wait(_END_S)
+            self._process.wait(_KILL_WAIT_S)
             self._process = None
         for link in self.links.values():
             link.close()
 
-    def freeze(self) -> None:
-        """Let the process stand still."""
+    def suspend(self) -> None:
+        """Suspend the process (SIGSTOP)."""
         if self._process is not None:
             self._process.send_signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
-        """Let it go on, if it stands still."""
+    def resume(self) -> None:
+        """Resume the process if it is suspended (SIGCONT)."""
         if self._process is not None:
             self._process.send_signal(signal.SIGCONT)
 
-    def note_end(self) -> bool:
-        """Whether the process ended by itself since the last call."""
+    def poll_exit(self) -> bool:
+        """Whether the process has exited unexpectedly since the last call; counts such exits."""
         if self._process is None or self._process.poll() is None:
             return False
         self._process = None
@@ -167,34 +167,34 @@
         for controller in self.all:
             for other in self.all:
                 if other is not controller:
-                    controller.links[other.member] = Link(controller.back)
+                    controller.links[other.member] = Link(controller.peer_port)
         for controller in self.all:
             controller.settings = folder / f"{controller.member}.toml"
             text = self._settings(controller, state_port, cloud_port)
             controller.settings.write_text(text, encoding="utf-8")
 
     def add_options(self, text: str) -> None:
-        """Add to the operators' settings of every controller that starts from now on."""
+        """Append to the options file that controllers read at their next start."""
         with self._options.open("a", encoding="utf-8") as options:
             options.write(text)
 
     @property
     def ports(self) -> dict[str, int]:
-        """The port of each controller for users and workers."""
+        """Each controller's port for users and workers."""
         return {controller.member: controller.port for controller in self.all}
 
-    def named(self, member: str) -> ControllerProcess:
-        """The controller of that name."""
+    def get(self, member: str) -> ControllerProcess:
+        """The controller with that name."""
         return next(controller for controller in self.all if controller.member == member)
 
     async def start(self, controller: ControllerProcess) -> None:
-        """Start a controller, and open the way to it once it listens."""
+        """Start a controller, and open the links to it once it listens."""
         controller.start(self._options, self._folder / f"{controller.member}.log")
         while controller.alive:
             try:
-                _, writer = await asyncio.open_connection("127.0.0.1", controller.back)
+                _, writer = await asyncio.open_connection("127.0.0.1", controller.peer_port)
             except OSError:
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
                 continue
             writer.close()
             for link in controller.links.values():
@@ -202,24 +202,24 @@
             return
 
     async def ready(self, controller: ControllerProcess) -> None:
-        """Wait until it takes requests."""
+        """Wait until the controller serves requests."""
         connection = Connection(controller.port)
         while True:
             try:
                 if (await connection.request("GET", "/ready", None, 1.0))[0] == 200:  # noqa: PLR2004
                     connection.close()
                     return
-            except NoAnswerError:
+            except NoResponseError:
                 pass
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
     def kill_all(self) -> None:
-        """End every process."""
+        """Kill every process."""
         for controller in self.all:
             controller.kill()
 
-    def bytes_between(self) -> int:
-        """What controllers sent one another, both ways."""
+    def peer_bytes(self) -> int:
+        """Bytes sent between controllers, in both directions."""
         return sum(link.bytes for controller in self.all for link in controller.links.values())
 
     def _settings(self, controller: ControllerProcess, state_port: int, cloud_port: int) -> str:
@@ -229,7 +229,7 @@
             f'member = "{controller.member}"',
             f'domain = "{controller.zone}"',
             f'client_listen = "127.0.0.1:{controller.port}"',
-            f'back = "127.0.0.1:{controller.back}"',
+            f'back = "127.0.0.1:{controller.peer_port}"',
         ]
         for other in self.all:
             if other is not controller:
@@ -273,7 +273,7 @@
         return "\n".join(lines) + "\n"
 
 
-# Machines that are idle for a while stay: the run is of a fleet of a given size.
+# Idle machines are kept, so that the fleet stays at its given size.
 _OPTIONS = "provisioning { keep_boots: 100 }\n"
 
 
@@ -282,7 +282,7 @@
 
 
 def team_limits(profile: Profile) -> dict[str, float]:
-    """Accelerators that each team may use at most, in all cells together."""
+    """Each team's limit of accelerators, over all cells."""
     shapes = profile.machine_types
     each_worker = sum(shape.accelerators * shape.share for shape in shapes)
     accelerators = each_worker * profile.workers * profile.cells
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -81,7 +81,7 @@
         state = self._state()
         if state.is_too_old(since):
             raise WatchCompactedError(prefix, since)
-        return Changes([decode_event(event) for event in state.changes(prefix, since)], state.ledger)
+        return Changes([decode_event(event) for event in state.changes(prefix, since)], state.revision)
 
     def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
         body = transaction_body(conditions, writes)
@@ -144,7 +144,7 @@
         self.relays: dict[str, ConnectedRelay] = {}
         response_timeout_s = heartbeat_response_timeout_s(node.settings.deployment.workers)
         self.batch_handler = BatchHandler(
-            self.answer_heartbeat, self.controller.last_response_at, self.assignment, response_timeout_s
+            self.answer_heartbeat, self.controller.last_answered_at, self.assignment, response_timeout_s
         )
         self.authority.observe_watch(world.now, node.store.revision())
         self.controller.load(
@@ -255,7 +255,7 @@
         if "delay" in faults:
 
             def deliver_late() -> None:
-                worker.do(body)
+                worker.handle_command(body)
 
             world.after(COMMAND_DELAY_S, deliver_late)
             self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
@@ -270,7 +270,7 @@
             return
 
         def deliver() -> None:
-            status, heartbeat = worker.do(body)
+            status, heartbeat = worker.handle_command(body)
             if "drop_responses" in faults:
                 self._later(1.5, lambda: on_response(RequestOutcome.UNKNOWN, None))
                 return
@@ -460,7 +460,7 @@
             return 503, {}
         heartbeat = parse_heartbeat(body)
         relay = leader_term.assignment.assign(
-            heartbeat.machine, heartbeat.zone, leader_term.controller.last_response_at(heartbeat.machine)
+            heartbeat.machine, heartbeat.zone, leader_term.controller.last_answered_at(heartbeat.machine)
         )
         if relay is not None:
             return 421, {"foreman": relay}
@@ -569,7 +569,7 @@
                 leader_term.controller.handle_job_accepted(change)
             else:
                 leader_term.controller.handle_job_removed(change.key)
-        leader_term.authority.observe_watch(asked, world.state.ledger)
+        leader_term.authority.observe_watch(asked, world.state.revision)
 
     def _campaign(self) -> None:
         world = self.world
--- a/tests/test_cell_options.py
+++ b/tests/test_cell_options.py
@@ -21,9 +21,9 @@
     state = scenario.world.state
     scan = state.scan
 
-    def recorded_scan(prefix: str, after: str, most: int) -> tuple[int, dict[str, object]]:
+    def recorded_scan(prefix: str, after: str, limit: int) -> tuple[int, dict[str, object]]:
         scanned_prefixes.append(prefix)
-        return scan(prefix, after, most)
+        return scan(prefix, after, limit)
 
     state.scan = recorded_scan  # type: ignore[method-assign]
     scenario.play()
@@ -33,7 +33,7 @@
     leader = scenario.world.leader()
     assert leader is not None
     assert leader.leader_term is not None
-    assert leader.leader_term.controller.quota is None
+    assert leader.leader_term.controller.cell_quota is None
     # With cells the quota prefix is read as well.
     scanned_prefixes.clear()
     SnapshotReader(leader.store, with_quota=True).read()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -23,7 +23,7 @@
 from poppyhold.scale.checks import RuleChecks
 from poppyhold.scale.controllers import ControllerProcess, free_port
 from poppyhold.scale.external_services import RateLimit
-from poppyhold.scale.jobs import build_data, submission
+from poppyhold.scale.jobs import machine_type_data, submission
 from poppyhold.scale.profile import PROFILES, ProfileError, built_in, load_profile
 from poppyhold.scale.worker_standin import WorkerStandIn
 
@@ -49,7 +49,7 @@
     assert sum(controller["led"] for controller in result["controllers"]) > 1
     assert result["latencies"]["report"]["count"] > result["workers_up"]
     assert result["latencies"]["start, batch"]["count"] > 0
-    assert [trouble["kind"] for trouble in result["troubles"]] == ["kill_leader", "restart_workers"]
+    assert [fault["kind"] for fault in result["troubles"]] == ["kill_leader", "restart_workers"]
     assert result["troubles"][0]["without_answers_s"] is not None
     assert result["counts"]["submissions given up"] == 0
 
@@ -77,11 +77,11 @@
         Path(sys.modules[load_profile.__module__].__file__ or "").parent / "profiles" / "small.toml"
     ).read_text()
     lines = [line for line in valid.splitlines() if not line.startswith(f"{field} = ")]
-    bad = tmp_path / "bad.toml"
-    bad.write_text("\n".join([change, *lines]))
+    invalid_profile = tmp_path / "invalid_profile.toml"
+    invalid_profile.write_text("\n".join([change, *lines]))
     with pytest.raises(ProfileError):
-        load_profile(str(bad))
-    assert main([str(bad)]) == 2
+        load_profile(str(invalid_profile))
+    assert main([str(invalid_profile)]) == 2
     error = capsys.readouterr().err
     assert error.count("\n") == 1
     assert named in error
@@ -133,7 +133,7 @@
         self.workers += [self._worker("vm-1"), self._worker("vm-2")]
 
     def _worker(self, name: str) -> WorkerStandIn:
-        build = build_data("small", 4, 1.0)
+        build = machine_type_data("small", 4, 1.0)
         return WorkerStandIn(
             name,
             build,
@@ -230,11 +230,11 @@
     assert result.ok
     assert result.moves > 0
     assert result.in_transit_at_the_end == 0
-    assert [trouble.kind for cell in result.cells for trouble in cell.troubles] == [
+    assert [fault.kind for cell in result.cells for fault in cell.faults] == [
         "kill_leader",
         "freeze_leader",
     ]
-    assert [trouble.kind for trouble in result.troubles] == ["cut_links_one_way"]
+    assert [fault.kind for fault in result.faults] == ["cut_links_one_way"]
     assert 0 < result.links_cut_s < result.profile["measured_s"]
     for part in (result.part_of_limits_in_use_links_up, result.part_of_limits_in_use_links_cut):
         assert part is not None
@@ -271,17 +271,17 @@
     forward, backward = asyncio.run(links())
     network.cut([there, back])
     network.cut([there])
-    assert not forward.asking.is_set()
-    assert not backward.asking.is_set()
+    assert not forward.requests_pass.is_set()
+    assert not backward.requests_pass.is_set()
     network.heal([there, back])
-    assert backward.asking.is_set()
+    assert backward.requests_pass.is_set()
     # The direction that is still cut also carries the responses to the other cell's requests.
-    assert not forward.asking.is_set()
-    assert not backward.answering.is_set()
-    assert not network.is_whole
+    assert not forward.requests_pass.is_set()
+    assert not backward.responses_pass.is_set()
+    assert not network.is_connected
     network.heal([there])
-    assert forward.asking.is_set()
-    assert network.is_whole
+    assert forward.requests_pass.is_set()
+    assert network.is_connected
 
 
 def test_limit_use_is_the_quotient_of_the_sums() -> None:
@@ -294,10 +294,10 @@
 
 def test_samples_are_one_interval_apart_from_the_measured_time_on() -> None:
     history = CellHistory(1.0)
-    history.note(100.0, True, [CellSample(2.0, 1.0)])
+    history.record(100.0, True, [CellSample(2.0, 1.0)])
     history.begin(200.0)
     for now in (200.25, 200.5, 201.25, 201.5):
-        history.note(now, now < 201, [CellSample(2.0, 1.0)])
+        history.record(now, now < 201, [CellSample(2.0, 1.0)])
     assert [(sample.at_s, sample.links_up) for sample in history.samples] == [(0.25, True), (1.25, False)]
 
 
@@ -314,8 +314,8 @@
 ) -> None:
     try:
         status = main([profile, "--plot", str(tmp_path / plot)])
-    except SystemExit as refused:
-        status = int(str(refused.code))
+    except SystemExit as exit_request:
+        status = int(str(exit_request.code))
     assert status == 2
     assert named in capsys.readouterr().err
 
@@ -334,15 +334,15 @@
     text = re.sub(r"(?ms)^troubles = \[.*?^\]\n", "", valid)
     for line in change.splitlines():
         text = re.sub(rf"(?m)^{line.split(' = ')[0]} = .*\n", "", text)
-    bad = tmp_path / "bad.toml"
-    bad.write_text(f"{change}\n{text}")
+    invalid_profile = tmp_path / "invalid_profile.toml"
+    invalid_profile.write_text(f"{change}\n{text}")
     with pytest.raises(ProfileError) as caught:
-        load_profile(str(bad))
+        load_profile(str(invalid_profile))
     assert named in str(caught.value)
 
 
 def test_no_port_is_allocated_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("poppyhold.scale.controllers._PORTS", range(15_000, 15_040))
-    monkeypatch.setattr("poppyhold.scale.controllers._given_ports", set())
+    monkeypatch.setattr("poppyhold.scale.controllers._PORT_RANGE", range(15_000, 15_040))
+    monkeypatch.setattr("poppyhold.scale.controllers._allocated_ports", set())
     allocated = [free_port() for _ in range(20)]
     assert len(set(allocated)) == len(allocated)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -112,7 +112,7 @@
         job: world.now for job, status in world.observed_status.items() if status == "cancelled"
     }
     state = world.state
-    state.ledger = FIXTURE["ledger"]
+    state.revision = FIXTURE["ledger"]
     state.keys = {key: (held["data"], held["stamp"], None) for key, held in FIXTURE["keys"].items()}
     state.keys["ph/l/lead"] = (*state.keys["ph/l/lead"][:2], 1)
     # Lease ids are not reused.
