--- a/src/poppyhold/quota/endpoint.py
+++ b/src/poppyhold/quota/endpoint.py
@@ -22,12 +22,12 @@
 )
 from poppyhold.settings import Settings
 
-# How long a link waits for a response, in leases.
+# How long a link waits for a response, in workers' leases.
 _LINK_TIMEOUT_LEASES = 0.1
 
 
 class QuotaEndpoint:
-    """The links and responses of one term. Heartbeats and decisions have priority over their work."""
+    """The links and responses of one term. The decision thread handles heartbeats and decisions first."""
 
     def __init__(
         self,
--- a/src/poppyhold/quota/message_checks.py
+++ b/src/poppyhold/quota/message_checks.py
@@ -18,7 +18,7 @@
         self._cells, self._ledger, self._alarms = cells, ledger, alarms
 
     def is_wrong_cell(self) -> bool:
-        """Whether the records here belong to another cell, so that no transfer and no start is allowed."""
+        """Whether the records here belong to another cell; then no transfer and no task may start."""
         try:
             self._ledger.check_identity()
         except WrongCellError as error:
@@ -29,18 +29,18 @@
     def rejection(self, request: TransferRequest) -> str:
         """Why a request is rejected; empty if it is accepted."""
         differ = request.layout != self._cells.layout
-        text = "its operators name other cells or parts" if differ else None
+        text = "its options name other cells or parts" if differ else None
         self._alarms.set(AlarmKind.LAYOUT_MISMATCH, request.cell, text)
         if differ:
-            return "the cells and their parts differ"
+            return "the options of both cells name different cells or parts"
         if not self._ledger.incarnation or self.is_wrong_cell():
-            return "no allocations are known here"
+            return "no allocation records here, or they belong to another cell"
         if request.to_incarnation not in ("", self._ledger.incarnation):
             return "the request is for records of another incarnation"
         return ""
 
     def run_guarded(self, cell: str, action: Callable[[], None]) -> str:
-        """Run the handler of a message; a protocol error raises an alarm, and its text is returned."""
+        """Run a message's handler. Returns the text of a protocol error, which raises an alarm; or empty."""
         try:
             action()
         except UnknownIncarnationError as error:
--- a/src/poppyhold/quota/messages.py
+++ b/src/poppyhold/quota/messages.py
@@ -78,7 +78,7 @@
     # before the first contact.
     incarnation: str
     to_incarnation: str
-    # The number of the last transfer from the other cell whose credit is durable at the sender.
+    # The sequence number of the last transfer from the other cell with a durable credit at the sender.
     last_applied: int
     unmet_demands: list[UnmetDemand] = []
     view: CellView | None = None
@@ -121,8 +121,8 @@
     own: CellView
     others: list[RemoteCellView] = []
     uncontacted: list[str] = []
-    # Teams whose demand has been unmet for longer than a lease, and those whose settings differ from the
-    # records.
+    # Teams whose demand has been unmet for longer than a worker's lease, and those whose settings differ from
+    # the records.
     short: list[str] = []
     differing: list[str] = []
 
--- a/src/poppyhold/quota/records.py
+++ b/src/poppyhold/quota/records.py
@@ -48,10 +48,10 @@
 
     # The incarnation of the other cell's records at the first transfer.
     incarnation: str = msgspec.field(name="i")
-    # The number of the last transfer to the other cell, and that transfer until it is acknowledged.
+    # The sequence number of the last transfer to the other cell, and that transfer until it is acknowledged.
     last_sent: int = msgspec.field(name="s", default=0)
     in_transit: Transfer | None = msgspec.field(name="t", default=None)
-    # The number of the last transfer from the other cell that was applied here.
+    # The sequence number of the last transfer from the other cell that was credited here.
     last_applied: int = msgspec.field(name="a", default=0)
 
 
--- a/src/poppyhold/quota/server.py
+++ b/src/poppyhold/quota/server.py
@@ -21,7 +21,7 @@
 
 # Connections per other cell: a link, one that is being replaced, and an operator's request.
 _CONNECTIONS_PER_CELL = 4
-# The time-out of a request to the decision thread is a lease divided by this.
+# The time-out of a request to the decision thread is a worker's lease divided by this.
 _TIMEOUTS_PER_LEASE = 12
 
 
@@ -54,7 +54,7 @@
 
     @property
     def max_connections(self) -> int:
-        """The number of connections besides those of this cell's controllers."""
+        """The maximum of connections besides those of this cell's controllers."""
         return _CONNECTIONS_PER_CELL * len(self._cells.others) if self._cells is not None else 0
 
     def handle_request(self, request: QuotaRequest) -> QuotaResponse:
