--- a/src/poppyhold/cli.py
+++ b/src/poppyhold/cli.py
@@ -21,13 +21,13 @@
 
 log = logging.getLogger(__name__)
 
-# Each connection has a thread, so stacks are small.
+# Each connection has its own thread, so thread stacks are small.
 _THREAD_STACK_BYTES = 256 * 1024
-# Garbage collection: new objects between two runs over the youngest generation, and how many runs over one
-# generation come before one over the next.
+# Garbage collection: allocations between collections of the youngest generation, and how many collections of
+# one generation precede one of the next.
 _GC_THRESHOLDS = (20_000, 20, 50)
 
-# Exit status when the files are wrong; argparse uses the same for wrong arguments.
+# Exit status for invalid files; argparse uses the same for invalid arguments.
 _EXIT_CONFIG_ERROR = 2
 
 
@@ -35,9 +35,9 @@
     parser = argparse.ArgumentParser(prog="poppyhold", description="A scheduler for model-serving fleets.")
     parser.add_argument("--version", action="version", version=f"poppyhold {__version__}")
     commands = parser.add_subparsers(dest="command", required=True)
-    quota = commands.add_parser("quota", help="shares of teams' limits over cells")
+    quota = commands.add_parser("quota", help="allocations of teams' limits to cells")
     questions = quota.add_subparsers(dest="question", required=True)
-    status = questions.add_parser("status", help="what this cell's leader knows of all shares")
+    status = questions.add_parser("status", help="allocations known to this cell's leader")
     _add_file_arguments(status)
     status.add_argument("--json", action="store_true", help="write JSON instead of a table")
     for name, text in (("serve", "run one controller"), ("check-config", "check the files and stop")):
@@ -58,7 +58,7 @@
 
 
 def _quota_status(settings: Settings, options: Options, as_json: bool) -> int:
-    """Print what the cell's leader knows of quota allocations; returns the exit status."""
+    """Print the quota allocations known to the cell's leader; returns the exit status."""
     import msgspec
 
     from poppyhold.quota.status import ALARM, NoLeaderError, fetch, render, summarize
@@ -108,8 +108,8 @@
 
     threading.stack_size(_THREAD_STACK_BYTES)
 
-    # What a controller holds lives long: searching all of it for garbage every few hundred objects takes time
-    # from heartbeats.
+    # Most objects of a controller are long-lived: scanning them for garbage every few hundred allocations
+    # delays heartbeat handling.
     gc.freeze()
     gc.set_threshold(*_GC_THRESHOLDS)
     node = Node(settings, options)
--- a/src/poppyhold/scale/cell_plot.py
+++ b/src/poppyhold/scale/cell_plot.py
@@ -1,4 +1,4 @@
-"""A plot of a run of several cells: the share and the use of each, and when links between them were cut."""
+"""Plot of a run of several cells: allocation and use of each cell, faults, and times of cut links."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from poppyhold.scale.cells import CellsResult
 
 _WIDTH_IN, _HEIGHT_OF_A_CELL_IN = 11.0, 2.2
-_SHARE_COLOR, _USED_COLOR, _CUT_COLOR, _TROUBLE_COLOR = "tab:blue", "tab:orange", "0.88", "tab:red"
+_SHARE_COLOR, _USED_COLOR, _CUT_COLOR, _FAULT_COLOR = "tab:blue", "tab:orange", "0.88", "tab:red"
 
 
 def plot_cells(result: CellsResult, path: Path) -> None:
-    """Write the plot as the format that the file's name says.
+    """Write the plot in the format of the file's extension.
 
     Raises:
-        OSError: the file can't be written.
-        ValueError: its name says no format that is known.
+        OSError: the file cannot be written.
+        ValueError: the extension is not a known format.
 
     """
     count = len(result.cells)
@@ -31,7 +31,7 @@
     rows[0][0].legend(loc="upper right", fontsize="small")
     rows[-1][0].set_xlabel("measured time, s (grey: links between cells are cut)")
     name, seed = result.profile["name"], result.seed
-    figure.suptitle(f"{name}, seed {seed}: accelerators of all teams, share and use of each cell")
+    figure.suptitle(f"{name}, seed {seed}: accelerators of all teams, allocation and use of each cell")
     with mpl.rc_context({"svg.hashsalt": f"{name}-{seed}"}):
         figure.savefig(path)
 
@@ -40,19 +40,19 @@
     times = [sample.at_s for sample in result.samples]
     shares = [sample.cells[index].share for sample in result.samples]
     used = [sample.cells[index].used for sample in result.samples]
-    for start, end in _cuts(result):
+    for start, end in _cut_spans(result):
         axes.axvspan(start, end, color=_CUT_COLOR, zorder=0)
-    axes.step(times, shares, where="post", color=_SHARE_COLOR, label="share of the limits")
+    axes.step(times, shares, where="post", color=_SHARE_COLOR, label="allocation")
     axes.step(times, used, where="post", color=_USED_COLOR, label="in use")
-    for trouble in result.cells[index].troubles:
-        axes.axvline(trouble.at_s, color=_TROUBLE_COLOR, linestyle=":")
-        axes.annotate(trouble.kind, (trouble.at_s, 0), color=_TROUBLE_COLOR, fontsize="x-small")
+    for fault in result.cells[index].faults:
+        axes.axvline(fault.at_s, color=_FAULT_COLOR, linestyle=":")
+        axes.annotate(fault.kind, (fault.at_s, 0), color=_FAULT_COLOR, fontsize="x-small")
     axes.set_ylim(bottom=0)
     axes.set_ylabel(f"cell {index}")
 
 
-def _cuts(result: CellsResult) -> Iterator[tuple[float, float]]:
-    """Spans of time, in seconds, in which some link was cut."""
+def _cut_spans(result: CellsResult) -> Iterator[tuple[float, float]]:
+    """Yield start and end, in seconds, of each time span in which some link was cut."""
     start: float | None = None
     for sample in result.samples:
         if not sample.links_up and start is None:
--- a/src/poppyhold/scale/worker_standin.py
+++ b/src/poppyhold/scale/worker_standin.py
@@ -11,12 +11,12 @@
 
 
 class WorkerStandIn:
-    """A machine's worker: sessions, leases, tokens, and tasks that fetch, run, save and end."""
+    """A machine's worker: incarnations, leases, fencing tokens, and tasks that fetch, run, save and end."""
 
     def __init__(
         self,
         name: str,
-        build: Data,
+        machine_type: Data,
         zone: str,
         spot: bool,
         lease_s: float,
@@ -27,21 +27,21 @@
         gang_wait_s: float = 30.0,
     ) -> None:
         self._gang_wait_s = gang_wait_s
-        self.name, self.machine_type, self.zone, self.spot = name, build, zone, spot
+        self.name, self.machine_type, self.zone, self.spot = name, machine_type, zone, spot
         self.endpoint = name
         self._lease_s, self._clock = lease_s, clock
         self._describe, self._on_start, self._on_done = describe, on_start, on_done
         self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.notice_s: float | None = None
         self.answered_sent_at = clock()
-        # task -> try, status, cause, end of the current status
+        # Task name -> attempt, status, cause, and end of the current status.
         self.tasks: dict[str, Data] = {}
         self.images: set[str] = set()
         self.gone = False
         self.faulty = False
 
     def heartbeat(self) -> Data:
-        """The heartbeat of this moment."""
+        """Return the next heartbeat."""
         self.sequence += 1
         return {
             "box": self.name,
@@ -55,22 +55,24 @@
             "recallS": self.notice_s,
             "chores": [
                 {
-                    "chore": n,
-                    "try": c["try"],
-                    "status": c["status"],
-                    "cause": c.get("cause"),
-                    "kept": c.get("kept"),
+                    "chore": name,
+                    "try": task["try"],
+                    "status": task["status"],
+                    "cause": task.get("cause"),
+                    "kept": task.get("kept"),
                 }
-                for n, c in self.tasks.items()
+                for name, task in self.tasks.items()
             ],
         }
 
     def on_machine(self) -> list[str]:
         """Tasks that have their image and have not ended."""
-        return [n for n, c in self.tasks.items() if c["status"] in ("waiting", "running", "flushing")]
+        return [
+            name for name, task in self.tasks.items() if task["status"] in ("waiting", "running", "flushing")
+        ]
 
     def expire(self) -> bool:
-        """Kill everything if the lease is over, as hanging machines too are bound to."""
+        """Kill all tasks if the lease has expired; machines that hang have to do so too."""
         now = self._clock()
         if now - self.answered_sent_at > self._lease_s:
             self.restart()
@@ -78,19 +80,19 @@
         return False
 
     def next_change_at(self) -> float:
-        """When `step` has something to do next, on the worker's clock."""
+        """When the next task status change or the lease expiry is due, on the worker's clock."""
         untils: list[float] = [task["until"] for task in self.tasks.values() if task["until"] is not None]
         return min([self.answered_sent_at + self._lease_s, *untils])
 
     def restart(self) -> None:
-        """The machine restarts: its tasks are gone, and a later session begins."""
+        """Restart the machine: its tasks are lost, and the next incarnation starts."""
         self.tasks.clear()
         self.incarnation += 1
         self.sequence = 0
         self.answered_sent_at = self._clock()
 
     def step(self) -> bool:
-        """Let time pass; True if something is worth a heartbeat."""
+        """Apply changes that are due by now; True if a heartbeat should report them."""
         if self.expire():
             return True
         now = self._clock()
@@ -100,7 +102,7 @@
                 continue
             changed = True
             if task["status"] == "pulling":
-                self._fetched(name, task, now)
+                self._image_fetched(name, task, now)
             elif task["status"] == "waiting":
                 task.update(status="ended", cause="alone", until=None)
             elif task["status"] == "running" and task.get("fails"):
@@ -112,8 +114,8 @@
                 task.update(status="ended", cause="stopped", until=None)
         return changed
 
-    def _fetched(self, name: str, task: Data, now: float) -> None:
-        """A task has its image."""
+    def _image_fetched(self, name: str, task: Data, now: float) -> None:
+        """Start a task whose image is fetched."""
         job = task["job"]
         self.images.add(job["bundle"])
         fails = self.faulty or job.get("mistake")
@@ -121,7 +123,7 @@
             task.update(status="ended", cause="error", until=None)
             return
         if job["shape"] == "group":
-            # The rest is played by `gang_standin`, but for the end of its patience.
+            # The stand-in for gangs simulates the rest, except for the time-out of the wait for the gang.
             task.update(status="waiting", until=now + self._gang_wait_s)
         else:
             task["status"] = "running"
@@ -130,46 +132,46 @@
             task.update(until=now + _FAILURE_AFTER_S, fails=True)
         self._on_start(self, name)
 
-    def answered(self, body: Data, sent_at: float, shift: int) -> None:
-        """The response to a heartbeat came."""
-        if shift != self.incarnation or body.get("baton", 0) < self.fencing_token:
+    def handle_response(self, body: Data, sent_at: float, incarnation: int) -> None:
+        """Handle the response to a heartbeat."""
+        if incarnation != self.incarnation or body.get("baton", 0) < self.fencing_token:
             return
         self.fencing_token = body["baton"]
         self.answered_sent_at = max(self.answered_sent_at, sent_at)
         self.execute(body["orders"])
 
-    def do(self, body: Data) -> Status:
-        """A direct command."""
+    def handle_command(self, body: Data) -> Status:
+        """Handle a direct command."""
         if body["baton"] < self.fencing_token or body["shift"] != self.incarnation:
             return 409, self.heartbeat()
         self.fencing_token = body["baton"]
         self.execute(body["orders"])
         return 200, self.heartbeat()
 
-    def execute(self, orders: list[Data]) -> None:
-        """Carry out commands in order."""
+    def execute(self, commands: list[Data]) -> None:
+        """Execute commands in order."""
         now = self._clock()
-        for order in orders:
-            name, number = order["chore"], order["try"]
+        for command in commands:
+            name, attempt = command["chore"], command["try"]
             held = self.tasks.get(name)
-            if order["verb"] == "run":
-                self._run(name, number, held, now)
-            elif held is None or held["try"] != number:
+            if command["verb"] == "run":
+                self._run(name, attempt, held, now)
+            elif held is None or held["try"] != attempt:
                 continue
-            elif order["verb"] == "reap":
+            elif command["verb"] == "reap":
                 if held["status"] == "ended":
                     del self.tasks[name]
-            elif held["status"] == "running" and 0 < held["job"]["stashS"] <= order["leewayS"]:
+            elif held["status"] == "running" and 0 < held["job"]["stashS"] <= command["leewayS"]:
                 held.update(status="flushing", until=now + held["job"]["stashS"], stop_at=now)
                 if held["job"]["shape"] == "group":
                     held["until"] = None
-            elif held["status"] != "ended" and (held["status"] != "flushing" or order["leewayS"] == 0):
+            elif held["status"] != "ended" and (held["status"] != "flushing" or command["leewayS"] == 0):
                 held.update(status="ended", cause="stopped", until=None)
 
-    def _run(self, name: str, number: int, held: Data | None, now: float) -> None:
-        if held is not None and held["try"] == number:
+    def _run(self, name: str, attempt: int, held: Data | None, now: float) -> None:
+        if held is not None and held["try"] == attempt:
             return
-        task: Data = {"try": number, "status": "ended", "until": None}
+        task: Data = {"try": attempt, "status": "ended", "until": None}
         job = self._describe(name)
         if held is not None:
             return
@@ -184,10 +186,14 @@
         fetch = 0.0 if job["bundle"] in self.images else job["sizeGb"] / self.machine_type["pullGbPerS"]
         task.update(status="pulling", until=now + fetch)
 
-    def free_copies(self, job: Data, most: int) -> int:
-        """How many more tasks of a job fit, up to ``most``."""
+    def free_copies(self, job: Data, limit: int) -> int:
+        """How many more tasks of a job fit, up to ``limit``."""
         for amount in ("cpus", "accelerators", "memGb"):
-            used = sum(c["job"][amount] for c in self.tasks.values() if c["status"] != "ended" and "job" in c)
+            used = sum(
+                task["job"][amount]
+                for task in self.tasks.values()
+                if task["status"] != "ended" and "job" in task
+            )
             if job[amount] > 0:
-                most = min(most, int((self.machine_type[amount] + 1e-6 - used) / job[amount]))
-        return most
+                limit = min(limit, int((self.machine_type[amount] + 1e-6 - used) / job[amount]))
+        return limit
