--- a/src/poppyhold/relay/queue.py
+++ b/src/poppyhold/relay/queue.py
@@ -22,7 +22,7 @@
 )
 from poppyhold.wire.worker_messages import Heartbeat
 
-# Called once for each heartbeat: with the leader's response, or None if it did not arrive in time.
+# Called once for each heartbeat: with the leader's response, or None if none that counts arrived in time.
 OnResponse = Callable[[RelayedResponse | None], None]
 
 
@@ -136,10 +136,10 @@
                 continue
             del self._pending[response.number]
             is_late = now - pending.arrived_at > self._response_timeout_s
-            lost_leadership = (
+            is_from_former_leader = (
                 response.outcome is RelayOutcome.ANSWERED and response.fencing_token < min_fencing_token
             )
-            deliveries.append(Delivery(pending, None if is_late or lost_leadership else response))
+            deliveries.append(Delivery(pending, None if is_late or is_from_former_leader else response))
         return deliveries
 
     def expire(self, now: float) -> list[Delivery]:
@@ -154,7 +154,7 @@
         return [Delivery(pending, None) for pending in expired]
 
     def fail_all(self) -> list[Delivery]:
-        """Remove all heartbeats; they get no response, as there is no leader to forward them to."""
+        """Remove all heartbeats; they get no response, as there is no leader or the link stops."""
         deliveries = [Delivery(pending, None) for pending in self._pending.values()]
         self._pending.clear()
         self._unsent.clear()
