--- a/src/poppyhold/scale/profile.py
+++ b/src/poppyhold/scale/profile.py
@@ -90,9 +90,9 @@
     team_guarantee: float = 0.0
     # Cells of this size that share the teams' limits, each with its own controllers and state service.
     cells: int = 1
-    # See `cells.keep_leases` in the options.
+    # Longest time for which a cell retains recent use, in leases: see `cells.keep_leases` in the options.
     keep_leases: float = 1.0
-    # See `cells.reserve` in the options.
+    # Part of its initial allocations that a cell never transfers: see `cells.reserve` in the options.
     reserve: float = 0.0
     # How long each cell in turn gets most arrivals; 0: all cells get the same.
     wander_s: float = 0.0
