--- a/src/poppyhold/execution/lease_expiry.py
+++ b/src/poppyhold/execution/lease_expiry.py
@@ -35,7 +35,7 @@
         return True
 
     def expire_leases(self, machine: Machine, now: float) -> None:
-        """Remove the attempts on a silent worker if its lease has expired, whoever renewed it last."""
+        """Remove a silent worker's attempts if its lease has expired, whichever controller renewed it."""
         durations = self._ctx.durations
         if machine.reconciled:
             # The worker has the term's fencing token, so while this controller leads, only it and its
--- a/src/poppyhold/quota/cell_view.py
+++ b/src/poppyhold/quota/cell_view.py
@@ -30,7 +30,7 @@
         self._current = None
 
     def current(self, demands: Mapping[str, TeamDemand]) -> CellView:
-        """The cached view, built anew from ``demands`` after `invalidate`."""
+        """The cached view, rebuilt from ``demands`` after `invalidate`."""
         if self._current is None:
             self._current = self._build(demands)
         return self._current
