--- a/src/poppyhold/quota/consistency.py
+++ b/src/poppyhold/quota/consistency.py
@@ -77,7 +77,7 @@
     if len(team_views) < len(views):
         yield f"team {team}: has no allocation in {len(views) - len(team_views)} cells"
     if any(view.total != team_views[0].total for view in team_views):
-        yield f"team {team}: cells' records have different totals"
+        yield f"team {team}: cells began with different figures"
         return
     for index, name in enumerate(RESOURCES):
         total = allocations_by_resource(team_views[0].total)[index]
--- a/src/poppyhold/quota/ledger.py
+++ b/src/poppyhold/quota/ledger.py
@@ -155,9 +155,7 @@
         """Raise `UnknownIncarnationError` for an empty incarnation, or another than at the first transfer."""
         known = self._peers.get(peer)
         if not incarnation or (known is not None and known.incarnation != incarnation):
-            raise UnknownIncarnationError(
-                f"cell {peer} sent an empty incarnation, or another than at the first transfer"
-            )
+            raise UnknownIncarnationError(f"cell {peer} has other records than before")
 
     def can_debit(self, peer: str) -> bool:
         """Whether a debit for a cell may start: no commit is in progress, no transfer to it in transit."""
@@ -207,16 +205,14 @@
         if known is None:
             if last_applied:
                 raise SequenceError(
-                    f"cell {peer} acknowledges transfer {last_applied}, but has no peer record here"
+                    f"cell {peer} has applied transfer {last_applied}, and none is known here"
                 )
             return
         self.check_peer(peer, incarnation)
         if last_applied > known.last_sent or (
             peer in self._uncommitted_transfers and last_applied == known.last_sent
         ):
-            raise SequenceError(
-                f"cell {peer} acknowledges unsent transfer {last_applied}; last recorded: {known.last_sent}"
-            )
+            raise SequenceError(f"cell {peer} has applied transfer {last_applied} of {known.last_sent}")
         if known.in_transit is None or last_applied < known.last_sent or self.commit_in_progress:
             return
         peer_record = msgspec.structs.replace(known, in_transit=None)
@@ -260,9 +256,7 @@
     def _is_next_in_sequence(before: PeerRecord, transfer: Transfer) -> bool:
         """Whether a transfer is the next one; False for a duplicate, `SequenceError` for a gap."""
         if transfer.number > before.last_applied + 1:
-            raise SequenceError(
-                f"transfer {transfer.number} received, but the last one applied is {before.last_applied}"
-            )
+            raise SequenceError(f"transfer {transfer.number} came after {before.last_applied}")
         return transfer.number == before.last_applied + 1
 
     def _commit_credits(
--- a/src/poppyhold/quota/message_checks.py
+++ b/src/poppyhold/quota/message_checks.py
@@ -29,12 +29,12 @@
     def rejection(self, request: TransferRequest) -> str:
         """Why a request is rejected; empty if it is accepted."""
         differ = request.layout != self._cells.layout
-        text = "its options name other cells or parts" if differ else None
+        text = "its operators name other cells or parts" if differ else None
         self._alarms.set(AlarmKind.LAYOUT_MISMATCH, request.cell, text)
         if differ:
-            return "the options of both cells name different cells or parts"
+            return "the cells and their parts differ"
         if not self._ledger.incarnation or self.is_wrong_cell():
-            return "no allocation records here, or they belong to another cell"
+            return "no allocations are known here"
         if request.to_incarnation not in ("", self._ledger.incarnation):
             return "the request is for records of another incarnation"
         return ""
--- a/src/poppyhold/quota/status.py
+++ b/src/poppyhold/quota/status.py
@@ -92,9 +92,7 @@
             return response
         if isinstance(response, NotLeading):
             candidates.insert(0, response.member)
-    raise NoLeaderError(
-        "no leader of this cell responded; check that its controllers have the file that names the cells"
-    )
+    raise NoLeaderError("no controller of this cell leads or answers; has it the file that names the cells?")
 
 
 def summarize(response: StatusResponse) -> QuotaStatus:
@@ -161,10 +159,7 @@
         lines += [f"  ALARM {alarm}" for alarm in cell.alarms]
     lines += [f"cell {cell}: never contacted by this leader" for cell in status.uncontacted]
     lines += [f"team {team}: its demand has been unmet for more than a lease" for team in status.short]
-    lines += [
-        f"team {team}: the settings differ from its record, which takes precedence"
-        for team in status.differing
-    ]
+    lines += [f"team {team}: the settings differ from its record, which holds" for team in status.differing]
     lines += [f"PROBLEM {problem}" for problem in status.problems]
     if not status.added_up:
         lines.append("not added up: cells are missing, or transfers happened between their views")
