--- a/src/poppyhold/scale/run.py
+++ b/src/poppyhold/scale/run.py
@@ -1,4 +1,4 @@
-"""One scale run from its start to its result; all its processes are stopped afterwards."""
+"""One run of a profile: real controller processes, with simulated workers, users, state service and cloud."""
 
 from __future__ import annotations
 
@@ -25,13 +25,15 @@
 from poppyhold.scale.users import Users
 from poppyhold.scale.worker_standin import WorkerStandIn
 
+# Intervals: sampling processes and checking background tasks, printing progress, counting tasks,
+# measuring the event loop's delay, polling for the end of an outage.
 _SAMPLE_S, _PROGRESS_S, _COUNT_S, _LOOP_CHECK_S, _OUTAGE_POLL_S = 1.0, 5.0, 0.5, 0.05, 0.02
-# Listing thousands of connections of a process is slow, so only one sample in this many lists them.
+# Connections are listed only in every n-th sample, because listing thousands of them is slow.
 _SAMPLES_PER_LISTING = 10
 
 
 class StoppedError(Exception):
-    """The run ended early: it exceeded a bound, or did not start."""
+    """The run ended early: it exceeded a memory or time limit, or ended before its users were created."""
 
 
 class ScaleRun:
@@ -45,18 +47,18 @@
         self.checks = RuleChecks(self._standins, limits, profile.cancel_s, time.monotonic)
         self.state = StateService(profile.state, self._rng)
         self._loop_delay = Latency()
-        self._load = ProcessMeter()
-        self._load.follow(os.getpid())
-        self._leaders: set[str] = set()
+        self._own_process = ProcessMeter()
+        self._own_process.follow(os.getpid())
+        self._led_in_measured_time: set[str] = set()
         self._faults: list[FaultResult] = []
-        self._stopped: str | None = None
+        self._stop_reason: str | None = None
         self._began_at = time.monotonic()
-        self._measured_at: float | None = None
-        self._running = 0
-        self._processors = psutil.cpu_times()
-        self._bytes_before = 0
+        self._measured_since: float | None = None
+        self._running_tasks = 0
+        self._cpu_times_before = psutil.cpu_times()
+        self._peer_bytes_before = 0
         self._background: set[asyncio.Task[None]] = set()
-        # Called after each task start; a run of several cells checks its rules then.
+        # Called after each task start. A run of several cells sets it to check the limits over all cells.
         self.on_started: Callable[[], None] = lambda: None
         self.controllers: Controllers
         self.fleet: Fleet
@@ -66,32 +68,33 @@
         return self.fleet.standins()
 
     async def play(self) -> Result:
-        """Run the profile, then stop everything that was started."""
+        """Run the profile and stop everything that was started; returns the result."""
         try:
             async with asyncio.timeout(self.profile.most_s):
                 await self._prepare()
                 await self._measure()
         except StoppedError as error:
-            self._stopped = str(error)
+            self._stop_reason = str(error)
         except TimeoutError:
-            self._stopped = f"did not finish within most_s = {self.profile.most_s:g} s"
+            self._stop_reason = f"did not finish within most_s = {self.profile.most_s:g} s"
         except asyncio.CancelledError:
-            self._stopped = "interrupted"
+            self._stop_reason = "interrupted"
         finally:
             result = self.result()
             self.end()
         return result
 
     async def _prepare(self) -> None:
-        """Start everything and wait for the warm-up time."""
+        """Start everything, then wait until the warm-up time is over."""
         await self.build()
         await self.begin()
         await self.wait(self.profile.warm_up_s)
 
     async def build(self) -> None:
-        """Create all parts; no controller process is started yet."""
+        """Start the simulated state service and cloud; create the controllers, fleet and users unstarted."""
         state_port = await self.state.server.start()
-        # The cloud's port is needed for the settings, and the controllers' ports for the workers.
+        # The controllers' settings need the cloud's port. The fleet needs the controllers' ports,
+        # which are put into `nodes` once the controllers exist.
         self.fleet = Fleet(
             self.profile,
             nodes := {},
@@ -106,17 +109,22 @@
         self.users = Users(self.profile, nodes, self.checks, self._rng)
 
     async def begin(self) -> None:
-        """Start the controllers, the workers and the load."""
+        """Start the controllers, then the workers, the users and the run's own measurements."""
         await asyncio.gather(*(self.controllers.start(each) for each in self.controllers.all))
         self._spawn(self._watch_processes())
         await asyncio.gather(*(self.controllers.ready(each) for each in self.controllers.all))
         self._print("controllers are ready")
         await self.fleet.boot()
-        for coroutine in (self.fleet.run(), self._count(), self._measure_loop_delay(), self.users.run()):
+        for coroutine in (
+            self.fleet.run(),
+            self._count_tasks(),
+            self._measure_loop_delay(),
+            self.users.run(),
+        ):
             self._spawn(coroutine)
 
     async def _measure(self) -> None:
-        """Run the measured time and inject its faults."""
+        """Inject the profile's faults at their times, and wait until the measured time is over."""
         self.clear()
         began_at = time.monotonic()
         for fault in sorted(self.profile.faults, key=lambda fault: fault.at_s):
@@ -125,21 +133,21 @@
         await self.wait(began_at + self.profile.measured_s - time.monotonic())
 
     def clear(self) -> None:
-        """Reset all figures at the start of the measured time."""
+        """Start the measured time: reset its figures; violations and jobs count from the start of the run."""
         self.users.clear()
         self.fleet.figures.clear()
         self.state.clear()
         self._loop_delay.clear()
         for meter in self._meters():
             meter.clear()
-        self._processors = psutil.cpu_times()
-        self._bytes_before = self.controllers.peer_bytes()
-        self._measured_at = time.monotonic()
-        # Also records the current leader as one that led in the measured time.
+        self._cpu_times_before = psutil.cpu_times()
+        self._peer_bytes_before = self.controllers.peer_bytes()
+        self._measured_since = time.monotonic()
+        # Called for its side effect: records the current leader as one that led in the measured time.
         self._leader()
 
     async def inject(self, fault: Fault) -> None:
-        """Inject a fault."""
+        """Inject a fault, which ends after ``away_s``; a fault of the leader is omitted if there is none."""
         if fault.kind == "restart_workers":
             count = self.fleet.restart_share(fault.share, fault.away_s)
             self._faults.append(FaultResult(fault.kind, fault.at_s, f"{count} workers"))
@@ -163,6 +171,8 @@
     async def _measure_outage(
         self, controller: ControllerProcess, killed_at: float, result: FaultResult
     ) -> None:
+        """Measure the time from the kill to another leader, and to the next answered heartbeat after that."""
+        # The killed controller can still be stored as leader.
         while (leader := self._leader()) is None or leader == controller.member:
             await asyncio.sleep(_OUTAGE_POLL_S)
         result.without_leader_s = time.monotonic() - killed_at
@@ -181,10 +191,11 @@
         await self.controllers.start(controller)
 
     def _leader(self) -> str | None:
-        held = self.state.standin.keys.get(LEADER_KEY)
-        member = held[0]["member"] if held is not None else None
-        if member is not None and self._measured_at is not None:
-            self._leaders.add(member)
+        """Return the stored leader; in the measured time, also record it as having led."""
+        entry = self.state.standin.keys.get(LEADER_KEY)
+        member = entry[0]["member"] if entry is not None else None
+        if member is not None and self._measured_since is not None:
+            self._led_in_measured_time.add(member)
         return member
 
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
@@ -192,7 +203,7 @@
         self._background.add(task)
 
     async def wait(self, seconds: float) -> None:
-        """Wait; an exception of a background task, such as an exceeded bound, ends the run."""
+        """Wait; re-raises an exception of a background task, such as `StoppedError` for exceeded memory."""
         until = time.monotonic() + seconds
         while (left := until - time.monotonic()) > 0:
             await asyncio.sleep(min(left, _SAMPLE_S))
@@ -205,9 +216,9 @@
         self.users.task_started(task)
         self.on_started()
 
-    async def _count(self) -> None:
+    async def _count_tasks(self) -> None:
         while True:
-            self._running = self.checks.count()
+            self._running_tasks = self.checks.count()
             await asyncio.sleep(_COUNT_S)
 
     async def _measure_loop_delay(self) -> None:
@@ -217,16 +228,19 @@
             self._loop_delay.record(max(0.0, time.monotonic() - before - _LOOP_CHECK_S))
 
     async def _watch_processes(self) -> None:
-        """Sample processes, enforce the memory bound, restart exited controllers and print progress."""
+        """Sample processes, enforce the memory bound, restart controllers that exited and print progress."""
         samples, printed_at = 0, 0.0
-        most_mb = psutil.virtual_memory().total / 2**20 * self.profile.most_memory
+        memory_bound_mb = psutil.virtual_memory().total / 2**20 * self.profile.most_memory
         while True:
             samples += 1
             for meter in self._meters():
                 meter.sample(with_connections=samples % _SAMPLES_PER_LISTING == 0)
             used_mb = sum(meter.use.memory_mb for meter in self._meters())
-            if used_mb > most_mb:
-                raise StoppedError(f"processes used {used_mb:.0f} MB; most_memory allows {most_mb:.0f} MB")
+            if used_mb > memory_bound_mb:
+                raise StoppedError(
+                    f"peak memory of the controllers and this process adds up to {used_mb:.0f} MB; "
+                    f"most_memory allows {memory_bound_mb:.0f} MB"
+                )
             for controller in self.controllers.all:
                 if controller.poll_exit():
                     self._print(f"{controller.member} exited unexpectedly; restarting")
@@ -237,16 +251,16 @@
             await asyncio.sleep(_SAMPLE_S)
 
     def _meters(self) -> list[ProcessMeter]:
-        return [*(controller.meter for controller in self.controllers.all), self._load]
+        return [*(controller.meter for controller in self.controllers.all), self._own_process]
 
     def _print_progress(self) -> None:
         figures = self.fleet.figures
-        phase = "measured" if self._measured_at is not None else "warming up"
+        phase = "measuring" if self._measured_since is not None else "warming up"
         self._print(
-            f"{phase}: {len(self.fleet.workers)} workers, {self._running} tasks, "
-            f"{figures.answered.total} reports answered, {figures.failed.total} failed, "
+            f"{phase}: {len(self.fleet.workers)} workers, {self._running_tasks} tasks, "
+            f"{figures.answered.total} heartbeats answered, {figures.failed.total} heartbeats failed, "
             f"{figures.leases_lost} leases lost, {self.checks.violations.count} violations, "
-            f"leader {self._leader()}"
+            f"leader {self._leader() or 'none'}"
         )
 
     def _print(self, text: str) -> None:
@@ -266,35 +280,39 @@
         self.state.server.close()
 
     def _steal_share(self) -> float:
-        """CPU time that the virtual machine's host gave to others (steal time), as a share of all CPU time.
+        """Steal time since the start of the measured time, as a share of all CPU time.
 
-        With a high share, latencies reflect the host more than the controllers.
+        In steal time, the host ran something else although this virtual machine had work. With a high share,
+        the measured latencies include waiting for the host's CPUs.
         """
         now = psutil.cpu_times()
-        total = sum(now) - sum(self._processors)
-        steal = getattr(now, "steal", 0.0) - getattr(self._processors, "steal", 0.0)
+        total = sum(now) - sum(self._cpu_times_before)
+        steal = getattr(now, "steal", 0.0) - getattr(self._cpu_times_before, "steal", 0.0)
         return steal / total if total > 0 else 0.0
 
     def result(self) -> Result:
-        """The results so far."""
+        """Return the result so far. Raises StoppedError if the run ended before its users were created."""
         if not hasattr(self, "users"):
-            raise StoppedError(self._stopped or "run did not start")
-        began = self._measured_at or time.monotonic()
-        span = max(0.001, time.monotonic() - began)
+            raise StoppedError(self._stop_reason or "the run ended before its users were created")
+        measured_since = self._measured_since or time.monotonic()
+        # Not 0, as it is a divisor.
+        measured_s = max(0.001, time.monotonic() - measured_since)
         figures, users = self.fleet.figures, self.users
-        peer_bytes = self.controllers.peer_bytes() - self._bytes_before
+        peer_bytes = self.controllers.peer_bytes() - self._peer_bytes_before
         starts = {f"start, {name}": latency.summary() for name, latency in users.starts.items()}
         return Result(
             profile=msgspec.to_builtins(self.profile),
             seed=self.seed,
-            measured_s=span,
+            measured_s=measured_s,
             workers_up=len(self.fleet.workers),
-            tasks_running=self._running,
+            tasks_running=self._running_tasks,
             controllers=[
-                ControllerResult(c.member, c.zone, c.member in self._leaders, c.meter.use, c.ended_by_itself)
+                ControllerResult(
+                    c.member, c.zone, c.member in self._led_in_measured_time, c.meter.use, c.ended_by_itself
+                )
                 for c in self.controllers.all
             ],
-            load=self._load.use,
+            load=self._own_process.use,
             loop_late=self._loop_delay.summary(),
             latencies={
                 "report": figures.heartbeats.summary(),
@@ -303,17 +321,19 @@
                 **starts,
             },
             rates={
-                "reports answered a second": figures.answered.total / span,
-                "reports sent elsewhere a second": figures.redirected.total / span,
-                "reports failed a second": figures.failed.total / span,
-                "starts a second": users.started.total / span,
+                "reports answered a second": figures.answered.total / measured_s,
+                "reports sent elsewhere a second": figures.redirected.total / measured_s,
+                "reports failed a second": figures.failed.total / measured_s,
+                "starts a second": users.started.total / measured_s,
                 "starts a second, best 5 s": users.started.peak(),
-                "direct commands a second": figures.direct_commands.total / span,
-                "bytes a second and worker, reports": figures.bytes / span / max(1, len(self.fleet.workers)),
-                "bytes a second between controllers": peer_bytes / span,
-                "bytes a second at the state service": self.state.server.bytes / span,
-                "requests a second at the state service": sum(self.state.requests.values()) / span,
-                "changes a second at the state service": self.state.writes / span,
+                "direct commands a second": figures.direct_commands.total / measured_s,
+                "bytes a second and worker, reports": figures.bytes
+                / measured_s
+                / max(1, len(self.fleet.workers)),
+                "bytes a second between controllers": peer_bytes / measured_s,
+                "bytes a second at the state service": self.state.server.bytes / measured_s,
+                "requests a second at the state service": sum(self.state.requests.values()) / measured_s,
+                "changes a second at the state service": self.state.writes / measured_s,
                 "share of this machine's processors taken by others": self._steal_share(),
             },
             counts={
@@ -329,12 +349,12 @@
             faults=self._faults,
             broken=self.checks.violations.messages,
             broken_count=self.checks.violations.count,
-            stopped=self._stopped,
+            stopped=self._stop_reason,
         )
 
 
 async def play(profile: Profile, seed: int, folder: Path) -> Result:
-    """Run a profile with its files in ``folder``."""
-    # Connections that break at the end of the run are expected and not reported.
+    """Run a profile; the controllers' files are written to ``folder``."""
+    # Errors reported to the event loop are dropped, because connections break at the end of the run.
     asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
     return await ScaleRun(profile, seed, folder).play()
