--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,4 +1,4 @@
-"""Combinations of faults that a scenario reaches only by chance, played step by step."""
+"""Rare sequences of events, produced step by step since random scenarios seldom reach them."""
 
 from __future__ import annotations
 
@@ -24,26 +24,27 @@
 
 
 def fail_over(world: World) -> SimLeaderTerm:
-    """Crashes the leader and returns the next leader's term, in which no worker is reconciled yet."""
-    old = world.leader()
-    assert old is not None
+    """Drop the workers' messages, crash the leader, and return the next leader's term."""
+    crashed_leader = world.leader()
+    assert crashed_leader is not None
     for worker in world.workers.values():
         world.faults[worker.name] = {"drop_heartbeats", "drop_inbound"}
-    old.crash(1000.0)
+    crashed_leader.crash(1000.0)
     while (leader := world.leader()) is None or leader.leader_term is None:
         world.run(world.now + 0.05)
     return leader.leader_term
 
 
 def test_responses_to_stale_heartbeats_stop_cancelled_tasks() -> None:
-    # A heartbeat with an older token proves nothing, but its response renews the lease. Without a stop of a
-    # task cancelled long ago in it, the task would outlive cancel_s if the machine hung right then.
+    # A heartbeat with an older token doesn't show which tasks run now, but its response renews the lease.
+    # If the response lacked the stop of a cancelled task, a machine that hangs next would run the task beyond
+    # cancel_s.
     world, _ = leading_world()
     world.cancel("job-000001")
-    old = world.workers["vm-000001"].heartbeat()
-    assert [chore["status"] for chore in old["chores"]] == ["running"]
+    stale_heartbeat = world.workers["vm-000001"].heartbeat()
+    assert [chore["status"] for chore in stale_heartbeat["chores"]] == ["running"]
     leader_term = fail_over(world)
-    answer = leader_term.controller.handle_heartbeat(parse_heartbeat(old))
+    answer = leader_term.controller.handle_heartbeat(parse_heartbeat(stale_heartbeat))
     assert answer is not None
     assert [(order["verb"], order["chore"]) for order in answer.body()["orders"]] == [
         ("stop", "job-000001/0")
@@ -52,31 +53,32 @@
 
 def test_stale_heartbeat_does_not_reconcile_a_worker_with_a_new_leader() -> None:
     world, _ = leading_world()
-    old = world.workers["vm-000001"].heartbeat()
+    stale_heartbeat = world.workers["vm-000001"].heartbeat()
     leader_term = fail_over(world)
-    attempts = leader_term.controller.reconciler
-    assert attempts.lease_expiry.unreconciled == {"vm-000001"}
-    answer = leader_term.controller.handle_heartbeat(parse_heartbeat(old))
+    reconciler = leader_term.controller.reconciler
+    assert reconciler.lease_expiry.unreconciled == {"vm-000001"}
+    answer = leader_term.controller.handle_heartbeat(parse_heartbeat(stale_heartbeat))
     machine = leader_term.controller.ctx.fleet.machines["vm-000001"]
-    # No command but stops, no attempt adopted, and the worker still counts as unreconciled.
+    # The response has no commands, no attempt is adopted, and the worker stays unreconciled.
     assert answer is not None
     assert answer.body() == {"baton": leader_term.fencing_token, "orders": []}
     assert not machine.reconciled
     assert not machine.attempts
-    assert attempts.lease_expiry.unreconciled == {"vm-000001"}
-    assert not attempts.lease_expiry.all_reconciled_or_expired()
+    assert reconciler.lease_expiry.unreconciled == {"vm-000001"}
+    assert not reconciler.lease_expiry.all_reconciled_or_expired()
     # A delegate of this leader does not accept the heartbeat either.
     other = next(node for node in world.nodes if node.alive and node.leader_term is None)
     other.delegated_renewal.observe_leader(
         leader_term.fencing_token, LeaseDelegation(leader_term.fencing_token, world.now, [])
     )
     world.now += 2 * other.times.delegated_renewal_after_s
-    assert other.handle_heartbeat(old)[0] == 421
-    assert other.handle_heartbeat({**old, "baton": leader_term.fencing_token})[0] == 200
+    assert other.handle_heartbeat(stale_heartbeat)[0] == 421
+    assert other.handle_heartbeat({**stale_heartbeat, "baton": leader_term.fencing_token})[0] == 200
 
 
 def test_cancellation_handled_before_its_submission() -> None:
-    # The decision thread handles cancellations before submissions, and other controllers announce them too.
+    # A cancellation may be handled before its submission: the decision thread handles cancellations first,
+    # and other controllers announce cancellations too.
     _, leader_term = leading_world()
     controller = leader_term.controller
     job = wire(submission("job-000007", {"chores": 1}))
@@ -85,9 +87,9 @@
     assert "job-000007" not in controller.ctx.fleet.jobs
 
 
-def test_job_whose_record_was_deleted_is_removed() -> None:
-    # The submission was applied after its record was deleted: the job is removed as its plan can't be made
-    # durable; otherwise machines would be launched for it forever.
+def test_job_without_a_record_is_removed_from_the_fleet() -> None:
+    # The submission is handled after its record was deleted, so the job's plan can't be committed. If the
+    # leader kept the job, it would launch machines for it forever.
     world, leader_term = leading_world()
     controller = leader_term.controller
     job = wire(submission("job-000007", {"chores": 1}))
@@ -98,9 +100,9 @@
 
 
 @pytest.mark.parametrize("via", [StartChannel.DIRECT, StartChannel.HEARTBEAT_RESPONSE])
-def test_no_task_starts_on_a_machine_before_its_record_is_durable(via: StartChannel) -> None:
-    # The machine is up and has free capacity while writes lag. If the leader ended now, the next one would
-    # not know that the machine holds a task.
+def test_no_task_starts_before_the_machine_record_is_durable(via: StartChannel) -> None:
+    # The machine is up and has free capacity while its record isn't committed. If the leader crashed then,
+    # the next leader would not know that the machine has a task.
     world, leader_term = leading_world()
     world.submit(submission("job-000010", {"chores": 7, "sizeGb": 0.1, "guessS": 200.0}))
     world.run(world.now + 2.0)
@@ -123,7 +125,8 @@
 
 
 def test_retry_that_conflicts_with_its_own_first_attempt_succeeds() -> None:
-    # The transaction is committed and its response lost: the retry fails on what the first attempt wrote.
+    # The transaction is committed and its response lost, so the conditions of the retry fail because of the
+    # first attempt's own writes. The request still succeeds.
     world, leader_term = leading_world()
     node = next(node for node in world.nodes if node.leader_term is None)
     job = submission("job-000002", {"chores": 2, "guessS": 3.0})
@@ -134,14 +137,14 @@
     node.commit_responses_to_lose = 1
     status, body, _ = node.users.abort("job-000002")
     assert (status, body["status"]) == (200, "cancelled")
-    # Listed for the leader with its revision, though the lost response never delivered that revision.
+    # The cancellation is listed for the leader with the revision of its commit, which the lost response held.
     listed, _ = node.users.cancellations.summarize(0)
     assert listed == [("job-000002", world.state.keys[FINAL_JOB_PREFIX + "job-000002"][1])]
-    # Lost responses to the leader's writes: the last completion still makes the job done, and the plan and
-    # the token are found as written.
-    third = submission("job-000003", {"chores": 1, "guessS": 2.0, "sizeGb": 0.1})
+    # Three responses to the leader's writes are lost: the last completion still makes the job done, and
+    # retries accept the plan and the token as already written.
+    next_job = submission("job-000003", {"chores": 1, "guessS": 2.0, "sizeGb": 0.1})
     leader_term.node.commit_responses_to_lose = 3
-    world.submit(third)
+    world.submit(next_job)
     world.run(world.now + 12.0)
     assert world.observed_status["job-000003"] == "done"
     assert PLAN_PREFIX + "job-000003" not in world.state.keys
@@ -149,7 +152,7 @@
 
 
 def candidate(store: UnreliableStore, won: list[Term]) -> Election:
-    """The election of a node that campaigns."""
+    """The election of a node that tries to become the leader."""
     world = World(1, 10.0, 30.0, [Team("alpha")])
     return Election(world.settings, Options(), store, won.append, lambda: None, lambda: False, world.rng)
 
@@ -175,9 +178,9 @@
     assert store.state.keys[LEADER_KEY][0]["permit"] == second
 
 
-def test_repeated_submissions_cost_no_changes() -> None:
-    # Failing conditions count as changes: repeated submissions of an accepted job, at any node that knows it,
-    # would use up the write rate that the leader needs.
+def test_repeated_submissions_use_none_of_the_write_rate() -> None:
+    # The write rate also counts transactions whose conditions fail. If nodes that know an accepted job sent
+    # one for each repeated submission, these would use up the write rate that the leader needs.
     world, leader_term = leading_world()
     world.run(world.now + 1.0)
     before = world.work["changes"]
@@ -193,7 +196,7 @@
 
 
 class ExhaustedSlots:
-    """No slot is free, and a request that waits for one fails the test."""
+    """A semaphore without a free slot: a call that would wait for one fails the test."""
 
     def acquire(self, blocking: bool = True, timeout: float | None = None) -> bool:
         assert not blocking, "a user is kept waiting"
