--- a/tests/world.py
+++ b/tests/world.py
@@ -34,9 +34,9 @@
 from poppyhold.wire.http_server import HttpResponse, http_response
 from sim_node import STEP_S, SimNode
 
-# Users poll once in so many steps.
+# Users poll every _POLL_TICKS steps, at the steps whose remainder is _POLL_PHASE.
 _POLL_TICKS, _POLL_PHASE = 40, 7
-# A worker waits so long for a response.
+# How long a worker waits for the response to a heartbeat in flight.
 _RESPONSE_TIMEOUT_S = 4.0
 
 
@@ -58,7 +58,7 @@
     node = 0
     next_heartbeat = 0.0
     busy_until = 0.0
-    # A heartbeat that is being relayed, or that waits for the next leader; None if it was answered at once.
+    # A heartbeat that is being relayed or waits for the next leader; None if no such heartbeat is in flight.
     in_flight: InFlight | None = None
 
 
@@ -79,8 +79,9 @@
         options: Options = _DEFAULTS,
     ) -> None:
         self.options = options
-        # Whether controllers relay heartbeats; whether batches arrive twice, and their additional delay.
+        # The relay mode, and the number of workers from which `AUTO` enables relaying.
         self.relays, self.relays_from = relays, 8.0
+        # Whether relays' batches arrive twice, and their additional delay.
         self.duplicates_batches, self.batch_delay_s = False, 0.0
         self.zones = zones or ZONES
         self.now = 0.0
@@ -125,12 +126,13 @@
             lambda worker: "hang" in self.faults.get(worker.name, ()),
             self._completed,
         )
+        # How many of the next successful launches get no response.
         self.launch_responses_to_lose = 0
-        # How many times as often users poll; 0: as usual.
+        # Factor on the users' poll rate; 0: the usual rate.
         self.poll_factor = 0
-        # Duration of boots that begin now, as a multiple of the usual one; 0: the usual one.
+        # Factor on the duration of boots that begin while it is set; 0: the usual duration.
         self.boot_factor = 0.0
-        # Shares of transactions that get no response: those applied at once, and those applied late.
+        # Shares of transactions that get no response: those committed at once, and those committed late.
         self.dropped_response_share = self.delayed_commit_share = 0.0
         # Additional delay of messages between controllers and workers, each way.
         self.link_delay_s = 0.0
@@ -139,26 +141,31 @@
         # Two zones that can't reach each other.
         self.partitioned_zones: set[str] = set()
         self.jobs: dict[str, Data] = {}
+        # By job: when its cancellation was confirmed, and the last status that users saw.
         self.cancelled_at: dict[str, float] = {}
         self.observed_status: dict[str, str] = {}
+        # Completed tasks, and the number of starts of each task.
         self.finished: set[str] = set()
         self.starts: dict[str, int] = {}
         self.violations: list[str] = []
-        # When all faults had ended; from then on the rules for liveness hold as well.
+        # When all faults had ended; from then on liveness is checked as well.
         self.liveness_checked_from = float("inf")
+        # When each job's last poll succeeded.
         self.answered_at: dict[str, float] = {}
+        # Since when each job is pending although its team's limit and free capacity allow it to start.
         self.pending_since: dict[str, float] = {}
-        # Calls of the leaders' more expensive steps, by name.
+        # Counts by name: calls of the leaders' expensive steps, accepted jobs, starts, heartbeats, changes.
         self.work: Counter[str] = Counter()
         # Called at each step of a quota transfer, with the node that commits it and the stage.
         self.on_transfer_step: Callable[[SimNode, str], None] = lambda node, stage: None
         self.nodes = [SimNode(self, member) for member in self.members]
-        # Share of heartbeats that are duplicated; whether duplicates are held for the next leader.
+        # Share of heartbeats that are duplicated; whether duplicates are held until the next election.
         self.duplicated_heartbeat_share = 0.0
         self.duplicates_to_next_leader = False
         self._held_duplicates: list[Data] = []
         # Additional requests of users: see `do_poll_all_nodes` and `do_invalid_requests` of the scenarios.
         self.polls_all_nodes = self.sends_invalid_requests = False
+        # Share of jobs that users cancel when the last task completes.
         self.cancelled_on_completion_share = 0.0
 
     def is_partitioned(self, one: str, other: str) -> bool:
@@ -166,7 +173,7 @@
         return one != other and (self.isolated_zone in (one, other) or self.partitioned_zones == {one, other})
 
     def commit_delayed(self, body: Data) -> None:
-        """A transaction whose caller has timed out reaches the state service."""
+        """Commit a transaction whose caller has timed out; retry each second while the service is down."""
         if self.state.down:
             self.after(1.0, lambda: self.commit_delayed(body))
         else:
@@ -210,13 +217,13 @@
             self._poll()
 
     def add_worker(self, name: str) -> SimWorker:
-        """A machine is up: start its worker."""
+        """Mark a machine as running and start its worker."""
         machine = self.cloud.machines[name]
         machine["status"] = "running"
-        build = next(b for b in self.cloud.machine_types if b["name"] == machine["build"])
+        machine_type = next(t for t in self.cloud.machine_types if t["name"] == machine["build"])
         worker = SimWorker(
             name,
-            build,
+            machine_type,
             machine["paddock"],
             machine["loaners"],
             self.settings.deployment.workers.lease_s,
@@ -245,7 +252,7 @@
                 self.add_worker(name)
 
     def end_worker(self, name: str) -> None:
-        """A machine is lost, with all its tasks."""
+        """Remove the worker of a lost machine, with all its tasks."""
         worker = self.workers.pop(name, None)
         if worker is not None:
             worker.gone = True
@@ -264,7 +271,8 @@
             and self.isolated_zone is None
             and not self.partitioned_zones
         ):
-            # Held commands arrive in order once the link is free, though their senders may have timed out.
+            # Held commands arrive in order, also those whose senders have timed out, once the worker has no
+            # hold and no isolation or partition is left.
             held, worker.held_commands = worker.held_commands, []
             for body in held:
                 worker.handle_command(body)
@@ -274,7 +282,7 @@
             self._heartbeat(worker, faults)
 
     def _response_settled(self, worker: SimWorker) -> bool:
-        """Time out a heartbeat in flight; False while its worker still waits for the response."""
+        """Time out the heartbeat in flight; return False while its worker still waits for the response."""
         flight = worker.in_flight
         assert flight is not None
         if flight.node.alive and self.now - flight.sent_at < _RESPONSE_TIMEOUT_S:
@@ -297,7 +305,7 @@
             return
 
         if node.frozen or node.drops_heartbeats or self.is_partitioned(node.zone, worker.zone):
-            # No response for four seconds, and a second until the next heartbeat.
+            # The worker times out after four seconds and sends the next heartbeat a second later.
             worker.node = (worker.node + 1) % 3
             worker.busy_until = self.now + 5.0
             return
@@ -327,9 +335,9 @@
     def _answered(
         self, worker: SimWorker, faults: set[str], flight: InFlight, status: int, answer: Data
     ) -> None:
-        """A node sends the response to a heartbeat."""
+        """Handle a node's response to a heartbeat, unless a fault drops it."""
         if worker.in_flight is not None and worker.in_flight is not flight:
-            # The worker timed out on this heartbeat, and sent another one.
+            # The response is ignored: the worker timed out on this heartbeat and sent another one.
             return
         node, relayed = flight.node, worker.in_flight is not None
         worker.in_flight = None
@@ -348,7 +356,7 @@
             worker.node = self.members.index(member) if member else (worker.node + 1) % 3
 
     def leader_elected(self, node: SimNode) -> None:
-        """Held duplicates reach every node, the newest of each machine first."""
+        """Deliver the held duplicates to every running node, newest first."""
         held, self._held_duplicates = self._held_duplicates, []
 
         def arrive() -> None:
@@ -360,13 +368,13 @@
         self.after(0.01, arrive)
 
     def _deliver_duplicate(self, body: Data) -> None:
-        """A late duplicate of a heartbeat reaches some node; its response is dropped."""
+        """Deliver a late duplicate of a heartbeat to a random node, and drop the response."""
         node = self.rng.choice(self.nodes)
         if node.alive:
             node.handle_heartbeat(body)
 
     def leader(self) -> SimNode | None:
-        """The node that the leader key names, if it runs."""
+        """Return the node that the leader key names, if it runs."""
         held = self.state.keys.get(LEADER_KEY)
         for node in self.nodes:
             if held is not None and node.member == held[0]["member"] and node.alive:
@@ -374,7 +382,7 @@
         return None
 
     def submit(self, job: Data) -> HttpResponse:
-        """A user submits, and retries until the response is final."""
+        """Submit a job at a random node; retry each second until the response is final."""
         self.jobs[job["nameId"]] = job
         result = self._any_node(lambda node: node.users.submit(encode(wire(job))))
         if result is None or result[0] in (429, 503):
@@ -390,7 +398,7 @@
         self.submit(job)
 
     def cancel(self, job_id: str, nodes: list[SimNode] | None = None) -> None:
-        """A user cancels, at any node or at one of these, and retries until the response is final."""
+        """Cancel a job at a random node of ``nodes``, by default of all; retry until it succeeds."""
         result = self._any_node(lambda node: node.users.abort(job_id), nodes)
         if result is None or result[0] != 200:
             self.after(1.0, lambda: self.cancel(job_id, nodes))
@@ -410,7 +418,7 @@
         return ask(self.rng.choice(alive)) if alive else None
 
     def _poll_all_nodes(self, job_id: str) -> None:
-        """Users poll all nodes at once, and repeat the submission: none may return an older status."""
+        """Poll, resubmit and poll at each node: no node may reject the job or change a final status."""
         if not self.polls_all_nodes:
             return
         for node in self.nodes:
@@ -440,6 +448,7 @@
                     self._expect_status(answer, (200,), f"cancelling {job_id}")
                     if answer[0] == 200:
                         self._observe_status(job_id, answer[1]["status"])
+            # Never accepted, as no machine has 64 accelerators: later requests for it have to return 404.
             invalid = wire(submission("job-900000", {"accelerators": 64.0}))
             self._expect_status(node.users.submit(encode(invalid)), (422,), "fits no machine")
             del invalid["chores"]
@@ -471,35 +480,35 @@
             self.violations.append(f"went_back: {job_id} from {before} to {status}")
         job = self.jobs[job_id]
         if status == "done":
-            left = [i for i in range(job["chores"]) if f"{job_id}/{i}" not in self.finished]
-            if left:
-                self.violations.append(f"not_done: {job_id} lacks {len(left)} tasks")
+            unfinished = [i for i in range(job["chores"]) if f"{job_id}/{i}" not in self.finished]
+            if unfinished:
+                self.violations.append(f"not_done: {job_id} lacks {len(unfinished)} tasks")
         self.observed_status[job_id] = status
 
     def _completed(self, task: str) -> None:
         self.finished.add(task)
         job = self.jobs[task.rpartition("/")[0]]
-        left = [i for i in range(job["chores"]) if f"{job['nameId']}/{i}" not in self.finished]
+        unfinished = [i for i in range(job["chores"]) if f"{job['nameId']}/{i}" not in self.finished]
         if (
-            not left
+            not unfinished
             and self.cancelled_on_completion_share
             and self.rng.random() < self.cancelled_on_completion_share
         ):
             self.cancel(job["nameId"])
 
     def settled(self) -> list[str]:
-        """Jobs that should have completed, or should run, and do not."""
-        up = Counter(task.rpartition("/")[0] for _, task in self._running())
+        """Return an error for each job that is not in the state expected at the end of a run."""
+        running_tasks = Counter(task.rpartition("/")[0] for _, task in self._running())
         bad = []
         for job_id, job in self.jobs.items():
             status = self.observed_status.get(job_id)
             if status is None:
                 bad.append(f"{job_id} was never accepted")
             elif status == "cancelled" or (job["shape"] != "service" and status == "done"):
-                if up[job_id]:
-                    bad.append(f"{job_id} is {status} and has {up[job_id]} running tasks")
-            elif job["shape"] != "service" or up[job_id] != job["chores"]:
-                bad.append(f"{job_id} is {status} with {up[job_id]} running tasks")
+                if running_tasks[job_id]:
+                    bad.append(f"{job_id} is {status} and has {running_tasks[job_id]} running tasks")
+            elif job["shape"] != "service" or running_tasks[job_id] != job["chores"]:
+                bad.append(f"{job_id} is {status} with {running_tasks[job_id]} running tasks")
         return bad
 
     def _describe(self, task: str) -> Data | None:
@@ -511,7 +520,7 @@
 
     @staticmethod
     def _allowed(worker: WorkerStandIn, job: Data) -> bool:
-        """Whether a job's constraints allow a machine, regardless of its other tasks."""
+        """Whether a job's constraints allow a machine, regardless of where the job's other tasks run."""
         return bool(
             (job["builds"] is None or worker.machine_type["name"] in job["builds"])
             and (job["paddock"] is None or worker.zone == job["paddock"])
@@ -530,6 +539,7 @@
         zones = [w.zone for w, t in self._running() if t.rpartition("/")[0] == job_id]
         if job["samePlace"] and len(set(zones)) > 1:
             allowed = False
+        # At most half of the tasks of an `apart` job, rounded up, may run in one zone.
         if job["apart"] and zones.count(worker.zone) > (job["chores"] + 1) // 2:
             allowed = False
         if not allowed:
@@ -537,28 +547,32 @@
         self._check()
 
     def _check_liveness(self) -> None:
-        """Once faults are over: no poll fails for 75 s, and no job waits 90 s beside free capacity."""
+        """Check that users and jobs are served once all faults have ended.
+
+        Each job has a successful poll within 75 s, and no job stays pending for more than 90 s while its
+        team's limit and free capacity allow it to start.
+        """
         used: Counter[str] = Counter()
-        begun = set()
+        with_running_tasks = set()
         for _, task in self._running():
             job_id = task.rpartition("/")[0]
             used[self.jobs[job_id]["crew"]] += self.jobs[job_id]["accelerators"]
-            begun.add(job_id)
+            with_running_tasks.add(job_id)
         limits = {team.name: team.accelerators_max or float("inf") for team in self.settings.deployment.teams}
         for job_id, status in self.observed_status.items():
             job = self.jobs[job_id]
             if self.now - max(self.answered_at.get(job_id, 0.0), self.liveness_checked_from) > 75.0:
                 self.violations.append(f"forgotten: {job_id} at {self.now:.1f}")
-            is_pending = status == "pending" and job_id not in begun and not job.get("mistake")
-            at_once = job["chores"] if job["shape"] == "group" else 1
-            within_limit = used[job["crew"]] + job["accelerators"] * at_once <= limits[job["crew"]]
-            if not (is_pending and within_limit and self._have_capacity(job, at_once)):
+            is_pending = status == "pending" and job_id not in with_running_tasks and not job.get("mistake")
+            min_tasks_to_start = job["chores"] if job["shape"] == "group" else 1
+            within_limit = used[job["crew"]] + job["accelerators"] * min_tasks_to_start <= limits[job["crew"]]
+            if not (is_pending and within_limit and self._have_capacity(job, min_tasks_to_start)):
                 self.pending_since.pop(job_id, None)
             elif self.now - self.pending_since.setdefault(job_id, self.now) > 90.0:
                 self.violations.append(f"left_waiting: {job_id} at {self.now:.1f}")
 
     def _have_capacity(self, job: Data, tasks: int) -> bool:
-        """Whether machines have capacity for so many tasks, in one zone if the job requires that."""
+        """Whether machines have capacity for ``tasks`` tasks, in one zone if the job requires that."""
         free_by_zone: Counter[str] = Counter()
         for worker in self.workers.values():
             if self._allowed(worker, job) and worker.notice_s is None and not worker.faulty:
