--- a/src/poppyhold/options_file.py
+++ b/src/poppyhold/options_file.py
@@ -15,10 +15,10 @@
     from poppyhold.options_pb2 import Cells as CellsMessage
 
 _CELL_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-# Parts are written as decimals, which cannot express thirds exactly.
+# Allowed difference of the sum of the cells' parts from 1: decimals cannot express thirds exactly.
 _PARTS_TOLERANCE = 1e-6
 
-# Lowest and highest valid value of each field.
+# Lowest and highest valid value of each numeric field except the parts of cells, which `check_cells` checks.
 _BOUNDS = {
     "design.slot_leases": (0.5, 1000.0),
     "design.horizon_slots": (1, 512),
@@ -47,12 +47,12 @@
     """Parse and check options; omitted fields have their defaults.
 
     Raises:
-        ConfigError: names the field.
+        ConfigError: names the field, or gives protobuf's message for a syntax error.
 
     """
     if all(not line.strip() or line.lstrip().startswith("#") for line in text.splitlines()):
-        # No option is set, so protobuf is not loaded: the import takes a large part of a controller's start,
-        # and workers and users wait while a controller restarts.
+        # No option is set, so protobuf is not imported: that takes a large part of a controller's start,
+        # during which it answers no requests of workers and users.
         return Options()
     from google.protobuf import text_format
 
@@ -67,10 +67,10 @@
     values: dict[str, dict[str, float | str]] = {}
     for name, (low, high) in _BOUNDS.items():
         section, field = name.split(".")
-        part = getattr(message, section)
-        if not part.HasField(field):
+        section_message = getattr(message, section)
+        if not section_message.HasField(field):
             continue
-        value = getattr(part, field)
+        value = getattr(section_message, field)
         if not low <= value <= high:
             raise ConfigError(f"{name}: must be within {low} and {high}")
         values.setdefault(section, {})[field] = value
@@ -80,12 +80,12 @@
     cells = values.pop("cells", {})
     options = msgspec.convert(values, Options)
     if message.HasField("cells"):
-        options = msgspec.structs.replace(options, cells=_cells(message.cells, cells))
+        options = msgspec.structs.replace(options, cells=_build_cells(message.cells, cells))
     return options
 
 
-def _cells(section: CellsMessage, bounded: dict[str, float | str]) -> Cells:
-    """Build the section `cells`; ``bounded`` holds its values that are already checked against `_BOUNDS`."""
+def _build_cells(section: CellsMessage, checked_values: dict[str, float | str]) -> Cells:
+    """Build and check the section `cells`; ``checked_values`` are its fields listed in `_BOUNDS`."""
     others = tuple(
         Cell(
             other.name,
@@ -95,7 +95,9 @@
         for other in section.others
     )
     return check_cells(
-        msgspec.convert({"name": section.name, "part": section.part, "others": others, **bounded}, Cells)
+        msgspec.convert(
+            {"name": section.name, "part": section.part, "others": others, **checked_values}, Cells
+        )
     )
 
 
@@ -103,7 +105,7 @@
     """Read and check an options file; without a path, every option has its default.
 
     Raises:
-        ConfigError: names the file and the field.
+        ConfigError: names the file, and the field if one is invalid.
 
     """
     if path is None:
@@ -117,7 +119,7 @@
 
 
 def check_cells(cells: Cells) -> Cells:
-    """Check the section `cells` as a whole.
+    """Check names, parts and controllers of the section `cells`; `_BOUNDS` covers its other fields.
 
     Raises:
         ConfigError: names the field.
