--- a/src/poppyhold/scale/cells.py
+++ b/src/poppyhold/scale/cells.py
@@ -103,7 +103,7 @@
         await asyncio.gather(*(run.build() for run in self._runs))
         await self._connect()
         for run in self._runs:
-            run.on_started = self._checks.started
+            run.on_started = self._checks.on_task_started
         await asyncio.gather(*(run.begin() for run in self._runs))
         for coroutine in (self._check_periodically(), self._rotate_arrivals(), self._burst()):
             self._spawn(coroutine)
@@ -169,7 +169,7 @@
 
     async def _inject(self, fault: Fault) -> None:
         over_at = time.monotonic() + fault.away_s + 2 * self._profile.lease_s
-        self._checks.grace_until = max(self._checks.grace_until, over_at)
+        self._checks.guarantees_unchecked_until = max(self._checks.guarantees_unchecked_until, over_at)
         if fault.kind.startswith("cut_links"):
             self._cut(fault)
         else:
@@ -241,7 +241,7 @@
             part_of_limits_in_use_links_up=self._checks.use_links_up.part,
             part_of_limits_in_use_links_cut=self._checks.use_links_cut.part,
             links_cut_s=self._checks.links_cut_s,
-            longest_below_guarantee_s=self._checks.longest_below_s,
+            longest_below_guarantee_s=self._checks.longest_below_guarantee_s,
             guarantee_bound_s=self._bound.seconds,
             in_transit_at_the_end=in_transit,
             faults=self._faults,
