--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""No fixed limit below 4,000 machines: connections, messages, paged reads, lists and computations."""
+"""No fixed limit prevents a fleet of 4,000 machines, and faster computations equal plain ones."""
 
 from __future__ import annotations
 
@@ -64,12 +64,12 @@
 )
 
 
-def test_max_connections_follow_sockets_and_memory() -> None:
+def test_max_connections_are_bounded_by_sockets_and_memory() -> None:
     assert MachineLimits(max_sockets=6500, ram_mb=326.0).connections > MACHINES
-    # Small deployments keep their earlier limits.
+    # Smaller deployments, where the sockets bound the connections.
     assert MachineLimits(max_sockets=700, ram_mb=146.0).connections == 476
     assert MachineLimits(max_sockets=1819, ram_mb=326.0).connections == 1236
-    # Memory limits the connections below the number of sockets.
+    # Here memory bounds the connections, not the sockets.
     assert MachineLimits(max_sockets=6500, ram_mb=146.0).connections == 1933
 
 
@@ -87,7 +87,7 @@
             socket.create_connection(("127.0.0.1", server.server_port), timeout=30.0)
             for _ in range(connection_count)
         )
-        # Every connection is still open after the last was accepted.
+        # All connections are open at once, and each is served.
         for client in clients:
             client.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
         for client in clients:
@@ -138,7 +138,7 @@
 
 
 class PagedStore(Store):
-    """A store that returns machine records in pages of 1,000 and rejects the reads in ``failing``."""
+    """Returns machine records in pages of 1,000; rejects the reads numbered in ``failing``, from 1."""
 
     def __init__(self, failing: set[int]) -> None:
         self._failing = failing
@@ -167,6 +167,7 @@
     assert [entry.key for entry in entries] == [
         f"{MACHINE_PREFIX}vm-{number:06d}" for number in range(MACHINES)
     ]
+    # Four pages and the rejected third read; a page's revision is 100 and the number of the read.
     assert store.pages == 5
     assert (reader.revision, reader.last_revision) == (101, 105)
 
@@ -182,7 +183,7 @@
         except StoreRejectedError:
             failures += 1
     assert len(snapshot.machines) == MACHINES
-    # Nine pages, five of them empty, and the four rejected reads.
+    # Four pages of machines, an empty page for each of five other prefixes, and four rejected reads.
     assert (failures, store.pages) == (4, 13)
 
 
@@ -217,7 +218,7 @@
         return True
 
 
-def test_a_machine_list_dates_from_its_first_page_and_delays_the_next() -> None:
+def test_a_machine_list_begins_at_its_first_page_and_delays_the_next_list() -> None:
     cloud: Any = ListingCloud()
     reader = MachineListReader(cloud, lag_s=0.01, request_interval_s=0.02)
     before = time.monotonic()
@@ -226,7 +227,7 @@
         listing = reader.read_next_page()
     assert len(listing.machines) == MACHINES
     assert before <= listing.began_at <= time.monotonic()
-    # The list uses half of the request rate: eight pages take sixteen request intervals.
+    # Lists use at most half of the request rate: eight pages take sixteen request intervals.
     assert reader.due_at >= listing.began_at + 8 * 0.02 / 0.5
 
 
@@ -267,7 +268,7 @@
     return msgspec.structs.replace(settings_, deployment=deployment)
 
 
-def test_limits_too_low_for_the_configured_size_are_named() -> None:
+def test_shortfalls_list_each_limit_too_low_for_the_configured_fleet() -> None:
     options = parse_options("fleet { machines: 4000 }")
     assert shortfalls(_deployed(), parse_options("")) == []
     lines = shortfalls(_deployed(core_share=0.3, ram_mb=100.0, max_sockets=700), options)
@@ -278,18 +279,18 @@
         "settings.state.write_rps",
     ]
     assert all("(fleet.machines: 4000)" in line for line in lines)
-    enough = _deployed(core_share=0.8, ram_mb=326.0, max_sockets=1850)
-    faster = msgspec.structs.replace(enough.deployment.state, write_rps=200.0)
-    enough = msgspec.structs.replace(
-        enough, deployment=msgspec.structs.replace(enough.deployment, state=faster)
+    sufficient = _deployed(core_share=0.8, ram_mb=326.0, max_sockets=1850)
+    state_limits = msgspec.structs.replace(sufficient.deployment.state, write_rps=200.0)
+    sufficient = msgspec.structs.replace(
+        sufficient, deployment=msgspec.structs.replace(sufficient.deployment, state=state_limits)
     )
-    assert shortfalls(enough, options) == []
+    assert shortfalls(sufficient, options) == []
     without_relays = parse_options("fleet { machines: 4000 } relays { mode: OFF }")
-    assert "connections of 4000 needed" in shortfalls(enough, without_relays)[0]
+    assert "connections of 4000 needed" in shortfalls(sufficient, without_relays)[0]
 
 
 @pytest.mark.parametrize("value", ["-1", "many", "1.5", "100001"])
-def test_an_invalid_size_is_reported_in_one_line(
+def test_an_invalid_number_of_machines_is_reported_in_one_line(
     value: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with pytest.raises(ConfigError):
@@ -326,7 +327,7 @@
     st.integers(1, 8),
 )
 def test_an_incremental_ranking_equals_a_full_search(changes: list[tuple[int, int, bool]], need: int) -> None:
-    """Resources are taken and released, and machines added and removed, between updates of one ranking."""
+    """After changes of used resources and of machines, a ranking finds the machine that a search finds."""
     machines = {index: _machine(f"vm-{index:06d}", "ab"[index % 2], 0.0) for index in range(10)}
     present = set(machines)
 
@@ -336,9 +337,9 @@
     view = FreeCapacityView()
     view.begin_cycle([machines[index] for index in sorted(present)], {})
     ranking = Ranking(view, score)
-    for index, used, comes in changes:
+    for index, used, is_added in changes:
         machines[index].set_used((float(used), 0.0, 0.0))
-        if comes:
+        if is_added:
             present.add(index)
             view.refresh_machine(machines[index])
         else:
@@ -351,14 +352,14 @@
         assert (None if found is None else found[:2]) == expected
 
 
-def test_a_ranking_without_refreshed_machines_is_outdated() -> None:
+def test_a_ranking_sees_a_change_only_after_the_machine_is_refreshed() -> None:
     machine = _machine("vm-000001", "a", 0.0)
     view = FreeCapacityView()
     view.begin_cycle([machine], {})
     ranking = Ranking(view, lambda m: m.free[0] if m.free[0] >= 4 else None)
     ranking.update()
     machine.set_used((16.0, 0.0, 0.0))
-    # The guard against it: a machine on which a task starts is refreshed in the view.
+    # The ranking is outdated until the machine is refreshed in the view, as it is when a task starts on it.
     assert ranking.best({"a"}, set()) is not None
     view.refresh_machine(machine)
     ranking.update()
@@ -377,10 +378,10 @@
             ledger.advance_to(ledger.current_slot + 1)
         if step % 33 == 0:
             ledger.remove_machine(name)
-        by_kind: dict[Any, set[str]] = {}
-        for held, row in ledger.machines.items():
-            by_kind.setdefault(row.equivalence_key(), set()).add(held)
-        assert {row.equivalence_key(): set(names) for row, names in ledger.groups()} == by_kind
+        by_equivalence_key: dict[Any, set[str]] = {}
+        for machine, row in ledger.machines.items():
+            by_equivalence_key.setdefault(row.equivalence_key(), set()).add(machine)
+        assert {row.equivalence_key(): set(names) for row, names in ledger.groups()} == by_equivalence_key
 
 
 @settings(max_examples=150, derandomize=True, deadline=None, database=None)
@@ -389,7 +390,7 @@
     st.lists(st.tuples(st.integers(1, 8), st.integers(1, 9), st.sampled_from([None, "a", "b"])), max_size=12),
 )
 @example([(2, True), (3, True)], [(1, 1, "b"), (1, 1, None), (1, 1, "a"), (1, 1, None)])
-def test_the_capacity_index_serves_demands_like_a_linear_scan(
+def test_the_capacity_index_allocates_like_a_linear_scan(
     slots: list[tuple[int, bool]], demands: list[tuple[int, int, str | None]]
 ) -> None:
     def make_slots() -> list[CapacitySlot]:
@@ -398,48 +399,49 @@
             for index, (free, spot) in enumerate(slots)
         ]
 
-    indexed, plain = make_slots(), make_slots()
+    indexed, scanned = make_slots(), make_slots()
     index = CapacityIndex(indexed)
     for cpus, tasks, zone in demands:
         job = _job(1, float(cpus), 0.0, paddock=zone, loaners=True)
         demand = Demand(job.spec, job.task_resources, tasks, {})
-        left = _serve(index, demand)
-        assert left == _serve_by_linear_scan(plain, demand)
-    assert sorted(slot.free for slot in indexed) == sorted(slot.free for slot in plain)
+        remaining = _serve(index, demand)
+        assert remaining == _serve_by_linear_scan(scanned, demand)
+    assert sorted(slot.free for slot in indexed) == sorted(slot.free for slot in scanned)
 
 
 def _serve(index: CapacityIndex, demand: Demand) -> int:
-    left = demand.tasks
+    remaining = demand.tasks
 
     def use(slot: CapacitySlot) -> bool:
-        nonlocal left
-        take = max_copies(demand.need, slot.free, left)
+        """Take as many copies as fit; return whether tasks remain."""
+        nonlocal remaining
+        take = max_copies(demand.need, slot.free, remaining)
         slot.free = add_scaled(slot.free, demand.need, -take)
         slot.used = slot.used or take > 0
-        left -= take
-        return left > 0
+        remaining -= take
+        return remaining > 0
 
     index.offer(demand, use)
-    return left
+    return remaining
 
 
 def _serve_by_linear_scan(slots: list[CapacitySlot], demand: Demand) -> int:
-    left = demand.tasks
+    remaining = demand.tasks
     for slot in sorted(slots, key=lambda slot: (not slot.spot, not slot.used)):
-        if not left:
+        if not remaining:
             break
         if demand.spec.zone not in (None, slot.zone) or not fits(demand.need, slot.free):
             continue
-        take = max_copies(demand.need, slot.free, left)
+        take = max_copies(demand.need, slot.free, remaining)
         slot.free = add_scaled(slot.free, demand.need, -take)
         slot.used = slot.used or take > 0
-        left -= take
-    return left
+        remaining -= take
+    return remaining
 
 
 def test_a_limit_on_a_resource_that_a_task_does_not_use_is_ignored() -> None:
     quotas = Quotas([Team("alpha", cpus_max=64.0, accelerators_max=8.0)])
-    # Tasks on unreconciled machines may exceed the limit.
+    # Used accelerators exceed the limit, since those of unreconciled machines count against every team.
     assert quotas.allows("alpha", (0.0, 4000.0), (1.0, 0.0, 1.0))
     assert not quotas.allows("alpha", (0.0, 4000.0), (1.0, 1.0, 1.0))
     assert not quotas.allows("alpha", (64.0, 0.0), (1.0, 0.0, 1.0))
@@ -464,16 +466,16 @@
         max_initial_probes=2000.0,
         silent_probes_per_interval=100.0,
     )
-    commands = DirectCommands(ctx, lambda attempt: None, lambda *answered: None)
+    commands = DirectCommands(ctx, lambda attempt: None, lambda *_: None)
     for machine in machines.values():
         commands.probe_silent_worker(machine, now[0])
     assert len(probed) == 100
     now[0] = 1.0
     for machine in machines.values():
         commands.probe_silent_worker(machine, now[0])
-    # Half an interval later half as many more are probed, and none whose response is outstanding.
+    # Half an interval later 50 more are probed, and none whose response is outstanding.
     assert len(probed) == len(set(probed)) == 150
-    # At the start of a term with few machines all are probed at once.
+    # At the start of a term all other workers are probed at once, as the fleet is below max_initial_probes.
     for machine in machines.values():
         commands.request_heartbeat(machine, now[0])
     assert len(probed) == 1000
