--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -191,7 +191,7 @@
     other = next(node for node in world.nodes if node.leader_term is None)
     for _ in range(20):
         assert other.users.submit(body)[0] == 200
-    # At most one failing condition at a node that did not know the job yet.
+    # At most one write fails on its condition, at a node that did not know the job yet.
     assert world.work["changes"] <= before + 1
 
 
@@ -212,7 +212,8 @@
     for response in (users.abort("job-000001"), users.submit(body)):
         assert response[0] == 429
         assert int(response[2]["Retry-After"]) >= 1
-    # A shared read takes no slot, for any number of queries; a query that needs its own request takes one.
+    # Polls that share a read take no slot, however many they are; a poll that needs its own request to the
+    # state service takes one.
     assert users.poll("job-000001")[0] == 200
     response = users.poll("job-000999")
     assert response[0] == 429
