--- a/src/poppyhold/durable/snapshot.py
+++ b/src/poppyhold/durable/snapshot.py
@@ -1,4 +1,4 @@
-"""What the state service holds when a leader's term begins."""
+"""The contents of the state service when a leader's term begins."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from poppyhold.durable.prefix_reader import PrefixReader
 from poppyhold.durable.store import Store
 
-# The active jobs come first: what is known of one that ends meanwhile is dropped.
+# Active jobs are read first: records of a job that ends meanwhile are dropped.
 _PREFIXES = (
     ACTIVE_JOB_PREFIX,
     PLAN_PREFIX,
@@ -29,47 +29,49 @@
 
 
 class Snapshot:
-    """Every durable record that a new leader builds on, by the rest of its key."""
+    """Every durable record that a new leader starts from, by its key without the prefix."""
 
     def __init__(
         self,
-        active: Iterable[Entry] = (),
+        active_jobs: Iterable[Entry] = (),
         plans: dict[str, Data] | None = None,
-        done: dict[str, dict[str, Data]] | None = None,
+        completions: dict[str, dict[str, Data]] | None = None,
         launches: dict[str, Data] | None = None,
         machines: dict[str, Data] | None = None,
         quota: Iterable[Entry] = (),
     ) -> None:
-        self.active = list(active)
+        self.active_jobs = list(active_jobs)
         self.plans = plans or {}
-        # Records of completions, by their prefix.
-        self.done = done or {}
+        # Records of completions, by prefix.
+        self.completions = completions or {}
         self.launches = launches or {}
         self.machines = machines or {}
         self.quota = list(quota)
 
 
 class SnapshotReader:
-    """Reads a snapshot page by page. After a page that failed it continues where it was.
+    """Reads a snapshot page by page. After a failed page it continues with that page.
 
-    Only the leader writes the prefixes after that of the active jobs, so nothing of them changes while they
-    are read; the active jobs are read once more by the watch that continues from here.
+    Only the leader writes the prefixes after that of the active jobs, so they don't change while they are
+    read; the watch that continues from here reads the active jobs once more.
     """
 
     def __init__(self, store: Store, with_quota: bool = False) -> None:
-        """``with_quota``: this is one cell of several, and has quota allocations."""
+        """``with_quota``: read quota allocations, as for one cell of several."""
         prefixes = (*_PREFIXES, QUOTA_PREFIX) if with_quota else _PREFIXES
         self._readers = {prefix: PrefixReader(store, prefix) for prefix in prefixes}
 
     def read(self) -> Snapshot:
-        """Read the pages that are left; after an error, call it again to continue."""
+        """Read the remaining pages; after an error, call it again to continue."""
         for reader in self._readers.values():
             reader.read()
         quota = self._readers.get(QUOTA_PREFIX)
         return Snapshot(
-            active=self._readers[ACTIVE_JOB_PREFIX].entries,
+            active_jobs=self._readers[ACTIVE_JOB_PREFIX].entries,
             plans=self._records(PLAN_PREFIX),
-            done={prefix: self._records(prefix) for prefix in (COMPLETIONS_PREFIX, COMPLETION_RANGES_PREFIX)},
+            completions={
+                prefix: self._records(prefix) for prefix in (COMPLETIONS_PREFIX, COMPLETION_RANGES_PREFIX)
+            },
             launches=self._records(LAUNCH_PREFIX),
             machines=self._records(MACHINE_PREFIX),
             quota=quota.entries if quota is not None else (),
--- a/src/poppyhold/model/resources.py
+++ b/src/poppyhold/model/resources.py
@@ -1,4 +1,4 @@
-"""Amounts of resources: what a task takes, what a machine has, and arithmetic on both."""
+"""Amounts of resources of tasks and machines, and arithmetic on them."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 MEMORY_GB: Final = 2
 
 NO_RESOURCES: Resources = (0.0, 0.0, 0.0)
-# Sums of amounts may be off by rounding errors.
+# Tolerance for rounding errors in sums of amounts.
 EPSILON = 1e-6
 
 
 def fits(need: Resources, free: Resources) -> bool:
     """Whether ``need`` fits into ``free``."""
-    # Literal indices, in the order of the constants: reading those takes a tenth longer.
+    # Literal indices, in the order of the constants: reading the constants takes a tenth longer.
     return need[0] <= free[0] + EPSILON and need[1] <= free[1] + EPSILON and need[2] <= free[2] + EPSILON
 
 
-def max_copies(need: Resources, free: Resources, most: int) -> int:
-    """How many times ``need`` fits into ``free``, at most ``most``."""
+def max_copies(need: Resources, free: Resources, limit: int) -> int:
+    """How many times ``need`` fits into ``free``, at most ``limit``."""
     for needed, available in zip(need, free, strict=True):
         if needed > 0 and available != math.inf:
-            most = min(most, int((available + EPSILON) / needed))
-    return max(0, most)
+            limit = min(limit, int((available + EPSILON) / needed))
+    return max(0, limit)
 
 
 def add_scaled(base: Resources, addend: Resources, factor: float = 1.0) -> Resources:
--- a/src/poppyhold/node/heartbeat_endpoint.py
+++ b/src/poppyhold/node/heartbeat_endpoint.py
@@ -1,4 +1,4 @@
-"""The leader's answers to heartbeats, whether they come from workers directly or through relays."""
+"""The leader's answers to heartbeats, sent by workers directly or through relays."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class HeartbeatEndpoint:
-    """Has heartbeats answered on the decision thread, for as long as leases may be renewed."""
+    """Answers heartbeats on the decision thread while the leader may renew leases."""
 
     def __init__(
         self,
@@ -24,54 +24,54 @@
         controller: Controller,
         assignment: Assignment,
         may_renew_leases: Callable[[], bool],
-        rejection: Callable[[], HttpResponse],
+        make_rejection: Callable[[], HttpResponse],
     ) -> None:
-        """``rejection`` is the answer to a heartbeat that the leader can't answer."""
+        """``make_rejection`` returns the response to a heartbeat that the leader can't answer."""
         self._loop, self._controller, self._assignment = loop, controller, assignment
-        self._may_renew_leases, self._rejection = may_renew_leases, rejection
+        self._may_renew_leases, self._make_rejection = may_renew_leases, make_rejection
         self._ready = threading.Event()
 
-    def open(self) -> None:
-        """The state is rebuilt: heartbeats can be answered from now on."""
+    def mark_ready(self) -> None:
+        """Accept heartbeats from now on: the state is rebuilt."""
         self._ready.set()
 
     def handle(self, heartbeat: Heartbeat, timeout_s: float) -> DeferredResponse | None:
-        """Have a direct heartbeat answered by the decision thread; None if the term is not ready in time."""
-        # A worker that is rejected comes back a second later, when its lease may be over: while the fleet's
-        # state is read it had better wait.
+        """Queue a direct heartbeat for the decision thread; None if the term is not ready in time."""
+        # A rejected worker retries after a second, when its lease may have expired, so heartbeats wait while
+        # the leader reads the fleet's state.
         if not self._ready.wait(timeout_s):
             return None
-        # Nobody waits for the answer after this: work on it would only hold up the heartbeats that follow.
-        late_at = time.monotonic() + timeout_s
+        # After this the worker has timed out; an answer would only delay the following heartbeats.
+        deadline = time.monotonic() + timeout_s
 
         def defer(send: Callable[[HttpResponse], None]) -> None:
             def work() -> None:
-                result = self._rejection()
+                result = self._make_rejection()
                 try:
-                    result = self._answer_directly(heartbeat, late_at) or result
+                    result = self._answer_direct_heartbeat(heartbeat, deadline) or result
                 finally:
                     send(result)
 
             if not self._loop.post(HEARTBEATS, work):
-                send(self._rejection())
+                send(self._make_rejection())
 
         return defer
 
-    def _answer_directly(self, heartbeat: Heartbeat, late_at: float) -> HttpResponse | None:
-        """The answer to a direct heartbeat, which may be the name of a relay; None: no lease is renewed."""
+    def _answer_direct_heartbeat(self, heartbeat: Heartbeat, deadline: float) -> HttpResponse | None:
+        """Answer a direct heartbeat or redirect it to a relay; None if the lease can't be renewed."""
         relay = self._assignment.assign(
             heartbeat.machine, heartbeat.zone, self._controller.last_response_at(heartbeat.machine)
         )
         if relay is not None:
             return http_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect(relay).body())
-        response = self.answer(heartbeat, late_at)
+        response = self.answer(heartbeat, deadline)
         return http_response(HTTPStatus.OK, response.body()) if response is not None else None
 
-    def answer(self, heartbeat: Heartbeat, late_at: float) -> HeartbeatResponse | None:
-        """On the decision thread: answer a heartbeat, whichever way it came; None if it can't be answered.
+    def answer(self, heartbeat: Heartbeat, deadline: float) -> HeartbeatResponse | None:
+        """Answer a direct or relayed heartbeat, on the decision thread; None if the leader can't.
 
-        After ``late_at`` nobody waits for the answer.
+        After ``deadline`` the worker has timed out.
         """
-        if not self._loop.alive or time.monotonic() >= late_at or not self._may_renew_leases():
+        if not self._loop.alive or time.monotonic() >= deadline or not self._may_renew_leases():
             return None
         return self._controller.handle_heartbeat(heartbeat)
--- a/src/poppyhold/reads/read_index.py
+++ b/src/poppyhold/reads/read_index.py
@@ -17,7 +17,7 @@
 from poppyhold.reads.active_jobs_view import ActiveJobsView
 
 # The most follows of one attempt. One is enough unless the store's responses lag.
-_MAX_FOLLOWS = 8
+_MAX_POLLS = 8
 
 
 class LaggingChangesError(Exception):
@@ -42,17 +42,17 @@
         return store.page(ACTIVE_JOB_PREFIX, self.after)
 
 
-class Follow(msgspec.Struct, frozen=True):
+class PollChanges(msgspec.Struct, frozen=True):
     """Read all changes of active jobs after a revision, without waiting for any."""
 
     since: int
 
     def execute(self, store: Store) -> Changes:
         """Send the request to the state service."""
-        return store.follow(ACTIVE_JOB_PREFIX, self.since, 0.0)
+        return store.poll_changes(ACTIVE_JOB_PREFIX, self.since, 0.0)
 
 
-StoreRequest = ReadRevision | ReadPage | Follow
+StoreRequest = ReadRevision | ReadPage | PollChanges
 ReadPlan = Generator[StoreRequest, int | Page | Changes, None]
 
 
@@ -60,8 +60,9 @@
     """Advance the view to the store's revision as of the first request or later.
 
     That revision comes from a read which starts after the queries that it answers: whatever any controller
-    told before them was durable by then, so its revision is no higher. `follow` alone would suffice if its
-    revision were sure to be the present one; PROTOCOL says only that it contains every change up to there.
+    told before them was durable by then, so its revision is no higher. `poll_changes` alone would suffice if
+    its revision were sure to be the present one; PROTOCOL says only that it contains every change up to
+    there.
 
     Raises:
         LaggingChangesError: the changes do not reach the revision within the most follows of an attempt.
@@ -69,7 +70,7 @@
     """
     present = yield ReadRevision()
     assert isinstance(present, int)
-    follows = 0
+    polls = 0
     while view.revision < present:
         if view.revision < 0:
             last_revision = yield from _reload(view)
@@ -77,11 +78,11 @@
             # come again with the next ones; until all of them are there, the view could go back.
             present = max(present, last_revision)
             continue
-        follows += 1
-        if follows > _MAX_FOLLOWS:
+        polls += 1
+        if polls > _MAX_POLLS:
             raise LaggingChangesError
         try:
-            changes = yield Follow(view.revision)
+            changes = yield PollChanges(view.revision)
         except WatchCompactedError:
             # The store has dropped changes that the view does not contain.
             view.invalidate()
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Runs every scenario in scenarios/, and days that are drawn from a seed."""
+"""Runs every scenario in scenarios/, and random scenarios."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 SCENARIOS = sorted(FOLDER.glob("*.txt"))
 
-# Large worlds are played once: they take longer than all the others together.
-# What once hung on a second is played with more seeds.
+# Large deployments run once: they take longer than all the others together.
+# A scenario whose result depends on a second more or less runs with more seeds.
 _SEEDS: dict[str, Sequence[int]] = {
     "thousand_machines": (1,),
     "four_thousand_machines": (1,),
-    "gang_alone": range(1, 13),
+    "gang_avoids_slow_machine": range(1, 13),
 }
 PLAYS = [
     pytest.param(text, seed, id=f"{name}-{seed}")
@@ -32,19 +32,19 @@
 
 
 def _relayed(text: str) -> str:
-    """The same world with relays, whatever its size."""
+    """The same scenario with relays, whatever its size."""
     lines = text.splitlines()
     if not any(line.startswith("world ") for line in lines):
         lines.insert(0, "world")
     return "\n".join(f"{line} relays=forced" if line.split()[:1] == ["world"] else line for line in lines)
 
 
-# Without the largest one, for its time alone.
-_NOT_RELAYED = ("four_thousand_machines",)
+# The largest one would take too long.
+_WITHOUT_RELAYS = ("four_thousand_machines",)
 RELAYED = [
     pytest.param(text, id=name)
     for path in SCENARIOS
-    if path.stem not in _NOT_RELAYED
+    if path.stem not in _WITHOUT_RELAYS
     for name, text in variants(path)
 ]
 
@@ -54,15 +54,17 @@
     assert play(_relayed(text), 1) == []
 
 
-# Days of overlapping troubles; `python tests/mix.py FIRST DAYS` plays more. Without the bound on a blind
-# leader's answers, or without the names of cancellations, some of these break a rule.
-MIXED = (1, 2, 16, 31, 40, 54, 77, 90)
-# The same in three zones with a controller each, with partitions between two of them.
-THREE = (1, 2, 3, 4)
+# Overlapping faults; `python tests/mix.py FIRST COUNT` runs more. Some of these violate a rule without the
+# bound on the responses of a leader that has lost the state service, or without named cancellations.
+RANDOM_SEEDS = (1, 2, 16, 31, 40, 54, 77, 90)
+# The same in three zones with a controller each, with partitions of two of them.
+THREE_ZONE_SEEDS = (1, 2, 3, 4)
 
 
 @pytest.mark.parametrize("relays", ["off", "forced"])
-@pytest.mark.parametrize(("seed", "zones"), [*((seed, "ab") for seed in MIXED), *((s, "abc") for s in THREE)])
-def test_mixed_day(seed: int, zones: str, relays: str) -> None:
-    text = mix.day(seed, zones, relays)
+@pytest.mark.parametrize(
+    ("seed", "zones"), [*((seed, "ab") for seed in RANDOM_SEEDS), *((s, "abc") for s in THREE_ZONE_SEEDS)]
+)
+def test_random_scenario(seed: int, zones: str, relays: str) -> None:
+    text = mix.random_scenario(seed, zones, relays)
     assert play(text, seed) == [], f"seed {seed}:\n{text}"
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,6 +1,6 @@
-"""A simulated deployment in virtual time: the real decision core and users' edge on stand-ins.
+"""A simulated deployment in virtual time: the real decision core and user API on simulated services.
 
-It checks PROTOCOL's rules all along; what breaks one is added to ``World.broken``.
+It checks PROTOCOL's rules throughout and adds each violation to ``World.violations``.
 """
 
 from __future__ import annotations
@@ -34,17 +34,17 @@
 from poppyhold.wire.http_server import HttpResponse, http_response
 from sim_node import STEP_S, SimNode
 
-# Users ask once in so many steps.
+# Users poll once in so many steps.
 _POLL_TICKS, _POLL_PHASE = 40, 7
-# A worker waits so long for an answer.
-_PATIENCE_S = 4.0
+# A worker waits so long for a response.
+_RESPONSE_TIMEOUT_S = 4.0
 
 
 _DEFAULTS = Options()
 
 
 class InFlight(NamedTuple):
-    """A report whose answer its worker waits for."""
+    """A heartbeat whose worker waits for the response."""
 
     node: SimNode
     sent_at: float
@@ -52,18 +52,18 @@
 
 
 class SimWorker(WorkerStandIn):
-    """A worker with its report loop."""
+    """A worker with its heartbeat loop."""
 
     held_commands: list[Data]
     node = 0
     next_heartbeat = 0.0
     busy_until = 0.0
-    # A report that is being relayed; what is answered at once is never seen here.
-    awaits: InFlight | None = None
+    # A heartbeat that is being relayed, or that waits for the next leader; None if it was answered at once.
+    in_flight: InFlight | None = None
 
 
 class World:
-    """Everything, with one clock and one source of chance."""
+    """All controllers, services, workers and users, with one clock and one random generator."""
 
     def __init__(
         self,
@@ -79,9 +79,9 @@
         options: Options = _DEFAULTS,
     ) -> None:
         self.options = options
-        # Whether controllers relay reports; batches that come twice, and what they take beyond the usual.
+        # Whether controllers relay heartbeats; whether batches arrive twice, and their additional delay.
         self.relays, self.relays_from = relays, 8.0
-        self.batches_twice, self.batches_late_s = False, 0.0
+        self.duplicates_batches, self.batch_delay_s = False, 0.0
         self.zones = zones or ZONES
         self.now = 0.0
         self.rng = random.Random(seed)
@@ -114,70 +114,68 @@
             8.0,
         )
         self.workers: dict[str, SimWorker] = {}
-        self.troubles: dict[str, set[str]] = {}
+        self.faults: dict[str, set[str]] = {}
         self.gangs = GangStandIn(
             lambda: self.now,
             self.settings.deployment.workers.gang_peer_s,
             self.workers.values,
-            lambda worker: "hang" in self.troubles.get(worker.name, ()),
+            lambda worker: "hang" in self.faults.get(worker.name, ()),
             self._completed,
         )
-        self.lose_launches = 0
-        # How many times as often users ask; 0: as usual.
+        self.launch_responses_to_lose = 0
+        # How many times as often users poll; 0: as usual.
         self.poll_factor = 0
-        # What boots that begin now take, as a multiple of the usual; 0: the usual.
+        # Duration of boots that begin now, as a multiple of the usual one; 0: the usual one.
         self.boot_factor = 0.0
-        # Shares of transactions that get no answer: those carried out at once, and those carried out late.
-        self.lost_answers = self.late_writes = 0.0
-        # What messages between controllers and workers take beyond the usual, each way.
-        self.link_s = 0.0
-        # A zone that is cut off from everything.
-        self.cut: str | None = None
+        # Shares of transactions that get no response: those applied at once, and those applied late.
+        self.dropped_response_share = self.delayed_commit_share = 0.0
+        # Additional delay of messages between controllers and workers, each way.
+        self.link_delay_s = 0.0
+        # A zone that is isolated from everything.
+        self.isolated_zone: str | None = None
         # Two zones that can't reach each other.
-        self.partition: set[str] = set()
+        self.partitioned_zones: set[str] = set()
         self.jobs: dict[str, Data] = {}
         self.cancelled_at: dict[str, float] = {}
-        self.told: dict[str, str] = {}
+        self.observed_status: dict[str, str] = {}
         self.finished: set[str] = set()
         self.starts: dict[str, int] = {}
-        self.broken: list[str] = []
-        # When all troubles were over; from then on the rules for jobs that are left alone hold as well.
-        self.calm_at = float("inf")
+        self.violations: list[str] = []
+        # When all faults had ended; from then on the rules for liveness hold as well.
+        self.liveness_checked_from = float("inf")
         self.answered_at: dict[str, float] = {}
-        self.waiting_since: dict[str, float] = {}
-        # Calls of the leaders' dearer steps, by name.
+        self.pending_since: dict[str, float] = {}
+        # Calls of the leaders' more expensive steps, by name.
         self.work: Counter[str] = Counter()
-        # Hears of each step of a transfer of shares: who carries it out, and how far it is.
+        # Called at each step of a quota transfer, with the node that commits it and the stage.
         self.on_transfer_step: Callable[[SimNode, str], None] = lambda node, stage: None
         self.nodes = [SimNode(self, member) for member in self.members]
-        # Share of reports of which a copy comes again; and whether copies are kept for the next leader.
-        self.copied = 0.0
-        self.keep_copies = False
-        self._kept: list[Data] = []
-        # What users do beside their work: see `do_close_looks` and `do_odd_requests` of the scenarios.
-        self.close_looks = self.odd_requests = False
-        self.cancel_at_end = 0.0
-
-    def severed(self, one: str, other: str) -> bool:
-        """Whether a cut or a partition lies between two zones."""
-        return one != other and (self.cut in (one, other) or self.partition == {one, other})
-
-    def carry_out_late(self, body: Data) -> None:
-        """A transaction whose caller has given it up reaches the state service."""
+        # Share of heartbeats that are duplicated; whether duplicates are held for the next leader.
+        self.duplicated_heartbeat_share = 0.0
+        self.duplicates_to_next_leader = False
+        self._held_duplicates: list[Data] = []
+        # Additional requests of users: see `do_poll_all_nodes` and `do_invalid_requests` of the scenarios.
+        self.polls_all_nodes = self.sends_invalid_requests = False
+        self.cancelled_on_completion_share = 0.0
+
+    def is_partitioned(self, one: str, other: str) -> bool:
+        """Whether an isolation or a partition separates two zones."""
+        return one != other and (self.isolated_zone in (one, other) or self.partitioned_zones == {one, other})
+
+    def commit_delayed(self, body: Data) -> None:
+        """A transaction whose caller has timed out reaches the state service."""
         if self.state.down:
-            self.after(1.0, lambda: self.carry_out_late(body))
+            self.after(1.0, lambda: self.commit_delayed(body))
         else:
             self.state.commit(body)
 
-    # -- time --------------------------------------------------------------------------------------
-
     def after(self, delay: float, work: Callable[[], None]) -> None:
-        """Do something later."""
+        """Schedule a call after a delay."""
         self._count += 1
         heapq.heappush(self._heap, (self.now + delay, self._count, work))
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Advance the clock to a time."""
         while self.now < until:
             target = min(until, self.now + STEP_S)
             while self._heap and self._heap[0][0] <= target:
@@ -196,7 +194,7 @@
             worker = self.workers[changed.name]
             worker.next_heartbeat = min(worker.next_heartbeat, max(self.now, worker.busy_until))
         for index, node in enumerate(self.nodes):
-            if not node.alive and self.now >= node.back_at:
+            if not node.alive and self.now >= node.restart_at:
                 node.boot()
             if node.alive and tick % 10 == index:
                 node.step()
@@ -208,10 +206,8 @@
         if tick % poll_ticks == _POLL_PHASE % poll_ticks:
             self._poll()
 
-    # -- machines ----------------------------------------------------------------------------------
-
     def add_worker(self, name: str) -> SimWorker:
-        """A machine is up: its worker begins."""
+        """A machine is up: start its worker."""
         machine = self.cloud.machines[name]
         machine["status"] = "running"
         build = next(b for b in self.cloud.machine_types if b["name"] == machine["build"])
@@ -246,54 +242,59 @@
                 self.add_worker(name)
 
     def end_worker(self, name: str) -> None:
-        """A machine is gone with all that is on it."""
+        """A machine is lost, with all its tasks."""
         worker = self.workers.pop(name, None)
         if worker is not None:
             worker.gone = True
 
     def _step_worker(self, worker: SimWorker) -> None:
-        how = self.troubles.get(worker.name, set())
-        if "hang" in how:
+        faults = self.faults.get(worker.name, set())
+        if "hang" in faults:
             worker.expire()
             return
         changed = worker.step()
-        if worker.awaits is not None and not self._still_awaits(worker):
+        if worker.in_flight is not None and not self._response_settled(worker):
             return
-        if worker.held_commands and "hold" not in how and self.cut is None and not self.partition:
-            # What was held back comes in order once the way is free, whoever still waits for it.
+        if (
+            worker.held_commands
+            and "hold" not in faults
+            and self.isolated_zone is None
+            and not self.partitioned_zones
+        ):
+            # Held commands arrive in order once the link is free, though their senders may have timed out.
             held, worker.held_commands = worker.held_commands, []
             for body in held:
                 worker.do(body)
         if changed:
             worker.next_heartbeat = min(worker.next_heartbeat, max(self.now, worker.busy_until))
         if self.now >= worker.next_heartbeat and self.now >= worker.busy_until:
-            self._heartbeat(worker, how)
+            self._heartbeat(worker, faults)
 
-    def _still_awaits(self, worker: SimWorker) -> bool:
-        """A report that is relayed has no answer yet; False while its worker goes on waiting for it."""
-        flight = worker.awaits
+    def _response_settled(self, worker: SimWorker) -> bool:
+        """Time out a heartbeat in flight; False while its worker still waits for the response."""
+        flight = worker.in_flight
         assert flight is not None
-        if flight.node.alive and self.now - flight.sent_at < _PATIENCE_S:
+        if flight.node.alive and self.now - flight.sent_at < _RESPONSE_TIMEOUT_S:
             return False
-        worker.awaits = None
+        worker.in_flight = None
         worker.node = (worker.node + 1) % 3
         worker.busy_until = self.now + 1.0
         return True
 
-    def _heartbeat(self, worker: SimWorker, how: set[str]) -> None:
+    def _heartbeat(self, worker: SimWorker, faults: set[str]) -> None:
         heartbeat_interval_s = self.settings.deployment.workers.heartbeat_interval_s
         worker.next_heartbeat = self.now + heartbeat_interval_s * self.rng.uniform(0.75, 1.25)
-        worker.busy_until = self.now + max(0.5, 2 * self.link_s)
+        worker.busy_until = self.now + max(0.5, 2 * self.link_delay_s)
         node = self.nodes[worker.node]
         body, flight = worker.heartbeat(), InFlight(node, self.now, worker.incarnation)
-        refuses = node.cut_workers and not node.drops_workers
-        if not node.alive or refuses or "silent" in how:
+        is_refused = node.lost_workers and not node.drops_heartbeats
+        if not node.alive or is_refused or "drop_heartbeats" in faults:
             worker.node = (worker.node + 1) % 3
             worker.busy_until = self.now + 1.0
             return
 
-        if node.frozen or node.drops_workers or self.severed(node.zone, worker.zone):
-            # No answer for four seconds, and a second to the next.
+        if node.frozen or node.drops_heartbeats or self.is_partitioned(node.zone, worker.zone):
+            # No response for four seconds, and a second until the next heartbeat.
             worker.node = (worker.node + 1) % 3
             worker.busy_until = self.now + 5.0
             return
@@ -301,70 +302,68 @@
         def arrive() -> None:
             if not node.alive:
                 return
-            if self.copied and self.rng.random() < self.copied:
-                if self.keep_copies:
-                    self._kept.append(body)
+            if self.duplicated_heartbeat_share and self.rng.random() < self.duplicated_heartbeat_share:
+                if self.duplicates_to_next_leader:
+                    self._held_duplicates.append(body)
                 else:
-                    self.after(self.rng.uniform(1.0, 25.0), lambda: self._copy(body))
+                    self.after(self.rng.uniform(1.0, 25.0), lambda: self._deliver_duplicate(body))
             self.work["reports"] += 1
             if node.relays_heartbeats():
                 self.work["relayed"] += 1
-                worker.awaits = flight
+                worker.in_flight = flight
             wait_s = node.departure_wait_s(body)
             if wait_s:
-                worker.awaits = flight
+                worker.in_flight = flight
             node.receive_heartbeat(body, respond, wait_s)
 
         def respond(status: int, answer: Data) -> None:
-            self._answered(worker, how, flight, status, answer)
+            self._answered(worker, faults, flight, status, answer)
 
-        self.after(0.002 + self.link_s, arrive)
+        self.after(0.002 + self.link_delay_s, arrive)
 
     def _answered(
-        self, worker: SimWorker, how: set[str], flight: InFlight, status: int, answer: Data
+        self, worker: SimWorker, faults: set[str], flight: InFlight, status: int, answer: Data
     ) -> None:
-        """An answer to a report leaves its node."""
-        if worker.awaits is not None and worker.awaits is not flight:
-            # The worker gave this report up, and sent another one.
+        """A node sends the response to a heartbeat."""
+        if worker.in_flight is not None and worker.in_flight is not flight:
+            # The worker timed out on this heartbeat, and sent another one.
             return
-        node, relayed = flight.node, worker.awaits is not None
-        worker.awaits = None
-        if relayed and (worker.gone or node.cut_workers or self.severed(node.zone, worker.zone)):
+        node, relayed = flight.node, worker.in_flight is not None
+        worker.in_flight = None
+        if relayed and (worker.gone or node.lost_workers or self.is_partitioned(node.zone, worker.zone)):
             worker.busy_until = self.now + 1.0
-        elif "deaf" in how or "hold" in how:
+        elif "drop_inbound" in faults or "hold" in faults:
             worker.busy_until = self.now + 4.0
         elif status == 200:
             if relayed and answer["baton"] < node.lowest_fencing_token():
-                self.broken.append(f"not_entitled: {node.member} answers for token {answer['baton']}")
+                self.violations.append(f"not_entitled: {node.member} answers for token {answer['baton']}")
             sent_at, shift = flight.sent_at, flight.incarnation
-            self.after(0.002 + self.link_s, lambda: worker.answered(answer, sent_at, shift))
+            self.after(0.002 + self.link_delay_s, lambda: worker.answered(answer, sent_at, shift))
         else:
             member = answer.get("foreman")
             worker.busy_until = self.now + (0.2 if member and member != node.member else 1.0)
             worker.node = self.members.index(member) if member else (worker.node + 1) % 3
 
-    def a_leader_begins(self, node: SimNode) -> None:
-        """Copies that were kept for it reach every node, the newest of each machine first."""
-        kept, self._kept = self._kept, []
+    def leader_elected(self, node: SimNode) -> None:
+        """Held duplicates reach every node, the newest of each machine first."""
+        held, self._held_duplicates = self._held_duplicates, []
 
         def arrive() -> None:
-            for body in reversed(kept):
+            for body in reversed(held):
                 for other in self.nodes:
                     if other.alive and not other.frozen:
                         other.handle_heartbeat(body)
 
         self.after(0.01, arrive)
 
-    def _copy(self, body: Data) -> None:
-        """A late copy of a report reaches some node; whatever it answers reaches nobody."""
+    def _deliver_duplicate(self, body: Data) -> None:
+        """A late duplicate of a heartbeat reaches some node; its response is dropped."""
         node = self.rng.choice(self.nodes)
         if node.alive:
             node.handle_heartbeat(body)
 
-    # -- users -------------------------------------------------------------------------------------
-
     def leader(self) -> SimNode | None:
-        """The node that the leader's key names, if it runs."""
+        """The node that the leader key names, if it runs."""
         held = self.state.keys.get(LEADER_KEY)
         for node in self.nodes:
             if held is not None and node.member == held[0]["member"] and node.alive:
@@ -372,42 +371,44 @@
         return None
 
     def submit(self, job: Data) -> HttpResponse:
-        """A user submits, and tries again until the answer is final."""
+        """A user submits, and retries until the response is final."""
         self.jobs[job["nameId"]] = job
         result = self._any_node(lambda node: node.users.submit(encode(wire(job))))
         if result is None or result[0] in (429, 503):
             self.after(1.0, lambda: self._resubmit(job))
             return result or http_response(503)
         if result[0] in (200, 201):
-            self.work["jobs"] += job["nameId"] not in self.told
-            self._tell(job["nameId"], result[1]["status"])
-            self._look_closely(job["nameId"])
+            self.work["jobs"] += job["nameId"] not in self.observed_status
+            self._observe_status(job["nameId"], result[1]["status"])
+            self._poll_all_nodes(job["nameId"])
         return result
 
     def _resubmit(self, job: Data) -> None:
         self.submit(job)
 
     def cancel(self, job_id: str, nodes: list[SimNode] | None = None) -> None:
-        """A user cancels, at some node or at one of these, and tries again until the answer is final."""
+        """A user cancels, at any node or at one of these, and retries until the response is final."""
         result = self._any_node(lambda node: node.users.abort(job_id), nodes)
         if result is None or result[0] != 200:
             self.after(1.0, lambda: self.cancel(job_id, nodes))
             return
         if result[1]["status"] == "cancelled":
             self.cancelled_at.setdefault(job_id, self.now)
-        self._tell(job_id, result[1]["status"])
-        self._look_closely(job_id)
+        self._observe_status(job_id, result[1]["status"])
+        self._poll_all_nodes(job_id)
 
     def _any_node(
         self, ask: Callable[[SimNode], HttpResponse], nodes: list[SimNode] | None = None
     ) -> HttpResponse | None:
-        among = self.nodes if nodes is None else nodes
-        alive = [node for node in among if node.alive and not node.frozen and node.zone != self.cut]
+        candidates = self.nodes if nodes is None else nodes
+        alive = [
+            node for node in candidates if node.alive and not node.frozen and node.zone != self.isolated_zone
+        ]
         return ask(self.rng.choice(alive)) if alive else None
 
-    def _look_closely(self, job_id: str) -> None:
-        """Users ask at all nodes at once, and repeat the submission: none may answer something older."""
-        if not self.close_looks:
+    def _poll_all_nodes(self, job_id: str) -> None:
+        """Users poll all nodes at once, and repeat the submission: none may return an older status."""
+        if not self.polls_all_nodes:
             return
         for node in self.nodes:
             if not node.alive or node.frozen:
@@ -418,82 +419,84 @@
                 node.users.poll(job_id),
             ):
                 if answer[0] in (400, 404, 422):
-                    self.broken.append(f"forgotten: {job_id} gets {answer[0]} from {node.member}")
+                    self.violations.append(f"forgotten: {job_id} gets {answer[0]} from {node.member}")
                 elif answer[0] in (200, 201):
-                    self._tell(job_id, answer[1]["status"])
+                    self._observe_status(job_id, answer[1]["status"])
 
-    def ask_oddly(self) -> None:
-        """Users repeat submissions, cancel what is done, and send what can't be taken."""
-        told = self.rng.choice(sorted(self.told)) if self.told else None
+    def send_invalid_requests(self) -> None:
+        """Users repeat submissions, cancel completed jobs, and send invalid requests."""
+        job_id = self.rng.choice(sorted(self.observed_status)) if self.observed_status else None
         for node in self.nodes:
-            if not node.alive or node.frozen or node.zone == self.cut:
+            if not node.alive or node.frozen or node.zone == self.isolated_zone:
                 continue
-            if told is not None:
-                answer = node.users.submit(encode(wire(self.jobs[told])))
-                self._expect_status(answer, (200,), f"repeat of {told}")
-                if self.told[told] in ("done", "cancelled"):
-                    answer = node.users.abort(told)
-                    self._expect_status(answer, (200,), f"cancelling {told}")
+            if job_id is not None:
+                answer = node.users.submit(encode(wire(self.jobs[job_id])))
+                self._expect_status(answer, (200,), f"repeat of {job_id}")
+                if self.observed_status[job_id] in ("done", "cancelled"):
+                    answer = node.users.abort(job_id)
+                    self._expect_status(answer, (200,), f"cancelling {job_id}")
                     if answer[0] == 200:
-                        self._tell(told, answer[1]["status"])
-            odd = wire(submission("job-900000", {"accelerators": 64.0}))
-            self._expect_status(node.users.submit(encode(odd)), (422,), "fits no machine")
-            del odd["chores"]
-            self._expect_status(node.users.submit(encode(odd)), (400,), "lacks a field")
+                        self._observe_status(job_id, answer[1]["status"])
+            invalid = wire(submission("job-900000", {"accelerators": 64.0}))
+            self._expect_status(node.users.submit(encode(invalid)), (422,), "fits no machine")
+            del invalid["chores"]
+            self._expect_status(node.users.submit(encode(invalid)), (400,), "lacks a field")
             for answer in (node.users.poll("job-900000"), node.users.abort("job-900000")):
                 self._expect_status(answer, (404,), "never submitted")
 
-    def _expect_status(self, answer: HttpResponse, right: tuple[int, ...], what: str) -> None:
+    def _expect_status(self, answer: HttpResponse, allowed_statuses: tuple[int, ...], what: str) -> None:
         if answer[0] in (429, 503):
             if "Retry-After" not in answer[2]:
-                self.broken.append(f"{what}: {answer[0]} without a time to come back")
-        elif answer[0] not in right:
-            self.broken.append(f"{what}: {answer[0]}")
+                self.violations.append(f"{what}: {answer[0]} without Retry-After")
+        elif answer[0] not in allowed_statuses:
+            self.violations.append(f"{what}: {answer[0]}")
 
     def _poll(self) -> None:
-        for job_id in list(self.told):
+        for job_id in list(self.observed_status):
             result = self._any_node(lambda node, asked=job_id: node.users.poll(asked))  # type: ignore[misc]
             if result is None:
                 continue
             if result[0] == 404:
-                self.broken.append(f"forgotten: {job_id}")
+                self.violations.append(f"forgotten: {job_id}")
             elif result[0] == 200:
                 self.answered_at[job_id] = self.now
-                self._tell(job_id, result[1]["status"])
+                self._observe_status(job_id, result[1]["status"])
 
-    def _tell(self, job_id: str, status: str) -> None:
-        before = self.told.get(job_id)
+    def _observe_status(self, job_id: str, status: str) -> None:
+        before = self.observed_status.get(job_id)
         if before in ("done", "cancelled") and status != before:
-            self.broken.append(f"went_back: {job_id} from {before} to {status}")
+            self.violations.append(f"went_back: {job_id} from {before} to {status}")
         job = self.jobs[job_id]
         if status == "done":
             left = [i for i in range(job["chores"]) if f"{job_id}/{i}" not in self.finished]
             if left:
-                self.broken.append(f"not_done: {job_id} lacks {len(left)} tasks")
-        self.told[job_id] = status
-
-    # -- rules -------------------------------------------------------------------------------------
+                self.violations.append(f"not_done: {job_id} lacks {len(left)} tasks")
+        self.observed_status[job_id] = status
 
     def _completed(self, task: str) -> None:
         self.finished.add(task)
         job = self.jobs[task.rpartition("/")[0]]
         left = [i for i in range(job["chores"]) if f"{job['nameId']}/{i}" not in self.finished]
-        if not left and self.cancel_at_end and self.rng.random() < self.cancel_at_end:
+        if (
+            not left
+            and self.cancelled_on_completion_share
+            and self.rng.random() < self.cancelled_on_completion_share
+        ):
             self.cancel(job["nameId"])
 
     def settled(self) -> list[str]:
-        """Jobs that ought to have come to their end, or to run, and have not."""
+        """Jobs that should have completed, or should run, and do not."""
         up = Counter(task.rpartition("/")[0] for _, task in self._running())
         bad = []
         for job_id, job in self.jobs.items():
-            told = self.told.get(job_id)
-            if told is None:
+            status = self.observed_status.get(job_id)
+            if status is None:
                 bad.append(f"{job_id} was never accepted")
-            elif told == "cancelled" or (job["shape"] != "service" and told == "done"):
+            elif status == "cancelled" or (job["shape"] != "service" and status == "done"):
                 if up[job_id]:
-                    bad.append(f"{job_id} is {told} and has {up[job_id]} tasks up")
+                    bad.append(f"{job_id} is {status} and has {up[job_id]} running tasks")
             elif job["shape"] != "service" or up[job_id] != job["chores"]:
-                bad.append(f"{job_id} is {told} with {up[job_id]} tasks up")
+                bad.append(f"{job_id} is {status} with {up[job_id]} running tasks")
         return bad
 
     def _describe(self, task: str) -> Data | None:
@@ -505,7 +508,7 @@
 
     @staticmethod
     def _allowed(worker: WorkerStandIn, job: Data) -> bool:
-        """Whether a job may use a machine, its other tasks aside."""
+        """Whether a job's constraints allow a machine, regardless of its other tasks."""
         return bool(
             (job["builds"] is None or worker.machine_type["name"] in job["builds"])
             and (job["paddock"] is None or worker.zone == job["paddock"])
@@ -519,7 +522,7 @@
         job = self.jobs[job_id]
         others = [(w, t) for w, t in self._running() if w is not worker]
         if any(t == task for _, t in others):
-            self.broken.append(f"ran_twice: {task} at {self.now:.1f}")
+            self.violations.append(f"ran_twice: {task} at {self.now:.1f}")
         allowed = self._allowed(worker, job)
         zones = [w.zone for w, t in self._running() if t.rpartition("/")[0] == job_id]
         if job["samePlace"] and len(set(zones)) > 1:
@@ -527,11 +530,11 @@
         if job["apart"] and zones.count(worker.zone) > (job["chores"] + 1) // 2:
             allowed = False
         if not allowed:
-            self.broken.append(f"wrong_place: {task} on {worker.name}")
+            self.violations.append(f"wrong_place: {task} on {worker.name}")
         self._check()
 
-    def _check_left_alone(self) -> None:
-        """Once troubles are over: no question goes unanswered for 75 s, no job waits 90 s beside room."""
+    def _check_liveness(self) -> None:
+        """Once faults are over: no poll fails for 75 s, and no job waits 90 s beside free capacity."""
         used: Counter[str] = Counter()
         begun = set()
         for _, task in self._running():
@@ -539,29 +542,29 @@
             used[self.jobs[job_id]["crew"]] += self.jobs[job_id]["accelerators"]
             begun.add(job_id)
         limits = {team.name: team.accelerators_max or float("inf") for team in self.settings.deployment.teams}
-        for job_id, told in self.told.items():
+        for job_id, status in self.observed_status.items():
             job = self.jobs[job_id]
-            if self.now - max(self.answered_at.get(job_id, 0.0), self.calm_at) > 75.0:
-                self.broken.append(f"forgotten: {job_id} at {self.now:.1f}")
-            waits = told == "pending" and job_id not in begun and not job.get("mistake")
+            if self.now - max(self.answered_at.get(job_id, 0.0), self.liveness_checked_from) > 75.0:
+                self.violations.append(f"forgotten: {job_id} at {self.now:.1f}")
+            is_pending = status == "pending" and job_id not in begun and not job.get("mistake")
             at_once = job["chores"] if job["shape"] == "group" else 1
-            under = used[job["crew"]] + job["accelerators"] * at_once <= limits[job["crew"]]
-            if not (waits and under and self._have_room(job, at_once)):
-                self.waiting_since.pop(job_id, None)
-            elif self.now - self.waiting_since.setdefault(job_id, self.now) > 90.0:
-                self.broken.append(f"left_waiting: {job_id} at {self.now:.1f}")
-
-    def _have_room(self, job: Data, tasks: int) -> bool:
-        """Whether machines have room for so many tasks, in one zone if the job asks for that."""
-        rooms: Counter[str] = Counter()
+            within_limit = used[job["crew"]] + job["accelerators"] * at_once <= limits[job["crew"]]
+            if not (is_pending and within_limit and self._have_capacity(job, at_once)):
+                self.pending_since.pop(job_id, None)
+            elif self.now - self.pending_since.setdefault(job_id, self.now) > 90.0:
+                self.violations.append(f"left_waiting: {job_id} at {self.now:.1f}")
+
+    def _have_capacity(self, job: Data, tasks: int) -> bool:
+        """Whether machines have capacity for so many tasks, in one zone if the job requires that."""
+        free_by_zone: Counter[str] = Counter()
         for worker in self.workers.values():
             if self._allowed(worker, job) and worker.notice_s is None and not worker.faulty:
-                rooms[worker.zone if job["samePlace"] else "any"] += worker.free_copies(job, tasks)
-        return max(rooms.values(), default=0) >= tasks
+                free_by_zone[worker.zone if job["samePlace"] else "any"] += worker.free_copies(job, tasks)
+        return max(free_by_zone.values(), default=0) >= tasks
 
     def _check(self) -> None:
-        if self.now > self.calm_at:
-            self._check_left_alone()
+        if self.now > self.liveness_checked_from:
+            self._check_liveness()
         cancel_s = self.settings.deployment.workers.cancel_s
         used: dict[str, float] = {}
         for _, task in self._running():
@@ -569,7 +572,7 @@
             job = self.jobs[job_id]
             used[job["crew"]] = used.get(job["crew"], 0.0) + job["accelerators"]
             if self.now > self.cancelled_at.get(job_id, float("inf")) + cancel_s:
-                self.broken.append(f"ran_cancelled: {task} at {self.now:.1f}")
+                self.violations.append(f"ran_cancelled: {task} at {self.now:.1f}")
         for team in self.settings.deployment.teams:
             if team.accelerators_max and used.get(team.name, 0.0) > team.accelerators_max + 1e-6:
-                self.broken.append(f"quota: {team.name} at {self.now:.1f}")
+                self.violations.append(f"quota: {team.name} at {self.now:.1f}")
