--- a/src/poppyhold/execution/attempt_lifecycle.py
+++ b/src/poppyhold/execution/attempt_lifecycle.py
@@ -17,7 +17,7 @@
 
 
 class AttemptLifecycle:
-    """Starts, stops and removes attempts, and notifies their gangs."""
+    """Starts, stops and removes attempts, and notifies their gang attempts."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         attempt = Attempt(job, index, number, machine, machine.incarnation, now)
         for victim in victims:
             self.stop(victim, 0.0, now, direct=False)
-        if now < machine.unreliable_until:
+        if now < machine.connection_unreliable_until:
             attempt.start_channel = StartChannel.HEARTBEAT_RESPONSE
         else:
             attempt.start_channel = StartChannel.DIRECT
@@ -69,17 +69,17 @@
         return attempt
 
     def stop(self, attempt: Attempt, grace_s: float, now: float, direct: bool = True) -> None:
-        """Stop an attempt; the command is repeated until the attempt is proven terminated.
+        """Stop an attempt; heartbeat responses repeat the command until the attempt is proven terminated.
 
         Args:
             attempt: The attempt.
-            grace_s: Time in seconds that its task has to save.
+            grace_s: Seconds that its task has to save; an earlier, shorter grace period stays.
             now: The current time.
             direct: Whether to also send the command directly; heartbeat responses carry it in any case.
 
         """
-        if attempt.stopping_at is None:
-            attempt.stopping_at = now
+        if attempt.stop_requested_at is None:
+            attempt.stop_requested_at = now
             attempt.grace_s = grace_s
         else:
             attempt.grace_s = min(attempt.grace_s, grace_s)
@@ -100,7 +100,7 @@
         if attempt.status != TaskState.SENT:
             return
         if outcome in (RequestOutcome.REJECTED, RequestOutcome.NOT_SENT):
-            # The start was not executed, and can't be later.
+            # The start was not executed, and won't be.
             self.mark_terminated(attempt)
         elif outcome == RequestOutcome.UNKNOWN:
             attempt.void_at_fencing_token = self._ctx.fencing_token + 1
--- a/src/poppyhold/execution/failures.py
+++ b/src/poppyhold/execution/failures.py
@@ -1,8 +1,8 @@
-"""Failed tasks: whether the job is at fault, which fails on every machine, or the machine.
+"""Failed tasks, and whether the job or the machine is at fault.
 
-A job at fault is retried with growing backoff, one task at a time, until its user cancels it. A machine at
-fault is deleted. Success tells them apart: a task that completed, or that has run for much longer elsewhere
-than the failed ones ran, shows that its job is healthy, and a completed one also that its machine is.
+A job at fault is retried with exponential backoff, one task at a time, until its user cancels it. A machine
+at fault is deleted. A completed task shows that its job and its machine are healthy; a task that has run for
+much longer on another machine than the failed ones ran shows that its job is.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 _MAX_FAILED_MACHINES = 2
 # Healthy jobs that fail on a machine before it is at fault; a single one may fail for another reason.
 _MIN_HEALTHY_JOBS = 2
-# The same where it is not known whether the jobs are healthy.
+# The same, if jobs that may be healthy count too.
 _MIN_UNPROVEN_JOBS = 3
 # A task that runs this many times as long as the failed ones did shows that its job is healthy.
 _HEALTHY_RUN_FACTOR = 2
@@ -52,13 +52,13 @@
         record = job.failures
         if attempt.running_at is not None:
             record.longest_run_s = max(record.longest_run_s, now - attempt.running_at)
-        record.machines.add(machine.name)
-        if attempt.sent_at > record.last_failed_at:
+        record.failed_machines.add(machine.name)
+        if attempt.created_at > record.last_failed_at:
             # Tasks that were started together count once: backoff doesn't depend on the width of the array.
-            record.rounds += 1
+            record.failure_rounds += 1
         record.last_failed_at = now
-        # A healthy job's backoff is not doubled: its task only has to avoid the machine.
-        doublings = 0 if job.done else min(record.rounds, _MAX_BACKOFF_DOUBLINGS)
+        # The backoff of a job with a completed task is not doubled: its task only has to avoid the machine.
+        doublings = 0 if job.done else min(record.failure_rounds, _MAX_BACKOFF_DOUBLINGS)
         job.retry_at = now + min(
             self._durations.heartbeat_interval_s * 2**doublings, self._durations.cancel_s
         )
@@ -67,19 +67,19 @@
             log.info(
                 "job at fault, starting one task at a time: job=%s failed_machines=%d",
                 job.id,
-                len(record.machines),
+                len(record.failed_machines),
             )
             record.at_fault = True
             self._on_fault_status_changed(job)
 
     @staticmethod
     def _fails_everywhere(job: Job) -> bool:
-        return not job.done and len(job.failures.machines) > _MAX_FAILED_MACHINES
+        return not job.done and len(job.failures.failed_machines) > _MAX_FAILED_MACHINES
 
     def load(self, job: Job) -> None:
-        """Adopt an earlier leader's finding that a job is at fault."""
+        """Track a job that an earlier leader found to be at fault."""
         if job.failures.at_fault:
-            job.failures.rounds = _MAX_BACKOFF_DOUBLINGS
+            job.failures.failure_rounds = _MAX_BACKOFF_DOUBLINGS
             self._suspected[job.id] = job
 
     def task_completed(self, attempt: Attempt) -> None:
@@ -88,7 +88,7 @@
         Its job is healthy, and so is its machine if the task was started after the last error there.
         """
         errors = attempt.machine.task_errors
-        if errors and attempt.sent_at > max(error.occurred_at for error in errors.values()):
+        if errors and attempt.created_at > max(error.occurred_at for error in errors.values()):
             errors.clear()
         if attempt.job.id in self._suspected:
             self._mark_healthy(attempt.job)
@@ -104,19 +104,19 @@
 
     def _outlasts(self, attempt: Attempt, now: float) -> bool:
         record = attempt.job.failures
-        if attempt.running_at is None or attempt.machine.name in record.machines:
+        if attempt.running_at is None or attempt.machine.name in record.failed_machines:
             return False
         return now - attempt.running_at > _HEALTHY_RUN_FACTOR * (
             record.longest_run_s + self._durations.heartbeat_interval_s
         )
 
     def _mark_healthy(self, job: Job) -> None:
-        """Clear a job's failures, but not how long its tasks ran: the success may have been chance."""
+        """Clear a job's failures, but not the longest failed run: the success may have been chance."""
         del self._suspected[job.id]
         record = job.failures
         record.last_healthy_at = self._clock()
-        record.rounds = 0
-        record.machines.clear()
+        record.failure_rounds = 0
+        record.failed_machines.clear()
         job.retry_at = 0.0
         if record.at_fault:
             record.at_fault = False
@@ -135,7 +135,7 @@
         return healthy >= _MIN_HEALTHY_JOBS or healthy + unproven >= _MIN_UNPROVEN_JOBS
 
     def is_suspect(self, machine: Machine) -> bool:
-        """Whether to use a machine last, until it is known whether the machine or the job is at fault."""
+        """Whether recent errors on a machine may be its own fault; placement then uses it last."""
         recent = self._clock() - self._durations.cancel_s
         return any(
             error.machine_may_be_at_fault and error.occurred_at > recent
--- a/src/poppyhold/execution/heartbeat_commands.py
+++ b/src/poppyhold/execution/heartbeat_commands.py
@@ -9,21 +9,21 @@
 
 
 def stop_command(attempt: Attempt, now: float) -> Command:
-    """Return the command that stops an attempt; without grace once its grace period has passed."""
+    """Return the command that stops an attempt, with a grace period of 0 once its own has passed."""
     grace_s = attempt.grace_s
-    if attempt.stopping_at is not None and now > attempt.stopping_at + grace_s:
+    if attempt.stop_requested_at is not None and now > attempt.stop_requested_at + grace_s:
         grace_s = 0.0
     return Command(CommandKind.STOP, attempt.name, attempt.number, grace_s)
 
 
 class HeartbeatCommands:
-    """Selects commands by comparing a heartbeat with the attempts that the machine should hold."""
+    """Selects commands by comparing a heartbeat with the attempts that are recorded for the machine."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
 
     def commands_for_new_heartbeat(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
-        """Return all commands that are due after a heartbeat that was applied."""
+        """Return all commands that are due in the response to a heartbeat that was applied."""
         commands: list[Command] = []
         for task in heartbeat.tasks:
             if task.status == TaskState.EXITED:
@@ -32,7 +32,7 @@
             elif task.task in machine.unknown_tasks:
                 commands.append(Command(CommandKind.STOP, task.task, task.attempt, 0.0))
         for attempt in machine.attempts.values():
-            if attempt.stopping_at is not None:
+            if attempt.stop_requested_at is not None:
                 commands.append(stop_command(attempt, now))
             elif (
                 attempt.status == TaskState.SENT
@@ -46,14 +46,14 @@
     def stop_commands(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
         """Return stops for all tasks that must not run: every response that renews a lease carries them.
 
-        A heartbeat that proves nothing may still be the worker's own, and its response the last one that
-        arrives: without these stops, a task cancelled long ago would run until the lease expires. A stop of a
-        task that is not on the machine has no effect, and the sender of a duplicate drops the response.
+        A worker may await the response to a heartbeat that is not applied, and it may be the last to arrive:
+        without these stops, a task cancelled long ago would run until the lease expires. A stop of a task
+        that is not on the machine has no effect, and the response to a duplicate is dropped.
         """
         commands = [
             stop_command(attempt, now)
             for attempt in machine.attempts.values()
-            if attempt.stopping_at is not None
+            if attempt.stop_requested_at is not None
         ]
         for task in heartbeat.tasks:
             job = self._ctx.fleet.jobs.get(split_task(task.task)[0])
--- a/src/poppyhold/quota/cell_view.py
+++ b/src/poppyhold/quota/cell_view.py
@@ -1,4 +1,4 @@
-"""A cell as other cells and operators see it."""
+"""The view of a cell that is sent to other cells and to operators."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from poppyhold.model.fleet import Fleet
 from poppyhold.model.resources import ACCELERATORS, CPUS
 from poppyhold.quota.alarms import Alarms
-from poppyhold.quota.amounts import TeamAmount, to_units
+from poppyhold.quota.amounts import TeamAmount, to_thousandths
 from poppyhold.quota.demand import TeamDemand
 from poppyhold.quota.ledger import AllocationLedger
 from poppyhold.quota.messages import CellView, PeerView, TeamView
@@ -16,7 +16,7 @@
 
 
 class CellViewBuilder:
-    """Builds the view of this cell, and keeps it until something has changed."""
+    """Builds the view of this cell, and caches it until something changes."""
 
     def __init__(
         self, cell: str, ledger: AllocationLedger, fleet: Fleet, offers: TransferOffers, alarms: Alarms
@@ -26,7 +26,7 @@
         self._current: CellView | None = None
 
     def invalidate(self) -> None:
-        """Something has changed: the next view is built anew."""
+        """Discard the cached view after a change."""
         self._current = None
 
     def current(self, demands: Mapping[str, TeamDemand]) -> CellView:
@@ -40,7 +40,7 @@
             self._team_view(team, record, demands.get(team)) for team, record in self._ledger.records.items()
         ]
         peers = [
-            PeerView(cell, peer.sent, peer.applied, peer.in_transit)
+            PeerView(cell, peer.last_sent, peer.last_applied, peer.in_transit)
             for cell, peer in self._ledger.peers.items()
         ]
         return CellView(self._cell, self._ledger.incarnation, teams, peers, self._alarms.texts())
@@ -54,8 +54,8 @@
             team,
             record.allocation,
             record.total,
-            to_units(used[CPUS]),
-            to_units(used[ACCELERATORS]),
+            to_thousandths(used[CPUS]),
+            to_thousandths(used[ACCELERATORS]),
             spare.cpus,
             spare.accelerators,
         )
--- a/src/poppyhold/quota/ledger.py
+++ b/src/poppyhold/quota/ledger.py
@@ -1,14 +1,15 @@
 """The allocation ledger of one cell for one term of its leader: initial records, debits and credits.
 
-No I/O and no clock: commits go out through ``commit`` and return through its callback, on the same thread.
-One commit is in progress at a time, and one with an unknown outcome is repeated by the committer under a new
-fence until it certainly was carried out (`durable.fenced_writer`). Starts are never planned against
-more than what is durable:
+It does no I/O and reads no clock: ``commit`` starts a commit and calls back on the same thread. One commit is
+in progress at a time, and the committer retries one of unknown outcome under a new write fence until it is
+certainly committed (`durable.fenced_writer`). The allocation in force, which scheduling enforces, never
+exceeds the durable one:
 
 - a debit lowers the allocation in force before its write is sent;
-- a credit raises it only when its write is known to be durable.
+- a credit raises it only once its write is durable.
 
-An amount that was debited from one cell's record and not yet credited to the other's belongs to no cell.
+An amount in transit, debited from the source's record and not yet credited to the destination's, belongs to
+no cell.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 from poppyhold.quota.errors import SequenceError, UnknownIncarnationError, WrongCellError
 from poppyhold.quota.ledger_commits import Commit, LedgerCommits
 from poppyhold.quota.records import (
-    ALLOCATION,
-    IDENTITY,
-    PEER,
+    ALLOCATION_PREFIX,
+    IDENTITY_KEY,
+    PEER_PREFIX,
     AllocationRecord,
     IdentityRecord,
     PeerRecord,
@@ -48,29 +49,27 @@
     ) -> None:
         """``on_changed`` is called with each team whose allocation in force has changed.
 
-        ``on_inconsistent`` is called when the records are not the expected ones: the next leader reads them
-        again.
+        ``on_inconsistent`` is called when the durable records are not the expected ones, for the next leader
+        to read them again.
         """
         self.cell = cell
         self._new_incarnation, self._on_changed = new_incarnation, on_changed
         self._commits = LedgerCommits(commit, on_inconsistent)
         self.identity: IdentityRecord | None = None
-        # In force, by team.
+        # Allocations in force, by team.
         self._records: dict[str, AllocationRecord] = {}
         self._peers: dict[str, PeerRecord] = {}
-        # Cells whose transfer is not known to be durable: it is not sent yet.
+        # Destination cells of transfers that are not yet durable, and so not sent.
         self._uncommitted_transfers: set[str] = set()
 
-    # -- what is in force ------------------------------------------------------------------------------
-
     @property
     def commit_in_progress(self) -> bool:
-        """Whether a commit is in progress: no other one can start."""
+        """Whether a commit is in progress, so that no other can start."""
         return self._commits.in_progress
 
     @property
     def committed_changes(self) -> int:
-        """Records written in this term, for display."""
+        """The number of records written in this term, for display."""
         return self._commits.committed_changes
 
     @property
@@ -85,7 +84,7 @@
 
     @property
     def peers(self) -> Mapping[str, PeerRecord]:
-        """The transfers between this cell and each other one."""
+        """The records of transfers, by peer cell."""
         return self._peers
 
     def allocation(self, team: str) -> TeamAllocation | None:
@@ -94,27 +93,25 @@
         return record.allocation if record is not None else None
 
     def last_applied_from(self, peer: str) -> int:
-        """The number of the last transfer from a cell that is durable here."""
+        """The number of the last transfer from a cell whose credit is durable here."""
         record = self._peers.get(peer)
-        return record.applied if record is not None else 0
+        return record.last_applied if record is not None else 0
 
     def transfer_in_transit_to(self, peer: str) -> Transfer | None:
         """The durable transfer in transit to a cell."""
         record = self._peers.get(peer)
         return record.in_transit if record is not None and peer not in self._uncommitted_transfers else None
 
-    # -- the beginning of a term -----------------------------------------------------------------------
-
     def load(self, entries: Iterable[Entry]) -> None:
-        """Load the durable records, as a new leader read them."""
+        """Load the durable records at the start of a term."""
         for entry in entries:
-            if entry.key == IDENTITY:
+            if entry.key == IDENTITY_KEY:
                 self.identity = convert(entry.data, IdentityRecord)
-            elif entry.key.startswith(ALLOCATION):
+            elif entry.key.startswith(ALLOCATION_PREFIX):
                 record = convert(entry.data, AllocationRecord)
                 self._records[record.team] = record
-            elif entry.key.startswith(PEER):
-                self._peers[entry.key.removeprefix(PEER)] = convert(entry.data, PeerRecord)
+            elif entry.key.startswith(PEER_PREFIX):
+                self._peers[entry.key.removeprefix(PEER_PREFIX)] = convert(entry.data, PeerRecord)
         for team in self._records:
             self._on_changed(team)
 
@@ -126,7 +123,7 @@
     def create_missing(self, initial: Mapping[str, InitialAllocation], max_records: int) -> bool:
         """Create up to ``max_records`` missing records, each on the condition that it is absent.
 
-        Returns False if none is missing. An existing record holds, whatever the settings say today.
+        Returns False if none is missing. An existing record takes precedence over the current settings.
         """
         missing = [team for team in initial if team not in self._records]
         if self.identity is not None and not missing:
@@ -138,8 +135,8 @@
         identity = self.identity
         if identity is None:
             identity = IdentityRecord(self.cell, self._new_incarnation())
-            conditions[IDENTITY] = 0
-            writes.append(put_record(IDENTITY, identity))
+            conditions[IDENTITY_KEY] = 0
+            writes.append(put_record(IDENTITY_KEY, identity))
         created = missing[: max(0, max_records - len(writes))]
         records = [AllocationRecord(team, *initial[team]) for team in created]
         for record in records:
@@ -153,24 +150,22 @@
         self._commits.start(conditions, writes, on_committed)
         return True
 
-    # -- transfers -------------------------------------------------------------------------------------
-
     def check_peer(self, peer: str, incarnation: str) -> None:
-        """Raise `UnknownIncarnationError` if a cell's records are not those of the earlier transfers."""
+        """Raise `UnknownIncarnationError` if a cell's incarnation is not that of the earlier transfers."""
         known = self._peers.get(peer)
         if not incarnation or (known is not None and known.incarnation != incarnation):
             raise UnknownIncarnationError(f"cell {peer} has other records than before")
 
     def can_debit(self, peer: str) -> bool:
-        """Whether a transfer to a cell may start now: there is one at a time to each."""
+        """Whether a transfer to a cell may start now: only one is in transit to each cell at a time."""
         known = self._peers.get(peer)
         return not self.commit_in_progress and (known is None or known.in_transit is None)
 
     def debit(self, peer: str, incarnation: str, amounts: Mapping[str, TeamAmount]) -> bool:
-        """Start a transfer of parts of teams' allocations to a cell; False if that is not possible now.
+        """Start a transfer of amounts of teams' allocations to a cell; False if that is not possible now.
 
-        The allocations in force are lowered at once. The caller has checked that everything of each team
-        that may still run stays within the rest.
+        The allocations in force are lowered at once. The caller ensures that each team's possible use stays
+        within its remaining allocation.
         """
         records = {team: self._records[team] for team in amounts if team in self._records}
         covered = all(record.allocation.covers(amounts[team]) for team, record in records.items())
@@ -178,11 +173,11 @@
             return False
         self.check_peer(peer, incarnation)
         before = self._peers.get(peer) or PeerRecord(incarnation)
-        transfer = Transfer(before.sent + 1, dict(amounts))
+        transfer = Transfer(before.last_sent + 1, dict(amounts))
         debited = [
             _changed(record, record.allocation.minus(amounts[team])) for team, record in records.items()
         ]
-        peer_record = msgspec.structs.replace(before, sent=transfer.number, in_transit=transfer)
+        peer_record = msgspec.structs.replace(before, last_sent=transfer.number, in_transit=transfer)
         self._apply_debits(debited)
         self._peers[peer] = peer_record
         self._uncommitted_transfers.add(peer)
@@ -191,25 +186,29 @@
         return True
 
     def _apply_debits(self, debited: Iterable[AllocationRecord]) -> None:
-        """Stop planning against debited amounts, before anything is written."""
+        """Lower the allocations in force before the debit is written."""
         self._set_in_force(debited)
 
-    def acknowledge(self, peer: str, incarnation: str, applied: int) -> None:
-        """Note up to which number a cell has applied our transfers: those are no longer kept here.
+    def acknowledge(self, peer: str, incarnation: str, last_applied: int) -> None:
+        """Handle a cell's acknowledgement up to ``last_applied``; an acknowledged transfer is no longer kept.
 
         Raises:
-            QuotaProtocolError: it cannot have applied so many, or has other records than before.
+            QuotaProtocolError: that transfer was not sent, or the cell's records are of another incarnation.
 
         """
         known = self._peers.get(peer)
         if known is None:
-            if applied:
-                raise SequenceError(f"cell {peer} has applied transfer {applied}, and none is known here")
+            if last_applied:
+                raise SequenceError(
+                    f"cell {peer} has applied transfer {last_applied}, and none is known here"
+                )
             return
         self.check_peer(peer, incarnation)
-        if applied > known.sent or (peer in self._uncommitted_transfers and applied == known.sent):
-            raise SequenceError(f"cell {peer} has applied transfer {applied} of {known.sent}")
-        if known.in_transit is None or applied < known.sent or self.commit_in_progress:
+        if last_applied > known.last_sent or (
+            peer in self._uncommitted_transfers and last_applied == known.last_sent
+        ):
+            raise SequenceError(f"cell {peer} has applied transfer {last_applied} of {known.last_sent}")
+        if known.in_transit is None or last_applied < known.last_sent or self.commit_in_progress:
             return
         peer_record = msgspec.structs.replace(known, in_transit=None)
 
@@ -219,12 +218,12 @@
         self._commits.start({}, [_put_peer(peer, peer_record)], on_committed)
 
     def credit(self, peer: str, incarnation: str, transfer: Transfer) -> bool:
-        """Apply a cell's transfer once; False if it was applied before, or has to be sent again.
+        """Apply a cell's transfer exactly once; False if it was applied before, or must be sent again.
 
-        The allocations in force are raised when this is durable.
+        The allocations in force are raised once the credit is durable.
 
         Raises:
-            QuotaProtocolError: an earlier transfer is missing, or the cell has other records than before.
+            QuotaProtocolError: an earlier transfer is missing, or the records are of another incarnation.
 
         """
         known = self._peers.get(peer)
@@ -236,7 +235,7 @@
             return False
         records = [self._records[team] for team in transfer.amounts]
         credited = [_changed(each, each.allocation.plus(transfer.amounts[each.team])) for each in records]
-        peer_record = msgspec.structs.replace(before, applied=transfer.number)
+        peer_record = msgspec.structs.replace(before, last_applied=transfer.number)
 
         def on_committed() -> None:
             self._peers[peer] = peer_record
@@ -247,10 +246,10 @@
 
     @staticmethod
     def _is_next_in_sequence(before: PeerRecord, transfer: Transfer) -> bool:
-        """Whether a transfer is the next one; one at or below the last applied number is a repeat."""
-        if transfer.number > before.applied + 1:
-            raise SequenceError(f"transfer {transfer.number} came after {before.applied}")
-        return transfer.number == before.applied + 1
+        """Whether a transfer is the next one; a number up to the last applied one is a duplicate."""
+        if transfer.number > before.last_applied + 1:
+            raise SequenceError(f"transfer {transfer.number} came after {before.last_applied}")
+        return transfer.number == before.last_applied + 1
 
     def _commit_credits(
         self,
@@ -259,7 +258,7 @@
         peer: str,
         on_committed: Callable[[], None],
     ) -> None:
-        """Write credits together with the transfer's number; they count only once they are durable."""
+        """Commit credits with the transfer's number; they are put in force only once they are durable."""
         self._commits.start({}, [*map(_put_allocation, credited), _put_peer(peer, peer_record)], on_committed)
 
     def _set_in_force(self, records: Iterable[AllocationRecord]) -> None:
@@ -277,4 +276,4 @@
 
 
 def _put_peer(peer: str, record: PeerRecord) -> Put:
-    return put_record(PEER + peer, record)
+    return put_record(PEER_PREFIX + peer, record)
--- a/src/poppyhold/scheduling/bookings.py
+++ b/src/poppyhold/scheduling/bookings.py
@@ -17,7 +17,7 @@
         self._fleet, self._ledger, self._planner, self._estimates = fleet, ledger, planner, estimates
 
     def add_machine(self, machine: Machine) -> bool:
-        """Make a machine available to plans and book its attempts; return whether it is new to the ledger."""
+        """Add a machine to the ledger and book its attempts, where not done yet; return whether it is new."""
         is_new = machine.name not in self._ledger.machines
         if is_new:
             self._ledger.add_machine(
@@ -28,7 +28,7 @@
         return is_new
 
     def remove_machine(self, machine: Machine) -> None:
-        """Withdraw a machine from plans, and drop the bookings on it."""
+        """Remove a machine and the bookings on it from the ledger and from jobs; their plans stay."""
         if machine.name not in self._ledger.machines:
             return
         self._ledger.remove_machine(machine.name)
@@ -44,7 +44,7 @@
             return
         attempt.booked = True
         estimate_s = self._estimates.estimate_s(attempt.job)
-        attempt.booked_until = self._ledger.current_slot + self._planner.span_slots(estimate_s) - 1
+        attempt.last_booked_slot = self._ledger.current_slot + self._planner.span_slots(estimate_s) - 1
         self._adjust_attempt(attempt, 1.0)
 
     def release_attempt(self, attempt: Attempt) -> None:
@@ -56,7 +56,7 @@
 
     def _adjust_attempt(self, attempt: Attempt, factor: float) -> None:
         job = attempt.job
-        last = None if job.is_service else attempt.booked_until
+        last = None if job.is_service else attempt.last_booked_slot
         self._ledger.book(attempt.machine.name, job.task_resources, self._ledger.current_slot, last, factor)
 
     def book_plan(self, job: Job, plan: Plan) -> None:
@@ -66,7 +66,7 @@
             for name, count in machines.items():
                 self._adjust_starts(job, name, slot, count)
 
-    def release_plan(self, job: Job) -> None:
+    def release_planned_starts(self, job: Job) -> None:
         """Release the planned starts of a job that have not been used."""
         for slot, machines in job.booked.items():
             for name, count in machines.items():
@@ -99,12 +99,12 @@
 
     def _planned_estimate_s(self, job: Job) -> float:
         # A release must use the estimate of its booking, although estimates change as runs are recorded.
-        if job.planned_task_s <= 0:
-            job.planned_task_s = self._estimates.estimate_s(job)
-        return job.planned_task_s
+        if job.booked_run_time_s <= 0:
+            job.booked_run_time_s = self._estimates.estimate_s(job)
+        return job.booked_run_time_s
 
     def advance_to(self, slot: int) -> None:
-        """Advance to a slot; unused starts and attempts that outrun their estimate are booked in it."""
+        """Advance the ledger to a slot; book unused starts and attempts that outrun their estimate in it."""
         late = self._release_late_starts(slot)
         self._ledger.advance_to(slot)
         for job, name, count in late:
@@ -130,8 +130,8 @@
         """
         for machine in self._fleet.machines.values():
             for attempt in machine.attempts.values():
-                if attempt.booked and not attempt.job.is_service and attempt.booked_until < slot:
-                    attempt.booked_until = slot
+                if attempt.booked and not attempt.job.is_service and attempt.last_booked_slot < slot:
+                    attempt.last_booked_slot = slot
                     self._ledger.book(machine.name, attempt.job.task_resources, slot, slot, 1.0)
 
     def machines_booked_now(self, job: Job) -> set[str]:
@@ -139,7 +139,7 @@
         return set(job.booked.get(self._ledger.current_slot, ()))
 
     def booked_now(self) -> dict[str, Resources]:
-        """Return by machine the resources of unused starts that plans book in the current slot."""
+        """Return by machine name the resources of unused starts that plans book in the current slot."""
         reserved: dict[str, Resources] = {}
         for job in self._fleet.jobs.values():
             if job.phase is JobPhase.FINALIZED:
@@ -148,8 +148,8 @@
                 reserved[name] = add_scaled(reserved.get(name, NO_RESOURCES), job.task_resources, count)
         return reserved
 
-    def reserved_by_others(self, reserved: dict[str, Resources], job: Job) -> dict[str, Resources]:
-        """Return the reservations without those of the job itself in the current slot."""
+    def reserved_without_own_bookings(self, reserved: dict[str, Resources], job: Job) -> dict[str, Resources]:
+        """Return the reservations without the job's own bookings of the current slot."""
         others = dict(reserved)
         for name, count in job.booked.get(self._ledger.current_slot, {}).items():
             if name in others:
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -14,7 +14,7 @@
 from poppyhold.durable.keys import QUOTA_PREFIX
 from poppyhold.options import Cell, CellController, Cells, Options
 from poppyhold.options_file import check_cells
-from poppyhold.quota.amounts import UNIT, to_units
+from poppyhold.quota.amounts import UNIT, to_thousandths
 from poppyhold.quota.apportionment import total_allocation
 from poppyhold.quota.ledger import AllocationLedger
 from poppyhold.quota.messages import QuotaResponse, TransferRequest, TransferResponse
@@ -121,7 +121,7 @@
         quota = term.controller.quota
         if quota is None:
             return
-        answer = msgspec.msgpack.encode(quota.answer(request))
+        answer = msgspec.msgpack.encode(quota.handle_request(request))
         term.settle()
         self._send(other, index, lambda: self._answered(asking, other, answer))
 
@@ -170,7 +170,7 @@
 
     def moves(self) -> int:
         """Transfers that were started in all cells."""
-        return sum(record.sent for world in self.worlds for record in self._ledger(world).peers.values())
+        return sum(record.last_sent for world in self.worlds for record in self._ledger(world).peers.values())
 
     def alarms(self, cell: int) -> list[str]:
         """Alarms of the cell's leader."""
@@ -182,7 +182,7 @@
     def _check(self) -> None:
         limit = self._whole.accelerators.limit
         used = self.used()
-        if limit is not None and to_units(used) > limit:
+        if limit is not None and to_thousandths(used) > limit:
             self.violations.append(f"quota over all cells: {used:g} at {self.now:.1f}")
         if self.now < self._check_at:
             return
@@ -193,7 +193,7 @@
         running = {
             name: 0
             if index in self.without_cells_file and self._raises_alarm(index)
-            else to_units(self._used(world))
+            else to_thousandths(self._used(world))
             for index, (name, world) in enumerate(zip(self._names, self.worlds, strict=True))
         }
         for problem in sum_problems(ledgers, TEAM, self._whole, running):
--- a/tests/sim_node.py
+++ b/tests/sim_node.py
@@ -29,10 +29,10 @@
 from poppyhold.model.outbound import CommitPriority, MisdirectedWorker
 from poppyhold.model.outcome import RequestOutcome
 from poppyhold.node.controller import Controller
-from poppyhold.node.leader_term import DIRECT_SHARE
+from poppyhold.node.leader_term import DIRECT_WORKERS_CONNECTION_SHARE
 from poppyhold.node.user_api import UserApi
 from poppyhold.options import Options, RelayMode
-from poppyhold.quota.records import PEER
+from poppyhold.quota.records import PEER_PREFIX
 from poppyhold.reads.batched_job_reads import BatchedJobReads
 from poppyhold.relay.assignment import Assignment
 from poppyhold.relay.batch_handler import BatchHandler
@@ -133,7 +133,7 @@
         self.assignment = Assignment(
             world.relays if node.relays else RelayMode.OFF,
             world.relays_from,
-            node.settings.deployment.machine_limits.connections * DIRECT_SHARE,
+            node.settings.deployment.machine_limits.connections * DIRECT_WORKERS_CONNECTION_SHARE,
             node.member,
             node.zone,
             node.times,
@@ -157,7 +157,7 @@
     def _commit_next(self) -> None:
         """Try to commit the first queued unit, as the committer's thread does."""
         conditions, writes, done = self._units[0]
-        is_transfer = any(isinstance(write, Put) and write.key.startswith(PEER) for write in writes)
+        is_transfer = any(isinstance(write, Put) and write.key.startswith(PEER_PREFIX) for write in writes)
         if is_transfer and self._planned is not writes:
             self._planned = writes
             self.world.on_transfer_step(self.node, "planned")
@@ -350,8 +350,8 @@
     def leadership_confirmed_at(self) -> float:
         return self.confirmed if self.alive else float("-inf")
 
-    def delegated_leases_expire_at(self) -> float:
-        return self.delegations.latest_renewal_at(self.world.now)
+    def latest_delegated_renewal_at(self) -> float:
+        return self.delegations.latest_possible_renewal_at(self.world.now)
 
     def delegation(self) -> LeaseDelegation | None:
         """The grant under which other nodes may renew leases."""
--- a/tests/test_lease_delegation.py
+++ b/tests/test_lease_delegation.py
@@ -17,8 +17,8 @@
 
 SKEW_S = 0.5
 FENCING_TOKEN = 7
-# When the leader was last sure of everything.
-KNOWN_WALL = 1000.0
+# Wall-clock time up to which the leader's delegation is confirmed.
+CONFIRMED_UNTIL_WALL = 1000.0
 
 
 def make_durations() -> Durations:
@@ -37,14 +37,16 @@
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.wall = KNOWN_WALL
+        self.wall = CONFIRMED_UNTIL_WALL
 
 
 def delegate(clocks: Clocks) -> tuple[DelegatedRenewals, Durations]:
     """A delegate that was pinged by the leader just now."""
     durations = make_durations()
     renewals = DelegatedRenewals(durations, SKEW_S, lambda: clocks.now, lambda: clocks.wall)
-    renewals.observe_leader(FENCING_TOKEN, LeaseDelegation(FENCING_TOKEN, KNOWN_WALL, ["vm-excluded"]))
+    renewals.observe_leader(
+        FENCING_TOKEN, LeaseDelegation(FENCING_TOKEN, CONFIRMED_UNTIL_WALL, ["vm-excluded"])
+    )
     return renewals, durations
 
 
@@ -69,7 +71,7 @@
     clocks = Clocks()
     renewals, durations = delegate(clocks)
     clocks.now += 2 * durations.delegated_renewal_after_s
-    renewals.observe_leader(FENCING_TOKEN - 1, LeaseDelegation(FENCING_TOKEN - 1, KNOWN_WALL, []))
+    renewals.observe_leader(FENCING_TOKEN - 1, LeaseDelegation(FENCING_TOKEN - 1, CONFIRMED_UNTIL_WALL, []))
     assert renewals.renewal_fencing_token(heartbeat(), LONG_AGO, FENCING_TOKEN, True) == FENCING_TOKEN
     assert renewals.renewal_fencing_token(heartbeat(FENCING_TOKEN - 1), LONG_AGO, FENCING_TOKEN, True) is None
 
@@ -109,7 +111,7 @@
     renewals, durations = delegate(clocks)
     clocks.now += 2 * durations.delegated_renewal_after_s
     worker = heartbeat()
-    clocks.wall = KNOWN_WALL + durations.unconfirmed_renewal_s - 2 * SKEW_S
+    clocks.wall = CONFIRMED_UNTIL_WALL + durations.unconfirmed_renewal_s - 2 * SKEW_S
     assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) == FENCING_TOKEN
     clocks.wall += 0.1
     assert renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True) is None
@@ -142,7 +144,7 @@
             clocks.now += 2 * durations.delegated_renewal_after_s
             for _ in range(3):
                 renewals.renewal_fencing_token(worker, LONG_AGO, FENCING_TOKEN, True)
-            renewals.observe_leader(FENCING_TOKEN, LeaseDelegation(FENCING_TOKEN, KNOWN_WALL, []))
+            renewals.observe_leader(FENCING_TOKEN, LeaseDelegation(FENCING_TOKEN, CONFIRMED_UNTIL_WALL, []))
     assert len(caplog.records) == 2
 
 
@@ -153,22 +155,22 @@
     tracker = DelegationTracker(make_durations(), SKEW_S)
     # A response to an earlier leader.
     tracker.record_response("hive-1", 5.0)
-    assert tracker.latest_renewal_at(1000.0) == float("-inf")
+    assert tracker.latest_possible_renewal_at(1000.0) == float("-inf")
 
 
 def test_a_controller_that_responds_in_time_renewed_nothing() -> None:
     durations = make_durations()
     tracker = DelegationTracker(durations, SKEW_S)
     tracker.record_grant("hive-1", 0.0)
-    assert tracker.latest_renewal_at(durations.delegated_renewal_after_s) == float("-inf")
+    assert tracker.latest_possible_renewal_at(durations.delegated_renewal_after_s) == float("-inf")
     tracker.record_response("hive-1", 1.0)
     # A late response to an earlier grant takes nothing back.
     tracker.record_response("hive-1", 0.5)
-    assert tracker.latest_renewal_at(1.0 + durations.delegated_renewal_after_s) == float("-inf")
+    assert tracker.latest_possible_renewal_at(1.0 + durations.delegated_renewal_after_s) == float("-inf")
     # A grant does not show that it was received.
     tracker.record_grant("hive-1", 4.0)
     now = 1.2 + durations.delegated_renewal_after_s
-    assert tracker.latest_renewal_at(now) == now
+    assert tracker.latest_possible_renewal_at(now) == now
 
 
 def test_a_silent_controller_may_have_renewed_leases_for_as_long_as_its_grant_lasts() -> None:
@@ -177,11 +179,11 @@
     tracker.record_grant("hive-1", 0.0)
     tracker.record_grant("hive-2", 0.0)
     longest_s = durations.unconfirmed_renewal_s * 1.001 + 4 * SKEW_S
-    assert tracker.latest_renewal_at(longest_s - 1.0) == longest_s - 1.0
-    assert tracker.latest_renewal_at(longest_s + 50.0) == longest_s
+    assert tracker.latest_possible_renewal_at(longest_s - 1.0) == longest_s - 1.0
+    assert tracker.latest_possible_renewal_at(longest_s + 50.0) == longest_s
     # It responds again: the bound so far stays, and ends there.
     tracker.record_response("hive-1", longest_s - 2.0)
     tracker.record_response("hive-2", longest_s - 3.0)
-    assert tracker.latest_renewal_at(longest_s - 1.0) == longest_s - 2.0
+    assert tracker.latest_possible_renewal_at(longest_s - 1.0) == longest_s - 2.0
     # Silent once more, without a newer grant: never earlier than the bound that was found before.
-    assert tracker.latest_renewal_at(longest_s + 50.0) == longest_s
+    assert tracker.latest_possible_renewal_at(longest_s + 50.0) == longest_s
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -111,7 +111,7 @@
     world.run(world.now + 2.5)
     machine = leader_term.controller.ctx.fleet.machines[new.name]
     if via is StartChannel.HEARTBEAT_RESPONSE:
-        machine.unreliable_until = world.now + 1000.0
+        machine.connection_unreliable_until = world.now + 1000.0
     world.run(world.now + 6.0)
     assert (machine.reconciled, new.tasks) == (True, {})
     assert machine.record_state is RecordState.REQUESTED
@@ -203,7 +203,7 @@
 def test_what_cannot_be_taken_is_answered_at_once() -> None:
     world, _ = leading_world()
     users: Any = world.nodes[0].users
-    users._slots = NoSlot()
+    users._user_request_slots = NoSlot()
     body = encode(wire(world.jobs["job-000001"]))
     for answer in (users.abort("job-000001"), users.submit(body)):
         assert answer[0] == 429
