--- a/src/poppyhold/node/cloud_client.py
+++ b/src/poppyhold/node/cloud_client.py
@@ -35,7 +35,7 @@
 
     def __init__(self, settings: Settings) -> None:
         host, port = split_address(settings.external_services.cloud)
-        self._client = HttpClient(host, port, most_idle=2)
+        self._client = HttpClient(host, port, max_idle=2)
         self._timeout_s = settings.deployment.workers.lease_s / _TIMEOUT_DIVISOR
 
     def fetch_machine_types(self) -> list[MachineType] | None:
@@ -57,7 +57,7 @@
             return None
 
     def launch_machines(self, body: Data) -> tuple[RequestOutcome, list[str]]:
-        """Launch machines; returns their names if the outcome is OK. UNKNOWN ones may still be launched."""
+        """Launch machines; returns their names if the outcome is OK. If it is UNKNOWN, some may launch."""
         try:
             status, data = self._client.request("POST", "/machines", body, timeout_s=self._timeout_s)
             if status == HTTPStatus.OK:
--- a/src/poppyhold/node/heartbeat_router.py
+++ b/src/poppyhold/node/heartbeat_router.py
@@ -37,7 +37,7 @@
         settings: Settings,
         store: Store,
         election: Election,
-        delegated_renewal: DelegatedRenewals,
+        delegated_renewals: DelegatedRenewals,
         misdirected_workers: MisdirectedWorkers,
         leader_term: Callable[[], LeaderTerm | None],
         is_unreachable: Callable[[str], bool],
@@ -46,9 +46,9 @@
         """``is_unreachable`` returns whether this node can't reach another controller."""
         workers = settings.deployment.workers
         self._member, self._store, self._election = settings.member, store, election
-        self._delegated_renewal, self._misdirected_workers = delegated_renewal, misdirected_workers
+        self._delegated_renewals, self._misdirected_workers = delegated_renewals, misdirected_workers
         self._leader_term, self._is_unreachable = leader_term, is_unreachable
-        # After this the worker has timed out, according to the protocol.
+        # The worker's timeout for a response, according to the protocol.
         self._response_timeout_s = heartbeat_response_timeout_s(workers)
         # A worker that gets no leader's name tries another node a second later. After a restart of all nodes
         # leases can expire within that second; an election takes far less.
@@ -88,10 +88,10 @@
         return leader_term.heartbeats.handle(heartbeat, self._response_timeout_s) or self.make_rejection()
 
     def _answer_as_delegate(self, heartbeat: Heartbeat) -> HttpResponse | None:
-        """Renew the lease as the leader's delegate; None if this node may not."""
+        """Renew the lease as the leader's delegate; else record a misdirected worker, and return None."""
         if heartbeat.fencing_token:
             leader = self._election.leader
-            renewed_fencing_token = self._delegated_renewal.renewal_fencing_token(
+            renewed_fencing_token = self._delegated_renewals.renewal_fencing_token(
                 heartbeat,
                 self._store.contact_at,
                 leader.fencing_token if leader else 0,
@@ -99,14 +99,18 @@
             )
             if renewed_fencing_token is not None:
                 return http_response(HTTPStatus.OK, HeartbeatResponse(renewed_fencing_token).body())
-            # Workers of new machines start with any node; one with a fencing token has left its leader.
+            # Workers of new machines start with any node; one with a fencing token was answered by a leader.
             self._misdirected_workers.record(heartbeat)
         return None
 
     def _redirect(self, heartbeat: Heartbeat) -> HttpResponse | DeferredResponse:
         """Wait briefly for a leader, and redirect the worker to it."""
         leader = self._election.known_leader.await_leader(self._await_leader_s)
-        if leader is not None and leader.member != self._member and not self.forwarder.is_wanted():
+        if (
+            leader is not None
+            and leader.member != self._member
+            and not self.forwarder.leader_accepts_relays()
+        ):
             now = time.monotonic()
             wait_s = self._redirect_backoff.wait_s(
                 heartbeat, leader.fencing_token, now - self._election.known_leader.leader_since, now
--- a/src/poppyhold/node/service.py
+++ b/src/poppyhold/node/service.py
@@ -28,8 +28,10 @@
 from poppyhold.settings import Settings
 from poppyhold.wire.http_server import HttpResponse, HttpServer
 
-# Limit of misdirected workers, by the size of a message between controllers.
+# Maximum number of listed misdirected workers: a message between controllers must hold them.
 _MAX_MISDIRECTED_WORKERS = 20_000
+# Time since a worker's last heartbeat to this node during which it counts as misdirected, in leases.
+_MISDIRECTED_RECENT_LEASES = 0.5
 
 
 class Node:
@@ -60,17 +62,17 @@
             self.rng,
         )
         # Heartbeats, on the leader and on other controllers.
-        delegated_renewal = DelegatedRenewals(
+        delegated_renewals = DelegatedRenewals(
             Durations(settings, options), settings.deployment.skew_ms / 1000, time.monotonic, time.time
         )
         misdirected_workers = MisdirectedWorkers(
-            min(limits.machines, _MAX_MISDIRECTED_WORKERS), workers.lease_s / 2
+            min(limits.machines, _MAX_MISDIRECTED_WORKERS), workers.lease_s * _MISDIRECTED_RECENT_LEASES
         )
         self._heartbeats = HeartbeatRouter(
             settings,
             self.store,
             self.election,
-            delegated_renewal,
+            delegated_renewals,
             misdirected_workers,
             self._current_term,
             self._is_unreachable,
@@ -86,7 +88,7 @@
             self.election,
             self.user_api,
             self._heartbeats.forwarder,
-            delegated_renewal,
+            delegated_renewals,
             misdirected_workers,
             QuotaServer(settings, options.cells, self._current_term, lambda: self.election.leader),
             self._current_term,
@@ -143,11 +145,11 @@
 
     @property
     def peer_image_hints(self) -> ImageHints:
-        """The images on each machine, as the last leader sent them."""
+        """The images on each machine, from leaders' pings; they may be out of date."""
         return self._peer_handler.peer_image_hints
 
     def make_heartbeat_rejection(self) -> HttpResponse:
-        """Return the response to a heartbeat that the leader can't answer."""
+        """Return the rejection of a heartbeat whose lease the leader can't renew now."""
         return self._heartbeats.make_rejection()
 
     # -- callbacks of components that are constructed before those that they call ---------------------
--- a/tests/test_completions.py
+++ b/tests/test_completions.py
@@ -1,4 +1,4 @@
-"""The durable record of completed tasks: which records, when they are written, and when they are deleted."""
+"""Records of completed tasks: their ranges, when they are written, and when they are deleted."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from poppyhold.settings import AnnouncedStateLimits, StateLimits
 from poppyhold.wire.user_messages import parse_submission
 
-# Records of 256 tasks now; after the change those of more than 192 don't fit, and go to ones of 64.
+# A record holds 256 tasks; under the announced limit one with more than 192 is split into records of 64.
 LIMITS = StateLimits(value_kb=0.25, txn_ops=2, announced=AnnouncedStateLimits(value_kb=0.0625))
 JOB = "job-000001"
 
@@ -27,7 +27,7 @@
 
 
 class Records:
-    """The records of a job, and the transactions that are asked for."""
+    """The completion records of a job, and the transactions that saving them requests."""
 
     def __init__(self, job: Job, limits: StateLimits = LIMITS) -> None:
         self.job = job
@@ -45,7 +45,7 @@
             self.job.undurable_completions.add(index)
 
     def save(self) -> list[list[str]]:
-        """Keys of the transactions that this asks for."""
+        """Saves, and returns the keys of each transaction that this requests."""
         self.commits.clear()
         self.completions.save()
         return [[write.key for write in writes] for _, writes, _ in self.commits]
@@ -55,7 +55,7 @@
     return f"{prefix}{JOB}/{number}"
 
 
-def test_records_that_will_not_fit_are_split_and_no_others() -> None:
+def test_only_records_above_the_announced_limit_are_split() -> None:
     # Tasks up to 355: the last range is short.
     records = Records(some_job(356))
     records.complete(0, 70, 300)
@@ -82,7 +82,7 @@
         258,
     ]
     assert records.commits == []
-    # What is there is not written again, and holds up nothing that completes later.
+    # Loaded completions are not written again and do not block the saving of later ones.
     assert records.save() == []
     assert not records.job.completions_save_in_flight
     records.completions.remove(records.job)
@@ -105,7 +105,7 @@
         pytest.param("phase", JobPhase.FINALIZED, JobPhase.ACTIVE, id="finalized"),
     ],
 )
-def test_nothing_is_saved_of_a_job_that_is_being_saved_finalizing_or_finalized(
+def test_no_completions_are_saved_for_a_job_that_is_saving_finalizing_or_finalized(
     field: str, prevents: bool | JobPhase, allows: bool | JobPhase
 ) -> None:
     records = Records(some_job())
@@ -116,12 +116,12 @@
     assert records.save() == [[key(COMPLETION_RANGES_PREFIX, 0)]]
 
 
-def test_what_completes_while_records_are_written_is_saved_by_the_next_ones() -> None:
+def test_completions_during_a_save_are_written_by_the_next_save() -> None:
     records = Records(some_job())
     records.complete(5)
     records.save()
     conditions, _, done = records.commits[0]
-    # On the condition that the job is what it was: nothing is written of one that is finalized.
+    # Conditional on the job's revision: no record is written for a finalized job.
     assert conditions == {ACTIVE_JOB_PREFIX + JOB: 7}
     records.complete(6)
     done(True)
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("outcomes", [(True, True), (False, True), (True, False)], ids=str)
-def test_tasks_are_saved_once_every_record_of_theirs_is(outcomes: tuple[bool, bool]) -> None:
+def test_completions_are_durable_once_every_record_is_committed(outcomes: tuple[bool, bool]) -> None:
     records = Records(some_job())
     records.complete(0, 70, 130)
     assert [len(keys) for keys in records.save()] == [2, 1]
@@ -144,7 +144,7 @@
     assert records.job.undurable_completions == (set() if all(outcomes) else {0, 70, 130})
 
 
-def test_records_are_deleted_in_batches_also_those_whose_write_has_no_outcome_yet() -> None:
+def test_records_are_deleted_in_batches_including_those_with_a_write_in_flight() -> None:
     records = Records(some_job())
     records.complete(0, 70, 130)
     records.save()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""A leader's transactions when answers are lost and old ones are carried out late."""
+"""A leader's transactions: lost responses, late commits, order, limits and loss of leadership."""
 
 from __future__ import annotations
 
@@ -40,11 +40,14 @@
 
 
 class UnreliableStore(Store):
-    """A state service that does with each transaction what it is told to."""
+    """A state service with a scripted outcome for each transaction: answered, refused, lost or late.
 
-    def __init__(self, *fates: str) -> None:
+    A lost one is committed without a response; `apply_late_transactions` commits the late ones.
+    """
+
+    def __init__(self, *commit_outcomes: str) -> None:
         self.state = StateStandIn(lambda: 0.0)
-        self.fates = deque(fates)
+        self.commit_outcomes = deque(commit_outcomes)
         self.late: list[Data] = []
 
     def get(self, key: str) -> Entry | None:
@@ -53,34 +56,34 @@
 
     def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
         body = transaction_body(conditions, writes)
-        fate = self.fates.popleft() if self.fates else "answered"
-        if fate == "refused":
+        outcome = self.commit_outcomes.popleft() if self.commit_outcomes else "answered"
+        if outcome == "refused":
             raise StoreRejectedError("503")
-        if fate == "late":
+        if outcome == "late":
             self.late.append(body)
             raise OutcomeUnknownError("late")
         status, answer = self.state.commit(body)
-        if fate == "lost":
+        if outcome == "lost":
             raise OutcomeUnknownError("lost")
         if status == 409:
             raise ConditionFailedError(answer["failed"])
         return int(answer["ledger"])
 
-    def carry_out_late(self) -> list[int]:
-        """What had no answer reaches the service now."""
+    def apply_late_transactions(self) -> list[int]:
+        """Commits the late transactions and returns their statuses."""
         return [self.state.commit(body)[0] for body in self.late]
 
 
-def leader(*fates: str) -> tuple[UnreliableStore, FencedWriter]:
+def leader(*commit_outcomes: str) -> tuple[UnreliableStore, FencedWriter]:
     """A store with a leader's key, and that leader's writer."""
     store = UnreliableStore()
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
-    store.fates.extend(fates)
-    return store, FencedWriter(store, stamp)
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    store.commit_outcomes.extend(commit_outcomes)
+    return store, FencedWriter(store, key_revision)
 
 
 def write_until_certain(writer: FencedWriter, key: str, value: int) -> None:
-    """Write as the committer does: repeat what had no answer."""
+    """Writes as the committer does: retries until the outcome is known."""
     for _ in range(10):
         try:
             writer.commit({}, [Put(key, {"v": value})])
@@ -88,10 +91,10 @@
             continue
         else:
             return
-    raise AssertionError("never certain")
+    raise AssertionError("write has no known outcome after 10 attempts")
 
 
-FATES = [
+COMMIT_OUTCOMES = [
     ["late", "answered", "answered"],
     ["late", "late", "answered", "answered"],
     ["late", "lost", "answered", "answered"],
@@ -101,17 +104,17 @@
 ]
 
 
-@pytest.mark.parametrize("fates", FATES, ids=" ".join)
+@pytest.mark.parametrize("commit_outcomes", COMMIT_OUTCOMES, ids=" ".join)
 @pytest.mark.parametrize("key", [FENCING_TOKEN_KEY, PLAN_PREFIX + "job-000001"])
-def test_late_transactions_undo_nothing_newer(fates: list[str], key: str) -> None:
-    store, writer = leader(*fates)
+def test_late_transactions_overwrite_no_newer_value(commit_outcomes: list[str], key: str) -> None:
+    store, writer = leader(*commit_outcomes)
     for value in (1, 2, 3):
         write_until_certain(writer, key, value)
         assert store.state.keys[key][0] == {"v": value}
-    assert store.late or "late" not in fates
-    assert 200 not in store.carry_out_late()
+    assert store.late or "late" not in commit_outcomes
+    assert 200 not in store.apply_late_transactions()
     assert store.state.keys[key][0] == {"v": 3}
-    # The leader goes on behind them.
+    # The leader can still write after them.
     write_until_certain(writer, key, 4)
     assert store.state.keys[key][0] == {"v": 4}
 
@@ -122,10 +125,10 @@
     clock = SimpleNamespace(monotonic=time.monotonic, sleep=pauses.append)
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
     store = UnreliableStore()
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
-    store.fates.extend(["refused"] * 12)
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    store.commit_outcomes.extend(["refused"] * 12)
     done = threading.Event()
-    committer = Committer(store, settings, stamp, lambda: None)
+    committer = Committer(store, settings, key_revision, lambda: None)
     committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], lambda result: done.set()))
     assert done.wait(60.0)
     committer.stop()
@@ -134,7 +137,7 @@
     assert pauses[-1] == settings.deployment.workers.heartbeat_interval_s / 8
 
 
-def test_transactions_keep_to_the_rate_of_writes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_transactions_do_not_exceed_the_write_rate(monkeypatch: pytest.MonkeyPatch) -> None:
     settings = World(1, 10.0, 30.0, []).settings
     now = [0.0]
 
@@ -145,18 +148,18 @@
     clock = SimpleNamespace(monotonic=lambda: now[0], sleep=sleep)
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
     store = UnreliableStore()
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
-    left = threading.Semaphore(0)
-    committer = Committer(store, settings, stamp, lambda: None)
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    finished = threading.Semaphore(0)
+    committer = Committer(store, settings, key_revision, lambda: None)
     changes = 0
     for unit in range(20):
         writes = [Put(f"{PLAN_PREFIX}{unit}-{number}", {}) for number in range(10)]
         changes += len(writes)
-        committer.submit(CommitUnit({}, writes, lambda result: left.release()))
+        committer.submit(CommitUnit({}, writes, lambda result: finished.release()))
     for _ in range(20):
-        assert left.acquire(timeout=20.0)
+        assert finished.acquire(timeout=20.0)
     committer.stop()
-    # A burst goes out at once, and the last transaction when those before it have been paid for.
+    # A burst is sent at once; the last transaction waits until the rate covers those before it.
     state = settings.deployment.state
     assert now[0] >= (changes - 2 * state.txn_ops) / (state.write_rps / 1.5)
 
@@ -164,29 +167,31 @@
 class LimitedStore(UnreliableStore):
     """A state service whose limits were lowered without notice."""
 
-    def __init__(self, most_changes: int, largest: int) -> None:
+    def __init__(self, max_writes: int, max_value: int) -> None:
         super().__init__()
-        self.most_changes, self.largest = most_changes, largest
+        self.max_writes, self.max_value = max_writes, max_value
 
     def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
-        too_large = any(isinstance(write, Put) and write.data.get("v", 0) > self.largest for write in writes)
-        if len(writes) > self.most_changes or too_large:
+        too_large = any(
+            isinstance(write, Put) and write.data.get("v", 0) > self.max_value for write in writes
+        )
+        if len(writes) > self.max_writes or too_large:
             raise InvalidRequestError("400")
         return super().commit(conditions, writes)
 
 
-def test_a_unit_above_a_limit_holds_up_no_other_unit(monkeypatch: pytest.MonkeyPatch) -> None:
-    # By reading: a transaction that got 400 was repeated for ever, and every later one of the leader waited.
+def test_a_unit_above_a_limit_blocks_no_other_unit(monkeypatch: pytest.MonkeyPatch) -> None:
+    # A transaction that was rejected with 400 was retried forever and blocked every later one of the leader.
     settings = World(1, 10.0, 30.0, []).settings
     clock = SimpleNamespace(monotonic=time.monotonic, sleep=lambda seconds: time.sleep(seconds / 100))
     monkeypatch.setattr("poppyhold.durable.committer.time", clock)
-    store = LimitedStore(most_changes=1, largest=9)
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
-    committer = Committer(store, settings, stamp, lambda: None)
+    store = LimitedStore(max_writes=1, max_value=9)
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    committer = Committer(store, settings, key_revision, lambda: None)
     outcomes: list[tuple[int, bool]] = []
     last = threading.Event()
 
-    def note(value: int) -> Callable[[bool], None]:
+    def record(value: int) -> Callable[[bool], None]:
         def done(result: bool) -> None:
             outcomes.append((value, result))
             if value == 4:
@@ -194,9 +199,9 @@
 
         return done
 
-    # The second is too large by itself, and all of them are too many for one transaction.
+    # The second unit is too large by itself, and together they are too many for one transaction.
     for value in (1, 10, 3, 4):
-        committer.submit(CommitUnit({}, [Put(f"{PLAN_PREFIX}{value}", {"v": value})], note(value)))
+        committer.submit(CommitUnit({}, [Put(f"{PLAN_PREFIX}{value}", {"v": value})], record(value)))
     assert last.wait(60.0)
     committer.stop()
     assert outcomes == [(1, True), (3, True), (4, True)]
@@ -207,31 +212,31 @@
     store, old = leader("late")
     with pytest.raises(OutcomeUnknownError):
         old.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})])
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-1"})])
-    write_until_certain(FencedWriter(store, stamp), FENCING_TOKEN_KEY, 2)
-    assert store.carry_out_late() == [409]
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-1"})])
+    write_until_certain(FencedWriter(store, key_revision), FENCING_TOKEN_KEY, 2)
+    assert store.apply_late_transactions() == [409]
     with pytest.raises(ConditionFailedError, match=LEADER_KEY):
         old.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 3})])
     assert store.state.keys[FENCING_TOKEN_KEY][0] == {"v": 2}
 
 
 class BlockingStore(UnreliableStore):
-    """A state service that keeps the first transaction of a leader waiting."""
+    """A state service that blocks a leader's first transaction until `resume` is set."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.reached, self.go_on = threading.Event(), threading.Event()
+        self.reached, self.resume = threading.Event(), threading.Event()
         self.order: list[str] = []
 
     def commit(self, conditions: dict[str, int], writes: Sequence[Write]) -> int:
         if conditions:
             self.reached.set()
-            assert self.go_on.wait(60.0)
+            assert self.resume.wait(60.0)
             self.order += [write.key for write in writes]
         return super().commit(conditions, writes)
 
 
-class Recording(BlockingStore):
+class RecordingStore(BlockingStore):
     """Records the keys of each transaction of a leader."""
 
     def __init__(self) -> None:
@@ -245,53 +250,53 @@
 
 
 class Backlog:
-    """A committer whose first transaction is held until all units are queued; it notes how each one ends."""
+    """A committer whose first transaction blocks until all units are queued; records each unit's outcome."""
 
     def __init__(self, store: BlockingStore) -> None:
         self.store = store
         self.outcomes: dict[str, bool] = {}
         self.leadership_lost = threading.Event()
-        stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+        key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
         settings = World(1, 10.0, 30.0, []).settings
-        self.committer = Committer(store, settings, stamp, self.leadership_lost.set)
-        self._left = threading.Semaphore(0)
+        self.committer = Committer(store, settings, key_revision, self.leadership_lost.set)
+        self._finished = threading.Semaphore(0)
         self.submit("first", ["first"])
         assert store.reached.wait(60.0)
 
     def submit(self, name: str, keys: list[str], conditions: dict[str, int] | None = None) -> None:
         def done(result: bool) -> None:
             self.outcomes[name] = result
-            self._left.release()
+            self._finished.release()
 
         self.committer.submit(
             CommitUnit(conditions or {}, [Put(PLAN_PREFIX + key, {}) for key in keys], done)
         )
 
     def finish(self, units: int) -> None:
-        self.store.go_on.set()
+        self.store.resume.set()
         for _ in range(units):
-            assert self._left.acquire(timeout=20.0)
+            assert self._finished.acquire(timeout=20.0)
         self.committer.stop()
 
 
-def keys_of(first: str, number: int) -> list[str]:
+def make_keys(first: str, number: int) -> list[str]:
     return [f"{first}{index}" for index in range(number)]
 
 
 @pytest.mark.parametrize(
     ("units", "conditions", "sizes"),
     [
-        pytest.param([keys_of(unit, 8) for unit in "abc"], 0, [16, 8], id="changes"),
+        pytest.param([make_keys(unit, 8) for unit in "abc"], 0, [16, 8], id="changes"),
         pytest.param([["a"], ["b"], ["c"]], 39, [2, 1], id="conditions"),
         pytest.param([[unit] for unit in "abcdefghi"], 0, [8, 1], id="units"),
         pytest.param([["a"], ["b", "a"], ["c"]], 0, [1, 3], id="a-key-of-both"),
-        pytest.param([keys_of("a", 30), ["b"]], 0, [30, 1], id="one-unit-above-the-limit"),
+        pytest.param([make_keys("a", 30), ["b"]], 0, [30, 1], id="one-unit-above-the-limit"),
     ],
 )
 def test_units_share_a_transaction_within_its_limits(
     units: list[list[str]], conditions: int, sizes: list[int]
 ) -> None:
-    store = Recording()
+    store = RecordingStore()
     # The service may allow more than the settings say.
     store.state.lower_limits(30, 8.0)
     backlog = Backlog(store)
@@ -304,8 +309,8 @@
     assert [key for keys in store.transactions[1:] for key in keys] == [key for unit in units for key in unit]
 
 
-def test_a_unit_whose_condition_fails_is_told_and_takes_no_other_with_it() -> None:
-    store = Recording()
+def test_a_unit_whose_condition_fails_does_not_fail_other_units() -> None:
+    store = RecordingStore()
     backlog = Backlog(store)
     backlog.submit("before", ["before"])
     backlog.submit("failing", ["failing"], {LEADER_KEY + "/other": 7})
@@ -315,21 +320,21 @@
     assert PLAN_PREFIX + "failing" not in store.state.keys
 
 
-def test_a_leader_that_lost_its_leadership_writes_no_more_and_says_so() -> None:
-    store = Recording()
+def test_a_committer_stops_and_signals_when_leadership_is_lost() -> None:
+    store = RecordingStore()
     backlog = Backlog(store)
     store.state.commit(transaction_body({}, [Put(LEADER_KEY, {"member": "hive-1"})]))
     backlog.submit("second", ["second"])
-    store.go_on.set()
+    store.resume.set()
     assert backlog.leadership_lost.wait(20.0)
     backlog.committer._thread.join(20.0)
     assert not backlog.committer._thread.is_alive()
-    # Whether a step of a former leader is durable is its successor's to find out.
+    # Its successor determines whether a former leader's write is durable.
     assert backlog.outcomes == {}
     assert store.transactions == [["first"]]
 
 
-def test_a_transaction_whose_lease_expired_is_repeated() -> None:
+def test_a_transaction_whose_lease_expired_is_retried() -> None:
     class Expiring(UnreliableStore):
         tries = 0
 
@@ -340,22 +345,22 @@
             return super().commit(conditions, writes)
 
     store = Expiring()
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
-    committer = Committer(store, World(1, 10.0, 30.0, []).settings, stamp, lambda: None)
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    committer = Committer(store, World(1, 10.0, 30.0, []).settings, key_revision, lambda: None)
     outcomes: list[bool] = []
     done = threading.Event()
 
-    def noted(result: bool) -> None:
+    def on_outcome(result: bool) -> None:
         outcomes.append(result)
         done.set()
 
-    committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], noted))
+    committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], on_outcome))
     assert done.wait(60.0)
     committer.stop()
     assert (outcomes, store.tries) == ([True], 2)
 
 
-def test_a_committer_that_is_stopped_in_an_outage_tries_no_more() -> None:
+def test_a_committer_that_is_stopped_in_an_outage_stops_retrying() -> None:
     class RejectingServices(UnreliableStore):
         tried = threading.Event()
 
@@ -366,8 +371,8 @@
             return super().commit(conditions, writes)
 
     store = RejectingServices()
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
-    committer = Committer(store, World(1, 10.0, 30.0, []).settings, stamp, lambda: None)
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    committer = Committer(store, World(1, 10.0, 30.0, []).settings, key_revision, lambda: None)
     committer.submit(CommitUnit({}, [Put(FENCING_TOKEN_KEY, {"v": 1})], lambda result: None))
     assert store.tried.wait(20.0)
     committer.stop()
@@ -383,33 +388,35 @@
         writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 2})])
     writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 3})])
     assert store.state.keys[FENCING_TOKEN_KEY][0] == {"v": 3}
-    # With a new leader's key as well: that it leads no more is what counts.
+    # With a new leader key as well, the failed condition on the leader key is raised.
     store.commit({}, [Put(LEADER_KEY, {"member": "hive-1"}), Put(WRITE_FENCE_KEY, {"moved": "again"})])
     with pytest.raises(ConditionFailedError, match=LEADER_KEY):
         writer.commit({}, [Put(FENCING_TOKEN_KEY, {"v": 4})])
 
 
 @pytest.mark.parametrize(
-    "fates", [["late"], ["answered", "late"], ["answered", "late", "lost"]], ids=" ".join
+    "commit_outcomes", [["late"], ["answered", "late"], ["answered", "late", "lost"]], ids=" ".join
 )
-def test_the_write_fence_is_raised_once_for_each_transaction_of_unknown_outcome(fates: list[str]) -> None:
-    store, writer = leader(*fates)
+def test_the_write_fence_is_raised_once_for_each_transaction_of_unknown_outcome(
+    commit_outcomes: list[str],
+) -> None:
+    store, writer = leader(*commit_outcomes)
     for value in range(5):
         write_until_certain(writer, FENCING_TOKEN_KEY, value)
     # The leader's key, five values, and one change of the write fence.
     assert store.state.ledger == 7
 
 
-def test_launches_go_before_the_plans_of_a_backlog() -> None:
-    # A hundred plans at two thirds of 25 changes a second kept the first hires of a fleet back for 11 s.
+def test_launches_are_committed_before_queued_plans() -> None:
+    # 100 plans at two thirds of 25 changes/s delayed the first launches of a fleet by 11 s.
     settings = World(1, 10.0, 30.0, []).settings
     store = BlockingStore()
-    stamp = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
-    committer = Committer(store, settings, stamp, lambda: None)
-    left = threading.Semaphore(0)
+    key_revision = store.commit({}, [Put(LEADER_KEY, {"member": "hive-0"})])
+    committer = Committer(store, settings, key_revision, lambda: None)
+    finished = threading.Semaphore(0)
 
     def submit(key: str, priority: CommitPriority) -> None:
-        committer.submit(CommitUnit({}, [Put(key, {})], lambda result: left.release()), priority)
+        committer.submit(CommitUnit({}, [Put(key, {})], lambda result: finished.release()), priority)
 
     submit(f"{PLAN_PREFIX}first", CommitPriority.NORMAL)
     assert store.reached.wait(60.0)
@@ -417,20 +424,20 @@
     for number in range(20):
         submit(f"{PLAN_PREFIX}{number:02d}", CommitPriority.NORMAL)
     submit(f"{LAUNCH_PREFIX}r-1", CommitPriority.HIGHEST)
-    store.go_on.set()
+    store.resume.set()
     for _ in range(23):
-        assert left.acquire(timeout=60.0)
+        assert finished.acquire(timeout=60.0)
     committer.stop()
     plans = [f"{PLAN_PREFIX}{number:02d}" for number in range(20)]
     assert store.order == [f"{PLAN_PREFIX}first", f"{LAUNCH_PREFIX}r-1", *plans, "records"]
 
 
-def test_plans_of_urgent_jobs_go_first_and_those_without_a_guarantee_last(
+def test_plan_commits_have_the_priority_of_their_job(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Six one-task jobs a second of a guest team kept plans of critical replicas back for a minute.
+    # Six one-task jobs/s of a team without a guarantee delayed plans of critical replicas by a minute.
     world = World(1, 10.0, 30.0, [Team("alpha", accelerators=8), Team("gamma")])
-    ranks: dict[str, CommitPriority] = {}
+    priorities: dict[str, CommitPriority] = {}
     inner = SimLeaderTerm.commit
 
     def commit(
@@ -440,7 +447,7 @@
         done: Any,
         priority: CommitPriority = CommitPriority.BACKGROUND,
     ) -> None:
-        ranks.update(
+        priorities.update(
             {
                 write.key: priority
                 for write in writes
@@ -456,7 +463,7 @@
     for job_id, (team, priority) in jobs.items():
         world.submit(submission(job_id, {"crew": team, "rank": priority}))
     world.run(8.0)
-    assert [ranks[PLAN_PREFIX + job_id] for job_id in jobs] == [
+    assert [priorities[PLAN_PREFIX + job_id] for job_id in jobs] == [
         CommitPriority.UNGUARANTEED,
         CommitPriority.NORMAL,
         CommitPriority.URGENT,
